--- /dev/null
+++ b/cmd/gullfall/formats_test.go
@@ -0,0 +1,32 @@
+package main
+
+import (
+	"testing"
+
+	"gullfall/internal/lab/golden"
+	"gullfall/internal/membership"
+	"gullfall/internal/steward"
+	"gullfall/internal/store"
+)
+
+// TestOutputForms shows that what the command line prints for machines, what it asks a coordinator over the admin socket,
+// and the lists that it keeps in the store have the keys that earlier versions gave them.
+func TestOutputForms(t *testing.T) {
+	golden.JSON(t, "forms.json", map[string]any{
+		"dnssd line":      golden.Filled[line](),
+		"store":           golden.Filled[storeView](),
+		"store note":      golden.Filled[note](),
+		"store change":    golden.Filled[store.MemberChange](),
+		"store status":    golden.Filled[store.Status](),
+		"work word":       golden.Filled[workWord](),
+		"work ask":        golden.Filled[steward.Ask](),
+		"work view":       golden.Filled[steward.View](),
+		"work planned":    golden.Filled[steward.Planned](),
+		"duties try":      golden.Filled[steward.Tried](),
+		"zones":           golden.Filled[[]zoneView](),
+		"peers":           golden.Filled[peersView](),
+		"peers forget":    golden.Filled[forgotten](),
+		"learned":         golden.Filled[[]learnedView](),
+		"remembered list": golden.Filled[[]membership.Record](),
+	})
+}
--- /dev/null
+++ b/internal/flight/formats_test.go
@@ -0,0 +1,42 @@
+package flight
+
+import (
+	"os"
+	"testing"
+	"time"
+
+	"gullfall/internal/lab/golden"
+)
+
+// TestMessageForms shows that tickets, and the messages between coordinators and Flight data nodes, keep their keys.
+func TestMessageForms(t *testing.T) {
+	golden.JSON(t, "forms.json", map[string]any{
+		"ticket":         golden.Filled[Ticket](),
+		"fetch ticket":   golden.Filled[fetchTicket](),
+		"flight":         golden.Filled[listed](),
+		"batch metadata": golden.Filled[batchMeta](),
+		"part ticket":    golden.Filled[PartTicket](),
+		"part":           golden.Filled[PartAsk](),
+		"parts":          golden.Filled[PartsAsk](),
+		"part's answer":  golden.Filled[PartTold](),
+	})
+}
+
+// ticketKey sealed the recorded ticket.
+var ticketKey = Key{ID: 3, Secret: []byte("a secret of sixteen bytes or more")}
+
+// TestOpensEarlierTicket opens a ticket that an earlier version sealed.
+func TestOpensEarlierTicket(t *testing.T) {
+	raw, err := os.ReadFile("testdata/ticket.bin")
+	if err != nil {
+		t.Fatal(err)
+	}
+	var keys keyring
+	keys.set([]Key{{ID: 4, Secret: []byte("another secret, newer than that one")}, ticketKey})
+	owner, payload, err := keys.open(time.Unix(1_900_000_000, 0), forFetch, raw)
+	if err != nil || owner != "club" || string(payload) != "payload" {
+		t.Errorf("owner %q, payload %q, error %v", owner, payload, err)
+	}
+	keys.set([]Key{ticketKey})
+	golden.Bytes(t, "ticket.bin", keys.seal(forFetch, "club", time.Unix(2_000_000_000, 0), []byte("payload")))
+}
--- /dev/null
+++ b/internal/gossip/formats_test.go
@@ -0,0 +1,42 @@
+package gossip
+
+import (
+	"os"
+	"testing"
+
+	"github.com/google/go-cmp/cmp"
+
+	"gullfall/internal/lab/golden"
+	"gullfall/internal/swim"
+)
+
+// TestPacketForms shows that packets, exchanges and facts are encoded as earlier versions encode them: coordinators of
+// different versions talk to each other.
+func TestPacketForms(t *testing.T) {
+	var packets []byte
+	for _, message := range messages() {
+		packets = AppendMessage(packets, message)
+	}
+	golden.Bytes(t, "messages.bin", packets)
+	full := &swim.Full{From: sample, Reply: true, Refused: "why", Members: []swim.Update{sample},
+		Links: []swim.Link{{From: "a", To: "b", By: "b", Cut: true}}}
+	golden.Bytes(t, "exchange.bin", AppendFull(nil, full))
+	facts, _ := AppendFacts(nil, someFacts(20))
+	golden.Bytes(t, "facts.bin", facts)
+}
+
+// TestOpensEarlierPacket opens a packet that an earlier version sealed.
+func TestOpensEarlierPacket(t *testing.T) {
+	raw, err := os.ReadFile("testdata/sealed.bin")
+	if err != nil {
+		t.Fatal(err)
+	}
+	plain, err := newTestRing(t, "fleet", 2, key(2, "b"), key(1, "a")).open(raw)
+	if err != nil {
+		t.Fatal(err)
+	}
+	got, _, err := Decode(plain)
+	if diff := cmp.Diff(messages()[2], got); err != nil || diff != "" {
+		t.Errorf("error %v (-want +got)\n%s", err, diff)
+	}
+}
--- /dev/null
+++ b/internal/platform/formats_test.go
@@ -0,0 +1,108 @@
+package platform
+
+import (
+	"bytes"
+	"context"
+	"io"
+	"log/slog"
+	"net"
+	"os"
+	"sync"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"gullfall/aggregator"
+	"gullfall/internal/core"
+	"gullfall/internal/lab/golden"
+	"gullfall/internal/membership"
+)
+
+// TestFrameForms records what is written to a data node that never answers (a call of two parts of a keyed class,
+// and what gives the parts up), and compares it with what earlier versions wrote. Time is virtual, so that the time left
+// that a frame tells is the same each time.
+func TestFrameForms(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		var mu sync.Mutex
+		var written bytes.Buffer
+		dial := func(context.Context, string) (net.Conn, error) {
+			ours, theirs := net.Pipe()
+			go func() {
+				chunk := make([]byte, 4096)
+				for {
+					n, err := theirs.Read(chunk)
+					mu.Lock()
+					written.Write(chunk[:n])
+					mu.Unlock()
+					if err != nil {
+						return
+					}
+				}
+			}()
+			return ours, nil
+		}
+		k := startFrameCore(t, dial)
+		ctx, leave := context.WithTimeout(t.Context(), 400*time.Millisecond)
+		defer leave()
+		_, err := k.Ask(ctx, core.Query{ID: "query", Class: "entry", IdempotencyKey: "key", Text: "text of the query",
+			Deadline: time.Now().Add(1500 * time.Millisecond), Parts: []core.Part{{Shard: 0, Weight: 0.5}, {Shard: 1, Weight: 0.5}}})
+		if err == nil {
+			t.Error("a query was answered by a data node that never answers")
+		}
+		time.Sleep(time.Second)
+		mu.Lock()
+		defer mu.Unlock()
+		golden.Bytes(t, "frames.bin", written.Bytes())
+	})
+}
+
+// startFrameCore runs a core before one data node whose connections come by dial.
+func startFrameCore(t *testing.T, dial func(context.Context, string) (net.Conn, error)) *core.Core {
+	t.Helper()
+	log := slog.New(slog.DiscardHandler)
+	set := aggregator.Settings{Aggregators: 1, Tick: 5 * time.Millisecond, Cells: 1, Shards: 2, Reach: 1, CallCost: time.Millisecond,
+		Classes: []aggregator.Class{{Name: "entry", Aim: time.Second, Deadline: 2 * time.Second, Worth: 1, Need: 1, Floor: 1,
+			Effect: aggregator.Keyed, Memory: 300 * time.Millisecond}},
+		Limits: aggregator.Limits{Attempts: 2, Bundle: 8, Cancel: true, ConnectTimeout: 250 * time.Millisecond}}
+	k, err := core.New(set, 1, log)
+	if err != nil {
+		t.Fatal(err)
+	}
+	ctx, stop := context.WithCancel(t.Context())
+	go k.Run(ctx)
+	nodes := &Nodes{Core: k, Log: log, Dial: dial, Streams: 32, Connect: 250 * time.Millisecond, Slots: make(chan struct{}, 9)}
+	k.Carrier("", nodes.Carry)
+	list := k.Source(membership.Spec{Name: "list"})
+	list.Replace([]core.Member{{ID: "a", Weight: 1}}, false)
+	t.Cleanup(func() {
+		list.Replace(nil, false)
+		time.Sleep(time.Minute)
+		stop()
+	})
+	return k
+}
+
+// TestRemembersEarlierList reads a list of data nodes as an earlier version kept it, and keeps it in the same form.
+func TestRemembersEarlierList(t *testing.T) {
+	known, err := os.ReadFile("testdata/remembered.json")
+	if err != nil {
+		t.Fatal(err)
+	}
+	k, err := core.New(aggregator.Settings{Cells: 2, Shards: 2, Reach: 1, Classes: []aggregator.Class{{Aim: 1, Deadline: 1}}}, 1, slog.New(slog.DiscardHandler))
+	if err != nil {
+		t.Fatal(err)
+	}
+	w := NewWatch("discovery")
+	w.Log = slog.New(slog.NewTextHandler(io.Discard, nil))
+	w.Source = k.Source(membership.Spec{Name: "list"})
+	w.Remember(known)
+	claims := w.Source.Claims()
+	if len(claims) != 2 || claims[0].ID != "a" || claims[0].Cell != 1 || claims[0].Zone != "recife" || claims[1].State != core.Draining ||
+		!claims[1].Started.Equal(time.UnixMilli(1_790_000_000_000)) {
+		t.Errorf("the list holds %+v", claims)
+	}
+	var kept []byte
+	w.Keep = func(list []byte) { kept = list }
+	w.keep()
+	golden.Bytes(t, "remembered.json", kept)
+}
