--- a/aggregator/bench_test.go
+++ b/aggregator/bench_test.go
@@ -11,18 +11,18 @@
 // loaded is an aggregator of a fleet of n replicas, three for each shard, that has heard each of them.
 func loaded(b *testing.B, n int) (*Aggregator, time.Duration) {
 	set := testSettings()
-	set.Cells, set.Shards, set.Reach, set.Aggregators = max(n/3, 1), 4*max(n/3, 1), 1, 80
-	set.Limits.Bundle, set.CallCost = 8, 4*ms
+	set.ShardSets, set.Shards, set.Reach, set.Aggregators = max(n/3, 1), 4*max(n/3, 1), 1, 80
+	set.Limits.MaxBatch, set.CallCost = 8, 4*ms
 	a, err := New(set, 7)
 	if err != nil {
 		b.Fatal(err)
 	}
 	var all []Member
 	for i := range n {
-		all = append(all, Member{Replica: fmt.Sprint("r", i), Cell: i % set.Cells})
+		all = append(all, Member{Replica: fmt.Sprint("r", i), ShardSet: i % set.ShardSets})
 	}
 	now := 100 * time.Second
-	a.Step(now, []Event{{Kind: ListRemembered, Members: all}}, nil)
+	a.Step(now, []Event{{Kind: ListCached, Members: all}}, nil)
 	for i := range n {
 		now += 10 * ms
 		a.Step(now, asks(fmt.Sprint("first", i), 3*time.Second, i%set.Shards), nil)
@@ -66,7 +66,7 @@
 			var out []Action
 			for i := 0; b.Loop(); i++ {
 				now += ms
-				m := Member{Replica: fmt.Sprint("r", i%n), Cell: i % n % a.set.Cells, State: State(i / n % 2)}
+				m := Member{Replica: fmt.Sprint("r", i%n), ShardSet: i % n % a.set.ShardSets, State: State(i / n % 2)}
 				out = a.Step(now, []Event{{Kind: ListChanged, Members: []Member{m}}}, out[:0])
 			}
 		})
--- a/aggregator/blame_test.go
+++ b/aggregator/blame_test.go
@@ -10,11 +10,11 @@
 // of them.
 func wide(n, reach, aggregators int) (Settings, []Member) {
 	set := testSettings()
-	set.Cells, set.Shards, set.Reach, set.Aggregators = n, n, reach, aggregators
+	set.ShardSets, set.Shards, set.Reach, set.Aggregators = n, n, reach, aggregators
 	set.Limits.Probes = true
 	var all []Member
 	for i := range n {
-		all = append(all, Member{Replica: fmt.Sprint("r", i), Cell: i})
+		all = append(all, Member{Replica: fmt.Sprint("r", i), ShardSet: i})
 	}
 	return set, all
 }
@@ -26,13 +26,13 @@
 	sent := 0
 	for seed := range uint64(nodes) {
 		set := testSettings()
-		set.Cells, set.Reach, set.Aggregators = 1, 1, nodes
+		set.ShardSets, set.Reach, set.Aggregators = 1, 1, nodes
 		a, err := New(set, seed)
 		if err != nil {
 			t.Fatal(err)
 		}
 		start := 100 * time.Second
-		list := Event{Kind: ListRemembered, Members: []Member{{Replica: "a", Started: start - ms}}}
+		list := Event{Kind: ListCached, Members: []Member{{Replica: "a", Started: start - ms}}}
 		a.Step(start, []Event{list}, nil)
 		for i := range windows * 5 {
 			now := start + time.Duration(i)*200*ms
@@ -52,9 +52,9 @@
 	all[0].Started = 100*time.Second - ms
 	refused := 0
 	for i := range 20 {
-		set.Rules.FallMultiple = 0.1
+		set.Rules.OverloadMultiple = 0.1
 		b := newBench(t, set, all...)
-		refused += len(only(b.step(asks(fmt.Sprint(i), time.Second, 0)...), Refuse))
+		refused += len(only(b.step(asks(fmt.Sprint(i), time.Second, 0)...), Reject))
 	}
 	if refused < 18 {
 		t.Errorf("%d of 20 queries refused at once", refused)
@@ -65,7 +65,7 @@
 // replicas and is ended, while a query with an answer keeps going after a reset.
 func TestKillingQuery(t *testing.T) {
 	set, all := wide(30, 3, 40)
-	set.Rules.FallMultiple = 0
+	set.Rules.OverloadMultiple = 0
 	b := newBench(t, set, all...)
 	shards := make([]int, 20)
 	for i := range shards {
@@ -77,7 +77,7 @@
 		refused := 0
 		for range 20 {
 			var events []Event
-			refused += len(only(acts, Refuse))
+			refused += len(only(acts, Reject))
 			for _, s := range only(acts, Send) {
 				if broken[s.Replica] = true; b.n[s.Part] > 2 {
 					t.Errorf("try %d: part %s was sent %d times", try, s.Part, b.n[s.Part])
@@ -88,7 +88,7 @@
 				events = append(events, Event{Kind: ProbeEnded, Replica: s.Replica, Outcome: OK})
 			}
 			b.now += b.set.Tick
-			acts = b.step(append(events, Event{Kind: Woke})...)
+			acts = b.step(append(events, Event{Kind: Wakeup})...)
 		}
 		if refused != 1 {
 			t.Errorf("try %d: %d refusals within a tenth of a second, want 1", try, refused)
@@ -153,7 +153,7 @@
 	b := newBench(t, set, all...)
 	inf := 1e308
 	for _, x := range []float64{-1, inf * 10, -inf * 10, inf*10 - inf*10, 1e300} {
-		b.step(Event{Kind: ProbeEnded, Replica: "r1", Outcome: OK, Report: map[string]float64{"inflight": x, "other": x}},
+		b.step(Event{Kind: ProbeEnded, Replica: "r1", Outcome: OK, LoadReport: map[string]float64{"inflight": x, "other": x}},
 			Event{Kind: ProbeEnded, Replica: "gone", Outcome: OK})
 		if load := b.agg.byName["r1"].load; load != 0 {
 			t.Errorf("a report of %v was taken as a load of %v", x, load)
@@ -192,7 +192,7 @@
 					}
 				}
 				b.now += b.set.Tick
-				acts = b.step(append(events, Event{Kind: Woke})...)
+				acts = b.step(append(events, Event{Kind: Wakeup})...)
 			}
 		}
 		if dead && closes < 20 || !dead && closes > 0 {
@@ -209,14 +209,14 @@
 		b.Fatal(err)
 	}
 	now := 100 * time.Second
-	a.Step(now, []Event{{Kind: ListRemembered, Members: all}}, nil)
+	a.Step(now, []Event{{Kind: ListCached, Members: all}}, nil)
 	var out []Action
 	for i := range 40 {
 		out = a.Step(now, asks(fmt.Sprint("open", i), time.Hour, i, i+1, i+2, i+3, i+4, i+5, i+6, i+7), out[:0])
 	}
 	b.ReportAllocs()
 	for b.Loop() {
-		out = a.Step(now, []Event{{Kind: Woke}}, out[:0])
+		out = a.Step(now, []Event{{Kind: Wakeup}}, out[:0])
 	}
 }
 
@@ -228,7 +228,7 @@
 		first   bool // the other tenant is served first
 	}{{1, false}, {6, true}} {
 		set := testSettings()
-		set.Tenants, set.OverShareWorth = []Tenant{{Name: "x", Rate: 100}, {Name: "y", Rate: 100}}, 0.05
+		set.Tenants, set.OverQuotaFactor = []Tenant{{Name: "x", Rate: 100}, {Name: "y", Rate: 100}}, 0.05
 		b := newBench(t, set, members("a", "b", "c")...)
 		ask := func(tenant int, retry bool) *query {
 			return &query{tenant: tenant, retry: retry, parts: []*part{{}}}
--- a/aggregator/connect_test.go
+++ b/aggregator/connect_test.go
@@ -15,7 +15,7 @@
 		cold bool
 	}{{ConnectTimeout, false}, {ConnectFailed, true}} {
 		set := testSettings()
-		set.Cells, set.Shards, set.Reach = 1, 1, 1
+		set.ShardSets, set.Shards, set.Reach = 1, 1, 1
 		b := newBench(t, set, Member{Replica: "a"})
 		for i := range 3 {
 			sent := only(b.step(asks(fmt.Sprint("q", i), 3*time.Second, 0)...), Send)
--- a/aggregator/example_test.go
+++ b/aggregator/example_test.go
@@ -10,11 +10,11 @@
 // A front node passes what has happened to Step and carries out the actions it gets back.
 func Example() {
 	agg, err := aggregator.New(aggregator.Settings{
-		Aggregators: 1, Tick: 5 * time.Millisecond, Cells: 1, Shards: 1, Reach: 1,
+		Aggregators: 1, Tick: 5 * time.Millisecond, ShardSets: 1, Shards: 1, Reach: 1,
 		Classes: []aggregator.Class{{
-			Name: "search", Aim: time.Second, Deadline: 3 * time.Second, Worth: 1, Need: 1, Floor: 1,
+			Name: "search", LatencyObjective: time.Second, Deadline: 3 * time.Second, Priority: 1, CompleteShare: 1, MinShare: 1,
 		}},
-		Limits: aggregator.Limits{Attempts: 2, Cancel: true},
+		Limits: aggregator.Limits{MaxAttempts: 2, CanCancel: true},
 	}, 42)
 	if err != nil {
 		fmt.Println(err)
@@ -23,7 +23,7 @@
 	clock := 10 * time.Second // any steady clock
 	actions := agg.Step(clock, []aggregator.Event{
 		{Kind: aggregator.ListReplaced, Members: []aggregator.Member{{Replica: "replica-1"}}},
-		{Kind: aggregator.QueryArrived, Query: "q1", Tenant: -1, Count: 1, Left: 3 * time.Second},
+		{Kind: aggregator.QueryArrived, Query: "q1", Tenant: -1, Count: 1, TimeLeft: 3 * time.Second},
 		{Kind: aggregator.PartArrived, Query: "q1", Part: "q1/0", Weight: 1},
 	}, nil)
 	for _, a := range actions {
@@ -37,7 +37,7 @@
 	}, actions[:0])
 	for _, a := range actions {
 		if a.Kind == aggregator.Answer {
-			fmt.Println("answer", a.Query, "whole:", a.Whole)
+			fmt.Println("answer", a.Query, "whole:", a.Complete)
 		}
 	}
 	// Output:
--- a/aggregator/fleet_test.go
+++ b/aggregator/fleet_test.go
@@ -18,7 +18,7 @@
 	for seed := range uint64(nodes) {
 		b := newBench(t, set, all...)
 		b.agg, _ = New(set, seed)
-		b.step(Event{Kind: ListRemembered, Members: all})
+		b.step(Event{Kind: ListCached, Members: all})
 		b.step(asks("first", 3*time.Second, int(seed)%60)...)
 		b.step(ended("first/0", 0, Reset))
 		fleet = append(fleet, b)
@@ -67,14 +67,14 @@
 func coldFleet(t *testing.T, together bool, idle int) (shares []float64, perCall float64) {
 	const nodes, part = 80, 20 * ms
 	set := testSettings()
-	set.Cells, set.Shards, set.Reach, set.Aggregators = 1, 2, 1, nodes
-	set.Limits.Bundle, set.CallCost = 8, 4*ms
-	set.Rules.WarmAfter = 20 * time.Second
+	set.ShardSets, set.Shards, set.Reach, set.Aggregators = 1, 2, 1, nodes
+	set.Limits.MaxBatch, set.CallCost = 8, 4*ms
+	set.Rules.WarmupTime = 20 * time.Second
 	var fleet []*bench
 	for seed := range uint64(nodes) {
 		b := newBench(t, set)
 		b.agg, _ = New(set, seed)
-		b.step(Event{Kind: ListRemembered, Members: []Member{{Replica: "a"}, {Replica: "b"}}})
+		b.step(Event{Kind: ListCached, Members: []Member{{Replica: "a"}, {Replica: "b"}}})
 		for i := range 5 { // it learns how long a part takes
 			b.step(asks(fmt.Sprint("first", i), 3*time.Second, 0)...)
 			b.now += part
@@ -89,7 +89,7 @@
 	start := fleet[0].now
 	parts, calls := 0, 0
 	sent := make([]float64, 10)
-	for step := range int(10*set.Rules.FallWindow/ms) / 100 {
+	for step := range int(10*set.Rules.OverloadWindow/ms) / 100 {
 		for i, b := range fleet {
 			b.now = start + time.Duration(step)*100*ms
 			if asks := (step+i)%10 == 0; step < 10*idle || !together && !asks || together && step%5 != 0 {
@@ -100,7 +100,7 @@
 			b.now += part
 			for _, s := range only(acts, Send) {
 				if s.Replica == "cold" {
-					sent[time.Duration(step)*100*ms/set.Rules.FallWindow] += part.Seconds()
+					sent[time.Duration(step)*100*ms/set.Rules.OverloadWindow] += part.Seconds()
 					parts, called = parts+1, true
 				}
 				b.step(ended(s.Part, b.n[s.Part]-1, OK))
@@ -111,9 +111,9 @@
 		}
 	}
 	for i, work := range sent {
-		from := float64(i) * set.Rules.FallWindow.Seconds() / set.Rules.WarmAfter.Seconds()
-		capacity := set.Rules.ColdShare + (1-set.Rules.ColdShare)*from
-		shares = append(shares, work/(set.Rules.FallMultiple*capacity*set.Rules.FallWindow.Seconds()))
+		from := float64(i) * set.Rules.OverloadWindow.Seconds() / set.Rules.WarmupTime.Seconds()
+		capacity := set.Rules.InitialCapacity + (1-set.Rules.InitialCapacity)*from
+		shares = append(shares, work/(set.Rules.OverloadMultiple*capacity*set.Rules.OverloadWindow.Seconds()))
 	}
 	return shares, float64(parts) / float64(max(calls, 1))
 }
@@ -168,7 +168,7 @@
 	}{{0.5, true, 80, 3, false}, {0.5, false, 80, 4, true}, {1, true, 80, 4, true}, {0.5, true, 3, 4, true}} {
 		set, all := wide(4, 1, c.nodes)
 		set.Limits.Probes = false
-		set.Classes[0].Floor, set.Classes[0].Partial = c.floor, 0.9
+		set.Classes[0].MinShare, set.Classes[0].PartialShare = c.floor, 0.9
 		b := newBench(t, set, all...)
 		for i := range 20 { // one shard each, the last of which is slow
 			b.step(asks(fmt.Sprint(i), 3*time.Second, i%4)...)
@@ -184,7 +184,7 @@
 			in = append(in, ended(s.Part, 0, OK))
 		}
 		answers := only(b.step(in...), Answer)
-		if len(sent) != c.parts || len(answers) != 1 || answers[0].Whole != c.whole {
+		if len(sent) != c.parts || len(answers) != 1 || answers[0].Complete != c.whole {
 			t.Errorf("floor %.1f, slow %v, %d nodes: %d parts sent, want %d; answers %+v", c.floor, c.slow, c.nodes, len(sent), c.parts, answers)
 		}
 	}
--- a/aggregator/health.go
+++ b/aggregator/health.go
@@ -27,7 +27,7 @@
 )
 
 // neverRan are the outcomes of attempts that their replica has not begun.
-var neverRan = map[Outcome]bool{Full: true, ConnectFailed: true, ConnectTimeout: true, Moot: true}
+var neverRan = map[Outcome]bool{Rejected: true, ConnectFailed: true, ConnectTimeout: true, NotSent: true}
 
 // outcome takes in the end of an attempt. Anything not known to have kept the part from running counts as
 // may-have-run; outcomes of unknown or ended attempts are skipped.
@@ -72,20 +72,20 @@
 			// connections come up late has not.
 			r.cold, r.born = true, a.now
 		}
-	case Cut:
+	case ConnectionLost:
 		a.release(t)
 		// Nothing has died, and whatever else was out on the connection is no further sign.
 		if r.cut != a.round {
 			r.cut, r.leaky = a.round, true
 			a.addFailure(r)
 		}
-	case Full:
+	case Rejected:
 		a.release(t)
 		// A full queue is a wait of its own length, though none of our calls shows it: left alone for a while.
 		r.shunned = a.now + time.Duration(shunTimes*a.typical()*float64(time.Second))
 		r.excess, r.sampled = math.Max(a.excess(r), a.longAim().Seconds()/2), a.now
 		a.pool, a.pooled = a.pool+poolWeight*(r.excess-a.pool), a.now
-	case Moot:
+	case NotSent:
 		a.release(t)
 	case TimedOut, Cancelled:
 		a.learnAtLeast(t, took)
@@ -168,12 +168,12 @@
 	// Where half the fleet is out by opinion it is load or the network, and the next opinion is not heard.
 	a.wide, a.deaf = 2*out >= present, 2*heard < present
 	for _, r := range a.fleet {
-		if r.cold && a.now-r.born >= a.set.Rules.WarmAfter {
+		if r.cold && a.now-r.born >= a.set.Rules.WarmupTime {
 			r.cold, r.sent = false, nil
 		}
 		for _, t := range slices.Clone(r.open) {
 			age := a.now - t.at
-			if !t.open && age > a.set.Classes[t.p.q.class].Aim {
+			if !t.open && age > a.set.Classes[t.p.q.class].LatencyObjective {
 				a.release(t)
 			}
 			if !t.c.judged && r.heard < t.at && a.heard > t.at && age.Seconds() > a.patience(t.p.q) {
@@ -228,7 +228,7 @@
 	}
 	r.seen, r.doubted, r.load = a.now, 0, 0
 	// What it says that it holds, the larger figure where one may include the other, tells ties while fresh.
-	if x := max(e.Report["inflight"], e.Report["queue"]); x > 0 && x < math.MaxInt32 {
+	if x := max(e.LoadReport["inflight"], e.LoadReport["queue"]); x > 0 && x < math.MaxInt32 {
 		r.load = x
 	}
 	r.cleared = r.cleared || r.ejected
@@ -256,7 +256,7 @@
 	if !a.set.Limits.Probes || !a.deaf || a.probes < 1 || a.now-p.q.arrived > p.q.aim-a.now {
 		return 0
 	}
-	patience := times(askShare, a.set.Classes[p.q.class].Aim)
+	patience := times(askShare, a.set.Classes[p.q.class].LatencyObjective)
 	for _, r := range a.holders(p.shard) {
 		if r.barred || r.ejected || !a.doubtful(r) && a.now-max(r.seen, r.heard) < a.freshness() {
 			continue
--- a/aggregator/node_test.go
+++ b/aggregator/node_test.go
@@ -11,13 +11,13 @@
 // such an answer would end nothing, and the query would be lost.
 func TestAnswerOpensNoStepAtTheEnd(t *testing.T) {
 	set := testSettings()
-	set.Classes[0].Fetch, set.Classes[0].Floor, set.Classes[0].Partial = 2, 0.5, 0.9
+	set.Classes[0].FetchParts, set.Classes[0].MinShare, set.Classes[0].PartialShare = 2, 0.5, 0.9
 	b := newBench(t, set, members("a", "b", "c")...)
 	b.step(asks("q", 900*ms, 0, 1)...)
 	b.step(ended("q/0", 0, OK))
 	b.now += 890 * ms
-	acts := b.step(Event{Kind: Woke})
-	if len(only(acts, Answer)) > 0 || len(only(acts, Refuse)) != 1 {
+	acts := b.step(Event{Kind: Wakeup})
+	if len(only(acts, Answer)) > 0 || len(only(acts, Reject)) != 1 {
 		t.Errorf("got %+v, want one refusal", acts)
 	}
 }
@@ -27,12 +27,12 @@
 func TestStandstill(t *testing.T) {
 	for _, seen := range []time.Duration{0, 800 * ms} {
 		set := testSettings()
-		set.Classes[0].LateWorth = 0.9
+		set.Classes[0].LateShare = 0.9
 		b := newBench(t, set, members("a", "b", "c")...)
 		if seen > 0 {
 			b.step(asks("first", 3*time.Second, 0)...)
 			b.now += only(b.last, Wake)[0].After + seen
-			b.step(Event{Kind: Woke})
+			b.step(Event{Kind: Wakeup})
 		}
 		start := b.now
 		b.step(asks("q", 2*time.Second, 1)...)
@@ -51,21 +51,21 @@
 	var times [][]time.Duration
 	for seed := range uint64(20) {
 		set := testSettings()
-		set.Subscribe, set.Rules.AskEvery = true, 10*time.Second
+		set.PollList, set.Rules.PollInterval = true, 10*time.Second
 		a, err := New(set, seed)
 		if err != nil {
 			t.Fatal(err)
 		}
 		now := 50 * time.Second
-		events := []Event{{Kind: ListRemembered, Members: members("a", "b", "c")}}
+		events := []Event{{Kind: ListCached, Members: members("a", "b", "c")}}
 		var asked []time.Duration
 		for len(asked) < 6 {
 			acts := a.Step(now, events, nil)
-			events = []Event{{Kind: Woke}}
-			if len(only(acts, Subscribe)) > 0 {
+			events = []Event{{Kind: Wakeup}}
+			if len(only(acts, PollEndpoints)) > 0 {
 				asked = append(asked, now)
 				now += 300 * ms
-				events = []Event{{Kind: ListRefused}}
+				events = []Event{{Kind: ListCallFailed}}
 				continue
 			}
 			wakes := only(acts, Wake)
@@ -110,7 +110,7 @@
 	b.now += 2 * ms
 	acts := b.step(events...)
 	for range 10 {
-		if len(only(acts, Refuse)) > 0 {
+		if len(only(acts, Reject)) > 0 {
 			t.Fatal("the query was refused")
 		}
 		events = events[:0]
@@ -123,7 +123,7 @@
 			events = append(events, ended(s.Part, b.n[s.Part]-1, OK))
 		}
 		b.now += 50 * ms
-		acts = b.step(append(events, Event{Kind: Woke})...)
+		acts = b.step(append(events, Event{Kind: Wakeup})...)
 	}
 	if b.agg.queries["q"] != nil {
 		t.Error("the query was not answered")
@@ -186,11 +186,11 @@
 		for i := range many {
 			many[i] = i % 30
 		}
-		refused := len(only(b.step(asks("many", time.Second, many...)...), Refuse)) == 1
+		refused := len(only(b.step(asks("many", time.Second, many...)...), Reject)) == 1
 		if refused != busy {
 			t.Errorf("busy %v: the query of many parts refused %v", busy, refused)
 		}
-		if len(only(b.step(asks("one", time.Second, 1)...), Refuse)) > 0 {
+		if len(only(b.step(asks("one", time.Second, 1)...), Reject)) > 0 {
 			t.Errorf("busy %v: the query of one part was refused", busy)
 		}
 	}
@@ -202,7 +202,7 @@
 func TestOvertakenPartIsChased(t *testing.T) {
 	for parts, want := range map[int]int{9: 2, 2: 1} {
 		set := testSettings()
-		set.Limits.Copies = true
+		set.Limits.Hedging = true
 		f := newFleet(t, set, func(string) (Outcome, time.Duration) { return OK, 50 * ms })
 		f.run(3*time.Second, 5*ms)
 		shards := make([]int, parts)
@@ -229,8 +229,8 @@
 	for i := range 500 {
 		was, is := fmt.Sprint("r", i), fmt.Sprint("r", i+1)
 		fresh := members(is)[0]
-		fresh.Cell = i % b.agg.set.Cells
-		old := Member{Replica: was, Cell: (i + b.agg.set.Cells - 1) % b.agg.set.Cells, State: Gone}
+		fresh.ShardSet = i % b.agg.set.ShardSets
+		old := Member{Replica: was, ShardSet: (i + b.agg.set.ShardSets - 1) % b.agg.set.ShardSets, State: Gone}
 		b.step(Event{Kind: ListChanged, Members: []Member{old, fresh}})
 		b.now += 10 * time.Second
 		q := fmt.Sprint("q", i)
@@ -253,13 +253,13 @@
 	sent := only(b.step(asks("last", time.Hour, 0)...), Send)[0]
 	b.step(Event{Kind: ListReplaced})
 	b.now += time.Second
-	b.step(Event{Kind: Woke})
+	b.step(Event{Kind: Wakeup})
 	if a.byName[sent.Replica] == nil {
 		t.Error("a replica that owes an answer is forgotten")
 	}
 	b.step(Event{Kind: AttemptEnded, Part: sent.Part, Replica: sent.Replica, Outcome: OK})
 	b.now += time.Minute
-	b.step(Event{Kind: Woke})
+	b.step(Event{Kind: Wakeup})
 	if len(a.fleet) > 0 {
 		t.Errorf("%d replicas are held of an empty list", len(a.fleet))
 	}
--- a/aggregator/peers.go
+++ b/aggregator/peers.go
@@ -71,7 +71,7 @@
 
 // note keeps an entry for the next message, where there are any; work sent to one replica adds up.
 func (a *Aggregator) note(r *replica, kind newsKind, span time.Duration) {
-	if !a.set.Limits.Peers {
+	if !a.set.Limits.Gossip {
 		return
 	}
 	for i := range a.news {
--- a/aggregator/peers_test.go
+++ b/aggregator/peers_test.go
@@ -35,7 +35,7 @@
 // heard to have sent work is avoided; this node's own calls come first, and hints eject nobody.
 func TestPeersTellTies(t *testing.T) {
 	set := testSettings()
-	set.Limits.Peers = true
+	set.Limits.Gossip = true
 	busy := pack([]news{{tagOf("a"), newsSent, 900 * ms}, {tagOf("none"), newsSent, 900 * ms}}, time.Second)
 	got := map[string]int{}
 	for seed := range uint64(40) {
@@ -43,14 +43,14 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		a.Step(time.Second, []Event{{Kind: ListRemembered, Members: members("a", "b", "c")}}, nil)
-		events := append([]Event{{Kind: PeerTold, Data: busy}}, asks("q", time.Second, 0, 1, 2)...)
+		a.Step(time.Second, []Event{{Kind: ListCached, Members: members("a", "b", "c")}}, nil)
+		events := append([]Event{{Kind: GossipReceived, Data: busy}}, asks("q", time.Second, 0, 1, 2)...)
 		acts := a.Step(2*time.Second, events, nil)
 		for _, s := range only(acts, Send) {
 			got[s.Replica]++
 		}
-		if len(only(acts, Tell)) != 1 {
-			t.Fatalf("%d messages for one query", len(only(acts, Tell)))
+		if len(only(acts, SendGossip)) != 1 {
+			t.Fatalf("%d messages for one query", len(only(acts, SendGossip)))
 		}
 		if a.byName["a"].ejected {
 			t.Fatal("a hint ejected a replica")
@@ -62,8 +62,8 @@
 	got = map[string]int{}
 	for seed := range uint64(40) {
 		a, _ := New(set, seed)
-		a.Step(time.Second, []Event{{Kind: ListRemembered, Members: members("a", "b", "c")}}, nil)
-		events := append([]Event{{Kind: PeerTold, Data: busy}}, asks("q", time.Second, 0)...)
+		a.Step(time.Second, []Event{{Kind: ListCached, Members: members("a", "b", "c")}}, nil)
+		events := append([]Event{{Kind: GossipReceived, Data: busy}}, asks("q", time.Second, 0)...)
 		for _, s := range only(a.Step(2*time.Second, events, nil), Send) {
 			got[s.Replica]++
 		}
@@ -77,7 +77,7 @@
 func TestNoPeersNoMessages(t *testing.T) {
 	b := newBench(t, testSettings(), members("a", "b", "c")...)
 	for i := range 5 {
-		if acts := b.step(asks(fmt.Sprint(i), time.Second, 0)...); len(only(acts, Tell)) > 0 || len(b.agg.news) > 0 {
+		if acts := b.step(asks(fmt.Sprint(i), time.Second, 0)...); len(only(acts, SendGossip)) > 0 || len(b.agg.news) > 0 {
 			t.Fatal("a message")
 		}
 	}
@@ -87,9 +87,9 @@
 // holders, nor ended for a part that may not be tried again, and a second step gets its time.
 func TestPartialAnswersSurviveAHole(t *testing.T) {
 	set := testSettings()
-	set.Shards, set.Cells, set.Reach = 4, 4, 1
-	set.Classes[0].Floor, set.Classes[0].Partial, set.Classes[0].Fetch = 0.7, 0.9, 2
-	set.Limits.Attempts = 1
+	set.Shards, set.ShardSets, set.Reach = 4, 4, 1
+	set.Classes[0].MinShare, set.Classes[0].PartialShare, set.Classes[0].FetchParts = 0.7, 0.9, 2
+	set.Limits.MaxAttempts = 1
 	b := newBench(t, set, members("a", "b", "c")...) // the fourth cell is empty
 	b.step(asks("hole", 3*time.Second, 0, 1, 2, 3)...)
 	if len(only(b.last, Send)) != 3 {
@@ -102,16 +102,16 @@
 	for i := 0; len(answers) == 0 && i < 300; i++ {
 		answers = only(b.after(set.Tick), Answer)
 	}
-	if len(answers) != 1 || answers[0].Whole || answers[0].Final || b.now-start > 800*ms {
+	if len(answers) != 1 || answers[0].Complete || answers[0].Final || b.now-start > 800*ms {
 		t.Errorf("after %v: %+v, want a first answer in part with time for the second step", b.now-start, answers)
 	}
 	b.step(asks("lost", 3*time.Second, 0, 1, 2, 0)...)
 	b.step(ended("lost/0", 0, Errored))
-	if len(only(b.last, Refuse)) > 0 {
+	if len(only(b.last, Reject)) > 0 {
 		t.Error("ended for one part though the rest can make an answer")
 	}
 	b.step(ended("lost/1", 0, Errored))
-	if len(only(b.last, Refuse)) != 1 {
+	if len(only(b.last, Reject)) != 1 {
 		t.Error("not ended though the rest can't make an answer")
 	}
 }
@@ -120,8 +120,8 @@
 // it may come.
 func TestSecondStepWithALostPart(t *testing.T) {
 	set := testSettings()
-	set.Classes[0].Floor, set.Classes[0].Partial, set.Classes[0].Fetch = 0.5, 0.9, 2
-	set.Limits.Attempts = 1
+	set.Classes[0].MinShare, set.Classes[0].PartialShare, set.Classes[0].FetchParts = 0.5, 0.9, 2
+	set.Limits.MaxAttempts = 1
 	b := newBench(t, set, members("a", "b", "c")...)
 	b.step(asks("q", 3*time.Second, 0, 1)...)
 	b.step(ended("q/0", 0, OK), ended("q/1", 0, OK))
@@ -131,7 +131,7 @@
 	all := b.step(ended("s0", 0, OK), ended("s1", 0, Errored))
 	all = append(all, b.after(2*time.Second)...)
 	answers := only(all, Answer)
-	if len(answers) != 1 || answers[0].Whole {
+	if len(answers) != 1 || answers[0].Complete {
 		t.Errorf("got %+v, want one answer in part", answers)
 	}
 }
--- a/aggregator/placement.go
+++ b/aggregator/placement.go
@@ -32,7 +32,7 @@
 	var rank [3]float64
 	holders := a.holders(p.shard)
 	pressed := len(p.tries) == 0 && a.credit > extraStore/2 && a.set.Classes[p.q.class].Effect == Safe &&
-		a.set.Limits.Attempts > 2 && !slices.ContainsFunc(holders, func(r *replica) bool {
+		a.set.Limits.MaxAttempts > 2 && !slices.ContainsFunc(holders, func(r *replica) bool {
 		return !r.ejected && a.usable(p, r) && a.expect(p.q, r) < pressShare*(p.q.aim-a.now).Seconds()
 	})
 	for _, r := range holders {
@@ -87,7 +87,7 @@
 		return false
 	}
 	c := r.call
-	return c.round == a.round && c.size < a.set.Limits.Bundle && a.set.CallCost > 0 &&
+	return c.round == a.round && c.size < a.set.Limits.MaxBatch && a.set.CallCost > 0 &&
 		c.work < joinShare*(p.q.aim-a.now).Seconds()
 }
 
@@ -131,7 +131,7 @@
 	if s := a.stat(q); s.base.n > 0 {
 		return s.base.v
 	}
-	return unlearned * a.set.Classes[q.class].Aim.Seconds()
+	return unlearned * a.set.Classes[q.class].LatencyObjective.Seconds()
 }
 
 // send starts an attempt. Its time-out is the time in which an answer is of use; servers may skip the
@@ -147,7 +147,7 @@
 	}
 	end := a.useful(q) - 3*a.set.Tick
 	a.out = append(a.out, Action{Kind: Send, Part: p.id, Replica: r.member.Replica,
-		After: max(end-a.now, time.Microsecond), Begin: begin})
+		After: max(end-a.now, time.Microsecond), BeginWithin: begin})
 }
 
 // sendOrRetry sends a part that has nothing out, or chases one whose attempt is overdue.
@@ -170,7 +170,7 @@
 		return when, false
 	}
 	last := p.tries[len(p.tries)-1]
-	if last.dropped || p.out() > 1 || !a.repeatable(p) || !a.set.Limits.Copies && !a.set.Limits.Cancel {
+	if last.dropped || p.out() > 1 || !a.repeatable(p) || !a.set.Limits.Hedging && !a.set.Limits.CanCancel {
 		return math.MaxInt64, false
 	}
 	// Where all are slow it is load, and a further attempt adds to it: another must be clearly faster.
@@ -182,7 +182,7 @@
 	if !chase || r == nil || r.ejected || a.excess(r) > (a.now-last.at).Seconds()/2 || !a.withinRetryBudget(p) {
 		return a.now + 4*a.set.Tick, false
 	}
-	if a.set.Limits.Copies {
+	if a.set.Limits.Hedging {
 		a.spendRetryBudget(p)
 		a.send(p, r)
 		return a.overdue(p), false
@@ -194,7 +194,7 @@
 
 // repeatable tells whether the rules allow p another attempt at all: the cap, and the class's effect.
 func (a *Aggregator) repeatable(p *part) bool {
-	return len(p.tries) == 0 || len(p.tries) < a.set.Limits.Attempts && a.begin(p) > 0
+	return len(p.tries) == 0 || len(p.tries) < a.set.Limits.MaxAttempts && a.begin(p) > 0
 }
 
 // begin is how long a further attempt may still begin: in a keyed class, for as long as a repeat is dropped.
@@ -210,17 +210,17 @@
 	case !may || c.Effect == Safe:
 		return math.MaxInt64
 	case c.Effect == Keyed:
-		return since + c.Memory - 4*a.set.Tick - a.now
+		return since + c.DedupWindow - 4*a.set.Tick - a.now
 	}
 	return 0
 }
 
 // withinRetryBudget tells whether a further attempt is within the rule's ration and what has been saved up.
 func (a *Aggregator) withinRetryBudget(p *part) bool {
-	if b := a.set.Rules; b.BudgetWindow > 0 {
-		taken := a.taken.since(a.now - b.BudgetWindow + a.set.Tick)
-		extras := a.extras.since(a.now - b.BudgetWindow - a.set.Tick)
-		if float64(extras+1) > b.BudgetFree+b.BudgetShare*float64(taken) {
+	if b := a.set.Rules; b.RetryWindow > 0 {
+		taken := a.taken.since(a.now - b.RetryWindow + a.set.Tick)
+		extras := a.extras.since(a.now - b.RetryWindow - a.set.Tick)
+		if float64(extras+1) > b.RetryFloor+b.RetryRatio*float64(taken) {
 			return false
 		}
 	}
@@ -237,7 +237,7 @@
 		return false
 	}
 	a.credit -= p.cost()
-	if a.set.Rules.BudgetWindow > 0 {
+	if a.set.Rules.RetryWindow > 0 {
 		a.extras.at = append(a.extras.at, a.now)
 	}
 	return true
@@ -247,13 +247,13 @@
 // before, so until a part is answered it may touch a small share of the fleet, and one replica while on guard
 // or once a part was reset. It also spares a fleet that fails for other reasons; it costs a part's latency.
 func (a *Aggregator) canaryLimit(q *query) (room int, until time.Duration) {
-	until = q.sent + times(scoutShare, a.set.Classes[q.class].Aim)
+	until = q.sent + times(scoutShare, a.set.Classes[q.class].LatencyObjective)
 	shaken := q.wrecks > 0 || q.jolted
 	if a.broke == 0 && !shaken || q.answered || q.sent > 0 && !shaken && a.now >= until {
 		return math.MaxInt32, until
 	}
 	room = max(1, int(riskShare*float64(len(a.fleet))))
-	if a.killed > 0 && a.now-a.killed < a.set.Rules.WarmAfter || shaken {
+	if a.killed > 0 && a.now-a.killed < a.set.Rules.WarmupTime || shaken {
 		room = 1
 	}
 	for _, p := range q.parts {
@@ -271,7 +271,7 @@
 	if unknown {
 		started = a.now
 	}
-	if started > 0 && a.now-started < a.set.Rules.WarmAfter {
+	if started > 0 && a.now-started < a.set.Rules.WarmupTime {
 		r.cold, r.born = true, max(started, r.born)
 		r.ejected, r.strikes, r.excess = false, 0, 0
 	}
@@ -284,13 +284,13 @@
 // one window's share at most, as all may have saved. A call holds more parts while all nodes' room is large.
 func (a *Aggregator) slowStartRoom(p *part, r *replica) bool {
 	b := a.set.Rules
-	if b.FallMultiple == 0 || b.FallWindow == 0 {
+	if b.OverloadMultiple == 0 || b.OverloadWindow == 0 {
 		return true
 	}
-	grown := min(1, max(0, (a.now-r.born).Seconds()/math.Max(b.WarmAfter.Seconds(), 1e-3)))
-	all := b.FallMultiple * (b.ColdShare + (1-b.ColdShare)*grown) * b.FallWindow.Seconds()
+	grown := min(1, max(0, (a.now-r.born).Seconds()/math.Max(b.WarmupTime.Seconds(), 1e-3)))
+	all := b.OverloadMultiple * (b.InitialCapacity + (1-b.InitialCapacity)*grown) * b.OverloadWindow.Seconds()
 	room, work := all/float64(a.set.Aggregators), a.expectedWork(p)
-	r.sent = slices.DeleteFunc(r.sent, func(l load) bool { return l.at < a.now-b.FallWindow })
+	r.sent = slices.DeleteFunc(r.sent, func(l load) bool { return l.at < a.now-b.OverloadWindow })
 	sum := 0.0
 	for _, l := range r.sent {
 		sum += l.work
@@ -298,8 +298,8 @@
 	if r.accrued < r.born {
 		r.accrued, r.room = r.born, 0
 	}
-	r.room = math.Min(r.room+room*(a.now-r.accrued).Seconds()/b.FallWindow.Seconds(), 2*room)
-	if r.accrued = a.now; a.now >= r.thrown+b.FallWindow {
+	r.room = math.Min(r.room+room*(a.now-r.accrued).Seconds()/b.OverloadWindow.Seconds(), 2*room)
+	if r.accrued = a.now; a.now >= r.thrown+b.OverloadWindow {
 		r.thrown, r.die = a.now, a.rng.Float64()
 	}
 	if room < work {
@@ -317,7 +317,7 @@
 	if s := a.stat(p.q); s.mid.n > 0 {
 		mean = min(max(mean, s.mid.v), meanTimes*mean)
 	} else {
-		mean = max(mean, unlearnedWork*a.set.Classes[p.q.class].Aim.Seconds())
+		mean = max(mean, unlearnedWork*a.set.Classes[p.q.class].LatencyObjective.Seconds())
 	}
 	return math.Max(mean, p.work) + a.set.CallCost.Seconds()
 }
--- a/aggregator/policy.go
+++ b/aggregator/policy.go
@@ -62,18 +62,18 @@
 	switch {
 	case q.ended:
 	case a.now >= next:
-		a.settle(q, Late)
+		a.settle(q, DeadlineExceeded)
 	case len(q.parts) < q.want:
 		return next
 	case !q.admitted && !a.admit(q):
 		a.giveUp(q, q.why)
-	case open == 0 || q.step == 0 && got >= a.set.Classes[q.class].Need-rounding:
-		a.settle(q, Spent)
+	case open == 0 || q.step == 0 && got >= a.set.Classes[q.class].CompleteShare-rounding:
+		a.settle(q, AttemptsExhausted)
 	case a.now >= early && a.partialPays(q, got), a.now >= late && a.useful(q) == q.aim:
-		a.settle(q, Late)
+		a.settle(q, DeadlineExceeded)
 	case q.wrecks >= wreckLimit && !q.answered:
 		a.killed = a.now
-		a.giveUp(q, Wrecked)
+		a.giveUp(q, QueryOfDeath)
 	case a.now < early:
 		return a.place(q, early)
 	case a.now < late:
@@ -107,7 +107,7 @@
 			room--
 		}
 		if p.lost = hopeless; hopeless && !a.reachable(q) {
-			a.settle(q, Spent)
+			a.settle(q, AttemptsExhausted)
 			return math.MaxInt64
 		} else if !hopeless {
 			next = min(next, when)
@@ -119,17 +119,17 @@
 // least is the share of the weight from which a step can be answered at all; weights may be rounded.
 func (a *Aggregator) least(q *query) float64 {
 	c := &a.set.Classes[q.class]
-	if q.step > 0 && c.Floor >= c.Need {
+	if q.step > 0 && c.MinShare >= c.CompleteShare {
 		return 1 - rounding
 	}
-	return min(c.Need, c.Floor) - rounding
+	return min(c.CompleteShare, c.MinShare) - rounding
 }
 
 // settle ends a query with the best that is in: a whole answer, a partial one, or none.
-func (a *Aggregator) settle(q *query, why Why) {
+func (a *Aggregator) settle(q *query, why Reason) {
 	c := &a.set.Classes[q.class]
 	got, _, missing := q.weights()
-	whole := got >= c.Need-rounding
+	whole := got >= c.CompleteShare-rounding
 	if q.step > 0 {
 		whole = missing == 0 && q.whole
 	}
@@ -137,9 +137,9 @@
 		a.giveUp(q, why)
 		return
 	}
-	if q.step == 0 && c.Fetch > 0 {
+	if q.step == 0 && c.FetchParts > 0 {
 		if q.end-a.now <= 2*a.set.Tick {
-			a.giveUp(q, Late) // an answer now would open a second step and end nothing
+			a.giveUp(q, DeadlineExceeded) // an answer now would open a second step and end nothing
 			return
 		}
 		done := 0
@@ -149,28 +149,28 @@
 			}
 			a.drop(p)
 		}
-		q.step, q.whole, q.parts, q.want = 1, whole, nil, min(c.Fetch, done)
-		a.out = append(a.out, Action{Kind: Answer, Query: q.id, Whole: whole})
+		q.step, q.whole, q.parts, q.want = 1, whole, nil, min(c.FetchParts, done)
+		a.out = append(a.out, Action{Kind: Answer, Query: q.id, Complete: whole})
 		return
 	}
-	a.out = append(a.out, Action{Kind: Answer, Query: q.id, Whole: whole, Final: true})
+	a.out = append(a.out, Action{Kind: Answer, Query: q.id, Complete: whole, Final: true})
 	a.close(q)
 }
 
 // giveUp ends a query without an answer, at once. A refusal says that asking again is harmless and when;
 // where a part that must not be repeated freely may have run, only a failure is honest.
-func (a *Aggregator) giveUp(q *query, why Why) {
-	kind, wait := Refuse, time.Duration(0)
+func (a *Aggregator) giveUp(q *query, why Reason) {
+	kind, wait := Reject, time.Duration(0)
 	for _, p := range q.parts {
 		if a.set.Classes[q.class].Effect != Safe && (p.mayRun || p.out() > 0) {
 			kind = Fail
 		}
 	}
-	if a.set.Limits.RetryAfter && kind == Refuse {
+	if a.set.Limits.SendRetryAfter && kind == Reject {
 		s := a.median + a.typical()*(1+a.rng.Float64())
 		wait = min(times(s, time.Second), a.set.Limits.MaxRetryAfter)
 	}
-	a.out = append(a.out, Action{Kind: kind, Query: q.id, Why: why, After: wait})
+	a.out = append(a.out, Action{Kind: kind, Query: q.id, Reason: why, After: wait})
 	a.close(q)
 }
 
@@ -191,17 +191,17 @@
 			wait, sum = p.wait, sum+p.weight
 		}
 	}
-	if q.why = NoHolder; math.IsInf(wait, 1) {
+	if q.why = NoReplica; math.IsInf(wait, 1) {
 		return false
 	}
-	if wait += a.stragglerWait(q); a.set.Classes[q.class].Fetch > 0 {
+	if wait += a.stragglerWait(q); a.set.Classes[q.class].FetchParts > 0 {
 		wait *= 1.5
 	}
-	q.why = Held
+	q.why = OverCapacity
 	if m := float64(a.set.Limits.MaxOpen); m > 0 && float64(a.open()) > m*(roomShare+(1-roomShare)*rank) {
 		return false
 	}
-	q.why = Forecast
+	q.why = ForecastTooLate
 	if wait > (admitLow+(admitHigh-admitLow)*rank)*(q.aim-a.now).Seconds() {
 		return false
 	}
@@ -215,12 +215,12 @@
 // it from its own parts, and one that is expected within the aim comes; of many, each hears of a jam late.
 func (a *Aggregator) shedParts(q *query, soonest []*part) {
 	c, rest := &a.set.Classes[q.class], 1.0
-	if c.Partial == 0 || c.Fetch > 0 {
+	if c.PartialShare == 0 || c.FetchParts > 0 {
 		return
 	}
 	pressed := math.Max(spareTimes*a.usual(q), a.visibleShare()*admitLow*(q.aim-a.now).Seconds())
 	for _, p := range slices.Backward(soonest) {
-		if p.wait < pressed || rest-p.weight < (c.Floor+c.Need)/2 {
+		if p.wait < pressed || rest-p.weight < (c.MinShare+c.CompleteShare)/2 {
 			return
 		}
 		p.lost, rest = true, rest-p.weight
@@ -249,11 +249,11 @@
 // above its share counts for little.
 func (a *Aggregator) rank(q *query) float64 {
 	c := &a.set.Classes[q.class]
-	worth := c.Worth
-	if !a.set.WorthByWork {
+	worth := c.Priority
+	if !a.set.PriorityPerWork {
 		work := float64(len(q.parts)) * a.usual(q)
-		if c.Fetch > 0 {
-			work *= 1 + 0.5*float64(c.Fetch)/float64(max(len(q.parts), 1))
+		if c.FetchParts > 0 {
+			work *= 1 + 0.5*float64(c.FetchParts)/float64(max(len(q.parts), 1))
 		}
 		worth /= math.Max(work, 1e-3)
 	}
@@ -266,7 +266,7 @@
 		// Where most of what a tenant asks is asked again, its retries count as over its share.
 		asked, repeats := float64(w.since(since)), float64(again.since(since))
 		if asked > 2*share+3 || q.retry && repeats > 2 && 2*repeats > asked {
-			worth *= a.set.OverShareWorth
+			worth *= a.set.OverQuotaFactor
 		}
 	}
 	q.worth = worth
@@ -295,7 +295,7 @@
 // useful is how long an answer is worth its work. A late answer is worth little; while the whole fleet is
 // slow, what it takes is taken from queries that could still be in time, and a jam would feed on it.
 func (a *Aggregator) useful(q *query) time.Duration {
-	if c := &a.set.Classes[q.class]; c.LateWorth < lateLeast || a.median > a.typical() {
+	if c := &a.set.Classes[q.class]; c.LateShare < lateLeast || a.median > a.typical() {
 		return q.aim
 	}
 	return q.end
@@ -305,24 +305,24 @@
 // that leaves no time for it is worth nothing.
 func (a *Aggregator) second(q *query) time.Duration {
 	c := &a.set.Classes[q.class]
-	if q.step > 0 || c.Fetch == 0 {
+	if q.step > 0 || c.FetchParts == 0 {
 		return 0
 	}
 	if s := &a.learned[2*q.class+1]; s.high.n > 0 {
-		return min(times(secondTimes*s.high.v, time.Second), c.Aim/2)
+		return min(times(secondTimes*s.high.v, time.Second), c.LatencyObjective/2)
 	}
-	return c.Aim / 4
+	return c.LatencyObjective / 4
 }
 
 // partialPays tells whether a partial answer now beats a whole one after the aim.
 func (a *Aggregator) partialPays(q *query, got float64) bool {
 	c := &a.set.Classes[q.class]
-	return got >= c.Floor && c.Floor < c.Need && c.Partial*got/c.Need > c.LateWorth
+	return got >= c.MinShare && c.MinShare < c.CompleteShare && c.PartialShare*got/c.CompleteShare > c.LateShare
 }
 
 // patience is how long a part may take before it stands out.
 func (a *Aggregator) patience(q *query) float64 {
-	s, aim := a.stat(q), a.set.Classes[q.class].Aim.Seconds()
+	s, aim := a.stat(q), a.set.Classes[q.class].LatencyObjective.Seconds()
 	if s.high.n < 30 {
 		return aim / 2
 	}
@@ -362,12 +362,12 @@
 	if a.asking {
 		a.asking = false
 		share := askShares * math.Exp2(float64(a.refusals)) * a.rng.Float64()
-		a.askAt = a.now + times(share, max(a.set.Rules.AskEvery, a.longAim()))
+		a.askAt = a.now + times(share, max(a.set.Rules.PollInterval, a.longAim()))
 		a.refusals = min(a.refusals+1, 2)
 	}
 	if a.now >= a.askAt {
 		a.askAt = math.MaxInt64
-		a.out = append(a.out, Action{Kind: Subscribe})
+		a.out = append(a.out, Action{Kind: PollEndpoints})
 	}
 }
 
@@ -381,7 +381,7 @@
 		}
 	}
 	for _, m := range e.Members {
-		if m.Cell < 0 || m.Cell >= a.set.Cells {
+		if m.ShardSet < 0 || m.ShardSet >= a.set.ShardSets {
 			continue
 		}
 		r := a.byName[m.Replica]
@@ -389,16 +389,16 @@
 			r = &replica{member: m, tag: tagOf(m.Replica)}
 			a.byName[m.Replica], a.byTag[r.tag] = r, r
 			a.fleet = append(a.fleet, r)
-			a.cells[m.Cell] = append(a.cells[m.Cell], r)
+			a.cells[m.ShardSet] = append(a.cells[m.ShardSet], r)
 			a.startSlowStart(r, m.Started, a.listed && m.Started == 0)
 		} else if m.Started > r.member.Started {
 			a.startSlowStart(r, m.Started, false)
 		}
-		if r.member.State == On && m.State == Gone {
+		if r.member.State == Serving && m.State == Gone {
 			a.broke = a.now
 		}
-		a.rehouse(r, m.Cell)
-		if r.member, r.barred = m, m.State != On; m.State == Gone {
+		a.rehouse(r, m.ShardSet)
+		if r.member, r.barred = m, m.State != Serving; m.State == Gone {
 			r.leave(a.now)
 		} else {
 			r.left = 0
@@ -411,7 +411,7 @@
 // now and then. A message costs its bytes for each receiver.
 func (a *Aggregator) tellPeers() {
 	if len(a.news) > 0 && (a.news[len(a.news)-1].kind == newsSent || a.now-a.shared > 10*a.set.Tick) {
-		a.out = append(a.out, Action{Kind: Tell, Data: pack(a.news, a.longAim())})
+		a.out = append(a.out, Action{Kind: SendGossip, Data: pack(a.news, a.longAim())})
 		a.news, a.shared = a.news[:0], a.now
 	}
 }
--- a/aggregator/policy_test.go
+++ b/aggregator/policy_test.go
@@ -8,11 +8,11 @@
 // testSettings is a small fleet: three cells of one replica, each shard held by all.
 func testSettings() Settings {
 	return Settings{
-		Aggregators: 1, Tick: 5 * time.Millisecond, Cells: 3, Shards: 3, Reach: 3,
-		Classes: []Class{{Name: "c", Aim: time.Second, Deadline: 3 * time.Second, Worth: 1, Need: 1, Floor: 1}},
-		Limits:  Limits{Attempts: 3, Bundle: 1, Cancel: true, RetryAfter: true, MaxRetryAfter: time.Second},
-		Rules: Rules{DrainGrace: 250 * time.Millisecond, FallMultiple: 3, FallWindow: time.Second, ColdShare: 0.2,
-			WarmAfter: 10 * time.Second},
+		Aggregators: 1, Tick: 5 * time.Millisecond, ShardSets: 3, Shards: 3, Reach: 3,
+		Classes: []Class{{Name: "c", LatencyObjective: time.Second, Deadline: 3 * time.Second, Priority: 1, CompleteShare: 1, MinShare: 1}},
+		Limits:  Limits{MaxAttempts: 3, MaxBatch: 1, CanCancel: true, SendRetryAfter: true, MaxRetryAfter: time.Second},
+		Rules: Rules{DrainGrace: 250 * time.Millisecond, OverloadMultiple: 3, OverloadWindow: time.Second, InitialCapacity: 0.2,
+			WarmupTime: 10 * time.Second},
 	}
 }
 
@@ -22,8 +22,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	events := []Event{{Kind: ListRemembered, Members: members("a", "b", "c")},
-		{Kind: QueryArrived, Query: "q", Tenant: -1, Count: 3, Left: 3 * time.Second}}
+	events := []Event{{Kind: ListCached, Members: members("a", "b", "c")},
+		{Kind: QueryArrived, Query: "q", Tenant: -1, Count: 3, TimeLeft: 3 * time.Second}}
 	for i, id := range []string{"p0", "p1", "p2"} {
 		events = append(events, Event{Kind: PartArrived, Query: "q", Part: id, Shard: i, Weight: 1.0 / 3})
 	}
--- a/aggregator/rules_test.go
+++ b/aggregator/rules_test.go
@@ -26,7 +26,7 @@
 		t.Fatal(err)
 	}
 	b := &bench{t: t, set: set, agg: a, now: 100 * time.Second, n: map[string]int{}}
-	b.step(Event{Kind: ListRemembered, Members: members})
+	b.step(Event{Kind: ListCached, Members: members})
 	return b
 }
 
@@ -44,14 +44,14 @@
 func (b *bench) after(d time.Duration) (all []Action) {
 	for end := b.now + d; b.now < end; {
 		b.now += b.set.Tick
-		all = append(all, b.step(Event{Kind: Woke})...)
+		all = append(all, b.step(Event{Kind: Wakeup})...)
 	}
 	return all
 }
 
 // asks returns the events of a query with one part on each of the given shards.
 func asks(id string, left time.Duration, shards ...int) []Event {
-	events := []Event{{Kind: QueryArrived, Query: id, Tenant: -1, Count: len(shards), Left: left}}
+	events := []Event{{Kind: QueryArrived, Query: id, Tenant: -1, Count: len(shards), TimeLeft: left}}
 	for i, s := range shards {
 		events = append(events, Event{Kind: PartArrived, Query: id, Part: fmt.Sprintf("%s/%d", id, i), Shard: s,
 			Weight: 1 / float64(len(shards))})
@@ -74,7 +74,7 @@
 
 func members(names ...string) (list []Member) {
 	for i, n := range names {
-		list = append(list, Member{Replica: n, Cell: i})
+		list = append(list, Member{Replica: n, ShardSet: i})
 	}
 	return list
 }
@@ -83,7 +83,7 @@
 // late answer is worth as much as one in time.
 func TestLostQuery(t *testing.T) {
 	set := testSettings()
-	set.Classes[0].LateWorth = 1
+	set.Classes[0].LateShare = 1
 	b := newBench(t, set, members("a", "b", "c")...)
 	start, left := b.now, 1700*ms
 	b.step(asks("q", left, 0)...)
@@ -91,7 +91,7 @@
 	for b.now < start+3*time.Second {
 		for _, act := range b.after(b.set.Tick) {
 			switch act.Kind {
-			case Answer, Refuse, Fail:
+			case Answer, Reject, Fail:
 				if finals++; b.now > start+left {
 					t.Errorf("final answer %v after the start", b.now-start)
 				}
@@ -119,15 +119,15 @@
 		{"safe after an error", Safe, Errored, 0, 2},
 		{"keyed in its window", Keyed, Errored, 0, 2},
 		{"keyed after its window", Keyed, Errored, 500 * ms, 1},
-		{"keyed after its window, never ran", Keyed, Full, 500 * ms, 2},
+		{"keyed after its window, never ran", Keyed, Rejected, 500 * ms, 2},
 		{"unsafe after an error", Unsafe, Errored, 0, 1},
 		{"unsafe after an unknown outcome", Unsafe, Outcome(99), 0, 1},
 		{"unsafe, never ran", Unsafe, ConnectFailed, 0, 2},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			set := testSettings()
-			set.Limits.Cancel = false
-			set.Classes[0].Effect, set.Classes[0].Memory = c.effect, 400*ms
+			set.Limits.CanCancel = false
+			set.Classes[0].Effect, set.Classes[0].DedupWindow = c.effect, 400*ms
 			b := newBench(t, set, members("a", "b", "c")...)
 			b.step(asks("q", 3*time.Second, 0)...)
 			b.now += c.late
@@ -142,9 +142,9 @@
 
 // TestRefusalIsHarmless: once an unsafe part may have run, the query is failed and not refused.
 func TestRefusalIsHarmless(t *testing.T) {
-	for outcome, want := range map[Outcome]ActionKind{Errored: Fail, Full: Refuse} {
+	for outcome, want := range map[Outcome]ActionKind{Errored: Fail, Rejected: Reject} {
 		set := testSettings()
-		set.Classes[0].Effect, set.Limits.Attempts = Unsafe, 1
+		set.Classes[0].Effect, set.Limits.MaxAttempts = Unsafe, 1
 		b := newBench(t, set, members("a", "b", "c")...)
 		b.step(asks("q", 3*time.Second, 0)...)
 		if got := only(b.step(ended("q/0", 0, outcome)), want); len(got) != 1 {
@@ -161,8 +161,8 @@
 	b := newBench(t, set, members("a", "b", "c")...)
 	b.step(asks("q", time.Second, 0)...)
 	all := b.after(2 * time.Second)
-	if len(only(all, Fail)) != 1 || len(only(all, Refuse)) != 0 {
-		t.Errorf("got %v and %v, want one failure", only(all, Fail), only(all, Refuse))
+	if len(only(all, Fail)) != 1 || len(only(all, Reject)) != 0 {
+		t.Errorf("got %v and %v, want one failure", only(all, Fail), only(all, Reject))
 	}
 }
 
@@ -196,7 +196,7 @@
 	for name, e := range map[string]Event{
 		"draining": {Kind: ListChanged, Members: []Member{{Replica: "a", State: Draining}}},
 		"gone":     {Kind: ListChanged, Members: []Member{{Replica: "a", State: Gone}}},
-		"absent":   {Kind: ListReplaced, Members: []Member{{Replica: "b", Cell: 1}, {Replica: "c", Cell: 2}}},
+		"absent":   {Kind: ListReplaced, Members: []Member{{Replica: "b", ShardSet: 1}, {Replica: "c", ShardSet: 2}}},
 	} {
 		b := newBench(t, testSettings(), members("a", "b", "c")...)
 		b.step(e)
@@ -214,7 +214,7 @@
 // can take, however many parts wait for it.
 func TestColdReplica(t *testing.T) {
 	set := testSettings()
-	set.Cells, set.Reach, set.Aggregators = 1, 1, 2
+	set.ShardSets, set.Reach, set.Aggregators = 1, 1, 2
 	b := newBench(t, set, Member{Replica: "a", Started: 99900 * ms})
 	sent := 0
 	for i := range 50 {
@@ -238,13 +238,13 @@
 	}{
 		{"all in", 0.5, 4, Answer, true},
 		{"above the floor", 0.5, 3, Answer, false},
-		{"under the floor", 0.5, 1, Refuse, false},
-		{"no partial answers", 1, 3, Refuse, false},
+		{"under the floor", 0.5, 1, Reject, false},
+		{"no partial answers", 1, 3, Reject, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			set := testSettings()
-			set.Limits.Attempts = 1
-			set.Classes[0].Floor, set.Classes[0].Partial = c.floor, 1
+			set.Limits.MaxAttempts = 1
+			set.Classes[0].MinShare, set.Classes[0].PartialShare = c.floor, 1
 			b := newBench(t, set, members("a", "b", "c")...)
 			b.step(asks("q", 900*ms, 0, 1, 2, 0)...)
 			for i := range c.ok {
@@ -252,8 +252,8 @@
 			}
 			all := b.last
 			all = append(all, b.after(time.Second)...)
-			got := append(only(all, Answer), only(all, Refuse)...)
-			if len(got) != 1 || got[0].Kind != c.kind || got[0].Whole != c.whole {
+			got := append(only(all, Answer), only(all, Reject)...)
+			if len(got) != 1 || got[0].Kind != c.kind || got[0].Complete != c.whole {
 				t.Errorf("got %+v, want kind %d whole %v", got, c.kind, c.whole)
 			}
 		})
@@ -263,13 +263,13 @@
 // TestSecondStep: the first answer opens the second step, the second one ends the query.
 func TestSecondStep(t *testing.T) {
 	set := testSettings()
-	set.Classes[0].Fetch = 1
+	set.Classes[0].FetchParts = 1
 	b := newBench(t, set, members("a", "b", "c")...)
 	b.step(asks("q", 3*time.Second, 0)...)
 	first := only(b.step(ended("q/0", 0, OK)), Answer)
 	b.step(Event{Kind: PartArrived, Query: "q", Part: "s", Shard: 0, Weight: 1})
 	second := only(b.step(ended("s", 0, OK)), Answer)
-	if len(first) != 1 || first[0].Final || len(second) != 1 || !second[0].Final || !second[0].Whole {
+	if len(first) != 1 || first[0].Final || len(second) != 1 || !second[0].Final || !second[0].Complete {
 		t.Errorf("answers %+v and %+v, want one that opens the second step and one final and whole", first, second)
 	}
 }
@@ -277,8 +277,8 @@
 // TestBudget: further attempts stay within the ration of any window, at its edge too.
 func TestBudget(t *testing.T) {
 	set := testSettings()
-	set.Rules.BudgetWindow, set.Rules.BudgetFree, set.Rules.BudgetShare = time.Second, 2, 0.1
-	set.Limits.Attempts = 10
+	set.Rules.RetryWindow, set.Rules.RetryFloor, set.Rules.RetryRatio = time.Second, 2, 0.1
+	set.Limits.MaxAttempts = 10
 	b := newBench(t, set, members("a", "b", "c")...)
 	var taken, extras []time.Duration
 	within := func(at []time.Duration) (n int) {
@@ -316,8 +316,8 @@
 func TestLongRandomRun(t *testing.T) {
 	for seed := range uint64(6) {
 		set := testSettings()
-		set.Limits.Copies, set.Limits.Probes, set.Limits.Peers = seed%2 == 0, seed%3 == 0, seed%2 == 1
-		set.Classes[0].Effect, set.Classes[0].Memory = Effect(seed%3), 300*ms
+		set.Limits.Hedging, set.Limits.Probes, set.Limits.Gossip = seed%2 == 0, seed%3 == 0, seed%2 == 1
+		set.Classes[0].Effect, set.Classes[0].DedupWindow = Effect(seed%3), 300*ms
 		randomRun(t, set, members("a", "b", "c"), seed)
 	}
 }
@@ -331,9 +331,9 @@
 			all[i].Zone = fmt.Sprint("z", i%(2+int(seed%2)))
 		}
 		set.Zone = "z0"
-		set.Limits.Copies = seed%2 == 0
-		set.Limits.Bundle, set.CallCost = 1+int(seed%3)*8, time.Duration(seed%3)*20*ms
-		set.Classes[0].Effect, set.Classes[0].Memory = Effect(seed%3), 300*ms
+		set.Limits.Hedging = seed%2 == 0
+		set.Limits.MaxBatch, set.CallCost = 1+int(seed%3)*8, time.Duration(seed%3)*20*ms
+		set.Classes[0].Effect, set.Classes[0].DedupWindow = Effect(seed%3), 300*ms
 		randomRun(t, set, all, seed)
 	}
 }
@@ -352,7 +352,7 @@
 	unsafe := set.Classes[0].Effect == Unsafe
 	barred := map[string]bool{}
 	var probed []Event
-	stray := []EventKind{0, PartArrived, AttemptEnded, ClientGone, Woke, ListRefused, ProbeEnded, 77}
+	stray := []EventKind{0, PartArrived, AttemptEnded, ClientGone, Wakeup, ListCallFailed, ProbeEnded, 77}
 	for i := range 6000 {
 		b.now += time.Duration(rng.IntN(30)) * ms
 		if rng.IntN(300) == 0 {
@@ -371,7 +371,7 @@
 			if events = append(events, ended(out[k].part, out[k].n, o)); !told[out[k]] {
 				told[out[k]] = true
 				flying[out[k].part]--
-				ran[out[k].part] = ran[out[k].part] || o != Full && o != ConnectFailed && o != ConnectTimeout && o != Moot
+				ran[out[k].part] = ran[out[k].part] || o != Rejected && o != ConnectFailed && o != ConnectTimeout && o != NotSent
 			}
 			if rng.IntN(10) > 0 { // else it is told twice
 				out = append(out[:k], out[k+1:]...)
@@ -380,7 +380,7 @@
 		if rng.IntN(50) == 0 {
 			m := all[rng.IntN(len(all))]
 			m.State, m.Started = State(rng.IntN(3)), b.now*time.Duration(rng.IntN(2))
-			barred[m.Replica] = m.State != On
+			barred[m.Replica] = m.State != Serving
 			events = append(events, Event{Kind: ListChanged, Members: []Member{m}})
 		}
 		events = append(events, Event{Kind: stray[rng.IntN(len(stray))], Query: "none", Part: "none",
@@ -390,12 +390,12 @@
 			for k := range junk {
 				junk[k] = byte(rng.IntN(256))
 			}
-			events = append(events, Event{Kind: PeerTold, Data: junk})
+			events = append(events, Event{Kind: GossipReceived, Data: junk})
 		}
 		for _, act := range b.step(events...) {
 			switch act.Kind {
-			case Tell:
-				if !set.Limits.Peers || len(act.Data) == 0 || len(act.Data) > 256 {
+			case SendGossip:
+				if !set.Limits.Gossip || len(act.Data) == 0 || len(act.Data) > 256 {
 					t.Fatalf("seed %d: a message of %d bytes", seed, len(act.Data))
 				}
 			case Send:
@@ -404,7 +404,7 @@
 				}
 				flying[act.Part]++
 				out = append(out, attempt{act.Part, b.n[act.Part] - 1})
-				if b.n[act.Part] > set.Limits.Attempts {
+				if b.n[act.Part] > set.Limits.MaxAttempts {
 					t.Fatalf("seed %d: %d attempts of %s", seed, b.n[act.Part], act.Part)
 				}
 				if barred[act.Replica] {
@@ -417,13 +417,13 @@
 				if rng.IntN(2) == 0 {
 					probed = append(probed, Event{Kind: ProbeEnded, Replica: act.Replica, Outcome: Outcome(rng.IntN(5))})
 				}
-			case Answer, Refuse, Fail:
+			case Answer, Reject, Fail:
 				if _, open := due[act.Query]; !open && act.Query != "none" {
 					t.Fatalf("seed %d: %s ended twice", seed, act.Query)
 				}
 				delete(due, act.Query)
 				for _, part := range []string{act.Query + "/0", act.Query + "/1"} {
-					if unsafe && act.Kind == Refuse && (ran[part] || flying[part] > 0) {
+					if unsafe && act.Kind == Reject && (ran[part] || flying[part] > 0) {
 						t.Fatalf("seed %d: %s refused though %s may have run", seed, act.Query, part)
 					}
 				}
@@ -445,7 +445,7 @@
 func TestRoundedWeights(t *testing.T) {
 	set := testSettings()
 	set.Shards = 12
-	set.Classes[0].Floor, set.Classes[0].Partial = 0.5, 0.9
+	set.Classes[0].MinShare, set.Classes[0].PartialShare = 0.5, 0.9
 	for _, missing := range []int{0, 1} {
 		b := newBench(t, set, members("a", "b", "c")...)
 		events := asks("q", 900*ms, 0, 1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11)
@@ -458,7 +458,7 @@
 			in = append(in, ended(fmt.Sprintf("q/%d", i), 0, OK))
 		}
 		answers := only(append(b.step(in...), b.after(900*ms)...), Answer)
-		if len(answers) != 1 || answers[0].Whole != (missing == 0) {
+		if len(answers) != 1 || answers[0].Complete != (missing == 0) {
 			t.Errorf("%d parts missing: got %+v", missing, answers)
 		}
 	}
--- a/aggregator/slowstart_test.go
+++ b/aggregator/slowstart_test.go
@@ -30,9 +30,9 @@
 func runSlowStart(t *testing.T, day slowStartDay, seed uint64) (excess float64, calls int) {
 	rng := rand.New(rand.NewPCG(seed, 1))
 	set := testSettings()
-	set.Cells, set.Shards, set.Reach, set.Aggregators = 1, 4, 1, day.nodes
-	set.Limits.Bundle, set.CallCost = day.bundle, day.callCost
-	set.Rules.WarmAfter = 20 * time.Second
+	set.ShardSets, set.Shards, set.Reach, set.Aggregators = 1, 4, 1, day.nodes
+	set.Limits.MaxBatch, set.CallCost = day.bundle, day.callCost
+	set.Rules.WarmupTime = 20 * time.Second
 	rules := set.Rules
 	work := func() time.Duration {
 		mu := -day.spread * day.spread / 2
@@ -43,7 +43,7 @@
 	for i := range fleet {
 		b := newBench(t, set)
 		b.agg, _ = New(set, seed*1000+uint64(i))
-		b.step(Event{Kind: ListRemembered, Members: warm})
+		b.step(Event{Kind: ListCached, Members: warm})
 		for j := range 8 {
 			id := fmt.Sprint("first", j)
 			for _, s := range only(b.step(asks(id, 3*time.Second, 0)...), Send) {
@@ -75,7 +75,7 @@
 	var sent []time.Duration
 	const step = 10 * ms
 	perStep := 4 * float64(step) / float64(day.work) // queries of four parts, several times what a cold one stands
-	for now := start; now < start+10*rules.FallWindow; now += step {
+	for now := start; now < start+10*rules.OverloadWindow; now += step {
 		for i, b := range fleet {
 			b.now = now
 			var events []Event
@@ -114,12 +114,12 @@
 	for i, from := range sent {
 		n := 0
 		for _, at := range sent[i:] {
-			if at < from+rules.FallWindow {
+			if at < from+rules.OverloadWindow {
 				n++
 			}
 		}
-		grown := min(1, (from+rules.FallWindow-start).Seconds()/rules.WarmAfter.Seconds())
-		allowed := rules.FallMultiple * (rules.ColdShare + (1-rules.ColdShare)*grown) * rules.FallWindow.Seconds() / perCall
+		grown := min(1, (from+rules.OverloadWindow-start).Seconds()/rules.WarmupTime.Seconds())
+		allowed := rules.OverloadMultiple * (rules.InitialCapacity + (1-rules.InitialCapacity)*grown) * rules.OverloadWindow.Seconds() / perCall
 		slack := 2*math.Sqrt(allowed) + 2
 		if allowed < 30 {
 			slack = 3*math.Sqrt(allowed) + 3
--- a/aggregator/state.go
+++ b/aggregator/state.go
@@ -130,7 +130,7 @@
 	wrecks   int           // attempts that ended with the connection reset
 	jolted   bool          // an attempt on an idle connection was
 	answered bool          // some part was answered
-	why      Why           // it was turned away at the door
+	why      Reason        // it was turned away at the door
 	aim, end time.Duration
 	worth    float64 // per work
 }
@@ -212,13 +212,13 @@
 		return nil, err
 	}
 	set.Aggregators, set.Tick = max(set.Aggregators, 1), max(set.Tick, time.Millisecond)
-	set.Limits.Attempts, set.Limits.Bundle = max(set.Limits.Attempts, 1), max(set.Limits.Bundle, 1)
+	set.Limits.MaxAttempts, set.Limits.MaxBatch = max(set.Limits.MaxAttempts, 1), max(set.Limits.MaxBatch, 1)
 	a := &Aggregator{
 		set: set, rng: rand.New(rand.NewPCG(seed, 0x9e3779b97f4a7c15)), byName: map[string]*replica{}, byTag: map[uint16]*replica{},
-		cells: make([][]*replica, set.Cells), queries: map[string]*query{}, parts: map[string]*part{},
+		cells: make([][]*replica, set.ShardSets), queries: map[string]*query{}, parts: map[string]*part{},
 		learned: make([]latency, 2*len(set.Classes)), tenants: make([]window, len(set.Tenants)),
 		again:  make([]window, len(set.Tenants)),
-		credit: extraStore, wake: -1, asking: set.Subscribe, askAt: math.MaxInt64,
+		credit: extraStore, wake: -1, asking: set.PollList, askAt: math.MaxInt64,
 	}
 	for i := range a.learned {
 		a.learned[i] = latency{
@@ -242,7 +242,7 @@
 
 // count notes a query or part taken, where further attempts are rationed by them.
 func (a *Aggregator) count() {
-	if a.set.Rules.BudgetWindow > 0 {
+	if a.set.Rules.RetryWindow > 0 {
 		a.taken.at = append(a.taken.at, a.now)
 	}
 }
@@ -264,7 +264,7 @@
 	if a.byTag[r.tag] == r {
 		delete(a.byTag, r.tag)
 	}
-	cell := &a.cells[r.member.Cell]
+	cell := &a.cells[r.member.ShardSet]
 	*cell = slices.DeleteFunc(*cell, func(o *replica) bool { return o == r })
 	return true
 }
@@ -314,7 +314,7 @@
 
 // book counts an attempt at r in the call that joins allows, else in a new one.
 func (a *Aggregator) book(p *part, r *replica, fresh bool) *attempt {
-	if !a.joins(p, r) && (r.call == nil || r.call.round != a.round || r.call.size >= a.set.Limits.Bundle ||
+	if !a.joins(p, r) && (r.call == nil || r.call.round != a.round || r.call.size >= a.set.Limits.MaxBatch ||
 		a.set.CallCost == 0) {
 		r.call = &call{round: a.round}
 		r.calls++
@@ -342,8 +342,8 @@
 
 // rehouse moves a replica whose cell has changed.
 func (a *Aggregator) rehouse(r *replica, cell int) {
-	if cell != r.member.Cell {
-		old := &a.cells[r.member.Cell]
+	if cell != r.member.ShardSet {
+		old := &a.cells[r.member.ShardSet]
 		*old = slices.DeleteFunc(*old, func(o *replica) bool { return o == r })
 		a.cells[cell] = append(a.cells[cell], r)
 	}
@@ -376,13 +376,13 @@
 		if q := a.queries[e.Query]; q != nil {
 			a.close(q)
 		}
-	case ListChanged, ListReplaced, ListRemembered:
+	case ListChanged, ListReplaced, ListCached:
 		a.updateList(e)
 	case ProbeEnded:
 		a.probed(e)
-	case PeerTold:
+	case GossipReceived:
 		a.takePeerNews(e)
-	case ListRefused:
+	case ListCallFailed:
 		a.asking = true
 	}
 }
@@ -396,12 +396,12 @@
 	q := &query{id: e.Query, class: e.Class, tenant: e.Tenant, want: e.Count, retry: e.Retry, arrived: a.now}
 	if e.Class < 0 || e.Class >= len(a.set.Classes) {
 		q.ended = true
-		a.out = append(a.out, Action{Kind: Refuse, Query: q.id})
+		a.out = append(a.out, Action{Kind: Reject, Query: q.id})
 		return
 	}
-	left := max(0, e.Left)
+	left := max(0, e.TimeLeft)
 	q.end = a.now + left - a.reserve(q.class, left)
-	q.aim = min(q.end, a.now+a.set.Classes[e.Class].Aim)
+	q.aim = min(q.end, a.now+a.set.Classes[e.Class].LatencyObjective)
 	a.queries[q.id] = q
 	a.live = append(a.live, q)
 }
@@ -409,7 +409,7 @@
 // cancelRest calls off what a part has out.
 func (a *Aggregator) cancelRest(p *part) {
 	for _, t := range p.tries {
-		if t.open && !t.dropped && a.set.Limits.Cancel {
+		if t.open && !t.dropped && a.set.Limits.CanCancel {
 			t.dropped = true
 			a.out = append(a.out, Action{Kind: Cancel, Part: p.id, Attempt: t.n})
 		}
@@ -444,11 +444,11 @@
 // holders lists the replicas that hold a shard.
 func (a *Aggregator) holders(shard int) []*replica {
 	if a.set.Reach == 1 {
-		return a.cells[shard%a.set.Cells]
+		return a.cells[shard%a.set.ShardSets]
 	}
 	var all []*replica
 	for j := range a.set.Reach {
-		all = append(all, a.cells[(shard+j)%a.set.Cells]...)
+		all = append(all, a.cells[(shard+j)%a.set.ShardSets]...)
 	}
 	return all
 }
@@ -474,11 +474,11 @@
 // covers counts the parts of a query still to be placed that r could take in one call.
 func (a *Aggregator) covers(q *query, r *replica) (n int) {
 	for _, p := range q.parts {
-		if len(p.tries) == 0 && (r.member.Cell-p.shard%a.set.Cells+a.set.Cells)%a.set.Cells < a.set.Reach {
+		if len(p.tries) == 0 && (r.member.ShardSet-p.shard%a.set.ShardSets+a.set.ShardSets)%a.set.ShardSets < a.set.Reach {
 			n++
 		}
 	}
-	return min(max(n, 1), a.set.Limits.Bundle)
+	return min(max(n, 1), a.set.Limits.MaxBatch)
 }
 
 // typical is the mean of the classes' median latencies.
@@ -562,7 +562,7 @@
 // longAim is the longest aim of any class.
 func (a *Aggregator) longAim() (aim time.Duration) {
 	for _, c := range a.set.Classes {
-		aim = max(aim, c.Aim)
+		aim = max(aim, c.LatencyObjective)
 	}
 	return aim
 }
--- a/aggregator/symptoms_test.go
+++ b/aggregator/symptoms_test.go
@@ -45,7 +45,7 @@
 			f.asked++
 			events = append(events, asks(fmt.Sprint(f.asked), time.Second, f.asked%3)...)
 		}
-		for _, act := range f.step(append(events, Event{Kind: Woke})...) {
+		for _, act := range f.step(append(events, Event{Kind: Wakeup})...) {
 			all = append(all, act)
 			if act.Kind == Cancel {
 				f.due = append(f.due, dueOutcome{f.now + f.set.Tick, ended(act.Part, act.Attempt, Cancelled)})
@@ -56,7 +56,7 @@
 			}
 			if act.Kind == Send {
 				f.got[act.Replica]++
-				if outcome, took := f.react(act.Replica); outcome != Moot {
+				if outcome, took := f.react(act.Replica); outcome != NotSent {
 					f.due = append(f.due, dueOutcome{f.now + took, ended(act.Part, f.n[act.Part]-1, outcome)})
 				}
 			}
@@ -73,7 +73,7 @@
 		took    time.Duration
 	}{
 		"quick errors":    {Errored, 5 * ms},
-		"silence":         {Moot, 0},
+		"silence":         {NotSent, 0},
 		"failed connects": {ConnectFailed, 20 * ms},
 		"resets":          {Reset, 20 * ms},
 		"slow":            {OK, 600 * ms},
@@ -116,7 +116,7 @@
 	full := false
 	f := newFleet(t, testSettings(), func(r string) (Outcome, time.Duration) {
 		if full && r == "a" {
-			return Full, 2 * ms
+			return Rejected, 2 * ms
 		}
 		return OK, 50 * ms
 	})
@@ -153,7 +153,7 @@
 	f.react = func(string) (Outcome, time.Duration) { return OK, time.Duration(50+load) * ms }
 	f.run(3*time.Second, 20*ms)
 	load = 900
-	refused := only(f.run(4*time.Second, 20*ms), Refuse)
+	refused := only(f.run(4*time.Second, 20*ms), Reject)
 	if len(refused) < 50 {
 		t.Errorf("%d of 200 queries refused under overload", len(refused))
 	}
@@ -172,12 +172,12 @@
 // TestNewNamesTheField: settings that can't be served are refused by the field's name.
 func TestNewNamesTheField(t *testing.T) {
 	for want, spoil := range map[string]func(*Settings){
-		"Cells":      func(s *Settings) { s.Cells = 0 },
+		"Cells":      func(s *Settings) { s.ShardSets = 0 },
 		"Shards":     func(s *Settings) { s.Shards = 0 },
 		"Reach":      func(s *Settings) { s.Reach = 9 },
 		"Classes":    func(s *Settings) { s.Classes = nil },
-		"Classes[0]": func(s *Settings) { s.Classes[0].Aim = -1 },
-		"Rules":      func(s *Settings) { s.Rules.FallMultiple = -1 },
+		"Classes[0]": func(s *Settings) { s.Classes[0].LatencyObjective = -1 },
+		"Rules":      func(s *Settings) { s.Rules.OverloadMultiple = -1 },
 	} {
 		set := testSettings()
 		spoil(&set)
@@ -194,7 +194,7 @@
 		b.Fatal(err)
 	}
 	now := time.Second
-	a.Step(now, []Event{{Kind: ListRemembered, Members: members("a", "b", "c")}}, nil)
+	a.Step(now, []Event{{Kind: ListCached, Members: members("a", "b", "c")}}, nil)
 	var out []Action
 	b.ReportAllocs()
 	for i := range b.N {
@@ -209,7 +209,7 @@
 // twenty exceeds; chased sooner, parts that are only slow lose the work done on them and use up their tries.
 func TestPatience(t *testing.T) {
 	set := testSettings()
-	set.Classes[0].Aim, set.Classes[0].Deadline = 4*time.Second, 8*time.Second
+	set.Classes[0].LatencyObjective, set.Classes[0].Deadline = 4*time.Second, 8*time.Second
 	b := newBench(t, set, members("a", "b", "c")...)
 	for i := range 60 {
 		id := fmt.Sprintf("warm%d", i)
--- a/aggregator/timeout_test.go
+++ b/aggregator/timeout_test.go
@@ -10,7 +10,7 @@
 // that counts, not let in because nothing is out any more. One is let in again later, to see.
 func TestTimeoutsAreRemembered(t *testing.T) {
 	set := testSettings()
-	set.Cells, set.Shards, set.Reach = 1, 1, 1
+	set.ShardSets, set.Shards, set.Reach = 1, 1, 1
 	b := newBench(t, set, Member{Replica: "a"})
 	for i := range 40 { // it learns how long a part takes
 		for _, s := range only(b.step(asks(fmt.Sprint("first", i), 3*time.Second, 0)...), Send) {
@@ -27,7 +27,7 @@
 		for _, c := range only(acts, Cancel) {
 			b.step(ended(c.Part, c.Attempt, TimedOut))
 		}
-		if len(only(acts, Refuse)) != 1 {
+		if len(only(acts, Reject)) != 1 {
 			t.Fatalf("query %d, never answered, ended by %+v", i, acts)
 		}
 	}
--- a/aggregator/trace_test.go
+++ b/aggregator/trace_test.go
@@ -31,26 +31,26 @@
 // traceScenarios differ in layout, classes, limits and permissions, so that every rule of the module acts in one of them.
 func traceScenarios() []traceScenario {
 	classes := []Class{
-		{Name: "lookup", Aim: time.Second, Deadline: 3 * time.Second, Worth: 1, Need: 1, Floor: 1},
-		{Name: "search", Aim: 800 * ms, Deadline: 2 * time.Second, Worth: 3, LateWorth: 0.5, Need: 0.95, Floor: 0.5, Partial: 0.8},
-		{Name: "fetch", Aim: 1500 * ms, Deadline: 4 * time.Second, Worth: 5, LateWorth: 0.1, Need: 0.9, Floor: 0.6, Partial: 0.7, Fetch: 2},
-		{Name: "entry", Aim: time.Second, Deadline: 3 * time.Second, Effect: Keyed, Memory: 900 * ms, Worth: 4, Need: 1, Floor: 1},
-		{Name: "write", Aim: time.Second, Deadline: 3 * time.Second, Effect: Unsafe, Worth: 6, Need: 1, Floor: 1},
+		{Name: "lookup", LatencyObjective: time.Second, Deadline: 3 * time.Second, Priority: 1, CompleteShare: 1, MinShare: 1},
+		{Name: "search", LatencyObjective: 800 * ms, Deadline: 2 * time.Second, Priority: 3, LateShare: 0.5, CompleteShare: 0.95, MinShare: 0.5, PartialShare: 0.8},
+		{Name: "fetch", LatencyObjective: 1500 * ms, Deadline: 4 * time.Second, Priority: 5, LateShare: 0.1, CompleteShare: 0.9, MinShare: 0.6, PartialShare: 0.7, FetchParts: 2},
+		{Name: "entry", LatencyObjective: time.Second, Deadline: 3 * time.Second, Effect: Keyed, DedupWindow: 900 * ms, Priority: 4, CompleteShare: 1, MinShare: 1},
+		{Name: "write", LatencyObjective: time.Second, Deadline: 3 * time.Second, Effect: Unsafe, Priority: 6, CompleteShare: 1, MinShare: 1},
 	}
 	tenants := []Tenant{{Name: "one", Rate: 30}, {Name: "two", Rate: 5}}
-	rules := Rules{DrainGrace: 250 * ms, FallMultiple: 2, FallWindow: time.Second, ColdShare: 0.2, WarmAfter: 6 * time.Second}
+	rules := Rules{DrainGrace: 250 * ms, OverloadMultiple: 2, OverloadWindow: time.Second, InitialCapacity: 0.2, WarmupTime: 6 * time.Second}
 	rationed := rules
-	rationed.BudgetWindow, rationed.BudgetFree, rationed.BudgetShare = 4*time.Second, 5, 0.02
+	rationed.RetryWindow, rationed.RetryFloor, rationed.RetryRatio = 4*time.Second, 5, 0.02
 	listed := rationed
-	listed.AskEvery = 8 * time.Second
+	listed.PollInterval = 8 * time.Second
 	return []traceScenario{
 		{
 			name: "shared calls, cancels, probes and gossip", nodes: 3, replicas: 12, interval: 40 * ms, seed: 11,
 			hash: "d757d69164ed7d00612dc577d02619e3",
 			settings: Settings{
-				Zone: "a", Aggregators: 3, Tick: 5 * ms, Classes: classes, Tenants: tenants, OverShareWorth: 0.2,
-				Cells: 4, Shards: 8, Reach: 1, CallCost: 4 * ms,
-				Limits: Limits{Attempts: 3, MaxOpen: 400, Bundle: 4, Cancel: true, Probes: true, Peers: true, RetryAfter: true,
+				Zone: "a", Aggregators: 3, Tick: 5 * ms, Classes: classes, Tenants: tenants, OverQuotaFactor: 0.2,
+				ShardSets: 4, Shards: 8, Reach: 1, CallCost: 4 * ms,
+				Limits: Limits{MaxAttempts: 3, MaxOpen: 400, MaxBatch: 4, CanCancel: true, Probes: true, Gossip: true, SendRetryAfter: true,
 					MaxRetryAfter: 2 * time.Second, ConnectTimeout: 250 * ms, ConnIdle: 30 * time.Second},
 				Rules: rules,
 			},
@@ -59,9 +59,9 @@
 			name: "second copies and a ration of attempts", nodes: 2, replicas: 9, interval: 30 * ms, seed: 12,
 			hash: "424a2bae0101c28cdb22b1c5ab6b955d",
 			settings: Settings{
-				Zone: "b", Aggregators: 2, Tick: 5 * ms, Classes: classes, Tenants: tenants, OverShareWorth: 0.1, WorthByWork: true,
-				Cells: 9, Shards: 9, Reach: 3,
-				Limits: Limits{Attempts: 2, Bundle: 1, Cancel: true, Copies: true, Probes: true, RetryAfter: true, MaxRetryAfter: time.Second},
+				Zone: "b", Aggregators: 2, Tick: 5 * ms, Classes: classes, Tenants: tenants, OverQuotaFactor: 0.1, PriorityPerWork: true,
+				ShardSets: 9, Shards: 9, Reach: 3,
+				Limits: Limits{MaxAttempts: 2, MaxBatch: 1, CanCancel: true, Hedging: true, Probes: true, SendRetryAfter: true, MaxRetryAfter: time.Second},
 				Rules:  rationed,
 			},
 		},
@@ -70,8 +70,8 @@
 			hash: "bdb0ef5b2eb4da950c481e7d7c7ce70f",
 			settings: Settings{
 				Zone: "c", Aggregators: 80, Tick: 5 * ms, Classes: classes,
-				Cells: 10, Shards: 20, Reach: 1, CallCost: 3 * ms, Subscribe: true, WarmKeys: true,
-				Limits: Limits{Attempts: 3, Bundle: 8, Probes: true, Peers: true, ConnIdle: 2 * time.Second},
+				ShardSets: 10, Shards: 20, Reach: 1, CallCost: 3 * ms, PollList: true, KeyCaches: true,
+				Limits: Limits{MaxAttempts: 3, MaxBatch: 8, Probes: true, Gossip: true, ConnIdle: 2 * time.Second},
 				Rules:  listed,
 			},
 		},
@@ -148,7 +148,7 @@
 			t.Fatal(err)
 		}
 		node := &traceNode{module: module, wake: -1, next: w.now, tries: map[string]int{}, given: map[string]bool{}}
-		node.tell(w.now, Event{Kind: ListRemembered, Members: w.list()})
+		node.tell(w.now, Event{Kind: ListCached, Members: w.list()})
 		w.nodes = append(w.nodes, node)
 	}
 	return w
@@ -160,7 +160,7 @@
 
 func (w *traceWorld) addReplica(started time.Duration) *traceReplica {
 	name := fmt.Sprint("r", w.made)
-	member := Member{Replica: name, Cell: w.made % w.scenario.settings.Cells, Zone: string(rune('a' + w.made%3)), Started: started, Size: 1}
+	member := Member{Replica: name, ShardSet: w.made % w.scenario.settings.ShardSets, Zone: string(rune('a' + w.made%3)), Started: started, Size: 1}
 	w.made++
 	r := &traceReplica{member: member}
 	w.replicas = append(w.replicas, r)
@@ -211,7 +211,7 @@
 	})
 	if node.wake >= 0 && w.now >= node.wake {
 		node.wake = -1
-		events = append(events, Event{Kind: Woke})
+		events = append(events, Event{Kind: Wakeup})
 	}
 	if len(events) == 0 {
 		return
@@ -246,11 +246,11 @@
 	text(a.Part)
 	text(a.Replica)
 	number(int64(a.Attempt))
-	flag(a.Whole)
+	flag(a.Complete)
 	flag(a.Final)
-	number(int64(a.Why))
+	number(int64(a.Reason))
 	number(int64(a.After))
-	number(int64(a.Begin))
+	number(int64(a.BeginWithin))
 	text(string(a.Data))
 }
 
@@ -269,16 +269,16 @@
 		w.probe(node, a.Replica)
 	case Wake:
 		node.wake = w.now + a.After
-	case Subscribe:
+	case PollEndpoints:
 		if w.random.IntN(3) == 0 {
-			node.tell(w.now+w.between(10*ms, 400*ms), Event{Kind: ListRefused})
+			node.tell(w.now+w.between(10*ms, 400*ms), Event{Kind: ListCallFailed})
 		} else {
 			node.tell(w.now+w.between(10*ms, 400*ms), Event{Kind: ListReplaced, Members: w.list()})
 		}
-	case Tell:
+	case SendGossip:
 		for i, other := range w.nodes {
 			if i != index && w.random.IntN(10) > 0 {
-				other.tell(w.now+w.between(ms, 20*ms), Event{Kind: PeerTold, Data: a.Data})
+				other.tell(w.now+w.between(ms, 20*ms), Event{Kind: GossipReceived, Data: a.Data})
 			}
 		}
 	}
@@ -289,7 +289,7 @@
 	attempt := node.tries[a.Part]
 	node.tries[a.Part]++
 	end := func(after time.Duration, outcome Outcome) {
-		node.tell(w.now+after, Event{Kind: AttemptEnded, Part: a.Part, Attempt: attempt, Replica: a.Replica, Outcome: outcome, Took: after})
+		node.tell(w.now+after, Event{Kind: AttemptEnded, Part: a.Part, Attempt: attempt, Replica: a.Replica, Outcome: outcome, Elapsed: after})
 	}
 	r := w.byName[a.Replica]
 	r.busy = max(r.busy, w.now) + w.between(5*ms, 45*ms)
@@ -316,12 +316,12 @@
 		end(ms, ConnectFailed)
 		return
 	case faultFull:
-		end(2*ms, Full)
+		end(2*ms, Rejected)
 		return
 	case faultSlow:
 		took *= 6
 	case faultCuts:
-		end(took/2+ms, Cut)
+		end(took/2+ms, ConnectionLost)
 		return
 	case faultLateConnects:
 		end(250*ms, ConnectTimeout)
@@ -331,7 +331,7 @@
 	case w.random.IntN(400) == 0:
 		end(ms, Reset)
 	case w.random.IntN(500) == 0:
-		end(ms, Moot)
+		end(ms, NotSent)
 	case w.random.IntN(500) == 0:
 		end(ms, Unknown)
 	case took > a.After:
@@ -345,7 +345,7 @@
 	event := Event{Kind: ProbeEnded, Replica: replica, Outcome: OK}
 	r := w.byName[replica]
 	if w.random.IntN(2) == 0 {
-		event.Report = map[string]float64{"inflight": float64(w.random.IntN(9)), "queue": float64(w.random.IntN(5))}
+		event.LoadReport = map[string]float64{"inflight": float64(w.random.IntN(9)), "queue": float64(w.random.IntN(5))}
 	}
 	if w.now < r.until && r.fault != faultSlow && r.fault != faultErrors || r.member.State == Gone {
 		event.Outcome = TimedOut
@@ -369,7 +369,7 @@
 		class := w.random.IntN(len(set.Classes))
 		shards := 1 + w.random.IntN(set.Shards)
 		event := Event{Kind: QueryArrived, Query: id, Class: class, Tenant: w.random.IntN(len(set.Tenants)+1) - 1, Count: shards,
-			Left: w.between(set.Classes[class].Deadline/4, set.Classes[class].Deadline), Retry: w.random.IntN(8) == 0}
+			TimeLeft: w.between(set.Classes[class].Deadline/4, set.Classes[class].Deadline), Retry: w.random.IntN(8) == 0}
 		if w.random.IntN(300) == 0 {
 			event.Class = len(set.Classes) // one that the settings lack
 		}
@@ -407,21 +407,21 @@
 		r.fault, r.until = faultNone+1+traceFault(w.random.IntN(int(traceFaults)-1)), w.now+w.between(200*ms, 4*time.Second)
 	case 4: // it drains, or its set of shards changes
 		if w.random.IntN(6) == 0 {
-			r.member.Cell = w.random.IntN(w.scenario.settings.Cells)
+			r.member.ShardSet = w.random.IntN(w.scenario.settings.ShardSets)
 			w.change(r, r.member.State)
 		} else {
 			w.change(r, Draining)
 		}
 	case 5: // it is gone, or back with another life
-		if r.member.State == On {
+		if r.member.State == Serving {
 			w.change(r, Gone)
 		} else {
 			r.member.Started, r.fault = w.now, faultNone
-			w.change(r, On)
+			w.change(r, Serving)
 		}
 	case 6: // a new one replaces it
 		w.change(r, Gone)
-		w.change(w.addReplica(w.now), On)
+		w.change(w.addReplica(w.now), Serving)
 	case 7: // an aggregator stands still
 		node := w.nodes[w.random.IntN(len(w.nodes))]
 		node.stuck = w.now + w.between(20*ms, 700*ms)
@@ -431,9 +431,9 @@
 		}
 	}
 	for _, node := range w.nodes { // and nobody is left without holders for long
-		for _, other := range w.replicas[:w.scenario.settings.Cells] {
-			if other.member.State != On && w.random.IntN(4) == 0 {
-				other.member.State, other.member.Started = On, w.now
+		for _, other := range w.replicas[:w.scenario.settings.ShardSets] {
+			if other.member.State != Serving && w.random.IntN(4) == 0 {
+				other.member.State, other.member.Started = Serving, w.now
 				node.tell(w.now+w.between(0, 200*ms), Event{Kind: ListChanged, Members: []Member{other.member}})
 			}
 		}
@@ -462,7 +462,7 @@
 			kinds[kind] += n
 		}
 	}
-	for kind := Send; kind <= Tell; kind++ {
+	for kind := Send; kind <= SendGossip; kind++ {
 		if kinds[kind] == 0 {
 			t.Errorf("no action of kind %d: the scenarios do not show that its decision is the same", kind)
 		}
--- a/cmd/gullfall-lab/peers.go
+++ b/cmd/gullfall-lab/peers.go
@@ -342,7 +342,7 @@
 		stands = float64(n) / float64(watchers)
 	}
 	f, err := swimsim.New(swimsim.Config{Members: n, Watchers: watchers, Seed: p.Seed, Detect: detect, Fixed: 5 * time.Second, Delay: 2 * time.Millisecond,
-		Jitter: 5 * time.Millisecond, Swim: swim.Config{Period: time.Second, Bear: bear}})
+		Jitter: 5 * time.Millisecond, Swim: swim.Config{Period: time.Second, MaxPause: bear}})
 	if err != nil {
 		return err
 	}
--- a/cmd/gullfall-lab/work.go
+++ b/cmd/gullfall-lab/work.go
@@ -201,7 +201,7 @@
 			}
 			continue
 		}
-		a := agent.Ask{By: fmt.Sprint("operator at ", i), Takes: time.Minute, Back: time.Minute, GoOn: true, Zone: []string{"a", "b", "c"}[chance.IntN(3)]}
+		a := agent.Request{By: fmt.Sprint("operator at ", i), Takes: time.Minute, Back: time.Minute, GoOn: true, Zone: []string{"a", "b", "c"}[chance.IntN(3)]}
 		if chance.IntN(3) == 0 {
 			a.Zone, a.All = "", true
 		}
--- a/cmd/gullfall/dnssd.go
+++ b/cmd/gullfall/dnssd.go
@@ -107,12 +107,12 @@
 		return
 	}
 	for _, m := range r.Changes {
-		s.print(line{At: now, Zone: s.zone, Node: m.ID, State: m.State.String(), Addr: m.Addr, Cell: &m.Cell,
+		s.print(line{At: now, Zone: s.zone, Node: m.ID, State: m.State.String(), Addr: m.Addr, Cell: &m.ShardSet,
 			Priority: m.Priority, Weight: m.Weight, Why: s.table.Explain(m.ID)})
 	}
 	for _, n := range r.Notes {
 		if n.ID == "" {
-			s.print(line{At: now, Zone: s.zone, Why: string(n.What) + ": " + n.Detail})
+			s.print(line{At: now, Zone: s.zone, Why: string(n.Cause) + ": " + n.Detail})
 		}
 	}
 }
@@ -124,7 +124,7 @@
 	source *membership.Source
 }
 
-func (t *teller) Tell(u membership.Update) {
+func (t *teller) Update(u membership.Update) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.show.zone = t.zone
@@ -134,23 +134,23 @@
 		t.lists++
 	}
 	now := time.Now()
-	t.result(now, t.source.Told(now, u))
+	t.result(now, t.source.Update(now, u))
 }
 
-func (t *teller) Heard() {
+func (t *teller) Renew() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := time.Now()
 	t.show.zone = t.zone
-	t.result(now, t.source.Heard(now))
+	t.result(now, t.source.Renew(now))
 }
 
-func (t *teller) Saw(serial uint32) bool {
+func (t *teller) SerialSeen(serial uint32) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := time.Now()
 	t.show.zone = t.zone
-	fetch, r := t.source.Saw(now, serial)
+	fetch, r := t.source.SerialSeen(now, serial)
 	t.result(now, r)
 	return fetch
 }
@@ -162,7 +162,7 @@
 		return nil, nil, err
 	}
 	cfg := deploy.Damping()
-	cfg.Cells, cfg.Shards = 1<<20, 1 // cells are the settings' to bound; here all are shown
+	cfg.ShardSets, cfg.Shards = 1<<20, 1 // cells are the settings' to bound; here all are shown
 	table, err := membership.New(cfg)
 	if err != nil {
 		return nil, nil, err
@@ -205,7 +205,7 @@
 	}
 	wg.Wait()
 	for _, m := range s.table.List() {
-		s.print(line{Node: m.ID, State: m.State.String(), Addr: m.Addr, Cell: &m.Cell, Priority: m.Priority, Weight: m.Weight,
+		s.print(line{Node: m.ID, State: m.State.String(), Addr: m.Addr, Cell: &m.ShardSet, Priority: m.Priority, Weight: m.Weight,
 			Why: s.table.Explain(m.ID)})
 	}
 	for zone, list := range s.problems {
--- a/cmd/gullfall/main_test.go
+++ b/cmd/gullfall/main_test.go
@@ -210,8 +210,8 @@
 // TestDrainEnds: a client that is slow with its request or its answer does not keep the program from ending.
 func TestDrainEnds(t *testing.T) {
 	log := slog.New(slog.DiscardHandler)
-	c, err := coordinator.New(aggregator.Settings{Cells: 1, Shards: 1, Reach: 1,
-		Classes: []aggregator.Class{{Name: "report", Aim: time.Second, Deadline: time.Second}}}, 1, log)
+	c, err := coordinator.New(aggregator.Settings{ShardSets: 1, Shards: 1, Reach: 1,
+		Classes: []aggregator.Class{{Name: "report", LatencyObjective: time.Second, Deadline: time.Second}}}, 1, log)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/gullfall/peers.go
+++ b/cmd/gullfall/peers.go
@@ -33,7 +33,7 @@
 const keptPeers = "peers"
 
 // startPeers begins to talk where our own file says so; nil where it does not.
-func startPeers(ctx context.Context, deploy config.Deploy, cfg config.Config, c *coordinator.Core, log *slog.Logger, kept *store.Store) (*gossip.Gossip, error) {
+func startPeers(ctx context.Context, deploy config.Deploy, cfg config.Config, c *coordinator.Coordinator, log *slog.Logger, kept *store.Store) (*gossip.Gossip, error) {
 	p := deploy.Peers
 	if p.Listen == "" {
 		return nil, nil
@@ -43,13 +43,13 @@
 		return nil, err
 	}
 	process := binary.BigEndian.Uint64(raw[:])
-	o := gossip.Options{Swim: p.Swim(cfg.Name, process, cfg.Seed^process), Fleet: p.Fleet, Keys: p.Keys(), Routes: p.Routes(), Log: log, Warm: cfg.Settings.Rules.WarmAfter}
+	o := gossip.Options{Swim: p.Swim(cfg.Name, process, cfg.Seed^process), Fleet: p.Fleet, Keys: p.Keys(), Routes: p.Routes(), Log: log, WarmupTime: cfg.Settings.Rules.WarmupTime}
 	var last []string
 	if data := kept.Get(keptPeers + "/" + cfg.Name); len(data) > 0 && json.Unmarshal(data, &last) == nil {
 		o.Swim.Seeds = append(append([]string{}, o.Swim.Seeds...), last...)
 	}
 	addrs := make(chan []string, 1)
-	o.Keep = func(list []string) { // only the newest is worth keeping
+	o.SaveAddrs = func(list []string) { // only the newest is worth keeping
 		select {
 		case <-addrs:
 		default:
@@ -67,21 +67,21 @@
 	if err != nil {
 		return nil, err
 	}
-	c.OnSight(func(s coordinator.Sight) {
+	c.OnObservation(func(s coordinator.Observation) {
 		if s.Started {
-			talk.SawStart(s.Node, s.Ago)
+			talk.ObserveStart(s.Node, s.Ago)
 			return
 		}
 		if s.Failed {
-			talk.Saw(s.Node, observations.Failed, 0)
+			talk.Observe(s.Node, observations.Failed, 0)
 			return
 		}
-		talk.Saw(s.Node, observations.Answered, 0)
+		talk.Observe(s.Node, observations.Answered, 0)
 		if s.Latency > 0 {
-			talk.Saw(s.Node, observations.Latency, s.Latency.Seconds())
+			talk.Observe(s.Node, observations.Latency, s.Latency.Seconds())
 		}
-		if s.Busy >= 0 {
-			talk.Saw(s.Node, observations.Busy, s.Busy)
+		if s.Utilization >= 0 {
+			talk.Observe(s.Node, observations.Utilization, s.Utilization)
 		}
 	})
 	go hear(ctx, c, talk, cfg.Name)
@@ -93,7 +93,7 @@
 const hearEvery = 250 * time.Millisecond
 
 // hear passes on what others tell of data nodes, until ctx ends.
-func hear(ctx context.Context, c *coordinator.Core, talk *gossip.Gossip, self string) {
+func hear(ctx context.Context, c *coordinator.Coordinator, talk *gossip.Gossip, self string) {
 	tick := time.NewTicker(hearEvery)
 	defer tick.Stop()
 	for {
@@ -102,18 +102,18 @@
 			return
 		case <-tick.C:
 		}
-		var list []coordinator.Told
-		for id, v := range talk.AllLearned() {
-			t := coordinator.Told{Node: id, Failing: v.Doubtful && v.FailedBy != self, Failed: v.Failed, Answered: v.Answered}
-			if v.ColdFor > 0 && v.ColdBy != self {
-				t.Cold, t.Started = true, v.Started
+		var list []coordinator.PeerReport
+		for id, v := range talk.AllObservations() {
+			t := coordinator.PeerReport{Node: id, Failing: v.Suspect && v.FailedBy != self, Failed: v.Failed, Answered: v.Answered}
+			if v.WarmingFor > 0 && v.WarmingSeenBy != self {
+				t.WarmingUp, t.Started = true, v.Started
 			}
-			if t.Cold || t.Failing {
+			if t.WarmingUp || t.Failing {
 				list = append(list, t)
 			}
 		}
 		if len(list) > 0 {
-			c.Hear(list)
+			c.ApplyPeerReports(list)
 		}
 	}
 }
@@ -150,7 +150,7 @@
 }
 
 // commandsOf are the commands that the parts which are on serve.
-func commandsOf(talk *gossip.Gossip, work *agent.Steward, kept *store.Store, hands *zoneHands) map[string]admin.Command {
+func commandsOf(talk *gossip.Gossip, work *agent.Agent, kept *store.Store, hands *zoneHands) map[string]admin.Command {
 	commands := map[string]admin.Command{}
 	workCommands(commands, work)
 	storeCommands(commands, kept, talk)
@@ -158,10 +158,10 @@
 	if talk == nil {
 		return commands
 	}
-	commands["learned"] = func(context.Context, json.RawMessage) (any, error) { return learnedViews(talk.AllLearned()), nil }
+	commands["learned"] = func(context.Context, json.RawMessage) (any, error) { return learnedViews(talk.AllObservations()), nil }
 	commands["peers"] = func(context.Context, json.RawMessage) (any, error) {
 		var v peersView
-		if !talk.Look(func(s *swim.Swim) { v = viewOf(s, talk.Since()) }) {
+		if !talk.View(func(s *swim.Swim) { v = viewOf(s, talk.Since()) }) {
 			return nil, errors.New("the talk has ended")
 		}
 		v.Dropped = map[string]int64{"seal": talk.Drops.Seal.Load(), "version": talk.Drops.Version.Load(),
@@ -175,7 +175,7 @@
 			return nil, err
 		}
 		err := fmt.Errorf("no coordinator %q is known", name)
-		talk.Look(func(s *swim.Swim) {
+		talk.View(func(s *swim.Swim) {
 			if state, known := s.Holds(name); known && state == swim.Dead {
 				err = nil
 			} else if known {
@@ -194,7 +194,7 @@
 }
 
 func viewOf(s *swim.Swim, now time.Duration) peersView {
-	verdict := s.Verdict()
+	verdict := s.Quorum()
 	v := peersView{Verdict: verdict.Kind.String(), Here: verdict.Here, Known: verdict.Known, Majority: verdict.Majority,
 		Refused: s.Refused(), Health: s.Health(), Counts: s.Counts(), Self: s.Self()}
 	ago := func(t time.Duration) float64 {
@@ -227,7 +227,7 @@
 func learnedViews(all map[string]observations.View) (list []learnedView) {
 	for _, id := range slices.Sorted(maps.Keys(all)) {
 		v := all[id]
-		l := learnedView{id, v.Doubtful, math.Round(v.ColdFor.Seconds()*10) / 10, -1, v.Busy}
+		l := learnedView{id, v.Suspect, math.Round(v.WarmingFor.Seconds()*10) / 10, -1, v.Utilization}
 		if v.Latency >= 0 {
 			l.LatencyMS = math.Round(v.Latency*1e4) / 10
 		}
--- a/cmd/gullfall/serve.go
+++ b/cmd/gullfall/serve.go
@@ -110,7 +110,7 @@
 		}
 	}
 	if deploy.Work.Enabled {
-		c.WatchWork()
+		c.EnableMaintenance()
 	}
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
@@ -124,12 +124,12 @@
 	nodes := &platform.Nodes{Core: c, Log: log, Dial: dial, Streams: cfg.Streams, Connect: limits.ConnectTimeout,
 		Idle: limits.ConnIdle, Slots: slots}
 	watch := platform.NewWatch(cfg.Discovery)
-	c.Carrier(dnssd.Frames, nodes.Carry)
+	c.RegisterDispatcher(dnssd.Frames, nodes.Dispatch)
 	watch.Source, watch.Log, watch.Dial = c.Source(membership.Spec{Name: "discovery", Rank: discoveryRank}), log, dial
 	watch.Keep = func(list []byte) { kept.Put(store.Members, list) }
-	watch.Calls = membership.Calls{Pushed: !cfg.Settings.Subscribe, Others: cfg.Settings.Aggregators - 1,
-		Grace: cfg.Settings.Rules.DrainGrace, AskEvery: cfg.Settings.Rules.AskEvery}
-	watch.Confirm = watch.Calls.Confirm()
+	watch.Calls = membership.PollSchedule{Pushed: !cfg.Settings.PollList, Peers: cfg.Settings.Aggregators - 1,
+		Grace: cfg.Settings.Rules.DrainGrace, Interval: cfg.Settings.Rules.PollInterval}
+	watch.Confirm = watch.Calls.ConfirmTimeout()
 	watch.Draw = rand.New(rand.NewPCG(cfg.Seed, 2)).Float64
 	if len(cfg.Known) > 0 {
 		watch.Remember(cfg.Known)
@@ -171,7 +171,7 @@
 		most -= cfg.Limits.Sockets / 8
 	}
 	clients := &platform.Clients{Core: c, Log: log, MaxConns: most, BusyConns: cfg.Limits.Sockets / 3,
-		BodyMemory: int64(cfg.Limits.MemoryMB) << 20 / 16, RetryAfter: c.Again()}
+		BodyMemory: int64(cfg.Limits.MemoryMB) << 20 / 16, RetryAfter: c.RetryAfter()}
 	go func() { served <- clients.Serve(ln) }()
 	log.Info("serving", "name", cfg.Name, "listen", cfg.Listen)
 
@@ -229,7 +229,7 @@
 		if second != nil || hands != nil || talk != nil {
 			deploy, err := config.LoadDeploy(config.DeployFile, cfg.Name)
 			if err == nil && second != nil {
-				err = second.Reload(deploy.Flight.People(), deploy.Flight.Keys(), deploy.Flight.Door())
+				err = second.Reload(deploy.Flight.People(), deploy.Flight.Keys(), deploy.Flight.Admission())
 			}
 			if err == nil && hands != nil {
 				err = hands.reload(deploy.Zones.Drained)
@@ -253,14 +253,14 @@
 }
 
 // startFlight starts the second front, and describes it by records where they are to be served.
-func startFlight(ctx context.Context, deploy config.Deploy, cfg config.Config, c *coordinator.Core, log *slog.Logger,
+func startFlight(ctx context.Context, deploy config.Deploy, cfg config.Config, c *coordinator.Coordinator, log *slog.Logger,
 	served chan<- error) (*flight.Server, *dnssd.Service, error) {
 	ln, err := net.Listen("tcp", deploy.Flight.Listen)
 	if err != nil {
 		return nil, nil, fmt.Errorf("flight.listen: %w", err)
 	}
-	options := flight.Options{Core: c, Log: log, Memory: int64(cfg.Limits.MemoryMB) << 20 / 4, Door: deploy.Flight.Door(),
-		People: deploy.Flight.People(), Keys: deploy.Flight.Keys(), Shards: cfg.Settings.Shards, Covered: c.Covered}
+	options := flight.Options{Core: c, Log: log, Memory: int64(cfg.Limits.MemoryMB) << 20 / 4, Admission: deploy.Flight.Admission(),
+		People: deploy.Flight.People(), Keys: deploy.Flight.Keys(), Shards: cfg.Settings.Shards, Covered: c.CoveredShards}
 	for _, class := range cfg.Settings.Classes {
 		options.Classes = append(options.Classes, flight.Class{Name: class.Name, Limit: class.Deadline, Schema: deploy.Flight.Schema(class.Name)})
 	}
@@ -290,7 +290,7 @@
 
 // findNodes starts what our own file names besides discovery: the fixed list and the zones. What the zones told last
 // is kept, and holds after a restart until they are heard.
-func findNodes(ctx context.Context, deploy config.Deploy, cfg config.Config, c *coordinator.Core, log *slog.Logger,
+func findNodes(ctx context.Context, deploy config.Deploy, cfg config.Config, c *coordinator.Coordinator, log *slog.Logger,
 	slots chan struct{}, kept *store.Store) error {
 	zones := deploy.DNSSD.Zones()
 	if fixed := deploy.Fixed(); len(fixed) > 0 {
@@ -301,7 +301,7 @@
 	}
 	nodes := &flight.Nodes{Core: c, Log: log, Dial: dial, Streams: cfg.Streams,
 		Connect: cfg.Settings.Limits.ConnectTimeout, Idle: cfg.Settings.Limits.ConnIdle, Slots: slots}
-	c.Carrier(dnssd.Flight, nodes.Carry)
+	c.RegisterDispatcher(dnssd.Flight, nodes.Dispatch)
 	client := dnssd.NewClient(deploy.DNSSD.Questions, max(4, cfg.Limits.Sockets/16))
 	listener := &dnssd.Listener{Allow: deploy.DNSSD.Allowed()}
 	for _, z := range zones {
@@ -337,8 +337,8 @@
 }
 
 // Tell passes on what the zone has told, and keeps what it comes to.
-func (k *keeper) Tell(u membership.Update) {
-	if k.Source.Tell(u); u.Basis == membership.Failed {
+func (k *keeper) Update(u membership.Update) {
+	if k.Source.Update(u); u.Basis == membership.Failed {
 		return
 	}
 	data, err := json.Marshal(k.Claims())
@@ -362,7 +362,7 @@
 
 // drain goes on serving while clients still come, then answers what is open and returns, at end at the latest. It tells whether
 // all was answered and read.
-func drain(c *coordinator.Core, clients *platform.Clients, second *flight.Server, ln net.Listener,
+func drain(c *coordinator.Coordinator, clients *platform.Clients, second *flight.Server, ln net.Listener,
 	signals <-chan os.Signal, end time.Time, log *slog.Logger) (answered bool) {
 	time.Sleep(restUntil)
 	clients.CloseIdle()
--- a/cmd/gullfall/store.go
+++ b/cmd/gullfall/store.go
@@ -51,7 +51,7 @@
 	seen := map[string]swim.Member{}
 	var now time.Duration
 	if talk != nil {
-		talk.Look(func(s *swim.Swim) {
+		talk.View(func(s *swim.Swim) {
 			now = talk.Since()
 			for _, m := range s.Members() {
 				seen[m.Name] = m
@@ -103,7 +103,7 @@
 		}
 		if talk != nil && c.What == store.Remove {
 			alive := false
-			talk.Look(func(s *swim.Swim) {
+			talk.View(func(s *swim.Swim) {
 				state, known := s.Holds(c.Name)
 				alive = known && state < swim.Dead
 			})
@@ -138,7 +138,7 @@
 		return n, fmt.Errorf("a note needs a key, and a value of 1 to %d bytes", mostNote)
 	}
 	if n.If != nil {
-		c.If = []statemachine.Cond{{Key: noteKey + n.Key, Revision: *n.If}}
+		c.If = []statemachine.Condition{{Key: noteKey + n.Key, Revision: *n.If}}
 	}
 	r, err := kept.Do(ctx, c)
 	switch {
@@ -158,7 +158,7 @@
 			return n, fmt.Errorf("the store was not heard in time; --stale shows what is known here: %w", err)
 		}
 	}
-	kept.Look(func(st *statemachine.State) {
+	kept.View(func(st *statemachine.State) {
 		e, _ := st.Get(noteKey + n.Key)
 		n.Value, n.Revision = string(e.Value), e.Revision
 	})
--- a/cmd/gullfall/work.go
+++ b/cmd/gullfall/work.go
@@ -28,7 +28,7 @@
 )
 
 // startWork takes part in the work on machines where our own file says so; nil where it does not.
-func startWork(deploy config.Deploy, cfg config.Config, c *coordinator.Core, kept *store.Store, talk *gossip.Gossip, log *slog.Logger) *agent.Steward {
+func startWork(deploy config.Deploy, cfg config.Config, c *coordinator.Coordinator, kept *store.Store, talk *gossip.Gossip, log *slog.Logger) *agent.Agent {
 	w := deploy.Work
 	if !w.Enabled {
 		return nil
@@ -37,16 +37,16 @@
 	log.Info("taking part in the work on machines", "bound", time.Duration(w.Bound), "lease", time.Duration(w.Lease))
 	var told func(string) observations.View
 	if talk != nil {
-		told = talk.Learned
+		told = talk.Observations
 	}
-	return agent.Start(agent.Options{Learned: told, Store: kept, Core: c, Name: cfg.Name, Log: log,
-		Layout: maintenance.Layout{Cells: set.Cells, Shards: set.Shards, Reach: set.Reach}, Limits: w.Limits(), Warm: set.Rules.WarmAfter,
-		Longest: longest(set), Bound: time.Duration(w.Bound), Duty: time.Duration(w.Lease), Drift: w.Drift, Duties: w.Duties, Every: time.Duration(w.Every),
+	return agent.Start(agent.Options{Observations: told, Store: kept, Coordinator: c, Name: cfg.Name, Log: log,
+		Layout: maintenance.Layout{ShardSets: set.ShardSets, Shards: set.Shards, Reach: set.Reach}, Limits: w.Limits(), WarmupTime: set.Rules.WarmupTime,
+		LongestAttempt: longest(set), PresenceBound: time.Duration(w.Bound), Duty: time.Duration(w.Lease), Drift: w.Drift, Duties: w.Duties, Every: time.Duration(w.Every),
 		Hook: w.Hook, HookFor: time.Duration(w.HookTime), Budget: w.Budget})
 }
 
 // leaveWork gives the duty back as the first thing of a drain, so that another takes it over.
-func leaveWork(work *agent.Steward, log *slog.Logger) {
+func leaveWork(work *agent.Agent, log *slog.Logger) {
 	if work == nil {
 		return
 	}
@@ -60,7 +60,7 @@
 }
 
 // endWork ends the part at the end of a drain.
-func endWork(work *agent.Steward, quiet bool) {
+func endWork(work *agent.Agent, quiet bool) {
 	if work == nil {
 		return
 	}
@@ -77,7 +77,7 @@
 }
 
 // workCommands adds the commands of a part that is on.
-func workCommands(commands map[string]admin.Command, work *agent.Steward) {
+func workCommands(commands map[string]admin.Command, work *agent.Agent) {
 	if work == nil {
 		return
 	}
@@ -93,7 +93,7 @@
 		}
 	}
 	commands["work start"] = func(ctx context.Context, args json.RawMessage) (any, error) {
-		var a agent.Ask
+		var a agent.Request
 		if err := json.Unmarshal(args, &a); err != nil {
 			return nil, err
 		}
@@ -101,7 +101,7 @@
 		defer cancel()
 		return work.Start(ctx, a)
 	}
-	commands["work look"] = word(func(ctx context.Context, w workWord) (any, error) { return work.Look(ctx, w.Fresh) })
+	commands["work look"] = word(func(ctx context.Context, w workWord) (any, error) { return work.View(ctx, w.Fresh) })
 	commands["work order"] = word(func(ctx context.Context, w workWord) (any, error) {
 		return w.Request, work.Order(ctx, w.By, w.Word, w.Request)
 	})
@@ -109,8 +109,8 @@
 		return w.Machine, work.Done(ctx, w.By, w.Machine, w.As)
 	})
 	commands["work forget"] = word(func(ctx context.Context, w workWord) (any, error) { return w.Name, work.Forget(ctx, w.By, w.Name) })
-	commands["duties hand-on"] = word(func(ctx context.Context, w workWord) (any, error) { return true, work.HandOn(ctx, w.Name) })
-	commands["duties try"] = word(func(ctx context.Context, w workWord) (any, error) { return work.Try(ctx, w.Name) })
+	commands["duties hand-on"] = word(func(ctx context.Context, w workWord) (any, error) { return true, work.HandOver(ctx, w.Name) })
+	commands["duties try"] = word(func(ctx context.Context, w workWord) (any, error) { return work.TryDuty(ctx, w.Name) })
 }
 
 // workTime is how long the daemon tries for an operator.
@@ -163,8 +163,8 @@
 	ByHand        bool          `help:"Only a word says that a machine is done, not a later start of its process."`
 }
 
-func (w which) asked(dry bool) (a agent.Ask, err error) {
-	a = agent.Ask{By: operator(), Machines: w.Machines, Zone: w.Zone, All: w.All, Takes: w.Takes, Back: w.Back, AtOnce: w.AtOnce, GoOn: w.GoOn, ByHand: w.ByHand, DryRun: dry}
+func (w which) asked(dry bool) (a agent.Request, err error) {
+	a = agent.Request{By: operator(), Machines: w.Machines, Zone: w.Zone, All: w.All, Takes: w.Takes, Back: w.Back, AtOnce: w.AtOnce, GoOn: w.GoOn, ByHand: w.ByHand, DryRun: dry}
 	for to, t := range map[*int64]time.Time{&a.NotBefore: w.NotBefore, &a.DoneBy: w.DoneBy} {
 		if !t.IsZero() {
 			*to = t.Unix()
@@ -505,7 +505,7 @@
 
 // Run tries a duty.
 func (c dutiesTryCmd) Run() error {
-	var t agent.Tried
+	var t agent.DutyAttempt
 	if err := c.ask("duties try", workWord{Name: c.Name}, &t); err != nil {
 		return err
 	}
--- a/cmd/gullfall/zones.go
+++ b/cmd/gullfall/zones.go
@@ -32,7 +32,7 @@
 
 // zoneHands joins what the file and the store say of zones left by hand.
 type zoneHands struct {
-	core *coordinator.Core
+	core *coordinator.Coordinator
 	kept *store.Store
 	log  *slog.Logger
 
@@ -103,7 +103,7 @@
 			return fmt.Errorf("the store was not heard in time; to drain it at this coordinator alone set zones.drained in deploy/gullfall.toml and send SIGHUP: %w", err)
 		}
 		var e statemachine.Entry
-		z.kept.Look(func(st *statemachine.State) { e, _ = st.Get(drainedKey) })
+		z.kept.View(func(st *statemachine.State) { e, _ = st.Get(drainedKey) })
 		names, err := storedZones(e.Value)
 		if err != nil {
 			return fmt.Errorf("%s in the store: %w", drainedKey, err)
@@ -125,7 +125,7 @@
 		if err != nil {
 			return err
 		}
-		r, err := z.kept.Do(ctx, statemachine.Command{If: []statemachine.Cond{{Key: drainedKey, Revision: e.Revision}}, Put: []statemachine.Pair{{Key: drainedKey, Value: data}}})
+		r, err := z.kept.Do(ctx, statemachine.Command{If: []statemachine.Condition{{Key: drainedKey, Revision: e.Revision}}, Put: []statemachine.Pair{{Key: drainedKey, Value: data}}})
 		switch {
 		case err != nil:
 			return fmt.Errorf("the store did not answer in time, so it may or may not have been taken: %w", err)
@@ -156,12 +156,12 @@
 func zoneViews(list []zones.Status, now time.Time) (views []zoneView) {
 	round := func(d time.Duration) float64 { return math.Round(d.Seconds()*10) / 10 }
 	for _, s := range list {
-		v := zoneView{Zone: s.Zone, Verdict: s.Verdict.String(), Nodes: s.Nodes, Failing: s.Failing, Others: math.Round(s.Others*100) / 100, Waits: s.Waits,
+		v := zoneView{Zone: s.Zone, Verdict: s.State.String(), Nodes: s.Nodes, Failing: s.Failing, Others: math.Round(s.Others*100) / 100, Waits: s.Waits,
 			Ramp: math.Round(s.Returned*100) / 100, Drained: s.Drained, Panic: s.Panic, Why: s.Reason}
 		if !s.Since.IsZero() {
 			v.SinceS = round(now.Sub(s.Since))
 		}
-		if s.Verdict == zones.Out && s.Return.After(now) {
+		if s.State == zones.Out && s.Return.After(now) {
 			v.ReturnS = round(s.Return.Sub(now))
 		}
 		views = append(views, v)
--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -16,7 +16,7 @@
 
 func at(s float64) time.Time { return epoch.Add(time.Duration(s * float64(time.Second))) }
 
-func door(t testing.TB, cfg Config) *Door {
+func door(t testing.TB, cfg Config) *Controller {
 	t.Helper()
 	d, err := New(cfg)
 	if err != nil {
@@ -47,7 +47,7 @@
 			d := door(t, c.cfg)
 			var got []string
 			for i, conn := range []uint64{1, 1, 2, 2, 3} {
-				_, r := d.Enter(at(0), Who{conn, []string{"a", "a", "a", "b", "b"}[i], "n"}, c.kind)
+				_, r := d.Admit(at(0), Who{conn, []string{"a", "a", "a", "b", "b"}[i], "n"}, c.kind)
 				if r == nil {
 					got = append(got, "-")
 				} else {
@@ -69,12 +69,12 @@
 	d := door(t, Config{Owner: Limits{Rate: 4, Burst: 1}})
 	now := at(0)
 	for range 20 {
-		p, r := d.Enter(now, Who{1, "a", ""}, Query)
+		p, r := d.Admit(now, Who{1, "a", ""}, Query)
 		if r != nil {
 			t.Fatalf("at %v: %v", now.Sub(epoch), r)
 		}
-		d.Leave(now, p)
-		if _, r = d.Enter(now, Who{1, "a", ""}, Query); r == nil || r.Measure != Rate {
+		d.Release(now, p)
+		if _, r = d.Admit(now, Who{1, "a", ""}, Query); r == nil || r.Measure != Rate {
 			t.Fatalf("the second at once: %v", r)
 		}
 		now = now.Add(r.After)
@@ -82,16 +82,16 @@
 	// One place, given back every 0.3 s: told about that, and no sooner than it has been of late.
 	d = door(t, Config{All: Limits{Streams: 1}})
 	now = at(0)
-	p, _ := d.Enter(now, Who{Connection: 1}, Stream)
+	p, _ := d.Admit(now, Who{Connection: 1}, Stream)
 	for range 40 {
 		now = now.Add(300 * time.Millisecond)
-		d.Leave(now, p)
-		p, _ = d.Enter(now, Who{Connection: 1}, Stream)
+		d.Release(now, p)
+		p, _ = d.Admit(now, Who{Connection: 1}, Stream)
 	}
-	if _, r := d.Enter(now, Who{Connection: 2}, Stream); r == nil || math.Abs(r.After.Seconds()-0.3) > 0.02 {
+	if _, r := d.Admit(now, Who{Connection: 2}, Stream); r == nil || math.Abs(r.After.Seconds()-0.3) > 0.02 {
 		t.Errorf("told %v, places come every 300ms", r.After)
 	}
-	if _, r := d.Enter(now.Add(2*time.Second), Who{Connection: 2}, Stream); r == nil || r.After < 2*time.Second {
+	if _, r := d.Admit(now.Add(2*time.Second), Who{Connection: 2}, Stream); r == nil || r.After < 2*time.Second {
 		t.Errorf("told %v though none has come for 2 s", r.After)
 	}
 }
@@ -114,7 +114,7 @@
 			d := door(t, Config{All: Limits{Bytes: 100}})
 			names := map[*Pass]string{}
 			for i, name := range []string{"a", "b", "c"} {
-				p, _ := d.Enter(at(float64(i)), Who{Connection: uint64(i)}, Stream)
+				p, _ := d.Admit(at(float64(i)), Who{Connection: uint64(i)}, Stream)
 				if _, r := d.Hold(at(float64(i)), p, 30); r != nil {
 					t.Fatal(r)
 				}
@@ -123,7 +123,7 @@
 					d.Read(at(9.9), p, 1) // it reads
 				}
 			}
-			p, _ := d.Enter(at(10), Who{Connection: 9}, Stream)
+			p, _ := d.Admit(at(10), Who{Connection: 9}, Stream)
 			cut, r := d.Hold(at(10), p, c.need)
 			var got []string
 			for _, v := range cut {
@@ -147,7 +147,7 @@
 		})
 	}
 	d := door(t, Config{Stall: 5 * time.Second, Owner: Limits{Bytes: 50}})
-	p, _ := d.Enter(at(0), Who{1, "a", ""}, Stream)
+	p, _ := d.Admit(at(0), Who{1, "a", ""}, Stream)
 	d.Hold(at(0), p, 50)
 	if _, r := d.Hold(at(1), p, 1); r == nil || r.Scope != Owner || r.Measure != Bytes {
 		t.Errorf("over the owner's bytes: %v", r)
@@ -162,8 +162,8 @@
 	if cut := d.Tick(at(9.95)); len(cut) != 1 || cut[0] != p {
 		t.Errorf("not cut after its time: %v", cut)
 	}
-	d.Leave(at(11), p)
-	d.Leave(at(11), p)
+	d.Release(at(11), p)
+	d.Release(at(11), p)
 	if u := d.Usage(); len(u) > 0 {
 		t.Errorf("still in: %+v", u)
 	}
@@ -172,8 +172,8 @@
 // TestReserve: room for an answer that has not come is kept, and nobody is cut for not reading it.
 func TestReserve(t *testing.T) {
 	d := door(t, Config{All: Limits{Bytes: 100}, Stall: 5 * time.Second})
-	a, _ := d.Enter(at(0), Who{Connection: 1}, Stream)
-	b, _ := d.Enter(at(0), Who{Connection: 2}, Stream)
+	a, _ := d.Admit(at(0), Who{Connection: 1}, Stream)
+	b, _ := d.Admit(at(0), Who{Connection: 2}, Stream)
 	if _, r := d.Reserve(at(0), a, 80); r != nil {
 		t.Fatal(r)
 	}
@@ -210,13 +210,13 @@
 // TestBounds: however many ask, what is kept of them is bounded, and those who are in are never forgotten.
 func TestBounds(t *testing.T) {
 	d := door(t, Config{Owner: Limits{Rate: 1, Burst: 1}, MaxIdle: 100})
-	kept, _ := d.Enter(at(0), Who{0, "kept", "n"}, Query)
+	kept, _ := d.Admit(at(0), Who{0, "kept", "n"}, Query)
 	for i := range 10_000 {
-		p, r := d.Enter(at(float64(i)/1000), Who{uint64(i + 1), fmt.Sprint("o", i), "n"}, Query)
+		p, r := d.Admit(at(float64(i)/1000), Who{uint64(i + 1), fmt.Sprint("o", i), "n"}, Query)
 		if r != nil {
 			t.Fatal(r)
 		}
-		d.Leave(at(float64(i)/1000), p)
+		d.Release(at(float64(i)/1000), p)
 		if len(d.scopes) > 104 || d.idle.Len() > 100 {
 			t.Fatalf("%d scopes, %d idle after %d owners", len(d.scopes), d.idle.Len(), i)
 		}
@@ -224,7 +224,7 @@
 	if d.scopes[scopeKey{scope: Owner, id: "kept"}] == nil {
 		t.Error("the scope of one that is in was forgotten")
 	}
-	d.Leave(at(11), kept)
+	d.Release(at(11), kept)
 }
 
 // TestChange: other figures hold at once for who comes, and leave alone who is in.
@@ -232,19 +232,19 @@
 	d := door(t, Config{})
 	var in []*Pass
 	for i := range 5 {
-		p, _ := d.Enter(at(0), Who{uint64(i), "a", ""}, Stream)
+		p, _ := d.Admit(at(0), Who{uint64(i), "a", ""}, Stream)
 		in = append(in, p)
 	}
 	if err := d.Change(Config{Owner: Limits{Streams: 3}}); err != nil {
 		t.Fatal(err)
 	}
-	if _, r := d.Enter(at(1), Who{9, "a", ""}, Stream); r == nil {
+	if _, r := d.Admit(at(1), Who{9, "a", ""}, Stream); r == nil {
 		t.Error("a sixth came in where three may")
 	}
 	for _, p := range in[:3] {
-		d.Leave(at(2), p)
+		d.Release(at(2), p)
 	}
-	if _, r := d.Enter(at(3), Who{9, "a", ""}, Stream); r != nil {
+	if _, r := d.Admit(at(3), Who{9, "a", ""}, Stream); r != nil {
 		t.Error(r)
 	}
 	if err := d.Change(Config{Owner: Limits{Streams: -1}}); err == nil {
@@ -307,7 +307,7 @@
 						want = int(s)
 					}
 				}
-				p, r := d.Enter(now, w, k)
+				p, r := d.Admit(now, w, k)
 				if (r == nil) != (want < 0) || r != nil && int(r.Scope) != want {
 					t.Fatalf("%+v: refused %v, want scope %d", w, r, want)
 				}
@@ -333,7 +333,7 @@
 				bytes := int64(rapid.IntRange(1, 30).Draw(t, "bytes"))
 				switch what {
 				case "leave":
-					d.Leave(now, o.p)
+					d.Release(now, o.p)
 					open = append(open[:i], open[i+1:]...)
 				case "read":
 					if !o.p.cut {
@@ -393,19 +393,19 @@
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			d := door(b, Config{Owner: Limits{Rate: 1e6, Queries: 1e6}, All: Limits{Bytes: 1 << 40}})
 			for i := range n {
-				d.Enter(at(0), Who{uint64(i), fmt.Sprint("o", i%1000), "n"}, Query)
+				d.Admit(at(0), Who{uint64(i), fmt.Sprint("o", i%1000), "n"}, Query)
 			}
 			b.ReportAllocs()
 			now := at(1)
 			for i := 0; b.Loop(); i++ {
 				now = now.Add(time.Microsecond)
-				p, r := d.Enter(now, Who{uint64(i % 7), "x", "n"}, Query)
+				p, r := d.Admit(now, Who{uint64(i % 7), "x", "n"}, Query)
 				if r != nil {
 					b.Fatal(r)
 				}
 				d.Hold(now, p, 100)
 				d.Read(now, p, 100)
-				d.Leave(now, p)
+				d.Release(now, p)
 			}
 		})
 	}
--- a/internal/admission/door.go
+++ b/internal/admission/door.go
@@ -57,7 +57,7 @@
 const departWeight = 0.2
 
 // Door is where passes are given out. It is not safe for use by several goroutines.
-type Door struct {
+type Controller struct {
 	cfg    Config
 	scopes map[scopeKey]*scope
 	idle   *list.List
@@ -66,16 +66,16 @@
 }
 
 // New returns a door that nobody has passed, or the first figure that can't be worked with.
-func New(cfg Config) (*Door, error) {
+func New(cfg Config) (*Controller, error) {
 	if err := cfg.Check(); err != nil {
 		return nil, err
 	}
-	d := &Door{cfg: cfg.withDefaults(), scopes: map[scopeKey]*scope{}, idle: list.New()}
+	d := &Controller{cfg: cfg.withDefaults(), scopes: map[scopeKey]*scope{}, idle: list.New()}
 	return d, nil
 }
 
 // Change sets other figures; those who are in stay in.
-func (d *Door) Change(cfg Config) error {
+func (d *Controller) Change(cfg Config) error {
 	if err := cfg.Check(); err != nil {
 		return err
 	}
@@ -87,12 +87,12 @@
 	return nil
 }
 
-func (d *Door) limits(s Scope) *Limits {
+func (d *Controller) limits(s Scope) *Limits {
 	return [...]*Limits{&d.cfg.Connection, &d.cfg.Owner, &d.cfg.Network, &d.cfg.All}[s]
 }
 
 // scope finds or makes the account of a key.
-func (d *Door) scope(now time.Time, k scopeKey) *scope {
+func (d *Controller) scope(now time.Time, k scopeKey) *scope {
 	s := d.scopes[k]
 	if s == nil {
 		s = &scope{key: k, limits: d.limits(k.scope), filled: now}
@@ -115,7 +115,7 @@
 }
 
 // Enter asks for a pass.
-func (d *Door) Enter(now time.Time, w Who, k Kind) (*Pass, *Refusal) {
+func (d *Controller) Admit(now time.Time, w Who, k Kind) (*Pass, *Refusal) {
 	d.count++
 	p := &Pass{kind: k, number: d.count, heavy: -1, moved: now}
 	var refused *Refusal
@@ -151,7 +151,7 @@
 }
 
 // full tells whether a scope has no place for one more.
-func (d *Door) full(now time.Time, s *scope, k Kind) *Refusal {
+func (d *Controller) full(now time.Time, s *scope, k Kind) *Refusal {
 	l := s.limits
 	switch {
 	case k == Stream && l.Streams > 0 && s.streams >= l.Streams:
@@ -165,7 +165,7 @@
 }
 
 // bound turns seconds into a time to come back.
-func (d *Door) bound(seconds float64) time.Duration {
+func (d *Controller) bound(seconds float64) time.Duration {
 	if !(seconds < d.cfg.MostRetry.Seconds()) {
 		return d.cfg.MostRetry
 	}
@@ -174,7 +174,7 @@
 
 // wait is how long it should take until n have left a scope. While nobody has left for longer than usual, the pause
 // that is under way counts in place of the mean.
-func (d *Door) wait(now time.Time, s *scope, k Kind, n int) time.Duration {
+func (d *Controller) wait(now time.Time, s *scope, k Kind, n int) time.Duration {
 	left := &s.left[k]
 	if left.pause == 0 {
 		return d.bound(math.Sqrt(d.cfg.LeastRetry.Seconds() * d.cfg.MostRetry.Seconds())) // not known: between the bounds
@@ -193,7 +193,7 @@
 }
 
 // Leave gives a pass back, with all that it holds. A second time does nothing.
-func (d *Door) Leave(now time.Time, p *Pass) {
+func (d *Controller) Release(now time.Time, p *Pass) {
 	if p.gone {
 		return
 	}
@@ -227,7 +227,7 @@
 
 // Hold asks for room for bytes that a pass is to hold. Where there is none it may be made by cutting others, which are
 // returned and hold nothing from now on; their streams must be ended. A refusal cuts nobody.
-func (d *Door) Hold(now time.Time, p *Pass, bytes int64) (cut []*Pass, refused *Refusal) {
+func (d *Controller) Hold(now time.Time, p *Pass, bytes int64) (cut []*Pass, refused *Refusal) {
 	if cut, refused = d.Reserve(now, p, bytes); refused == nil && !p.read && !p.cut {
 		p.read, p.moved = p.held > 0, now
 	}
@@ -235,7 +235,7 @@
 }
 
 // Reserve is Hold for an answer that has not come yet: nobody is cut for not reading what is not there.
-func (d *Door) Reserve(now time.Time, p *Pass, bytes int64) (cut []*Pass, refused *Refusal) {
+func (d *Controller) Reserve(now time.Time, p *Pass, bytes int64) (cut []*Pass, refused *Refusal) {
 	if p.gone || p.cut || bytes <= 0 {
 		return nil, nil
 	}
@@ -276,7 +276,7 @@
 }
 
 // slowest are the readers that may be cut for another, the first to go first.
-func (d *Door) slowest(now time.Time, but *Pass) (list []*Pass) {
+func (d *Controller) slowest(now time.Time, but *Pass) (list []*Pass) {
 	for _, p := range d.heavy {
 		if p != but && p.read && now.Sub(p.moved) >= d.cfg.Grace {
 			list = append(list, p)
@@ -289,7 +289,7 @@
 }
 
 // Read notes that a reader has taken bytes in: it holds them no more, and makes progress.
-func (d *Door) Read(now time.Time, p *Pass, bytes int64) {
+func (d *Controller) Read(now time.Time, p *Pass, bytes int64) {
 	if p.gone || p.cut || bytes <= 0 {
 		return
 	}
@@ -298,7 +298,7 @@
 }
 
 // drop takes bytes off the accounts.
-func (d *Door) drop(p *Pass, bytes int64) {
+func (d *Controller) drop(p *Pass, bytes int64) {
 	if bytes <= 0 {
 		return
 	}
@@ -317,7 +317,7 @@
 }
 
 // Tick returns those that have made no progress for Stall. They hold nothing from now on; their streams must be ended.
-func (d *Door) Tick(now time.Time) (cut []*Pass) {
+func (d *Controller) Tick(now time.Time) (cut []*Pass) {
 	for _, p := range d.heavy {
 		if p.read && now.Sub(p.moved) >= d.cfg.Stall {
 			cut = append(cut, p)
@@ -332,7 +332,7 @@
 }
 
 // Next is when Tick must be called if nothing else happens before; zero where it need not be.
-func (d *Door) Next() (at time.Time) {
+func (d *Controller) Next() (at time.Time) {
 	for _, p := range d.heavy {
 		if due := p.moved.Add(d.cfg.Stall); p.read && (at.IsZero() || due.Before(at)) {
 			at = due
@@ -342,7 +342,7 @@
 }
 
 // wake takes a scope off those that are kept for nobody.
-func (d *Door) wake(s *scope) {
+func (d *Controller) wake(s *scope) {
 	if s.idle != nil {
 		d.idle.Remove(s.idle)
 		s.idle = nil
@@ -350,7 +350,7 @@
 }
 
 // rest keeps or forgets a scope that nobody is in.
-func (d *Door) rest(now time.Time, s *scope) {
+func (d *Controller) rest(now time.Time, s *scope) {
 	if s.passes > 0 || s.key.scope == All {
 		return
 	}
@@ -377,7 +377,7 @@
 }
 
 // Usage is what owners, networks and all have in them, by scope and name.
-func (d *Door) Usage() (list []Usage) {
+func (d *Controller) Usage() (list []Usage) {
 	for k, s := range d.scopes {
 		if k.scope != Connection && s.passes > 0 {
 			list = append(list, Usage{k.scope, k.id, s.streams, s.queries, s.bytes})
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -27,7 +27,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if c.Name != "n4" || c.Seed != 0x8c1f30d27a5be964 || c.Streams != 32 || c.Settings.Cells != 4 || len(c.Known) == 0 {
+	if c.Name != "n4" || c.Seed != 0x8c1f30d27a5be964 || c.Streams != 32 || c.Settings.ShardSets != 4 || len(c.Known) == 0 {
 		t.Errorf("got %+v", c)
 	}
 	small, err := load(strings.Replace(good, `"limits":{"cores":1.0,"memory_mb":192,"sockets":1024},`, "", 1), nil)
@@ -180,7 +180,7 @@
 			t.Errorf("%s: error %v, want one that names %q", c.to, err, c.err)
 		}
 		if next.Discovery != c.discovery || fmt.Sprint(restart) != c.restart || next.Listen != cfg.Listen ||
-			next.Settings.Classes[0].Aim != time.Second {
+			next.Settings.Classes[0].LatencyObjective != time.Second {
 			t.Errorf("%s: got %+v, restart %v", c.to, next, restart)
 		}
 		cfg = next
--- a/internal/config/deploy.go
+++ b/internal/config/deploy.go
@@ -405,7 +405,7 @@
 // Fixed are the data nodes that the file names.
 func (d *Deploy) Fixed() (list []membership.Record) {
 	for _, n := range d.Node {
-		r := membership.Record{ID: n.ID, Addr: n.Addr, Zone: n.Zone, Cell: n.Cell, Weight: n.Weight, Unstated: true}
+		r := membership.Record{ID: n.ID, Addr: n.Addr, Zone: n.Zone, ShardSet: n.Cell, Weight: n.Weight, Unstated: true}
 		if n.Proto == "flight" {
 			r.Proto = dnssd.Flight
 		}
--- a/internal/config/flight.go
+++ b/internal/config/flight.go
@@ -103,7 +103,7 @@
 			fault("flight.ticket_key[%d].secret: 16 bytes or more in base64 are needed", i)
 		}
 	}
-	if err := f.Door().Check(); err != nil {
+	if err := f.Admission().Check(); err != nil {
 		fault("flight.limits.%w", err)
 	}
 	seen := map[string]bool{}
@@ -120,7 +120,7 @@
 }
 
 // Door is what clients may use.
-func (f *FlightFront) Door() admission.Config {
+func (f *FlightFront) Admission() admission.Config {
 	set := func(l LimitSet) admission.Limits {
 		return admission.Limits{Streams: l.Streams, Queries: l.Queries, Rate: l.Rate, Burst: l.Burst, Bytes: l.Bytes}
 	}
--- a/internal/config/peers.go
+++ b/internal/config/peers.go
@@ -77,7 +77,7 @@
 			fault("peers.key[%d].secret: 16 bytes or more in base64 are needed", i)
 		}
 	}
-	if c := p.Swim("x", 0, 0); c.Period < 0 || c.Timeout < 0 || c.Bear < 0 || c.Period > 0 && c.Timeout > c.Period/2 {
+	if c := p.Swim("x", 0, 0); c.Period < 0 || c.Timeout < 0 || c.MaxPause < 0 || c.Period > 0 && c.Timeout > c.Period/2 {
 		fault("peers.period, peers.timeout, peers.bear: none may be negative, and timeout is at most half of period")
 	}
 	return faults
@@ -86,7 +86,7 @@
 // Swim is the talk's figures for one process.
 func (p *Peers) Swim(name string, process, seed uint64) swim.Config {
 	return swim.Config{Self: name, Addr: p.Listen, Process: process, Seed: seed, Seeds: p.Seeds, Period: time.Duration(p.Period),
-		Timeout: time.Duration(p.Timeout), Bear: time.Duration(p.Bear)}
+		Timeout: time.Duration(p.Timeout), MaxPause: time.Duration(p.Bear)}
 }
 
 // Keys are the key ring. The file has been checked.
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -69,21 +69,21 @@
 		return aggregator.Settings{}, fmt.Errorf("Settings: Me: %d is not within 0 and Balancers - 1 (%d)", w.Me, balancers-1)
 	}
 	s := aggregator.Settings{
-		Zone: w.Az, Aggregators: balancers, Tick: Duration(w.TickS), OverShareWorth: w.OverShareWorth,
-		WorthByWork: w.WorthBy == "work", Cells: w.FamilyInfo.Sets, Shards: w.FamilyInfo.Slabs,
-		Reach: w.FamilyInfo.Width, CallCost: Duration(w.FamilyInfo.CallCostS), WarmKeys: w.FamilyInfo.WarmKeys,
-		LateFailPrice: w.Prices.LateFail, Subscribe: w.Discovery == "subscribe",
+		Zone: w.Az, Aggregators: balancers, Tick: Duration(w.TickS), OverQuotaFactor: w.OverShareWorth,
+		PriorityPerWork: w.WorthBy == "work", ShardSets: w.FamilyInfo.Sets, Shards: w.FamilyInfo.Slabs,
+		Reach: w.FamilyInfo.Width, CallCost: Duration(w.FamilyInfo.CallCostS), KeyCaches: w.FamilyInfo.WarmKeys,
+		LateFailPrice: w.Prices.LateFail, PollList: w.Discovery == "subscribe",
 		Limits: aggregator.Limits{
-			Attempts: w.Limits.SendCap, MaxOpen: w.Limits.MaxOpen, Bundle: w.FamilyInfo.BundleMax,
-			Cancel: w.Limits.Cancel, Copies: w.Limits.MayDuplicate, Probes: w.Limits.MayProbe, Peers: w.Limits.PeerMessages,
-			RetryAfter: w.Limits.RetryAfter, MaxRetryAfter: Duration(w.Limits.MaxRetryAfterS),
+			MaxAttempts: w.Limits.SendCap, MaxOpen: w.Limits.MaxOpen, MaxBatch: w.FamilyInfo.BundleMax,
+			CanCancel: w.Limits.Cancel, Hedging: w.Limits.MayDuplicate, Probes: w.Limits.MayProbe, Gossip: w.Limits.PeerMessages,
+			SendRetryAfter: w.Limits.RetryAfter, MaxRetryAfter: Duration(w.Limits.MaxRetryAfterS),
 			ConnectTimeout: Duration(w.Limits.ConnectTimeoutS), ConnIdle: Duration(w.Limits.ConnIdleS),
 		},
 		Rules: aggregator.Rules{
-			DrainGrace: Duration(w.Rules.DrainGraceS), FallMultiple: w.Rules.FallMultiple,
-			FallWindow: Duration(w.Rules.TipAfterS), ColdShare: w.Rules.StartCapacity,
-			WarmAfter: Duration(w.Rules.WarmAfterS), BudgetWindow: Duration(w.Rules.BudgetWindowS),
-			BudgetFree: w.Rules.BudgetFree, BudgetShare: w.Rules.ExtraPerRequest, AskEvery: Duration(w.Rules.AskEveryS),
+			DrainGrace: Duration(w.Rules.DrainGraceS), OverloadMultiple: w.Rules.FallMultiple,
+			OverloadWindow: Duration(w.Rules.TipAfterS), InitialCapacity: w.Rules.StartCapacity,
+			WarmupTime: Duration(w.Rules.WarmAfterS), RetryWindow: Duration(w.Rules.BudgetWindowS),
+			RetryFloor: w.Rules.BudgetFree, RetryRatio: w.Rules.ExtraPerRequest, PollInterval: Duration(w.Rules.AskEveryS),
 		},
 	}
 	for _, p := range w.Parties {
@@ -101,9 +101,9 @@
 			effect = aggregator.Unsafe
 		}
 		class := aggregator.Class{
-			Name: c.Name, Aim: Duration(c.AimS), Deadline: Duration(c.HardLimitS), Memory: Duration(c.MemorySpanS),
-			Effect: effect, Worth: c.Gain, LateWorth: c.LateWorth, Need: at(info.ClassNeed, i, 1),
-			Floor: at(info.FloorByClass, i, 1), Partial: at(info.PartialEarns, i, 0), Fetch: at(info.ClassFetch, i, 0),
+			Name: c.Name, LatencyObjective: Duration(c.AimS), Deadline: Duration(c.HardLimitS), DedupWindow: Duration(c.MemorySpanS),
+			Effect: effect, Priority: c.Gain, LateShare: c.LateWorth, CompleteShare: at(info.ClassNeed, i, 1),
+			MinShare: at(info.FloorByClass, i, 1), PartialShare: at(info.PartialEarns, i, 0), FetchParts: at(info.ClassFetch, i, 0),
 		}
 		s.Classes = append(s.Classes, class)
 	}
--- a/internal/coordinator/cold_test.go
+++ b/internal/coordinator/cold_test.go
@@ -21,29 +21,29 @@
 // it runs gets no more in the rule's window than a cold one can stand; one whose record only flapped gets its full share.
 func TestColdReturn(t *testing.T) {
 	const work, window = 100 * time.Millisecond, time.Second
-	rules := aggregator.Rules{DrainGrace: 2 * time.Second, FallMultiple: 2, FallWindow: window, ColdShare: 0.3, WarmAfter: 5 * time.Second}
-	most := int(rules.FallMultiple * rules.ColdShare * float64(window/work))
+	rules := aggregator.Rules{DrainGrace: 2 * time.Second, OverloadMultiple: 2, OverloadWindow: window, InitialCapacity: 0.3, WarmupTime: 5 * time.Second}
+	most := int(rules.OverloadMultiple * rules.InitialCapacity * float64(window/work))
 	for _, long := range []bool{true, false} {
 		synctest.Test(t, func(t *testing.T) {
-			set := aggregator.Settings{Aggregators: 1, Tick: tick, Cells: 1, Shards: 4, Reach: 1, CallCost: time.Millisecond, Rules: rules,
-				Classes: []aggregator.Class{{Name: "report", Aim: 4 * time.Second, Deadline: 8 * time.Second, Worth: 1, Need: 1, Floor: 1}},
-				Limits:  aggregator.Limits{Attempts: 3, Bundle: 8, Cancel: true, RetryAfter: true, MaxRetryAfter: time.Second}}
+			set := aggregator.Settings{Aggregators: 1, Tick: tick, ShardSets: 1, Shards: 4, Reach: 1, CallCost: time.Millisecond, Rules: rules,
+				Classes: []aggregator.Class{{Name: "report", LatencyObjective: 4 * time.Second, Deadline: 8 * time.Second, Priority: 1, CompleteShare: 1, MinShare: 1}},
+				Limits:  aggregator.Limits{MaxAttempts: 3, MaxBatch: 8, CanCancel: true, SendRetryAfter: true, MaxRetryAfter: time.Second}}
 			c, err := New(set, 7, slog.New(slog.NewTextHandler(io.Discard, nil)))
 			if err != nil {
 				t.Fatal(err)
 			}
 			var mu sync.Mutex
 			begun := map[string]int{}
-			c.Carrier("", func(n *Node) {
+			c.RegisterDispatcher("", func(n *Node) {
 				for o := n.Pick(context.Background()); o != nil; o = n.Pick(context.Background()) {
 					for _, a := range o.Call {
 						mu.Lock()
 						begun[n.ID()]++
 						mu.Unlock()
-						time.AfterFunc(work, func() { c.Report(a, Result{Outcome: Served, Docs: [][]byte{[]byte("v")}}) })
+						time.AfterFunc(work, func() { c.Report(a, Result{Outcome: OK, Docs: [][]byte{[]byte("v")}}) })
 					}
-					if o.Drop != nil {
-						c.Report(o.Drop, Result{Outcome: Dropped})
+					if o.Cancel != nil {
+						c.Report(o.Cancel, Result{Outcome: Cancelled})
 					}
 				}
 			})
@@ -59,7 +59,7 @@
 					asked++
 					q := Query{ID: fmt.Sprint("q", asked), Class: "report", Deadline: time.Now().Add(8 * time.Second),
 						Parts: []Part{{Shard: asked % 4, Weight: 1, Work: work}}}
-					wg.Go(func() { c.Ask(t.Context(), q) })
+					wg.Go(func() { c.Execute(t.Context(), q) })
 				}
 				return wg
 			}
--- a/internal/coordinator/core.go
+++ b/internal/coordinator/core.go
@@ -31,7 +31,7 @@
 type Query struct {
 	ID       string
 	Class    string
-	Owner    string
+	Tenant   string
 	Retry    bool
 	Deadline time.Time
 	// IdempotencyKey goes with each attempt of each part of a keyed class, so that its holders drop a repeat. It is made
@@ -39,7 +39,7 @@
 	IdempotencyKey string
 	Text           string // what each part carries
 	Parts          []Part
-	In             *atomic.Int32 // counts the parts that have come, for who looks on; may be nil
+	Received       *atomic.Int32 // counts the parts that have come, for who looks on; may be nil
 }
 
 // Part is one shard's share of a query.
@@ -51,25 +51,25 @@
 }
 
 // Verdict is what a final answer says.
-type Verdict int
+type Status int
 
 // The verdicts.
 const (
-	Answered Verdict = iota + 1
-	Refused          // asking again is harmless
+	Answered Status = iota + 1
+	Rejected        // asking again is harmless
 	Failed
 )
 
 // Answer is the one final answer of a query.
 type Answer struct {
-	Verdict Verdict
-	Whole   bool
-	Hits    []Hit
-	After   time.Duration // Refused: when to come back; 0 for no advice
+	Status     Status
+	Complete   bool
+	Values     []PartValue
+	RetryAfter time.Duration // Refused: when to come back; 0 for no advice
 }
 
 // Hit is the value of one part, as a data node gave it: its documents.
-type Hit struct {
+type PartValue struct {
 	Shard int
 	Docs  [][]byte
 }
@@ -79,22 +79,22 @@
 
 // The outcomes that a carrier reports.
 const (
-	Served         Outcome = iota + 1
+	OK             Outcome = iota + 1
 	Errored                // it may have run
-	Busy                   // turned away unseen
+	Overloaded             // turned away unseen
 	NotConnected           // never written whole
 	Reset                  // the connection ended after it was written
-	Dropped                // given up as ordered
+	Cancelled              // given up as ordered
 	NotSent                // never sent, and no fault of the data node: nothing was left to send it with
-	Cut                    // its connection was lost or is of no more use, but the data node is there
+	ConnectionLost         // its connection was lost or is of no more use, but the data node is there
 	ConnectTimeout         // never written whole: its connection did not come up in time
 )
 
 // Result goes with a Report.
 type Result struct {
-	Outcome Outcome
-	Docs    [][]byte
-	Load    map[string]float64
+	Outcome    Outcome
+	Docs       [][]byte
+	LoadReport map[string]float64
 }
 
 // Attempt is one sending of a part to a data node. Its Deadline is when the answer is of no more use.
@@ -127,23 +127,23 @@
 	switch {
 	case a.part.q.ended.Load():
 		return NotSent, false
-	case a.node.Barred():
-		return Busy, false
+	case a.node.Excluded():
+		return Overloaded, false
 	case a.node.restarted.Load() > a.seen:
 		return NotSent, false
 	case !a.begin.IsZero() && now.After(a.begin):
-		return Busy, false
+		return Overloaded, false
 	}
 	return 0, true
 }
 
 // Order is one thing that a carrier is to do at a data node; one field is set.
-type Order struct {
-	Call      []*Attempt // to be sent as one call
-	Drop      *Attempt   // to be given up at the data node, then reported as Dropped
-	Barred    bool       // what is not begun is to be turned back, as Busy
-	Probe     bool       // to be answered by Probed
-	CloseIdle bool       // idle connections are to be closed
+type Command struct {
+	Call         []*Attempt // to be sent as one call
+	Cancel       *Attempt   // to be given up at the data node, then reported as Dropped
+	RejectQueued bool       // what is not begun is to be turned back, as Busy
+	Probe        bool       // to be answered by Probed
+	CloseIdle    bool       // idle connections are to be closed
 }
 
 type query struct {
@@ -175,7 +175,7 @@
 }
 
 // Core is the facade. Its methods may be called from any goroutine, but for Run.
-type Core struct {
+type Coordinator struct {
 	set     aggregator.Settings
 	seed    uint64
 	log     *slog.Logger
@@ -190,11 +190,11 @@
 	pending int // queries and parts held, those in the inbox included
 
 	table    *membership.Table
-	carriers map[string]Carry // by protocol
-	listed   bool             // some source has told a whole list
-	zones    *zoneWatch       // nil where zones are not watched
-	work     *workWatch       // nil where machines are not taken out for work
-	sight    atomic.Pointer[func(Sight)]
+	carriers map[string]Dispatcher // by protocol
+	listed   bool                  // some source has told a whole list
+	zones    *zoneWatch            // nil where zones are not watched
+	work     *workWatch            // nil where machines are not taken out for work
+	sight    atomic.Pointer[func(Observation)]
 	starts   map[string]time.Time // of data nodes, as others tell; guarded by mu
 	version  uint64               // of the joined list; guarded by mu
 
@@ -211,23 +211,23 @@
 }
 
 // New returns a core for the settings; the seed settles the module's random choices.
-func New(set aggregator.Settings, seed uint64, log *slog.Logger) (*Core, error) {
+func New(set aggregator.Settings, seed uint64, log *slog.Logger) (*Coordinator, error) {
 	return NewWith(set, seed, log, membership.Config{})
 }
 
 // NewWith is New with figures of its own for who counts as there; which cells hold a shard is the settings' to say.
-func NewWith(set aggregator.Settings, seed uint64, log *slog.Logger, who membership.Config) (*Core, error) {
+func NewWith(set aggregator.Settings, seed uint64, log *slog.Logger, who membership.Config) (*Coordinator, error) {
 	agg, err := aggregator.New(set, seed)
 	if err != nil {
 		return nil, err
 	}
-	who.Cells, who.Shards, who.Reach = set.Cells, set.Shards, set.Reach
+	who.ShardSets, who.Shards, who.Reach = set.ShardSets, set.Shards, set.Reach
 	table, err := membership.New(who)
 	if err != nil {
 		return nil, err
 	}
-	c := &Core{set: set, seed: seed, log: log, start: time.Now(), classes: map[string]int{}, tenants: map[string]int{},
-		notify: make(chan struct{}, 1), nodes: map[string]*Node{}, starts: map[string]time.Time{}, table: table, carriers: map[string]Carry{}, agg: agg, queries: map[string]*query{},
+	c := &Coordinator{set: set, seed: seed, log: log, start: time.Now(), classes: map[string]int{}, tenants: map[string]int{},
+		notify: make(chan struct{}, 1), nodes: map[string]*Node{}, starts: map[string]time.Time{}, table: table, carriers: map[string]Dispatcher{}, agg: agg, queries: map[string]*query{},
 		parts: map[string]*part{}, attempts: map[*Attempt]bool{}}
 	for i, class := range set.Classes {
 		c.classes[class.Name] = i
@@ -239,10 +239,10 @@
 }
 
 // clock turns a time into the module's clock, which starts at an hour so that a start before ours is above 0.
-func (c *Core) clock(t time.Time) time.Duration { return t.Sub(c.start) + time.Hour }
+func (c *Coordinator) clock(t time.Time) time.Duration { return t.Sub(c.start) + time.Hour }
 
 // put adds inputs, all for the same Step.
-func (c *Core) put(inputs ...input) {
+func (c *Coordinator) put(inputs ...input) {
 	c.mu.Lock()
 	c.inbox = append(c.inbox, inputs...)
 	c.mu.Unlock()
@@ -250,7 +250,7 @@
 }
 
 // wakeUp lets the loop look at its inbox.
-func (c *Core) wakeUp() {
+func (c *Coordinator) wakeUp() {
 	select {
 	case c.notify <- struct{}{}:
 	default:
@@ -261,12 +261,12 @@
 const weightSlack = 1e-3
 
 // Check finds what can't be asked, whatever its deadline; the error wraps ErrInput and its message is for the client.
-func (c *Core) Check(q *Query) error {
+func (c *Coordinator) Validate(q *Query) error {
 	if _, known := c.classes[q.Class]; !known {
 		return fmt.Errorf("%w: unknown class %q", ErrInput, q.Class)
 	}
-	if _, known := c.tenants[q.Owner]; !known && len(c.tenants) > 0 {
-		return fmt.Errorf("%w: unknown owner %q", ErrInput, q.Owner)
+	if _, known := c.tenants[q.Tenant]; !known && len(c.tenants) > 0 {
+		return fmt.Errorf("%w: unknown owner %q", ErrInput, q.Tenant)
 	}
 	if q.ID == "" || len(q.ID) > 128 {
 		return fmt.Errorf("%w: id of %d bytes", ErrInput, len(q.ID))
@@ -302,13 +302,13 @@
 const mostKey = 128
 
 // keyed tells whether the holders of a class's parts drop a repeat by the query's key.
-func (c *Core) keyed(class string) bool {
+func (c *Coordinator) keyed(class string) bool {
 	return c.set.Classes[c.classes[class]].Effect == aggregator.Keyed
 }
 
 // checkKey refuses a query of a keyed class whose key is missing, or is not one that each wire carries unchanged: the
 // frames' list of a part ends at a space, and its entries at a comma. A key in another class is the client's own affair.
-func (c *Core) checkKey(q *Query) error {
+func (c *Coordinator) checkKey(q *Query) error {
 	if !c.keyed(q.Class) {
 		return nil
 	}
@@ -328,8 +328,8 @@
 
 // Ask takes a query and waits for its final answer. An error wraps ErrInput, where the query was not taken,
 // or is ErrGone, where ctx ended first.
-func (c *Core) Ask(ctx context.Context, asked Query) (Answer, error) {
-	if err := c.Check(&asked); err != nil {
+func (c *Coordinator) Execute(ctx context.Context, asked Query) (Answer, error) {
+	if err := c.Validate(&asked); err != nil {
 		return Answer{}, err
 	}
 	if !asked.Deadline.After(time.Now()) {
@@ -352,15 +352,15 @@
 	c.mu.Unlock()
 	if full {
 		c.noRoom(q.taken)
-		return Answer{Verdict: Refused, After: c.Again()}, nil
+		return Answer{Status: Rejected, RetryAfter: c.RetryAfter()}, nil
 	}
 	inputs := []input{{ask: q}}
-	tenant, known := c.tenants[asked.Owner]
+	tenant, known := c.tenants[asked.Tenant]
 	if !known {
 		tenant = -1
 	}
 	inputs[0].event = aggregator.Event{Kind: aggregator.QueryArrived, Query: q.ID, Class: c.classes[q.Class],
-		Tenant: tenant, Count: len(q.Parts), Retry: q.Retry, Left: time.Until(q.Deadline)}
+		Tenant: tenant, Count: len(q.Parts), Retry: q.Retry, TimeLeft: time.Until(q.Deadline)}
 	for _, p := range asked.Parts {
 		made := &part{id: q.ID + "." + strconv.Itoa(p.Shard), q: q, shard: p.Shard}
 		q.parts = append(q.parts, made)
@@ -379,24 +379,24 @@
 }
 
 // Again is when who is turned away at the door may come back; 0 where the settings allow no such advice.
-func (c *Core) Again() time.Duration {
-	if !c.set.Limits.RetryAfter {
+func (c *Coordinator) RetryAfter() time.Duration {
+	if !c.set.Limits.SendRetryAfter {
 		return 0
 	}
 	return c.set.Limits.MaxRetryAfter / 2
 }
 
 // Open counts the queries and parts held.
-func (c *Core) Open() int {
+func (c *Coordinator) Open() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.pending
 }
 
 var outcomes = map[Outcome]aggregator.Outcome{
-	Served: aggregator.OK, Errored: aggregator.Errored, Busy: aggregator.Full,
-	NotConnected: aggregator.ConnectFailed, Reset: aggregator.Reset, Dropped: aggregator.TimedOut,
-	NotSent: aggregator.Moot, Cut: aggregator.Cut, ConnectTimeout: aggregator.ConnectTimeout,
+	OK: aggregator.OK, Errored: aggregator.Errored, Overloaded: aggregator.Rejected,
+	NotConnected: aggregator.ConnectFailed, Reset: aggregator.Reset, Cancelled: aggregator.TimedOut,
+	NotSent: aggregator.NotSent, ConnectionLost: aggregator.ConnectionLost, ConnectTimeout: aggregator.ConnectTimeout,
 }
 
 // settleTime is how long what tells a data node of the end of an attempt may be on its way, or lie unread there.
@@ -405,28 +405,28 @@
 // Report tells how an attempt ended; only the first report of an attempt counts. The end of one that the data
 // node learns from us, by a give-up or by a connection that we closed, is taken in later: what tells of it is on
 // its way until then, and a further attempt must not overtake it on another connection.
-func (c *Core) Report(a *Attempt, r Result) {
+func (c *Coordinator) Report(a *Attempt, r Result) {
 	var due time.Time
-	if r.Outcome == Dropped || r.Outcome == Reset || r.Outcome == Cut {
+	if r.Outcome == Cancelled || r.Outcome == Reset || r.Outcome == ConnectionLost {
 		due = time.Now().Add(max(settleTime, c.set.Tick))
 	}
 	c.put(input{attempt: a, end: r.Outcome, due: due, docs: r.Docs, event: aggregator.Event{Kind: aggregator.AttemptEnded, Part: a.ID,
-		Attempt: a.number, Replica: a.node.id, Outcome: outcomes[r.Outcome], Report: r.Load}})
+		Attempt: a.number, Replica: a.node.id, Outcome: outcomes[r.Outcome], LoadReport: r.LoadReport}})
 }
 
 // Probed tells how a probe ended.
-func (c *Core) Probed(n *Node, r Result) {
+func (c *Coordinator) ReportProbe(n *Node, r Result) {
 	c.saw(n, r.Outcome)
 	c.zoneSaw(n, nil, r.Outcome, time.Now())
-	c.workSaw(n, r.Outcome, r.Load, time.Now())
-	c.sighted(n, nil, r.Outcome, r.Load, time.Now())
+	c.workSaw(n, r.Outcome, r.LoadReport, time.Now())
+	c.sighted(n, nil, r.Outcome, r.LoadReport, time.Now())
 	c.log.Debug("probe ended", "node", n.id, "end", words[r.Outcome])
 	c.put(input{event: aggregator.Event{Kind: aggregator.ProbeEnded, Replica: n.id, Outcome: outcomes[r.Outcome],
-		Report: r.Load}})
+		LoadReport: r.LoadReport}})
 }
 
 // Run is the loop: it steps about once a tick while there is something to take in, until ctx ends.
-func (c *Core) Run(ctx context.Context) {
+func (c *Coordinator) Run(ctx context.Context) {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for {
@@ -446,7 +446,7 @@
 
 // Tick takes in what has happened, steps the module, carries out what it says, and returns when it must be
 // called again if nothing happens before. Only one goroutine may call it.
-func (c *Core) Tick(now time.Time) (next time.Time) {
+func (c *Coordinator) Tick(now time.Time) (next time.Time) {
 	c.last = now
 	c.mu.Lock()
 	due := c.table.Next()
@@ -489,7 +489,7 @@
 		if !now.Before(q.Deadline) {
 			// The module ends queries earlier; this is the backstop that no query outlives its client.
 			c.log.Error("query outlived by its deadline", "query", q.ID)
-			c.end(q, Answer{Verdict: Failed})
+			c.end(q, Answer{Status: Failed})
 			events = append(events, aggregator.Event{Kind: aggregator.ClientGone, Query: q.ID})
 		}
 	}
@@ -499,7 +499,7 @@
 		}
 	}
 	if len(events) == 0 && !c.wake.IsZero() && !now.Before(c.wake) {
-		events = append(events, aggregator.Event{Kind: aggregator.Woke})
+		events = append(events, aggregator.Event{Kind: aggregator.Wakeup})
 	}
 	if !c.wake.IsZero() && !now.Before(c.wake) {
 		c.wake = time.Time{}
@@ -541,7 +541,7 @@
 
 // lists takes out of the inbox what has just changed in the list, by what was seen in this very round: an attempt that
 // follows one that failed is to go by it.
-func (c *Core) lists() (events []aggregator.Event) {
+func (c *Coordinator) lists() (events []aggregator.Event) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.seen = c.version
@@ -556,11 +556,11 @@
 }
 
 func isList(k aggregator.EventKind) bool {
-	return k == aggregator.ListChanged || k == aggregator.ListReplaced || k == aggregator.ListRemembered
+	return k == aggregator.ListChanged || k == aggregator.ListReplaced || k == aggregator.ListCached
 }
 
 // accept applies an input to the core's own accounts and tells whether the module is to hear of it.
-func (c *Core) accept(in *input, now time.Time) bool {
+func (c *Coordinator) accept(in *input, now time.Time) bool {
 	switch in.event.Kind {
 	case aggregator.QueryArrived:
 		if c.queries[in.ask.ID] != nil || slices.ContainsFunc(in.ask.parts, func(p *part) bool { return c.parts[p.id] != nil }) {
@@ -568,11 +568,11 @@
 			// would mix up the parts of both.
 			in.ask.over = true
 			c.free(in.ask)
-			in.ask.reply <- Answer{Verdict: Failed}
+			in.ask.reply <- Answer{Status: Failed}
 			return false
 		}
 		c.queries[in.ask.ID] = in.ask
-		in.event.Left = in.ask.Deadline.Sub(now)
+		in.event.TimeLeft = in.ask.Deadline.Sub(now)
 	case aggregator.PartArrived:
 		if in.ask.over {
 			return false
@@ -586,27 +586,27 @@
 		if in.ask.over {
 			return false
 		}
-		c.end(in.ask, Answer{Verdict: Failed})
+		c.end(in.ask, Answer{Status: Failed})
 	case aggregator.AttemptEnded:
 		a := in.attempt
 		if a.over {
 			return false
 		}
 		a.over, a.end = true, in.end
-		c.log.Debug("attempt ended", "node", a.node.id, "part", a.ID, "end", words[in.end], "load", in.event.Report["util"], "took", now.Sub(a.begun))
+		c.log.Debug("attempt ended", "node", a.node.id, "part", a.ID, "end", words[in.end], "load", in.event.LoadReport["util"], "took", now.Sub(a.begun))
 		delete(c.attempts, a)
 		a.node.hold(-1)
 		c.saw(a.node, in.end)
 		c.zoneSaw(a.node, a, in.end, now)
-		c.workSaw(a.node, in.end, in.event.Report, now)
-		c.sighted(a.node, a, in.end, in.event.Report, now)
+		c.workSaw(a.node, in.end, in.event.LoadReport, now)
+		c.sighted(a.node, a, in.end, in.event.LoadReport, now)
 		if in.event.Outcome == aggregator.TimedOut && a.why != aggregator.Unknown {
 			in.event.Outcome = a.why
 		}
 		if in.event.Outcome == aggregator.OK && !a.part.q.over && !a.part.in {
 			a.part.in, a.part.docs = true, in.docs
-			if a.part.q.In != nil {
-				a.part.q.In.Add(1)
+			if a.part.q.Received != nil {
+				a.part.q.Received.Add(1)
 			}
 		}
 		c.forget(a.part)
@@ -616,13 +616,13 @@
 
 // step calls the module and carries out its actions. A module that panics is started anew, with the list as
 // it stands; the queries that it held fail.
-func (c *Core) step(now time.Time, events []aggregator.Event) {
+func (c *Coordinator) step(now time.Time, events []aggregator.Event) {
 	defer func() {
 		if r := recover(); r != nil {
 			c.log.Error("decision module panicked; started anew", "cause", r)
 			c.agg, _ = aggregator.New(c.set, c.seed)
 			for _, q := range c.queries {
-				c.end(q, Answer{Verdict: Failed})
+				c.end(q, Answer{Status: Failed})
 			}
 			for a := range c.attempts {
 				c.drop(a, aggregator.Cancelled)
@@ -635,8 +635,8 @@
 		}
 	}()
 	c.actions = c.agg.Step(c.clock(now), events, c.actions[:0])
-	round := map[*Node]*Order{}
-	orders := map[*Node][]*Order{}
+	round := map[*Node]*Command{}
+	orders := map[*Node][]*Command{}
 	for _, a := range c.actions {
 		switch a.Kind {
 		case aggregator.Send:
@@ -647,30 +647,30 @@
 			}
 		case aggregator.Answer:
 			if q := c.queries[a.Query]; q != nil {
-				answer := Answer{Verdict: Answered, Whole: a.Whole}
+				answer := Answer{Status: Answered, Complete: a.Complete}
 				for _, p := range q.parts {
 					if p.in {
-						answer.Hits = append(answer.Hits, Hit{Shard: p.shard, Docs: p.docs})
+						answer.Values = append(answer.Values, PartValue{Shard: p.shard, Docs: p.docs})
 					}
 				}
 				c.end(q, answer)
 			}
-		case aggregator.Refuse:
+		case aggregator.Reject:
 			if q := c.queries[a.Query]; q != nil {
-				c.tell("query refused", q, a.Why, now)
-				c.end(q, Answer{Verdict: Refused, After: a.After})
+				c.tell("query refused", q, a.Reason, now)
+				c.end(q, Answer{Status: Rejected, RetryAfter: a.After})
 			}
 		case aggregator.Fail:
 			if q := c.queries[a.Query]; q != nil {
-				c.tell("query failed", q, a.Why, now)
-				c.end(q, Answer{Verdict: Failed})
+				c.tell("query failed", q, a.Reason, now)
+				c.end(q, Answer{Status: Failed})
 			}
 		case aggregator.Probe, aggregator.CloseIdle:
 			if n := c.node(a.Replica); n != nil {
 				if a.Kind == aggregator.Probe {
 					c.log.Debug("probe sent", "node", n.id)
 				}
-				orders[n] = append(orders[n], &Order{Probe: a.Kind == aggregator.Probe,
+				orders[n] = append(orders[n], &Command{Probe: a.Kind == aggregator.Probe,
 					CloseIdle: a.Kind == aggregator.CloseIdle})
 			} else if a.Kind == aggregator.Probe {
 				c.put(input{event: aggregator.Event{Kind: aggregator.ProbeEnded, Replica: a.Replica,
@@ -686,7 +686,7 @@
 }
 
 // send books an attempt into the call that this round makes to its replica, or into a new one.
-func (c *Core) send(now time.Time, act aggregator.Action, round map[*Node]*Order, orders map[*Node][]*Order) {
+func (c *Coordinator) send(now time.Time, act aggregator.Action, round map[*Node]*Command, orders map[*Node][]*Command) {
 	p, n := c.parts[act.Part], c.node(act.Replica)
 	if p == nil {
 		return
@@ -696,8 +696,8 @@
 	if act.After <= 0 || a.Deadline.After(p.q.Deadline) {
 		a.Deadline = p.q.Deadline
 	}
-	if act.Begin < time.Until(p.q.Deadline) {
-		a.begin = now.Add(act.Begin)
+	if act.BeginWithin < time.Until(p.q.Deadline) {
+		a.begin = now.Add(act.BeginWithin)
 	}
 	p.tries = append(p.tries, a)
 	c.attempts[a] = true
@@ -711,8 +711,8 @@
 		return
 	}
 	o := round[n]
-	if o == nil || len(o.Call) >= max(1, c.set.Limits.Bundle) {
-		o = &Order{}
+	if o == nil || len(o.Call) >= max(1, c.set.Limits.MaxBatch) {
+		o = &Command{}
 		round[n] = o
 		orders[n] = append(orders[n], o)
 	}
@@ -720,23 +720,23 @@
 }
 
 // drop orders that an attempt be given up; its end is reported once the data node was told.
-func (c *Core) drop(a *Attempt, why aggregator.Outcome) {
+func (c *Coordinator) drop(a *Attempt, why aggregator.Outcome) {
 	if a.over || a.why != aggregator.Unknown {
 		return
 	}
 	a.why = why
-	a.node.post(&Order{Drop: a})
+	a.node.post(&Command{Cancel: a})
 }
 
 // end gives a query its one final answer and forgets it. Attempts that are still out are the module's to
 // cancel.
-func (c *Core) end(q *query, answer Answer) {
+func (c *Coordinator) end(q *query, answer Answer) {
 	if q.over {
 		return
 	}
 	q.over = true
 	q.ended.Store(true)
-	c.log.Debug("query ended", "query", q.ID, "class", q.Class, "verdict", answer.Verdict, "whole", answer.Whole,
+	c.log.Debug("query ended", "query", q.ID, "class", q.Class, "verdict", answer.Status, "whole", answer.Complete,
 		"parts", len(q.parts), "took", time.Since(q.taken))
 	delete(c.queries, q.ID)
 	c.free(q) // first: whoever has the answer finds nothing held
@@ -747,15 +747,15 @@
 }
 
 // forget lets go of a part once its query is over and nothing of it is out.
-func (c *Core) forget(p *part) {
+func (c *Coordinator) forget(p *part) {
 	if p.q.over && !slices.ContainsFunc(p.tries, func(a *Attempt) bool { return !a.over }) {
 		delete(c.parts, p.id)
 	}
 }
 
 // tell logs a query that ends without an answer, with the parts that it lacks and their attempts.
-func (c *Core) tell(what string, q *query, why aggregator.Why, now time.Time) {
-	if why == aggregator.Held || why == aggregator.Forecast {
+func (c *Coordinator) tell(what string, q *query, why aggregator.Reason, now time.Time) {
+	if why == aggregator.OverCapacity || why == aggregator.ForecastTooLate {
 		c.noRoom(now)
 	}
 	var missing []string
@@ -773,12 +773,12 @@
 		"left", q.Deadline.Sub(now).Round(time.Millisecond), "parts", len(q.parts), "missing", missing)
 }
 
-var words = map[Outcome]string{Served: "ok", Errored: "err", Busy: "busy", NotConnected: "not connected",
-	Reset: "reset", Dropped: "given up", NotSent: "not sent", Cut: "cut", ConnectTimeout: "connect timeout"}
+var words = map[Outcome]string{OK: "ok", Errored: "err", Overloaded: "busy", NotConnected: "not connected",
+	Reset: "reset", Cancelled: "given up", NotSent: "not sent", ConnectionLost: "cut", ConnectTimeout: "connect timeout"}
 
 // causes are why the module gives a query up, in a word.
-var causes = map[aggregator.Why]string{aggregator.NoHolder: "no holder", aggregator.Held: "held", aggregator.Forecast: "forecast",
-	aggregator.Late: "late", aggregator.Spent: "spent", aggregator.Wrecked: "wrecked"}
+var causes = map[aggregator.Reason]string{aggregator.NoReplica: "no holder", aggregator.OverCapacity: "held", aggregator.ForecastTooLate: "forecast",
+	aggregator.DeadlineExceeded: "late", aggregator.AttemptsExhausted: "spent", aggregator.QueryOfDeath: "wrecked"}
 
 // state is what became of an attempt, in a word.
 func (a *Attempt) state() string {
@@ -792,7 +792,7 @@
 }
 
 // free takes a query off the count of what is held.
-func (c *Core) free(q *query) {
+func (c *Coordinator) free(q *query) {
 	c.mu.Lock()
 	c.pending -= 1 + len(q.parts)
 	c.mu.Unlock()
--- a/internal/coordinator/core_test.go
+++ b/internal/coordinator/core_test.go
@@ -20,7 +20,7 @@
 
 // stand is a core with one data node whose carrier does as the test says, in virtual time.
 type stand struct {
-	*Core
+	*Coordinator
 	fleet *Source
 	mu    sync.Mutex
 	seen  []string
@@ -29,11 +29,11 @@
 
 var tick = 5 * time.Millisecond
 
-func newStand(t *testing.T, maxOpen int, act func(s *stand, o *Order), first ...func(*Core)) *stand {
+func newStand(t *testing.T, maxOpen int, act func(s *stand, o *Command), first ...func(*Coordinator)) *stand {
 	t.Helper()
-	set := aggregator.Settings{Aggregators: 1, Tick: tick, Cells: 1, Shards: 4, Reach: 1,
-		Classes: []aggregator.Class{{Name: "report", Aim: time.Second, Deadline: 3 * time.Second, Worth: 1, Need: 1, Floor: 1}},
-		Limits: aggregator.Limits{Attempts: 3, Bundle: 2, Cancel: true, MaxOpen: maxOpen, RetryAfter: true,
+	set := aggregator.Settings{Aggregators: 1, Tick: tick, ShardSets: 1, Shards: 4, Reach: 1,
+		Classes: []aggregator.Class{{Name: "report", LatencyObjective: time.Second, Deadline: 3 * time.Second, Priority: 1, CompleteShare: 1, MinShare: 1}},
+		Limits: aggregator.Limits{MaxAttempts: 3, MaxBatch: 2, CanCancel: true, MaxOpen: maxOpen, SendRetryAfter: true,
 			MaxRetryAfter: 2 * time.Second},
 		CallCost: time.Millisecond,
 	}
@@ -44,8 +44,8 @@
 	for _, f := range first {
 		f(c)
 	}
-	s := &stand{Core: c}
-	c.Carrier("", func(n *Node) {
+	s := &stand{Coordinator: c}
+	c.RegisterDispatcher("", func(n *Node) {
 		for o := n.Pick(context.Background()); o != nil; o = n.Pick(context.Background()) {
 			s.mu.Lock()
 			switch {
@@ -55,9 +55,9 @@
 					line += " " + a.ID
 				}
 				s.seen = append(s.seen, line)
-			case o.Drop != nil:
-				s.seen = append(s.seen, "drop "+o.Drop.ID)
-			case o.Barred:
+			case o.Cancel != nil:
+				s.seen = append(s.seen, "drop "+o.Cancel.ID)
+			case o.RejectQueued:
 				s.seen = append(s.seen, "barred")
 			}
 			s.mu.Unlock()
@@ -81,21 +81,21 @@
 	for _, shard := range shards {
 		q.Parts = append(q.Parts, Part{Shard: shard, Weight: 1 / float64(len(shards))})
 	}
-	a, err := s.Ask(ctx, q)
+	a, err := s.Execute(ctx, q)
 	if err != nil {
 		return err.Error()
 	}
-	return fmt.Sprint(a.Verdict, a.Whole, len(a.Hits), a.After > 0)
+	return fmt.Sprint(a.Status, a.Complete, len(a.Values), a.RetryAfter > 0)
 }
 
 // serve answers every call and every drop.
-func serve(s *stand, o *Order) {
+func serve(s *stand, o *Command) {
 	for _, a := range o.Call {
-		s.Report(a, Result{Outcome: Served, Docs: [][]byte{[]byte("v")}})
+		s.Report(a, Result{Outcome: OK, Docs: [][]byte{[]byte("v")}})
 		s.Report(a, Result{Outcome: Reset}) // only the first report of an attempt counts
 	}
-	if o.Drop != nil {
-		s.Report(o.Drop, Result{Outcome: Dropped})
+	if o.Cancel != nil {
+		s.Report(o.Cancel, Result{Outcome: Cancelled})
 	}
 }
 
@@ -118,8 +118,8 @@
 // client that leaves has its part dropped.
 func TestTimeOutIsTold(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := newStand(t, 0, func(s *stand, o *Order) {
-			if o.Drop != nil {
+		s := newStand(t, 0, func(s *stand, o *Command) {
+			if o.Cancel != nil {
 				serve(s, o)
 			}
 		})
@@ -147,16 +147,16 @@
 func TestMaxOpen(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newStand(t, 6, serve)
-		s.Core.mu.Lock()
+		s.Coordinator.mu.Lock()
 		s.pending += 6
-		s.Core.mu.Unlock()
+		s.Coordinator.mu.Unlock()
 		start := time.Now()
 		if got := s.ask(t.Context(), "q", 0); got != "2 false 0 true" || time.Since(start) > 0 {
 			t.Errorf("full: got %s after %v", got, time.Since(start))
 		}
-		s.Core.mu.Lock()
+		s.Coordinator.mu.Lock()
 		s.pending -= 6
-		s.Core.mu.Unlock()
+		s.Coordinator.mu.Unlock()
 		if got := s.ask(t.Context(), "q", 0); got != "1 true 1 false" {
 			t.Errorf("with room again: got %s", got)
 		}
@@ -168,7 +168,7 @@
 // their query's id, so both could not be told apart.
 func TestSameIDTwice(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := newStand(t, 0, func(s *stand, o *Order) {
+		s := newStand(t, 0, func(s *stand, o *Command) {
 			time.Sleep(100 * time.Millisecond)
 			serve(s, o)
 		})
@@ -219,14 +219,14 @@
 
 // TestInput: what can't be asked never reaches the module.
 func TestInput(t *testing.T) {
-	c, err := New(aggregator.Settings{Cells: 1, Shards: 2, Reach: 1, Tenants: []aggregator.Tenant{{Name: "club"}},
-		Classes: []aggregator.Class{{Name: "report", Aim: 1, Deadline: 1}}}, 1, slog.New(slog.DiscardHandler))
+	c, err := New(aggregator.Settings{ShardSets: 1, Shards: 2, Reach: 1, Tenants: []aggregator.Tenant{{Name: "club"}},
+		Classes: []aggregator.Class{{Name: "report", LatencyObjective: 1, Deadline: 1}}}, 1, slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
 	}
 	for name, spoil := range map[string]func(*Query){
 		"class":    func(q *Query) { q.Class = "other" },
-		"owner":    func(q *Query) { q.Owner = "other" },
+		"owner":    func(q *Query) { q.Tenant = "other" },
 		"no id":    func(q *Query) { q.ID = "" },
 		"id":       func(q *Query) { q.ID = "a b" },
 		"no parts": func(q *Query) { q.Parts = nil },
@@ -240,9 +240,9 @@
 		"not a no": func(q *Query) { q.Parts[0].Weight = math.NaN() },
 		"deadline": func(q *Query) { q.Deadline = time.Now().Add(-time.Second) },
 	} {
-		q := Query{ID: "q", Class: "report", Owner: "club", Deadline: time.Now().Add(time.Second), Parts: []Part{{Shard: 1, Weight: 1}}}
+		q := Query{ID: "q", Class: "report", Tenant: "club", Deadline: time.Now().Add(time.Second), Parts: []Part{{Shard: 1, Weight: 1}}}
 		spoil(&q)
-		if _, err := c.Ask(t.Context(), q); !errors.Is(err, ErrInput) {
+		if _, err := c.Execute(t.Context(), q); !errors.Is(err, ErrInput) {
 			t.Errorf("%s: error %v", name, err)
 		}
 	}
@@ -254,15 +254,15 @@
 // TestClassLimitBindsDeadlines: a deadline past the class's limit does not hold a query for longer.
 func TestClassLimitBindsDeadlines(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := newStand(t, 0, func(s *stand, o *Order) {
-			if o.Drop != nil {
+		s := newStand(t, 0, func(s *stand, o *Command) {
+			if o.Cancel != nil {
 				serve(s, o)
 			}
 		})
 		start := time.Now()
-		a, err := s.Ask(t.Context(), Query{ID: "q", Class: "report", Deadline: start.Add(time.Hour),
+		a, err := s.Execute(t.Context(), Query{ID: "q", Class: "report", Deadline: start.Add(time.Hour),
 			Parts: []Part{{Shard: 0, Weight: 1}}})
-		if err != nil || a.Verdict != Refused || time.Since(start) > 3*time.Second {
+		if err != nil || a.Status != Rejected || time.Since(start) > 3*time.Second {
 			t.Errorf("got %+v, %v after %v", a, err, time.Since(start))
 		}
 		s.end()
@@ -273,12 +273,12 @@
 // later, however short the tick, so that it can't overtake what tells the data node, or its machine, of the end of
 // the one before.
 func TestFurtherAttemptWaits(t *testing.T) {
-	for _, end := range []Outcome{Dropped, Reset, Cut, Errored} {
+	for _, end := range []Outcome{Cancelled, Reset, ConnectionLost, Errored} {
 		synctest.Test(t, func(t *testing.T) {
 			var ended, again time.Time
 			tick = time.Millisecond
 			defer func() { tick = 5 * time.Millisecond }()
-			s := newStand(t, 0, func(s *stand, o *Order) {
+			s := newStand(t, 0, func(s *stand, o *Command) {
 				switch {
 				case o.Call != nil && ended.IsZero():
 					time.Sleep(100 * time.Millisecond) // long after the last tick
@@ -314,8 +314,8 @@
 			}
 		}
 		synctest.Wait()
-		if len(s.Core.nodes) != 2 || len(s.fleet.Claims()) != 2 {
-			t.Errorf("%d data nodes are known, %d of the source", len(s.Core.nodes), len(s.fleet.Claims()))
+		if len(s.Coordinator.nodes) != 2 || len(s.fleet.Claims()) != 2 {
+			t.Errorf("%d data nodes are known, %d of the source", len(s.Coordinator.nodes), len(s.fleet.Claims()))
 		}
 		if len(s.queries)+len(s.parts)+len(s.attempts)+len(s.held)+s.Open() > 0 {
 			t.Errorf("still held: %d queries, %d parts, %d attempts", len(s.queries), len(s.parts), len(s.attempts))
--- a/internal/coordinator/deployments_test.go
+++ b/internal/coordinator/deployments_test.go
@@ -59,10 +59,10 @@
 				go c.Run(ctx)
 				var mu sync.Mutex
 				cell, drained, last := map[string]int{}, map[string]bool{}, time.Time{}
-				c.Carrier("", func(n *coordinator.Node) {
+				c.RegisterDispatcher("", func(n *coordinator.Node) {
 					for o := n.Pick(context.Background()); o != nil; o = n.Pick(context.Background()) {
 						mu.Lock()
-						if len(o.Call) > max(1, set.Limits.Bundle) {
+						if len(o.Call) > max(1, set.Limits.MaxBatch) {
 							t.Errorf("a call of %d parts", len(o.Call))
 						}
 						for _, a := range o.Call {
@@ -75,21 +75,21 @@
 							if drained[n.ID()] {
 								last = time.Now()
 							}
-							c.Report(a, coordinator.Result{Outcome: coordinator.Served, Docs: [][]byte{[]byte("v")}})
+							c.Report(a, coordinator.Result{Outcome: coordinator.OK, Docs: [][]byte{[]byte("v")}})
 						}
 						mu.Unlock()
-						if o.Drop != nil {
-							c.Report(o.Drop, coordinator.Result{Outcome: coordinator.Dropped})
+						if o.Cancel != nil {
+							c.Report(o.Cancel, coordinator.Result{Outcome: coordinator.Cancelled})
 						}
 						if o.Probe {
-							c.Probed(n, coordinator.Result{Outcome: coordinator.Served})
+							c.ReportProbe(n, coordinator.Result{Outcome: coordinator.OK})
 						}
 					}
 				})
 				var list []coordinator.Member
 				for i := range d.cells * d.perCell {
-					m := coordinator.Member{ID: fmt.Sprint("n", i), Cell: i % d.cells, Zone: string('a' + rune(i/d.cells%2)), Weight: 1}
-					cell[m.ID] = m.Cell
+					m := coordinator.Member{ID: fmt.Sprint("n", i), ShardSet: i % d.cells, Zone: string('a' + rune(i/d.cells%2)), Weight: 1}
+					cell[m.ID] = m.ShardSet
 					list = append(list, m)
 				}
 				source := c.Source(membership.Spec{Name: "list"})
@@ -97,11 +97,11 @@
 				number := 0
 				ask := func(class string, shards ...int) coordinator.Answer {
 					number++
-					q := coordinator.Query{ID: fmt.Sprint(class[:1], number), Class: class, Owner: d.owner, IdempotencyKey: "k7", Deadline: time.Now().Add(2 * time.Second)}
+					q := coordinator.Query{ID: fmt.Sprint(class[:1], number), Class: class, Tenant: d.owner, IdempotencyKey: "k7", Deadline: time.Now().Add(2 * time.Second)}
 					for _, s := range shards {
 						q.Parts = append(q.Parts, coordinator.Part{Shard: s, Weight: 1 / float64(len(shards))})
 					}
-					answer, err := c.Ask(ctx, q)
+					answer, err := c.Execute(ctx, q)
 					if err != nil {
 						t.Errorf("%s: %v", class, err)
 					}
@@ -113,31 +113,31 @@
 				}
 				for range 20 {
 					for _, class := range []string{"board", "entry"} {
-						if a := ask(class, all...); a.Verdict != coordinator.Answered || !a.Whole || len(a.Hits) != d.shards {
-							t.Errorf("%s: verdict %v, whole %v, %d of %d parts", class, a.Verdict, a.Whole, len(a.Hits), d.shards)
+						if a := ask(class, all...); a.Status != coordinator.Answered || !a.Complete || len(a.Values) != d.shards {
+							t.Errorf("%s: verdict %v, whole %v, %d of %d parts", class, a.Status, a.Complete, len(a.Values), d.shards)
 						}
 					}
 				}
 				// All holders of shard 0 drain.
 				mu.Lock()
 				for i := range list {
-					if off := (list[i].Cell + d.cells) % d.cells; off < d.reach {
+					if off := (list[i].ShardSet + d.cells) % d.cells; off < d.reach {
 						list[i].State, drained[list[i].ID] = coordinator.Draining, true
 					}
 				}
 				mu.Unlock()
 				source.Change(list)
 				told := time.Now()
-				if a := ask("board", 0, d.cells-1); a.Verdict != coordinator.Answered || a.Whole || len(a.Hits) != 1 {
-					t.Errorf("half of a board: verdict %v, whole %v, %d parts", a.Verdict, a.Whole, len(a.Hits))
+				if a := ask("board", 0, d.cells-1); a.Status != coordinator.Answered || a.Complete || len(a.Values) != 1 {
+					t.Errorf("half of a board: verdict %v, whole %v, %d parts", a.Status, a.Complete, len(a.Values))
 				}
-				if a := ask("entry", 0, d.cells-1); a.Verdict == coordinator.Answered {
+				if a := ask("entry", 0, d.cells-1); a.Status == coordinator.Answered {
 					t.Errorf("an entry without one of its parts was answered")
 				}
 				if !last.IsZero() {
 					t.Errorf("a drained data node got a part %v after it was told; the grace is %v", last.Sub(told), d.grace)
 				}
-				if covered := c.Covered(); covered >= d.shards || covered == 0 {
+				if covered := c.CoveredShards(); covered >= d.shards || covered == 0 {
 					t.Errorf("%d of %d shards count as held", covered, d.shards)
 				}
 				source.Replace(nil, false)
--- a/internal/coordinator/gossip.go
+++ b/internal/coordinator/gossip.go
@@ -11,13 +11,13 @@
 )
 
 // Told is what others tell of a data node.
-type Told struct {
-	Node     string
-	Failing  bool          // for another coordinator
-	Failed   time.Duration // how long ago
-	Answered time.Duration // how long ago it last answered anybody; below 0 where not known
-	Cold     bool          // it started, or came back
-	Started  time.Duration // how long ago
+type PeerReport struct {
+	Node      string
+	Failing   bool          // for another coordinator
+	Failed    time.Duration // how long ago
+	Answered  time.Duration // how long ago it last answered anybody; below 0 where not known
+	WarmingUp bool          // it started, or came back
+	Started   time.Duration // how long ago
 }
 
 // startSlack is by how much a start that is told has to be later than the one known to be another: what is told grows younger on its
@@ -26,7 +26,7 @@
 
 // Hear takes in what others tell. A start counts where it is later than the one known: whoever is held for cold is spared. Whether a
 // failure is evidence on its zone is internal/zones' to say.
-func (c *Core) Hear(list []Told) {
+func (c *Coordinator) ApplyPeerReports(list []PeerReport) {
 	now := time.Now()
 	c.mu.Lock()
 	defer c.wakeUp()
@@ -37,7 +37,7 @@
 		listed[m.ID] = m
 	}
 	for id, at := range c.starts {
-		if m, ok := listed[id]; !ok || m.State == Gone || now.Sub(at) > c.set.Rules.WarmAfter {
+		if m, ok := listed[id]; !ok || m.State == Gone || now.Sub(at) > c.set.Rules.WarmupTime {
 			delete(c.starts, id)
 		}
 	}
@@ -46,12 +46,12 @@
 		if !ok || m.State == Gone {
 			continue
 		}
-		if at := now.Add(-t.Started); t.Cold && t.Started < c.set.Rules.WarmAfter && at.After(m.Started.Add(startSlack)) && at.After(c.starts[t.Node].Add(startSlack)) {
+		if at := now.Add(-t.Started); t.WarmingUp && t.Started < c.set.Rules.WarmupTime && at.After(m.Started.Add(startSlack)) && at.After(c.starts[t.Node].Add(startSlack)) {
 			c.starts[t.Node] = at
 			event.Members = append(event.Members, c.member(m))
 		}
 		if t.Failing && c.zones != nil {
-			c.zones.t.Hear(now, m.Zone, t.Node, t.Failed, t.Answered)
+			c.zones.t.ObservePeer(now, m.Zone, t.Node, t.Failed, t.Answered)
 		}
 	}
 	if len(event.Members) > 0 {
@@ -60,7 +60,7 @@
 }
 
 // toldStart turns a member's start by what others tell; the caller holds the lock.
-func (c *Core) toldStart(m Member, out aggregator.Member) aggregator.Member {
+func (c *Coordinator) toldStart(m Member, out aggregator.Member) aggregator.Member {
 	if at, ok := c.starts[m.ID]; ok {
 		out.Started = max(out.Started, c.clock(at))
 	}
--- a/internal/coordinator/gossip_test.go
+++ b/internal/coordinator/gossip_test.go
@@ -16,18 +16,18 @@
 )
 
 func TestHear(t *testing.T) {
-	failing := func(failed, answered time.Duration) (list []Told) { // all four data nodes of zone a
+	failing := func(failed, answered time.Duration) (list []PeerReport) { // all four data nodes of zone a
 		for i := range 4 {
-			list = append(list, Told{Node: fmt.Sprint("a", i), Failing: true, Failed: failed, Answered: answered})
+			list = append(list, PeerReport{Node: fmt.Sprint("a", i), Failing: true, Failed: failed, Answered: answered})
 		}
 		return list
 	}
 	const s = time.Second
 	for _, c := range []struct {
 		name  string
-		told  []Told
+		told  []PeerReport
 		heard bool // this coordinator has answers from the zone itself
-		want  zones.Verdict
+		want  zones.State
 	}{
 		{"it fails for another", failing(2*s, -1), false, zones.Out},
 		{"it answered somebody before", failing(2*s, 3*s), false, zones.Out},
@@ -35,12 +35,12 @@
 		{"it answers here", failing(2*s, -1), true, zones.Healthy},
 		{"it answered somebody just before", failing(s/2, s), false, zones.Healthy},
 		{"one data node is no zone", failing(2*s, -1)[:1], false, zones.Healthy},
-		{"of nobody that is listed", []Told{{Node: "x", Failing: true, Failed: 2 * s}, {Node: "y", Failing: true, Failed: 2 * s}}, false, zones.Healthy},
+		{"of nobody that is listed", []PeerReport{{Node: "x", Failing: true, Failed: 2 * s}, {Node: "y", Failing: true, Failed: 2 * s}}, false, zones.Healthy},
 	} {
 		synctest.Test(t, func(t *testing.T) {
-			rules := aggregator.Rules{DrainGrace: 2 * time.Second, WarmAfter: 5 * time.Second}
-			set := aggregator.Settings{Aggregators: 5, Tick: tick, Cells: 4, Shards: 4, Reach: 1, Rules: rules,
-				Classes: []aggregator.Class{{Name: "report", Aim: time.Second, Deadline: 2 * time.Second, Worth: 1, Need: 1, Floor: 1}}}
+			rules := aggregator.Rules{DrainGrace: 2 * time.Second, WarmupTime: 5 * time.Second}
+			set := aggregator.Settings{Aggregators: 5, Tick: tick, ShardSets: 4, Shards: 4, Reach: 1, Rules: rules,
+				Classes: []aggregator.Class{{Name: "report", LatencyObjective: time.Second, Deadline: 2 * time.Second, Priority: 1, CompleteShare: 1, MinShare: 1}}}
 			core, err := New(set, 7, slog.New(slog.DiscardHandler))
 			if err != nil {
 				t.Fatal(err)
@@ -48,7 +48,7 @@
 			if err := core.WatchZones(zones.Config{Seed: 3}); err != nil {
 				t.Fatal(err)
 			}
-			core.Carrier("", func(n *Node) {
+			core.RegisterDispatcher("", func(n *Node) {
 				for o := n.Pick(t.Context()); o != nil; o = n.Pick(t.Context()) {
 				}
 			})
@@ -57,22 +57,22 @@
 			var list []Member
 			for _, z := range []string{"a", "b", "c"} {
 				for cell := range 4 {
-					list = append(list, Member{ID: fmt.Sprint(z, cell), Addr: fmt.Sprint(z, cell), Zone: z, Cell: cell, Weight: 1, Started: time.Now().Add(-time.Hour)})
+					list = append(list, Member{ID: fmt.Sprint(z, cell), Addr: fmt.Sprint(z, cell), Zone: z, ShardSet: cell, Weight: 1, Started: time.Now().Add(-time.Hour)})
 				}
 			}
 			src.Replace(list, false)
 			for range 5 { // longer than it takes to leave a zone, and shorter than to return
 				if c.heard {
 					for i := range 4 {
-						core.zoneSaw(core.node(fmt.Sprint("a", i)), nil, Served, time.Now())
+						core.zoneSaw(core.node(fmt.Sprint("a", i)), nil, OK, time.Now())
 					}
 				}
-				core.Hear(c.told)
+				core.ApplyPeerReports(c.told)
 				time.Sleep(250 * time.Millisecond)
 			}
 			for _, z := range core.Zones() {
-				if z.Zone == "a" && z.Verdict != c.want {
-					t.Errorf("%s: zone a is %v (%s), want %v", c.name, z.Verdict, z.Reason, c.want)
+				if z.Zone == "a" && z.State != c.want {
+					t.Errorf("%s: zone a is %v (%s), want %v", c.name, z.State, z.Reason, c.want)
 				}
 			}
 			src.Replace(nil, false)
@@ -86,12 +86,12 @@
 	synctest.Test(t, func(t *testing.T) {
 		for _, c := range []struct{ nodes, single, byKind int }{{mostLines, mostLines, 0}, {10_000, 0, 1}} {
 			var logged lines
-			core, err := New(aggregator.Settings{Aggregators: 1, Tick: tick, Cells: 1, Shards: 1, Reach: 1,
-				Classes: []aggregator.Class{{Name: "report", Aim: time.Second, Deadline: 2 * time.Second, Worth: 1, Need: 1, Floor: 1}}}, 7, slog.New(slog.NewTextHandler(&logged, nil)))
+			core, err := New(aggregator.Settings{Aggregators: 1, Tick: tick, ShardSets: 1, Shards: 1, Reach: 1,
+				Classes: []aggregator.Class{{Name: "report", LatencyObjective: time.Second, Deadline: 2 * time.Second, Priority: 1, CompleteShare: 1, MinShare: 1}}}, 7, slog.New(slog.NewTextHandler(&logged, nil)))
 			if err != nil {
 				t.Fatal(err)
 			}
-			core.Carrier("", func(*Node) {})
+			core.RegisterDispatcher("", func(*Node) {})
 			var list []Member
 			for i := range c.nodes {
 				list = append(list, Member{ID: fmt.Sprint("n", i), Addr: fmt.Sprint("n", i), Weight: 1})
@@ -107,17 +107,17 @@
 // TestHearStart: a start that the list has not told yet makes a data node cold; the known one told again does not, nor does one long ago.
 func TestHearStart(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		core, err := New(aggregator.Settings{Aggregators: 2, Tick: tick, Cells: 1, Shards: 1, Reach: 1, Rules: aggregator.Rules{WarmAfter: 5 * time.Second},
-			Classes: []aggregator.Class{{Name: "report", Aim: time.Second, Deadline: 2 * time.Second, Worth: 1, Need: 1, Floor: 1}}}, 7, slog.New(slog.DiscardHandler))
+		core, err := New(aggregator.Settings{Aggregators: 2, Tick: tick, ShardSets: 1, Shards: 1, Reach: 1, Rules: aggregator.Rules{WarmupTime: 5 * time.Second},
+			Classes: []aggregator.Class{{Name: "report", LatencyObjective: time.Second, Deadline: 2 * time.Second, Priority: 1, CompleteShare: 1, MinShare: 1}}}, 7, slog.New(slog.DiscardHandler))
 		if err != nil {
 			t.Fatal(err)
 		}
-		core.Carrier("", func(n *Node) {
+		core.RegisterDispatcher("", func(n *Node) {
 			for o := n.Pick(t.Context()); o != nil; o = n.Pick(t.Context()) {
 			}
 		})
-		var seen []Sight
-		core.OnSight(func(s Sight) { seen = append(seen, s) })
+		var seen []Observation
+		core.OnObservation(func(s Observation) { seen = append(seen, s) })
 		src := core.Source(membership.Spec{Name: "list"})
 		begun := time.Now()
 		old := Member{ID: "a", Addr: "a", Weight: 1, Started: begun.Add(-time.Minute)}
@@ -128,16 +128,16 @@
 		}
 		for _, c := range []struct {
 			name string
-			told Told
+			told PeerReport
 			m    Member
 			want time.Time
 		}{
-			{"long ago", Told{Node: "a", Cold: true, Started: 6 * time.Second}, old, old.Started},
-			{"the start that is known, grown younger on its way", Told{Node: "b", Cold: true, Started: 500 * time.Millisecond}, fresh, fresh.Started},
-			{"another start", Told{Node: "a", Cold: true, Started: time.Second}, old, begun.Add(-time.Second)},
-			{"that again, younger", Told{Node: "a", Cold: true, Started: 0}, old, begun.Add(-time.Second)},
+			{"long ago", PeerReport{Node: "a", WarmingUp: true, Started: 6 * time.Second}, old, old.Started},
+			{"the start that is known, grown younger on its way", PeerReport{Node: "b", WarmingUp: true, Started: 500 * time.Millisecond}, fresh, fresh.Started},
+			{"another start", PeerReport{Node: "a", WarmingUp: true, Started: time.Second}, old, begun.Add(-time.Second)},
+			{"that again, younger", PeerReport{Node: "a", WarmingUp: true, Started: 0}, old, begun.Add(-time.Second)},
 		} {
-			core.Hear([]Told{c.told})
+			core.ApplyPeerReports([]PeerReport{c.told})
 			core.mu.Lock()
 			got := core.member(c.m).Started
 			core.mu.Unlock()
@@ -146,7 +146,7 @@
 			}
 		}
 		time.Sleep(6 * time.Second)
-		core.Hear(nil)
+		core.ApplyPeerReports(nil)
 		if len(core.starts) > 0 {
 			t.Errorf("%v is kept of starts that count no more", core.starts)
 		}
--- a/internal/coordinator/list_bench_test.go
+++ b/internal/coordinator/list_bench_test.go
@@ -15,17 +15,17 @@
 func BenchmarkRemembered(b *testing.B) {
 	var list []Member
 	for i := range 10_000 {
-		list = append(list, Member{ID: fmt.Sprintf("node-%05d", i), Addr: fmt.Sprint("127.0.0.1:", i+1), Zone: "abc"[i%3 : i%3+1], Cell: i % 64, Weight: 1,
+		list = append(list, Member{ID: fmt.Sprintf("node-%05d", i), Addr: fmt.Sprint("127.0.0.1:", i+1), Zone: "abc"[i%3 : i%3+1], ShardSet: i % 64, Weight: 1,
 			Started: time.Unix(1_700_000_000, 0)})
 	}
 	for b.Loop() {
-		c, err := New(aggregator.Settings{Aggregators: 3, Tick: 5 * time.Millisecond, Cells: 64, Shards: 64, Reach: 2,
-			Classes: []aggregator.Class{{Name: "lookup", Aim: time.Second, Deadline: 2 * time.Second, Worth: 1, Need: 1, Floor: 1}}}, 7, slog.New(slog.DiscardHandler))
+		c, err := New(aggregator.Settings{Aggregators: 3, Tick: 5 * time.Millisecond, ShardSets: 64, Shards: 64, Reach: 2,
+			Classes: []aggregator.Class{{Name: "lookup", LatencyObjective: time.Second, Deadline: 2 * time.Second, Priority: 1, CompleteShare: 1, MinShare: 1}}}, 7, slog.New(slog.DiscardHandler))
 		if err != nil {
 			b.Fatal(err)
 		}
 		ctx, stop := context.WithCancel(b.Context())
-		c.Carrier("", func(n *Node) {
+		c.RegisterDispatcher("", func(n *Node) {
 			for o := n.Pick(ctx); o != nil; o = n.Pick(ctx) {
 			}
 		})
--- a/internal/coordinator/maintenance.go
+++ b/internal/coordinator/maintenance.go
@@ -14,18 +14,18 @@
 )
 
 // Work is what this coordinator knows of machines in work. The zero value lets everything be used.
-type Work struct {
-	Barred    map[string]bool   // by id: nothing may be sent there
+type Maintenance struct {
+	Excluded  map[string]bool   // by id: nothing may be sent there
 	Addrs     map[string]bool   // by address, under whatever id
 	Announced map[string]bool   // may be barred any time: to be sent to only while present
-	Back      map[string]uint64 // come back from work, by their turn: cold since this was told
+	Returned  map[string]uint64 // come back from work, by their turn: cold since this was told
 	Unknown   bool              // nothing is known yet: all are to be sent to only while present
 }
 
 // workWatch is core's part of it. Its fields are guarded by Core.mu, but for the time; Core.work is set before Run and never
 // after, so that where no machine is taken out nothing here takes the lock.
 type workWatch struct {
-	Work
+	Maintenance
 	back    map[string]comeback
 	outs    map[string]int // attempts without an end, by data node
 	seen    map[string]*seenNode
@@ -54,14 +54,14 @@
 
 // WatchWork lets machines be taken out for work. It is called before Run, and nothing is sent anywhere until SetWork and Present
 // have said more.
-func (c *Core) WatchWork() {
+func (c *Coordinator) EnableMaintenance() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.work = &workWatch{Work: Work{Unknown: true}, back: map[string]comeback{}, outs: map[string]int{}, seen: map[string]*seenNode{}, lapsed: true}
+	c.work = &workWatch{Maintenance: Maintenance{Unknown: true}, back: map[string]comeback{}, outs: map[string]int{}, seen: map[string]*seenNode{}, lapsed: true}
 }
 
 // Present lets announced machines be sent to until then. Every attempt that is begun by then has an end by its class's limit.
-func (c *Core) Present(until time.Time) {
+func (c *Coordinator) ExtendPresence(until time.Time) {
 	c.work.present.Store(int64(c.clock(until)))
 	c.wakeUp()
 }
@@ -70,53 +70,53 @@
 const pressedFor = 2 * time.Second
 
 // Pressed tells whether a query was turned away for want of room just now.
-func (c *Core) Pressed() bool {
+func (c *Coordinator) Overloaded() bool {
 	at := c.work.turned.Load()
 	return at > 0 && c.clock(time.Now())-time.Duration(at) < pressedFor
 }
 
 // noRoom notes that a query was turned away for want of room.
-func (c *Core) noRoom(now time.Time) {
+func (c *Coordinator) noRoom(now time.Time) {
 	if c.work != nil {
 		c.work.turned.Store(int64(c.clock(now)))
 	}
 }
 
 // IsPresent tells whether announced machines may be sent to now.
-func (c *Core) IsPresent() bool { return !c.absent() }
+func (c *Coordinator) IsPresent() bool { return !c.absent() }
 
 // absent tells that announced machines may not be sent to now.
-func (c *Core) absent() bool {
+func (c *Coordinator) absent() bool {
 	return c.work != nil && int64(c.clock(time.Now())) >= c.work.present.Load()
 }
 
 // mayGo tells whether a data node is announced; the caller holds the lock.
-func (c *Core) mayGo(m Member) bool {
+func (c *Coordinator) mayGo(m Member) bool {
 	return c.work != nil && (c.work.Unknown || c.work.Announced[m.ID])
 }
 
 // inWork tells whether nothing may be sent to a data node; the caller holds the lock.
-func (c *Core) inWork(m Member) bool {
-	return c.work != nil && (c.work.Barred[m.ID] || c.work.Addrs[m.Addr])
+func (c *Coordinator) inWork(m Member) bool {
+	return c.work != nil && (c.work.Excluded[m.ID] || c.work.Addrs[m.Addr])
 }
 
 // SetWork takes in what is known now. Once it returns nothing more is begun at a machine that it bars; what is out there ends
 // there.
-func (c *Core) SetWork(w Work) {
+func (c *Coordinator) SetMaintenance(w Maintenance) {
 	c.mu.Lock()
 	now := time.Now()
-	old := c.work.Work
-	c.work.Work = w
-	for id, turn := range w.Back {
+	old := c.work.Maintenance
+	c.work.Maintenance = w
+	for id, turn := range w.Returned {
 		if c.work.back[id].turn != turn {
 			c.work.back[id] = comeback{turn, now}
 		}
 	}
-	maps.DeleteFunc(c.work.back, func(id string, b comeback) bool { return now.Sub(b.at) > c.set.Rules.WarmAfter && w.Back[id] == 0 })
+	maps.DeleteFunc(c.work.back, func(id string, b comeback) bool { return now.Sub(b.at) > c.set.Rules.WarmupTime && w.Returned[id] == 0 })
 	event := aggregator.Event{Kind: aggregator.ListChanged}
 	for _, m := range c.table.List() {
-		if old.Barred[m.ID] == w.Barred[m.ID] && old.Addrs[m.Addr] == w.Addrs[m.Addr] && old.Announced[m.ID] == w.Announced[m.ID] &&
-			old.Unknown == w.Unknown && old.Back[m.ID] == w.Back[m.ID] {
+		if old.Excluded[m.ID] == w.Excluded[m.ID] && old.Addrs[m.Addr] == w.Addrs[m.Addr] && old.Announced[m.ID] == w.Announced[m.ID] &&
+			old.Unknown == w.Unknown && old.Returned[m.ID] == w.Returned[m.ID] {
 			continue
 		}
 		c.apply(m)
@@ -130,7 +130,7 @@
 }
 
 // workStep tells the module when announced machines may no longer be used, or may again, and when that is to be looked at next.
-func (c *Core) workStep(now time.Time) (event aggregator.Event, changed bool, next time.Time) {
+func (c *Coordinator) workStep(now time.Time) (event aggregator.Event, changed bool, next time.Time) {
 	if c.work == nil {
 		return event, false, next
 	}
@@ -150,7 +150,7 @@
 		if c.mayGo(m) {
 			event.Members = append(event.Members, c.member(m))
 			if n := c.nodes[m.ID]; lapsed && n != nil {
-				n.orders = append(n.orders, &Order{Barred: true}) // what is not begun is turned back
+				n.orders = append(n.orders, &Command{RejectQueued: true}) // what is not begun is turned back
 				n.signal()
 			}
 		}
@@ -159,11 +159,11 @@
 }
 
 // worked turns a member's state and start by the work on it; the caller holds the lock.
-func (c *Core) worked(m Member, out aggregator.Member) aggregator.Member {
+func (c *Coordinator) worked(m Member, out aggregator.Member) aggregator.Member {
 	if c.work == nil {
 		return out
 	}
-	if out.State == aggregator.On && (c.inWork(m) || c.mayGo(m) && c.work.lapsed) {
+	if out.State == aggregator.Serving && (c.inWork(m) || c.mayGo(m) && c.work.lapsed) {
 		out.State = aggregator.Draining
 	}
 	if b, ok := c.work.back[m.ID]; ok {
@@ -173,7 +173,7 @@
 }
 
 // workSaw notes what the end of an attempt or a probe says of a data node.
-func (c *Core) workSaw(n *Node, end Outcome, load map[string]float64, now time.Time) {
+func (c *Coordinator) workSaw(n *Node, end Outcome, load map[string]float64, now time.Time) {
 	if c.work == nil {
 		return
 	}
@@ -188,7 +188,7 @@
 		s.util = u
 	}
 	switch end {
-	case Served, Errored, Busy, Cut:
+	case OK, Errored, Overloaded, ConnectionLost:
 		s.bad = 0
 	case NotConnected, ConnectTimeout, Reset:
 		s.bad, s.last = s.bad+1, now
@@ -196,10 +196,10 @@
 }
 
 // Quiet tells whether nothing is out at a data node that may not be sent to, whatever became of its entry.
-func (c *Core) Quiet(id string) bool {
+func (c *Coordinator) Idle(id string) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.work == nil || !c.work.Barred[id] {
+	if c.work == nil || !c.work.Excluded[id] {
 		return false
 	}
 	n := c.nodes[id]
@@ -207,32 +207,32 @@
 }
 
 // Look is a data node as this coordinator sees it.
-type Look struct {
+type NodeHealth struct {
 	Member
-	Doubtful bool // it failed several times in a row just now, or its zone is left
-	Cold     bool
-	Util     float64 // as it reported last
+	Suspect     bool // it failed several times in a row just now, or its zone is left
+	WarmingUp   bool
+	Utilization float64 // as it reported last
 }
 
 // Fleet is all data nodes as this coordinator sees them.
-func (c *Core) Fleet() []Look {
+func (c *Coordinator) DataNodes() []NodeHealth {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := time.Now()
-	var list []Look
+	var list []NodeHealth
 	listed := map[string]bool{}
 	for _, m := range c.table.List() {
-		l := Look{Member: m, Cold: !m.Started.IsZero() && now.Sub(m.Started) < c.set.Rules.WarmAfter}
+		l := NodeHealth{Member: m, WarmingUp: !m.Started.IsZero() && now.Sub(m.Started) < c.set.Rules.WarmupTime}
 		if c.work != nil {
 			if s := c.work.seen[m.ID]; s != nil {
-				l.Util, l.Doubtful = s.util, s.bad >= doubtAfter && now.Sub(s.last) < doubtFor
+				l.Utilization, l.Suspect = s.util, s.bad >= doubtAfter && now.Sub(s.last) < doubtFor
 			}
-			if b, ok := c.work.back[m.ID]; ok && now.Sub(b.at) < c.set.Rules.WarmAfter {
-				l.Cold = true
+			if b, ok := c.work.back[m.ID]; ok && now.Sub(b.at) < c.set.Rules.WarmupTime {
+				l.WarmingUp = true
 			}
 		}
 		if c.zones != nil && !c.zones.t.Usable(m.Zone) {
-			l.Doubtful = true
+			l.Suspect = true
 		}
 		listed[m.ID] = true
 		list = append(list, l)
--- a/internal/coordinator/maintenance_test.go
+++ b/internal/coordinator/maintenance_test.go
@@ -16,8 +16,8 @@
 		Query                 string // verdict of one that is asked then; empty for none
 		Quiet, Present, Press bool
 	}
-	announced := Work{Announced: map[string]bool{"n1": true}}
-	barred := Work{Announced: announced.Announced, Barred: map[string]bool{"n1": true}}
+	announced := Maintenance{Announced: map[string]bool{"n1": true}}
+	barred := Maintenance{Announced: announced.Announced, Excluded: map[string]bool{"n1": true}}
 	const served, failed = "1 true 1 false", "2 false 0 true"
 	for _, c := range []struct {
 		what   string
@@ -25,33 +25,41 @@
 		want   told
 	}{
 		{"nothing is known", func(s *stand) {}, told{Query: failed}},
-		{"no plan", func(s *stand) { s.SetWork(Work{}) }, told{Query: served}},
-		{"called, and not present", func(s *stand) { s.SetWork(announced) }, told{Query: failed}},
-		{"called, and present", func(s *stand) { s.SetWork(announced); s.Present(time.Now().Add(time.Hour)) }, told{Query: served, Present: true}},
+		{"no plan", func(s *stand) { s.SetMaintenance(Maintenance{}) }, told{Query: served}},
+		{"called, and not present", func(s *stand) { s.SetMaintenance(announced) }, told{Query: failed}},
+		{"called, and present", func(s *stand) { s.SetMaintenance(announced); s.ExtendPresence(time.Now().Add(time.Hour)) }, told{Query: served, Present: true}},
 		{"called, and present until just now", func(s *stand) {
-			s.SetWork(announced)
-			s.Present(time.Now().Add(time.Second))
+			s.SetMaintenance(announced)
+			s.ExtendPresence(time.Now().Add(time.Second))
 			time.Sleep(time.Second)
 		}, told{Query: failed}},
-		{"barred", func(s *stand) { s.SetWork(barred); s.Present(time.Now().Add(time.Hour)) }, told{Query: failed, Quiet: true, Present: true}},
-		{"barred by its address", func(s *stand) { s.SetWork(Work{Addrs: map[string]bool{"127.0.0.1:1": true}}) }, told{Query: failed}},
+		{"barred", func(s *stand) { s.SetMaintenance(barred); s.ExtendPresence(time.Now().Add(time.Hour)) }, told{Query: failed, Quiet: true, Present: true}},
+		{"barred by its address", func(s *stand) { s.SetMaintenance(Maintenance{Addrs: map[string]bool{"127.0.0.1:1": true}}) }, told{Query: failed}},
 		{"barred with a part out", func(s *stand) {
-			s.SetWork(Work{})
+			s.SetMaintenance(Maintenance{})
 			go s.ask(context.Background(), "held", 3)
 			time.Sleep(100 * time.Millisecond)
-			s.SetWork(barred)
+			s.SetMaintenance(barred)
 		}, told{}},
 		{"and once that has ended", func(s *stand) {
-			s.SetWork(Work{})
+			s.SetMaintenance(Maintenance{})
 			go s.ask(context.Background(), "held", 3)
 			time.Sleep(100 * time.Millisecond)
-			s.SetWork(barred)
+			s.SetMaintenance(barred)
 			time.Sleep(3 * time.Second)
 		}, told{Quiet: true}},
-		{"back", func(s *stand) { s.SetWork(barred); s.SetWork(Work{Back: map[string]uint64{"n1": 1}}) }, told{Query: served}},
-		{"one turned away", func(s *stand) { s.SetWork(Work{}); s.fill(true); s.ask(context.Background(), "r", 0); s.fill(false) }, told{Query: served, Press: true}},
+		{"back", func(s *stand) {
+			s.SetMaintenance(barred)
+			s.SetMaintenance(Maintenance{Returned: map[string]uint64{"n1": 1}})
+		}, told{Query: served}},
+		{"one turned away", func(s *stand) {
+			s.SetMaintenance(Maintenance{})
+			s.fill(true)
+			s.ask(context.Background(), "r", 0)
+			s.fill(false)
+		}, told{Query: served, Press: true}},
 		{"one turned away some seconds ago", func(s *stand) {
-			s.SetWork(Work{})
+			s.SetMaintenance(Maintenance{})
 			s.fill(true)
 			s.ask(context.Background(), "r", 0)
 			s.fill(false)
@@ -59,17 +67,17 @@
 		}, told{Query: served}},
 	} {
 		synctest.Test(t, func(t *testing.T) {
-			s := newStand(t, 20, func(s *stand, o *Order) {
+			s := newStand(t, 20, func(s *stand, o *Command) {
 				if len(o.Call) > 0 && o.Call[0].ID == "held.3" {
 					return // no answer; it ends as it is given up
 				}
 				serve(s, o)
-			}, (*Core).WatchWork)
+			}, (*Coordinator).EnableMaintenance)
 			s.fleet.Replace([]Member{{ID: "n1", Addr: "127.0.0.1:1"}}, false)
 			time.Sleep(10 * tick)
 			c.change(s)
 			time.Sleep(10 * tick)
-			got := told{Quiet: s.Quiet("n1"), Present: s.IsPresent(), Press: s.Pressed()}
+			got := told{Quiet: s.Idle("n1"), Present: s.IsPresent(), Press: s.Overloaded()}
 			if c.want.Query != "" {
 				got.Query = s.ask(t.Context(), "q", 0)
 			}
@@ -84,17 +92,17 @@
 // TestSight: what is told of the ends of attempts; of one that was given up, nothing.
 func TestSight(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		ends := map[string]Result{"ok.0": {Outcome: Served, Docs: [][]byte{[]byte("v")}, Load: map[string]float64{"util": 0.5}}, "bad.1": {Outcome: NotConnected},
-			"gone.2": {Outcome: Dropped}}
-		s := newStand(t, 0, func(s *stand, o *Order) {
+		ends := map[string]Result{"ok.0": {Outcome: OK, Docs: [][]byte{[]byte("v")}, LoadReport: map[string]float64{"util": 0.5}}, "bad.1": {Outcome: NotConnected},
+			"gone.2": {Outcome: Cancelled}}
+		s := newStand(t, 0, func(s *stand, o *Command) {
 			for _, a := range o.Call {
 				time.Sleep(20 * time.Millisecond)
 				s.Report(a, ends[a.ID])
 			}
 		})
 		var mu sync.Mutex
-		var got []Sight
-		s.OnSight(func(x Sight) {
+		var got []Observation
+		s.OnObservation(func(x Observation) {
 			mu.Lock()
 			defer mu.Unlock()
 			if got = append(got, x); x.Latency < 0 || x.Latency > 50*time.Millisecond {
@@ -110,7 +118,7 @@
 		defer cancel()
 		s.ask(ctx, "bad", 1)
 		synctest.Wait()
-		want := []Sight{{Node: "n1", Busy: 0.5}, {Node: "n1", Failed: true, Busy: -1}}
+		want := []Observation{{Node: "n1", Utilization: 0.5}, {Node: "n1", Failed: true, Utilization: -1}}
 		mu.Lock()
 		if d := cmp.Diff(want, got[:min(len(got), 2)]); d != "" {
 			t.Errorf("(-want +got)\n%s", d)
@@ -122,8 +130,8 @@
 
 // fill has as much open as the settings allow, or no longer.
 func (s *stand) fill(full bool) {
-	s.Core.mu.Lock()
-	defer s.Core.mu.Unlock()
+	s.Coordinator.mu.Lock()
+	defer s.Coordinator.mu.Unlock()
 	if full {
 		s.pending += 20
 	} else {
--- a/internal/coordinator/nodes.go
+++ b/internal/coordinator/nodes.go
@@ -29,17 +29,17 @@
 )
 
 // Carry serves one data node: it picks up orders until Pick says that there will be none.
-type Carry func(*Node)
+type Dispatcher func(*Node)
 
 // Node is a data node as its carrier sees it.
 type Node struct {
 	id      string
-	c       *Core
+	c       *Coordinator
 	member  Member
-	carry   Carry
+	carry   Dispatcher
 	begun   bool // carry runs
 	barred  atomic.Bool
-	orders  []*Order
+	orders  []*Command
 	ready   chan struct{}
 	out     int  // attempts without an end
 	retired bool // it has left the list; its carrier ends once nothing is out
@@ -59,11 +59,11 @@
 }
 
 // Barred tells that the list says draining or gone: nothing more may be written to it, queued calls included.
-func (n *Node) Barred() bool { return n.barred.Load() || n.announced.Load() && n.c.absent() }
+func (n *Node) Excluded() bool { return n.barred.Load() || n.announced.Load() && n.c.absent() }
 
 // Pick waits for the next order. It returns nil once the data node has left the list
 // and nothing of it is out.
-func (n *Node) Pick(ctx context.Context) *Order {
+func (n *Node) Pick(ctx context.Context) *Command {
 	for {
 		n.c.mu.Lock()
 		if len(n.orders) > 0 {
@@ -87,7 +87,7 @@
 
 // post leaves orders for the carrier, which begins with the first: a list may name far more data nodes than are ever sent to. It never
 // blocks.
-func (n *Node) post(list ...*Order) {
+func (n *Node) post(list ...*Command) {
 	n.c.mu.Lock()
 	n.orders = append(n.orders, list...)
 	if !n.begun {
@@ -119,7 +119,7 @@
 }
 
 // Carrier names what serves the data nodes of a protocol, one goroutine for each that has been sent to. It comes before the first list.
-func (c *Core) Carrier(proto string, carry Carry) {
+func (c *Coordinator) RegisterDispatcher(proto string, carry Dispatcher) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.carriers[proto] = carry
@@ -127,37 +127,37 @@
 
 // Source is one of those that tell of data nodes.
 type Source struct {
-	c *Core
+	c *Coordinator
 	s *membership.Source
 }
 
 // Source adds one to those that the list is joined from.
-func (c *Core) Source(spec membership.Spec) *Source {
+func (c *Coordinator) Source(spec membership.Spec) *Source {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return &Source{c, c.table.Source(spec)}
 }
 
 // Tell takes in what the source has told.
-func (s *Source) Tell(u membership.Update) {
-	s.c.join(u.Full && u.Basis != membership.Failed, u.Remembered, func(now time.Time) membership.Result { return s.s.Told(now, u) })
+func (s *Source) Update(u membership.Update) {
+	s.c.join(u.Full && u.Basis != membership.Failed, u.Cached, func(now time.Time) membership.Result { return s.s.Update(now, u) })
 }
 
 // Change takes in the entries that have changed.
-func (s *Source) Change(members []Member) { s.Tell(membership.Update{Records: members}) }
+func (s *Source) Change(members []Member) { s.Update(membership.Update{Records: members}) }
 
 // Replace takes in a complete list: what it lacks is gone. A remembered list may be out of date.
 func (s *Source) Replace(members []Member, remembered bool) {
-	s.Tell(membership.Update{Full: true, Remembered: remembered, Records: members})
+	s.Update(membership.Update{Full: true, Cached: remembered, Records: members})
 }
 
 // Heard renews the lease of what the source has told: nothing has changed there.
-func (s *Source) Heard() { s.c.join(false, false, s.s.Heard) }
+func (s *Source) Renew() { s.c.join(false, false, s.s.Renew) }
 
 // Saw takes in the serial that a zone has now, and tells whether its list is to be fetched.
-func (s *Source) Saw(serial uint32) (fetch bool) {
+func (s *Source) SerialSeen(serial uint32) (fetch bool) {
 	s.c.join(false, false, func(now time.Time) (r membership.Result) {
-		fetch, r = s.s.Saw(now, serial)
+		fetch, r = s.s.SerialSeen(now, serial)
 		return r
 	})
 	return fetch
@@ -171,18 +171,18 @@
 }
 
 // Covered is how many shards have a serving data node now.
-func (c *Core) Covered() (n int) {
+func (c *Coordinator) CoveredShards() (n int) {
 	c.mu.Lock()
 	cells := map[int]bool{}
 	for _, m := range c.table.List() {
 		if m.State == Serving {
-			cells[m.Cell] = true
+			cells[m.ShardSet] = true
 		}
 	}
 	c.mu.Unlock()
 	for shard := range c.set.Shards {
 		for i := range c.set.Reach {
-			if cells[(shard+i)%c.set.Cells] {
+			if cells[(shard+i)%c.set.ShardSets] {
 				n++
 				break
 			}
@@ -193,7 +193,7 @@
 
 // join lets the membership table decide, applies what it has decided at once, ahead of the next Step, and passes it
 // on to the module: the whole list, where a source has told one, or what has changed.
-func (c *Core) join(full, remembered bool, decide func(now time.Time) membership.Result) {
+func (c *Coordinator) join(full, remembered bool, decide func(now time.Time) membership.Result) {
 	c.mu.Lock()
 	now := time.Now()
 	r := decide(now)
@@ -201,18 +201,18 @@
 		c.zoneList(now)
 	}
 	c.version++
-	var started []Sight
+	var started []Observation
 	event := aggregator.Event{Kind: aggregator.ListChanged}
 	for _, m := range r.Changes {
 		c.apply(m)
 		event.Members = append(event.Members, c.member(m))
-		if ago := now.Sub(m.Started); m.State == Serving && !m.Started.IsZero() && ago < c.set.Rules.WarmAfter {
-			started = append(started, Sight{Node: m.ID, Started: true, Ago: ago, Busy: -1})
+		if ago := now.Sub(m.Started); m.State == Serving && !m.Started.IsZero() && ago < c.set.Rules.WarmupTime {
+			started = append(started, Observation{Node: m.ID, Started: true, Ago: ago, Utilization: -1})
 		}
 	}
 	switch {
 	case full && remembered && !c.listed:
-		event = c.whole(aggregator.ListRemembered)
+		event = c.whole(aggregator.ListCached)
 	case full && !remembered:
 		c.listed = true
 		event = c.whole(aggregator.ListReplaced)
@@ -234,13 +234,13 @@
 }
 
 // warnings are the notes that someone should look at.
-var warnings = map[membership.What]bool{membership.Held: true, membership.Emptied: true, membership.WentBack: true,
+var warnings = map[membership.Cause]bool{membership.Held: true, membership.Emptied: true, membership.WentBack: true,
 	membership.Stale: true, membership.Lapsed: true, membership.Suppressed: true, membership.Excess: true, membership.Unfit: true}
 
 // mostLines is how many lines one change of the list may cost; beyond, what happened alike to several is told in one.
 const mostLines = 50
 
-func (c *Core) explainAll(notes []membership.Note) {
+func (c *Coordinator) explainAll(notes []membership.Note) {
 	if len(notes) <= mostLines {
 		for _, n := range notes {
 			c.explain(n)
@@ -248,38 +248,38 @@
 		return
 	}
 	type alike struct {
-		what   membership.What
+		what   membership.Cause
 		source string
 	}
 	count := map[alike]int{}
 	for _, n := range notes {
 		if n.ID != "" {
-			count[alike{n.What, n.Source}]++
+			count[alike{n.Cause, n.Source}]++
 		}
 	}
 	for _, n := range notes {
-		switch k := (alike{n.What, n.Source}); {
+		switch k := (alike{n.Cause, n.Source}); {
 		case n.ID == "" || count[k] == 1:
 			c.explain(n)
 		case count[k] > 1:
 			level := slog.LevelInfo
-			if warnings[n.What] {
+			if warnings[n.Cause] {
 				level = slog.LevelWarn
 			}
-			c.log.Log(context.Background(), level, "data nodes "+string(n.What), "count", count[k], "source", n.Source, "first", n.ID)
+			c.log.Log(context.Background(), level, "data nodes "+string(n.Cause), "count", count[k], "source", n.Source, "first", n.ID)
 			count[k] = 0
 		}
 	}
 }
 
 // explain logs why the list changes, or does not.
-func (c *Core) explain(n membership.Note) {
+func (c *Coordinator) explain(n membership.Note) {
 	level := slog.LevelInfo
-	if warnings[n.What] {
+	if warnings[n.Cause] {
 		level = slog.LevelWarn
 	}
 	var args []any
-	msg := string(n.What)
+	msg := string(n.Cause)
 	if n.ID != "" {
 		msg = "data node " + msg
 		args = append(args, "node", n.ID)
@@ -293,21 +293,21 @@
 	c.log.Log(context.Background(), level, msg, args...)
 }
 
-var evidence = map[Outcome]membership.Evidence{Served: membership.Answered, Errored: membership.Answered,
-	Busy: membership.Turned, NotConnected: membership.Refused, ConnectTimeout: membership.Refused, Reset: membership.Lost, Cut: membership.Reopened}
+var evidence = map[Outcome]membership.Evidence{OK: membership.Answered, Errored: membership.Answered,
+	Overloaded: membership.Rejected, NotConnected: membership.ConnectionRefused, ConnectTimeout: membership.ConnectionRefused, Reset: membership.ConnectionReset, ConnectionLost: membership.ConnectionReopened}
 
 // saw passes on what the end of an attempt or a probe says of a data node; not of one that has since moved or gone.
-func (c *Core) saw(n *Node, end Outcome) {
+func (c *Coordinator) saw(n *Node, end Outcome) {
 	e, known := evidence[end]
-	if !known || n.Barred() || c.node(n.id) != n {
+	if !known || n.Excluded() || c.node(n.id) != n {
 		return
 	}
-	c.join(false, false, func(now time.Time) membership.Result { return c.table.Seen(now, n.id, e) })
+	c.join(false, false, func(now time.Time) membership.Result { return c.table.Observe(now, n.id, e) })
 }
 
 // apply notes an entry, and starts or retires the data node's carrier. One that has moved is served by a new carrier:
 // nothing more goes to the old address, and what is out there ends there.
-func (c *Core) apply(m Member) {
+func (c *Coordinator) apply(m Member) {
 	n := c.nodes[m.ID]
 	if n != nil && (m.State == Gone || n.member.Addr != m.Addr || n.member.Proto != m.Proto) {
 		n.bar(true)
@@ -340,13 +340,13 @@
 // caller holds the lock.
 func (n *Node) bar(bar bool) {
 	if n.barred.Swap(bar) != bar && bar && n.begun {
-		n.orders = append(n.orders, &Order{Barred: true})
+		n.orders = append(n.orders, &Command{RejectQueued: true})
 		n.signal()
 	}
 }
 
 // whole is the joined list of all sources. The caller holds the lock.
-func (c *Core) whole(kind aggregator.EventKind) aggregator.Event {
+func (c *Coordinator) whole(kind aggregator.EventKind) aggregator.Event {
 	event := aggregator.Event{Kind: kind}
 	for _, m := range c.table.List() {
 		event.Members = append(event.Members, c.member(m))
@@ -355,9 +355,9 @@
 }
 
 // member turns an entry into the module's terms.
-func (c *Core) member(m Member) aggregator.Member {
-	out := aggregator.Member{Replica: m.ID, Cell: m.Cell, Zone: m.Zone, Size: m.Weight,
-		State: []aggregator.State{aggregator.On, aggregator.Draining, aggregator.Gone}[m.State]}
+func (c *Coordinator) member(m Member) aggregator.Member {
+	out := aggregator.Member{Replica: m.ID, ShardSet: m.ShardSet, Zone: m.Zone, Size: m.Weight,
+		State: []aggregator.State{aggregator.Serving, aggregator.Draining, aggregator.Gone}[m.State]}
 	if !m.Started.IsZero() {
 		out.Started = max(c.clock(m.Started), time.Nanosecond)
 	}
@@ -365,7 +365,7 @@
 }
 
 // node finds a listed data node.
-func (c *Core) node(id string) *Node {
+func (c *Coordinator) node(id string) *Node {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.nodes[id]
--- a/internal/coordinator/observation.go
+++ b/internal/coordinator/observation.go
@@ -5,31 +5,31 @@
 import "time"
 
 // Sight is what the end of an attempt or a probe shows of a data node, or the list of its start, or a zone's verdict of all that fails there.
-type Sight struct {
-	Node    string
-	Failed  bool          // a refused or reset connection, or whatever its zone was left for; else it answered
-	Latency time.Duration // of an answered attempt; 0 where not known
-	Busy    float64       // as it reported; below 0 where it did not
-	Started bool          // it has lately; then nothing else is said
-	Ago     time.Duration // since then
+type Observation struct {
+	Node        string
+	Failed      bool          // a refused or reset connection, or whatever its zone was left for; else it answered
+	Latency     time.Duration // of an answered attempt; 0 where not known
+	Utilization float64       // as it reported; below 0 where it did not
+	Started     bool          // it has lately; then nothing else is said
+	Ago         time.Duration // since then
 }
 
 // OnSight has f told of each from now on. It is called on core's own goroutines and must not block.
-func (c *Core) OnSight(f func(Sight)) { c.sight.Store(&f) }
+func (c *Coordinator) OnObservation(f func(Observation)) { c.sight.Store(&f) }
 
 // sighted passes on how an attempt or a probe ended; a is nil for a probe. An attempt that was given up says nothing.
-func (c *Core) sighted(n *Node, a *Attempt, end Outcome, load map[string]float64, now time.Time) {
+func (c *Coordinator) sighted(n *Node, a *Attempt, end Outcome, load map[string]float64, now time.Time) {
 	f := c.sight.Load()
 	if f == nil {
 		return
 	}
-	s := Sight{Node: n.id, Busy: -1}
+	s := Observation{Node: n.id, Utilization: -1}
 	switch end {
-	case Served, Errored, Busy:
+	case OK, Errored, Overloaded:
 		if u, ok := load["util"]; ok {
-			s.Busy = u
+			s.Utilization = u
 		}
-		if end == Served && a != nil {
+		if end == OK && a != nil {
 			s.Latency = now.Sub(a.begun)
 		}
 	case NotConnected, ConnectTimeout, Reset:
