--- a/internal/coordinator/sources_test.go
+++ b/internal/coordinator/sources_test.go
@@ -18,7 +18,7 @@
 // does not go out twice, and nothing new goes there.
 func TestRemovalWithPartsOut(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := newStand(t, 0, func(s *stand, o *Order) {
+		s := newStand(t, 0, func(s *stand, o *Command) {
 			if o.Call != nil {
 				time.Sleep(300 * time.Millisecond)
 			}
@@ -47,7 +47,7 @@
 	seen []string
 }
 
-func (l *log) carry(s *stand, name string) Carry {
+func (l *log) carry(s *stand, name string) Dispatcher {
 	return func(n *Node) {
 		addr := n.Addr()
 		for o := n.Pick(context.Background()); o != nil; o = n.Pick(context.Background()) {
@@ -76,8 +76,8 @@
 		s := newStand(t, 0, serve)
 		s.fleet.Replace(nil, false) // only what follows
 		var l log
-		s.Carrier("x", l.carry(s, "x:"))
-		s.Carrier("y", l.carry(s, "y:"))
+		s.RegisterDispatcher("x", l.carry(s, "x:"))
+		s.RegisterDispatcher("y", l.carry(s, "y:"))
 		zone, dir := s.Source(membership.Spec{Name: "zone", Rank: 9, Damped: true}), s.Source(membership.Spec{Name: "dir", Rank: 1})
 		n := 0
 		expect := func(what, want string) {
@@ -98,7 +98,7 @@
 		expect("and serves again", "y:2")
 		zone.Change([]Member{{ID: "a", Addr: "3", Proto: "y"}})
 		expect("it has moved", "y:3")
-		zone.Tell(membership.Update{Basis: membership.Failed, Cause: "REFUSED"})
+		zone.Update(membership.Update{Basis: membership.Failed, Cause: "REFUSED"})
 		expect("its owner is in trouble", "y:3")
 		zone.Replace(nil, false)
 		expect("its owner has removed it", "")
@@ -119,7 +119,7 @@
 		var mu sync.Mutex
 		s := newStand(t, 0, serve)
 		s.fleet.Replace(nil, false)
-		s.Carrier("first", func(n *Node) {
+		s.RegisterDispatcher("first", func(n *Node) {
 			for o := n.Pick(context.Background()); o != nil; o = n.Pick(context.Background()) {
 				mu.Lock()
 				if o.Call != nil && down {
@@ -135,8 +135,8 @@
 		zone := s.Source(membership.Spec{Name: "zone"})
 		zone.Replace([]Member{{ID: "a", Addr: "1", Proto: "first", Priority: 0}, {ID: "b", Addr: "2", Priority: 10}}, false)
 		state := func() string {
-			s.Core.mu.Lock()
-			defer s.Core.mu.Unlock()
+			s.Coordinator.mu.Lock()
+			defer s.Coordinator.mu.Unlock()
 			return s.table.List()[1].State.String()
 		}
 		if got := state(); got != "draining" {
--- a/internal/coordinator/zones.go
+++ b/internal/coordinator/zones.go
@@ -35,7 +35,7 @@
 
 // WatchZones lets zones that fail as a whole be left and returned to at a pace. It is called before Run; without it
 // each data node is judged alone, as on the platform.
-func (c *Core) WatchZones(cfg zones.Config) error {
+func (c *Coordinator) WatchZones(cfg zones.Config) error {
 	t, err := zones.New(cfg)
 	if err != nil {
 		return err
@@ -48,7 +48,7 @@
 }
 
 // Zones gives the verdicts of all zones; nil where zones are not watched.
-func (c *Core) Zones() []zones.Status {
+func (c *Coordinator) Zones() []zones.Status {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.zones == nil {
@@ -59,7 +59,7 @@
 
 // DrainZones makes the zones drained by an operator's word exactly those named: they are left whatever the guard
 // says, and those drained before that are no longer named return at a pace.
-func (c *Core) DrainZones(names []string) error {
+func (c *Coordinator) DrainZones(names []string) error {
 	c.mu.Lock()
 	if c.zones == nil {
 		c.mu.Unlock()
@@ -95,7 +95,7 @@
 	return nil
 }
 
-var zoneEvidence = map[Outcome]zones.Evidence{Served: zones.Good, Errored: zones.Good, NotConnected: zones.Refused, ConnectTimeout: zones.Refused,
+var zoneEvidence = map[Outcome]zones.Evidence{OK: zones.Good, Errored: zones.Good, NotConnected: zones.Refused, ConnectTimeout: zones.Refused,
 	Reset: zones.Refused}
 
 // zoneSaw passes on what the end of an attempt or a probe says of a data node's zone. An attempt given up because its
@@ -106,7 +106,7 @@
 // connection that was lost and is open again says nothing either, until what is sent on the new one is lost as well with no
 // answer between: a data node that takes connections and resets each is no better than one that refuses. The caller holds
 // no lock; a is nil for a probe.
-func (c *Core) zoneSaw(n *Node, a *Attempt, end Outcome, now time.Time) {
+func (c *Coordinator) zoneSaw(n *Node, a *Attempt, end Outcome, now time.Time) {
 	if c.zones == nil {
 		return
 	}
@@ -114,14 +114,14 @@
 	defer c.mu.Unlock()
 	e, known := zoneEvidence[end]
 	switch {
-	case end == Served || end == Errored || end == Busy:
+	case end == OK || end == Errored || end == Overloaded:
 		c.zones.heard[n.id] = now
-	case end == Cut && a != nil:
+	case end == ConnectionLost && a != nil:
 		if last := c.zones.cut[n.id]; !last.IsZero() && a.begun.After(last) && c.zones.heard[n.id].Before(last) {
 			e, known = zones.Refused, true
 		}
 		c.zones.cut[n.id] = now
-	case end != Dropped || a == nil:
+	case end != Cancelled || a == nil:
 	case a.why == aggregator.TimedOut, a.why == aggregator.Cancelled && c.zones.heard[n.id].Before(a.begun):
 		e, known = zones.TimedOut, true
 	}
@@ -131,7 +131,7 @@
 }
 
 // zoneList passes on which data nodes serve, by zone; the caller holds the lock.
-func (c *Core) zoneList(now time.Time) {
+func (c *Coordinator) zoneList(now time.Time) {
 	if c.zones == nil {
 		return
 	}
@@ -156,7 +156,7 @@
 
 // zoneStep takes the verdicts that are due and returns the event that hands the module what changed, and when the
 // verdicts must be taken again; the caller holds no lock.
-func (c *Core) zoneStep(now time.Time) (event aggregator.Event, changed bool, next time.Time) {
+func (c *Coordinator) zoneStep(now time.Time) (event aggregator.Event, changed bool, next time.Time) {
 	if c.zones == nil {
 		return event, false, time.Time{}
 	}
@@ -189,7 +189,7 @@
 	}
 	settled := true
 	for _, s := range c.zones.t.All(now) {
-		if s.Verdict != zones.Healthy || s.Failing > 0 {
+		if s.State != zones.Healthy || s.Failing > 0 {
 			settled = false
 		}
 	}
@@ -205,7 +205,7 @@
 	// What was seen there is told once it is clear, as a silence is not by one attempt.
 	if f := c.sight.Load(); f != nil {
 		for _, id := range failing {
-			(*f)(Sight{Node: id, Failed: true, Busy: -1})
+			(*f)(Observation{Node: id, Failed: true, Utilization: -1})
 		}
 	}
 	if !settled {
@@ -216,7 +216,7 @@
 
 // zoneMembers is the list event that hands the module the data nodes of the zones that changed; the caller holds
 // the lock.
-func (c *Core) zoneMembers(changes []zones.Change) aggregator.Event {
+func (c *Coordinator) zoneMembers(changes []zones.Change) aggregator.Event {
 	of := map[string]bool{}
 	for _, ch := range changes {
 		of[ch.Zone] = true
@@ -231,14 +231,14 @@
 }
 
 // zoned turns a member's state and start by its zone's verdict; the caller holds the lock.
-func (c *Core) zoned(m Member, out aggregator.Member) aggregator.Member {
+func (c *Coordinator) zoned(m Member, out aggregator.Member) aggregator.Member {
 	if c.zones == nil {
 		return out
 	}
-	if out.State == aggregator.On && !c.zones.t.Usable(m.Zone) {
+	if out.State == aggregator.Serving && !c.zones.t.Usable(m.Zone) {
 		out.State = aggregator.Draining
 	}
-	if since, ok := c.zones.t.ColdSince(m.Zone); ok {
+	if since, ok := c.zones.t.WarmingSince(m.Zone); ok {
 		out.Started = max(out.Started, c.clock(since))
 	}
 	return out
--- a/internal/coordinator/zones_test.go
+++ b/internal/coordinator/zones_test.go
@@ -34,14 +34,14 @@
 // refuses connections, Cut where it takes and resets them, Dropped where it is silent and takes what it is sent.
 func playZoneLoss(t *testing.T, watch bool, how Outcome) (run zoneRun, coldMost int) {
 	const work, window = 50 * time.Millisecond, time.Second
-	rules := aggregator.Rules{DrainGrace: 2 * time.Second, FallMultiple: 2, FallWindow: window, ColdShare: 0.3,
-		WarmAfter: 5 * time.Second}
-	coldMost = int(rules.FallMultiple * rules.ColdShare * float64(window/work))
+	rules := aggregator.Rules{DrainGrace: 2 * time.Second, OverloadMultiple: 2, OverloadWindow: window, InitialCapacity: 0.3,
+		WarmupTime: 5 * time.Second}
+	coldMost = int(rules.OverloadMultiple * rules.InitialCapacity * float64(window/work))
 	synctest.Test(t, func(t *testing.T) {
-		set := aggregator.Settings{Aggregators: 1, Tick: tick, Cells: 4, Shards: 4, Reach: 1, CallCost: time.Millisecond,
-			Rules: rules, Classes: []aggregator.Class{{Name: "report", Aim: time.Second, Deadline: 2 * time.Second, Worth: 1,
-				Need: 1, Floor: 1}},
-			Limits: aggregator.Limits{Attempts: 3, Bundle: 8, Cancel: true, RetryAfter: true, MaxRetryAfter: time.Second}}
+		set := aggregator.Settings{Aggregators: 1, Tick: tick, ShardSets: 4, Shards: 4, Reach: 1, CallCost: time.Millisecond,
+			Rules: rules, Classes: []aggregator.Class{{Name: "report", LatencyObjective: time.Second, Deadline: 2 * time.Second, Priority: 1,
+				CompleteShare: 1, MinShare: 1}},
+			Limits: aggregator.Limits{MaxAttempts: 3, MaxBatch: 8, CanCancel: true, SendRetryAfter: true, MaxRetryAfter: time.Second}}
 		var logged lines
 		c, err := New(set, 7, slog.New(slog.NewTextHandler(&logged, nil)))
 		if err != nil {
@@ -57,7 +57,7 @@
 		start := time.Now()
 		var died, back time.Time
 		perNode := map[string]int{}
-		c.Carrier("", func(n *Node) {
+		c.RegisterDispatcher("", func(n *Node) {
 			for o := n.Pick(context.Background()); o != nil; o = n.Pick(context.Background()) {
 				for _, a := range o.Call {
 					inA := n.ID()[0] == 'a'
@@ -74,15 +74,15 @@
 					}
 					mu.Unlock()
 					if inA && dead.Load() {
-						if how != Dropped {
+						if how != Cancelled {
 							c.Report(a, Result{Outcome: how})
 						}
 						continue
 					}
-					time.AfterFunc(work, func() { c.Report(a, Result{Outcome: Served, Docs: [][]byte{[]byte("v")}}) })
+					time.AfterFunc(work, func() { c.Report(a, Result{Outcome: OK, Docs: [][]byte{[]byte("v")}}) })
 				}
-				if o.Drop != nil {
-					c.Report(o.Drop, Result{Outcome: Dropped})
+				if o.Cancel != nil {
+					c.Report(o.Cancel, Result{Outcome: Cancelled})
 				}
 			}
 		})
@@ -92,7 +92,7 @@
 		var list []Member
 		for _, z := range []string{"a", "b", "c"} {
 			for cell := range 4 {
-				list = append(list, Member{ID: fmt.Sprint(z, cell), Addr: fmt.Sprint(z, cell), Zone: z, Cell: cell,
+				list = append(list, Member{ID: fmt.Sprint(z, cell), Addr: fmt.Sprint(z, cell), Zone: z, ShardSet: cell,
 					Weight: 1, Started: start.Add(-time.Hour)})
 			}
 		}
@@ -103,7 +103,7 @@
 			q := Query{ID: fmt.Sprint("q", i), Class: "report", Deadline: time.Now().Add(2 * time.Second),
 				Parts: []Part{{Shard: i % 4, Weight: 1, Work: work}}}
 			wg.Go(func() {
-				if a, _ := c.Ask(t.Context(), q); a.Verdict == Answered && a.Whole {
+				if a, _ := c.Execute(t.Context(), q); a.Status == Answered && a.Complete {
 					answered.Add(1)
 				}
 			})
@@ -188,7 +188,7 @@
 // parts elsewhere. That nothing was heard from a data node since an attempt was sent is the evidence. One that takes connections
 // and resets each gives none either but that nothing is heard between two of them.
 func TestZoneWithoutRefusalsLeft(t *testing.T) {
-	for how, name := range map[Outcome]string{Dropped: "silent", Cut: "resetting"} {
+	for how, name := range map[Outcome]string{Cancelled: "silent", ConnectionLost: "resetting"} {
 		off, _ := playZoneLoss(t, false, how)
 		on, _ := playZoneLoss(t, true, how)
 		t.Logf("%s, judged by data node: %+v", name, off)
--- a/internal/dnssd/follow.go
+++ b/internal/dnssd/follow.go
@@ -32,10 +32,10 @@
 }
 
 // Teller is who is told of a zone: a source of the core, or the command line.
-type Teller interface {
-	Tell(membership.Update)
-	Heard()
-	Saw(serial uint32) (fetch bool)
+type Updater interface {
+	Update(membership.Update)
+	Renew()
+	SerialSeen(serial uint32) (fetch bool)
 }
 
 // How often things are asked.
@@ -53,7 +53,7 @@
 type Follower struct {
 	Zone   Zone
 	Client *Client
-	To     Teller
+	To     Updater
 	Log    *slog.Logger
 	Poll   time.Duration // 0 means DefaultPoll
 	Report func([]Problem)
@@ -102,7 +102,7 @@
 		}
 		pause := f.Poll
 		if err != nil {
-			f.To.Tell(membership.Update{Basis: membership.Failed, Cause: cause(err)})
+			f.To.Update(membership.Update{Basis: membership.Failed, Cause: cause(err)})
 			f.server = (f.server + 1) % len(f.Zone.Servers)
 			// The next server is asked at once; once none has answered, less and less often.
 			if f.failures++; f.failures%len(f.Zone.Servers) != 0 {
@@ -160,10 +160,10 @@
 		return f.browse(ctx, server)
 	}
 	if f.relayed && f.dated && soa.Serial == f.serial {
-		f.To.Heard()
+		f.To.Renew()
 		return nil
 	}
-	if !f.To.Saw(soa.Serial) && f.held != nil && !f.undone {
+	if !f.To.SerialSeen(soa.Serial) && f.held != nil && !f.undone {
 		return nil
 	}
 	f.apex = soa.Hdr.Name
@@ -243,7 +243,7 @@
 		}
 	}
 	if next.prune(f.kinds()); f.relayed && len(next.sets) == 0 && f.held != nil && len(f.held.sets) > 0 {
-		f.To.Tell(membership.Update{Basis: membership.Relayed, Full: true})
+		f.To.Update(membership.Update{Basis: membership.Relayed, Full: true})
 		return nil
 	}
 	f.held, f.whole = next, false
@@ -337,7 +337,7 @@
 	if !complete && f.relayed && len(out.nodes) == 0 {
 		return
 	}
-	f.To.Tell(u)
+	f.To.Update(u)
 }
 
 // trouble logs what can't be used, once for each cause.
--- a/internal/dnssd/follow_test.go
+++ b/internal/dnssd/follow_test.go
@@ -35,29 +35,29 @@
 	notes  []string
 }
 
-func (r *rig) Tell(u membership.Update) {
+func (r *rig) Update(u membership.Update) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.add(r.source.Told(time.Now(), u))
+	r.add(r.source.Update(time.Now(), u))
 }
 
-func (r *rig) Heard() {
+func (r *rig) Renew() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.add(r.source.Heard(time.Now()))
+	r.add(r.source.Renew(time.Now()))
 }
 
-func (r *rig) Saw(serial uint32) (fetch bool) {
+func (r *rig) SerialSeen(serial uint32) (fetch bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	fetch, res := r.source.Saw(time.Now(), serial)
+	fetch, res := r.source.SerialSeen(time.Now(), serial)
 	r.add(res)
 	return fetch
 }
 
 func (r *rig) add(res membership.Result) {
 	for _, n := range res.Notes {
-		r.notes = append(r.notes, strings.Join(strings.Fields(string(n.What)+" "+n.ID+" "+n.Detail), " "))
+		r.notes = append(r.notes, strings.Join(strings.Fields(string(n.Cause)+" "+n.ID+" "+n.Detail), " "))
 	}
 }
 
--- a/internal/dnssd/records.go
+++ b/internal/dnssd/records.go
@@ -351,7 +351,7 @@
 	}
 	rec.Zone = text["zone"]
 	if s, said := text["cell"]; said {
-		if rec.Cell, err = strconv.Atoi(s); err != nil || rec.Cell < 0 {
+		if rec.ShardSet, err = strconv.Atoi(s); err != nil || rec.ShardSet < 0 {
 			return fmt.Errorf("TXT cell=%q is no number from 0 on", s)
 		}
 	}
--- a/internal/dnssd/records_test.go
+++ b/internal/dnssd/records_test.go
@@ -74,7 +74,7 @@
 	}{
 		"whole": {ptr + "\n" + srv + "\n" + host + "\n" + text(`""`), &base, "", 0},
 		"described": {ptr + "\n" + srv + "\n" + host + "\n" + text(`"id=n7" "cell=2" "zone=b" "weight=2" "proto=flight" "started_ms=9" "state=serving"`), with(func(r *membership.Record) {
-			r.ID, r.Cell, r.Zone, r.Weight, r.Proto, r.Started, r.Unstated = "n7", 2, "b", 2, Flight, time.UnixMilli(9), false
+			r.ID, r.ShardSet, r.Zone, r.Weight, r.Proto, r.Started, r.Unstated = "n7", 2, "b", 2, Flight, time.UnixMilli(9), false
 		}), "", 0},
 		"long ago":        {ptr + "\n" + srv + "\n" + host + "\n" + text(`"started_ms=0"`), with(func(r *membership.Record) { r.Unstated = false }), "", 0},
 		"draining":        {ptr + "\n" + srv + "\n" + host + "\n" + text(`"state=draining"`), with(func(r *membership.Record) { r.State = membership.Draining }), "", 0},
@@ -179,7 +179,7 @@
 		r.prune([]string{"_dn._tcp.e."})
 		for _, rec := range r.read([]string{"_dn._tcp.e."}, networks).nodes {
 			a, err := netip.ParseAddrPort(rec.Addr)
-			if err != nil || !networks.Contains(a.Addr()) || a.Port() == 0 || rec.ID == "" || rec.Cell < 0 || !(rec.Weight > 0) || rec.State == membership.Gone {
+			if err != nil || !networks.Contains(a.Addr()) || a.Port() == 0 || rec.ID == "" || rec.ShardSet < 0 || !(rec.Weight > 0) || rec.State == membership.Gone {
 				t.Errorf("read %+v", rec)
 			}
 		}
--- a/internal/faults/faults_test.go
+++ b/internal/faults/faults_test.go
@@ -27,8 +27,8 @@
 type protocol struct {
 	name  string
 	stand func(ln net.Listener, b *book, name string) (stop func())
-	carry func(c *coordinator.Core) coordinator.Carry
-	front func(c *coordinator.Core, ln net.Listener) (ask asker, drain func())
+	carry func(c *coordinator.Coordinator) coordinator.Dispatcher
+	front func(c *coordinator.Coordinator, ln net.Listener) (ask asker, drain func())
 	slow  func(t *testing.T, addr string, end time.Time) // asks for shards 0 to 3 and reads nothing of the answer
 	fill  int                                            // bytes of a part that its buffers can't take
 }
@@ -119,22 +119,22 @@
 	ask   asker
 	drain func()
 	nodes []coordinator.Member
-	core  *coordinator.Core
+	core  *coordinator.Coordinator
 	addr  string
 }
 
 func settings() aggregator.Settings {
 	class := func(name string, floor float64) aggregator.Class {
-		return aggregator.Class{Name: name, Aim: time.Second, Deadline: 3 * time.Second, Worth: 1, LateWorth: 0.1,
-			Need: 1, Floor: floor, Partial: 0.9}
+		return aggregator.Class{Name: name, LatencyObjective: time.Second, Deadline: 3 * time.Second, Priority: 1, LateShare: 0.1,
+			CompleteShare: 1, MinShare: floor, PartialShare: 0.9}
 	}
 	entry := class("entry", 1)
-	entry.Effect, entry.Memory = aggregator.Keyed, 2*time.Second
-	return aggregator.Settings{Aggregators: 1, Tick: 5 * time.Millisecond, Cells: 1, Shards: 4, Reach: 1,
+	entry.Effect, entry.DedupWindow = aggregator.Keyed, 2*time.Second
+	return aggregator.Settings{Aggregators: 1, Tick: 5 * time.Millisecond, ShardSets: 1, Shards: 4, Reach: 1,
 		Classes: []aggregator.Class{class("report", 1), class("board", 0.5), entry},
-		Tenants: []aggregator.Tenant{{Name: "club", Rate: 1000}}, OverShareWorth: 0.05,
+		Tenants: []aggregator.Tenant{{Name: "club", Rate: 1000}}, OverQuotaFactor: 0.05,
 		CallCost: time.Millisecond,
-		Limits: aggregator.Limits{Attempts: 3, Bundle: 8, Cancel: true, RetryAfter: true, MaxRetryAfter: time.Second,
+		Limits: aggregator.Limits{MaxAttempts: 3, MaxBatch: 8, CanCancel: true, SendRetryAfter: true, MaxRetryAfter: time.Second,
 			ConnectTimeout: 250 * time.Millisecond, ConnIdle: 30 * time.Second},
 		Rules: aggregator.Rules{DrainGrace: 2 * time.Second},
 	}
@@ -156,7 +156,7 @@
 	ctx, stop := context.WithCancel(context.Background())
 	t.Cleanup(stop)
 	go c.Run(ctx)
-	c.Carrier("", p.carry(c))
+	c.RegisterDispatcher("", p.carry(c))
 	r := &rig{t: t, b: b, core: c, fleet: c.Source(membership.Spec{Name: "list"})}
 	for i := range 2 {
 		name := fmt.Sprintf("n%d", i+1)
--- a/internal/faults/held_test.go
+++ b/internal/faults/held_test.go
@@ -85,7 +85,7 @@
 				t.Run(fmt.Sprintf("%s/%s/cancels=%v", h.name, p.name, cancels), func(t *testing.T) {
 					t.Parallel()
 					set := settings()
-					set.Limits.Cancel = cancels
+					set.Limits.CanCancel = cancels
 					r := newRigWith(t, set, p, 0, "ok")
 					g, release := r.hold()
 					ctx, leave := context.WithDeadline(t.Context(), time.Now().Add(3*time.Second))
--- a/internal/faults/standins_test.go
+++ b/internal/faults/standins_test.go
@@ -49,14 +49,14 @@
 
 var quiet = slog.New(slog.NewTextHandler(io.Discard, nil))
 
-func carryFrames(c *coordinator.Core) coordinator.Carry {
+func carryFrames(c *coordinator.Coordinator) coordinator.Dispatcher {
 	return (&platform.Nodes{Core: c, Log: quiet, Dial: dial, Streams: 32, Connect: 250 * time.Millisecond,
-		Idle: 30 * time.Second, Slots: make(chan struct{}, 64)}).Carry
+		Idle: 30 * time.Second, Slots: make(chan struct{}, 64)}).Dispatch
 }
 
-func carryFlight(c *coordinator.Core) coordinator.Carry {
+func carryFlight(c *coordinator.Coordinator) coordinator.Dispatcher {
 	return (&flight.Nodes{Core: c, Log: quiet, Dial: dial, Streams: 32, Connect: 250 * time.Millisecond,
-		Slots: make(chan struct{}, 64)}).Carry
+		Slots: make(chan struct{}, 64)}).Dispatch
 }
 
 // conns is a listener whose connections can be cut.
@@ -372,7 +372,7 @@
 }
 
 // frontExchange is the Flight front and a client that asks by DoExchange, a stream for each query.
-func frontExchange(c *coordinator.Core, ln net.Listener) (asker, func()) {
+func frontExchange(c *coordinator.Coordinator, ln net.Listener) (asker, func()) {
 	server := flight.NewServer(c, quiet, 16<<20)
 	go server.Serve(ln, 64)
 	cc := channel(ln.Addr().String())
@@ -416,7 +416,7 @@
 }
 
 // frontHTTP is the platform's front and its client.
-func frontHTTP(c *coordinator.Core, ln net.Listener) (asker, func()) {
+func frontHTTP(c *coordinator.Coordinator, ln net.Listener) (asker, func()) {
 	clients := &platform.Clients{Core: c, Log: quiet, MaxConns: 64, BodyMemory: 1 << 20}
 	go clients.Serve(&conns{Listener: ln, narrow: true})
 	ids := ids()
@@ -514,7 +514,7 @@
 }
 
 // frontFlight is the Flight front and its client.
-func frontFlight(c *coordinator.Core, ln net.Listener) (asker, func()) {
+func frontFlight(c *coordinator.Coordinator, ln net.Listener) (asker, func()) {
 	server := flight.NewServer(c, quiet, 16<<20)
 	go server.Serve(ln, 64)
 	cc := channel(ln.Addr().String())
--- a/internal/flight/abuse_test.go
+++ b/internal/flight/abuse_test.go
@@ -229,7 +229,7 @@
 	t.Cleanup(g.Stop)
 	list := []coordinator.Member{{ID: "faulty", Addr: ln.Addr().String(), Weight: 1}}
 	for i, n := range s.nodes {
-		list = append(list, coordinator.Member{ID: n.ID, Addr: n.Addr(), Cell: i % 2, Weight: 1})
+		list = append(list, coordinator.Member{ID: n.ID, Addr: n.Addr(), ShardSet: i % 2, Weight: 1})
 	}
 	s.list.Replace(list, false)
 	return s, g
@@ -449,11 +449,11 @@
 			}()
 		}
 	}()
-	s := start(t, flight.Options{}, 0, func(c *coordinator.Core) coordinator.Carry {
+	s := start(t, flight.Options{}, 0, func(c *coordinator.Coordinator) coordinator.Dispatcher {
 		return (&flight.Nodes{Core: c, Log: slog.New(slog.DiscardHandler), Streams: 64, Connect: time.Second, Slots: make(chan struct{}, 64),
 			Dial: func(ctx context.Context, addr string) (net.Conn, error) {
 				return (&net.Dialer{}).DialContext(ctx, "tcp", addr)
-			}}).Carry
+			}}).Dispatch
 	})
 	s.list.Replace([]coordinator.Member{{ID: "turns", Addr: front.Addr().String(), Weight: 1}}, false)
 	c := s.client()
--- a/internal/flight/calls.go
+++ b/internal/flight/calls.go
@@ -54,7 +54,7 @@
 	if t.ID == "" {
 		t.ID = rand.Text()
 	}
-	q = coordinator.Query{ID: t.ID, Class: t.Class, Owner: t.Owner, Retry: t.Retry, IdempotencyKey: t.Key}
+	q = coordinator.Query{ID: t.ID, Class: t.Class, Tenant: t.Owner, Retry: t.Retry, IdempotencyKey: t.Key}
 	if q.Parts, q.Text, err = queryjson.Parts(raw); err != nil {
 		return q, t, status.Error(codes.InvalidArgument, err.Error())
 	}
@@ -68,7 +68,7 @@
 		return s.parse(d.GetCmd(), g)
 	case d.GetType() == flight.DescriptorPATH && len(d.GetPath()) > 1:
 		path := d.GetPath()
-		q := coordinator.Query{ID: rand.Text(), Class: path[0], Owner: g.who.Owner}
+		q := coordinator.Query{ID: rand.Text(), Class: path[0], Tenant: g.who.Owner}
 		for _, word := range path[1:] {
 			shard, err := strconv.Atoi(word)
 			if err != nil {
@@ -76,7 +76,7 @@
 			}
 			q.Parts = append(q.Parts, coordinator.Part{Shard: shard, Weight: 1 / float64(len(path)-1)})
 		}
-		return q, Ticket{ID: q.ID, Class: q.Class, Owner: q.Owner}, nil
+		return q, Ticket{ID: q.ID, Class: q.Class, Owner: q.Tenant}, nil
 	}
 	return coordinator.Query{}, Ticket{}, status.Error(codes.InvalidArgument, "the descriptor needs a ticket as its command, or a path of a class and its shards")
 }
@@ -123,7 +123,7 @@
 
 // plan opens a flight for a query.
 func (s *Server) plan(q coordinator.Query, t Ticket) (id string, k *kept, err error) {
-	if err := s.Core.Check(&q); err != nil {
+	if err := s.Core.Validate(&q); err != nil {
 		return "", nil, status.Error(codes.InvalidArgument, err.Error())
 	}
 	n := max(1, t.Endpoints)
@@ -138,7 +138,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := time.Now()
-	dropped, err := s.flights.Open(now, id, q.Owner, n, now.Add(s.class(q.Class).limit()))
+	dropped, err := s.flights.Open(now, id, q.Tenant, n, now.Add(s.class(q.Class).limit()))
 	s.forget(dropped)
 	if err != nil {
 		return "", nil, stateStatus(err)
@@ -162,7 +162,7 @@
 	for i := range k.ranges {
 		payload, _ := json.Marshal(fetchTicket{id, i})
 		out.Endpoint = append(out.Endpoint, &flight.FlightEndpoint{ExpirationTime: timestamppb.New(until),
-			Ticket: &flight.Ticket{Ticket: s.keys.seal(forFetch, k.query.Owner, until, payload)}})
+			Ticket: &flight.Ticket{Ticket: s.keys.seal(forFetch, k.query.Tenant, until, payload)}})
 	}
 	return out
 }
@@ -189,7 +189,7 @@
 	if err != nil {
 		return nil, err
 	}
-	if err := s.Core.Check(&q); err != nil {
+	if err := s.Core.Validate(&q); err != nil {
 		return nil, status.Error(codes.InvalidArgument, err.Error())
 	}
 	return &flight.SchemaResult{Schema: flight.SerializeSchema(s.class(q.Class).Schema, memory.DefaultAllocator)}, nil
@@ -237,12 +237,12 @@
 	k.stop = stop
 	s.mu.Unlock()
 	end := time.Now().Add(s.class(k.query.Class).limit())
-	leave, err := s.query(g, k.query.Owner)
+	leave, err := s.query(g, k.query.Tenant)
 	if err == nil {
 		q := k.query
-		q.Deadline, q.In = end, &k.in
+		q.Deadline, q.Received = end, &k.in
 		var answer coordinator.Answer
-		if answer, err = s.Core.Ask(ctx, q); errors.Is(err, coordinator.ErrGone) {
+		if answer, err = s.Core.Execute(ctx, q); errors.Is(err, coordinator.ErrGone) {
 			err = status.Error(codes.Canceled, "was cancelled")
 		} else if err = verdict(ctx, answer, err, end); err == nil {
 			k.answer = answer
@@ -251,7 +251,7 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	dropped, ok := s.flights.Finish(time.Now(), id, err == nil, size(k.answer.Hits))
+	dropped, ok := s.flights.Finish(time.Now(), id, err == nil, size(k.answer.Values))
 	s.forget(dropped)
 	if err == nil && !ok {
 		err = unavailable("answers that are kept hold all they may; fetch those, or ask for less", drainAgain)
@@ -270,14 +270,14 @@
 	if err != nil {
 		return nil, 0, stateStatus(err)
 	}
-	if next == session.Ask {
+	if next == session.Start {
 		go s.run(id, k, g)
 	}
 	return k, next, nil
 }
 
 // missing are the shards of parts that the hits lack.
-func missing(parts []coordinator.Part, hits []coordinator.Hit) (list []int) {
+func missing(parts []coordinator.Part, hits []coordinator.PartValue) (list []int) {
 	have := map[int]bool{}
 	for _, h := range hits {
 		have[h.Shard] = true
@@ -310,7 +310,7 @@
 		return status.Error(codes.InvalidArgument, "a deadline is needed")
 	}
 	q.Deadline = end
-	leave, err := s.query(g, q.Owner)
+	leave, err := s.query(g, q.Tenant)
 	if err != nil {
 		return err
 	}
@@ -319,12 +319,12 @@
 	if err != nil {
 		return err
 	}
-	answer, err := s.Core.Ask(ctx, q)
+	answer, err := s.Core.Execute(ctx, q)
 	if err := verdict(ctx, answer, err, end); err != nil {
 		room.drop()
 		return err
 	}
-	return s.send(room, stream, s.class(q.Class), share{whole: answer.Whole, hits: answer.Hits, missing: missing(q.Parts, answer.Hits)}, o)
+	return s.send(room, stream, s.class(q.Class), share{whole: answer.Complete, hits: answer.Values, missing: missing(q.Parts, answer.Values)}, o)
 }
 
 // send writes a share of an answer to a stream. A reader that is slow holds up its own stream, until its deadline or
@@ -371,13 +371,13 @@
 			return err
 		}
 		switch next {
-		case session.Tell:
+		case session.Report:
 			return k.err
 		case session.Send:
-			parts, whole := k.ranges[t.Range], k.answer.Whole
-			var hits []coordinator.Hit
+			parts, whole := k.ranges[t.Range], k.answer.Complete
+			var hits []coordinator.PartValue
 			for _, p := range parts {
-				for _, h := range k.answer.Hits {
+				for _, h := range k.answer.Values {
 					if h.Shard == p.Shard {
 						hits = append(hits, h)
 					}
@@ -424,15 +424,15 @@
 		if id, _, err = s.plan(q, t); err != nil {
 			return nil, err
 		}
-		owner = q.Owner
+		owner = q.Tenant
 	}
 	k, next, err := s.claim(g, id, owner, -1)
 	if err != nil {
 		return nil, err
 	}
-	if next == session.Wait || next == session.Ask {
+	if next == session.Wait || next == session.Start {
 		before, pause := k.in.Load(), time.NewTimer(pollPause)
-		if next == session.Ask {
+		if next == session.Start {
 			pause.Reset(20 * time.Millisecond) // the first answer is to come soon, with what is to be asked after
 		}
 		ticker := time.NewTicker(10 * time.Millisecond)
@@ -443,7 +443,7 @@
 			case <-pause.C:
 				waiting = false
 			case <-ticker.C:
-				waiting = next == session.Ask || k.in.Load() == before
+				waiting = next == session.Start || k.in.Load() == before
 			case <-s.drain:
 				pause.Stop()
 				ticker.Stop()
--- a/internal/flight/codec.go
+++ b/internal/flight/codec.go
@@ -106,12 +106,12 @@
 type share struct {
 	id      string // of an exchange's query
 	whole   bool
-	hits    []coordinator.Hit
+	hits    []coordinator.PartValue
 	missing []int
 }
 
 // size is the bytes that the documents of hits take.
-func size(hits []coordinator.Hit) (n int64) {
+func size(hits []coordinator.PartValue) (n int64) {
 	for _, h := range hits {
 		for _, doc := range h.Docs {
 			n += int64(len(doc))
--- a/internal/flight/codec_test.go
+++ b/internal/flight/codec_test.go
@@ -19,7 +19,7 @@
 
 func (n *nowhere) Send(m *flight.FlightData) error { n.bytes += int64(len(m.DataBody)); return nil }
 
-func benchmarkWrite(b *testing.B, schema *arrow.Schema, hits []coordinator.Hit, codec string) {
+func benchmarkWrite(b *testing.B, schema *arrow.Schema, hits []coordinator.PartValue, codec string) {
 	s := &Server{}
 	b.ReportAllocs()
 	b.SetBytes(size(hits))
@@ -49,7 +49,7 @@
 			b.Fatal(err)
 		}
 		b.Run(fmt.Sprint(rows), func(b *testing.B) {
-			benchmarkWrite(b, schema, []coordinator.Hit{{Docs: [][]byte{doc}}}, "")
+			benchmarkWrite(b, schema, []coordinator.PartValue{{Docs: [][]byte{doc}}}, "")
 			b.ReportMetric(float64(b.Elapsed().Nanoseconds())/float64(b.N)/float64(rows), "ns/row")
 		})
 	}
@@ -59,11 +59,11 @@
 func BenchmarkDocuments(b *testing.B) {
 	for _, codec := range []string{"", "lz4", "zstd"} {
 		for _, n := range []int{1, 1000} {
-			hit := coordinator.Hit{}
+			hit := coordinator.PartValue{}
 			for i := range n {
 				hit.Docs = append(hit.Docs, fmt.Appendf(nil, "game %d: e4 e5 Nf3 Nc6 Bb5 a6 Ba4 Nf6 O-O Be7 Re1 b5", i))
 			}
-			b.Run(fmt.Sprintf("%s%d", codec, n), func(b *testing.B) { benchmarkWrite(b, Schema, []coordinator.Hit{hit}, codec) })
+			b.Run(fmt.Sprintf("%s%d", codec, n), func(b *testing.B) { benchmarkWrite(b, Schema, []coordinator.PartValue{hit}, codec) })
 		}
 	}
 }
--- a/internal/flight/exchange.go
+++ b/internal/flight/exchange.go
@@ -166,7 +166,7 @@
 		return status.Errorf(codes.InvalidArgument, "class %q on an exchange of class %q", t.Class, e.class.Name)
 	}
 	q.ID, q.Class, q.Deadline = rand.Text(), e.class.Name, end // the client's id is its own, and may be another's too
-	leave, err := s.query(e.g, q.Owner)
+	leave, err := s.query(e.g, q.Tenant)
 	if err != nil {
 		return err
 	}
@@ -175,7 +175,7 @@
 	if err != nil {
 		return err
 	}
-	answer, err := s.Core.Ask(ctx, q)
+	answer, err := s.Core.Execute(ctx, q)
 	if errors.Is(err, coordinator.ErrGone) && time.Now().Before(end) {
 		room.drop()
 		return status.Error(codes.Canceled, "was cancelled")
@@ -184,7 +184,7 @@
 		room.drop()
 		return err
 	}
-	total := size(answer.Hits)
+	total := size(answer.Values)
 	read, err := room.come(total)
 	if err != nil {
 		return err
@@ -193,7 +193,7 @@
 	defer func() { read(left) }()
 	e.writing.Lock()
 	defer e.writing.Unlock()
-	sh := share{id: id, whole: answer.Whole, hits: answer.Hits, missing: missing(q.Parts, answer.Hits)}
+	sh := share{id: id, whole: answer.Complete, hits: answer.Values, missing: missing(q.Parts, answer.Values)}
 	err = write(e.writer(), e.class.Schema, sh, e.opts, func(n int64) { read(n); left -= n })
 	if errors.Is(err, errBatch) {
 		s.Log.Error("answer not fit for the class's schema", "class", e.class.Name, "cause", err)
--- a/internal/flight/nodecalls.go
+++ b/internal/flight/nodecalls.go
@@ -87,7 +87,7 @@
 func (p *peer) share(ctx context.Context, g *group, n int64) {
 	defer g.cancel()
 	if err := p.turns.Acquire(ctx, n); err != nil {
-		p.rest(g, coordinator.Result{Outcome: coordinator.Dropped})
+		p.rest(g, coordinator.Result{Outcome: coordinator.Cancelled})
 		return
 	}
 	defer p.turns.Release(n)
@@ -124,7 +124,7 @@
 	r := coordinator.Result{Outcome: coordinator.Errored} // a stream that ended well without them
 	if err != nil {
 		if r.Outcome = outcome(ctx, err); r.Outcome == coordinator.Reset && p.lives(ctx) {
-			r.Outcome = coordinator.Cut
+			r.Outcome = coordinator.ConnectionLost
 		}
 	}
 	p.Log.Info("parts ended without their values", "node", p.node.ID(), "parts", left, "cause", err)
@@ -215,16 +215,16 @@
 		return nil // it was given up meanwhile
 	}
 	if m.Status != "" {
-		r := coordinator.Result{Outcome: coordinator.Errored, Load: m.Load}
+		r := coordinator.Result{Outcome: coordinator.Errored, LoadReport: m.Load}
 		if m.Status == codes.ResourceExhausted.String() || m.Status == codes.Unavailable.String() {
-			r.Outcome = coordinator.Busy
+			r.Outcome = coordinator.Overloaded
 		}
 		p.end(g, a, r)
 		return nil
 	}
 	r := got[m.ID]
 	if r == nil {
-		r = &coordinator.Result{Outcome: coordinator.Served}
+		r = &coordinator.Result{Outcome: coordinator.OK}
 		got[m.ID] = r
 	}
 	n, err := documents(rec, a.Shard, r)
@@ -240,7 +240,7 @@
 		return nil
 	}
 	if m.Load != nil {
-		r.Load = m.Load
+		r.LoadReport = m.Load
 	}
 	if m.Last {
 		p.end(g, a, *r)
@@ -330,7 +330,7 @@
 // stream with it.
 func (p *peer) giveUp(g *group, a *coordinator.Attempt, begun bool) {
 	if !begun {
-		p.end(g, a, coordinator.Result{Outcome: coordinator.Dropped})
+		p.end(g, a, coordinator.Result{Outcome: coordinator.Cancelled})
 		return
 	}
 	p.mu.Lock()
@@ -344,5 +344,5 @@
 	} else {
 		g.cancel()
 	}
-	p.end(g, a, coordinator.Result{Outcome: coordinator.Dropped})
+	p.end(g, a, coordinator.Result{Outcome: coordinator.Cancelled})
 }
--- a/internal/flight/nodes.go
+++ b/internal/flight/nodes.go
@@ -47,7 +47,7 @@
 
 // Nodes carries orders to Flight data nodes. Its fields are set before its first use.
 type Nodes struct {
-	Core    *coordinator.Core
+	Core    *coordinator.Coordinator
 	Log     *slog.Logger
 	Dial    func(ctx context.Context, addr string) (net.Conn, error)
 	Streams int           // parts that are out at one data node at once
@@ -90,7 +90,7 @@
 }
 
 // Carry serves one data node until it has left the list.
-func (ns *Nodes) Carry(n *coordinator.Node) {
+func (ns *Nodes) Dispatch(n *coordinator.Node) {
 	width := int64(max(1, ns.Streams))
 	p := &peer{Nodes: ns, node: n, turns: semaphore.NewWeighted(width), width: width, calls: map[*coordinator.Attempt]*call{}}
 	for {
@@ -105,9 +105,9 @@
 			}
 		case o.Call != nil:
 			p.enrol(o.Call)
-		case o.Drop != nil:
-			p.drop(o.Drop)
-		case o.Barred:
+		case o.Cancel != nil:
+			p.drop(o.Cancel)
+		case o.RejectQueued:
 			p.bar()
 		case o.Probe:
 			go p.probe()
@@ -153,7 +153,7 @@
 		if c.begun.IsZero() {
 			c.barred = true
 			if c.cancel(); c.group != nil {
-				p.finish(c.group, a, coordinator.Result{Outcome: coordinator.Busy})
+				p.finish(c.group, a, coordinator.Result{Outcome: coordinator.Overloaded})
 			}
 		}
 	}
@@ -279,14 +279,14 @@
 		r = p.get(ctx, c, a)
 		p.turns.Release(1)
 	} else {
-		r.Outcome = coordinator.Dropped
+		r.Outcome = coordinator.Cancelled
 	}
 	p.mu.Lock()
 	delete(p.calls, a)
-	if c.barred && r.Outcome != coordinator.Served {
-		r.Outcome = coordinator.Busy
-	} else if c.dropped && r.Outcome != coordinator.Served {
-		r.Outcome = coordinator.Dropped
+	if c.barred && r.Outcome != coordinator.OK {
+		r.Outcome = coordinator.Overloaded
+	} else if c.dropped && r.Outcome != coordinator.OK {
+		r.Outcome = coordinator.Cancelled
 	}
 	p.mu.Unlock()
 	p.Core.Report(a, r)
@@ -325,7 +325,7 @@
 	}
 	if err != nil {
 		if r = (coordinator.Result{Outcome: outcome(ctx, err)}); r.Outcome == coordinator.Reset && p.lives(ctx) {
-			r.Outcome = coordinator.Cut
+			r.Outcome = coordinator.ConnectionLost
 		}
 		p.Log.Info("part ended without its value", "node", p.node.ID(), "part", a.ID, "cause", err)
 	}
@@ -368,7 +368,7 @@
 		return coordinator.Result{}, err
 	}
 	defer in.Release()
-	r := coordinator.Result{Outcome: coordinator.Served}
+	r := coordinator.Result{Outcome: coordinator.OK}
 	size := 0
 	for in.Next() {
 		p.mu.Lock()
@@ -383,7 +383,7 @@
 		}
 		var meta struct{ Load map[string]float64 }
 		if json.Unmarshal(in.LatestAppMetadata(), &meta) == nil && meta.Load != nil {
-			r.Load = meta.Load
+			r.LoadReport = meta.Load
 		}
 	}
 	if err := in.Err(); err != nil && err != io.EOF {
@@ -412,15 +412,15 @@
 	st, _ := status.FromError(err)
 	switch {
 	case ctx.Err() != nil:
-		return coordinator.Dropped
+		return coordinator.Cancelled
 	case errors.Is(err, errStream):
 		return coordinator.Errored
 	case st.Code() == codes.ResourceExhausted:
-		return coordinator.Busy
+		return coordinator.Overloaded
 	case st.Code() == codes.Unavailable:
 		for _, d := range st.Details() {
 			if _, turnedAway := d.(*errdetails.RetryInfo); turnedAway {
-				return coordinator.Busy
+				return coordinator.Overloaded
 			}
 		}
 		return coordinator.Reset
@@ -434,15 +434,15 @@
 	defer cancel()
 	ch, err := p.acquire(ctx)
 	if err != nil {
-		p.Core.Probed(p.node, coordinator.Result{Outcome: coordinator.NotConnected})
+		p.Core.ReportProbe(p.node, coordinator.Result{Outcome: coordinator.NotConnected})
 		return
 	}
-	r := coordinator.Result{Outcome: coordinator.Served}
+	r := coordinator.Result{Outcome: coordinator.OK}
 	stream, err := ch.client.DoAction(ctx, &flight.Action{Type: LoadAction})
 	if err == nil {
 		var res *flight.Result
 		if res, err = stream.Recv(); err == nil {
-			json.Unmarshal(res.GetBody(), &r.Load)
+			json.Unmarshal(res.GetBody(), &r.LoadReport)
 		}
 	}
 	if err != nil {
@@ -454,5 +454,5 @@
 	}
 	p.release(ch, 1)
 	p.mu.Unlock()
-	p.Core.Probed(p.node, r)
+	p.Core.ReportProbe(p.node, r)
 }
--- a/internal/flight/server.go
+++ b/internal/flight/server.go
@@ -61,15 +61,15 @@
 
 // Options is what a Server is told at its start. Only Core and Log are needed.
 type Options struct {
-	Core    *coordinator.Core
-	Log     *slog.Logger
-	Memory  int64 // bytes that answers being read may hold in all; 0 for 16 MiB
-	Door    admission.Config
-	People  People
-	Keys    []Key
-	Classes []Class
-	Shards  int
-	Covered func() int // how many shards have a data node now; may be nil
+	Core      *coordinator.Coordinator
+	Log       *slog.Logger
+	Memory    int64 // bytes that answers being read may hold in all; 0 for 16 MiB
+	Admission admission.Config
+	People    People
+	Keys      []Key
+	Classes   []Class
+	Shards    int
+	Covered   func() int // how many shards have a data node now; may be nil
 }
 
 // Server serves Flight clients.
@@ -84,7 +84,7 @@
 	once   sync.Once
 
 	mu       sync.Mutex // guards what follows; never held over a call or a write
-	door     *admission.Door
+	door     *admission.Controller
 	cuts     map[*admission.Pass]context.CancelCauseFunc
 	flights  *session.Flights
 	kept     map[string]*kept
@@ -94,7 +94,7 @@
 }
 
 // NewServer returns a server in front of the core with nothing but a bound on what answers that are being read hold.
-func NewServer(c *coordinator.Core, log *slog.Logger, limit int64) *Server {
+func NewServer(c *coordinator.Coordinator, log *slog.Logger, limit int64) *Server {
 	s, err := New(Options{Core: c, Log: log, Memory: limit})
 	if err != nil {
 		panic(err) // there is no figure that could be wrong
@@ -107,8 +107,8 @@
 	if o.Memory <= 0 {
 		o.Memory = 16 << 20
 	}
-	o.Door.All.Bytes = o.Memory
-	door, err := admission.New(o.Door)
+	o.Admission.All.Bytes = o.Memory
+	door, err := admission.New(o.Admission)
 	if err != nil {
 		return nil, fmt.Errorf("flight.limits: %w", err)
 	}
@@ -259,7 +259,7 @@
 		g.who.Owner, g.named = owner, named
 	}
 	s.mu.Lock()
-	pass, refusal := s.door.Enter(time.Now(), g.who, admission.Stream)
+	pass, refusal := s.door.Admit(time.Now(), g.who, admission.Stream)
 	if refusal != nil {
 		s.mu.Unlock()
 		return ctx, nil, unavailable(refusal.Error(), refusal.After)
@@ -271,7 +271,7 @@
 	return ctx, func() {
 		s.mu.Lock()
 		delete(s.cuts, pass)
-		s.door.Leave(time.Now(), pass)
+		s.door.Release(time.Now(), pass)
 		s.mu.Unlock()
 		end(nil)
 	}, nil
@@ -347,14 +347,14 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	pass, refusal := s.door.Enter(time.Now(), who, admission.Query)
+	pass, refusal := s.door.Admit(time.Now(), who, admission.Query)
 	if refusal != nil {
 		return nil, unavailable(refusal.Error(), refusal.After)
 	}
 	return func() {
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		s.door.Leave(time.Now(), pass)
+		s.door.Release(time.Now(), pass)
 	}, nil
 }
 
@@ -437,11 +437,11 @@
 		return status.Error(codes.InvalidArgument, err.Error())
 	case err != nil:
 		return status.FromContextError(ctx.Err()).Err()
-	case answer.Verdict == coordinator.Refused:
-		return unavailable("refused", answer.After)
-	case answer.Verdict != coordinator.Answered && !time.Now().Before(end):
+	case answer.Status == coordinator.Rejected:
+		return unavailable("refused", answer.RetryAfter)
+	case answer.Status != coordinator.Answered && !time.Now().Before(end):
 		return status.Error(codes.DeadlineExceeded, "the query's time is over")
-	case answer.Verdict != coordinator.Answered:
+	case answer.Status != coordinator.Answered:
 		return status.Error(codes.Internal, "failed")
 	}
 	return nil
--- a/internal/flight/server_test.go
+++ b/internal/flight/server_test.go
@@ -28,17 +28,17 @@
 func newClient(t *testing.T, limit int64, n, size int) flight.Client {
 	t.Helper()
 	log := slog.New(slog.DiscardHandler)
-	c, err := coordinator.New(aggregator.Settings{Cells: 1, Shards: 4, Reach: 1, Tick: time.Millisecond,
-		Classes: []aggregator.Class{{Name: "report", Aim: time.Second, Deadline: 3 * time.Second, Need: 1, Floor: 1, Worth: 1}},
+	c, err := coordinator.New(aggregator.Settings{ShardSets: 1, Shards: 4, Reach: 1, Tick: time.Millisecond,
+		Classes: []aggregator.Class{{Name: "report", LatencyObjective: time.Second, Deadline: 3 * time.Second, CompleteShare: 1, MinShare: 1, Priority: 1}},
 	}, 1, log)
 	if err != nil {
 		t.Fatal(err)
 	}
 	go c.Run(t.Context())
-	c.Carrier("", func(node *coordinator.Node) {
+	c.RegisterDispatcher("", func(node *coordinator.Node) {
 		for o := node.Pick(t.Context()); o != nil; o = node.Pick(t.Context()) {
 			for _, a := range o.Call {
-				r := coordinator.Result{Outcome: coordinator.Served}
+				r := coordinator.Result{Outcome: coordinator.OK}
 				for range n {
 					r.Docs = append(r.Docs, make([]byte, size))
 				}
--- a/internal/flight/suite_test.go
+++ b/internal/flight/suite_test.go
@@ -37,7 +37,7 @@
 // stand is a server in front of stand-in data nodes of Flight.
 type stand struct {
 	t      *testing.T
-	core   *coordinator.Core
+	core   *coordinator.Coordinator
 	list   *coordinator.Source
 	server *flight.Server
 	addr   string
@@ -46,27 +46,27 @@
 }
 
 // start starts a stand. Data nodes are the lab's unless carry is given.
-func start(t *testing.T, o flight.Options, takes time.Duration, carry func(*coordinator.Core) coordinator.Carry) *stand {
+func start(t *testing.T, o flight.Options, takes time.Duration, carry func(*coordinator.Coordinator) coordinator.Dispatcher) *stand {
 	t.Helper()
 	log := slog.New(slog.DiscardHandler)
-	c, err := coordinator.New(aggregator.Settings{Aggregators: 1, Tick: time.Millisecond, Cells: 2, Shards: shards, Reach: 2,
-		Classes: []aggregator.Class{{Name: "report", Aim: 2 * time.Second, Deadline: 5 * time.Second, Worth: 1, Need: 1, Floor: 1},
-			{Name: "rating", Aim: 2 * time.Second, Deadline: 5 * time.Second, Worth: 1, Need: 1, Floor: 1}},
-		Limits: aggregator.Limits{Attempts: 3, Bundle: 8, Cancel: true, RetryAfter: true, MaxRetryAfter: time.Second,
+	c, err := coordinator.New(aggregator.Settings{Aggregators: 1, Tick: time.Millisecond, ShardSets: 2, Shards: shards, Reach: 2,
+		Classes: []aggregator.Class{{Name: "report", LatencyObjective: 2 * time.Second, Deadline: 5 * time.Second, Priority: 1, CompleteShare: 1, MinShare: 1},
+			{Name: "rating", LatencyObjective: 2 * time.Second, Deadline: 5 * time.Second, Priority: 1, CompleteShare: 1, MinShare: 1}},
+		Limits: aggregator.Limits{MaxAttempts: 3, MaxBatch: 8, CanCancel: true, SendRetryAfter: true, MaxRetryAfter: time.Second,
 			ConnectTimeout: 250 * time.Millisecond, ConnIdle: 30 * time.Second}}, 7, log)
 	if err != nil {
 		t.Fatal(err)
 	}
 	go c.Run(t.Context())
 	s := &stand{t: t, core: c, ledger: datanode.NewLedger()}
-	var serve coordinator.Carry
+	var serve coordinator.Dispatcher
 	if carry != nil {
 		serve = carry(c)
 	} else {
 		serve = (&flight.Nodes{Core: c, Log: log, Streams: 64, Connect: 250 * time.Millisecond, Slots: make(chan struct{}, 64),
 			Dial: func(ctx context.Context, addr string) (net.Conn, error) {
 				return (&net.Dialer{}).DialContext(ctx, "tcp", addr)
-			}}).Carry
+			}}).Dispatch
 		for i := range 4 {
 			n := &datanode.Node{ID: fmt.Sprint("n", i), Cell: i % 2, Proto: "flight", Ledger: s.ledger, Takes: takes}
 			if err := n.Start(); err != nil {
@@ -76,10 +76,10 @@
 			s.nodes = append(s.nodes, n)
 		}
 	}
-	c.Carrier("", serve)
+	c.RegisterDispatcher("", serve)
 	var list []coordinator.Member
 	for i := range 4 {
-		m := coordinator.Member{ID: fmt.Sprint("n", i), Cell: i % 2, Weight: 1}
+		m := coordinator.Member{ID: fmt.Sprint("n", i), ShardSet: i % 2, Weight: 1}
 		if len(s.nodes) > 0 {
 			m.Addr = s.nodes[i].Addr()
 		}
@@ -87,7 +87,7 @@
 	}
 	s.list = c.Source(membership.Spec{Name: "list"})
 	s.list.Replace(list, false)
-	o.Core, o.Log, o.Shards, o.Covered = c, log, shards, c.Covered
+	o.Core, o.Log, o.Shards, o.Covered = c, log, shards, c.CoveredShards
 	if o.Classes == nil {
 		o.Classes = []flight.Class{{Name: "report", Limit: 5 * time.Second}, {Name: "rating", Limit: 5 * time.Second}}
 	}
@@ -156,7 +156,7 @@
 
 // TestLimits: what is over a limit is refused with a time to come back, and at that time is let in.
 func TestLimits(t *testing.T) {
-	s := start(t, flight.Options{People: people, Door: admission.Config{Owner: admission.Limits{Rate: 20, Burst: 3}}}, time.Millisecond, nil)
+	s := start(t, flight.Options{People: people, Admission: admission.Config{Owner: admission.Limits{Rate: 20, Burst: 3}}}, time.Millisecond, nil)
 	c := s.client(users...)
 	as := func(i int) *flightsuite.Client { return c.As("authorization", "Bearer "+users[i].Token) }
 	var refused time.Duration
@@ -223,15 +223,15 @@
 }
 
 // answers is a carrier that answers each part with what doc says.
-func answers(t *testing.T, doc func(shard int) []byte) func(*coordinator.Core) coordinator.Carry {
-	return func(c *coordinator.Core) coordinator.Carry {
+func answers(t *testing.T, doc func(shard int) []byte) func(*coordinator.Coordinator) coordinator.Dispatcher {
+	return func(c *coordinator.Coordinator) coordinator.Dispatcher {
 		return func(n *coordinator.Node) {
 			for o := n.Pick(t.Context()); o != nil; o = n.Pick(t.Context()) {
 				for _, a := range o.Call {
-					c.Report(a, coordinator.Result{Outcome: coordinator.Served, Docs: [][]byte{doc(a.Shard)}})
+					c.Report(a, coordinator.Result{Outcome: coordinator.OK, Docs: [][]byte{doc(a.Shard)}})
 				}
-				if o.Drop != nil {
-					c.Report(o.Drop, coordinator.Result{Outcome: coordinator.Dropped})
+				if o.Cancel != nil {
+					c.Report(o.Cancel, coordinator.Result{Outcome: coordinator.Cancelled})
 				}
 			}
 		}
@@ -241,7 +241,7 @@
 // TestSlowReaders: two hundred that read nothing are held within the memory that there is, and are cut for one that
 // reads; each that was refused or cut is told when to come back.
 func TestSlowReaders(t *testing.T) {
-	s := start(t, flight.Options{Memory: 8 << 20, Door: admission.Config{Grace: 200 * time.Millisecond, Stall: 2 * time.Second}}, 0,
+	s := start(t, flight.Options{Memory: 8 << 20, Admission: admission.Config{Grace: 200 * time.Millisecond, Stall: 2 * time.Second}}, 0,
 		answers(t, func(int) []byte { return make([]byte, 200<<10) }))
 	var mu sync.Mutex
 	var wg sync.WaitGroup
--- a/internal/gossip/codec.go
+++ b/internal/gossip/codec.go
@@ -180,7 +180,7 @@
 	m.From = r.update()
 	m.Target, m.Addr, m.Via, m.Reason = r.text(), r.text(), r.text(), r.text()
 	m.Updates, m.Links = r.updates(), r.links()
-	if r.bad || len(r.b) > 0 || m.Kind < swim.Ping || m.Kind > swim.News {
+	if r.bad || len(r.b) > 0 || m.Kind < swim.Ping || m.Kind > swim.Updates {
 		return nil, nil, fmt.Errorf("%w: kind %d, %d bytes", errForm, kind, len(b))
 	}
 	return m, nil, nil
--- a/internal/gossip/facts.go
+++ b/internal/gossip/facts.go
@@ -69,28 +69,28 @@
 }
 
 // Saw takes in what this coordinator has seen of a data node.
-func (g *Gossip) Saw(node string, f observations.Field, value float64) {
+func (g *Gossip) Observe(node string, f observations.Field, value float64) {
 	g.facts.Lock()
 	defer g.facts.Unlock()
-	g.learned.Saw(g.Since(), time.Now(), node, f, value)
+	g.learned.Observe(g.Since(), time.Now(), node, f, value)
 }
 
 // SawStart takes in that a data node started some time ago.
-func (g *Gossip) SawStart(node string, ago time.Duration) {
+func (g *Gossip) ObserveStart(node string, ago time.Duration) {
 	g.facts.Lock()
 	defer g.facts.Unlock()
-	g.learned.SawStart(g.Since(), time.Now(), node, ago)
+	g.learned.ObserveStart(g.Since(), time.Now(), node, ago)
 }
 
 // Learned is what is held of a data node by all that was told.
-func (g *Gossip) Learned(node string) observations.View {
+func (g *Gossip) Observations(node string) observations.View {
 	g.facts.Lock()
 	defer g.facts.Unlock()
 	return g.learned.Of(g.Since(), node)
 }
 
 // AllLearned is what is held of each data node.
-func (g *Gossip) AllLearned() map[string]observations.View {
+func (g *Gossip) AllObservations() map[string]observations.View {
 	g.facts.Lock()
 	defer g.facts.Unlock()
 	return g.learned.All(g.Since())
@@ -107,7 +107,7 @@
 		case <-tick.C:
 		}
 		var to []string
-		g.Look(func(s *swim.Swim) {
+		g.View(func(s *swim.Swim) {
 			for _, m := range s.Members() {
 				if m.State <= swim.Suspect && m.Name != g.o.Swim.Self {
 					to = append(to, m.Addr)
@@ -141,7 +141,7 @@
 	g.facts.Lock()
 	defer g.facts.Unlock()
 	for _, f := range facts {
-		switch err := g.learned.Take(g.Since(), time.Now(), f); err {
+		switch err := g.learned.Merge(g.Since(), time.Now(), f); err {
 		case nil:
 			g.Facts.Taken.Add(1)
 		case observations.ErrKnown:
--- a/internal/gossip/gossip.go
+++ b/internal/gossip/gossip.go
@@ -35,13 +35,13 @@
 	Fleet string
 	Keys  []Key
 	// Routes are addresses of members that are reached by another from here, as through a tunnel.
-	Routes map[string]string
-	Warm   time.Duration // that a cold data node needs
-	Log    *slog.Logger
+	Routes     map[string]string
+	WarmupTime time.Duration // that a cold data node needs
+	Log        *slog.Logger
 	// Changed is called for each change, in order, from the goroutine that decides; it must not block. It may be nil.
 	Changed func(swim.Change)
 	// Keep takes in the addresses of those that are there, as seeds for a later start. It may be nil.
-	Keep func(addrs []string)
+	SaveAddrs func(addrs []string)
 }
 
 // Gossip is one coordinator's part in the talk.
@@ -98,7 +98,7 @@
 	if g.s, err = swim.New(o.Swim, 0); err != nil {
 		return nil, err
 	}
-	if g.learned, err = observations.New(observations.Config{Self: o.Swim.Self, Warm: o.Warm}); err != nil {
+	if g.learned, err = observations.New(observations.Config{Self: o.Swim.Self, Warm: o.WarmupTime}); err != nil {
 		return nil, err
 	}
 	if g.pc, err = net.ListenPacket("udp", o.Swim.Addr); err != nil {
@@ -136,7 +136,7 @@
 func (g *Gossip) SetKeys(keys []Key) error { return g.ring.set(keys) }
 
 // Look lets f read the view, between two steps. It returns false where the talk has ended.
-func (g *Gossip) Look(f func(*swim.Swim)) bool {
+func (g *Gossip) View(f func(*swim.Swim)) bool {
 	done := make(chan struct{})
 	select {
 	case g.in <- input{look: f, done: done}:
@@ -233,14 +233,14 @@
 			g.o.Log.Info("no longer refused by the other coordinators")
 		}
 	}
-	if moved && g.o.Keep != nil {
+	if moved && g.o.SaveAddrs != nil {
 		var addrs []string
 		for _, m := range g.s.Members() {
 			if m.State <= swim.Suspect && m.Name != g.o.Swim.Self {
 				addrs = append(addrs, m.Addr)
 			}
 		}
-		g.o.Keep(addrs)
+		g.o.SaveAddrs(addrs)
 	}
 }
 
--- a/internal/gossip/gossip_test.go
+++ b/internal/gossip/gossip_test.go
@@ -218,7 +218,7 @@
 	seed := free()
 	start := func(name, addr string, keys ...Key) *Gossip {
 		g, err := Start(Options{Fleet: "f", Keys: keys, Log: slog.New(slog.DiscardHandler),
-			Swim: swim.Config{Self: name, Addr: addr, Process: uint64(name[0]), Seeds: []string{seed}, Period: 50 * time.Millisecond, Bear: 500 * time.Millisecond}})
+			Swim: swim.Config{Self: name, Addr: addr, Process: uint64(name[0]), Seeds: []string{seed}, Period: 50 * time.Millisecond, MaxPause: 500 * time.Millisecond}})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -227,7 +227,7 @@
 	a, b := start("a", seed, key(1, "a")), start("b", free(), key(1, "a"))
 	defer a.Close()
 	state := func(g *Gossip, name string) (s string) {
-		g.Look(func(v *swim.Swim) {
+		g.View(func(v *swim.Swim) {
 			if held, known := v.Holds(name); known {
 				s = held.String()
 			}
@@ -244,12 +244,12 @@
 	}
 	until("each holds the other for alive", func() bool { return state(a, "b") == "alive" && state(b, "a") == "alive" })
 	// What one sees of a data node the other learns, until an answer that is clearly later clears it.
-	a.Saw("n", observations.Failed, 0)
-	a.Saw("n", observations.Busy, 0.5)
-	until("a failure is told", func() bool { v := b.Learned("n"); return v.Doubtful && v.Busy == 0.5 })
+	a.Observe("n", observations.Failed, 0)
+	a.Observe("n", observations.Utilization, 0.5)
+	until("a failure is told", func() bool { v := b.Observations("n"); return v.Suspect && v.Utilization == 0.5 })
 	time.Sleep(600 * time.Millisecond)
-	b.Saw("n", observations.Answered, 0)
-	until("and an answer", func() bool { return !a.Learned("n").Doubtful && !b.Learned("n").Doubtful })
+	b.Observe("n", observations.Answered, 0)
+	until("and an answer", func() bool { return !a.Observations("n").Suspect && !b.Observations("n").Suspect })
 	if a.Facts.Refused.Load()+b.Facts.Refused.Load() > 0 || b.Facts.Taken.Load() == 0 {
 		t.Errorf("facts taken %d, refused %d and %d", b.Facts.Taken.Load(), a.Facts.Refused.Load(), b.Facts.Refused.Load())
 	}
--- a/internal/kv/db.go
+++ b/internal/kv/db.go
@@ -25,7 +25,7 @@
 	SegmentBytes int64   // of the log; 4 MiB
 	MergeRate    float64 // bytes a second that merges may write; 32 MiB
 	Report       func(Cut)
-	Trouble      func(error) // of the background; may be nil
+	OnFailure    func(error) // of the background; may be nil
 }
 
 // ErrNotFound tells that a key has no value.
@@ -484,8 +484,8 @@
 			return
 		}
 		if err != nil {
-			if db.cfg.Trouble != nil {
-				db.cfg.Trouble(err)
+			if db.cfg.OnFailure != nil {
+				db.cfg.OnFailure(err)
 			}
 			if !isFull(err) && !errors.Is(err, ErrFull) {
 				db.mu.Lock()
--- a/internal/kv/log.go
+++ b/internal/kv/log.go
@@ -110,7 +110,7 @@
 // settle carries out a recovery's plan, so that what is written next follows what is committed. It may be cut itself,
 // and be carried out again.
 func (l *Log) settle(p Plan) error {
-	if p.Cut != nil && p.Cut.Whole {
+	if p.Cut != nil && p.Cut.Complete {
 		if err := l.fs.Remove(p.Cut.File); err != nil {
 			return fmt.Errorf("%s: %w", p.Cut.File, err)
 		}
@@ -124,7 +124,7 @@
 			return fmt.Errorf("%s: %w", l.name, err)
 		}
 		l.file = file
-		if p.Cut != nil && !p.Cut.Whole {
+		if p.Cut != nil && !p.Cut.Complete {
 			if err := file.Truncate(l.size); err != nil {
 				file.Close()
 				return fmt.Errorf("%s: %w", l.name, err)
--- a/internal/kv/recover.go
+++ b/internal/kv/recover.go
@@ -42,10 +42,10 @@
 
 // Cut is a torn tail: what is to be cut off from an offset on. Whole tells that the file had not begun and goes.
 type Cut struct {
-	File   string
-	Offset int64
-	Bytes  int64
-	Whole  bool
+	File     string
+	Offset   int64
+	Bytes    int64
+	Complete bool
 }
 
 // Entry is a committed batch.
@@ -73,7 +73,7 @@
 		case errors.Is(err, errHeadVersion):
 			return p, fmt.Errorf("%s: %w", s.Name, err)
 		case err != nil && last && !later(s.Bytes, p.Next):
-			p.Cut = &Cut{File: s.Name, Bytes: int64(len(s.Bytes)), Whole: true}
+			p.Cut = &Cut{File: s.Name, Bytes: int64(len(s.Bytes)), Complete: true}
 			return p, nil
 		case err != nil:
 			return p, &Damage{s.Name, 0, err.Error()}
--- a/internal/lab/explore/model.go
+++ b/internal/lab/explore/model.go
@@ -47,7 +47,7 @@
 
 // Both shards keep one machine of two: m1 holds both, so it goes alone, while m0 and m2 may go together.
 var (
-	layout = maintenance.Layout{Cells: 3, Shards: 2, Reach: 2}
+	layout = maintenance.Layout{ShardSets: 3, Shards: 2, Reach: 2}
 	limits = maintenance.Limits{Floor: 1}
 )
 
@@ -226,7 +226,7 @@
 func fleet(usable uint8, started [machines]uint8) *maintenance.Fleet {
 	var list []maintenance.Machine
 	for k := range machines {
-		list = append(list, maintenance.Machine{ID: id(k), Addr: id(k), Cell: k, Weight: 1, Serving: true, Sound: usable&(1<<k) != 0, Started: int64(started[k])})
+		list = append(list, maintenance.Machine{ID: id(k), Addr: id(k), ShardSet: k, Weight: 1, Serving: true, Healthy: usable&(1<<k) != 0, Started: int64(started[k])})
 	}
 	f, err := maintenance.NewFleet(layout, list)
 	if err != nil {
@@ -694,7 +694,7 @@
 	for s := range layout.Shards {
 		left := 0
 		for j := range layout.Reach {
-			if away&(1<<((s+j)%layout.Cells)) == 0 {
+			if away&(1<<((s+j)%layout.ShardSets)) == 0 {
 				left++
 			}
 		}
--- a/internal/lab/fleet/duties.go
+++ b/internal/lab/fleet/duties.go
@@ -19,11 +19,11 @@
 // DutyHistory is what was answered, in the order in which it came.
 type DutyHistory struct {
 	mu  sync.Mutex
-	all []agent.Tried
+	all []agent.DutyAttempt
 }
 
 // Add notes an answer.
-func (h *DutyHistory) Add(t agent.Tried) {
+func (h *DutyHistory) Add(t agent.DutyAttempt) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.all = append(h.all, t)
@@ -63,7 +63,7 @@
 			v.Said = append(v.Said, fmt.Sprintf(format, args...))
 		}
 	}
-	holds, taken := map[string]map[uint64]*hold{}, map[string][]agent.Tried{}
+	holds, taken := map[string]map[uint64]*hold{}, map[string][]agent.DutyAttempt{}
 	for _, t := range h.all {
 		if !t.Holds {
 			continue
@@ -106,7 +106,7 @@
 			}
 		}
 		writes := taken[duty]
-		slices.SortFunc(writes, func(a, b agent.Tried) int { return cmp.Compare(a.Index, b.Index) })
+		slices.SortFunc(writes, func(a, b agent.DutyAttempt) int { return cmp.Compare(a.Index, b.Index) })
 		for i := 1; i < len(writes); i++ {
 			if writes[i].Token < writes[i-1].Token {
 				v.Stale++
@@ -119,7 +119,7 @@
 }
 
 // Try asks a coordinator to act on a duty; an error is an answer that did not come.
-func (w *Works) Try(ctx context.Context, i int, duty string) (t agent.Tried, err error) {
+func (w *Works) Try(ctx context.Context, i int, duty string) (t agent.DutyAttempt, err error) {
 	ctx, cancel := context.WithDeadline(ctx, time.Now().Add(2*time.Second))
 	defer cancel()
 	return t, admin.Call(ctx, w.socket(i), "duties try", map[string]any{"Name": duty}, &t)
--- a/internal/lab/fleet/work.go
+++ b/internal/lab/fleet/work.go
@@ -329,7 +329,7 @@
 }
 
 // Ask asks for work at a coordinator.
-func (w *Works) Ask(ctx context.Context, i int, a agent.Ask) (p agent.Planned, err error) {
+func (w *Works) Ask(ctx context.Context, i int, a agent.Request) (p agent.Planned, err error) {
 	ctx, cancel := context.WithDeadline(ctx, time.Now().Add(10*time.Second))
 	defer cancel()
 	return p, admin.Call(ctx, w.socket(i), "work start", a, &p)
--- a/internal/lab/fleet/work_test.go
+++ b/internal/lab/fleet/work_test.go
@@ -46,13 +46,13 @@
 		return here == 5 && len(v.Duties) == 1 && v.Duties[0].Holder != ""
 	})
 	// Two operators at two coordinators, of which one asks for a machine that is the other's.
-	first := agent.Ask{By: "a", Zone: "a", Takes: 20 * time.Second, Back: 20 * time.Second}
+	first := agent.Request{By: "a", Zone: "a", Takes: 20 * time.Second, Back: 20 * time.Second}
 	p, err := w.Ask(ctx, 4, first)
 	must(err)
-	if _, err := w.Ask(ctx, 1, agent.Ask{By: "b", Machines: []string{"a-0", "b-0"}, Takes: time.Second, Back: time.Second}); err == nil {
+	if _, err := w.Ask(ctx, 1, agent.Request{By: "b", Machines: []string{"a-0", "b-0"}, Takes: time.Second, Back: time.Second}); err == nil {
 		t.Error("a machine is in two requests")
 	}
-	second, err := w.Ask(ctx, 1, agent.Ask{By: "b", Zone: "b", Takes: 20 * time.Second, Back: 20 * time.Second})
+	second, err := w.Ask(ctx, 1, agent.Request{By: "b", Zone: "b", Takes: 20 * time.Second, Back: 20 * time.Second})
 	must(err)
 	done := func(request uint64) func(agent.View) bool {
 		return func(v agent.View) bool {
@@ -89,7 +89,7 @@
 		away = 3
 	}
 	w.Isolate(away, proxy.Cut)
-	third, err := w.Ask(ctx, asked, agent.Ask{By: "c", Machines: []string{"c-0"}, Takes: 20 * time.Second, Back: 20 * time.Second})
+	third, err := w.Ask(ctx, asked, agent.Request{By: "c", Machines: []string{"c-0"}, Takes: 20 * time.Second, Back: 20 * time.Second})
 	must(err)
 	time.Sleep(4 * time.Second)
 	v, err := w.Look(ctx, asked, false)
@@ -101,7 +101,7 @@
 	until("it goes on once that has heard", done(third.Request))
 
 	// All are started anew in the middle of a plan.
-	fourth, err := w.Ask(ctx, 0, agent.Ask{By: "d", Zone: "c", Takes: 20 * time.Second, Back: 20 * time.Second})
+	fourth, err := w.Ask(ctx, 0, agent.Request{By: "d", Zone: "c", Takes: 20 * time.Second, Back: 20 * time.Second})
 	must(err)
 	until("moves are made", moved(v.Plan.Moved+8))
 	for i := range 5 {
@@ -118,7 +118,7 @@
 		t.Error("one that is present was forgotten")
 	}
 	must(w.Kill(4))
-	fifth, err := w.Ask(ctx, 0, agent.Ask{By: "e", Machines: []string{"a-1"}, Takes: 20 * time.Second, Back: 20 * time.Second})
+	fifth, err := w.Ask(ctx, 0, agent.Request{By: "e", Machines: []string{"a-1"}, Takes: 20 * time.Second, Back: 20 * time.Second})
 	must(err)
 	until("the one that is killed is gone for good", func(agent.View) bool { return w.Forget(ctx, 0, fleet.PeerName(4)) == nil })
 	until("the fifth request is done", done(fifth.Request))
--- a/internal/lab/model/coordinator.go
+++ b/internal/lab/model/coordinator.go
@@ -36,7 +36,7 @@
 	}
 	var list []aggregator.Member
 	for _, n := range m.nodes {
-		if n.state == aggregator.On {
+		if n.state == aggregator.Serving {
 			list = append(list, k.member(n, n.state, n.started))
 		}
 	}
@@ -48,17 +48,17 @@
 
 // member is a data node as the module is told of it, with its zone's verdict and what others tell of its start, as core does.
 func (k *coordinator) member(n *dataNode, state aggregator.State, started time.Duration) aggregator.Member {
-	out := aggregator.Member{Replica: n.id, Cell: n.cell, Zone: n.zone, State: state, Started: started, Size: 1}
+	out := aggregator.Member{Replica: n.id, ShardSet: n.cell, Zone: n.zone, State: state, Started: started, Size: 1}
 	if k.learned != nil {
-		if v := k.learned.Of(k.m.now, n.id); v.ColdFor > 0 {
+		if v := k.learned.Of(k.m.now, n.id); v.WarmingFor > 0 {
 			out.Started = max(out.Started, k.m.now-v.Started)
 		}
 	}
 	if k.zones != nil {
-		if out.State == aggregator.On && !k.zones.Usable(n.zone) {
+		if out.State == aggregator.Serving && !k.zones.Usable(n.zone) {
 			out.State = aggregator.Draining
 		}
-		if since, ok := k.zones.ColdSince(n.zone); ok {
+		if since, ok := k.zones.WarmingSince(n.zone); ok {
 			out.Started = max(out.Started, since.Sub(epoch))
 		}
 	}
@@ -94,7 +94,7 @@
 		in = append(in, k.verdicts()...)
 	}
 	if len(in) == 0 {
-		in = []aggregator.Event{{Kind: aggregator.Woke}}
+		in = []aggregator.Event{{Kind: aggregator.Wakeup}}
 	}
 	for _, a := range k.agg.Step(m.now, in, nil) {
 		switch a.Kind {
@@ -107,8 +107,8 @@
 				m.after(tick, func() { k.ended(t, aggregator.Cancelled) })
 			}
 		case aggregator.Answer:
-			k.final(a.Query, a.Whole)
-		case aggregator.Refuse, aggregator.Fail:
+			k.final(a.Query, a.Complete)
+		case aggregator.Reject, aggregator.Fail:
 			k.final(a.Query, false)
 		case aggregator.Probe:
 			k.probe(a.Replica)
@@ -124,19 +124,19 @@
 	for _, c := range changes {
 		if c.To == zones.Out && k.learned != nil {
 			for _, id := range k.zones.Failing(k.wall(), c.Zone) {
-				k.learned.Saw(k.m.now, k.wall(), id, observations.Failed, 0)
+				k.learned.Observe(k.m.now, k.wall(), id, observations.Failed, 0)
 			}
 		}
 		e := aggregator.Event{Kind: aggregator.ListChanged}
 		for _, n := range k.m.nodes {
-			if n.zone == c.Zone && n.state == aggregator.On {
+			if n.zone == c.Zone && n.state == aggregator.Serving {
 				e.Members = append(e.Members, k.member(n, n.state, n.started))
 			}
 		}
 		out = append(out, e)
 	}
 	for _, s := range k.zones.All(k.wall()) {
-		if s.Verdict != zones.Healthy || s.Failing > 0 {
+		if s.State != zones.Healthy || s.Failing > 0 {
 			k.plan(k.m.now + 100*time.Millisecond)
 			break
 		}
@@ -151,7 +151,7 @@
 	q := &query{id: fmt.Sprint("q", m.number), arrived: m.elapsed()}
 	k.queries[q.id] = q
 	m.asked[int(q.arrived/slice)]++
-	in := []aggregator.Event{{Kind: aggregator.QueryArrived, Query: q.id, Tenant: -1, Count: m.c.Parts, Left: limit}}
+	in := []aggregator.Event{{Kind: aggregator.QueryArrived, Query: q.id, Tenant: -1, Count: m.c.Parts, TimeLeft: limit}}
 	first := m.rng.IntN(m.c.PerZone)
 	for i := range m.c.Parts {
 		// Work is drawn once for the part: it takes as long wherever it is done.
@@ -249,9 +249,9 @@
 	if k.learned != nil {
 		switch end {
 		case aggregator.OK:
-			k.learned.Saw(m.now, k.wall(), n.id, observations.Answered, 0)
+			k.learned.Observe(m.now, k.wall(), n.id, observations.Answered, 0)
 		case aggregator.ConnectFailed, aggregator.Reset:
-			k.learned.Saw(m.now, k.wall(), n.id, observations.Failed, 0)
+			k.learned.Observe(m.now, k.wall(), n.id, observations.Failed, 0)
 		}
 	}
 	if k.zones != nil {
@@ -267,7 +267,7 @@
 	if end == aggregator.OK {
 		k.heard[n.id] = m.now
 	}
-	k.put(aggregator.Event{Kind: aggregator.AttemptEnded, Part: a.part.id, Attempt: a.number, Replica: n.id, Outcome: end, Took: m.now - a.begun})
+	k.put(aggregator.Event{Kind: aggregator.AttemptEnded, Part: a.part.id, Attempt: a.number, Replica: n.id, Outcome: end, Elapsed: m.now - a.begun})
 	if a.part.q.over {
 		k.forget(a.part.q)
 	}
@@ -287,7 +287,7 @@
 		life := k.life
 		k.m.after(takes, func() {
 			if k.life == life {
-				k.put(aggregator.Event{Kind: aggregator.ProbeEnded, Replica: replica, Outcome: end, Took: takes})
+				k.put(aggregator.Event{Kind: aggregator.ProbeEnded, Replica: replica, Outcome: end, Elapsed: takes})
 			}
 		})
 	}
@@ -355,7 +355,7 @@
 		}
 		m.after(m.c.Way, func() {
 			for _, f := range facts {
-				to.learned.Take(m.now, to.wall(), f)
+				to.learned.Merge(m.now, to.wall(), f)
 			}
 			to.hear()
 		})
@@ -369,14 +369,14 @@
 	for _, id := range slices.Sorted(maps.Keys(all)) {
 		v := all[id]
 		for _, n := range k.m.nodes {
-			if n.id != id || n.state != aggregator.On {
+			if n.id != id || n.state != aggregator.Serving {
 				continue
 			}
-			if v.ColdFor > 0 && k.m.now-v.Started > n.started+2*time.Second {
+			if v.WarmingFor > 0 && k.m.now-v.Started > n.started+2*time.Second {
 				e.Members = append(e.Members, k.member(n, n.state, n.started))
 			}
-			if k.zones != nil && v.Doubtful && v.FailedBy != fmt.Sprint("c", k.index) {
-				k.zones.Hear(k.wall(), n.zone, id, v.Failed, v.Answered)
+			if k.zones != nil && v.Suspect && v.FailedBy != fmt.Sprint("c", k.index) {
+				k.zones.ObservePeer(k.wall(), n.zone, id, v.Failed, v.Answered)
 			}
 		}
 	}
--- a/internal/lab/model/model.go
+++ b/internal/lab/model/model.go
@@ -77,10 +77,10 @@
 
 // settings are what all coordinators are told.
 func (c *Config) settings() aggregator.Settings {
-	return aggregator.Settings{Aggregators: c.Coordinators, Tick: tick, Cells: c.PerZone, Shards: c.PerZone, Reach: 1,
-		Classes: []aggregator.Class{{Name: "lookup", Aim: aim, Deadline: limit, Worth: 1, LateWorth: 0.3, Need: 1, Floor: 1}},
-		Rules:   aggregator.Rules{DrainGrace: grace, FallMultiple: falls, FallWindow: time.Second, ColdShare: cold, WarmAfter: warm},
-		Limits:  aggregator.Limits{Attempts: 3, Bundle: 1, Cancel: true, Probes: true, RetryAfter: true, MaxRetryAfter: 2 * time.Second}}
+	return aggregator.Settings{Aggregators: c.Coordinators, Tick: tick, ShardSets: c.PerZone, Shards: c.PerZone, Reach: 1,
+		Classes: []aggregator.Class{{Name: "lookup", LatencyObjective: aim, Deadline: limit, Priority: 1, LateShare: 0.3, CompleteShare: 1, MinShare: 1}},
+		Rules:   aggregator.Rules{DrainGrace: grace, OverloadMultiple: falls, OverloadWindow: time.Second, InitialCapacity: cold, WarmupTime: warm},
+		Limits:  aggregator.Limits{MaxAttempts: 3, MaxBatch: 1, CanCancel: true, Probes: true, SendRetryAfter: true, MaxRetryAfter: 2 * time.Second}}
 }
 
 type dataNode struct {
@@ -309,8 +309,8 @@
 			if k.zones != nil {
 				k.zones.List(k.wall(), k.m.serving())
 			}
-			if k.learned != nil && state == aggregator.On && started > 0 {
-				k.learned.SawStart(m.now, k.wall(), n.id, m.now-started)
+			if k.learned != nil && state == aggregator.Serving && started > 0 {
+				k.learned.ObserveStart(m.now, k.wall(), n.id, m.now-started)
 			}
 		})
 	}
@@ -319,7 +319,7 @@
 func (m *Model) serving() map[string]string {
 	list := map[string]string{}
 	for _, n := range m.nodes {
-		if n.state == aggregator.On {
+		if n.state == aggregator.Serving {
 			list[n.id] = n.zone
 		}
 	}
--- a/internal/lab/workplan/workplan.go
+++ b/internal/lab/workplan/workplan.go
@@ -39,12 +39,12 @@
 	var ids []string
 	busy := 0.2 + 0.4*chance.Float64()
 	for i := range n {
-		m := maintenance.Machine{ID: fmt.Sprint("m", i), Addr: fmt.Sprint("m", i), Cell: i % cells, Zone: string(rune('a' + (i/cells+i)%zones)),
-			Weight: []float64{1, 1, 2, 0.7}[chance.IntN(4)], Serving: true, Sound: chance.IntN(30) > 0, Util: busy * (0.8 + 0.4*chance.Float64()), Started: 1}
+		m := maintenance.Machine{ID: fmt.Sprint("m", i), Addr: fmt.Sprint("m", i), ShardSet: i % cells, Zone: string(rune('a' + (i/cells+i)%zones)),
+			Weight: []float64{1, 1, 2, 0.7}[chance.IntN(4)], Serving: true, Healthy: chance.IntN(30) > 0, Util: busy * (0.8 + 0.4*chance.Float64()), Started: 1}
 		list, ids = append(list, m), append(ids, m.ID)
 	}
 	chance.Shuffle(len(ids), func(i, j int) { ids[i], ids[j] = ids[j], ids[i] })
-	f, err := maintenance.NewFleet(maintenance.Layout{Cells: cells, Shards: cells, Reach: 3}, list)
+	f, err := maintenance.NewFleet(maintenance.Layout{ShardSets: cells, Shards: cells, Reach: 3}, list)
 	return f, maintenance.Limits{Floor: 1 + int((0.3+0.3*chance.Float64())*float64(3*(n/cells))), Share: 0.25 + 0.25*chance.Float64(), ZoneShare: 0.5, Room: 0.85}, ids, err
 }
 
--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -76,25 +76,25 @@
 
 // The errors of requests.
 var (
-	ErrHeld = errors.New("the duty is held by another")
-	ErrTerm = errors.New("the term is over: another has been granted the duty since, or it was given back")
+	ErrHeld     = errors.New("the duty is held by another")
+	ErrTermOver = errors.New("the term is over: another has been granted the duty since, or it was given back")
 	// ErrUnheard is no refusal: what the asker holds, it holds on, and with the version that goes with it the next request is granted.
-	ErrUnheard = errors.New("the lease has been granted since the version that the request names")
+	ErrStaleVersion = errors.New("the lease has been granted since the version that the request names")
 )
 
 // Unsaid is the version of a request that does not say what its sender has heard, as those of the log's earlier form: it is granted
 // without.
-const Unsaid uint64 = 0
+const AnyVersion uint64 = 0
 
 // Table grants duties, each for the same length. It is part of the replicated store's state: requests are applied in the order of its log, with the
 // leader's clock as they were taken in. It is not safe for concurrent use.
 type Table struct {
 	c      Config
-	duties map[string]*Kept
+	duties map[string]*Record
 }
 
 // Kept is a grant as the table's snapshots hold it.
-type Kept struct {
+type Record struct {
 	Grant
 	Until  time.Duration // by the clock of the leader that holds the table
 	Length time.Duration // of its leases, as its holder asked
@@ -102,13 +102,13 @@
 
 // NewTable returns a table in which every duty is free.
 func NewTable(c Config) (*Table, error) {
-	return &Table{c: c.defaults(), duties: map[string]*Kept{}}, c.Check()
+	return &Table{c: c.defaults(), duties: map[string]*Record{}}, c.Check()
 }
 
-func (t *Table) duty(name string) *Kept {
+func (t *Table) duty(name string) *Record {
 	d := t.duties[name]
 	if d == nil {
-		d = &Kept{Grant: Grant{Duty: name, Version: 1}, Length: t.c.Length}
+		d = &Record{Grant: Grant{Duty: name, Version: 1}, Length: t.c.Length}
 		t.duties[name] = d
 	}
 	return d
@@ -122,8 +122,8 @@
 	if d.Holder != "" && d.Holder != who && now < d.Until {
 		return d.Grant, fmt.Errorf("%w: %s, in term %d", ErrHeld, d.Holder, d.Term)
 	}
-	if heard != Unsaid && heard != d.Version {
-		return d.Grant, ErrUnheard
+	if heard != AnyVersion && heard != d.Version {
+		return d.Grant, ErrStaleVersion
 	}
 	d.Holder, d.Term, d.Token, d.Version, d.Until, d.Length = who, d.Term+1, d.Token+1, d.Version+1, now+length, length
 	return d.Grant, nil
@@ -133,10 +133,10 @@
 func (t *Table) Renew(now time.Duration, duty, who string, term, heard uint64) (Grant, error) {
 	d := t.duty(duty)
 	if d.Holder != who || d.Term != term {
-		return d.Grant, ErrTerm
+		return d.Grant, ErrTermOver
 	}
-	if heard != Unsaid && heard != d.Version {
-		return d.Grant, ErrUnheard
+	if heard != AnyVersion && heard != d.Version {
+		return d.Grant, ErrStaleVersion
 	}
 	d.Version, d.Until = d.Version+1, now+d.Length
 	return d.Grant, nil
@@ -146,7 +146,7 @@
 func (t *Table) Resign(duty, who string, term uint64) error {
 	d := t.duty(duty)
 	if d.Holder != who || d.Term != term {
-		return ErrTerm
+		return ErrTermOver
 	}
 	d.Holder, d.Until = "", 0
 	return nil
@@ -185,7 +185,7 @@
 }
 
 // Snapshot lists all that the table holds, by name.
-func (t *Table) Snapshot() (list []Kept) {
+func (t *Table) Snapshot() (list []Record) {
 	for _, name := range slices.Sorted(maps.Keys(t.duties)) {
 		list = append(list, *t.duties[name])
 	}
@@ -193,8 +193,8 @@
 }
 
 // Restore takes over a snapshot. Led must follow before the next request, unless that comes from the same leader's time.
-func (t *Table) Restore(list []Kept) {
-	t.duties = map[string]*Kept{}
+func (t *Table) Restore(list []Record) {
+	t.duties = map[string]*Record{}
 	for _, g := range list {
 		g.Version = max(g.Version, 1) // of the earlier form
 		t.duties[g.Duty] = &g
@@ -202,13 +202,13 @@
 }
 
 // What is what a holder is to do next.
-type What uint8
+type RequestKind uint8
 
 // The steps of a holder.
 const (
-	Wait     What = iota // nothing before Next
-	Campaign             // ask for the duty
-	Renew                // lengthen the lease
+	Wait     RequestKind = iota // nothing before Next
+	Campaign                    // ask for the duty
+	Renew                       // lengthen the lease
 )
 
 // Holder is one coordinator's part in one duty. It is not safe for concurrent use.
@@ -244,24 +244,24 @@
 func (h *Holder) Next() time.Duration { return h.next }
 
 // Ask is a request to be sent.
-type Ask struct {
-	What  What
-	Term  uint64 // Renew: of the lease
-	Heard uint64 // the version of the lease that this holder knows
-	N     uint64 // goes with the answer, so that a late one is not taken for that of a later request
+type Request struct {
+	Kind    RequestKind
+	Term    uint64 // Renew: of the lease
+	Version uint64 // the version of the lease that this holder knows
+	N       uint64 // goes with the answer, so that a late one is not taken for that of a later request
 }
 
 // Step tells what to send now. A request is out until Granted, Denied or Lost tells of it.
-func (h *Holder) Step(now time.Duration) Ask {
+func (h *Holder) Step(now time.Duration) Request {
 	if h.retired || h.out || now < h.next {
-		return Ask{}
+		return Request{}
 	}
 	h.out, h.sent, h.asked = true, now, h.asked+1
 	if h.held && now < h.until {
-		return Ask{Renew, h.grant.Term, h.heard, h.asked}
+		return Request{Renew, h.grant.Term, h.heard, h.asked}
 	}
 	h.held = false
-	return Ask{Campaign, 0, h.heard, h.asked}
+	return Request{Campaign, 0, h.heard, h.asked}
 }
 
 // Granted takes in the answer to request n. The lease counts from when that was sent.
@@ -279,7 +279,7 @@
 
 // Unheard takes in, as the answer to request n, that the lease has been granted since this holder last heard of it. What is held
 // goes on to its end; Step has the next request at once.
-func (h *Holder) Unheard(now time.Duration, n, version uint64) {
+func (h *Holder) VersionStale(now time.Duration, n, version uint64) {
 	if !h.out || n != h.asked {
 		return
 	}
--- a/internal/lease/lease_test.go
+++ b/internal/lease/lease_test.go
@@ -22,52 +22,52 @@
 		want Grant
 		err  error
 	}{
-		{"free", func(t *Table) (Grant, error) { return t.Campaign(0, "d", "a", 10*s, Unsaid) }, Grant{"d", "a", 1, 1, 2}, nil},
+		{"free", func(t *Table) (Grant, error) { return t.Campaign(0, "d", "a", 10*s, AnyVersion) }, Grant{"d", "a", 1, 1, 2}, nil},
 		{"held", func(t *Table) (Grant, error) {
-			t.Campaign(0, "d", "a", 10*s, Unsaid)
-			return t.Campaign(10*s-1, "d", "b", 10*s, Unsaid)
+			t.Campaign(0, "d", "a", 10*s, AnyVersion)
+			return t.Campaign(10*s-1, "d", "b", 10*s, AnyVersion)
 		}, Grant{"d", "a", 1, 1, 2}, ErrHeld},
 		{"over", func(t *Table) (Grant, error) {
-			t.Campaign(0, "d", "a", 10*s, Unsaid)
-			return t.Campaign(10*s, "d", "b", 10*s, Unsaid)
+			t.Campaign(0, "d", "a", 10*s, AnyVersion)
+			return t.Campaign(10*s, "d", "b", 10*s, AnyVersion)
 		}, Grant{"d", "b", 2, 2, 3}, nil},
 		{"renewed", func(t *Table) (Grant, error) {
-			t.Campaign(0, "d", "a", 10*s, Unsaid)
-			t.Renew(9*s, "d", "a", 1, Unsaid)
-			return t.Campaign(18*s, "d", "b", 10*s, Unsaid)
+			t.Campaign(0, "d", "a", 10*s, AnyVersion)
+			t.Renew(9*s, "d", "a", 1, AnyVersion)
+			return t.Campaign(18*s, "d", "b", 10*s, AnyVersion)
 		}, Grant{"d", "a", 1, 1, 3}, ErrHeld},
 		{"renewed late, and nobody else came", func(t *Table) (Grant, error) {
-			t.Campaign(0, "d", "a", 10*s, Unsaid)
-			return t.Renew(30*s, "d", "a", 1, Unsaid)
+			t.Campaign(0, "d", "a", 10*s, AnyVersion)
+			return t.Renew(30*s, "d", "a", 1, AnyVersion)
 		}, Grant{"d", "a", 1, 1, 3}, nil},
 		{"renewed after another", func(t *Table) (Grant, error) {
-			t.Campaign(0, "d", "a", 10*s, Unsaid)
-			t.Campaign(10*s, "d", "b", 10*s, Unsaid)
-			return t.Renew(11*s, "d", "a", 1, Unsaid)
-		}, Grant{"d", "b", 2, 2, 3}, ErrTerm},
+			t.Campaign(0, "d", "a", 10*s, AnyVersion)
+			t.Campaign(10*s, "d", "b", 10*s, AnyVersion)
+			return t.Renew(11*s, "d", "a", 1, AnyVersion)
+		}, Grant{"d", "b", 2, 2, 3}, ErrTermOver},
 		{"an old term of its own", func(t *Table) (Grant, error) {
-			t.Campaign(0, "d", "a", 10*s, Unsaid)
-			t.Campaign(1*s, "d", "a", 10*s, Unsaid)
-			return t.Renew(2*s, "d", "a", 1, Unsaid)
-		}, Grant{"d", "a", 2, 2, 3}, ErrTerm},
+			t.Campaign(0, "d", "a", 10*s, AnyVersion)
+			t.Campaign(1*s, "d", "a", 10*s, AnyVersion)
+			return t.Renew(2*s, "d", "a", 1, AnyVersion)
+		}, Grant{"d", "a", 2, 2, 3}, ErrTermOver},
 		{"resigned", func(t *Table) (Grant, error) {
-			t.Campaign(0, "d", "a", 10*s, Unsaid)
+			t.Campaign(0, "d", "a", 10*s, AnyVersion)
 			t.Resign("d", "a", 1)
-			return t.Campaign(1, "d", "b", 10*s, Unsaid)
+			return t.Campaign(1, "d", "b", 10*s, AnyVersion)
 		}, Grant{"d", "b", 2, 2, 3}, nil},
 		{"another's resignation", func(t *Table) (Grant, error) {
-			t.Campaign(0, "d", "a", 10*s, Unsaid)
-			if err := t.Resign("d", "b", 1); !errors.Is(err, ErrTerm) {
+			t.Campaign(0, "d", "a", 10*s, AnyVersion)
+			if err := t.Resign("d", "b", 1); !errors.Is(err, ErrTermOver) {
 				return Grant{}, err
 			}
-			return t.Campaign(1, "d", "b", 10*s, Unsaid)
+			return t.Campaign(1, "d", "b", 10*s, AnyVersion)
 		}, Grant{"d", "a", 1, 1, 2}, ErrHeld},
 		{"a new leader counts from its start", func(t *Table) (Grant, error) {
-			t.Campaign(100*s, "d", "a", 10*s, Unsaid)
+			t.Campaign(100*s, "d", "a", 10*s, AnyVersion)
 			list := t.Snapshot()
 			t.Restore(list)
 			t.Led(5 * s) // another clock
-			return t.Campaign(15*s-1, "d", "b", 10*s, Unsaid)
+			return t.Campaign(15*s-1, "d", "b", 10*s, AnyVersion)
 		}, Grant{"d", "a", 1, 1, 2}, ErrHeld},
 		{"the version of the last grant", func(t *Table) (Grant, error) {
 			g, _ := t.Campaign(0, "d", "a", 10*s, 1)
@@ -76,7 +76,7 @@
 		{"a renewal by one that did not hear of the last lengthens nothing", func(t *Table) (Grant, error) {
 			t.Campaign(0, "d", "a", 10*s, 1)
 			t.Renew(4*s, "d", "a", 1, 2)
-			if g, err := t.Renew(8*s, "d", "a", 1, 2); !errors.Is(err, ErrUnheard) {
+			if g, err := t.Renew(8*s, "d", "a", 1, 2); !errors.Is(err, ErrStaleVersion) {
 				return g, err
 			}
 			return t.Campaign(14*s, "d", "b", 10*s, 3)
@@ -85,18 +85,18 @@
 			t.Campaign(0, "d", "a", 10*s, 1)
 			t.Renew(4*s, "d", "a", 1, 2)
 			return t.Campaign(30*s, "d", "a", 10*s, 2)
-		}, Grant{"d", "a", 1, 1, 3}, ErrUnheard},
+		}, Grant{"d", "a", 1, 1, 3}, ErrStaleVersion},
 		{"one that is denied is told the version", func(t *Table) (Grant, error) {
 			t.Campaign(0, "d", "a", 10*s, 1)
 			return t.Campaign(1*s, "d", "b", 10*s, 1)
 		}, Grant{"d", "a", 1, 1, 2}, ErrHeld},
 		{"a snapshot of the earlier form", func(t *Table) (Grant, error) {
-			t.Restore([]Kept{{Grant: Grant{"d", "a", 7, 7, 0}, Until: 5 * s, Length: 10 * s}})
+			t.Restore([]Record{{Grant: Grant{"d", "a", 7, 7, 0}, Until: 5 * s, Length: 10 * s}})
 			return t.Campaign(6*s, "d", "b", 10*s, 1)
 		}, Grant{"d", "b", 8, 8, 2}, nil},
 		{"another duty", func(t *Table) (Grant, error) {
-			t.Campaign(0, "d", "a", 10*s, Unsaid)
-			return t.Campaign(0, "e", "b", 10*s, Unsaid)
+			t.Campaign(0, "d", "a", 10*s, AnyVersion)
+			return t.Campaign(0, "e", "b", 10*s, AnyVersion)
 		}, Grant{"e", "b", 1, 1, 2}, nil},
 	} {
 		table, err := NewTable(Config{})
@@ -198,15 +198,15 @@
 			}
 			h := p.h
 			at := p.clock(now)
-			if ask := h.Step(at); ask.What != Wait {
+			if ask := h.Step(at); ask.Kind != Wait {
 				way, lost := time.Duration(rng.Int64N(int64(2*s))), rng.IntN(8) == 0
 				post = append(post, mail{now + way, func(now time.Duration) {
 					var g Grant
 					var err error
-					if ask.What == Renew {
-						g, err = table.Renew(leader.clock(now), "d", p.name, ask.Term, ask.Heard)
+					if ask.Kind == Renew {
+						g, err = table.Renew(leader.clock(now), "d", p.name, ask.Term, ask.Version)
 					} else {
-						g, err = table.Campaign(leader.clock(now), "d", p.name, c.Length, ask.Heard)
+						g, err = table.Campaign(leader.clock(now), "d", p.name, c.Length, ask.Version)
 					}
 					late := time.Duration(0)
 					if lost { // given up, and answered when the next may be out
@@ -216,8 +216,8 @@
 					post = append(post, mail{max(now, p.stalled) + late + time.Duration(rng.Int64N(int64(2*s))), func(now time.Duration) {
 						switch {
 						case p.h != h:
-						case errors.Is(err, ErrUnheard):
-							h.Unheard(p.clock(now), ask.N, g.Version)
+						case errors.Is(err, ErrStaleVersion):
+							h.VersionStale(p.clock(now), ask.N, g.Version)
 						case err != nil:
 							h.Denied(p.clock(now), ask.N, g.Version)
 						default:
@@ -284,24 +284,24 @@
 		for now := time.Duration(0); now < 5*time.Minute; now += 100 * time.Millisecond {
 			for i, h := range holders {
 				ask := h.Step(now)
-				heard := ask.Heard
+				heard := ask.Version
 				if !says {
-					heard = Unsaid
+					heard = AnyVersion
 				}
 				var g Grant
 				var err error
-				switch name := fmt.Sprint("c", i); ask.What {
+				switch name := fmt.Sprint("c", i); ask.Kind {
 				case Campaign:
 					g, err = table.Campaign(now, "d", name, c.Length, heard)
 				case Renew:
 					g, err = table.Renew(now, "d", name, ask.Term, heard)
 				}
 				switch deaf := i == 0 && now > time.Minute && now < 3*time.Minute; {
-				case ask.What == Wait:
+				case ask.Kind == Wait:
 				case deaf:
 					h.Lost(now, ask.N)
-				case errors.Is(err, ErrUnheard):
-					h.Unheard(now, ask.N, g.Version)
+				case errors.Is(err, ErrStaleVersion):
+					h.VersionStale(now, ask.N, g.Version)
 				case err != nil:
 					h.Denied(now, ask.N, g.Version)
 				default:
@@ -329,6 +329,6 @@
 func BenchmarkCampaign(b *testing.B) {
 	table, _ := NewTable(Config{})
 	for i := 0; b.Loop(); i++ {
-		table.Campaign(time.Duration(i)*20*s, fmt.Sprint("d", i%100), "a", 10*s, Unsaid)
+		table.Campaign(time.Duration(i)*20*s, fmt.Sprint("d", i%100), "a", 10*s, AnyVersion)
 	}
 }
--- a/internal/maintenance/agent/agent.go
+++ b/internal/maintenance/agent/agent.go
@@ -37,25 +37,25 @@
 
 // Options are set before Start.
 type Options struct {
-	Store  *store.Store
-	Core   *coordinator.Core
-	Name   string
-	Log    *slog.Logger
-	Layout maintenance.Layout
-	Limits maintenance.Limits
-	Warm   time.Duration // that a cold data node needs
+	Store       *store.Store
+	Coordinator *coordinator.Coordinator
+	Name        string
+	Log         *slog.Logger
+	Layout      maintenance.Layout
+	Limits      maintenance.Limits
+	WarmupTime  time.Duration // that a cold data node needs
 	// Longest is the longest time of an attempt, so of a query: once nothing has been begun for so long, nothing is out.
-	Longest time.Duration
-	Bound   time.Duration // that announced machines may be sent to without a word from the store
-	Duty    time.Duration // length of the duty's lease
-	Drift   float64       // by how much clocks may run fast or slow
-	Every   time.Duration // between looks at the plan while the duty is held
-	Duties  []string      // further duties to campaign for
-	Hook    []string      // called with out or done and the machine; none while empty
-	HookFor time.Duration // longest that the hook may take
-	Budget  int           // bytes of plans that the holder writes in a second
+	LongestAttempt time.Duration
+	PresenceBound  time.Duration // that announced machines may be sent to without a word from the store
+	Duty           time.Duration // length of the duty's lease
+	Drift          float64       // by how much clocks may run fast or slow
+	Every          time.Duration // between looks at the plan while the duty is held
+	Duties         []string      // further duties to campaign for
+	Hook           []string      // called with out or done and the machine; none while empty
+	HookFor        time.Duration // longest that the hook may take
+	Budget         int           // bytes of plans that the holder writes in a second
 	// Learned is what all coordinators have told of a data node; nil where they don't talk.
-	Learned func(node string) observations.View
+	Observations func(node string) observations.View
 }
 
 // record is what a coordinator says in the store.
@@ -65,7 +65,7 @@
 }
 
 // Steward is one coordinator's part.
-type Steward struct {
+type Agent struct {
 	Options
 	start    time.Time
 	budget   *rate.Limiter
@@ -92,7 +92,7 @@
 
 // renewal is when a presence was last seen to be renewed, by our own clock.
 type renewal struct {
-	kept lease.Kept
+	kept lease.Record
 	at   time.Time
 }
 
@@ -100,16 +100,16 @@
 const mostHooks = 8
 
 // Start takes part from now on. Core must have been told WatchWork.
-func Start(o Options) *Steward {
+func Start(o Options) *Agent {
 	ctx, stop := context.WithCancel(context.Background())
-	s := &Steward{Options: o, start: time.Now(), budget: rate.NewLimiter(rate.Limit(o.Budget), o.Budget), stop: stop, clear: map[string]uint64{}, told: map[string]uint64{}, handed: map[string]uint64{},
+	s := &Agent{Options: o, start: time.Now(), budget: rate.NewLimiter(rate.Limit(o.Budget), o.Budget), stop: stop, clear: map[string]uint64{}, told: map[string]uint64{}, handed: map[string]uint64{},
 		calls: map[string]bool{}, retryAt: map[string]time.Time{}, renewals: map[string]renewal{}}
 	// The presence ends here by the longest attempt before it ends in the store: what was begun until then has its end.
-	own := lease.Config{Length: time.Duration(float64(o.Bound+o.Longest)*(1+o.Drift)/(1-o.Drift)) + time.Millisecond, Drift: o.Drift, Renew: 0.2}
+	own := lease.Config{Length: time.Duration(float64(o.PresenceBound+o.LongestAttempt)*(1+o.Drift)/(1-o.Drift)) + time.Millisecond, Drift: o.Drift, Renew: 0.2}
 	s.presence = &store.Lease{Store: o.Store, Duty: o.Name, Presence: true, Who: o.Name, Config: own, Log: o.Log, Put: s.record,
-		Told: func(until time.Time) {
+		Granted: func(until time.Time) {
 			if _, ok := s.follow(); ok { // what is settled goes first
-				o.Core.Present(until.Add(-o.Longest))
+				o.Coordinator.ExtendPresence(until.Add(-o.LongestAttempt))
 			}
 		}}
 	s.duty = &store.Lease{Store: o.Store, Duty: maintenance.Duty, Who: o.Name, Config: lease.Config{Length: o.Duty, Drift: o.Drift}, Log: o.Log}
@@ -120,7 +120,7 @@
 	s.remember()
 	s.wg.Go(func() { s.presence.Run(ctx, time.Millisecond) })
 	for _, l := range s.duties {
-		s.wg.Go(func() { l.Run(ctx, o.Bound/8) })
+		s.wg.Go(func() { l.Run(ctx, o.PresenceBound/8) })
 	}
 	s.wg.Go(func() { s.watch(ctx) })
 	s.wg.Go(func() { s.lead(ctx) })
@@ -129,9 +129,9 @@
 
 // remember starts from what this coordinator had applied before, if it had said then that it takes part: every request that
 // went on without hearing of us since was in it. Else nothing is known, and nothing is sent before the store has been heard.
-func (s *Steward) remember() {
+func (s *Agent) remember() {
 	raw := s.Store.Get(recordKey + s.Name)
-	if !s.Store.Lasting() || len(raw) == 0 {
+	if !s.Store.Persistent() || len(raw) == 0 {
 		return
 	}
 	var r record
@@ -146,7 +146,7 @@
 	s.mu.Lock()
 	s.seen, s.said = r.Seen, r.Seen
 	s.mu.Unlock()
-	s.Core.SetWork(workOf(plan))
+	s.Coordinator.SetMaintenance(workOf(plan))
 }
 
 func decode(raw []byte) (*maintenance.State, error) {
@@ -160,17 +160,17 @@
 	return plan, nil
 }
 
-func workOf(plan *maintenance.State) coordinator.Work {
+func workOf(plan *maintenance.State) coordinator.Maintenance {
 	o := plan.Overlay()
-	return coordinator.Work{Barred: o.Barred, Addrs: o.Addrs, Announced: o.Announced, Back: o.Back}
+	return coordinator.Maintenance{Excluded: o.Barred, Addrs: o.Addrs, Announced: o.Announced, Returned: o.Back}
 }
 
 // plan is the plan as it is applied here, and its revision; ok is false until this member has caught up with what it had
 // before.
-func (s *Steward) plan() (plan *maintenance.State, revision uint64, err error) {
+func (s *Agent) plan() (plan *maintenance.State, revision uint64, err error) {
 	var e statemachine.Entry
 	var at uint64
-	s.Store.Look(func(st *statemachine.State) { e, _ = st.Get(planKey); at = st.Index() })
+	s.Store.View(func(st *statemachine.State) { e, _ = st.Get(planKey); at = st.Index() })
 	if at == 0 {
 		return nil, 0, errors.New("the store has not been heard yet")
 	}
@@ -179,7 +179,7 @@
 }
 
 // record is what this coordinator says in the store.
-func (s *Steward) record() []statemachine.Pair {
+func (s *Agent) record() []statemachine.Pair {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	data, _ := json.Marshal(record{s.said, s.clear})
@@ -187,7 +187,7 @@
 }
 
 // watch follows the plan, and says what is seen and clear.
-func (s *Steward) watch(ctx context.Context) {
+func (s *Agent) watch(ctx context.Context) {
 	for ctx.Err() == nil {
 		changed := s.Store.Changed()
 		if news, _ := s.follow(); news {
@@ -205,7 +205,7 @@
 
 // follow tells core what the plan as it is applied here says, and notes what is clear. It tells whether the store lacks any of
 // it; ok is false where nothing can be said yet.
-func (s *Steward) follow() (news, ok bool) {
+func (s *Agent) follow() (news, ok bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if ok = s.adopt(); !ok {
@@ -213,7 +213,7 @@
 	}
 	clear := map[string]uint64{}
 	for id, turn := range s.turns {
-		if s.clear[id] == turn || s.Core.Quiet(id) {
+		if s.clear[id] == turn || s.Coordinator.Idle(id) {
 			clear[id] = turn
 		}
 	}
@@ -221,7 +221,7 @@
 	// Without presence a part may be out at a machine that was not called when it was sent. It is said that a call was seen only
 	// while present: then such parts end before the store holds the presence for over. Nor is it said while the disk may hold an
 	// older plan: after a restart that would be gone by, and what was called since would be sent to without presence.
-	if s.Core.IsPresent() && (!s.Store.Lasting() || s.Store.Kept()) {
+	if s.Coordinator.IsPresent() && (!s.Store.Persistent() || s.Store.Durable()) {
 		s.said = s.seen
 	}
 	var kept record
@@ -232,10 +232,10 @@
 }
 
 // adopt takes over the plan, where it is another than the one that core goes by. The caller holds the lock.
-func (s *Steward) adopt() bool {
+func (s *Agent) adopt() bool {
 	var e statemachine.Entry
 	var at uint64
-	s.Store.Look(func(st *statemachine.State) { e, _ = st.Get(planKey); at = st.Index() })
+	s.Store.View(func(st *statemachine.State) { e, _ = st.Get(planKey); at = st.Index() })
 	if at == 0 {
 		return false
 	}
@@ -256,13 +256,13 @@
 			s.Log.Info("machine in work", "n", m.N, "request", m.Request, "machine", m.Machine, "to", m.To.String(), "why", m.Why)
 		}
 	}
-	s.Core.SetWork(workOf(plan))
+	s.Coordinator.SetMaintenance(workOf(plan))
 	s.seen, s.turns, s.revision, s.adopted = plan.Seen(), plan.Overlay().Turns, e.Revision, true
 	return true
 }
 
 // say writes this coordinator's record. One that was forgotten by an operator writes it too: it is here.
-func (s *Steward) say(ctx context.Context) {
+func (s *Agent) say(ctx context.Context) {
 	ctx, cancel := context.WithDeadline(ctx, time.Now().Add(time.Second))
 	defer cancel()
 	if r, err := s.Store.Do(ctx, statemachine.Command{Put: s.record()}); err == nil {
@@ -271,9 +271,9 @@
 }
 
 // coordinators are all that ever took part and were not forgotten.
-func (s *Steward) coordinators() (list []maintenance.Coordinator) {
-	present := map[string]lease.Kept{}
-	s.Store.Look(func(st *statemachine.State) {
+func (s *Agent) coordinators() (list []maintenance.Coordinator) {
+	present := map[string]lease.Record{}
+	s.Store.View(func(st *statemachine.State) {
 		for key, e := range st.Values() {
 			name, ok := strings.CutPrefix(key, recordKey)
 			var r record
@@ -305,22 +305,22 @@
 // told takes into a machine what others have told of it: who fails for another, or is cold to it, holds no shard up either, and its own
 // report to another counts where it has made none here.
 func told(m maintenance.Machine, v observations.View) maintenance.Machine {
-	if m.Sound = m.Sound && !v.Doubtful && v.ColdFor == 0; m.Util == 0 && v.Busy > 0 {
-		m.Util = v.Busy
+	if m.Healthy = m.Healthy && !v.Suspect && v.WarmingFor == 0; m.Util == 0 && v.Utilization > 0 {
+		m.Util = v.Utilization
 	}
 	return m
 }
 
 // fleet is the fleet as this coordinator sees it.
-func (s *Steward) fleet() (*maintenance.Fleet, error) {
+func (s *Agent) fleet() (*maintenance.Fleet, error) {
 	var list []maintenance.Machine
-	for _, l := range s.Core.Fleet() {
-		m := maintenance.Machine{ID: l.ID, Addr: l.Addr, Zone: l.Zone, Cell: l.Cell, Weight: l.Weight, Serving: l.State == coordinator.Serving, Util: l.Util}
-		if m.Sound = m.Serving && !l.Cold && !l.Doubtful; !l.Started.IsZero() {
+	for _, l := range s.Coordinator.DataNodes() {
+		m := maintenance.Machine{ID: l.ID, Addr: l.Addr, Zone: l.Zone, ShardSet: l.ShardSet, Weight: l.Weight, Serving: l.State == coordinator.Serving, Util: l.Utilization}
+		if m.Healthy = m.Serving && !l.WarmingUp && !l.Suspect; !l.Started.IsZero() {
 			m.Started = l.Started.UnixMilli()
 		}
-		if s.Learned != nil {
-			m = told(m, s.Learned(l.ID))
+		if s.Observations != nil {
+			m = told(m, s.Observations(l.ID))
 		}
 		if l.State != coordinator.Gone {
 			list = append(list, m)
@@ -330,7 +330,7 @@
 }
 
 // lead makes moves for as long as the duty is held.
-func (s *Steward) lead(ctx context.Context) {
+func (s *Agent) lead(ctx context.Context) {
 	tick := time.NewTicker(s.Every)
 	defer tick.Stop()
 	var timer *maintenance.Timer
@@ -366,7 +366,7 @@
 }
 
 // move looks once and makes what moves there are, in one command.
-func (s *Steward) move(ctx context.Context, timer *maintenance.Timer) error {
+func (s *Agent) move(ctx context.Context, timer *maintenance.Timer) error {
 	plan, revision, err := s.plan()
 	if err != nil || len(plan.Requests) == 0 {
 		return err
@@ -379,11 +379,11 @@
 	if err != nil {
 		return err
 	}
-	v := &maintenance.View{Now: time.Since(s.start), Wall: time.Now(), Fleet: fleet, Limits: s.Limits, Warm: s.Warm, Coordinators: s.coordinators(),
-		Pressed: s.Core.Pressed()}
+	v := &maintenance.View{Now: time.Since(s.start), Wall: time.Now(), Fleet: fleet, Limits: s.Limits, WarmupTime: s.WarmupTime, Coordinators: s.coordinators(),
+		Overloaded: s.Coordinator.Overloaded()}
 	if len(s.Hook) > 0 {
 		s.mu.Lock()
-		v.Told = maps.Clone(s.told)
+		v.Known = maps.Clone(s.told)
 		s.mu.Unlock()
 	}
 	s.hooks(ctx, plan)
@@ -405,11 +405,11 @@
 	for left, now := len(data), time.Now(); left > 0; left -= s.Budget {
 		s.budget.ReserveN(now, min(left, s.Budget))
 	}
-	c := statemachine.Command{If: []statemachine.Cond{{Key: planKey, Revision: revision}, {Duty: maintenance.Duty, Token: token}},
+	c := statemachine.Command{If: []statemachine.Condition{{Key: planKey, Revision: revision}, {Duty: maintenance.Duty, Token: token}},
 		Put: []statemachine.Pair{{Key: planKey, Value: data}}}
 	for _, m := range moves {
 		for _, name := range m.Lapsed {
-			c.If = append(c.If, statemachine.Cond{Lapsed: name})
+			c.If = append(c.If, statemachine.Condition{Lapsed: name})
 		}
 	}
 	one, cancel := context.WithDeadline(ctx, time.Now().Add(2*time.Second))
@@ -431,7 +431,7 @@
 }
 
 // edit changes the plan by an operator's word, whoever else changes it meanwhile.
-func (s *Steward) edit(ctx context.Context, change func(*maintenance.State) error) error {
+func (s *Agent) edit(ctx context.Context, change func(*maintenance.State) error) error {
 	for {
 		if err := s.Store.Sync(ctx); err != nil {
 			return fmt.Errorf("the store was not heard in time; try again, or at another coordinator: %w", err)
@@ -447,7 +447,7 @@
 		if err != nil {
 			return err
 		}
-		r, err := s.Store.Do(ctx, statemachine.Command{If: []statemachine.Cond{{Key: planKey, Revision: revision}}, Put: []statemachine.Pair{{Key: planKey, Value: data}}})
+		r, err := s.Store.Do(ctx, statemachine.Command{If: []statemachine.Condition{{Key: planKey, Revision: revision}}, Put: []statemachine.Pair{{Key: planKey, Value: data}}})
 		switch {
 		case err != nil:
 			return fmt.Errorf("the store did not answer in time, so it may or may not have been taken; look with `gullfall work list`: %w", err)
@@ -460,7 +460,7 @@
 }
 
 // Leave gives all duties back at once, so that others take them over; this coordinator goes on taking part.
-func (s *Steward) Leave(ctx context.Context) error {
+func (s *Agent) Leave(ctx context.Context) error {
 	var all errgroup.Group
 	for _, l := range s.duties {
 		all.Go(func() error { return l.StandBack(ctx) })
@@ -470,8 +470,8 @@
 
 // Close ends the part. Where quiet is set nothing is out or begun any more anywhere, and the presence is given back by ctx's
 // deadline, so that nobody waits for it to run out.
-func (s *Steward) Close(ctx context.Context, quiet bool) {
-	s.Core.Present(time.Time{})
+func (s *Agent) Close(ctx context.Context, quiet bool) {
+	s.Coordinator.ExtendPresence(time.Time{})
 	if quiet {
 		s.presence.Resign(ctx)
 	}
--- a/internal/maintenance/agent/hooks.go
+++ b/internal/maintenance/agent/hooks.go
@@ -16,7 +16,7 @@
 
 // hooks calls the hook for machines that were handed over, and for those that are warm. It is called at least once for each; a
 // new holder of the duty calls it again.
-func (s *Steward) hooks(ctx context.Context, plan *maintenance.State) {
+func (s *Agent) hooks(ctx context.Context, plan *maintenance.State) {
 	if len(s.Hook) == 0 {
 		return
 	}
@@ -32,7 +32,7 @@
 	}
 }
 
-func (s *Steward) hook(ctx context.Context, what, machine, addr string, turn uint64, told map[string]uint64) {
+func (s *Agent) hook(ctx context.Context, what, machine, addr string, turn uint64, told map[string]uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if told[machine] == turn || s.calls[machine] || len(s.calls) >= mostHooks || time.Now().Before(s.retryAt[machine]) {
--- a/internal/maintenance/agent/operators.go
+++ b/internal/maintenance/agent/operators.go
@@ -17,7 +17,7 @@
 )
 
 // Ask is a request as an operator gives it.
-type Ask struct {
+type Request struct {
 	By            string
 	Machines      []string
 	Zone          string // all of it
@@ -41,7 +41,7 @@
 }
 
 // Start plans a request, and takes it in unless it is a dry run.
-func (s *Steward) Start(ctx context.Context, a Ask) (p Planned, err error) {
+func (s *Agent) Start(ctx context.Context, a Request) (p Planned, err error) {
 	fleet, err := s.fleet()
 	if err != nil {
 		return p, err
@@ -62,8 +62,8 @@
 	req := maintenance.Request{By: a.By, Takes: a.Takes, Back: a.Back, NotBefore: a.NotBefore, DoneBy: a.DoneBy, AtOnce: a.AtOnce, Barred: a.Barred,
 		GoOn: a.GoOn, ByHand: a.ByHand}
 	take := func(plan *maintenance.State) error {
-		r, order, err := plan.Start(time.Now(), req, machines, fleet, s.Limits, s.Warm)
-		p.Plan, p.Step = order, a.Takes+s.Warm
+		r, order, err := plan.Start(time.Now(), req, machines, fleet, s.Limits, s.WarmupTime)
+		p.Plan, p.Step = order, a.Takes+s.WarmupTime
 		if err != nil {
 			return err
 		}
@@ -85,7 +85,7 @@
 }
 
 // Order is an operator's word on a request: maintenance.Pause, Resume or Abandon.
-func (s *Steward) Order(ctx context.Context, by, word string, request uint64) error {
+func (s *Agent) Order(ctx context.Context, by, word string, request uint64) error {
 	return s.edit(ctx, func(plan *maintenance.State) error {
 		if err := plan.Order(word, request); err != nil {
 			return err
@@ -96,7 +96,7 @@
 }
 
 // Done is the word that a machine's work is done.
-func (s *Steward) Done(ctx context.Context, by, machine, as string) error {
+func (s *Agent) Done(ctx context.Context, by, machine, as string) error {
 	return s.edit(ctx, func(plan *maintenance.State) error {
 		if err := plan.WorkDone(machine, as); err != nil {
 			return err
@@ -107,9 +107,9 @@
 }
 
 // Forget is the word that a coordinator is gone for good: nothing waits for it any more. One that is present is not forgotten.
-func (s *Steward) Forget(ctx context.Context, by, name string) error {
+func (s *Agent) Forget(ctx context.Context, by, name string) error {
 	known := false
-	s.Store.Look(func(st *statemachine.State) { _, known = st.Get(recordKey + name) })
+	s.Store.View(func(st *statemachine.State) { _, known = st.Get(recordKey + name) })
 	if !known {
 		return fmt.Errorf("no coordinator %q takes part", name)
 	}
@@ -151,7 +151,7 @@
 }
 
 // Look is the work as it is known here; by now, or as of the store at the call where fresh is set.
-func (s *Steward) Look(ctx context.Context, fresh bool) (v View, err error) {
+func (s *Agent) View(ctx context.Context, fresh bool) (v View, err error) {
 	if fresh {
 		if err := s.Store.Sync(ctx); err != nil {
 			return v, fmt.Errorf("the store was not heard in time; --stale shows what is known here: %w", err)
@@ -164,7 +164,7 @@
 	for _, c := range s.coordinators() {
 		v.Coordinators = append(v.Coordinators, CoordinatorView{c.Name, c.Seen, c.Clear, !c.Over})
 	}
-	s.Store.Look(func(st *statemachine.State) {
+	s.Store.View(func(st *statemachine.State) {
 		for _, g := range st.Duties() {
 			v.Duties = append(v.Duties, DutyView{Grant: g, LeaseS: s.Options.Duty.Seconds()})
 		}
@@ -173,7 +173,7 @@
 }
 
 // lease finds a duty.
-func (s *Steward) lease(duty string) (*store.Lease, error) {
+func (s *Agent) lease(duty string) (*store.Lease, error) {
 	l := s.duties[duty]
 	if l == nil {
 		return nil, fmt.Errorf("no duty %q; there are %v", duty, slices.Sorted(maps.Keys(s.duties)))
@@ -182,7 +182,7 @@
 }
 
 // HandOn has this coordinator give a duty back, if it holds it, and stand back for one lease.
-func (s *Steward) HandOn(ctx context.Context, duty string) error {
+func (s *Agent) HandOver(ctx context.Context, duty string) error {
 	l, err := s.lease(duty)
 	if err != nil {
 		return err
@@ -194,7 +194,7 @@
 }
 
 // Tried is what came of trying a duty.
-type Tried struct {
+type DutyAttempt struct {
 	Duty, Who string
 	Holds     bool  // by this coordinator's own clock
 	At        int64 // the moment of that, Unix nanoseconds
@@ -206,18 +206,18 @@
 
 // Try tells whether this coordinator holds a duty, and writes to the store under its token, as whoever acts on it does: the
 // store turns an old one back.
-func (s *Steward) Try(ctx context.Context, duty string) (t Tried, err error) {
+func (s *Agent) TryDuty(ctx context.Context, duty string) (t DutyAttempt, err error) {
 	l, err := s.lease(duty)
 	if err != nil {
 		return t, err
 	}
-	t = Tried{Duty: duty, Who: s.Name}
+	t = DutyAttempt{Duty: duty, Who: s.Name}
 	var at time.Time
 	t.Token, at, t.Holds = l.Claim()
 	if t.At = at.UnixNano(); !t.Holds {
 		return t, nil
 	}
-	r, err := s.Store.Do(ctx, statemachine.Command{If: []statemachine.Cond{{Duty: duty, Token: t.Token}}, Put: []statemachine.Pair{{Key: triedKey + duty, Value: []byte(s.Name)}}})
+	r, err := s.Store.Do(ctx, statemachine.Command{If: []statemachine.Condition{{Duty: duty, Token: t.Token}}, Put: []statemachine.Pair{{Key: triedKey + duty, Value: []byte(s.Name)}}})
 	if err != nil {
 		return t, err
 	}
--- a/internal/maintenance/fleet.go
+++ b/internal/maintenance/fleet.go
@@ -10,15 +10,15 @@
 )
 
 // Layout says which cells hold a shard: s, s+1, ... s+Reach-1, modulo Cells.
-type Layout struct{ Cells, Shards, Reach int }
+type Layout struct{ ShardSets, Shards, Reach int }
 
 // Machine is a data node as one coordinator sees it.
 type Machine struct {
 	ID, Addr, Zone string
-	Cell           int
+	ShardSet       int
 	Weight         float64
 	Serving        bool    // listed as such
-	Sound          bool    // serving, not cold since its start or its return from work, not doubtful, its zone does not fail
+	Healthy        bool    // serving, not cold since its start or its return from work, not doubtful, its zone does not fail
 	Util           float64 // how busy it is, 0 to 1; 0 where not known
 	Started        int64   // of its process, Unix milliseconds; 0 where not known
 	zone           int     // its place among the zones of the fleet
@@ -59,21 +59,21 @@
 
 // NewFleet indexes machines; memory and time are linear in them and in the shards times the reach.
 func NewFleet(lay Layout, machines []Machine) (*Fleet, error) {
-	if lay.Cells < 1 || lay.Shards < 1 || lay.Reach < 1 || lay.Reach > lay.Cells {
-		return nil, fmt.Errorf("maintenance: %d cells, %d shards, reach %d: each is 1 at least, the reach no more than the cells", lay.Cells, lay.Shards, lay.Reach)
+	if lay.ShardSets < 1 || lay.Shards < 1 || lay.Reach < 1 || lay.Reach > lay.ShardSets {
+		return nil, fmt.Errorf("maintenance: %d cells, %d shards, reach %d: each is 1 at least, the reach no more than the cells", lay.ShardSets, lay.Shards, lay.Reach)
 	}
-	f := &Fleet{Layout: lay, Machines: machines, byID: map[string]*Machine{}, held: make([][]int, lay.Cells), sound: make([]int, lay.Shards)}
+	f := &Fleet{Layout: lay, Machines: machines, byID: map[string]*Machine{}, held: make([][]int, lay.ShardSets), sound: make([]int, lay.Shards)}
 	zones := map[string]int{}
 	for s := range lay.Shards {
 		for i := range lay.Reach {
-			cell := (s + i) % lay.Cells
+			cell := (s + i) % lay.ShardSets
 			f.held[cell] = append(f.held[cell], s)
 		}
 	}
 	for i := range machines {
 		m := &machines[i]
-		if m.Cell < 0 || m.Cell >= lay.Cells {
-			return nil, fmt.Errorf("maintenance: machine %s is of cell %d; there are %d", m.ID, m.Cell, lay.Cells)
+		if m.ShardSet < 0 || m.ShardSet >= lay.ShardSets {
+			return nil, fmt.Errorf("maintenance: machine %s is of cell %d; there are %d", m.ID, m.ShardSet, lay.ShardSets)
 		}
 		f.byID[m.ID] = m
 		at, known := zones[m.Zone]
@@ -85,13 +85,13 @@
 		z := &f.zones[at]
 		f.total += m.Weight
 		z.total += m.Weight
-		if !m.Sound {
+		if !m.Healthy {
 			f.missing += m.Weight
 			z.missing += m.Weight
 			continue
 		}
 		f.busy += m.Weight * m.Util
-		for _, s := range f.held[m.Cell] {
+		for _, s := range f.held[m.ShardSet] {
 			f.sound[s]++
 		}
 	}
@@ -140,16 +140,16 @@
 	if o.l.AtOnce > 0 && o.n >= o.l.AtOnce {
 		return hold{byNumber, 0}
 	}
-	for _, s := range o.f.held[m.Cell] {
+	for _, s := range o.f.held[m.ShardSet] {
 		// One that is not sound takes nothing away, but where others are missing it may be all that comes back soon.
-		if left := o.f.sound[s] - o.sound[s]; left < o.l.Floor || m.Sound && left == o.l.Floor {
+		if left := o.f.sound[s] - o.sound[s]; left < o.l.Floor || m.Healthy && left == o.l.Floor {
 			return hold{byFloor, s}
 		}
 		if o.l.PerShard > 0 && o.inWork[s] >= o.l.PerShard {
 			return hold{byPerShard, s}
 		}
 	}
-	if !m.Sound {
+	if !m.Healthy {
 		return hold{}
 	}
 	if o.l.Share > 0 && o.f.missing+o.missing+m.Weight > o.l.Share*o.f.total+slack {
@@ -189,13 +189,13 @@
 // put adds a machine, or takes it back.
 func (o *out) put(m *Machine, by int) {
 	o.n += by
-	for _, s := range o.f.held[m.Cell] {
+	for _, s := range o.f.held[m.ShardSet] {
 		o.inWork[s] += by
-		if m.Sound {
+		if m.Healthy {
 			o.sound[s] += by
 		}
 	}
-	if m.Sound {
+	if m.Healthy {
 		o.missing += float64(by) * m.Weight
 		o.zones[m.zone] += float64(by) * m.Weight
 	}
--- a/internal/maintenance/maintenance.go
+++ b/internal/maintenance/maintenance.go
@@ -68,7 +68,7 @@
 }
 
 // Barred tells that nothing may be sent to a machine in this state.
-func (s StepState) Barred() bool { return s == Draining || s == Drained || s == Out || s == Failed }
+func (s StepState) Excluded() bool { return s == Draining || s == Drained || s == Out || s == Failed }
 
 // missing tells that a machine is out, or may be without further notice: the limits count it so.
 func (s *Step) missing() bool { return s.State.inWork() || s.State == Waiting && s.Call > 0 }
@@ -403,7 +403,7 @@
 	for _, r := range s.Requests {
 		for _, st := range r.Steps {
 			switch {
-			case st.State.Barred():
+			case st.State.Excluded():
 				o.Barred[st.Machine], o.Turns[st.Machine] = true, st.Turn
 				if st.Addr != "" {
 					o.Addrs[st.Addr] = true
--- a/internal/maintenance/maintenance_test.go
+++ b/internal/maintenance/maintenance_test.go
@@ -19,8 +19,8 @@
 func ring(t interface{ Fatal(...any) }, lay Layout, n, zones int, change func(*Machine)) *Fleet {
 	var list []Machine
 	for i := range n {
-		m := Machine{ID: fmt.Sprintf("m%d", i), Addr: fmt.Sprintf("127.0.0.1:%d", 7000+i), Cell: i % lay.Cells, Zone: string(rune('a' + i/lay.Cells%zones)), Weight: 1,
-			Serving: true, Sound: true, Started: 1}
+		m := Machine{ID: fmt.Sprintf("m%d", i), Addr: fmt.Sprintf("127.0.0.1:%d", 7000+i), ShardSet: i % lay.ShardSets, Zone: string(rune('a' + i/lay.ShardSets%zones)), Weight: 1,
+			Serving: true, Healthy: true, Started: 1}
 		if change != nil {
 			change(&m)
 		}
@@ -69,12 +69,12 @@
 // is not sound; no wave breaks a limit, each machine goes once or is refused with a reason, and the bound is one.
 func TestPlanAgainstAllOrders(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		lay := Layout{Cells: rapid.IntRange(1, 5).Draw(t, "cells"), Shards: rapid.IntRange(1, 7).Draw(t, "shards")}
-		lay.Reach = rapid.IntRange(1, lay.Cells).Draw(t, "reach")
+		lay := Layout{ShardSets: rapid.IntRange(1, 5).Draw(t, "cells"), Shards: rapid.IntRange(1, 7).Draw(t, "shards")}
+		lay.Reach = rapid.IntRange(1, lay.ShardSets).Draw(t, "reach")
 		n := rapid.IntRange(1, 8).Draw(t, "machines")
 		f := ring(t, lay, n, rapid.IntRange(1, 3).Draw(t, "zones"), func(m *Machine) {
 			m.Weight = float64(rapid.IntRange(1, 3).Draw(t, "weight"))
-			m.Sound = rapid.IntRange(0, 7).Draw(t, "sound") > 0
+			m.Healthy = rapid.IntRange(0, 7).Draw(t, "sound") > 0
 			m.Util = float64(rapid.IntRange(0, 6).Draw(t, "util")) / 10
 		})
 		l := Limits{Floor: rapid.IntRange(1, 3).Draw(t, "floor"), PerShard: rapid.IntRange(0, 2).Draw(t, "per shard"), AtOnce: rapid.IntRange(0, 3).Draw(t, "at once"),
@@ -107,7 +107,7 @@
 
 // TestRefusals: what can't be done is told with the limit that forbids it.
 func TestRefusals(t *testing.T) {
-	lay := Layout{Cells: 2, Shards: 2, Reach: 1}
+	lay := Layout{ShardSets: 2, Shards: 2, Reach: 1}
 	for _, c := range []struct {
 		name string
 		l    Limits
@@ -115,10 +115,10 @@
 		want string
 	}{
 		{"a shard at its floor", Limits{Floor: 2}, nil, "shard 0 has 2 sound replicas and keeps 2"},
-		{"a single replica", Limits{Floor: 1}, func(m *Machine) { m.Sound = m.ID == "m0" || m.Cell == 1 }, "shard 0 has 1 sound replicas and keeps 1"},
+		{"a single replica", Limits{Floor: 1}, func(m *Machine) { m.Healthy = m.ID == "m0" || m.ShardSet == 1 }, "shard 0 has 1 sound replicas and keeps 1"},
 		{"the fleet's share", Limits{Floor: 1, Share: 0.2}, nil, "1 of the fleet's weight of 4 would be missing; 20% may be"},
 		{"a zone's share", Limits{Floor: 1, ZoneShare: 0.4}, nil, `1 of zone "a"'s weight of 2 would be missing; 40% may be`},
-		{"not sound itself, and its shard under the floor", Limits{Floor: 2}, func(m *Machine) { m.Sound = m.Cell == 1 || m.ID == "m2" },
+		{"not sound itself, and its shard under the floor", Limits{Floor: 2}, func(m *Machine) { m.Healthy = m.ShardSet == 1 || m.ID == "m2" },
 			"shard 0 has 1 sound replicas and keeps 2"},
 		{"the room", Limits{Floor: 1, Room: 0.8}, func(m *Machine) { m.Util = 0.7 }, "what remains would be 93% busy; 80% may be"},
 	} {
@@ -151,11 +151,11 @@
 func newPlay(t *testing.T, machines []string, r Request) *play {
 	t.Helper()
 	p := &play{st: &State{}, t: &Timer{}, f: func(change func(*Machine)) *Fleet { return ring(t, Layout{2, 2, 1}, 6, 3, change) }}
-	p.v = &View{Fleet: p.f(nil), Limits: Limits{Floor: 1}, Warm: 5 * s, Wall: time.Unix(1000, 0), Coordinators: []Coordinator{{Name: "n0", Seen: 999}, {Name: "n1", Seen: 999}}}
+	p.v = &View{Fleet: p.f(nil), Limits: Limits{Floor: 1}, WarmupTime: 5 * s, Wall: time.Unix(1000, 0), Coordinators: []Coordinator{{Name: "n0", Seen: 999}, {Name: "n1", Seen: 999}}}
 	if r.Takes == 0 {
 		r.Takes, r.Back = 60*s, 30*s
 	}
-	if _, _, err := p.st.Start(p.v.Wall, r, machines, p.v.Fleet, p.v.Limits, p.v.Warm); err != nil {
+	if _, _, err := p.st.Start(p.v.Wall, r, machines, p.v.Fleet, p.v.Limits, p.v.WarmupTime); err != nil {
 		t.Fatal(err)
 	}
 	p.st.Step(p.v, p.t) // called, where it may be
@@ -201,7 +201,7 @@
 		{"a later start of its process", func() {
 			p.v.Fleet = p.f(func(m *Machine) {
 				if m.ID == "m0" {
-					m.Started, m.Sound = 2, false
+					m.Started, m.Healthy = 2, false
 				}
 			})
 		}, 0, "m0 returning"},
@@ -230,7 +230,7 @@
 // TestStops: what stops further moves, takes back what is begun, or lets a machine fail.
 func TestStops(t *testing.T) {
 	failing := func(id string) func(*Machine) {
-		return func(m *Machine) { m.Sound = m.ID != id && m.Sound }
+		return func(m *Machine) { m.Healthy = m.ID != id && m.Healthy }
 	}
 	for _, c := range []struct {
 		name string
@@ -306,7 +306,7 @@
 		}, "m0 draining", "m0: n1 has not said that nothing is out there"},
 		{"users' queries are turned away, with one machine begun", Request{AtOnce: 2}, []string{"m0", "m1", "m2"}, func(p *play) {
 			p.step(0)
-			p.v.Pressed = true
+			p.v.Overloaded = true
 			p.clear(0, 1)
 			p.step(0)
 			p.step(0)
@@ -350,18 +350,18 @@
 	rapid.Check(t, func(t *rapid.T) {
 		seed := rapid.Uint64().Draw(t, "seed")
 		chance := rand.New(rand.NewPCG(seed, 1))
-		lay := Layout{Cells: 4, Shards: 8, Reach: 2}
+		lay := Layout{ShardSets: 4, Shards: 8, Reach: 2}
 		l := Limits{Floor: 2, Share: 0.4}
 		sound := map[string]bool{}
 		started := map[string]int64{}
 		fleet := func() *Fleet {
 			return ring(t, lay, 12, 3, func(m *Machine) {
 				bad, is := sound[m.ID]
-				m.Sound, m.Started = !is || !bad, 1+started[m.ID]
+				m.Healthy, m.Started = !is || !bad, 1+started[m.ID]
 			})
 		}
 		st, timer := &State{}, &Timer{}
-		v := &View{Limits: l, Warm: 2 * s, Wall: time.Unix(1000, 0), Coordinators: []Coordinator{{Name: "n0"}, {Name: "n1"}, {Name: "n2"}}}
+		v := &View{Limits: l, WarmupTime: 2 * s, Wall: time.Unix(1000, 0), Coordinators: []Coordinator{{Name: "n0"}, {Name: "n1"}, {Name: "n2"}}}
 		look := func() {
 			v.Fleet = fleet()
 			before := map[string]StepState{}
@@ -415,7 +415,7 @@
 			id := fmt.Sprintf("m%d", chance.IntN(12))
 			switch chance.IntN(9) {
 			case 0:
-				st.Start(v.Wall, Request{Takes: 30 * s, Back: 30 * s, GoOn: chance.IntN(2) == 0}, []string{id, fmt.Sprintf("m%d", chance.IntN(12))}, fleet(), l, v.Warm)
+				st.Start(v.Wall, Request{Takes: 30 * s, Back: 30 * s, GoOn: chance.IntN(2) == 0}, []string{id, fmt.Sprintf("m%d", chance.IntN(12))}, fleet(), l, v.WarmupTime)
 			case 1:
 				sound[id] = true // not sound
 			case 2:
@@ -464,7 +464,7 @@
 
 // TestPlanOfManyMachines: 10,000 machines, within a second; the gap to the bound is the benchmark's to tell.
 func TestPlanOfManyMachines(t *testing.T) {
-	f := ring(t, Layout{Cells: 1000, Shards: 1000, Reach: 3}, 10_000, 5, nil)
+	f := ring(t, Layout{ShardSets: 1000, Shards: 1000, Reach: 3}, 10_000, 5, nil)
 	l := Limits{Floor: 20, Share: 0.2}
 	p := f.Plan(names(f), l, 1)
 	if err := f.Breaks(p.Waves, l); err != nil || len(p.Refused) > 0 {
@@ -478,7 +478,7 @@
 func BenchmarkPlan(b *testing.B) {
 	for _, n := range []int{20, 100, 1000, 10_000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			f := ring(b, Layout{Cells: max(n/10, 4), Shards: max(n/10, 4), Reach: 3}, n, 5, nil)
+			f := ring(b, Layout{ShardSets: max(n/10, 4), Shards: max(n/10, 4), Reach: 3}, n, 5, nil)
 			var p Plan
 			for range b.N {
 				p = f.Plan(names(f), Limits{Floor: 4, Share: 0.2}, 1)
--- a/internal/maintenance/plan.go
+++ b/internal/maintenance/plan.go
@@ -61,7 +61,7 @@
 	p.Bound = f.bound(list, l)
 	// Machines of one zone and neighbouring cells first, the slow before the fast: a zone is done before the next is begun.
 	slices.SortFunc(list, func(a, b *Machine) int {
-		return cmp.Or(cmp.Compare(a.Zone, b.Zone), cmp.Compare(a.Weight, b.Weight), cmp.Compare(a.Cell%f.Reach, b.Cell%f.Reach), cmp.Compare(a.Cell, b.Cell), cmp.Compare(a.ID, b.ID))
+		return cmp.Or(cmp.Compare(a.Zone, b.Zone), cmp.Compare(a.Weight, b.Weight), cmp.Compare(a.ShardSet%f.Reach, b.ShardSet%f.Reach), cmp.Compare(a.ShardSet, b.ShardSet), cmp.Compare(a.ID, b.ID))
 	})
 	best := f.firstFit(list, l)
 	chance := rand.New(rand.NewPCG(seed, 3))
@@ -70,11 +70,11 @@
 		switch try {
 		case 0: // replicas of a shard behind each other, over all zones
 			slices.SortFunc(order, func(a, b *Machine) int {
-				return cmp.Or(cmp.Compare(a.Cell%f.Reach, b.Cell%f.Reach), cmp.Compare(a.Cell, b.Cell), cmp.Compare(a.ID, b.ID))
+				return cmp.Or(cmp.Compare(a.ShardSet%f.Reach, b.ShardSet%f.Reach), cmp.Compare(a.ShardSet, b.ShardSet), cmp.Compare(a.ID, b.ID))
 			})
 		case 1: // the heavy first, as bins are packed
 			slices.SortFunc(order, func(a, b *Machine) int {
-				return cmp.Or(cmp.Compare(b.Weight, a.Weight), cmp.Compare(a.Cell, b.Cell), cmp.Compare(a.ID, b.ID))
+				return cmp.Or(cmp.Compare(b.Weight, a.Weight), cmp.Compare(a.ShardSet, b.ShardSet), cmp.Compare(a.ID, b.ID))
 			})
 		default:
 			chance.Shuffle(len(order), func(i, j int) { order[i], order[j] = order[j], order[i] })
@@ -107,13 +107,13 @@
 	most, sound, all := 1, map[int]int{}, map[int]int{}
 	weight, zones := 0.0, map[int]float64{}
 	for _, m := range list {
-		for _, s := range f.held[m.Cell] {
+		for _, s := range f.held[m.ShardSet] {
 			all[s]++
-			if m.Sound {
+			if m.Healthy {
 				sound[s]++
 			}
 		}
-		if m.Sound {
+		if m.Healthy {
 			weight += m.Weight
 			zones[m.zone] += m.Weight
 		}
@@ -178,16 +178,16 @@
 	shares := map[*Machine]int{}
 	for _, m := range list {
 		for _, o := range list {
-			if d := (m.Cell - o.Cell + f.Cells) % f.Cells; d < f.Reach || f.Cells-d < f.Reach {
+			if d := (m.ShardSet - o.ShardSet + f.ShardSets) % f.ShardSets; d < f.Reach || f.ShardSets-d < f.Reach {
 				shares[m]++
 			}
 		}
 	}
 	alike := func(a, b *Machine) bool {
-		return a.Cell == b.Cell && a.Weight == b.Weight && a.zone == b.zone && a.Sound == b.Sound
+		return a.ShardSet == b.ShardSet && a.Weight == b.Weight && a.zone == b.zone && a.Healthy == b.Healthy
 	}
 	slices.SortStableFunc(list, func(a, b *Machine) int {
-		return cmp.Or(cmp.Compare(shares[b], shares[a]), cmp.Compare(b.Weight, a.Weight), cmp.Compare(a.Cell, b.Cell), cmp.Compare(a.zone, b.zone))
+		return cmp.Or(cmp.Compare(shares[b], shares[a]), cmp.Compare(b.Weight, a.Weight), cmp.Compare(a.ShardSet, b.ShardSet), cmp.Compare(a.zone, b.zone))
 	})
 	// What is still to be placed must find room by the fleet's share: its weight, and the least of a machine from each place on.
 	room := math.Inf(1)
@@ -197,7 +197,7 @@
 	rest, least := make([]float64, len(list)+1), make([]float64, len(list)+1)
 	least[len(list)] = math.Inf(1)
 	for i, m := range slices.Backward(list) {
-		if rest[i], least[i] = rest[i+1], least[i+1]; m.Sound {
+		if rest[i], least[i] = rest[i+1], least[i+1]; m.Healthy {
 			rest[i], least[i] = rest[i]+m.Weight, min(least[i], m.Weight)
 		}
 	}
--- a/internal/maintenance/step.go
+++ b/internal/maintenance/step.go
@@ -27,10 +27,10 @@
 	Wall         time.Time     // for hours and dates alone
 	Fleet        *Fleet
 	Limits       Limits
-	Warm         time.Duration // that a cold data node needs
+	WarmupTime   time.Duration // that a cold data node needs
 	Coordinators []Coordinator
-	Pressed      bool              // users' queries were turned away for want of room just now: they go first
-	Told         map[string]uint64 // warm machines of which the hook was told, by their turn; nil where there is no hook
+	Overloaded   bool              // users' queries were turned away for want of room just now: they go first
+	Known        map[string]uint64 // warm machines of which the hook was told, by their turn; nil where there is no hook
 }
 
 // Timer is how long the holder has seen steps in their state, by its own clock. A new holder begins anew, so a machine may be
@@ -136,13 +136,13 @@
 		}
 	case Returning:
 		switch {
-		case m != nil && m.Sound: // so no longer cold
+		case m != nil && m.Healthy: // so no longer cold
 			move(r, Move{Machine: st.Machine, To: Warm, Why: "it serves and has had its time to warm up"})
-		case held > r.Back+v.Warm:
+		case held > r.Back+v.WarmupTime:
 			move(r, Move{Machine: st.Machine, To: Failed, Why: fmt.Sprintf("it does not serve %v after its return", held.Round(time.Second))})
 		}
 	case Warm:
-		if v.Told == nil || v.Told[st.Machine] == st.Turn {
+		if v.Known == nil || v.Known[st.Machine] == st.Turn {
 			if move(r, Move{Machine: st.Machine, To: Done}); v.Fleet.Machine(st.Machine) != nil {
 				o.put(v.Fleet.Machine(st.Machine), -1)
 			}
@@ -255,7 +255,7 @@
 		}
 		m, hold := v.Fleet.Machine(st.Machine), "it is not listed"
 		switch {
-		case v.Pressed:
+		case v.Overloaded:
 			hold = "users' queries were turned away for want of room just now, and go first"
 		case m != nil:
 			hold = o.fits(m)
--- a/internal/membership/calls.go
+++ b/internal/membership/calls.go
@@ -27,11 +27,11 @@
 // The protocol's clocks.
 const (
 	// Beat is how often an open watch brings a line at least.
-	Beat = 2 * time.Second
+	KeepAliveInterval = 2 * time.Second
 	// Told is how long after a watch fell silent what it misses counts as told.
-	Told = 6 * time.Second
+	NotifiedAfter = 6 * time.Second
 	// Quiet is how long a watch may be silent before it is opened anew: two lines were missed.
-	Quiet = 2 * Beat
+	SilenceTimeout = 2 * KeepAliveInterval
 )
 
 const (
@@ -49,46 +49,46 @@
 )
 
 // Calls settles when one source is called. The zero value is an asked source of one coordinator.
-type Calls struct {
+type PollSchedule struct {
 	Pushed   bool          // the list comes from an agent of our own
-	Others   int           // coordinators that call the same service
+	Peers    int           // coordinators that call the same service
 	Lines    int           // of the list as it was last held; 0 where none is
 	Grace    time.Duration // within which a drain that is told must be heard
-	AskEvery time.Duration // settings' period; 0 where they have none
+	Interval time.Duration // settings' period; 0 where they have none
 
 	vain    int  // calls in a row that brought nothing
 	watched bool // the last call that brought something was a watch, which has ended
 }
 
 // grace is the grace that pauses go by.
-func (c *Calls) grace() time.Duration { return max(c.Grace, leastGrace) }
+func (c *PollSchedule) grace() time.Duration { return max(c.Grace, leastGrace) }
 
 // crowd is how long a service may take for the lists of all coordinators, one after the other.
-func (c *Calls) crowd() time.Duration { return time.Duration((c.Others+1)*c.Lines) * lineTime }
+func (c *PollSchedule) crowd() time.Duration { return time.Duration((c.Peers+1)*c.Lines) * lineTime }
 
 // longest is the longest pause once calls bring nothing.
-func (c *Calls) longest() time.Duration {
-	if c.AskEvery > 0 {
-		return c.AskEvery
+func (c *PollSchedule) longest() time.Duration {
+	if c.Interval > 0 {
+		return c.Interval
 	}
 	return usualAsk
 }
 
 // Patience is how long a call may bring nothing before it is given up.
-func (c *Calls) Patience() time.Duration {
+func (c *PollSchedule) Timeout() time.Duration {
 	if c.Pushed {
-		return min(c.grace()/2, Quiet)
+		return min(c.grace()/2, SilenceTimeout)
 	}
-	return Quiet
+	return SilenceTimeout
 }
 
 // Confirm is how long a list of an earlier run may be used before the source has answered. What the source had by the start
 // counts as told from then on, and the rest of the grace is for what is on its way then.
-func (c *Calls) Confirm() time.Duration { return c.grace() * 3 / 4 }
+func (c *PollSchedule) ConfirmTimeout() time.Duration { return c.grace() * 3 / 4 }
 
 // First is how long the first call is put off; draw is from 0 to 1. What is listed may be a drain that the list in hand
 // does not know of, so half of the grace bounds it, and where no list is held it can't wait.
-func (c *Calls) First(draw float64) time.Duration {
+func (c *PollSchedule) FirstDelay(draw float64) time.Duration {
 	if c.Pushed {
 		return 0
 	}
@@ -97,22 +97,22 @@
 
 // Again is how long to wait before the next call, once one has ended. Towards a service the pauses are drawn from the
 // time that all coordinators' calls take, and double with each call that brings nothing.
-func (c *Calls) Again(draw float64) time.Duration {
+func (c *PollSchedule) RetryDelay(draw float64) time.Duration {
 	vain, watched := c.vain, c.watched
 	c.vain, c.watched = vain+1, false
 	if c.Pushed {
-		most := min(c.grace(), Beat) / 8
+		most := min(c.grace(), KeepAliveInterval) / 8
 		return most/2 + share(draw, most/2)
 	}
 	span := max(c.crowd(), leastPause)
 	if watched {
-		return share(draw, min(span, (Told+c.Grace-Quiet)/2))
+		return share(draw, min(span, (NotifiedAfter+c.Grace-SilenceTimeout)/2))
 	}
 	return share(draw, min(span<<min(vain, 8), max(2*span, mostPause), c.longest()))
 }
 
 // Brought notes that a call has brought something.
-func (c *Calls) Brought() { c.vain, c.watched = 0, true }
+func (c *PollSchedule) Succeeded() { c.vain, c.watched = 0, true }
 
 func share(draw float64, span time.Duration) time.Duration {
 	return time.Duration(draw * float64(span))
--- a/internal/membership/calls_test.go
+++ b/internal/membership/calls_test.go
@@ -16,26 +16,26 @@
 	const ms = time.Millisecond
 	for _, c := range []struct {
 		name  string
-		calls Calls
+		calls PollSchedule
 		first time.Duration
 		want  []time.Duration // after a watch, then after calls that bring nothing
 	}{
-		{"few, asked", Calls{Others: 2, Lines: 14, Grace: 2 * time.Second}, 42 * ms, []time.Duration{400 * ms, 800 * ms, 1000 * ms, 1000 * ms}},
-		{"short grace", Calls{Others: 3, Lines: 300, Grace: 500 * ms}, 250 * ms, []time.Duration{1200 * ms, 2400 * ms, 2400 * ms}},
-		{"80, asked", Calls{Others: 79, Lines: 60, Grace: 2 * time.Second}, 1000 * ms, []time.Duration{2000 * ms, 9600 * ms, 9600 * ms}},
-		{"largest, asked", Calls{Others: 999, Lines: 10_000, Grace: 2 * time.Second}, 1000 * ms, []time.Duration{2000 * ms, 10_000 * ms, 10_000 * ms}},
-		{"the settings' clock", Calls{Others: 999, Lines: 10_000, AskEvery: 4 * time.Second}, 100 * ms, []time.Duration{1000 * ms, 4000 * ms}},
-		{"pushed", Calls{Pushed: true, Others: 299, Lines: 200, Grace: 2 * time.Second}, 0, []time.Duration{250 * ms, 250 * ms, 250 * ms}},
-		{"pushed, short grace", Calls{Pushed: true, Others: 299, Lines: 200, Grace: 500 * ms}, 0, []time.Duration{62500 * time.Microsecond, 62500 * time.Microsecond}},
+		{"few, asked", PollSchedule{Peers: 2, Lines: 14, Grace: 2 * time.Second}, 42 * ms, []time.Duration{400 * ms, 800 * ms, 1000 * ms, 1000 * ms}},
+		{"short grace", PollSchedule{Peers: 3, Lines: 300, Grace: 500 * ms}, 250 * ms, []time.Duration{1200 * ms, 2400 * ms, 2400 * ms}},
+		{"80, asked", PollSchedule{Peers: 79, Lines: 60, Grace: 2 * time.Second}, 1000 * ms, []time.Duration{2000 * ms, 9600 * ms, 9600 * ms}},
+		{"largest, asked", PollSchedule{Peers: 999, Lines: 10_000, Grace: 2 * time.Second}, 1000 * ms, []time.Duration{2000 * ms, 10_000 * ms, 10_000 * ms}},
+		{"the settings' clock", PollSchedule{Peers: 999, Lines: 10_000, Interval: 4 * time.Second}, 100 * ms, []time.Duration{1000 * ms, 4000 * ms}},
+		{"pushed", PollSchedule{Pushed: true, Peers: 299, Lines: 200, Grace: 2 * time.Second}, 0, []time.Duration{250 * ms, 250 * ms, 250 * ms}},
+		{"pushed, short grace", PollSchedule{Pushed: true, Peers: 299, Lines: 200, Grace: 500 * ms}, 0, []time.Duration{62500 * time.Microsecond, 62500 * time.Microsecond}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			if first := c.calls.First(1); first != c.first {
+			if first := c.calls.FirstDelay(1); first != c.first {
 				t.Errorf("the first call comes after %v, not %v", first, c.first)
 			}
-			c.calls.Brought()
+			c.calls.Succeeded()
 			var got []time.Duration
 			for range c.want {
-				got = append(got, c.calls.Again(1))
+				got = append(got, c.calls.RetryDelay(1))
 			}
 			if diff := cmp.Diff(c.want, got); diff != "" {
 				t.Errorf("(-want +got)\n%s", diff)
@@ -48,18 +48,18 @@
 // answer where lists are pushed, and half of what is left after silence where they are asked for.
 func TestCallsKeepTheGrace(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		c := Calls{Pushed: rapid.Bool().Draw(t, "pushed"), Others: rapid.IntRange(0, 1000).Draw(t, "others"),
+		c := PollSchedule{Pushed: rapid.Bool().Draw(t, "pushed"), Peers: rapid.IntRange(0, 1000).Draw(t, "others"),
 			Lines: rapid.IntRange(0, 10_000).Draw(t, "lines"), Grace: time.Duration(rapid.IntRange(200, 5000).Draw(t, "grace")) * time.Millisecond}
-		c.Brought()
+		c.Succeeded()
 		for i := range rapid.IntRange(1, 20).Draw(t, "calls") {
-			pause := c.Again(rapid.Float64Range(0, 1).Draw(t, "draw"))
+			pause := c.RetryDelay(rapid.Float64Range(0, 1).Draw(t, "draw"))
 			switch {
-			case c.Pushed && c.Patience()+pause > c.Grace*5/8:
-				t.Fatalf("pushed: a call may bring nothing for %v and is followed after %v; the grace is %v", c.Patience(), pause, c.Grace)
+			case c.Pushed && c.Timeout()+pause > c.Grace*5/8:
+				t.Fatalf("pushed: a call may bring nothing for %v and is followed after %v; the grace is %v", c.Timeout(), pause, c.Grace)
 			case c.Pushed && pause <= 0:
 				t.Fatalf("an agent is called again without a pause")
-			case !c.Pushed && i == 0 && Quiet+2*pause > Told+c.Grace:
-				t.Fatalf("asked: silence is noticed after %v and the call follows after %v; what is missed counts as told after %v, the grace is %v", Quiet, pause, Told, c.Grace)
+			case !c.Pushed && i == 0 && SilenceTimeout+2*pause > NotifiedAfter+c.Grace:
+				t.Fatalf("asked: silence is noticed after %v and the call follows after %v; what is missed counts as told after %v, the grace is %v", SilenceTimeout, pause, NotifiedAfter, c.Grace)
 			case pause > usualAsk:
 				t.Fatalf("a pause of %v", pause)
 			}
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -66,7 +66,7 @@
 type Record struct {
 	ID, Addr, Zone string
 	Proto          string // which carrier serves it; empty for the first
-	Cell           int
+	ShardSet       int    `json:"Cell"`
 	State          State
 	Weight         float64   // for comparing data nodes; 1 is an ordinary one
 	Started        time.Time // zero means long ago
@@ -80,11 +80,11 @@
 	Rank     int           // the higher one owns a data node that several name
 	Damped   bool          // returns of its data nodes are damped
 	MaxStale time.Duration // how long its claims hold past their lease; 0 means for good
-	Most     int           // most data nodes that it may name; 0 means DefaultMost
+	MaxNodes int           // most data nodes that it may name; 0 means DefaultMost
 }
 
 // DefaultMost is how many data nodes a source may name unless its Spec says otherwise.
-const DefaultMost = 16384
+const DefaultMaxNodes = 16384
 
 // Basis is how far an answer of a source can be trusted.
 type Basis uint8
@@ -99,14 +99,14 @@
 
 // Update is what a source has told.
 type Update struct {
-	Basis      Basis
-	Cause      string // Failed: in words
-	Serial     uint32 // of the zone, where Serialled
-	Serialled  bool
-	Full       bool // Records is the whole list; what it lacks is gone
-	Remembered bool // the list is of an earlier run
-	Records    []Record
-	Lease      time.Duration // how long it holds without being heard again; 0 means for good
+	Basis     Basis
+	Cause     string // Failed: in words
+	Serial    uint32 // of the zone, where Serialled
+	Serialled bool
+	Full      bool // Records is the whole list; what it lacks is gone
+	Cached    bool // the list is of an earlier run
+	Records   []Record
+	Lease     time.Duration // how long it holds without being heard again; 0 means for good
 }
 
 // Evidence is what the coordinator sees of a data node itself.
@@ -114,25 +114,25 @@
 
 // The kinds of evidence.
 const (
-	Answered Evidence = iota // a part or a probe, well or not
-	Turned                   // it was there, and turned a part away
-	Refused                  // no connection could be opened
-	Lost                     // its connections ended, and none could be opened anew
-	Reopened                 // they ended and could be opened anew
+	Answered           Evidence = iota // a part or a probe, well or not
+	Rejected                           // it was there, and turned a part away
+	ConnectionRefused                  // no connection could be opened
+	ConnectionReset                    // its connections ended, and none could be opened anew
+	ConnectionReopened                 // they ended and could be opened anew
 )
 
 // Config holds the figures of a Table. The zero value of a field stands for its default.
 type Config struct {
-	Cells, Shards, Reach int           // shard s is held by cells s, s+1, ... s+Reach-1, modulo Cells
-	HalfLife             time.Duration // of a penalty; 15 s
-	Suppress, Reuse      float64       // penalties from which, and down to which, a return is held; 2500 and 800
-	MaxSuppress          time.Duration // longest time that a return is held; 60 s
-	Brief                time.Duration // an absence after which one may be another process; 10 s
-	DoubtFor             time.Duration // after which doubt ends without news; 10 s
-	Doubts               int           // signs of death in a row that make doubtful; 2
-	Turns                int           // parts turned away in a row that make doubtful; 16
-	SerialHold           time.Duration // after which a zone that went back in serial is believed; 30 s
-	MaxPast              int           // most data nodes remembered that are listed no more; 1024
+	ShardSets, Shards, Reach int           // shard s is held by cells s, s+1, ... s+Reach-1, modulo Cells
+	HalfLife                 time.Duration // of a penalty; 15 s
+	Suppress, Reuse          float64       // penalties from which, and down to which, a return is held; 2500 and 800
+	MaxSuppress              time.Duration // longest time that a return is held; 60 s
+	ShortAbsence             time.Duration // an absence after which one may be another process; 10 s
+	SuspectFor               time.Duration // after which doubt ends without news; 10 s
+	SuspectAfter             int           // signs of death in a row that make doubtful; 2
+	RejectsToSuspect         int           // parts turned away in a row that make doubtful; 16
+	SerialHold               time.Duration // after which a zone that went back in serial is believed; 30 s
+	MaxForgotten             int           // most data nodes remembered that are listed no more; 1024
 }
 
 // Penalties, in the units of RFC 2439: one withdrawal is 1000, one change of an attribute half of it.
@@ -145,8 +145,8 @@
 	for _, d := range []struct {
 		to *time.Duration
 		by time.Duration
-	}{{&c.HalfLife, 15 * time.Second}, {&c.MaxSuppress, time.Minute}, {&c.Brief, 10 * time.Second},
-		{&c.DoubtFor, 10 * time.Second}, {&c.SerialHold, 30 * time.Second}} {
+	}{{&c.HalfLife, 15 * time.Second}, {&c.MaxSuppress, time.Minute}, {&c.ShortAbsence, 10 * time.Second},
+		{&c.SuspectFor, 10 * time.Second}, {&c.SerialHold, 30 * time.Second}} {
 		if *d.to <= 0 {
 			*d.to = d.by
 		}
@@ -154,7 +154,7 @@
 	for _, d := range []struct {
 		to *int
 		by int
-	}{{&c.Cells, 1}, {&c.Shards, 1}, {&c.Reach, 1}, {&c.Doubts, 2}, {&c.Turns, 16}, {&c.MaxPast, 1024}} {
+	}{{&c.ShardSets, 1}, {&c.Shards, 1}, {&c.Reach, 1}, {&c.SuspectAfter, 2}, {&c.RejectsToSuspect, 16}, {&c.MaxForgotten, 1024}} {
 		if *d.to <= 0 {
 			*d.to = d.by
 		}
@@ -172,8 +172,8 @@
 func (c Config) Check() error {
 	c = c.withDefaults()
 	switch {
-	case c.Reach > c.Cells:
-		return fmt.Errorf("membership: Reach %d is above Cells %d", c.Reach, c.Cells)
+	case c.Reach > c.ShardSets:
+		return fmt.Errorf("membership: Reach %d is above Cells %d", c.Reach, c.ShardSets)
 	case c.Reuse >= c.Suppress:
 		return fmt.Errorf("membership: reuse %g must be below suppress %g", c.Reuse, c.Suppress)
 	}
@@ -181,37 +181,37 @@
 }
 
 // What names what a note tells of.
-type What string
+type Cause string
 
 // What was decided.
 const (
-	Listed     What = "listed"
-	Removed    What = "removed"
-	Drained    What = "draining"
-	Moved      What = "moved"
-	Replaced   What = "replaced"
-	Restarted  What = "restarted"
-	Held       What = "list held"     // an answer of a source that changes nothing, or removes nothing
-	Emptied    What = "list emptied"  // an authoritative empty list
-	WentBack   What = "serial back"   // an older serial is believed after all
-	Stale      What = "source stale"  // its lease has run out
-	Fresh      What = "source fresh"  // it was heard again
-	Lapsed     What = "source lapsed" // its MaxStale is over; its claims are dropped
-	Suppressed What = "suppressed"
-	Reused     What = "reused"
-	Needed     What = "needed" // suppressed, but a shard has no other
-	Standby    What = "standby"
-	Active     What = "active"
-	Doubted    What = "doubted"
-	Cleared    What = "cleared"
-	Aliased    What = "alias" // another id stands at its address
-	Excess     What = "too many"
-	Unfit      What = "unfit" // a record that can't be used
+	Listed     Cause = "listed"
+	Removed    Cause = "removed"
+	Drained    Cause = "draining"
+	Moved      Cause = "moved"
+	Replaced   Cause = "replaced"
+	Restarted  Cause = "restarted"
+	Held       Cause = "list held"     // an answer of a source that changes nothing, or removes nothing
+	Emptied    Cause = "list emptied"  // an authoritative empty list
+	WentBack   Cause = "serial back"   // an older serial is believed after all
+	Stale      Cause = "source stale"  // its lease has run out
+	Fresh      Cause = "source fresh"  // it was heard again
+	Lapsed     Cause = "source lapsed" // its MaxStale is over; its claims are dropped
+	Suppressed Cause = "suppressed"
+	Reused     Cause = "reused"
+	Needed     Cause = "needed" // suppressed, but a shard has no other
+	Standby    Cause = "standby"
+	Active     Cause = "active"
+	Suspected  Cause = "doubted"
+	Cleared    Cause = "cleared"
+	Aliased    Cause = "alias" // another id stands at its address
+	Excess     Cause = "too many"
+	Unfit      Cause = "unfit" // a record that can't be used
 )
 
 // Note says why something was decided.
 type Note struct {
-	What   What
+	Cause  Cause
 	Source string // its name; empty where none is meant
 	ID     string // of the data node; empty where none is meant
 	Detail string
--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -43,7 +43,7 @@
 		}
 	}
 	for _, n := range r.Notes {
-		s.notes = append(s.notes, strings.TrimSpace(string(n.What)+" "+n.ID))
+		s.notes = append(s.notes, strings.TrimSpace(string(n.Cause)+" "+n.ID))
 	}
 	var all []Record
 	for _, rec := range s.t.List() {
@@ -76,7 +76,7 @@
 	case "gone":
 		u.Records[0].State = Gone
 	case "remembers":
-		u.Remembered, u.Full = true, true
+		u.Cached, u.Full = true, true
 	case "empty":
 		u.Records, u.Full = nil, true
 	case "lease":
@@ -86,7 +86,7 @@
 	default:
 		s.Fatalf("no such word: %s", words)
 	}
-	s.add(src.Told(at(now), u))
+	s.add(src.Update(at(now), u))
 }
 
 // TestPrecedence is the package's first table, and the cases round it.
@@ -142,10 +142,10 @@
 					s.add(s.t.Tick(at(now)))
 				case "refused x9":
 					for range 9 {
-						s.add(s.t.Seen(at(now), "n", Refused))
+						s.add(s.t.Observe(at(now), "n", ConnectionRefused))
 					}
 				case "answered":
-					s.add(s.t.Seen(at(now), "n", Answered))
+					s.add(s.t.Observe(at(now), "n", Answered))
 				default:
 					s.say(now, words)
 				}
@@ -196,8 +196,8 @@
 		"vanished for long":                  {[]step{list("dns", 1, node("a", "x", -1)), list("dns", 20), list("dns", 40, node("a", "x", -1))}, "a x 40s"},
 		"vanished, stated":                   {[]step{list("dns", 1, node("a", "x", 5)), list("dns", 20), list("dns", 40, node("a", "x", 5))}, "a x 5s"},
 		"vanished, came elsewhere":           {[]step{list("dns", 1, node("a", "x", -1)), list("dns", 20), list("dns", 21, node("a", "y", -1))}, "a y 21s"},
-		"died and came back":                 {[]step{list("dns", 1, node("a", "x", -1)), {seen: Lost, at: 19}, list("dns", 20), list("dns", 21, node("a", "x", -1))}, "a x 21s"},
-		"lost, answered, came back":          {[]step{list("dns", 1, node("a", "x", -1)), {seen: Lost, at: 18}, {seen: Answered, at: 19}, list("dns", 20), list("dns", 21, node("a", "x", -1))}, "a x long ago"},
+		"died and came back":                 {[]step{list("dns", 1, node("a", "x", -1)), {seen: ConnectionReset, at: 19}, list("dns", 20), list("dns", 21, node("a", "x", -1))}, "a x 21s"},
+		"lost, answered, came back":          {[]step{list("dns", 1, node("a", "x", -1)), {seen: ConnectionReset, at: 18}, {seen: Answered, at: 19}, list("dns", 20), list("dns", 21, node("a", "x", -1))}, "a x long ago"},
 		"two sources, one id, two addresses": {[]step{list("dir", 1, node("a", "x", 5)), list("dns", 2, node("a", "y", 5))}, "a y 5s"},
 		"two sources, the other states":      {[]step{list("dir", 1, node("a", "x", 5)), list("dns", 2, node("a", "x", -1))}, "a x 5s"},
 		"two sources, two ids":               {[]step{list("dir", 1, node("a", "x", 5)), list("dns", 2, node("b", "x", -1))}, "b x 5s"},
@@ -209,11 +209,11 @@
 			for _, st := range c.steps {
 				switch st.src {
 				case "dns":
-					s.add(s.dns.Told(at(st.at), Update{Full: true, Records: st.full}))
+					s.add(s.dns.Update(at(st.at), Update{Full: true, Records: st.full}))
 				case "dir":
-					s.add(s.dir.Told(at(st.at), Update{Full: true, Records: st.full}))
+					s.add(s.dir.Update(at(st.at), Update{Full: true, Records: st.full}))
 				default:
-					s.add(s.t.Seen(at(st.at), "a", st.seen))
+					s.add(s.t.Observe(at(st.at), "a", st.seen))
 				}
 			}
 			var got []string
@@ -253,14 +253,14 @@
 		"older, and stays so":       {slices.Repeat([]Update{{Full: true, Serial: 9, Serialled: true}}, 40), 0, "serial back"},
 		"older, and then newer":     {append(slices.Repeat([]Update{{Full: true, Serial: 9, Serialled: true}}, 9), Update{Full: true, Serial: 12, Serialled: true, Records: two}), 2, "list held"},
 		"older now and then":        {slices.Repeat([]Update{{Full: true, Serial: 9, Serialled: true}, {Full: true, Serial: 10, Serialled: true, Records: two}}, 40), 2, "list held"},
-		"remembered after heard":    {[]Update{{Full: true, Remembered: true}}, 2, ""},
-		"a cell that there is none": {[]Update{{Records: []Record{{ID: "a", Addr: "x", Cell: 7}}}}, 2, "unfit a"},
+		"remembered after heard":    {[]Update{{Full: true, Cached: true}}, 2, ""},
+		"a cell that there is none": {[]Update{{Records: []Record{{ID: "a", Addr: "x", ShardSet: 7}}}}, 2, "unfit a"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			s := newStand(t, Config{Suppress: 1e9})
-			s.add(s.dns.Told(at(0), Update{Full: true, Records: two, Serial: 10, Serialled: true}))
+			s.add(s.dns.Update(at(0), Update{Full: true, Records: two, Serial: 10, Serialled: true}))
 			for i, u := range c.then {
-				s.add(s.dns.Told(at(float64(i+1)), u))
+				s.add(s.dns.Update(at(float64(i+1)), u))
 			}
 			if len(s.list) != c.want || c.note != "" && !slices.Contains(s.notes, c.note) {
 				t.Errorf("%d data nodes, want %d; notes %v, want %s among them", len(s.list), c.want, s.notes, c.note)
@@ -278,21 +278,21 @@
 		if !alone {
 			records = append(records, Record{ID: "stays", Addr: "y"})
 		}
-		s.add(s.dns.Told(at(0), Update{Full: true, Records: records}))
-		s.add(s.dns.Told(at(1), Update{Full: true, Records: records[1:]}))
+		s.add(s.dns.Update(at(0), Update{Full: true, Records: records}))
+		s.add(s.dns.Update(at(1), Update{Full: true, Records: records[1:]}))
 		if _, listed := s.list["flaps"]; listed {
 			t.Fatal("a removal is not at once")
 		}
-		s.add(s.dns.Told(at(1.5), Update{Full: true, Records: records}))
+		s.add(s.dns.Update(at(1.5), Update{Full: true, Records: records}))
 		if s.list["flaps"].State != Serving {
 			t.Error("the first return is held back")
 		}
 		for i := range 40 {
-			s.add(s.dns.Told(at(2+float64(i)), Update{Full: true, Records: records[1:]}))
+			s.add(s.dns.Update(at(2+float64(i)), Update{Full: true, Records: records[1:]}))
 			if _, listed := s.list["flaps"]; listed {
 				t.Fatalf("removal %d is not at once", i)
 			}
-			s.add(s.dns.Told(at(2.5+float64(i)), Update{Full: true, Records: records}))
+			s.add(s.dns.Update(at(2.5+float64(i)), Update{Full: true, Records: records}))
 		}
 		want := Draining
 		if alone {
@@ -302,11 +302,11 @@
 			t.Errorf("alone %v: after forty flaps it is %v, want %v", alone, got, want)
 		}
 		if !alone { // it is let in at once when the other goes
-			s.add(s.dns.Told(at(42), Update{Records: []Record{{ID: "stays", State: Gone}}}))
+			s.add(s.dns.Update(at(42), Update{Records: []Record{{ID: "stays", State: Gone}}}))
 			if s.list["flaps"].State != Serving {
 				t.Error("its shard was left without its only data node")
 			}
-			s.add(s.dns.Told(at(42.2), Update{Records: records[1:]}))
+			s.add(s.dns.Update(at(42.2), Update{Records: records[1:]}))
 			if s.list["flaps"].State != Draining {
 				t.Error("it is not held back though there is another")
 			}
@@ -326,11 +326,11 @@
 
 // TestPriorities: records of a higher figure are used only while a shard has no sound data node of a lower one.
 func TestPriorities(t *testing.T) {
-	s := newStand(t, Config{Cells: 4, Shards: 8, Reach: 2})
+	s := newStand(t, Config{ShardSets: 4, Shards: 8, Reach: 2})
 	var records []Record
 	for cell := range 4 {
-		records = append(records, Record{ID: fmt.Sprint("first", cell), Addr: fmt.Sprint("a", cell), Cell: cell},
-			Record{ID: fmt.Sprint("second", cell), Addr: fmt.Sprint("b", cell), Cell: cell, Priority: 10})
+		records = append(records, Record{ID: fmt.Sprint("first", cell), Addr: fmt.Sprint("a", cell), ShardSet: cell},
+			Record{ID: fmt.Sprint("second", cell), Addr: fmt.Sprint("b", cell), ShardSet: cell, Priority: 10})
 	}
 	used := func() (list []string) {
 		for _, r := range s.t.List() {
@@ -346,14 +346,14 @@
 			t.Errorf("%s (-want +got)\n%s", what, diff)
 		}
 	}
-	s.add(s.dns.Told(at(0), Update{Full: true, Records: records}))
+	s.add(s.dns.Update(at(0), Update{Full: true, Records: records}))
 	expect("all first ones are there")
 	// Cells 0 and 1 hold shard 0; with both first ones away, both second ones are used.
-	s.add(s.dns.Told(at(1), Update{Records: []Record{{ID: "first0", State: Gone}}}))
+	s.add(s.dns.Update(at(1), Update{Records: []Record{{ID: "first0", State: Gone}}}))
 	expect("cell 1 still holds what cell 0 does")
 	refuse := func(now float64, id string) {
 		for range 2 {
-			s.add(s.t.Seen(at(now), id, Refused))
+			s.add(s.t.Observe(at(now), id, ConnectionRefused))
 		}
 	}
 	refuse(2, "first1")
@@ -361,12 +361,12 @@
 	if s.list["first1"].State != Serving {
 		t.Error("a doubtful one was taken off the list")
 	}
-	s.add(s.t.Seen(at(3), "first1", Answered))
+	s.add(s.t.Observe(at(3), "first1", Answered))
 	expect("it answers again")
 	refuse(4, "first1")
 	s.add(s.t.Tick(at(15)))
 	expect("doubt ends without news")
-	s.add(s.dns.Told(at(16), Update{Records: []Record{{ID: "first1", Addr: "a1", Cell: 1, State: Draining}}}))
+	s.add(s.dns.Update(at(16), Update{Records: []Record{{ID: "first1", Addr: "a1", ShardSet: 1, State: Draining}}}))
 	expect("a draining one is none", "second0", "second1")
 }
 
@@ -374,19 +374,19 @@
 // is turned away now and then is not a sign.
 func TestBusy(t *testing.T) {
 	s := newStand(t, Config{})
-	s.add(s.dns.Told(at(0), Update{Full: true, Records: []Record{{ID: "a", Addr: "x"}, {ID: "b", Addr: "y", Priority: 10}}}))
+	s.add(s.dns.Update(at(0), Update{Full: true, Records: []Record{{ID: "a", Addr: "x"}, {ID: "b", Addr: "y", Priority: 10}}}))
 	for i := range 100 {
-		e := Turned
+		e := Rejected
 		if i%10 == 9 {
 			e = Answered
 		}
-		s.add(s.t.Seen(at(float64(i)/100), "a", e))
+		s.add(s.t.Observe(at(float64(i)/100), "a", e))
 	}
 	if s.list["b"].State != Draining {
 		t.Error("a data node that is full now and then is doubted")
 	}
 	for i := range 16 {
-		s.add(s.t.Seen(at(2+float64(i)/100), "a", Turned))
+		s.add(s.t.Observe(at(2+float64(i)/100), "a", Rejected))
 	}
 	if s.list["b"].State != Serving || s.list["a"].State != Serving {
 		t.Errorf("one that turns all away: %v", s.list)
@@ -396,9 +396,9 @@
 // TestBounds: months of ever new ids leave no more than the past that Config allows, and a source names no more
 // than it may.
 func TestBounds(t *testing.T) {
-	s := newStand(t, Config{MaxPast: 50})
+	s := newStand(t, Config{MaxForgotten: 50})
 	for i := range 5000 {
-		s.add(s.dns.Told(at(float64(i)/100), Update{Full: true, Records: []Record{{ID: fmt.Sprint("n", i), Addr: fmt.Sprint("a", i)}}}))
+		s.add(s.dns.Update(at(float64(i)/100), Update{Full: true, Records: []Record{{ID: fmt.Sprint("n", i), Addr: fmt.Sprint("a", i)}}}))
 		if n := len(s.t.nodes); n > 52 || len(s.t.alarms) > 52 || s.t.past.Len() > 51 {
 			t.Fatalf("%d nodes, %d alarms after %d ids", n, len(s.t.alarms), i)
 		}
@@ -408,12 +408,12 @@
 	if len(s.t.nodes) != 1 || len(s.t.addrs) != 1 || len(s.t.watch) != 0 || len(s.t.cover.levels) != 1 {
 		t.Errorf("left: %d nodes, %d addresses, %d watches, %d levels", len(s.t.nodes), len(s.t.addrs), len(s.t.watch), len(s.t.cover.levels))
 	}
-	few := s.t.Source(Spec{Name: "few", Most: 3})
+	few := s.t.Source(Spec{Name: "few", MaxNodes: 3})
 	var many []Record
 	for i := range 9 {
 		many = append(many, Record{ID: fmt.Sprint("m", i), Addr: fmt.Sprint("b", i)})
 	}
-	s.add(few.Told(at(1e6), Update{Full: true, Records: many}))
+	s.add(few.Update(at(1e6), Update{Full: true, Records: many}))
 	if len(s.list) != 4 || !slices.Contains(s.notes, "too many m3") {
 		t.Errorf("%d data nodes, notes %v", len(s.list), s.notes)
 	}
--- a/internal/membership/memory.go
+++ b/internal/membership/memory.go
@@ -35,7 +35,7 @@
 		t.alarm(n, at)
 		return
 	}
-	at = n.gone.Add(t.cfg.Brief)
+	at = n.gone.Add(t.cfg.ShortAbsence)
 	if f := n.damp.forgotten(&t.cfg); f.After(at) {
 		at = f
 	}
@@ -47,7 +47,7 @@
 		n.past = t.past.PushBack(n)
 	}
 	t.alarm(n, at)
-	if t.past.Len() > t.cfg.MaxPast {
+	if t.past.Len() > t.cfg.MaxForgotten {
 		t.forget(t.past.Front().Value.(*node))
 	}
 }
--- a/internal/membership/property_test.go
+++ b/internal/membership/property_test.go
@@ -265,7 +265,7 @@
 				h := (shard + i) % m.cells
 				holds = holds || h == cell
 				for _, o := range all {
-					covered = covered || o.sound && o.rec.Cell == h && int(o.rec.Priority) < bound
+					covered = covered || o.sound && o.rec.ShardSet == h && int(o.rec.Priority) < bound
 				}
 			}
 			if holds && !covered {
@@ -280,9 +280,9 @@
 			continue
 		}
 		state := c.rec.State
-		if state == Serving && now.Before(m.until[c.id]) && !lacks(c.rec.Cell, math.MaxInt) {
+		if state == Serving && now.Before(m.until[c.id]) && !lacks(c.rec.ShardSet, math.MaxInt) {
 			state = Draining
-		} else if state == Serving && !now.Before(m.until[c.id]) && c.rec.Priority > 0 && !lacks(c.rec.Cell, int(c.rec.Priority)) {
+		} else if state == Serving && !now.Before(m.until[c.id]) && c.rec.Priority > 0 && !lacks(c.rec.ShardSet, int(c.rec.Priority)) {
 			state = Draining
 		}
 		out = append(out, fmt.Sprint(c.id, " ", c.rec.Addr, " ", state))
@@ -294,7 +294,7 @@
 func TestAgainstModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const cells, reach = 4, 2
-		table, err := New(Config{Cells: cells, Shards: cells, Reach: reach})
+		table, err := New(Config{ShardSets: cells, Shards: cells, Reach: reach})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -320,7 +320,7 @@
 		}
 		record := rapid.Custom(func(t *rapid.T) Record {
 			return Record{ID: fmt.Sprint("n", rapid.IntRange(0, 5).Draw(t, "id")), Addr: fmt.Sprint("x", rapid.IntRange(0, 6).Draw(t, "addr")),
-				Cell: rapid.IntRange(0, cells-1).Draw(t, "cell"), Priority: uint16(10 * rapid.IntRange(0, 1).Draw(t, "priority")),
+				ShardSet: rapid.IntRange(0, cells-1).Draw(t, "cell"), Priority: uint16(10 * rapid.IntRange(0, 1).Draw(t, "priority")),
 				State:   rapid.SampledFrom([]State{Serving, Serving, Serving, Draining}).Draw(t, "state"),
 				Started: at(float64(rapid.IntRange(1, 2).Draw(t, "start")))}
 		})
@@ -358,12 +358,12 @@
 			switch rapid.SampledFrom([]string{"entry", "entry", "gone", "full", "empty", "remembered", "refused", "answered", "failed"}).Draw(t, "what") {
 			case "entry":
 				rec := record.Draw(t, "record")
-				add(sources[i].Told(now, Update{Records: []Record{rec}, Lease: 5 * time.Second}))
+				add(sources[i].Update(now, Update{Records: []Record{rec}, Lease: 5 * time.Second}))
 				m.heard[i], m.lease[i] = now, 5*time.Second
 				say(i, rec, false)
 			case "gone":
 				rec := Record{ID: record.Draw(t, "record").ID, State: Gone}
-				add(sources[i].Told(now, Update{Records: []Record{rec}}))
+				add(sources[i].Update(now, Update{Records: []Record{rec}}))
 				m.heard[i], m.lease[i] = now, 0
 				say(i, rec, false)
 			case "full", "empty", "remembered":
@@ -375,7 +375,7 @@
 						seen[rec.ID], records = true, append(records, rec)
 					}
 				}
-				add(sources[i].Told(now, Update{Full: true, Remembered: remembered, Records: records}))
+				add(sources[i].Update(now, Update{Full: true, Cached: remembered, Records: records}))
 				if remembered && !m.heard[i].IsZero() {
 					break
 				}
@@ -391,18 +391,18 @@
 					say(i, rec, remembered)
 				}
 			case "failed":
-				add(sources[i].Told(now, Update{Basis: Failed, Cause: "no answer"}))
+				add(sources[i].Update(now, Update{Basis: Failed, Cause: "no answer"}))
 			case "refused", "answered":
 				id := record.Draw(t, "record").ID
 				_, listed := list[id]
 				if rapid.Bool().Draw(t, "good") {
-					add(table.Seen(now, id, Answered))
+					add(table.Observe(now, id, Answered))
 					if listed {
 						m.signs[id] = 0
 						delete(m.doubt, id)
 					}
 				} else {
-					add(table.Seen(now, id, Refused))
+					add(table.Observe(now, id, ConnectionRefused))
 					if listed {
 						if m.signs[id]++; m.signs[id] >= 2 {
 							m.doubt[id] = now.Add(10 * time.Second)
@@ -438,14 +438,14 @@
 func benchmark(b *testing.B, pause func(n int) time.Duration) {
 	for _, n := range []int{100, 1000, 10000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			table, _ := New(Config{Cells: 16, Shards: 64, Reach: 2})
+			table, _ := New(Config{ShardSets: 16, Shards: 64, Reach: 2})
 			src := table.Source(Spec{Name: "zone", Damped: true})
 			var records []Record
 			for i := range n {
-				records = append(records, Record{ID: fmt.Sprint("n", i), Addr: fmt.Sprint("x", i), Cell: i % 16})
+				records = append(records, Record{ID: fmt.Sprint("n", i), Addr: fmt.Sprint("x", i), ShardSet: i % 16})
 			}
 			now := at(0)
-			src.Told(now, Update{Full: true, Records: records})
+			src.Update(now, Update{Full: true, Records: records})
 			b.ReportAllocs()
 			for i := 0; b.Loop(); i++ {
 				now = now.Add(pause(n))
@@ -453,9 +453,9 @@
 				if i%2 == 0 {
 					rec.State = Gone
 				}
-				src.Told(now, Update{Records: []Record{rec}})
-				table.Seen(now, records[i%n].ID, Refused)
-				table.Seen(now, records[i%n].ID, Answered)
+				src.Update(now, Update{Records: []Record{rec}})
+				table.Observe(now, records[i%n].ID, ConnectionRefused)
+				table.Observe(now, records[i%n].ID, Answered)
 			}
 		})
 	}
--- a/internal/membership/table.go
+++ b/internal/membership/table.go
@@ -65,7 +65,7 @@
 	watching int // the cell whose changes matter to it; -1 for none
 
 	cur  Record // as the list has it; Gone where it is not in
-	mode What
+	mode Cause
 
 	sets uint8 // of which sets it is
 	wake time.Time
@@ -103,14 +103,14 @@
 	}
 	cfg = cfg.withDefaults()
 	return &Table{cfg: cfg, nodes: map[string]*node{}, addrs: map[string]*place{}, watch: map[int]map[*node]bool{},
-		cover: cover{cells: cfg.Cells, shards: cfg.Shards, reach: cfg.Reach, levels: map[int][]level{}},
+		cover: cover{cells: cfg.ShardSets, shards: cfg.Shards, reach: cfg.Reach, levels: map[int][]level{}},
 		past:  list.New(), marked: set{bit: 1}, placed: set{bit: 2}}, nil
 }
 
 // Source adds a source; it has told nothing yet.
 func (t *Table) Source(spec Spec) *Source {
-	if spec.Most <= 0 {
-		spec.Most = DefaultMost
+	if spec.MaxNodes <= 0 {
+		spec.MaxNodes = DefaultMaxNodes
 	}
 	s := &source{Spec: spec, index: len(t.sources), claims: map[string]*claim{}}
 	t.sources = append(t.sources, s)
@@ -124,7 +124,7 @@
 func newer(a, b uint32) bool { return a != b && int32(a-b) > 0 }
 
 // Told takes in what the source has told.
-func (s *Source) Told(now time.Time, u Update) Result {
+func (s *Source) Update(now time.Time, u Update) Result {
 	t, src := s.t, s.s
 	t.advance(now)
 	if !t.trust(now, src, &u) {
@@ -134,7 +134,7 @@
 		src.cause = ""
 		t.note(Fresh, src, "", "")
 	}
-	if !u.Remembered {
+	if !u.Cached {
 		src.heard, src.lease = now, u.Lease
 		if src.stale {
 			src.stale = false
@@ -162,15 +162,15 @@
 	}
 	for _, rec := range u.Records {
 		delete(missing, rec.ID)
-		t.claim(now, src, rec, u.Remembered)
+		t.claim(now, src, rec, u.Cached)
 	}
 	for _, id := range slices.Sorted(maps.Keys(missing)) {
 		if missing[id] {
-			t.claim(now, src, Record{ID: id, State: Gone}, u.Remembered)
+			t.claim(now, src, Record{ID: id, State: Gone}, u.Cached)
 		}
 	}
 	r := t.finish(now)
-	src.told = src.told || u.Full && !u.Remembered // only now: the first list names what may have run for long
+	src.told = src.told || u.Full && !u.Cached // only now: the first list names what may have run for long
 	return r
 }
 
@@ -186,7 +186,7 @@
 	switch {
 	case u.Basis == Failed:
 		return hold(u.Cause)
-	case u.Remembered:
+	case u.Cached:
 		return src.heard.IsZero()
 	case u.Basis == Relayed && u.Full && len(u.Records) == 0 && len(src.claims) > 0:
 		return hold("empty, and told without authority")
@@ -209,7 +209,7 @@
 }
 
 // Heard renews the lease of what a source has told: it has said that nothing changed.
-func (s *Source) Heard(now time.Time) Result {
+func (s *Source) Renew(now time.Time) Result {
 	s.t.advance(now)
 	if src := s.s; !src.heard.IsZero() {
 		src.heard, src.back = now, time.Time{}
@@ -227,7 +227,7 @@
 
 // Saw takes in the serial that a zone has now, and tells whether its list is to be fetched: where the serial is new,
 // or an older one has stayed for SerialHold. The same serial renews the lease.
-func (s *Source) Saw(now time.Time, serial uint32) (fetch bool, r Result) {
+func (s *Source) SerialSeen(now time.Time, serial uint32) (fetch bool, r Result) {
 	t, src := s.t, s.s
 	switch {
 	case !src.dated || newer(serial, src.serial):
@@ -235,7 +235,7 @@
 		src.back = time.Time{}
 		return true, t.finish(now)
 	case serial == src.serial:
-		return false, s.Heard(now)
+		return false, s.Renew(now)
 	}
 	t.advance(now)
 	u := Update{Serial: serial, Serialled: true}
@@ -252,8 +252,8 @@
 	if rec.ID == "" || c == nil && rec.State == Gone {
 		return
 	}
-	if rec.State != Gone && (rec.Cell < 0 || rec.Cell >= t.cfg.Cells) {
-		t.note(Unfit, src, rec.ID, fmt.Sprintf("cell %d is not within 0 and %d", rec.Cell, t.cfg.Cells-1))
+	if rec.State != Gone && (rec.ShardSet < 0 || rec.ShardSet >= t.cfg.ShardSets) {
+		t.note(Unfit, src, rec.ID, fmt.Sprintf("cell %d is not within 0 and %d", rec.ShardSet, t.cfg.ShardSets-1))
 		if c == nil {
 			return
 		}
@@ -261,8 +261,8 @@
 		rec.State = Draining
 	}
 	if c == nil {
-		if len(src.claims) >= src.Most {
-			t.note(Excess, src, rec.ID, fmt.Sprintf("over %d data nodes", src.Most))
+		if len(src.claims) >= src.MaxNodes {
+			t.note(Excess, src, rec.ID, fmt.Sprintf("over %d data nodes", src.MaxNodes))
 			return
 		}
 		c = &claim{src: src, since: now}
@@ -293,7 +293,7 @@
 }
 
 // Seen takes in what the coordinator sees of a data node. It counts only for one that is listed.
-func (t *Table) Seen(now time.Time, id string, e Evidence) Result {
+func (t *Table) Observe(now time.Time, id string, e Evidence) Result {
 	n := t.nodes[id]
 	if n == nil || n.cur.State == Gone || e == Answered && n.signs+n.turns == 0 && !n.doubtful && !n.died {
 		return Result{}
@@ -303,18 +303,18 @@
 	switch e {
 	case Answered:
 		n.signs, n.turns, n.died, n.doubtful = 0, 0, false, false
-	case Turned:
+	case Rejected:
 		n.signs, n.turns = 0, n.turns+1
-	case Refused, Lost:
+	case ConnectionRefused, ConnectionReset:
 		n.signs, n.died = n.signs+1, true
 	}
-	if n.signs >= t.cfg.Doubts || n.turns >= t.cfg.Turns {
-		n.doubtful, n.doubtEnd = true, now.Add(t.cfg.DoubtFor)
+	if n.signs >= t.cfg.SuspectAfter || n.turns >= t.cfg.RejectsToSuspect {
+		n.doubtful, n.doubtEnd = true, now.Add(t.cfg.SuspectFor)
 	}
 	if n.doubtful != was {
 		what := Cleared
 		if n.doubtful {
-			what = Doubted
+			what = Suspected
 		}
 		t.note(what, nil, id, "")
 	}
@@ -391,8 +391,8 @@
 	}
 }
 
-func (t *Table) note(what What, src *source, id, detail string) {
-	n := Note{What: what, ID: id, Detail: detail}
+func (t *Table) note(what Cause, src *source, id, detail string) {
+	n := Note{Cause: what, ID: id, Detail: detail}
 	if src != nil {
 		n.Source = src.Name
 	}
@@ -506,7 +506,7 @@
 	case !seen:
 		n.start = t.strange(now, n)
 	case present && !moved:
-	case present || moved || n.died || now.Sub(n.gone) > t.cfg.Brief:
+	case present || moved || n.died || now.Sub(n.gone) > t.cfg.ShortAbsence:
 		n.start, n.died = now, false
 	}
 	if n.seen = true; n.start.After(old) && seen {
@@ -610,7 +610,7 @@
 	var cell int
 	var priority uint16
 	if n.by != nil {
-		cell, priority = n.by.rec.Cell, n.by.rec.Priority
+		cell, priority = n.by.rec.ShardSet, n.by.rec.Priority
 	}
 	if n.counted == sound && (!sound || n.cell == cell && n.priority == priority) {
 		return
@@ -654,21 +654,21 @@
 
 // place settles what the list says of a node, and when it must be looked at again.
 func (t *Table) place(now time.Time, n *node) {
-	rec, mode, cell := Record{ID: n.id, State: Gone}, What(""), -1
+	rec, mode, cell := Record{ID: n.id, State: Gone}, Cause(""), -1
 	if n.by != nil && !t.alias(n) {
 		rec = n.by.rec
 		rec.State, rec.Started, rec.Unstated = n.state, n.start, false
 		if n.state == Serving {
 			held, ranked := n.damp.held(now), rec.Priority > 0
 			if held || ranked {
-				cell = rec.Cell
+				cell = rec.ShardSet
 			}
 			switch {
-			case held && t.cover.lacks(rec.Cell, anyPriority):
+			case held && t.cover.lacks(rec.ShardSet, anyPriority):
 				mode = Needed
 			case held:
 				mode, rec.State = Suppressed, Draining
-			case ranked && !t.cover.lacks(rec.Cell, int(rec.Priority)):
+			case ranked && !t.cover.lacks(rec.ShardSet, int(rec.Priority)):
 				mode, rec.State = Standby, Draining
 			}
 		}
@@ -692,7 +692,7 @@
 }
 
 // tell notes a change of the list and its reason.
-func (t *Table) tell(n *node, rec Record, mode What) {
+func (t *Table) tell(n *node, rec Record, mode Cause) {
 	var src *source
 	if n.by != nil {
 		src = n.by.src
--- a/internal/observations/observations.go
+++ b/internal/observations/observations.go
@@ -36,11 +36,11 @@
 
 // The fields.
 const (
-	Failed   Field = iota // a refused or reset connection, a silence
-	Answered              // any answer
-	Latency               // seconds that a part takes
-	Busy                  // share of its cores, by its own report
-	Started               // it started, or came back: cold since then
+	Failed      Field = iota // a refused or reset connection, a silence
+	Answered                 // any answer
+	Latency                  // seconds that a part takes
+	Utilization              // share of its cores, by its own report
+	Started                  // it started, or came back: cold since then
 	fields
 )
 
@@ -112,10 +112,10 @@
 
 // Why a fact was not taken.
 var (
-	ErrForm  = errors.New("not a fact: its node, field, age, value or coordinator can't be")
-	ErrAhead = errors.New("its stamp is ahead of our clock by more than clocks may be")
-	ErrOld   = errors.New("too old to count")
-	ErrKnown = errors.New("known, or something later is")
+	ErrMalformed = errors.New("not a fact: its node, field, age, value or coordinator can't be")
+	ErrAhead     = errors.New("its stamp is ahead of our clock by more than clocks may be")
+	ErrOld       = errors.New("too old to count")
+	ErrKnown     = errors.New("known, or something later is")
 )
 
 // held is one fact as it is kept: seen is when it was, by our own clock.
@@ -155,13 +155,13 @@
 }
 
 // Saw takes in what this coordinator has seen itself just now, by its own clock and that on the wall.
-func (t *Table) Saw(now time.Duration, wall time.Time, id string, f Field, value float64) error {
+func (t *Table) Observe(now time.Duration, wall time.Time, id string, f Field, value float64) error {
 	if !t.worth(now, id, f) {
 		return nil
 	}
 	fact := Fact{Node: id, Field: f, Stamp: t.stamp(wall), Value: value}
 	if !fact.sound() {
-		return ErrForm
+		return ErrMalformed
 	}
 	t.put(now, fact)
 	return nil
@@ -189,7 +189,7 @@
 }
 
 // SawStart takes in that a data node started, or came back, some time ago.
-func (t *Table) SawStart(now time.Duration, wall time.Time, id string, ago time.Duration) error {
+func (t *Table) ObserveStart(now time.Duration, wall time.Time, id string, ago time.Duration) error {
 	f := Fact{Node: id, Field: Started, Age: max(ago, 0)}
 	if n := t.nodes[id]; n != nil && n.facts[Started].stamp.By != "" && now-f.Age-n.facts[Started].seen < t.c.Skew {
 		return nil // the same start, or an earlier one
@@ -199,17 +199,17 @@
 	}
 	f.Stamp = t.stamp(wall)
 	if !f.sound() {
-		return ErrForm
+		return ErrMalformed
 	}
 	t.put(now, f)
 	return nil
 }
 
 // Take takes in what another coordinator tells.
-func (t *Table) Take(now time.Duration, wall time.Time, f Fact) error {
+func (t *Table) Merge(now time.Duration, wall time.Time, f Fact) error {
 	switch {
 	case !f.sound():
-		return ErrForm
+		return ErrMalformed
 	case f.Stamp.At > wall.UnixMilli()+t.c.Ahead.Milliseconds():
 		return ErrAhead
 	case f.Age >= t.c.Keep:
@@ -305,20 +305,20 @@
 
 // View is what is held of a data node.
 type View struct {
-	Doubtful bool
-	FailedBy string        // who saw that it fails, where it is doubtful
-	Failed   time.Duration // how long ago
-	Answered time.Duration // how long ago it last answered anybody; below 0 where not known
-	ColdFor  time.Duration // that it is cold yet; 0 where it is warm or nothing is known
-	ColdBy   string        // who saw that
-	Started  time.Duration // how long ago it started, where it is cold
-	Latency  float64       // seconds; below 0 where not known
-	Busy     float64       // below 0 where not known
+	Suspect       bool
+	FailedBy      string        // who saw that it fails, where it is doubtful
+	Failed        time.Duration // how long ago
+	Answered      time.Duration // how long ago it last answered anybody; below 0 where not known
+	WarmingFor    time.Duration // that it is cold yet; 0 where it is warm or nothing is known
+	WarmingSeenBy string        // who saw that
+	Started       time.Duration // how long ago it started, where it is cold
+	Latency       float64       // seconds; below 0 where not known
+	Utilization   float64       // below 0 where not known
 }
 
 // Of is what is held of a data node now.
 func (t *Table) Of(now time.Duration, id string) View {
-	v := View{Answered: -1, Latency: -1, Busy: -1}
+	v := View{Answered: -1, Latency: -1, Utilization: -1}
 	n := t.nodes[id]
 	if n == nil {
 		return v
@@ -334,19 +334,19 @@
 	if bad, ok := fresh(Failed, t.c.Hold); ok {
 		clears := answered && good.stamp.Compare(bad.stamp) > 0 &&
 			(good.stamp.By == bad.stamp.By || good.stamp.At > bad.stamp.At+t.c.Skew.Milliseconds())
-		if v.Doubtful = !clears; v.Doubtful {
+		if v.Suspect = !clears; v.Suspect {
 			v.FailedBy, v.Failed = bad.stamp.By, now-bad.seen
 		}
 	}
 	if h, ok := fresh(Started, t.c.Warm); ok {
-		v.Started, v.ColdBy = now-h.seen, h.stamp.By
-		v.ColdFor = t.c.Warm - v.Started
+		v.Started, v.WarmingSeenBy = now-h.seen, h.stamp.By
+		v.WarmingFor = t.c.Warm - v.Started
 	}
 	if h, ok := fresh(Latency, t.c.Keep); ok {
 		v.Latency = h.value
 	}
-	if h, ok := fresh(Busy, t.c.Keep); ok {
-		v.Busy = h.value
+	if h, ok := fresh(Utilization, t.c.Keep); ok {
+		v.Utilization = h.value
 	}
 	return v
 }
--- a/internal/observations/observations_test.go
+++ b/internal/observations/observations_test.go
@@ -34,10 +34,10 @@
 
 // TestOf: what is held of a data node, by what was told, where copies differ and as time goes on.
 func TestOf(t *testing.T) {
-	none := View{Answered: -1, Latency: -1, Busy: -1}
+	none := View{Answered: -1, Latency: -1, Utilization: -1}
 	with := func(change func(*View)) View { v := none; change(&v); return v }
 	doubtful := func(ago time.Duration) View {
-		return View{Doubtful: true, FailedBy: "a", Failed: ago, Answered: -1, Latency: -1, Busy: -1}
+		return View{Suspect: true, FailedBy: "a", Failed: ago, Answered: -1, Latency: -1, Utilization: -1}
 	}
 	answered := func(v View) View { v.Answered = s; return v }
 	for _, c := range []struct {
@@ -55,9 +55,9 @@
 		{"answered to another within the skew: the more cautious counts", []Fact{fact(Answered, "b", 400, s, 0), fact(Failed, "a", 0, s, 0)}, 0, answered(doubtful(s))},
 		{"answered to another, clearly later", []Fact{fact(Answered, "b", 600, s, 0), fact(Failed, "a", 0, s, 0)}, 0, answered(none)},
 		{"of two latencies the later", []Fact{fact(Latency, "a", 5, 0, 0.2), fact(Latency, "b", 3, 0, 0.7)}, 0, with(func(v *View) { v.Latency = 0.2 })},
-		{"too old to count", []Fact{fact(Busy, "a", 0, 59*s, 0.5)}, 2 * s, none},
+		{"too old to count", []Fact{fact(Utilization, "a", 0, 59*s, 0.5)}, 2 * s, none},
 		{"of two starts the younger, though it was told of earlier", []Fact{fact(Started, "a", 9, 8*s, 0), fact(Started, "b", 1, 3*s, 0)}, s,
-			with(func(v *View) { v.ColdFor, v.ColdBy, v.Started = 6*s, "b", 4*s })},
+			with(func(v *View) { v.WarmingFor, v.WarmingSeenBy, v.Started = 6*s, "b", 4*s })},
 		{"warm", []Fact{fact(Started, "a", 0, 8*s, 0)}, 2 * s, none},
 	} {
 		for _, backwards := range []bool{false, true} {
@@ -66,7 +66,7 @@
 				if backwards {
 					i = len(c.facts) - 1 - i
 				}
-				if err := tab.Take(0, wall, c.facts[i]); err != nil && !errors.Is(err, ErrKnown) {
+				if err := tab.Merge(0, wall, c.facts[i]); err != nil && !errors.Is(err, ErrKnown) {
 					t.Errorf("%s: %v", c.name, err)
 				}
 			}
@@ -87,21 +87,21 @@
 		{"taken", fact(Failed, "a", 0, 0, 0), nil},
 		{"twice", fact(Failed, "a", 0, 0, 0), ErrKnown},
 		{"an earlier one", fact(Failed, "a", -5, 0, 0), ErrKnown},
-		{"no data node", Fact{Field: Failed, Stamp: Stamp{1, 0, "a"}}, ErrForm},
-		{"no coordinator", Fact{Node: "n", Stamp: Stamp{1, 0, ""}}, ErrForm},
-		{"no field", Fact{Node: "n", Field: fields, Stamp: Stamp{1, 0, "a"}}, ErrForm},
-		{"from the future", fact(Failed, "a", 0, -s, 0), ErrForm},
-		{"no number", fact(Latency, "a", 0, 0, math.NaN()), ErrForm},
-		{"without end", fact(Latency, "a", 0, 0, math.Inf(1)), ErrForm},
-		{"a clock that is a little ahead", fact(Busy, "a", 59_000, 0, 0), nil},
-		{"a clock that has jumped", fact(Busy, "a", 61_000, 0, 0), ErrAhead},
-		{"too old", fact(Busy, "b", 59_500, time.Minute, 0), ErrOld},
+		{"no data node", Fact{Field: Failed, Stamp: Stamp{1, 0, "a"}}, ErrMalformed},
+		{"no coordinator", Fact{Node: "n", Stamp: Stamp{1, 0, ""}}, ErrMalformed},
+		{"no field", Fact{Node: "n", Field: fields, Stamp: Stamp{1, 0, "a"}}, ErrMalformed},
+		{"from the future", fact(Failed, "a", 0, -s, 0), ErrMalformed},
+		{"no number", fact(Latency, "a", 0, 0, math.NaN()), ErrMalformed},
+		{"without end", fact(Latency, "a", 0, 0, math.Inf(1)), ErrMalformed},
+		{"a clock that is a little ahead", fact(Utilization, "a", 59_000, 0, 0), nil},
+		{"a clock that has jumped", fact(Utilization, "a", 61_000, 0, 0), ErrAhead},
+		{"too old", fact(Utilization, "b", 59_500, time.Minute, 0), ErrOld},
 	} {
 		tab := table(t, Config{})
 		if c.want == ErrKnown {
-			tab.Take(0, wall, fact(Failed, "a", 0, 0, 0))
+			tab.Merge(0, wall, fact(Failed, "a", 0, 0, 0))
 		}
-		if err := tab.Take(0, wall, c.f); !errors.Is(err, c.want) {
+		if err := tab.Merge(0, wall, c.f); !errors.Is(err, c.want) {
 			t.Errorf("%s: %v, want %v", c.name, err, c.want)
 		}
 	}
@@ -115,7 +115,7 @@
 	tab := table(t, Config{Every: time.Nanosecond})
 	var last Stamp
 	for i, at := range []time.Duration{0, 0, -time.Hour, 5 * s, 4 * s} {
-		if err := tab.Saw(time.Duration(i), wall.Add(at), "n", Failed, 0); err != nil {
+		if err := tab.Observe(time.Duration(i), wall.Add(at), "n", Failed, 0); err != nil {
 			t.Fatal(err)
 		}
 		got := tab.nodes["n"].facts[Failed].stamp
@@ -125,8 +125,8 @@
 		last = got
 	}
 	heard := fact(Failed, "other", 30_000, 0, 0)
-	tab.Take(0, wall, heard)
-	tab.Saw(0, wall, "n", Answered, 0)
+	tab.Merge(0, wall, heard)
+	tab.Observe(0, wall, "n", Answered, 0)
 	if got := tab.nodes["n"].facts[Answered].stamp; got.Compare(heard.Stamp) <= 0 {
 		t.Errorf("%+v is not after what was heard, %+v", got, heard.Stamp)
 	}
@@ -151,7 +151,7 @@
 		skew := func(i int) time.Time { return wall.Add(now + time.Duration(i)*50*time.Millisecond) } // clocks differ by 200 ms at most
 		tell := func(from, to int) {
 			for _, f := range tabs[from].Facts(now, 1000) {
-				if err := tabs[to].Take(now, skew(to), f); err != nil && !errors.Is(err, ErrKnown) {
+				if err := tabs[to].Merge(now, skew(to), f); err != nil && !errors.Is(err, ErrKnown) {
 					r.Fatal(err)
 				}
 			}
@@ -162,7 +162,7 @@
 			if chance.IntN(2) == 0 {
 				now++ // two sights at one moment are one
 				id, f := fmt.Sprint("n", chance.IntN(3)), Field(chance.IntN(int(fields)))
-				if err := tabs[i].Saw(now, skew(i), id, f, float64(chance.IntN(9))); err != nil {
+				if err := tabs[i].Observe(now, skew(i), id, f, float64(chance.IntN(9))); err != nil {
 					r.Fatal(err)
 				}
 				h := tabs[i].nodes[id].facts[f]
@@ -229,7 +229,7 @@
 	}{{0, Answered, true}, {10 * ms, Answered, false}, {20 * ms, Failed, true}, {30 * ms, Failed, false}, {40 * ms, Answered, true}, {50 * ms, Latency, true},
 		{60 * ms, Latency, false}, {550 * ms, Latency, true}, {560 * ms, Answered, true}} {
 		before := tab.last
-		if err := tab.Saw(c.at, wall, "n", c.f, 1); err != nil {
+		if err := tab.Observe(c.at, wall, "n", c.f, 1); err != nil {
 			t.Fatal(err)
 		}
 		held := tab.nodes["n"].facts[c.f].stamp == tab.last && tab.last != before
@@ -243,7 +243,7 @@
 func TestBounds(t *testing.T) {
 	tab := table(t, Config{MostNodes: 3})
 	for i := range 5 {
-		tab.Saw(time.Duration(i)*s, wall, fmt.Sprint("n", i), Failed, 0)
+		tab.Observe(time.Duration(i)*s, wall, fmt.Sprint("n", i), Failed, 0)
 	}
 	if tab.Size() != 3 || tab.nodes["n0"] != nil || tab.nodes["n1"] != nil {
 		t.Errorf("%d data nodes held", tab.Size())
@@ -265,7 +265,7 @@
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			tab := table(b, Config{})
 			for i := range b.N {
-				tab.Take(0, wall, Fact{Node: fmt.Sprint("n", i%n), Field: Latency, Stamp: Stamp{wall.UnixMilli(), uint32(i), "a"}, Value: 1})
+				tab.Merge(0, wall, Fact{Node: fmt.Sprint("n", i%n), Field: Latency, Stamp: Stamp{wall.UnixMilli(), uint32(i), "a"}, Value: 1})
 			}
 		})
 	}
@@ -276,7 +276,7 @@
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			tab := table(b, Config{})
 			for i := range n {
-				tab.Saw(0, wall, fmt.Sprint("n", i), Latency, 1)
+				tab.Observe(0, wall, fmt.Sprint("n", i), Latency, 1)
 			}
 			for range b.N {
 				tab.Facts(0, 50)
@@ -299,11 +299,11 @@
 		{time.Second, 4 * time.Second, 6 * time.Second, 1, nil}, // the same
 		{5 * time.Second, 0, 10 * time.Second, 1, nil},
 	} {
-		if err := tab.SawStart(c.now, wall, "n", c.ago); !errors.Is(err, c.err) {
+		if err := tab.ObserveStart(c.now, wall, "n", c.ago); !errors.Is(err, c.err) {
 			t.Errorf("at %v: %v", c.now, err)
 		}
-		if v := tab.Of(c.now, "n"); v.ColdFor != c.cold || v.Started != c.ago && c.cold > 0 {
-			t.Errorf("at %v it is cold for %v since %v, want %v since %v", c.now, v.ColdFor, v.Started, c.cold, c.ago)
+		if v := tab.Of(c.now, "n"); v.WarmingFor != c.cold || v.Started != c.ago && c.cold > 0 {
+			t.Errorf("at %v it is cold for %v since %v, want %v since %v", c.now, v.WarmingFor, v.Started, c.cold, c.ago)
 		}
 		if n := len(tab.Facts(c.now, 9)); n != c.facts {
 			t.Errorf("at %v there are %d facts, want %d", c.now, n, c.facts)
--- a/internal/platform/clientconn.go
+++ b/internal/platform/clientconn.go
@@ -233,7 +233,7 @@
 		return errorResponse(re.status, re.text)
 	}
 	q.Deadline = c.clients.bound(q.Deadline)
-	answer, err := c.clients.Core.Ask(ctx, q)
+	answer, err := c.clients.Core.Execute(ctx, q)
 	switch {
 	case errors.Is(err, coordinator.ErrInput):
 		return errorResponse(400, err.Error())
@@ -252,7 +252,7 @@
 
 // answered turns the core's answer to a query into a response.
 func (c *clientConn) answered(id string, answer coordinator.Answer) response {
-	switch answer.Verdict {
+	switch answer.Status {
 	case coordinator.Answered:
 		body, err := answerBody(answer)
 		if err != nil {
@@ -264,9 +264,9 @@
 			return errorResponse(500, "answer too large")
 		}
 		return response{status: 200, body: body, end: time.Now().Add(writeTime)}
-	case coordinator.Refused:
+	case coordinator.Rejected:
 		r := errorResponse(503, "refused")
-		r.header = retryAfter(answer.After)
+		r.header = retryAfter(answer.RetryAfter)
 		return r
 	}
 	return errorResponse(500, "failed")
--- a/internal/platform/clients.go
+++ b/internal/platform/clients.go
@@ -48,7 +48,7 @@
 
 // Clients serves clients. Its exported fields are set before its first use.
 type Clients struct {
-	Core       *coordinator.Core
+	Core       *coordinator.Coordinator
 	Log        *slog.Logger
 	MaxConns   int   // connections that may be open
 	BusyConns  int   // connections with requests that clients may have; from half of it on they are kept no longer than need be
--- a/internal/platform/discovery.go
+++ b/internal/platform/discovery.go
@@ -31,9 +31,9 @@
 	Source *coordinator.Source
 	Log    *slog.Logger
 	Dial   func(ctx context.Context, addr string) (net.Conn, error)
-	Keep   func(list []byte) // takes in the list, in discovery's form, after each change; may be nil
-	Calls  membership.Calls  // when the list is called for
-	Draw   func() float64    // from 0 to 1, not the same in each coordinator
+	Keep   func(list []byte)       // takes in the list, in discovery's form, after each change; may be nil
+	Calls  membership.PollSchedule // when the list is called for
+	Draw   func() float64          // from 0 to 1, not the same in each coordinator
 	// Confirm is how long a remembered list is used before discovery has answered; 0 sets no bound.
 	Confirm time.Duration
 
@@ -121,7 +121,7 @@
 	if e.ID == "" {
 		return coordinator.Member{}, errNoID
 	}
-	m := coordinator.Member{ID: e.ID, Addr: e.Addr, Zone: e.Zone, Cell: e.Cell, Weight: e.Weight, State: coordinator.Draining}
+	m := coordinator.Member{ID: e.ID, Addr: e.Addr, Zone: e.Zone, ShardSet: e.Cell, Weight: e.Weight, State: coordinator.Draining}
 	if state, known := states[e.State]; known {
 		m.State = state
 	} else {
@@ -191,7 +191,7 @@
 func (w *Watch) Run(ctx context.Context) {
 	told := make(chan telling)
 	open := func() *source {
-		s := &source{addr: w.addr, target: "/discovery/hosts?watch=1", patience: w.Calls.Patience(), told: told}
+		s := &source{addr: w.addr, target: "/discovery/hosts?watch=1", patience: w.Calls.Timeout(), told: told}
 		if w.listed && !w.moved {
 			s.since = true
 			s.target += "&after=" + strconv.FormatInt(w.version, 10)
@@ -202,7 +202,7 @@
 		return s
 	}
 	var now, next *source
-	again := time.NewTimer(w.Calls.First(w.Draw()))
+	again := time.NewTimer(w.Calls.FirstDelay(w.Draw()))
 	defer again.Stop()
 	var unconfirmed <-chan time.Time
 	if w.Confirm > 0 {
@@ -246,10 +246,10 @@
 						"cause", t.end)
 				}
 				if w.away = true; next == nil {
-					again.Reset(w.Calls.Again(w.Draw()))
+					again.Reset(w.Calls.RetryDelay(w.Draw()))
 				}
 			case t.open:
-				w.Calls.Brought()
+				w.Calls.Succeeded()
 				if w.away {
 					w.Log.Info("watch on discovery is open again", "version", w.version)
 				}
@@ -338,7 +338,7 @@
 	}
 	// The head alone tells nothing: the call may still wait its turn, and end.
 	opened := &onFirstByte{in: body, call: func() {
-		live.silence = membership.Quiet
+		live.silence = membership.SilenceTimeout
 		s.tell(ctx, telling{open: true})
 	}}
 	idle := func() { s.tell(ctx, telling{idle: true}) }
--- a/internal/platform/ending_test.go
+++ b/internal/platform/ending_test.go
@@ -247,8 +247,8 @@
 // nothing, never it is lost.
 func TestLateAnswer(t *testing.T) {
 	log := slog.New(slog.DiscardHandler)
-	set := aggregator.Settings{Aggregators: 1, Tick: 5 * time.Millisecond, Cells: 1, Shards: 1, Reach: 1,
-		Classes: []aggregator.Class{{Name: "report", Aim: time.Second, Deadline: 3 * time.Second, Worth: 1, Need: 1, Floor: 1}}}
+	set := aggregator.Settings{Aggregators: 1, Tick: 5 * time.Millisecond, ShardSets: 1, Shards: 1, Reach: 1,
+		Classes: []aggregator.Class{{Name: "report", LatencyObjective: time.Second, Deadline: 3 * time.Second, Priority: 1, CompleteShare: 1, MinShare: 1}}}
 	c, err := coordinator.New(set, 7, log)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/platform/fleet_test.go
+++ b/internal/platform/fleet_test.go
@@ -85,7 +85,7 @@
 		o := &overbooked{turn: make(chan struct{}, 1)}
 		ctx, stop := context.WithCancel(t.Context())
 		log := slog.New(slog.DiscardHandler)
-		set := aggregator.Settings{Cells: 1, Shards: 1, Reach: 1, Classes: []aggregator.Class{{Aim: 1, Deadline: 1}}}
+		set := aggregator.Settings{ShardSets: 1, Shards: 1, Reach: 1, Classes: []aggregator.Class{{LatencyObjective: 1, Deadline: 1}}}
 		for seed := range uint64(coordinators) {
 			c, err := coordinator.New(set, seed, log)
 			if err != nil {
@@ -93,7 +93,7 @@
 			}
 			w := NewWatch("d")
 			w.Source, w.Log, w.Dial = c.Source(membership.Spec{Name: "discovery"}), log, o.dial
-			w.Calls = membership.Calls{Others: coordinators - 1, Grace: 2 * time.Second}
+			w.Calls = membership.PollSchedule{Peers: coordinators - 1, Grace: 2 * time.Second}
 			w.Draw = rand.New(rand.NewPCG(seed, 1)).Float64
 			w.Remember([]byte(`{"version":41,"servers":[` + strings.Join(known, ",") + `]}`))
 			go w.Run(ctx)
--- a/internal/platform/formats_test.go
+++ b/internal/platform/formats_test.go
@@ -44,7 +44,7 @@
 		k := startFrameCore(t, dial)
 		ctx, leave := context.WithTimeout(t.Context(), 400*time.Millisecond)
 		defer leave()
-		_, err := k.Ask(ctx, coordinator.Query{ID: "query", Class: "entry", IdempotencyKey: "key", Text: "text of the query",
+		_, err := k.Execute(ctx, coordinator.Query{ID: "query", Class: "entry", IdempotencyKey: "key", Text: "text of the query",
 			Deadline: time.Now().Add(1500 * time.Millisecond), Parts: []coordinator.Part{{Shard: 0, Weight: 0.5}, {Shard: 1, Weight: 0.5}}})
 		if err == nil {
 			t.Error("a query was answered by a data node that never answers")
@@ -57,13 +57,13 @@
 }
 
 // startFrameCore runs a core before one data node whose connections come by dial.
-func startFrameCore(t *testing.T, dial func(context.Context, string) (net.Conn, error)) *coordinator.Core {
+func startFrameCore(t *testing.T, dial func(context.Context, string) (net.Conn, error)) *coordinator.Coordinator {
 	t.Helper()
 	log := slog.New(slog.DiscardHandler)
-	set := aggregator.Settings{Aggregators: 1, Tick: 5 * time.Millisecond, Cells: 1, Shards: 2, Reach: 1, CallCost: time.Millisecond,
-		Classes: []aggregator.Class{{Name: "entry", Aim: time.Second, Deadline: 2 * time.Second, Worth: 1, Need: 1, Floor: 1,
-			Effect: aggregator.Keyed, Memory: 300 * time.Millisecond}},
-		Limits: aggregator.Limits{Attempts: 2, Bundle: 8, Cancel: true, ConnectTimeout: 250 * time.Millisecond}}
+	set := aggregator.Settings{Aggregators: 1, Tick: 5 * time.Millisecond, ShardSets: 1, Shards: 2, Reach: 1, CallCost: time.Millisecond,
+		Classes: []aggregator.Class{{Name: "entry", LatencyObjective: time.Second, Deadline: 2 * time.Second, Priority: 1, CompleteShare: 1, MinShare: 1,
+			Effect: aggregator.Keyed, DedupWindow: 300 * time.Millisecond}},
+		Limits: aggregator.Limits{MaxAttempts: 2, MaxBatch: 8, CanCancel: true, ConnectTimeout: 250 * time.Millisecond}}
 	k, err := coordinator.New(set, 1, log)
 	if err != nil {
 		t.Fatal(err)
@@ -71,7 +71,7 @@
 	ctx, stop := context.WithCancel(t.Context())
 	go k.Run(ctx)
 	nodes := &Nodes{Core: k, Log: log, Dial: dial, Streams: 32, Connect: 250 * time.Millisecond, Slots: make(chan struct{}, 9)}
-	k.Carrier("", nodes.Carry)
+	k.RegisterDispatcher("", nodes.Dispatch)
 	list := k.Source(membership.Spec{Name: "list"})
 	list.Replace([]coordinator.Member{{ID: "a", Weight: 1}}, false)
 	t.Cleanup(func() {
@@ -88,7 +88,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	k, err := coordinator.New(aggregator.Settings{Cells: 2, Shards: 2, Reach: 1, Classes: []aggregator.Class{{Aim: 1, Deadline: 1}}}, 1, slog.New(slog.DiscardHandler))
+	k, err := coordinator.New(aggregator.Settings{ShardSets: 2, Shards: 2, Reach: 1, Classes: []aggregator.Class{{LatencyObjective: 1, Deadline: 1}}}, 1, slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -97,7 +97,7 @@
 	w.Source = k.Source(membership.Spec{Name: "list"})
 	w.Remember(known)
 	claims := w.Source.Claims()
-	if len(claims) != 2 || claims[0].ID != "a" || claims[0].Cell != 1 || claims[0].Zone != "recife" || claims[1].State != coordinator.Draining ||
+	if len(claims) != 2 || claims[0].ID != "a" || claims[0].ShardSet != 1 || claims[0].Zone != "recife" || claims[1].State != coordinator.Draining ||
 		!claims[1].Started.Equal(time.UnixMilli(1_790_000_000_000)) {
 		t.Errorf("the list holds %+v", claims)
 	}
--- a/internal/platform/keyed_test.go
+++ b/internal/platform/keyed_test.go
@@ -33,10 +33,10 @@
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				log := slog.New(slog.DiscardHandler)
-				set := aggregator.Settings{Aggregators: 1, Tick: 5 * time.Millisecond, Cells: 1, Shards: 1, Reach: 1,
-					Classes: []aggregator.Class{{Name: "entry", Aim: time.Second, Deadline: 2 * time.Second, Worth: 1, Need: 1, Floor: 1,
-						Effect: c.effect, Memory: 300 * time.Millisecond}},
-					Limits: aggregator.Limits{Attempts: 2, Cancel: true, ConnectTimeout: 250 * time.Millisecond}}
+				set := aggregator.Settings{Aggregators: 1, Tick: 5 * time.Millisecond, ShardSets: 1, Shards: 1, Reach: 1,
+					Classes: []aggregator.Class{{Name: "entry", LatencyObjective: time.Second, Deadline: 2 * time.Second, Priority: 1, CompleteShare: 1, MinShare: 1,
+						Effect: c.effect, DedupWindow: 300 * time.Millisecond}},
+					Limits: aggregator.Limits{MaxAttempts: 2, CanCancel: true, ConnectTimeout: 250 * time.Millisecond}}
 				k, err := coordinator.New(set, 1, log)
 				if err != nil {
 					t.Fatal(err)
@@ -69,12 +69,12 @@
 					}()
 					return ours, nil
 				}
-				k.Carrier("", (&Nodes{Core: k, Log: log, Dial: dial, Streams: 32, Connect: 250 * time.Millisecond, Slots: make(chan struct{}, 9)}).Carry)
+				k.RegisterDispatcher("", (&Nodes{Core: k, Log: log, Dial: dial, Streams: 32, Connect: 250 * time.Millisecond, Slots: make(chan struct{}, 9)}).Dispatch)
 				list := k.Source(membership.Spec{Name: "list"})
 				list.Replace([]coordinator.Member{{ID: "a", Weight: 1}, {ID: "b", Weight: 1}}, false)
-				answer, err := k.Ask(ctx, coordinator.Query{ID: "q", Class: "entry", IdempotencyKey: "k1", Text: "text", Deadline: time.Now().Add(1500 * time.Millisecond),
+				answer, err := k.Execute(ctx, coordinator.Query{ID: "q", Class: "entry", IdempotencyKey: "k1", Text: "text", Deadline: time.Now().Add(1500 * time.Millisecond),
 					Parts: []coordinator.Part{{Weight: 1}}})
-				if err != nil || (answer.Verdict == coordinator.Answered) != (c.want == 2) {
+				if err != nil || (answer.Status == coordinator.Answered) != (c.want == 2) {
 					t.Errorf("answer %v, error %v", answer, err)
 				}
 				time.Sleep(time.Second)
--- a/internal/platform/nodes.go
+++ b/internal/platform/nodes.go
@@ -54,7 +54,7 @@
 
 // Nodes carries orders to data nodes. Its exported fields are set before its first use.
 type Nodes struct {
-	Core    *coordinator.Core
+	Core    *coordinator.Coordinator
 	Log     *slog.Logger
 	Dial    func(ctx context.Context, addr string) (net.Conn, error)
 	Streams int           // parts that one connection carries at once
@@ -113,7 +113,7 @@
 }
 
 // Carry serves one data node until it has left the list.
-func (ns *Nodes) Carry(n *coordinator.Node) {
+func (ns *Nodes) Dispatch(n *coordinator.Node) {
 	l := &link{Nodes: ns, node: n}
 	ns.list(l, true)
 	defer ns.list(l, false)
@@ -125,9 +125,9 @@
 			return
 		case o.Call != nil:
 			l.call(o.Call)
-		case o.Drop != nil:
-			l.drop(o.Drop)
-		case o.Barred:
+		case o.Cancel != nil:
+			l.drop(o.Cancel)
+		case o.RejectQueued:
 			l.bar()
 		case o.Probe:
 			l.probe()
@@ -228,7 +228,7 @@
 		}
 		if s.at.IsZero() {
 			delete(c.out, a.ID)
-			l.Core.Report(a, coordinator.Result{Outcome: coordinator.Dropped})
+			l.Core.Report(a, coordinator.Result{Outcome: coordinator.Cancelled})
 			return
 		}
 		s.dropping = true
@@ -253,7 +253,7 @@
 		for id, s := range c.out {
 			if s.at.IsZero() {
 				delete(c.out, id)
-				l.Core.Report(s.Attempt, coordinator.Result{Outcome: coordinator.Busy})
+				l.Core.Report(s.Attempt, coordinator.Result{Outcome: coordinator.Overloaded})
 			}
 		}
 	}
@@ -265,7 +265,7 @@
 	c := l.room(nil)
 	p := &probe{}
 	c.push(frame{probe: p})
-	time.AfterFunc(l.Connect, func() { c.probed(p, coordinator.Result{Outcome: coordinator.Dropped}) })
+	time.AfterFunc(l.Connect, func() { c.probed(p, coordinator.Result{Outcome: coordinator.Cancelled}) })
 }
 
 // closeIdle closes the connections that carry nothing. A probe that is still waited for is something.
@@ -463,7 +463,7 @@
 	for id, s := range c.out {
 		if !s.at.IsZero() {
 			delete(c.out, id)
-			c.report(s, coordinator.Cut)
+			c.report(s, coordinator.ConnectionLost)
 		}
 	}
 	for _, p := range c.probes {
@@ -478,7 +478,7 @@
 // report tells how an attempt ended with its connection. The caller holds the lock.
 func (c *conn) report(s *sent, outcome coordinator.Outcome) {
 	if s.dropping {
-		outcome = coordinator.Dropped
+		outcome = coordinator.Cancelled
 	}
 	c.l.Core.Report(s.Attempt, coordinator.Result{Outcome: outcome})
 }
@@ -500,7 +500,7 @@
 		unsent = coordinator.ConnectTimeout
 	}
 	if c.spoilt {
-		begun = coordinator.Cut
+		begun = coordinator.ConnectionLost
 	}
 	c.turnBack(unsent, begun)
 	if c.slot {
@@ -555,7 +555,7 @@
 		if f.drop != nil && c.out[f.drop.ID] == f.drop {
 			delete(c.out, f.drop.ID)
 			c.spoil(f.drop)
-			c.l.Core.Report(f.drop.Attempt, coordinator.Result{Outcome: coordinator.Dropped})
+			c.l.Core.Report(f.drop.Attempt, coordinator.Result{Outcome: coordinator.Cancelled})
 		}
 		c.l.mu.Unlock()
 	}
@@ -762,11 +762,11 @@
 	c.used, c.silent, c.midway = c.heard, false, false
 }
 
-var ends = map[string]coordinator.Outcome{"ok": coordinator.Served, "err": coordinator.Errored, "busy": coordinator.Busy}
+var ends = map[string]coordinator.Outcome{"ok": coordinator.OK, "err": coordinator.Errored, "busy": coordinator.Overloaded}
 
 // answer handles the answer to a part. One to a part that was given up, or a second one, is skipped.
 func (c *conn) answer(words []string, value []byte) error {
-	r := coordinator.Result{Outcome: ends[words[1]], Docs: [][]byte{value}, Load: load(strings.Join(words[3:], " "))}
+	r := coordinator.Result{Outcome: ends[words[1]], Docs: [][]byte{value}, LoadReport: load(strings.Join(words[3:], " "))}
 	c.l.mu.Lock()
 	defer c.l.mu.Unlock()
 	c.took()
@@ -790,7 +790,7 @@
 	c.took()
 	p := c.probes[0]
 	c.probes = c.probes[1:]
-	r := coordinator.Result{Outcome: coordinator.Served, Load: load(report)}
+	r := coordinator.Result{Outcome: coordinator.OK, LoadReport: load(report)}
 	if report == "err" {
 		r.Outcome = coordinator.Errored
 	}
@@ -808,7 +808,7 @@
 func (c *conn) end(p *probe, r coordinator.Result) {
 	if !p.done {
 		p.done = true
-		c.l.Core.Probed(c.l.node, r)
+		c.l.Core.ReportProbe(c.l.node, r)
 	}
 }
 
--- a/internal/platform/request.go
+++ b/internal/platform/request.go
@@ -140,7 +140,7 @@
 	if err != nil || ms == 0 {
 		return coordinator.Query{}, bad(400, "Req-Deadline-Ms %.40q", h.Get("Req-Deadline-Ms"))
 	}
-	q := coordinator.Query{ID: h.Get("Req-Id"), Class: class, Owner: h.Get("Req-Owner"), Retry: h.Get("Req-Retry") == "1",
+	q := coordinator.Query{ID: h.Get("Req-Id"), Class: class, Tenant: h.Get("Req-Owner"), Retry: h.Get("Req-Retry") == "1",
 		Deadline: req.arrived.Add(time.Duration(ms) * time.Millisecond), IdempotencyKey: h.Get("Idempotency-Key")}
 	if q.Parts, q.Text, err = queryjson.Parts(req.body); err != nil {
 		return q, bad(400, "%v", err)
--- a/internal/platform/response.go
+++ b/internal/platform/response.go
@@ -46,8 +46,8 @@
 	body := struct {
 		Complete bool  `json:"complete"`
 		Hits     []hit `json:"hits"`
-	}{a.Whole, []hit{}}
-	for _, h := range a.Hits {
+	}{a.Complete, []hit{}}
+	for _, h := range a.Values {
 		for _, doc := range h.Docs {
 			if !utf8.Valid(doc) {
 				return nil, fmt.Errorf("document of shard %d is no text", h.Shard)
--- a/internal/platform/scenario_test.go
+++ b/internal/platform/scenario_test.go
@@ -637,20 +637,20 @@
 
 func play(t *testing.T, real bool, nodes, script string) {
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
-	set := aggregator.Settings{Aggregators: 1, Tick: 5 * time.Millisecond, Cells: 2, Shards: 4, Reach: 1,
-		Classes: []aggregator.Class{{Name: "report", Aim: time.Second, Deadline: 3 * time.Second, Worth: 1,
-			LateWorth: 0.1, Need: 1, Floor: 1}, {Name: "entry", Aim: time.Second, Deadline: 3 * time.Second, Worth: 1,
-			Effect: aggregator.Keyed, Memory: 2 * time.Second, Need: 1, Floor: 1}},
+	set := aggregator.Settings{Aggregators: 1, Tick: 5 * time.Millisecond, ShardSets: 2, Shards: 4, Reach: 1,
+		Classes: []aggregator.Class{{Name: "report", LatencyObjective: time.Second, Deadline: 3 * time.Second, Priority: 1,
+			LateShare: 0.1, CompleteShare: 1, MinShare: 1}, {Name: "entry", LatencyObjective: time.Second, Deadline: 3 * time.Second, Priority: 1,
+			Effect: aggregator.Keyed, DedupWindow: 2 * time.Second, CompleteShare: 1, MinShare: 1}},
 		Tenants: []aggregator.Tenant{{Name: "club", Rate: 100}}, CallCost: time.Millisecond,
-		Limits: aggregator.Limits{Attempts: 3, Bundle: 8, Cancel: true, Probes: true, RetryAfter: true,
+		Limits: aggregator.Limits{MaxAttempts: 3, MaxBatch: 8, CanCancel: true, Probes: true, SendRetryAfter: true,
 			MaxRetryAfter: time.Second, ConnectTimeout: 250 * time.Millisecond, ConnIdle: 30 * time.Second},
 		Rules: aggregator.Rules{DrainGrace: 2 * time.Second},
 	}
 	if strings.Contains(nodes, "nocancel=1") {
-		set.Limits.Cancel = false
+		set.Limits.CanCancel = false
 	}
 	if strings.Contains(nodes, "slowstart=1") { // a data node that has just started may be sent next to nothing
-		set.Rules.FallMultiple, set.Rules.FallWindow, set.Rules.ColdShare, set.Rules.WarmAfter = 2, time.Second, 0.001, time.Minute
+		set.Rules.OverloadMultiple, set.Rules.OverloadWindow, set.Rules.InitialCapacity, set.Rules.WarmupTime = 2, time.Second, 0.001, time.Minute
 	}
 	c, err := coordinator.New(set, 7, log)
 	if err != nil {
@@ -662,7 +662,7 @@
 	go c.Run(ctx)
 	carrier := &Nodes{Core: c, Log: log, Dial: w.dial, Streams: 32, Connect: set.Limits.ConnectTimeout,
 		Idle: set.Limits.ConnIdle, Slots: make(chan struct{}, 9)}
-	c.Carrier("", carrier.Carry)
+	c.RegisterDispatcher("", carrier.Dispatch)
 	watch := NewWatch("d1")
 	watch.Source, watch.Log, watch.Dial, w.watch = c.Source(membership.Spec{Name: "discovery"}), log, w.dial, watch
 	var list []string
@@ -767,7 +767,7 @@
 }
 
 // givenBack tells whether nothing is held any more.
-func (w *world) givenBack(c *coordinator.Core, carrier *Nodes) bool {
+func (w *world) givenBack(c *coordinator.Coordinator, carrier *Nodes) bool {
 	w.clients.mu.Lock()
 	defer w.clients.mu.Unlock()
 	return len(carrier.Slots)+len(w.clients.conns)+c.Open() == 0
@@ -1142,7 +1142,7 @@
 // TestAnswerBody: documents go to clients as they came or not at all; JSON would change what is no text.
 func TestAnswerBody(t *testing.T) {
 	for doc, fit := range map[string]bool{"d\u00e9j\u00e0 \"vu\"\n": true, "\xff\xfe": false} {
-		body, err := answerBody(coordinator.Answer{Whole: true, Hits: []coordinator.Hit{{Shard: 1, Docs: [][]byte{[]byte(doc)}}}})
+		body, err := answerBody(coordinator.Answer{Complete: true, Values: []coordinator.PartValue{{Shard: 1, Docs: [][]byte{[]byte(doc)}}}})
 		var got struct{ Hits []struct{ Doc string } }
 		if (err == nil) != fit || fit && (json.Unmarshal(body, &got) != nil || got.Hits[0].Doc != doc) {
 			t.Errorf("%q: %s, %v", doc, body, err)
