--- a/internal/platform/silence_test.go
+++ b/internal/platform/silence_test.go
@@ -83,7 +83,7 @@
 			return
 		}
 		line = "\n"
-		time.Sleep(membership.Beat)
+		time.Sleep(membership.KeepAliveInterval)
 	}
 }
 
@@ -129,9 +129,9 @@
 		q.turn = make(chan struct{}, 1)
 	}
 	frames := &lastFrames{last: map[string]time.Time{}}
-	set := aggregator.Settings{Aggregators: coordinators, Tick: 5 * time.Millisecond, Cells: 1, Shards: 1, Reach: 1,
-		Classes: []aggregator.Class{{Name: "report", Aim: time.Second, Deadline: 2 * time.Second, Worth: 1, Need: 1, Floor: 1}},
-		Limits:  aggregator.Limits{Attempts: 3, Cancel: true, ConnectTimeout: 250 * time.Millisecond}}
+	set := aggregator.Settings{Aggregators: coordinators, Tick: 5 * time.Millisecond, ShardSets: 1, Shards: 1, Reach: 1,
+		Classes: []aggregator.Class{{Name: "report", LatencyObjective: time.Second, Deadline: 2 * time.Second, Priority: 1, CompleteShare: 1, MinShare: 1}},
+		Limits:  aggregator.Limits{MaxAttempts: 3, CanCancel: true, ConnectTimeout: 250 * time.Millisecond}}
 	var asking sync.WaitGroup
 	for i := range coordinators {
 		c, err := coordinator.New(set, seed+uint64(i), log)
@@ -139,10 +139,10 @@
 			t.Fatal(err)
 		}
 		go c.Run(ctx)
-		c.Carrier("", (&Nodes{Core: c, Log: log, Dial: frames.dial, Streams: 32, Connect: 250 * time.Millisecond, Slots: make(chan struct{}, 16)}).Carry)
+		c.RegisterDispatcher("", (&Nodes{Core: c, Log: log, Dial: frames.dial, Streams: 32, Connect: 250 * time.Millisecond, Slots: make(chan struct{}, 16)}).Dispatch)
 		w := NewWatch("d")
 		w.Source, w.Log, w.Dial = c.Source(membership.Spec{Name: "discovery"}), log, q.dial
-		w.Calls = membership.Calls{Pushed: pushed, Others: others, Grace: grace}
+		w.Calls = membership.PollSchedule{Pushed: pushed, Peers: others, Grace: grace}
 		w.Draw = rand.New(rand.NewPCG(seed, uint64(i))).Float64
 		w.Remember([]byte(strings.TrimSpace(q.list(false))))
 		watching, unwatch := context.WithCancel(ctx)
@@ -150,7 +150,7 @@
 		go func() { w.Run(watching); close(done) }()
 		asking.Go(func() {
 			for n := 0; time.Now().Before(q.until.Add(14 * time.Second)); n++ {
-				c.Ask(ctx, coordinator.Query{ID: fmt.Sprint("q", n), Class: "report", Deadline: time.Now().Add(time.Second), Text: "text",
+				c.Execute(ctx, coordinator.Query{ID: fmt.Sprint("q", n), Class: "report", Deadline: time.Now().Add(time.Second), Text: "text",
 					Parts: []coordinator.Part{{Shard: 0, Weight: 1}}})
 				time.Sleep(40 * time.Millisecond)
 			}
@@ -189,14 +189,14 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				phase, silence := 2*membership.Beat+50*time.Millisecond, 5*time.Second // the worst moment: a line has just come
+				phase, silence := 2*membership.KeepAliveInterval+50*time.Millisecond, 5*time.Second // the worst moment: a line has just come
 				if !c.pushed {
 					// After the first call of each. It ends before the silence is noticed: a call that meets it may wait, see below.
-					phase, silence = 2*membership.Beat+c.grace/2+150*time.Millisecond, 2500*time.Millisecond
+					phase, silence = 2*membership.KeepAliveInterval+c.grace/2+150*time.Millisecond, 2500*time.Millisecond
 				}
 				last, served := overdueDrains(t, c.pushed, c.coordinators, c.others, c.grace, phase, silence, 1)
-				if last > membership.Told+c.grace {
-					t.Errorf("a drained data node got a part %v after discovery fell silent; %v are allowed", last, membership.Told+c.grace)
+				if last > membership.NotifiedAfter+c.grace {
+					t.Errorf("a drained data node got a part %v after discovery fell silent; %v are allowed", last, membership.NotifiedAfter+c.grace)
 				}
 				if last < silence || served == 0 {
 					t.Errorf("the last part came after %v, %d others were served: nothing was tested", last, served)
@@ -216,9 +216,9 @@
 		silence := time.Duration(rapid.IntRange(100, 12_000).Draw(r, "silence_ms")) * time.Millisecond
 		phase := time.Duration(rapid.IntRange(2000, 6000).Draw(r, "phase_ms")) * time.Millisecond
 		seed := rapid.Uint64().Draw(r, "seed")
-		bound := max(silence, membership.Told) + grace
-		if calls := (&membership.Calls{}); !pushed && silence > membership.Quiet-membership.Beat { // a call may have met it
-			bound = max(bound, silence+calls.Patience()+time.Second+100*time.Millisecond)
+		bound := max(silence, membership.NotifiedAfter) + grace
+		if calls := (&membership.PollSchedule{}); !pushed && silence > membership.SilenceTimeout-membership.KeepAliveInterval { // a call may have met it
+			bound = max(bound, silence+calls.Timeout()+time.Second+100*time.Millisecond)
 		}
 		synctest.Test(t, func(t *testing.T) {
 			if last, _ := overdueDrains(t, pushed, 3, 2, grace, phase, silence, seed); last > bound {
--- a/internal/platform/slots_test.go
+++ b/internal/platform/slots_test.go
@@ -42,10 +42,10 @@
 	synctest.Test(t, func(t *testing.T) {
 		const nodes = 3
 		log := slog.New(slog.DiscardHandler)
-		set := aggregator.Settings{Aggregators: 1, Tick: 5 * time.Millisecond, Cells: nodes, Shards: nodes, Reach: 1,
-			Classes: []aggregator.Class{{Name: "report", Aim: time.Second, Deadline: 3 * time.Second, Worth: 1, Need: 1, Floor: 1}},
-			Limits:  aggregator.Limits{Attempts: 3, Cancel: true, ConnectTimeout: 250 * time.Millisecond, ConnIdle: 30 * time.Second},
-			Rules:   aggregator.Rules{FallMultiple: 2, FallWindow: time.Second, ColdShare: 0.01, WarmAfter: 20 * time.Second}}
+		set := aggregator.Settings{Aggregators: 1, Tick: 5 * time.Millisecond, ShardSets: nodes, Shards: nodes, Reach: 1,
+			Classes: []aggregator.Class{{Name: "report", LatencyObjective: time.Second, Deadline: 3 * time.Second, Priority: 1, CompleteShare: 1, MinShare: 1}},
+			Limits:  aggregator.Limits{MaxAttempts: 3, CanCancel: true, ConnectTimeout: 250 * time.Millisecond, ConnIdle: 30 * time.Second},
+			Rules:   aggregator.Rules{OverloadMultiple: 2, OverloadWindow: time.Second, InitialCapacity: 0.01, WarmupTime: 20 * time.Second}}
 		c, err := coordinator.New(set, 1, log)
 		if err != nil {
 			t.Fatal(err)
@@ -74,17 +74,17 @@
 			return &counted{Conn: ours, open: &open}, nil
 		}
 		carrier := &Nodes{Core: c, Log: log, Dial: dial, Streams: 32, Connect: 250 * time.Millisecond, Idle: 30 * time.Second, Slots: make(chan struct{}, 2)}
-		c.Carrier("", carrier.Carry)
+		c.RegisterDispatcher("", carrier.Dispatch)
 		list := c.Source(membership.Spec{Name: "list"})
 		var all []coordinator.Member
 		for i := range nodes {
-			all = append(all, coordinator.Member{ID: fmt.Sprint("n", i), Addr: fmt.Sprint("n", i), Cell: i, Weight: 1})
+			all = append(all, coordinator.Member{ID: fmt.Sprint("n", i), Addr: fmt.Sprint("n", i), ShardSet: i, Weight: 1})
 		}
 		list.Replace(all, false)
 		ask := func(shard int) bool {
-			a, err := c.Ask(ctx, coordinator.Query{ID: fmt.Sprint("q", number.Add(1)), Class: "report", Deadline: time.Now().Add(2 * time.Second), Text: "text",
+			a, err := c.Execute(ctx, coordinator.Query{ID: fmt.Sprint("q", number.Add(1)), Class: "report", Deadline: time.Now().Add(2 * time.Second), Text: "text",
 				Parts: []coordinator.Part{{Shard: shard, Weight: 1}}})
-			return err == nil && a.Verdict == coordinator.Answered
+			return err == nil && a.Status == coordinator.Answered
 		}
 		for i := range 12 {
 			if !ask(i % nodes) {
--- a/internal/session/flights.go
+++ b/internal/session/flights.go
@@ -196,10 +196,10 @@
 
 // The next steps.
 const (
-	Ask  Next = iota + 1 // ask the query, then Finish
-	Wait                 // another does
-	Send                 // the answer is there: send the range, then Sent
-	Tell                 // there is none: tell how it failed
+	Start  Next = iota + 1 // ask the query, then Finish
+	Wait                   // another does
+	Send                   // the answer is there: send the range, then Sent
+	Report                 // there is none: tell how it failed
 )
 
 // Claim asks for one range of a flight; range -1 asks for none, only that the query be asked (Start).
@@ -214,11 +214,11 @@
 	switch x.phase {
 	case Planned:
 		x.phase, x.end = Running, x.deadline
-		return Ask, nil
+		return Start, nil
 	case Running:
 		return Wait, nil
 	case Failed:
-		return Tell, nil
+		return Report, nil
 	case Cancelled:
 		return 0, fmt.Errorf("flight %s: %w", id, ErrCancelled)
 	}
--- a/internal/session/state_test.go
+++ b/internal/session/state_test.go
@@ -35,7 +35,7 @@
 
 // TestLife: the life of a flight of two ranges, by what is asked of it.
 func TestLife(t *testing.T) {
-	next := map[Next]string{Ask: "ask", Wait: "wait", Send: "send", Tell: "tell"}
+	next := map[Next]string{Start: "ask", Wait: "wait", Send: "send", Report: "tell"}
 	for _, c := range []struct{ asked, want string }{
 		{"claim 0", "ask"},
 		{"claim 0, claim 1, claim 0", "ask wait wait"},
@@ -186,7 +186,7 @@
 	if dropped, ok := f.Finish(at(2), "d", true, 90); ok || len(dropped) > 0 {
 		t.Errorf("an answer too many: %v, %v", dropped, ok)
 	}
-	if next, err := f.Claim(at(2), "d", "me", 0); next != Tell || err != nil {
+	if next, err := f.Claim(at(2), "d", "me", 0); next != Report || err != nil {
 		t.Errorf("its flight: %v, %v", next, err)
 	}
 	f.Claim(at(2), "b", "me", 0)
@@ -222,7 +222,7 @@
 					t.Fatalf("%s of %s was claimed by %s", id, owners[id], owner)
 				}
 				switch next {
-				case Ask:
+				case Start:
 					asked[id]++
 				case Send:
 					sending[id]++
--- a/internal/simulator/codec.go
+++ b/internal/simulator/codec.go
@@ -78,18 +78,18 @@
 func seconds(d time.Duration) float64 { return float64(d/time.Microsecond) / 1e6 }
 
 var outcomes = map[string]aggregator.Outcome{
-	"ok": aggregator.OK, "error": aggregator.Errored, "full": aggregator.Full, "timeout": aggregator.TimedOut,
+	"ok": aggregator.OK, "error": aggregator.Errored, "full": aggregator.Rejected, "timeout": aggregator.TimedOut,
 	"connect_failed": aggregator.ConnectFailed, "reset": aggregator.Reset, "cancelled": aggregator.Cancelled,
-	"moot": aggregator.Moot,
+	"moot": aggregator.NotSent,
 }
 
 var states = map[string]aggregator.State{
-	"on": aggregator.On, "fading": aggregator.Draining, "off": aggregator.Gone,
+	"on": aggregator.Serving, "fading": aggregator.Draining, "off": aggregator.Gone,
 }
 
 var forms = map[string]aggregator.EventKind{
 	"changes": aggregator.ListChanged, "all": aggregator.ListReplaced,
-	"remembered": aggregator.ListRemembered, "refused": aggregator.ListRefused,
+	"remembered": aggregator.ListCached, "refused": aggregator.ListCallFailed,
 }
 
 // members decodes the entries of a numbered list. A state it does not know reads as draining.
@@ -106,7 +106,7 @@
 		}
 		list = append(list, aggregator.Member{
 			Started: f.seconds(1, "UpSinceS"), State: state, Replica: f.text(3, "Server"),
-			Cell: f.integer(4, "Position"), Zone: f.text(5, "RegionPart"), Size: f.number(6, "Units"),
+			ShardSet: f.integer(4, "Position"), Zone: f.text(5, "RegionPart"), Size: f.number(6, "Units"),
 		})
 		if f.err != nil {
 			return nil, f.err
@@ -122,27 +122,27 @@
 		return in.incoming(f), true
 	case "COMPLETED":
 		e = aggregator.Event{Kind: aggregator.AttemptEnded, Part: f.text(2, "Job"), Attempt: f.integer(3, "Copy"),
-			Replica: f.text(4, "Server"), Outcome: outcomes[f.text(5, "Ending")], Took: f.seconds(6, "WaitTimeS")}
+			Replica: f.text(4, "Server"), Outcome: outcomes[f.text(5, "Ending")], Elapsed: f.seconds(6, "WaitTimeS")}
 	case "TIMED_OUT_CLIENT":
 		e = aggregator.Event{Kind: aggregator.ClientGone, Query: f.text(2, "Job")}
 	case "WAKEUP":
-		e = aggregator.Event{Kind: aggregator.Woke}
+		e = aggregator.Event{Kind: aggregator.Wakeup}
 	case "PROBED":
 		e = aggregator.Event{Kind: aggregator.ProbeEnded, Replica: f.text(2, "Server"),
-			Outcome: outcomes[f.text(3, "Ending")], Took: f.seconds(4, "WaitTimeS"), Report: f.report(5)}
+			Outcome: outcomes[f.text(3, "Ending")], Elapsed: f.seconds(4, "WaitTimeS"), LoadReport: f.report(5)}
 	case "FROM_PEER":
 		data, err := hex.DecodeString(f.text(3, "Octets"))
 		if err != nil {
 			return e, false
 		}
-		e = aggregator.Event{Kind: aggregator.PeerTold, Data: data}
+		e = aggregator.Event{Kind: aggregator.GossipReceived, Data: data}
 	case "MEMBERS":
 		kind, known := forms[f.text(3, "Form")]
 		if !known {
 			return e, false
 		}
 		e = aggregator.Event{Kind: kind}
-		if kind != aggregator.ListRefused {
+		if kind != aggregator.ListCallFailed {
 			e.Members = h.sheets[f.integer(4, "Page")]
 		}
 	default:
@@ -170,7 +170,7 @@
 		return e
 	}
 	in.numbers[number], in.queries[id] = id, number
-	e.Kind, e.Query, e.Count, e.Left = aggregator.QueryArrived, id, f.integer(5, "Measure"), f.seconds(8, "LeftS")
+	e.Kind, e.Query, e.Count, e.TimeLeft = aggregator.QueryArrived, id, f.integer(5, "Measure"), f.seconds(8, "LeftS")
 	e.Retry = bits&bitRetry != 0
 	e.Class, e.Tenant = index(in.classes, f.label(10, "Type")), index(in.tenants, f.label(7, "Tenant"))
 	return e
@@ -191,8 +191,8 @@
 	case aggregator.Cancel:
 		return []any{"CALL_OFF", node, a.Part, a.Attempt}
 	case aggregator.Answer:
-		return []any{"WRAP_UP", node, a.Query, a.Whole}
-	case aggregator.Refuse:
+		return []any{"WRAP_UP", node, a.Query, a.Complete}
+	case aggregator.Reject:
 		return []any{"BOUNCE", node, a.Query, seconds(a.After)}
 	case aggregator.Fail:
 		return []any{"SURRENDER", node, a.Query}
@@ -202,9 +202,9 @@
 		return []any{"DEFER", node, seconds(a.After), "wake"}
 	case aggregator.CloseIdle:
 		return []any{"CLOSE_IDLE", node, a.Replica}
-	case aggregator.Tell:
+	case aggregator.SendGossip:
 		return []any{"MEMO_TO", node, "all", hex.EncodeToString(a.Data)}
-	case aggregator.Subscribe:
+	case aggregator.PollEndpoints:
 		return []any{"LISTEN", node, true}
 	}
 	return []any{"PANIC", node, fmt.Sprintf("action of unknown kind %d", a.Kind)}
--- a/internal/simulator/host.go
+++ b/internal/simulator/host.go
@@ -185,7 +185,7 @@
 	}()
 	in.actions = in.agg.Step(now, in.events, in.actions[:0])
 	for _, a := range in.actions {
-		if a.Kind == aggregator.Refuse || a.Kind == aggregator.Fail || a.Kind == aggregator.Answer && a.Final {
+		if a.Kind == aggregator.Reject || a.Kind == aggregator.Fail || a.Kind == aggregator.Answer && a.Final {
 			in.close(a.Query)
 		}
 		do = append(do, encode(in.node, a))
--- a/internal/simulator/simulator_test.go
+++ b/internal/simulator/simulator_test.go
@@ -112,8 +112,8 @@
 func TestEveryActionHasAForm(t *testing.T) {
 	for action, want := range map[aggregator.ActionKind]string{
 		aggregator.Send: "TRANSMIT", aggregator.Cancel: "CALL_OFF", aggregator.Answer: "WRAP_UP",
-		aggregator.Refuse: "BOUNCE", aggregator.Fail: "SURRENDER", aggregator.Probe: "SOUND_OUT",
-		aggregator.Wake: "DEFER", aggregator.Subscribe: "LISTEN", aggregator.CloseIdle: "CLOSE_IDLE", 99: "PANIC",
+		aggregator.Reject: "BOUNCE", aggregator.Fail: "SURRENDER", aggregator.Probe: "SOUND_OUT",
+		aggregator.Wake: "DEFER", aggregator.PollEndpoints: "LISTEN", aggregator.CloseIdle: "CLOSE_IDLE", 99: "PANIC",
 	} {
 		if got := encode(3, aggregator.Action{Kind: action}); got[0] != want || got[1] != 3 {
 			t.Errorf("action %d: %v, want %s for instance 3", action, got, want)
@@ -124,7 +124,7 @@
 // TestPeerMessages: bytes go out to all peers as hex digits and come in the same way; what is not hex is
 // no message and does no harm.
 func TestPeerMessages(t *testing.T) {
-	got := encode(3, aggregator.Action{Kind: aggregator.Tell, Data: []byte{1, 171}})
+	got := encode(3, aggregator.Action{Kind: aggregator.SendGossip, Data: []byte{1, 171}})
 	if got[2] != "all" || got[3] != "01ab" {
 		t.Errorf("sent %v", got)
 	}
@@ -135,7 +135,7 @@
 			t.Fatal(err)
 		}
 		e, ok := h.event(&instance{}, &f)
-		if ok != (want >= 0) || ok && (e.Kind != aggregator.PeerTold || len(e.Data) != want) {
+		if ok != (want >= 0) || ok && (e.Kind != aggregator.GossipReceived || len(e.Data) != want) {
 			t.Errorf("%s: got %+v, %v", text, e, ok)
 		}
 	}
--- a/internal/statemachine/statemachine.go
+++ b/internal/statemachine/statemachine.go
@@ -43,7 +43,7 @@
 }
 
 // Cond has to hold for a command to be done; one field besides Revision and Token is set.
-type Cond struct {
+type Condition struct {
 	Key      string `json:",omitempty"` // is at Revision; 0 for a key that is not there
 	Revision uint64 `json:",omitempty"`
 	Duty     string `json:",omitempty"` // is held under Token
@@ -59,7 +59,7 @@
 
 // LeaseOp is what is asked of a duty, or of a coordinator's presence.
 type LeaseOp struct {
-	What     What
+	What     LeaseOpKind
 	Duty     string
 	Presence bool // Duty is a coordinator's name, and the lease its presence
 	Who      string
@@ -69,11 +69,11 @@
 }
 
 // What is asked.
-type What uint8
+type LeaseOpKind uint8
 
 // The kinds of LeaseOp.
 const (
-	Campaign What = iota + 1
+	Campaign LeaseOpKind = iota + 1
 	Renew
 	Resign
 	Forget // of a presence that is over: it is not waited for any more
@@ -84,7 +84,7 @@
 	ID      ID            `json:",omitzero"`
 	At      time.Duration // the stamp: the leader's clock as it took the command in
 	LedTerm uint64        // and its term then
-	If      []Cond        `json:",omitempty"`
+	If      []Condition   `json:",omitempty"`
 	Lease   *LeaseOp      `json:",omitempty"`
 	Put     []Pair        `json:",omitempty"`
 
@@ -108,13 +108,13 @@
 
 // The causes for which a command is not done.
 const (
-	Stamp    = "stamp"    // the leader changed under it; ask again
-	Conflict = "conflict" // a condition does not hold
-	Held     = "held"     // the duty is another's
-	Over     = "over"     // the term is over
-	Unheard  = "unheard"  // who asks has not heard of the lease's last grant; Result.Grant tells of it
-	Full     = "full"     // no room for a further key
-	Old      = "old"      // its number is long past
+	StaleStamp   = "stamp"    // the leader changed under it; ask again
+	Conflict     = "conflict" // a condition does not hold
+	HeldByOther  = "held"     // the duty is another's
+	TermOver     = "over"     // the term is over
+	StaleVersion = "unheard"  // who asks has not heard of the lease's last grant; Result.Grant tells of it
+	Full         = "full"     // no room for a further key
+	Expired      = "old"      // its number is long past
 )
 
 // Result is what a command came to.
@@ -182,7 +182,7 @@
 func (s *State) Duties() []lease.Grant { return s.duties.Grants() }
 
 // Present lists the presences that were ever granted and not forgotten, and until when they run by the leader's clock.
-func (s *State) Present() []lease.Kept { return s.presence.Snapshot() }
+func (s *State) Present() []lease.Record { return s.presence.Snapshot() }
 
 // Apply does a command as the log's index-th, logged in a term. It tells which keys changed.
 func (s *State) Apply(index, term uint64, c *Command) (r Result, changed []string) {
@@ -202,12 +202,12 @@
 			return before, nil
 		}
 		if c.ID.N+window <= w.Most {
-			return Result{Index: index, Failed: Old, Why: fmt.Sprintf("number %d of writer %s is long past", c.ID.N, c.ID.Writer)}, nil
+			return Result{Index: index, Failed: Expired, Why: fmt.Sprintf("number %d of writer %s is long past", c.ID.N, c.ID.Writer)}, nil
 		}
 	}
 	if c.LedTerm != term {
 		// Not noted as taken: the writer asks again, under the same number.
-		return Result{Index: index, Failed: Stamp, Why: "the leader changed meanwhile"}, nil
+		return Result{Index: index, Failed: StaleStamp, Why: "the leader changed meanwhile"}, nil
 	}
 	if s.term != term {
 		s.term = term
@@ -272,7 +272,7 @@
 }
 
 // fails tells why a condition does not hold; empty where it does.
-func (s *State) fails(now time.Duration, c Cond) string {
+func (s *State) fails(now time.Duration, c Condition) string {
 	switch {
 	case c.Duty != "" && !s.duties.Holds(c.Duty, c.Token):
 		return fmt.Sprintf("duty %q is not held under token %d any more", c.Duty, c.Token)
@@ -305,12 +305,12 @@
 		}
 	}
 	if err != nil {
-		r.Failed, r.Why = Held, err.Error()
+		r.Failed, r.Why = HeldByOther, err.Error()
 		switch {
-		case errors.Is(err, lease.ErrTerm):
-			r.Failed = Over
-		case errors.Is(err, lease.ErrUnheard):
-			r.Failed = Unheard
+		case errors.Is(err, lease.ErrTermOver):
+			r.Failed = TermOver
+		case errors.Is(err, lease.ErrStaleVersion):
+			r.Failed = StaleVersion
 		}
 	}
 	return r
@@ -322,8 +322,8 @@
 	Index    uint64
 	Term     uint64
 	Values   map[string]Entry
-	Duties   []lease.Kept
-	Presence []lease.Kept
+	Duties   []lease.Record
+	Presence []lease.Record
 	Writers  map[string]*writer
 }
 
--- a/internal/statemachine/statemachine_test.go
+++ b/internal/statemachine/statemachine_test.go
@@ -26,18 +26,18 @@
 	}{
 		{"put", 9, 1, Command{LedTerm: 1, Put: put("a", "2")}, "", "2"},
 		{"taken before", 9, 1, Command{ID: ID{"w", 1}, LedTerm: 1, Put: put("a", "2")}, "", "1"},
-		{"of another term than its stamp", 9, 2, Command{LedTerm: 1, Put: put("a", "2")}, Stamp, "1"},
-		{"at its revision", 9, 1, Command{LedTerm: 1, If: []Cond{{Key: "a", Revision: 1}}, Put: put("a", "2")}, "", "2"},
-		{"at another revision", 9, 1, Command{LedTerm: 1, If: []Cond{{Key: "a", Revision: 2}}, Put: put("a", "2")}, Conflict, "1"},
-		{"not there, and it is", 9, 1, Command{LedTerm: 1, If: []Cond{{Key: "a"}}, Put: put("a", "2")}, Conflict, "1"},
-		{"under the duty's token", 9, 1, Command{LedTerm: 1, If: []Cond{{Duty: "d", Token: 1}}, Put: put("a", "2")}, "", "2"},
-		{"under an old token", 9, 1, Command{LedTerm: 1, If: []Cond{{Duty: "d", Token: 0}}, Put: put("a", "2")}, Conflict, "1"},
-		{"while it is present", 9, 1, Command{LedTerm: 1, At: 4*s - 1, If: []Cond{{Lapsed: "n0"}}, Put: put("a", "2")}, Conflict, "1"},
-		{"once its presence is over", 9, 1, Command{LedTerm: 1, At: 4 * s, If: []Cond{{Lapsed: "n0"}}, Put: put("a", "2")}, "", "2"},
-		{"a new leader holds it from its first moment", 9, 2, Command{LedTerm: 2, At: 900 * s, If: []Cond{{Lapsed: "n0"}}, Put: put("a", "2")}, Conflict, "1"},
-		{"a lease that is another's undoes the put", 9, 1, Command{LedTerm: 1, Lease: &LeaseOp{What: Campaign, Duty: "d", Who: "n1"}, Put: put("a", "2")}, Held, "1"},
-		{"a term that is over", 9, 1, Command{LedTerm: 1, Lease: &LeaseOp{What: Renew, Duty: "d", Who: "n0", Term: 7}, Put: put("a", "2")}, Over, "1"},
-		{"one that is present is not forgotten", 9, 1, Command{LedTerm: 1, Lease: &LeaseOp{What: Forget, Presence: true, Duty: "n0"}, Put: put("a", "2")}, Held, "1"},
+		{"of another term than its stamp", 9, 2, Command{LedTerm: 1, Put: put("a", "2")}, StaleStamp, "1"},
+		{"at its revision", 9, 1, Command{LedTerm: 1, If: []Condition{{Key: "a", Revision: 1}}, Put: put("a", "2")}, "", "2"},
+		{"at another revision", 9, 1, Command{LedTerm: 1, If: []Condition{{Key: "a", Revision: 2}}, Put: put("a", "2")}, Conflict, "1"},
+		{"not there, and it is", 9, 1, Command{LedTerm: 1, If: []Condition{{Key: "a"}}, Put: put("a", "2")}, Conflict, "1"},
+		{"under the duty's token", 9, 1, Command{LedTerm: 1, If: []Condition{{Duty: "d", Token: 1}}, Put: put("a", "2")}, "", "2"},
+		{"under an old token", 9, 1, Command{LedTerm: 1, If: []Condition{{Duty: "d", Token: 0}}, Put: put("a", "2")}, Conflict, "1"},
+		{"while it is present", 9, 1, Command{LedTerm: 1, At: 4*s - 1, If: []Condition{{Lapsed: "n0"}}, Put: put("a", "2")}, Conflict, "1"},
+		{"once its presence is over", 9, 1, Command{LedTerm: 1, At: 4 * s, If: []Condition{{Lapsed: "n0"}}, Put: put("a", "2")}, "", "2"},
+		{"a new leader holds it from its first moment", 9, 2, Command{LedTerm: 2, At: 900 * s, If: []Condition{{Lapsed: "n0"}}, Put: put("a", "2")}, Conflict, "1"},
+		{"a lease that is another's undoes the put", 9, 1, Command{LedTerm: 1, Lease: &LeaseOp{What: Campaign, Duty: "d", Who: "n1"}, Put: put("a", "2")}, HeldByOther, "1"},
+		{"a term that is over", 9, 1, Command{LedTerm: 1, Lease: &LeaseOp{What: Renew, Duty: "d", Who: "n0", Term: 7}, Put: put("a", "2")}, TermOver, "1"},
+		{"one that is present is not forgotten", 9, 1, Command{LedTerm: 1, Lease: &LeaseOp{What: Forget, Presence: true, Duty: "n0"}, Put: put("a", "2")}, HeldByOther, "1"},
 		{"removed", 9, 1, Command{LedTerm: 1, Put: []Pair{{"a", nil}}}, "", ""},
 		{"the first form", 9, 5, Command{Key: "a", Value: []byte("2")}, "", "2"},
 	} {
@@ -65,7 +65,7 @@
 	for i := uint64(1); i <= 200; i++ {
 		st.Apply(i, 1, &Command{ID: ID{"w", i}, LedTerm: 1, Put: put("a", fmt.Sprint(i))})
 	}
-	if r, _ := st.Apply(201, 1, &Command{ID: ID{"w", 1}, LedTerm: 1, Put: put("a", "again")}); r.Failed != Old {
+	if r, _ := st.Apply(201, 1, &Command{ID: ID{"w", 1}, LedTerm: 1, Put: put("a", "again")}); r.Failed != Expired {
 		t.Errorf("a number long past: %+v", r)
 	}
 	for i := range uint64(2 * MostWriters) {
@@ -102,7 +102,7 @@
 				switch rapid.IntRange(0, 2).Draw(t, "kind") {
 				case 0:
 					c.Put = put(name("k", 3), fmt.Sprint(i))
-					c.If = []Cond{{Key: c.Put[0].Key, Revision: a.values[c.Put[0].Key].Revision}, {Lapsed: name("n", 2)}}[:rapid.IntRange(0, 2).Draw(t, "conds")]
+					c.If = []Condition{{Key: c.Put[0].Key, Revision: a.values[c.Put[0].Key].Revision}, {Lapsed: name("n", 2)}}[:rapid.IntRange(0, 2).Draw(t, "conds")]
 				case 1:
 					c.Lease = &LeaseOp{What: Campaign, Duty: name("d", 1), Who: name("n", 2), Presence: rapid.Bool().Draw(t, "presence"), Length: 4 * s}
 				case 2:
@@ -153,7 +153,7 @@
 		b.Run(fmt.Sprint(keys), func(b *testing.B) {
 			st := New()
 			for i := range b.N {
-				c := Command{ID: ID{fmt.Sprint("w", i%8), uint64(i)}, LedTerm: 1, If: []Cond{{Lapsed: "n9"}}, Put: put(fmt.Sprint("k", i%keys), "value")}
+				c := Command{ID: ID{fmt.Sprint("w", i%8), uint64(i)}, LedTerm: 1, If: []Condition{{Lapsed: "n9"}}, Put: put(fmt.Sprint("k", i%keys), "value")}
 				st.Apply(uint64(i+1), 1, &c)
 			}
 		})
--- a/internal/store/disk.go
+++ b/internal/store/disk.go
@@ -70,7 +70,7 @@
 		Report: func(c kv.Cut) {
 			log.Warn("store ended in the middle of a write; what was not acknowledged is cut off", "file", c.File, "offset", c.Offset, "bytes", c.Bytes)
 		},
-		Trouble: func(err error) { log.Error("store can't be written", "cause", err) },
+		OnFailure: func(err error) { log.Error("store can't be written", "cause", err) },
 	}
 	var db *kv.DB
 	err := error(kv.ErrLocked)
--- a/internal/store/formats_test.go
+++ b/internal/store/formats_test.go
@@ -51,7 +51,7 @@
 
 // holdsDuty tells whether the state knows the lease that was granted before the folder was left.
 func holdsDuty(s *Store) (held bool) {
-	s.Look(func(state *statemachine.State) {
+	s.View(func(state *statemachine.State) {
 		for _, grant := range state.Duties() {
 			held = held || grant.Duty == "maintenance" && grant.Holder == "n0" && grant.Token == 1
 		}
--- a/internal/store/lease.go
+++ b/internal/store/lease.go
@@ -21,7 +21,7 @@
 	Who      string                     // the coordinator
 	Config   lease.Config               // its length, the bound on clocks
 	Put      func() []statemachine.Pair // goes with each campaign; may be nil
-	Told     func(until time.Time)      // of each grant, renewals included; may be nil
+	Granted  func(until time.Time)      // of each grant, renewals included; may be nil
 	Log      *slog.Logger
 
 	mu     sync.Mutex
@@ -40,7 +40,7 @@
 		ask, next := l.holder.Step(now), l.holder.Next()
 		l.mu.Unlock()
 		l.tell()
-		if ask.What == lease.Wait {
+		if ask.Kind == lease.Wait {
 			timer := time.NewTimer(min(max(next-now, time.Millisecond), 100*time.Millisecond))
 			select {
 			case <-ctx.Done():
@@ -56,10 +56,10 @@
 func (l *Lease) now() time.Duration { return l.Store.clock() }
 
 // ask puts one request and takes in what came of it.
-func (l *Lease) ask(ctx context.Context, ask lease.Ask, sent time.Duration) {
-	c := statemachine.Command{Lease: &statemachine.LeaseOp{What: statemachine.Campaign, Duty: l.Duty, Presence: l.Presence, Who: l.Who, Term: ask.Term, Heard: ask.Heard,
+func (l *Lease) ask(ctx context.Context, ask lease.Request, sent time.Duration) {
+	c := statemachine.Command{Lease: &statemachine.LeaseOp{What: statemachine.Campaign, Duty: l.Duty, Presence: l.Presence, Who: l.Who, Term: ask.Term, Heard: ask.Version,
 		Length: l.Config.Length}}
-	if ask.What == lease.Renew {
+	if ask.Kind == lease.Renew {
 		c.Lease.What = statemachine.Renew
 	} else if l.Put != nil {
 		c.Put = l.Put()
@@ -68,7 +68,7 @@
 	ctx, cancel := context.WithDeadline(ctx, time.Now().Add(l.Config.Acting()/3))
 	defer cancel()
 	r, err := l.Store.Do(ctx, c)
-	if err == nil && (r.Failed == "" || r.Failed == statemachine.Unheard) {
+	if err == nil && (r.Failed == "" || r.Failed == statemachine.StaleVersion) {
 		// What was settled before the grant is known here before it is acted on; who does not get the log has not heard.
 		err = l.Store.Wait(ctx, r.Index)
 	}
@@ -76,16 +76,16 @@
 	switch {
 	case err != nil:
 		l.holder.Lost(l.now(), ask.N)
-	case r.Failed == statemachine.Unheard:
-		l.holder.Unheard(l.now(), ask.N, r.Grant.Version)
+	case r.Failed == statemachine.StaleVersion:
+		l.holder.VersionStale(l.now(), ask.N, r.Grant.Version)
 	case r.Failed != "":
 		l.holder.Denied(l.now(), ask.N, r.Grant.Version)
 	default:
 		l.holder.Granted(l.now(), ask.N, r.Grant)
 	}
 	l.mu.Unlock()
-	if err == nil && r.Failed == "" && l.Told != nil {
-		l.Told(l.Store.at(sent + l.Config.Acting()))
+	if err == nil && r.Failed == "" && l.Granted != nil {
+		l.Granted(l.Store.at(sent + l.Config.Acting()))
 	}
 	l.tell()
 }
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -175,7 +175,7 @@
 }
 
 // Look lets f read the state as this member has applied it. f must not keep it, nor wait for anything.
-func (s *Store) Look(f func(*statemachine.State)) {
+func (s *Store) View(f func(*statemachine.State)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	f(s.state)
@@ -199,10 +199,10 @@
 }
 
 // Lasting tells whether what this member applies is meant to be there after a restart.
-func (s *Store) Lasting() bool { return s.disk != nil }
+func (s *Store) Persistent() bool { return s.disk != nil }
 
 // Kept tells whether it will be: false from a write to the disk that failed until all is written again.
-func (s *Store) Kept() bool {
+func (s *Store) Durable() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return !s.torn
@@ -233,7 +233,7 @@
 	var last error
 	for {
 		r, err := s.ask(ctx, call{Command: &c})
-		if err == nil && r.Failed != statemachine.Stamp {
+		if err == nil && r.Failed != statemachine.StaleStamp {
 			return r, nil
 		}
 		if err != nil {
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -81,7 +81,7 @@
 	defer s.Close()
 	s.Put(Members, []byte("list"))
 	until(t, s, Members, "list")
-	if !s.Lasting() || !s.Kept() {
+	if !s.Persistent() || !s.Durable() {
 		t.Fatal("nothing failed yet")
 	}
 	closed, err := openDisk(t.TempDir(), quiet)
@@ -95,14 +95,14 @@
 	s.mu.Unlock()
 	s.Put(Members, []byte("list 2"))
 	until(t, s, Members, "list 2")
-	if s.Kept() {
+	if s.Durable() {
 		t.Error("a write failed, and what is applied counts as kept")
 	}
 	s.mu.Lock()
 	s.disk = whole
 	s.mu.Unlock()
 	// Once the disk takes writes again, all is written, the value too that failed; what is put wakes that up.
-	for n := 0; !s.Kept(); n++ {
+	for n := 0; !s.Durable(); n++ {
 		if n > 100 {
 			t.Fatal("the disk is whole again, and nothing is written")
 		}
@@ -231,10 +231,10 @@
 				one, end := context.WithDeadline(ctx, time.Now().Add(5*time.Second))
 				if s.Sync(one) == nil {
 					var e statemachine.Entry
-					s.Look(func(st *statemachine.State) { e, _ = st.Get("sum") })
+					s.View(func(st *statemachine.State) { e, _ = st.Get("sum") })
 					sum := 0
 					fmt.Sscan(string(e.Value), &sum)
-					r, err := s.Do(one, statemachine.Command{If: []statemachine.Cond{{Key: "sum", Revision: e.Revision}}, Put: []statemachine.Pair{{Key: "sum", Value: fmt.Append(nil, sum+1)}}})
+					r, err := s.Do(one, statemachine.Command{If: []statemachine.Condition{{Key: "sum", Revision: e.Revision}}, Put: []statemachine.Pair{{Key: "sum", Value: fmt.Append(nil, sum+1)}}})
 					switch {
 					case err != nil:
 						unknown.Add(1)
--- a/internal/swim/fleet_test.go
+++ b/internal/swim/fleet_test.go
@@ -61,7 +61,7 @@
 			}
 			settled(t, f, 40*time.Second, "return under a new process")
 			if n > 2 {
-				if v := f.View(0).Verdict(); v.Kind != swim.Connected || v.Here != n || !v.Majority {
+				if v := f.View(0).Quorum(); v.Kind != swim.Connected || v.Here != n || !v.Majority {
 					t.Errorf("verdict %+v", v)
 				}
 			}
@@ -151,7 +151,7 @@
 					t.Errorf("seed %d: member %d holds %s for partly reachable: %v", seed, i, m.Name, m.Partly)
 				}
 			}
-			if got := v.Verdict(); got.Kind != swim.Connected || got.Here != 8 {
+			if got := v.Quorum(); got.Kind != swim.Connected || got.Here != 8 {
 				t.Errorf("seed %d: member %d: verdict %+v: the others reach both", seed, i, got)
 			}
 		}
@@ -184,7 +184,7 @@
 		split(true)
 		f.Run(f.Now() + 90*time.Second)
 		for i := range 8 {
-			v, here := f.View(i).Verdict(), 5
+			v, here := f.View(i).Quorum(), 5
 			if i >= 5 {
 				here = 3
 			}
@@ -205,10 +205,10 @@
 		return swim.Update{Name: "a", Addr: "1", Process: process, Incarnation: incarnation}
 	}
 	own := func(u swim.Update) swim.Event {
-		return swim.Event{Packet: &swim.Message{Kind: swim.News, From: u}}
+		return swim.Event{Packet: &swim.Message{Kind: swim.Updates, From: u}}
 	}
 	hearsay := func(u swim.Update) swim.Event {
-		return swim.Event{Packet: &swim.Message{Kind: swim.News, From: swim.Update{Name: "b", Addr: "2", Process: 9, Incarnation: 1}, Updates: []swim.Update{u}}}
+		return swim.Event{Packet: &swim.Message{Kind: swim.Updates, From: swim.Update{Name: "b", Addr: "2", Process: 9, Incarnation: 1}, Updates: []swim.Update{u}}}
 	}
 	for _, c := range []struct {
 		name   string
--- a/internal/swim/links.go
+++ b/internal/swim/links.go
@@ -17,26 +17,26 @@
 }
 
 // Verdict is what is held of the fleet as a whole.
-type Verdict struct {
-	Kind     VerdictKind
+type Quorum struct {
+	Kind     QuorumState
 	Here     int  // members that are there and that we reach, by others where need be, ourselves included
 	Known    int  // members that have not left
 	Majority bool // Here is more than half of Known
 }
 
 // VerdictKind is the whole in a word.
-type VerdictKind uint8
+type QuorumState uint8
 
 // The verdicts.
 const (
-	Connected VerdictKind = iota
+	Connected QuorumState = iota
 	Split                 // several were lost together, or live ones are out of reach: there is another side
 	Alone                 // nobody else is there
 )
 
 var verdictNames = [...]string{"connected", "split", "alone"}
 
-func (k VerdictKind) String() string { return verdictNames[k] }
+func (k QuorumState) String() string { return verdictNames[k] }
 
 // key orders a pair of members and the reporter.
 func (l *Link) key() [3]string { return [3]string{l.From, l.To, l.By} }
@@ -198,8 +198,8 @@
 }
 
 // Verdict is what is held of the whole: Here is counted along links that carry both ways.
-func (s *Swim) Verdict() Verdict {
-	v := Verdict{Known: s.size(), Here: 1}
+func (s *Swim) Quorum() Quorum {
+	v := Quorum{Known: s.size(), Here: 1}
 	cut := map[string]int{}
 	for k, l := range s.links {
 		if l.Cut && s.now-l.at < s.life() {
@@ -265,7 +265,7 @@
 		return
 	}
 	s.stale = false
-	if v := s.Verdict(); v.Kind != s.verdict.Kind || v.Majority != s.verdict.Majority {
+	if v := s.Quorum(); v.Kind != s.verdict.Kind || v.Majority != s.verdict.Majority {
 		s.verdict = v
 		s.changed(Change{Verdict: v})
 	}
--- a/internal/swim/probe.go
+++ b/internal/swim/probe.go
@@ -41,7 +41,7 @@
 				break
 			}
 			if m := s.pick(func(m *member) bool { return m.State <= Suspect }); m != nil {
-				s.send(m.Addr, s.laden(Message{Kind: News}, m))
+				s.send(m.Addr, s.laden(Message{Kind: Updates}, m))
 			}
 		}
 	}
--- a/internal/swim/state.go
+++ b/internal/swim/state.go
@@ -178,7 +178,7 @@
 		s.doubt(m) // our own word on it comes soon
 	case Dead, Left:
 		if u.State == Left {
-			s.soon(s.now + s.c.Reap)
+			s.soon(s.now + s.c.ForgetAfter)
 			if i := slices.Index(s.order, u.Name); i >= 0 {
 				m.ordered = false
 				if s.order = slices.Delete(s.order, i, i+1); i < s.next {
@@ -199,7 +199,7 @@
 func (s *Swim) Least() time.Duration {
 	rounds := 1 + int(math.Ceil(math.Log(float64(s.size()+1))/math.Log(3))) // news goes from one to two others in a period
 	least := time.Duration(s.c.Alpha * s.logN() * float64(s.c.Period))
-	return max(least, s.c.Bear+time.Duration(rounds)*s.c.Period)
+	return max(least, s.c.MaxPause+time.Duration(rounds)*s.c.Period)
 }
 
 // confirm adds one who suspects. With each the time shrinks, from Beta times the least to the least.
@@ -239,12 +239,12 @@
 	for _, m := range s.members {
 		switch {
 		case m == s.self:
-		case m.State == Suspect && s.now >= m.until, m.State == Left && s.now >= m.since+s.c.Reap:
+		case m.State == Suspect && s.now >= m.until, m.State == Left && s.now >= m.since+s.c.ForgetAfter:
 			over = append(over, m)
 		case m.State == Suspect:
 			s.soon(m.until)
 		case m.State == Left:
-			s.soon(m.since + s.c.Reap)
+			s.soon(m.since + s.c.ForgetAfter)
 		}
 	}
 	slices.SortFunc(over, func(m, o *member) int { return cmp.Compare(m.Name, o.Name) })
--- a/internal/swim/swim.go
+++ b/internal/swim/swim.go
@@ -82,7 +82,7 @@
 	PingReq                 // probe Target on my behalf
 	Nack                    // Target has not answered me either, but I am there
 	Refuse                  // you can't be a member, for Reason
-	News                    // nothing but news
+	Updates                 // nothing but news
 )
 
 // Message is one packet.
@@ -130,31 +130,31 @@
 	Was      State
 	New      bool // the member was not known before
 	Why      string
-	Verdict  Verdict // set, with Name empty, where the verdict on the whole has changed
-	LinkFrom string  // set, with Name as To, where a link has
+	Verdict  Quorum // set, with Name empty, where the verdict on the whole has changed
+	LinkFrom string // set, with Name as To, where a link has
 	Cut      bool
 }
 
 // Config holds the figures. The zero value of each but Self and Addr takes its default.
 type Config struct {
-	Self      string
-	Addr      string
-	Process   uint64
-	Seed      uint64
-	Seeds     []string      // addresses to join by
-	Period    time.Duration // of probes; 1 s
-	Timeout   time.Duration // for a direct ack; a quarter of Period
-	Indirect  int           // members asked to probe in vain's place; 3
-	Bear      time.Duration // the longest pause of a member that must not make it dead; 3 s
-	Alpha     float64       // least suspicion time, in periods times log10 of the members; 4
-	Beta      float64       // and how many times of that it may be without confirmations; 4
-	Repeat    int           // how often a word is passed on, times log10 of the members; 4
-	Health    int           // the most that own times are widened by, beside 1; 4. Below 0: never
-	Phi       float64       // a silence below this figure needs a second missed probe; 1. Below 0: never
-	Exchange  time.Duration // between full exchanges; 15 periods
-	Reap      time.Duration // how long one that has left is remembered; 10 min
-	Packet    int           // bytes that the news of one packet may take; 1,100
-	CutMisses int           // direct acks in a row that a cut link has missed; 4
+	Self        string
+	Addr        string
+	Process     uint64
+	Seed        uint64
+	Seeds       []string      // addresses to join by
+	Period      time.Duration // of probes; 1 s
+	Timeout     time.Duration // for a direct ack; a quarter of Period
+	Indirect    int           // members asked to probe in vain's place; 3
+	MaxPause    time.Duration // the longest pause of a member that must not make it dead; 3 s
+	Alpha       float64       // least suspicion time, in periods times log10 of the members; 4
+	Beta        float64       // and how many times of that it may be without confirmations; 4
+	Repeat      int           // how often a word is passed on, times log10 of the members; 4
+	Health      int           // the most that own times are widened by, beside 1; 4. Below 0: never
+	Phi         float64       // a silence below this figure needs a second missed probe; 1. Below 0: never
+	Exchange    time.Duration // between full exchanges; 15 periods
+	ForgetAfter time.Duration // how long one that has left is remembered; 10 min
+	Packet      int           // bytes that the news of one packet may take; 1,100
+	CutMisses   int           // direct acks in a row that a cut link has missed; 4
 }
 
 const (
@@ -174,9 +174,9 @@
 	}
 	set(&c.Period, time.Second)
 	set(&c.Timeout, c.Period/4)
-	set(&c.Bear, 3*time.Second)
+	set(&c.MaxPause, 3*time.Second)
 	set(&c.Exchange, 15*c.Period)
-	set(&c.Reap, 10*time.Minute)
+	set(&c.ForgetAfter, 10*time.Minute)
 	for _, x := range []struct {
 		n *int
 		v int
@@ -193,8 +193,8 @@
 			*x.f = x.v
 		}
 	}
-	if c.Period <= 0 || c.Timeout <= 0 || c.Timeout > c.Period/2 || c.Bear < 0 || c.Beta < 1 || c.Alpha < 0 {
-		return fmt.Errorf("swim: Period %v, Timeout %v, Bear %v, Alpha %v, Beta %v: Timeout is above 0 and at most half of Period, Beta 1 at least, none below 0", c.Period, c.Timeout, c.Bear, c.Alpha, c.Beta)
+	if c.Period <= 0 || c.Timeout <= 0 || c.Timeout > c.Period/2 || c.MaxPause < 0 || c.Beta < 1 || c.Alpha < 0 {
+		return fmt.Errorf("swim: Period %v, Timeout %v, Bear %v, Alpha %v, Beta %v: Timeout is above 0 and at most half of Period, Beta 1 at least, none below 0", c.Period, c.Timeout, c.MaxPause, c.Alpha, c.Beta)
 	}
 	return nil
 }
@@ -264,7 +264,7 @@
 	wake     time.Duration
 	leaving  bool
 	refused  string
-	verdict  Verdict
+	verdict  Quorum
 	stale    bool          // the verdict may have changed
 	soonest  time.Duration // when a suspicion ends, or one that has left is forgotten; 0 for never
 	states   [4]int        // how many others are in each state
--- a/internal/zones/fleet_test.go
+++ b/internal/zones/fleet_test.go
@@ -30,11 +30,11 @@
 // all coordinators together sent it. flaps is how many times the zone fails again as it returns.
 func playFleet(t *testing.T, fleet, flaps int) (shares []float64, returns int) {
 	const part = 20 * ms
-	set := aggregator.Settings{Aggregators: fleet, Tick: 5 * ms, Cells: 1, Shards: 2, Reach: 1, CallCost: 4 * ms,
-		Classes: []aggregator.Class{{Name: "c", Aim: time.Second, Deadline: 3 * time.Second, Worth: 1, Need: 1, Floor: 1}},
-		Limits:  aggregator.Limits{Attempts: 3, Bundle: 8, Cancel: true, RetryAfter: true, MaxRetryAfter: time.Second},
-		Rules: aggregator.Rules{DrainGrace: 250 * ms, FallMultiple: 3, FallWindow: time.Second, ColdShare: 0.2,
-			WarmAfter: 20 * time.Second}}
+	set := aggregator.Settings{Aggregators: fleet, Tick: 5 * ms, ShardSets: 1, Shards: 2, Reach: 1, CallCost: 4 * ms,
+		Classes: []aggregator.Class{{Name: "c", LatencyObjective: time.Second, Deadline: 3 * time.Second, Priority: 1, CompleteShare: 1, MinShare: 1}},
+		Limits:  aggregator.Limits{MaxAttempts: 3, MaxBatch: 8, CanCancel: true, SendRetryAfter: true, MaxRetryAfter: time.Second},
+		Rules: aggregator.Rules{DrainGrace: 250 * ms, OverloadMultiple: 3, OverloadWindow: time.Second, InitialCapacity: 0.2,
+			WarmupTime: 20 * time.Second}}
 	listed := map[string]string{"x0": "x", "x1": "x", "x2": "x", "y0": "y", "y1": "y", "y2": "y", "z0": "z", "z1": "z",
 		"z2": "z"}
 	var all []*coordinator
@@ -50,7 +50,7 @@
 		}
 		tr.List(at(now), listed)
 		c := &coordinator{agg: agg, tr: tr}
-		c.step(now, aggregator.Event{Kind: aggregator.ListRemembered, Members: []aggregator.Member{{Replica: "warm"},
+		c.step(now, aggregator.Event{Kind: aggregator.ListCached, Members: []aggregator.Member{{Replica: "warm"},
 			{Replica: "back", State: aggregator.Draining}}})
 		for i := range 5 { // it learns how long a part takes
 			c.ask(now, fmt.Sprint("first", i), part)
@@ -72,8 +72,8 @@
 			}
 			for _, ch := range c.tr.Step(at(now)) {
 				switch {
-				case ch.Zone == "y" && ch.To == zones.Returning:
-					since, _ := c.tr.ColdSince("y")
+				case ch.Zone == "y" && ch.To == zones.Recovering:
+					since, _ := c.tr.WarmingSince("y")
 					c.returned = since.Sub(epoch)
 					c.step(now, aggregator.Event{Kind: aggregator.ListChanged, Members: []aggregator.Member{{Replica: "back",
 						Started: c.returned}}})
@@ -89,7 +89,7 @@
 			}
 			for _, s := range c.ask(now, fmt.Sprint("q", step), part) {
 				if s == "back" && back > 0 {
-					sent[int((now-back)/set.Rules.FallWindow)] += part.Seconds()
+					sent[int((now-back)/set.Rules.OverloadWindow)] += part.Seconds()
 				}
 			}
 		}
@@ -110,9 +110,9 @@
 		}
 	}
 	for w := 0; w < 40; w++ {
-		from := float64(w) * set.Rules.FallWindow.Seconds() / set.Rules.WarmAfter.Seconds()
-		capacity := set.Rules.ColdShare + (1-set.Rules.ColdShare)*min(1, from)
-		shares = append(shares, sent[w]/(set.Rules.FallMultiple*capacity*set.Rules.FallWindow.Seconds()))
+		from := float64(w) * set.Rules.OverloadWindow.Seconds() / set.Rules.WarmupTime.Seconds()
+		capacity := set.Rules.InitialCapacity + (1-set.Rules.InitialCapacity)*min(1, from)
+		shares = append(shares, sent[w]/(set.Rules.OverloadMultiple*capacity*set.Rules.OverloadWindow.Seconds()))
 	}
 	return shares, returns
 }
@@ -125,7 +125,7 @@
 func (c *coordinator) ask(now time.Duration, id string, part time.Duration) (to []string) {
 	c.n++
 	q := fmt.Sprint(id, "-", c.n)
-	acts := c.step(now, aggregator.Event{Kind: aggregator.QueryArrived, Query: q, Tenant: -1, Count: 2, Left: 3 * time.Second},
+	acts := c.step(now, aggregator.Event{Kind: aggregator.QueryArrived, Query: q, Tenant: -1, Count: 2, TimeLeft: 3 * time.Second},
 		aggregator.Event{Kind: aggregator.PartArrived, Query: q, Part: q + "/0", Shard: 0, Weight: 0.5},
 		aggregator.Event{Kind: aggregator.PartArrived, Query: q, Part: q + "/1", Shard: 1, Weight: 0.5})
 	var ends []aggregator.Event
--- a/internal/zones/zones.go
+++ b/internal/zones/zones.go
@@ -43,17 +43,17 @@
 )
 
 // Verdict is what a coordinator holds of a zone.
-type Verdict uint8
+type State uint8
 
 // The verdicts of a zone.
 const (
-	Healthy Verdict = iota
-	Doubtful
+	Healthy State = iota
+	Suspect
 	Out
-	Returning
+	Recovering
 )
 
-func (v Verdict) String() string { return [...]string{"healthy", "doubtful", "out", "returning"}[v] }
+func (v State) String() string { return [...]string{"healthy", "doubtful", "out", "returning"}[v] }
 
 // Evidence is what was seen of one data node.
 type Evidence uint8
@@ -152,7 +152,7 @@
 // Status is what is held of one zone, for the module's inputs, the log and the command line.
 type Status struct {
 	Zone     string
-	Verdict  Verdict
+	State    State
 	Since    time.Time // when the verdict was taken
 	Nodes    int
 	Failing  int
@@ -169,7 +169,7 @@
 // Change is one verdict that was taken, with its reason.
 type Change struct {
 	Zone     string
-	From, To Verdict
+	From, To State
 	Reason   string
 }
 
@@ -186,7 +186,7 @@
 type zone struct {
 	name      string
 	nodes     map[string]*node
-	verdict   Verdict
+	verdict   State
 	since     time.Time
 	leaving   time.Time // since when Leave has held; zero where it does not
 	lastBad   time.Time
@@ -280,7 +280,7 @@
 // Hear takes in that a data node fails for another coordinator, failed ago, and answered somebody last so long ago; below 0 where that is
 // not known. It counts as evidence from now on, where the zone is not left already, this coordinator has no answer from the data node
 // itself within Window, and nobody tells of an answer since: one that is itself cut off from a zone tells that all of it fails.
-func (t *Tracker) Hear(now time.Time, zoneName, id string, failed, answered time.Duration) {
+func (t *Tracker) ObservePeer(now time.Time, zoneName, id string, failed, answered time.Duration) {
 	z := t.zones[zoneName]
 	if z == nil || z.nodes[id] == nil || !t.Usable(zoneName) || now.Sub(z.nodes[id].good) < t.cfg.Window {
 		return
@@ -324,10 +324,10 @@
 		return Change{Zone: zoneName, From: z.verdict, To: z.verdict, Reason: "was not drained by hand"}
 	}
 	z.drained = false
-	return t.set(now, z, Returning, "undrained by hand")
+	return t.set(now, z, Recovering, "undrained by hand")
 }
 
-func (t *Tracker) set(now time.Time, z *zone, v Verdict, reason string) Change {
+func (t *Tracker) set(now time.Time, z *zone, v State, reason string) Change {
 	c := Change{Zone: z.name, From: z.verdict, To: v, Reason: reason}
 	z.verdict, z.since, z.reason = v, now, reason
 	z.leaving, z.returnAt = time.Time{}, time.Time{}
@@ -405,13 +405,13 @@
 			z.waits = 0
 		}
 		if t.suspect(z) && !t.panic {
-			c := t.set(now, z, Doubtful, why("suspect"))
+			c := t.set(now, z, Suspect, why("suspect"))
 			if t.leaves(z) {
 				z.leaving = now // Confirm counts from the first evidence that would leave
 			}
 			return c, true
 		}
-	case Doubtful:
+	case Suspect:
 		if z.failing < cfg.MinFailing || z.share < cfg.Clear || t.panic {
 			return t.set(now, z, Healthy, why("cleared")), true
 		}
@@ -441,8 +441,8 @@
 		if now.Before(z.returnAt) {
 			return Change{}, false
 		}
-		return t.set(now, z, Returning, fmt.Sprintf("quiet for %v after a wait of %v", now.Sub(z.lastBad), z.wait)), true
-	case Returning:
+		return t.set(now, z, Recovering, fmt.Sprintf("quiet for %v after a wait of %v", now.Sub(z.lastBad), z.wait)), true
+	case Recovering:
 		again := 0
 		for _, n := range z.nodes {
 			if n.failing(now, cfg.Window) && n.bad.After(z.since) {
@@ -454,7 +454,7 @@
 		if again >= cfg.MinFailing {
 			z.waits++
 			if _, ok := t.guard(z, total); !ok {
-				return t.set(now, z, Doubtful, why("failed again while returning, kept by the guard")), true
+				return t.set(now, z, Suspect, why("failed again while returning, kept by the guard")), true
 			}
 			return t.leave(now, z, why("failed again while returning")), true
 		}
@@ -490,7 +490,7 @@
 func (t *Tracker) awayNodes(but *zone) int {
 	n := 0
 	for _, z := range t.zones {
-		if z != but && (z.verdict == Out || z.verdict == Returning) {
+		if z != but && (z.verdict == Out || z.verdict == Recovering) {
 			n += len(z.nodes)
 		}
 	}
@@ -525,9 +525,9 @@
 }
 
 // ColdSince gives, for a returning zone, the time since which its data nodes are to be taken as cold.
-func (t *Tracker) ColdSince(zoneName string) (time.Time, bool) {
+func (t *Tracker) WarmingSince(zoneName string) (time.Time, bool) {
 	z := t.zones[zoneName]
-	if z == nil || z.verdict != Returning {
+	if z == nil || z.verdict != Recovering {
 		return time.Time{}, false
 	}
 	return z.since, true
@@ -537,10 +537,10 @@
 func (t *Tracker) All(now time.Time) []Status {
 	out := make([]Status, 0, len(t.zones))
 	for _, z := range t.zones {
-		s := Status{Zone: z.name, Verdict: z.verdict, Since: z.since, Nodes: len(z.nodes), Failing: z.failing,
+		s := Status{Zone: z.name, State: z.verdict, Since: z.since, Nodes: len(z.nodes), Failing: z.failing,
 			Share: z.share, Others: z.others, Waits: z.waits, Return: z.returnAt, Drained: z.drained, Panic: t.panic,
 			Reason: z.reason}
-		if z.verdict == Returning && t.cfg.Ramp > 0 {
+		if z.verdict == Recovering && t.cfg.Ramp > 0 {
 			s.Returned = min(1, float64(now.Sub(z.since))/float64(t.cfg.Ramp))
 		}
 		out = append(out, s)
--- a/internal/zones/zones_test.go
+++ b/internal/zones/zones_test.go
@@ -43,7 +43,7 @@
 func verdicts(tr *Tracker, now time.Time) map[string]string {
 	m := map[string]string{}
 	for _, s := range tr.All(now) {
-		m[s.Zone] = s.Verdict.String()
+		m[s.Zone] = s.State.String()
 	}
 	return m
 }
@@ -137,10 +137,10 @@
 	tr.Step(t0.Add(2500 * time.Millisecond)) // the return is drawn
 	back := t0.Add(3 * time.Second)
 	tr.Step(back)
-	if since, ok := tr.ColdSince("a"); !ok || !since.Equal(back) {
+	if since, ok := tr.WarmingSince("a"); !ok || !since.Equal(back) {
 		t.Fatalf("cold since %v %v, want %v", since, ok, back)
 	}
-	if _, ok := tr.ColdSince("b"); ok {
+	if _, ok := tr.WarmingSince("b"); ok {
 		t.Fatal("a healthy zone is not cold")
 	}
 }
@@ -153,7 +153,7 @@
 	if tr.Usable("a") {
 		t.Fatal("a zone drained by hand stays out, even as the only one")
 	}
-	if c := tr.Undrain(t0.Add(time.Minute), "a"); c.To != Returning {
+	if c := tr.Undrain(t0.Add(time.Minute), "a"); c.To != Recovering {
 		t.Fatalf("undrained: %+v", c)
 	}
 	if c := tr.Undrain(t0.Add(time.Minute), "b"); c.To != Healthy {
@@ -228,7 +228,7 @@
 		}
 		for now := t0.Add(time.Second); ; now = now.Add(10 * time.Millisecond) {
 			tr.Step(now)
-			if since, ok := tr.ColdSince("a"); ok {
+			if since, ok := tr.WarmingSince("a"); ok {
 				starts = append(starts, since)
 				break
 			}
@@ -269,7 +269,7 @@
 			tr.Step(now)
 			out := 0
 			for _, s := range tr.All(now) {
-				if s.Verdict == Out || s.Verdict == Returning {
+				if s.State == Out || s.State == Recovering {
 					out += s.Nodes
 				}
 			}
@@ -329,8 +329,8 @@
 	now := time.Unix(1_000_000, 0)
 	tr.List(now, map[string]string{"a0": "a", "a1": "a", "a2": "a", "b0": "b"})
 	tr.Observe(now, "a", "a0", Refused)
-	tr.Hear(now, "a", "a1", 0, -1)
-	tr.Hear(now, "a", "a2", 0, -1)
+	tr.ObservePeer(now, "a", "a1", 0, -1)
+	tr.ObservePeer(now, "a", "a2", 0, -1)
 	tr.Observe(now.Add(time.Millisecond), "a", "a2", TimedOut)
 	if got := tr.Failing(now.Add(time.Second), "a"); !slices.Equal(got, []string{"a0", "a2"}) {
 		t.Errorf("told on: %v, want what was seen here: a0 and a2", got)
