--- a/aggregator/aggregator.go
+++ b/aggregator/aggregator.go
@@ -180,7 +180,7 @@
 	SendGossip                          // Data: a message for all other front nodes, 256 bytes at most
 )
 
-// Why is the cause of a query that is given up.
+// Reason is the cause of a query that is given up.
 type Reason uint8
 
 // The causes.
--- a/internal/admission/door.go
+++ b/internal/admission/door.go
@@ -56,7 +56,7 @@
 // departWeight is of the latest pause in the mean.
 const departWeight = 0.2
 
-// Door is where passes are given out. It is not safe for use by several goroutines.
+// Controller is where passes are given out. It is not safe for use by several goroutines.
 type Controller struct {
 	cfg    Config
 	scopes map[scopeKey]*scope
@@ -114,7 +114,7 @@
 	return append(list, scopeKey{scope: All})
 }
 
-// Enter asks for a pass.
+// Admit asks for a pass.
 func (d *Controller) Admit(now time.Time, w Who, k Kind) (*Pass, *Refusal) {
 	d.count++
 	p := &Pass{kind: k, number: d.count, heavy: -1, moved: now}
@@ -192,7 +192,7 @@
 	}
 }
 
-// Leave gives a pass back, with all that it holds. A second time does nothing.
+// Release gives a pass back, with all that it holds. A second time does nothing.
 func (d *Controller) Release(now time.Time, p *Pass) {
 	if p.gone {
 		return
--- a/internal/config/flight.go
+++ b/internal/config/flight.go
@@ -119,7 +119,7 @@
 	return faults
 }
 
-// Door is what clients may use.
+// Admission is what clients may use.
 func (f *FlightFront) Admission() admission.Config {
 	set := func(l LimitSet) admission.Limits {
 		return admission.Limits{Streams: l.Streams, Queries: l.Queries, Rate: l.Rate, Burst: l.Burst, Bytes: l.Bytes}
--- a/internal/coordinator/core.go
+++ b/internal/coordinator/core.go
@@ -50,7 +50,7 @@
 	Key    string
 }
 
-// Verdict is what a final answer says.
+// Status is what a final answer says.
 type Status int
 
 // The verdicts.
@@ -68,7 +68,7 @@
 	RetryAfter time.Duration // Refused: when to come back; 0 for no advice
 }
 
-// Hit is the value of one part, as a data node gave it: its documents.
+// PartValue is the value of one part, as a data node gave it: its documents.
 type PartValue struct {
 	Shard int
 	Docs  [][]byte
@@ -137,7 +137,7 @@
 	return 0, true
 }
 
-// Order is one thing that a carrier is to do at a data node; one field is set.
+// Command is one thing that a carrier is to do at a data node; one field is set.
 type Command struct {
 	Call         []*Attempt // to be sent as one call
 	Cancel       *Attempt   // to be given up at the data node, then reported as Dropped
@@ -174,7 +174,7 @@
 	due     time.Time // not taken in before
 }
 
-// Core is the facade. Its methods may be called from any goroutine, but for Run.
+// Coordinator is the facade. Its methods may be called from any goroutine, but for Run.
 type Coordinator struct {
 	set     aggregator.Settings
 	seed    uint64
@@ -260,7 +260,7 @@
 // weightSlack is by how much weights may miss 1 for being rounded.
 const weightSlack = 1e-3
 
-// Check finds what can't be asked, whatever its deadline; the error wraps ErrInput and its message is for the client.
+// Validate finds what can't be asked, whatever its deadline; the error wraps ErrInput and its message is for the client.
 func (c *Coordinator) Validate(q *Query) error {
 	if _, known := c.classes[q.Class]; !known {
 		return fmt.Errorf("%w: unknown class %q", ErrInput, q.Class)
@@ -326,7 +326,7 @@
 	return nil
 }
 
-// Ask takes a query and waits for its final answer. An error wraps ErrInput, where the query was not taken,
+// Execute takes a query and waits for its final answer. An error wraps ErrInput, where the query was not taken,
 // or is ErrGone, where ctx ended first.
 func (c *Coordinator) Execute(ctx context.Context, asked Query) (Answer, error) {
 	if err := c.Validate(&asked); err != nil {
@@ -378,7 +378,7 @@
 	}
 }
 
-// Again is when who is turned away at the door may come back; 0 where the settings allow no such advice.
+// RetryAfter is when who is turned away at the door may come back; 0 where the settings allow no such advice.
 func (c *Coordinator) RetryAfter() time.Duration {
 	if !c.set.Limits.SendRetryAfter {
 		return 0
@@ -414,7 +414,7 @@
 		Attempt: a.number, Replica: a.node.id, Outcome: outcomes[r.Outcome], LoadReport: r.LoadReport}})
 }
 
-// Probed tells how a probe ended.
+// ReportProbe tells how a probe ended.
 func (c *Coordinator) ReportProbe(n *Node, r Result) {
 	c.saw(n, r.Outcome)
 	c.zoneSaw(n, nil, r.Outcome, time.Now())
--- a/internal/coordinator/gossip.go
+++ b/internal/coordinator/gossip.go
@@ -10,7 +10,7 @@
 	"gullfall/aggregator"
 )
 
-// Told is what others tell of a data node.
+// PeerReport is what others tell of a data node.
 type PeerReport struct {
 	Node      string
 	Failing   bool          // for another coordinator
@@ -24,7 +24,7 @@
 // way, by the way's time.
 const startSlack = 2 * time.Second
 
-// Hear takes in what others tell. A start counts where it is later than the one known: whoever is held for cold is spared. Whether a
+// ApplyPeerReports takes in what others tell. A start counts where it is later than the one known: whoever is held for cold is spared. Whether a
 // failure is evidence on its zone is internal/zones' to say.
 func (c *Coordinator) ApplyPeerReports(list []PeerReport) {
 	now := time.Now()
--- a/internal/coordinator/maintenance.go
+++ b/internal/coordinator/maintenance.go
@@ -13,7 +13,7 @@
 	"gullfall/aggregator"
 )
 
-// Work is what this coordinator knows of machines in work. The zero value lets everything be used.
+// Maintenance is what this coordinator knows of machines in work. The zero value lets everything be used.
 type Maintenance struct {
 	Excluded  map[string]bool   // by id: nothing may be sent there
 	Addrs     map[string]bool   // by address, under whatever id
@@ -52,7 +52,7 @@
 	doubtFor   = 5 * time.Second
 )
 
-// WatchWork lets machines be taken out for work. It is called before Run, and nothing is sent anywhere until SetWork and Present
+// EnableMaintenance lets machines be taken out for work. It is called before Run, and nothing is sent anywhere until SetWork and Present
 // have said more.
 func (c *Coordinator) EnableMaintenance() {
 	c.mu.Lock()
@@ -60,7 +60,7 @@
 	c.work = &workWatch{Maintenance: Maintenance{Unknown: true}, back: map[string]comeback{}, outs: map[string]int{}, seen: map[string]*seenNode{}, lapsed: true}
 }
 
-// Present lets announced machines be sent to until then. Every attempt that is begun by then has an end by its class's limit.
+// ExtendPresence lets announced machines be sent to until then. Every attempt that is begun by then has an end by its class's limit.
 func (c *Coordinator) ExtendPresence(until time.Time) {
 	c.work.present.Store(int64(c.clock(until)))
 	c.wakeUp()
@@ -69,7 +69,7 @@
 // pressedFor is how long users' queries go first after one was turned away: some aims, so that a burst's gaps don't count as room.
 const pressedFor = 2 * time.Second
 
-// Pressed tells whether a query was turned away for want of room just now.
+// Overloaded tells whether a query was turned away for want of room just now.
 func (c *Coordinator) Overloaded() bool {
 	at := c.work.turned.Load()
 	return at > 0 && c.clock(time.Now())-time.Duration(at) < pressedFor
@@ -100,7 +100,7 @@
 	return c.work != nil && (c.work.Excluded[m.ID] || c.work.Addrs[m.Addr])
 }
 
-// SetWork takes in what is known now. Once it returns nothing more is begun at a machine that it bars; what is out there ends
+// SetMaintenance takes in what is known now. Once it returns nothing more is begun at a machine that it bars; what is out there ends
 // there.
 func (c *Coordinator) SetMaintenance(w Maintenance) {
 	c.mu.Lock()
@@ -195,7 +195,7 @@
 	}
 }
 
-// Quiet tells whether nothing is out at a data node that may not be sent to, whatever became of its entry.
+// Idle tells whether nothing is out at a data node that may not be sent to, whatever became of its entry.
 func (c *Coordinator) Idle(id string) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -206,7 +206,7 @@
 	return c.work.outs[id] == 0 && (n == nil || n.barred.Load())
 }
 
-// Look is a data node as this coordinator sees it.
+// NodeHealth is a data node as this coordinator sees it.
 type NodeHealth struct {
 	Member
 	Suspect     bool // it failed several times in a row just now, or its zone is left
@@ -214,7 +214,7 @@
 	Utilization float64 // as it reported last
 }
 
-// Fleet is all data nodes as this coordinator sees them.
+// DataNodes is all data nodes as this coordinator sees them.
 func (c *Coordinator) DataNodes() []NodeHealth {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/coordinator/nodes.go
+++ b/internal/coordinator/nodes.go
@@ -28,7 +28,7 @@
 	Gone     = membership.Gone
 )
 
-// Carry serves one data node: it picks up orders until Pick says that there will be none.
+// Dispatcher serves one data node: it picks up orders until Pick says that there will be none.
 type Dispatcher func(*Node)
 
 // Node is a data node as its carrier sees it.
@@ -58,7 +58,7 @@
 	return n.member.Addr
 }
 
-// Barred tells that the list says draining or gone: nothing more may be written to it, queued calls included.
+// Excluded tells that the list says draining or gone: nothing more may be written to it, queued calls included.
 func (n *Node) Excluded() bool { return n.barred.Load() || n.announced.Load() && n.c.absent() }
 
 // Pick waits for the next order. It returns nil once the data node has left the list
@@ -118,7 +118,7 @@
 	}
 }
 
-// Carrier names what serves the data nodes of a protocol, one goroutine for each that has been sent to. It comes before the first list.
+// RegisterDispatcher names what serves the data nodes of a protocol, one goroutine for each that has been sent to. It comes before the first list.
 func (c *Coordinator) RegisterDispatcher(proto string, carry Dispatcher) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -138,7 +138,7 @@
 	return &Source{c, c.table.Source(spec)}
 }
 
-// Tell takes in what the source has told.
+// Update takes in what the source has told.
 func (s *Source) Update(u membership.Update) {
 	s.c.join(u.Full && u.Basis != membership.Failed, u.Cached, func(now time.Time) membership.Result { return s.s.Update(now, u) })
 }
@@ -151,10 +151,10 @@
 	s.Update(membership.Update{Full: true, Cached: remembered, Records: members})
 }
 
-// Heard renews the lease of what the source has told: nothing has changed there.
+// Renew renews the lease of what the source has told: nothing has changed there.
 func (s *Source) Renew() { s.c.join(false, false, s.s.Renew) }
 
-// Saw takes in the serial that a zone has now, and tells whether its list is to be fetched.
+// SerialSeen takes in the serial that a zone has now, and tells whether its list is to be fetched.
 func (s *Source) SerialSeen(serial uint32) (fetch bool) {
 	s.c.join(false, false, func(now time.Time) (r membership.Result) {
 		fetch, r = s.s.SerialSeen(now, serial)
@@ -170,7 +170,7 @@
 	return s.s.Claims()
 }
 
-// Covered is how many shards have a serving data node now.
+// CoveredShards is how many shards have a serving data node now.
 func (c *Coordinator) CoveredShards() (n int) {
 	c.mu.Lock()
 	cells := map[int]bool{}
--- a/internal/coordinator/observation.go
+++ b/internal/coordinator/observation.go
@@ -4,7 +4,7 @@
 
 import "time"
 
-// Sight is what the end of an attempt or a probe shows of a data node, or the list of its start, or a zone's verdict of all that fails there.
+// Observation is what the end of an attempt or a probe shows of a data node, or the list of its start, or a zone's verdict of all that fails there.
 type Observation struct {
 	Node        string
 	Failed      bool          // a refused or reset connection, or whatever its zone was left for; else it answered
@@ -14,7 +14,7 @@
 	Ago         time.Duration // since then
 }
 
-// OnSight has f told of each from now on. It is called on core's own goroutines and must not block.
+// OnObservation has f told of each from now on. It is called on core's own goroutines and must not block.
 func (c *Coordinator) OnObservation(f func(Observation)) { c.sight.Store(&f) }
 
 // sighted passes on how an attempt or a probe ended; a is nil for a probe. An attempt that was given up says nothing.
--- a/internal/dnssd/follow.go
+++ b/internal/dnssd/follow.go
@@ -31,7 +31,7 @@
 	Networks *bart.Lite // where data nodes may be
 }
 
-// Teller is who is told of a zone: a source of the core, or the command line.
+// Updater is who is told of a zone: a source of the core, or the command line.
 type Updater interface {
 	Update(membership.Update)
 	Renew()
--- a/internal/flight/nodes.go
+++ b/internal/flight/nodes.go
@@ -89,7 +89,7 @@
 	barred  bool
 }
 
-// Carry serves one data node until it has left the list.
+// Dispatch serves one data node until it has left the list.
 func (ns *Nodes) Dispatch(n *coordinator.Node) {
 	width := int64(max(1, ns.Streams))
 	p := &peer{Nodes: ns, node: n, turns: semaphore.NewWeighted(width), width: width, calls: map[*coordinator.Attempt]*call{}}
--- a/internal/gossip/facts.go
+++ b/internal/gossip/facts.go
@@ -68,28 +68,28 @@
 	return facts, nil
 }
 
-// Saw takes in what this coordinator has seen of a data node.
+// Observe takes in what this coordinator has seen of a data node.
 func (g *Gossip) Observe(node string, f observations.Field, value float64) {
 	g.facts.Lock()
 	defer g.facts.Unlock()
 	g.learned.Observe(g.Since(), time.Now(), node, f, value)
 }
 
-// SawStart takes in that a data node started some time ago.
+// ObserveStart takes in that a data node started some time ago.
 func (g *Gossip) ObserveStart(node string, ago time.Duration) {
 	g.facts.Lock()
 	defer g.facts.Unlock()
 	g.learned.ObserveStart(g.Since(), time.Now(), node, ago)
 }
 
-// Learned is what is held of a data node by all that was told.
+// Observations is what is held of a data node by all that was told.
 func (g *Gossip) Observations(node string) observations.View {
 	g.facts.Lock()
 	defer g.facts.Unlock()
 	return g.learned.Of(g.Since(), node)
 }
 
-// AllLearned is what is held of each data node.
+// AllObservations is what is held of each data node.
 func (g *Gossip) AllObservations() map[string]observations.View {
 	g.facts.Lock()
 	defer g.facts.Unlock()
--- a/internal/gossip/gossip.go
+++ b/internal/gossip/gossip.go
@@ -135,7 +135,7 @@
 // SetKeys replaces the keys: the first seals, all open.
 func (g *Gossip) SetKeys(keys []Key) error { return g.ring.set(keys) }
 
-// Look lets f read the view, between two steps. It returns false where the talk has ended.
+// View lets f read the view, between two steps. It returns false where the talk has ended.
 func (g *Gossip) View(f func(*swim.Swim)) bool {
 	done := make(chan struct{})
 	select {
--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -82,7 +82,7 @@
 	ErrStaleVersion = errors.New("the lease has been granted since the version that the request names")
 )
 
-// Unsaid is the version of a request that does not say what its sender has heard, as those of the log's earlier form: it is granted
+// AnyVersion is the version of a request that does not say what its sender has heard, as those of the log's earlier form: it is granted
 // without.
 const AnyVersion uint64 = 0
 
@@ -93,7 +93,7 @@
 	duties map[string]*Record
 }
 
-// Kept is a grant as the table's snapshots hold it.
+// Record is a grant as the table's snapshots hold it.
 type Record struct {
 	Grant
 	Until  time.Duration // by the clock of the leader that holds the table
@@ -201,7 +201,7 @@
 	}
 }
 
-// What is what a holder is to do next.
+// RequestKind is what a holder is to do next.
 type RequestKind uint8
 
 // The steps of a holder.
@@ -243,7 +243,7 @@
 // Next is when Step has something to say.
 func (h *Holder) Next() time.Duration { return h.next }
 
-// Ask is a request to be sent.
+// Request is a request to be sent.
 type Request struct {
 	Kind    RequestKind
 	Term    uint64 // Renew: of the lease
@@ -277,7 +277,7 @@
 	}
 }
 
-// Unheard takes in, as the answer to request n, that the lease has been granted since this holder last heard of it. What is held
+// VersionStale takes in, as the answer to request n, that the lease has been granted since this holder last heard of it. What is held
 // goes on to its end; Step has the next request at once.
 func (h *Holder) VersionStale(now time.Duration, n, version uint64) {
 	if !h.out || n != h.asked {
--- a/internal/maintenance/agent/agent.go
+++ b/internal/maintenance/agent/agent.go
@@ -64,7 +64,7 @@
 	Clear map[string]uint64 `json:",omitempty"`
 }
 
-// Steward is one coordinator's part.
+// Agent is one coordinator's part.
 type Agent struct {
 	Options
 	start    time.Time
--- a/internal/maintenance/agent/operators.go
+++ b/internal/maintenance/agent/operators.go
@@ -16,7 +16,7 @@
 	"gullfall/internal/store"
 )
 
-// Ask is a request as an operator gives it.
+// Request is a request as an operator gives it.
 type Request struct {
 	By            string
 	Machines      []string
@@ -150,7 +150,7 @@
 	LeaseS float64
 }
 
-// Look is the work as it is known here; by now, or as of the store at the call where fresh is set.
+// View is the work as it is known here; by now, or as of the store at the call where fresh is set.
 func (s *Agent) View(ctx context.Context, fresh bool) (v View, err error) {
 	if fresh {
 		if err := s.Store.Sync(ctx); err != nil {
@@ -181,7 +181,7 @@
 	return l, nil
 }
 
-// HandOn has this coordinator give a duty back, if it holds it, and stand back for one lease.
+// HandOver has this coordinator give a duty back, if it holds it, and stand back for one lease.
 func (s *Agent) HandOver(ctx context.Context, duty string) error {
 	l, err := s.lease(duty)
 	if err != nil {
@@ -193,7 +193,7 @@
 	return l.StandBack(ctx)
 }
 
-// Tried is what came of trying a duty.
+// DutyAttempt is what came of trying a duty.
 type DutyAttempt struct {
 	Duty, Who string
 	Holds     bool  // by this coordinator's own clock
@@ -204,7 +204,7 @@
 	Why       string `json:",omitempty"` // it was not taken
 }
 
-// Try tells whether this coordinator holds a duty, and writes to the store under its token, as whoever acts on it does: the
+// TryDuty tells whether this coordinator holds a duty, and writes to the store under its token, as whoever acts on it does: the
 // store turns an old one back.
 func (s *Agent) TryDuty(ctx context.Context, duty string) (t DutyAttempt, err error) {
 	l, err := s.lease(duty)
--- a/internal/maintenance/maintenance.go
+++ b/internal/maintenance/maintenance.go
@@ -67,7 +67,7 @@
 	return nil
 }
 
-// Barred tells that nothing may be sent to a machine in this state.
+// Excluded tells that nothing may be sent to a machine in this state.
 func (s StepState) Excluded() bool { return s == Draining || s == Drained || s == Out || s == Failed }
 
 // missing tells that a machine is out, or may be without further notice: the limits count it so.
--- a/internal/membership/calls.go
+++ b/internal/membership/calls.go
@@ -48,7 +48,7 @@
 	leastGrace = 200 * time.Millisecond
 )
 
-// Calls settles when one source is called. The zero value is an asked source of one coordinator.
+// PollSchedule settles when one source is called. The zero value is an asked source of one coordinator.
 type PollSchedule struct {
 	Pushed   bool          // the list comes from an agent of our own
 	Peers    int           // coordinators that call the same service
@@ -74,7 +74,7 @@
 	return usualAsk
 }
 
-// Patience is how long a call may bring nothing before it is given up.
+// Timeout is how long a call may bring nothing before it is given up.
 func (c *PollSchedule) Timeout() time.Duration {
 	if c.Pushed {
 		return min(c.grace()/2, SilenceTimeout)
@@ -82,11 +82,11 @@
 	return SilenceTimeout
 }
 
-// Confirm is how long a list of an earlier run may be used before the source has answered. What the source had by the start
+// ConfirmTimeout is how long a list of an earlier run may be used before the source has answered. What the source had by the start
 // counts as told from then on, and the rest of the grace is for what is on its way then.
 func (c *PollSchedule) ConfirmTimeout() time.Duration { return c.grace() * 3 / 4 }
 
-// First is how long the first call is put off; draw is from 0 to 1. What is listed may be a drain that the list in hand
+// FirstDelay is how long the first call is put off; draw is from 0 to 1. What is listed may be a drain that the list in hand
 // does not know of, so half of the grace bounds it, and where no list is held it can't wait.
 func (c *PollSchedule) FirstDelay(draw float64) time.Duration {
 	if c.Pushed {
@@ -95,7 +95,7 @@
 	return share(draw, min(c.crowd(), c.grace()/2))
 }
 
-// Again is how long to wait before the next call, once one has ended. Towards a service the pauses are drawn from the
+// RetryDelay is how long to wait before the next call, once one has ended. Towards a service the pauses are drawn from the
 // time that all coordinators' calls take, and double with each call that brings nothing.
 func (c *PollSchedule) RetryDelay(draw float64) time.Duration {
 	vain, watched := c.vain, c.watched
@@ -111,7 +111,7 @@
 	return share(draw, min(span<<min(vain, 8), max(2*span, mostPause), c.longest()))
 }
 
-// Brought notes that a call has brought something.
+// Succeeded notes that a call has brought something.
 func (c *PollSchedule) Succeeded() { c.vain, c.watched = 0, true }
 
 func share(draw float64, span time.Duration) time.Duration {
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -83,7 +83,7 @@
 	MaxNodes int           // most data nodes that it may name; 0 means DefaultMost
 }
 
-// DefaultMost is how many data nodes a source may name unless its Spec says otherwise.
+// DefaultMaxNodes is how many data nodes a source may name unless its Spec says otherwise.
 const DefaultMaxNodes = 16384
 
 // Basis is how far an answer of a source can be trusted.
@@ -180,7 +180,7 @@
 	return nil
 }
 
-// What names what a note tells of.
+// Cause names what a note tells of.
 type Cause string
 
 // What was decided.
--- a/internal/membership/table.go
+++ b/internal/membership/table.go
@@ -123,7 +123,7 @@
 // newer compares serials after RFC 1982; a pair that it leaves undefined counts as not newer.
 func newer(a, b uint32) bool { return a != b && int32(a-b) > 0 }
 
-// Told takes in what the source has told.
+// Update takes in what the source has told.
 func (s *Source) Update(now time.Time, u Update) Result {
 	t, src := s.t, s.s
 	t.advance(now)
@@ -208,7 +208,7 @@
 	return true
 }
 
-// Heard renews the lease of what a source has told: it has said that nothing changed.
+// Renew renews the lease of what a source has told: it has said that nothing changed.
 func (s *Source) Renew(now time.Time) Result {
 	s.t.advance(now)
 	if src := s.s; !src.heard.IsZero() {
@@ -225,7 +225,7 @@
 	return s.t.finish(now)
 }
 
-// Saw takes in the serial that a zone has now, and tells whether its list is to be fetched: where the serial is new,
+// SerialSeen takes in the serial that a zone has now, and tells whether its list is to be fetched: where the serial is new,
 // or an older one has stayed for SerialHold. The same serial renews the lease.
 func (s *Source) SerialSeen(now time.Time, serial uint32) (fetch bool, r Result) {
 	t, src := s.t, s.s
@@ -292,7 +292,7 @@
 	t.marked.add(t.nodes[rec.ID])
 }
 
-// Seen takes in what the coordinator sees of a data node. It counts only for one that is listed.
+// Observe takes in what the coordinator sees of a data node. It counts only for one that is listed.
 func (t *Table) Observe(now time.Time, id string, e Evidence) Result {
 	n := t.nodes[id]
 	if n == nil || n.cur.State == Gone || e == Answered && n.signs+n.turns == 0 && !n.doubtful && !n.died {
--- a/internal/observations/observations.go
+++ b/internal/observations/observations.go
@@ -154,7 +154,7 @@
 	return s
 }
 
-// Saw takes in what this coordinator has seen itself just now, by its own clock and that on the wall.
+// Observe takes in what this coordinator has seen itself just now, by its own clock and that on the wall.
 func (t *Table) Observe(now time.Duration, wall time.Time, id string, f Field, value float64) error {
 	if !t.worth(now, id, f) {
 		return nil
@@ -188,7 +188,7 @@
 		f.Value >= 0 && !math.IsInf(f.Value, 0)
 }
 
-// SawStart takes in that a data node started, or came back, some time ago.
+// ObserveStart takes in that a data node started, or came back, some time ago.
 func (t *Table) ObserveStart(now time.Duration, wall time.Time, id string, ago time.Duration) error {
 	f := Fact{Node: id, Field: Started, Age: max(ago, 0)}
 	if n := t.nodes[id]; n != nil && n.facts[Started].stamp.By != "" && now-f.Age-n.facts[Started].seen < t.c.Skew {
@@ -205,7 +205,7 @@
 	return nil
 }
 
-// Take takes in what another coordinator tells.
+// Merge takes in what another coordinator tells.
 func (t *Table) Merge(now time.Duration, wall time.Time, f Fact) error {
 	switch {
 	case !f.sound():
--- a/internal/platform/nodes.go
+++ b/internal/platform/nodes.go
@@ -112,7 +112,7 @@
 	probe *probe
 }
 
-// Carry serves one data node until it has left the list.
+// Dispatch serves one data node until it has left the list.
 func (ns *Nodes) Dispatch(n *coordinator.Node) {
 	l := &link{Nodes: ns, node: n}
 	ns.list(l, true)
--- a/internal/statemachine/statemachine.go
+++ b/internal/statemachine/statemachine.go
@@ -42,7 +42,7 @@
 	N      uint64
 }
 
-// Cond has to hold for a command to be done; one field besides Revision and Token is set.
+// Condition has to hold for a command to be done; one field besides Revision and Token is set.
 type Condition struct {
 	Key      string `json:",omitempty"` // is at Revision; 0 for a key that is not there
 	Revision uint64 `json:",omitempty"`
@@ -68,7 +68,7 @@
 	Length   time.Duration `json:",omitempty"` // Campaign: of the lease, as its holder counts it
 }
 
-// What is asked.
+// LeaseOpKind is asked.
 type LeaseOpKind uint8
 
 // The kinds of LeaseOp.
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -174,7 +174,7 @@
 	return bytes.Clone(e.Value)
 }
 
-// Look lets f read the state as this member has applied it. f must not keep it, nor wait for anything.
+// View lets f read the state as this member has applied it. f must not keep it, nor wait for anything.
 func (s *Store) View(f func(*statemachine.State)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -198,10 +198,10 @@
 	return s.changed
 }
 
-// Lasting tells whether what this member applies is meant to be there after a restart.
+// Persistent tells whether what this member applies is meant to be there after a restart.
 func (s *Store) Persistent() bool { return s.disk != nil }
 
-// Kept tells whether it will be: false from a write to the disk that failed until all is written again.
+// Durable tells whether it will be: false from a write to the disk that failed until all is written again.
 func (s *Store) Durable() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/swim/links.go
+++ b/internal/swim/links.go
@@ -16,7 +16,7 @@
 	at time.Duration // when it came in
 }
 
-// Verdict is what is held of the fleet as a whole.
+// Quorum is what is held of the fleet as a whole.
 type Quorum struct {
 	Kind     QuorumState
 	Here     int  // members that are there and that we reach, by others where need be, ourselves included
@@ -24,7 +24,7 @@
 	Majority bool // Here is more than half of Known
 }
 
-// VerdictKind is the whole in a word.
+// QuorumState is the whole in a word.
 type QuorumState uint8
 
 // The verdicts.
@@ -197,7 +197,7 @@
 	return m.State, true
 }
 
-// Verdict is what is held of the whole: Here is counted along links that carry both ways.
+// Quorum is what is held of the whole: Here is counted along links that carry both ways.
 func (s *Swim) Quorum() Quorum {
 	v := Quorum{Known: s.size(), Here: 1}
 	cut := map[string]int{}
--- a/internal/zones/zones.go
+++ b/internal/zones/zones.go
@@ -42,7 +42,7 @@
 	"time"
 )
 
-// Verdict is what a coordinator holds of a zone.
+// State is what a coordinator holds of a zone.
 type State uint8
 
 // The verdicts of a zone.
@@ -277,7 +277,7 @@
 // somebody all the time, who tells that too.
 const unrefuted = 1500 * time.Millisecond
 
-// Hear takes in that a data node fails for another coordinator, failed ago, and answered somebody last so long ago; below 0 where that is
+// ObservePeer takes in that a data node fails for another coordinator, failed ago, and answered somebody last so long ago; below 0 where that is
 // not known. It counts as evidence from now on, where the zone is not left already, this coordinator has no answer from the data node
 // itself within Window, and nobody tells of an answer since: one that is itself cut off from a zone tells that all of it fails.
 func (t *Tracker) ObservePeer(now time.Time, zoneName, id string, failed, answered time.Duration) {
@@ -524,7 +524,7 @@
 	return t.panic && !z.drained
 }
 
-// ColdSince gives, for a returning zone, the time since which its data nodes are to be taken as cold.
+// WarmingSince gives, for a returning zone, the time since which its data nodes are to be taken as cold.
 func (t *Tracker) WarmingSince(zoneName string) (time.Time, bool) {
 	z := t.zones[zoneName]
 	if z == nil || z.verdict != Recovering {
