--- a/cmd/gullfall/main_test.go
+++ b/cmd/gullfall/main_test.go
@@ -126,7 +126,7 @@
 		start := time.Now()
 		syscall.Kill(os.Getpid(), syscall.SIGTERM)
 		time.Sleep(600 * time.Millisecond)
-		if got := get(listen, "/up"); got != "HTTP/1.1 200 OK" && time.Since(start) < listenUntil {
+		if got := get(listen, "/up"); got != "HTTP/1.1 200 OK" && time.Since(start) < listenGrace {
 			t.Errorf("round %d: a client that comes 0.6 s after SIGTERM gets %q", round, got)
 		}
 		list := new(dns.Msg).SetQuestion("_gullfall._tcp.local.", dns.TypePTR)
@@ -228,8 +228,9 @@
 	defer nc.Close()
 	io.WriteString(nc, "POST /report HTTP/1.1\r\n") // and no more
 	start := time.Now()
-	drain(c, clients, nil, ln, nil, start.Add(listenUntil+300*time.Millisecond), log)
-	if took := time.Since(start); took < listenUntil || took > 5*time.Second {
+	d := &daemon{coordinator: c, fronts: fronts{listener: ln, clients: clients}, log: log}
+	d.drain(start.Add(listenGrace + 300*time.Millisecond))
+	if took := time.Since(start); took < listenGrace || took > 5*time.Second {
 		t.Errorf("the drain took %v", took)
 	}
 }
--- a/cmd/gullfall/peers.go
+++ b/cmd/gullfall/peers.go
@@ -149,12 +149,12 @@
 	CutTo       []string `json:"does_not_reach,omitempty"`
 }
 
-// commandsOf are the commands that the parts which are on serve.
-func commandsOf(talk *gossip.Gossip, work *agent.Agent, kept *store.Store, hands *zoneHands) map[string]admin.Command {
+// adminCommands are the commands that the parts which are on serve.
+func adminCommands(talk *gossip.Gossip, work *agent.Agent, kept *store.Store, drains *zoneDrains) map[string]admin.Command {
 	commands := map[string]admin.Command{}
 	workCommands(commands, work)
 	storeCommands(commands, kept, talk)
-	zoneCommands(commands, hands)
+	zoneCommands(commands, drains)
 	if talk == nil {
 		return commands
 	}
--- a/cmd/gullfall/serve.go
+++ b/cmd/gullfall/serve.go
@@ -1,22 +1,16 @@
 package main
 
-// This file is the daemon: it wires the parts, and owns signals and the exit. It must never exit while a query is
-// open, but for a second signal.
-
 import (
-	"bytes"
 	"context"
-	"encoding/json"
 	"fmt"
 	"log/slog"
 	"math/rand/v2"
 	"net"
-	"net/netip"
 	"os"
 	"os/signal"
 	"runtime"
 	"runtime/debug"
-	"sync"
+	"slices"
 	"syscall"
 	"time"
 
@@ -27,362 +21,288 @@
 	"gullfall/internal/dnssd"
 	"gullfall/internal/flight"
 	"gullfall/internal/gossip"
+	"gullfall/internal/maintenance/agent"
 	"gullfall/internal/membership"
 	"gullfall/internal/platform"
 	"gullfall/internal/store"
 )
 
-// After SIGTERM clients keep coming for a while: idle connections are closed after restUntil, the listeners
-// after listenUntil.
+// Shares of the descriptors that the process may open (limits.sockets), as divisors. Data nodes of both protocols have three
+// eighths, the Arrow Flight front one eighth where it is on, and all else one eighth; HTTP clients have the rest. A connection
+// beyond its share waits or is refused, so that no kind of connection starves another.
 const (
-	restUntil   = 500 * time.Millisecond
-	listenUntil = 900 * time.Millisecond
-	// By the longest limit of a class and this much more every query has its answer; whoever still reads one then
-	// is not waited for.
-	readUntil = 15 * time.Second
-	// SIGKILL follows SIGTERM after the longest limit of a class, or killAfter if that is sooner, and 0.7 s more. What
-	// comes in between is answered within killSlack of that, so that it finds none of it open.
-	killAfter = 3 * time.Second
-	killSlack = 600 * time.Millisecond
+	dataNodeSocketsOf8 = 3
+	flightSocketsDiv   = 8
+	clientSocketsDiv   = 2
+	// busyClientsDiv bounds the HTTP clients that wait for an answer; beyond it new requests are rejected.
+	busyClientsDiv = 3
 )
 
-// Who owns a data node that several sources name: records say sooner than discovery what its operators mean.
+// Shares of limits.memory_mb, as divisors.
 const (
-	zoneRank      = 30
-	discoveryRank = 20
-	fixedRank     = 10
+	runtimeMemoryDiv    = 2  // what the Go runtime may use; the rest is for what it does not count
+	clientBodyMemoryDiv = 16 // bodies of HTTP requests that are being read
+	flightMemoryDiv     = 4  // answers that Arrow Flight clients are reading
 )
 
-// flightService is the type of our own Flight service.
-const flightService = "_gullfall._tcp"
+// discoveryRank is the rank of what discovery says of a data node that several sources name: above the fixed list, below the
+// records of a DNS-SD zone.
+const discoveryRank = 20
 
-func dial(ctx context.Context, addr string) (net.Conn, error) {
-	var d net.Dialer
-	return d.DialContext(ctx, "tcp", addr)
+// watchRandomStream separates the random delays of the watch from the module's draws, which use the same seed.
+const watchRandomStream = 2
+
+// daemon is the serving process: its configuration and the parts that it starts and stops.
+type daemon struct {
+	cfg     config.Config
+	deploy  config.Deploy
+	log     *slog.Logger
+	reloads chan os.Signal // SIGHUP
+	signals chan os.Signal // SIGTERM and SIGINT
+	failed  chan error     // a front that ended by itself
+
+	store       *store.Store
+	coordinator *coordinator.Coordinator
+	drains      *zoneDrains // nil where zones are not watched
+	connections chan struct{}
+	watch       *platform.Watch
+	peers       *gossip.Gossip // nil where coordinators do not talk
+	agent       *agent.Agent   // nil where machines are not taken out for maintenance
+	fronts      fronts
+
+	closers []func() // run at the end, the last one first
 }
 
-func run(level *slog.LevelVar, logTo func(format string) *slog.Logger) error {
-	// First of all: a reload may be asked for as soon as the program runs, and must not end it.
-	reloads := make(chan os.Signal, 1)
-	signal.Notify(reloads, syscall.SIGHUP)
-	cfg, err := config.Load(os.Getenv)
-	if err != nil {
+// fronts are what clients connect to.
+type fronts struct {
+	listener   net.Listener
+	clients    *platform.Clients
+	flight     *flight.Server // nil where Arrow Flight is off
+	advertised *dnssd.Service // nil where no records of our own are served
+}
+
+// run serves until a signal ends the process or a front fails. The logger is made once the configuration names its format.
+func run(level *slog.LevelVar, newLogger func(format string) *slog.Logger) error {
+	d := &daemon{reloads: make(chan os.Signal, 1), signals: make(chan os.Signal, 2), failed: make(chan error, 2)}
+	// Before anything else: without a handler, SIGHUP would end the process.
+	signal.Notify(d.reloads, syscall.SIGHUP)
+	defer d.close()
+	if err := d.load(level, newLogger); err != nil {
 		return err
 	}
-	deploy, err := config.LoadDeploy(config.DeployFile, cfg.Name)
-	if err != nil {
+	if err := d.start(); err != nil {
 		return err
 	}
-	level.Set(deploy.Log.SlogLevel())
-	log := logTo(deploy.Log.Format)
-	limit(cfg.Limits)
-	signals := make(chan os.Signal, 2)
-	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT)
-
-	kept, err := store.Open(deploy.Store, cfg.Name, log)
-	if err != nil {
+	select {
+	case err := <-d.failed:
 		return err
+	case s := <-d.signals:
+		d.log.Info("draining", "signal", s)
 	}
-	defer kept.Close()
-	if len(cfg.Raw) == 0 {
-		cfg.Raw = kept.Get(store.Settings)
-	}
-	if len(cfg.Known) == 0 {
-		cfg.Known = kept.Get(store.Members)
+	d.shutDown()
+	return nil
+}
+
+// load reads both configuration files and takes over SIGTERM and SIGINT.
+func (d *daemon) load(level *slog.LevelVar, newLogger func(format string) *slog.Logger) (err error) {
+	if d.cfg, err = config.Load(os.Getenv); err != nil {
+		return err
 	}
-	if err := cfg.Adopt(cfg.Raw); err != nil {
+	if d.deploy, err = config.LoadDeploy(config.DeployFile, d.cfg.Name); err != nil {
 		return err
 	}
-	kept.Put(store.Settings, cfg.Raw)
+	level.Set(d.deploy.Log.SlogLevel())
+	d.log = newLogger(d.deploy.Log.Format)
+	applyLimits(d.cfg.Limits)
+	signal.Notify(d.signals, syscall.SIGTERM, syscall.SIGINT)
+	return nil
+}
 
-	c, err := coordinator.NewWith(cfg.Settings, cfg.Seed, log, deploy.Damping())
-	if err != nil {
-		return fmt.Errorf("settings: %w", err)
-	}
-	var hands *zoneHands
-	if deploy.Zones.Enabled {
-		if err := c.WatchZones(deploy.ZoneRules(cfg.Seed)); err != nil {
-			return fmt.Errorf("zones: %w", err)
-		}
-		hands = &zoneHands{core: c, kept: kept, log: log}
-		if err := hands.reload(deploy.Zones.Drained); err != nil {
+// start starts all parts, each after what it needs. An error leaves what was started to close.
+func (d *daemon) start() error {
+	for _, open := range []func() error{d.openStore, d.adoptSettings, d.createCoordinator} {
+		if err := open(); err != nil {
 			return err
 		}
 	}
-	if deploy.Work.Enabled {
-		c.EnableMaintenance()
-	}
 	ctx, stop := context.WithCancel(context.Background())
-	defer stop()
-	go c.Run(ctx)
-	if hands != nil {
-		go hands.watch(ctx)
+	d.onClose(stop)
+	for _, start := range []func(context.Context) error{
+		d.runCoordinator,
+		d.followDiscovery,
+		d.followOtherSources,
+		d.joinPeers,
+		d.startMaintenance,
+		d.serveOperators,
+		d.serveFlight,
+		d.followReloads,
+		d.serveClients,
+	} {
+		if err := start(ctx); err != nil {
+			return err
+		}
 	}
+	return nil
+}
 
-	limits := cfg.Settings.Limits
-	slots := make(chan struct{}, cfg.Limits.Sockets*3/8) // connections to data nodes of both kinds
-	nodes := &platform.Nodes{Core: c, Log: log, Dial: dial, Streams: cfg.Streams, Connect: limits.ConnectTimeout,
-		Idle: limits.ConnIdle, Slots: slots}
-	watch := platform.NewWatch(cfg.Discovery)
-	c.RegisterDispatcher(dnssd.Frames, nodes.Dispatch)
-	watch.Source, watch.Log, watch.Dial = c.Source(membership.Spec{Name: "discovery", Rank: discoveryRank}), log, dial
-	watch.Keep = func(list []byte) { kept.Put(store.Members, list) }
-	watch.Calls = membership.PollSchedule{Pushed: !cfg.Settings.PollList, Peers: cfg.Settings.Aggregators - 1,
-		Grace: cfg.Settings.Rules.DrainGrace, Interval: cfg.Settings.Rules.PollInterval}
-	watch.Confirm = watch.Calls.ConfirmTimeout()
-	watch.Draw = rand.New(rand.NewPCG(cfg.Seed, 2)).Float64
-	if len(cfg.Known) > 0 {
-		watch.Remember(cfg.Known)
+// shutDown drains: others are told first, then what clients have asked is answered, then the process may end.
+func (d *daemon) shutDown() {
+	if d.peers != nil {
+		d.peers.Leave()
+		d.onClose(d.peers.Close)
+	}
+	if d.fronts.advertised != nil {
+		d.fronts.advertised.Withdraw() // clients that find us by our records are to find another coordinator
+	}
+	resignDuty(d.agent, d.log)
+	longest := longestDeadline(d.cfg.Settings)
+	d.fronts.clients.Drain(time.Now().Add(min(longest, killAfter) + killSlack))
+	answered := d.drain(time.Now().Add(longest + readGrace))
+	closeAgent(d.agent, answered && d.coordinator.Open() == 0)
+}
+
+func (d *daemon) onClose(f func()) { d.closers = append(d.closers, f) }
+
+func (d *daemon) close() {
+	for _, f := range slices.Backward(d.closers) {
+		f()
 	}
-	go watch.Run(ctx)
-	if err := findNodes(ctx, deploy, cfg, c, log, slots, kept); err != nil {
+}
+
+func (d *daemon) openStore() (err error) {
+	if d.store, err = store.Open(d.deploy.Store, d.cfg.Name, d.log); err != nil {
 		return err
 	}
-	talk, err := startPeers(ctx, deploy, cfg, c, log, kept)
-	if err != nil {
-		return err
+	d.onClose(func() { _ = d.store.Close() }) // what was acknowledged is on the disk already
+	return nil
+}
+
+// adoptSettings takes the settings and the list of data nodes of the last run from the store where the file lacks them.
+func (d *daemon) adoptSettings() error {
+	if len(d.cfg.Raw) == 0 {
+		d.cfg.Raw = d.store.Get(store.Settings)
 	}
-	work := startWork(deploy, cfg, c, kept, talk, log)
-	var operators *admin.Server
-	if deploy.Admin.Socket != "" {
-		if operators, err = admin.Serve(deploy.Admin.Socket, commandsOf(talk, work, kept, hands), log); err != nil {
-			return err
-		}
-		defer operators.Close()
+	if len(d.cfg.Known) == 0 {
+		d.cfg.Known = d.store.Get(store.Members)
 	}
-	var second *flight.Server
-	var own *dnssd.Service
-	served := make(chan error, 2)
-	if deploy.Flight.Listen != "" {
-		if second, own, err = startFlight(ctx, deploy, cfg, c, log, served); err != nil {
-			return err
-		}
+	if err := d.cfg.Adopt(d.cfg.Raw); err != nil {
+		return err
 	}
-	go reload(ctx, reloads, cfg, watch, second, hands, talk, log)
+	d.store.Put(store.Settings, d.cfg.Raw)
+	return nil
+}
 
-	ln, err := net.Listen("tcp", cfg.Listen)
+func (d *daemon) createCoordinator() (err error) {
+	d.coordinator, err = coordinator.NewWith(d.cfg.Settings, d.cfg.Seed, d.log, d.deploy.Damping())
 	if err != nil {
-		return fmt.Errorf("listen: %w", err)
-	}
-	// Descriptors: three eighths for data nodes, one for Flight where it is on and one for all else; clients have the
-	// rest, over the third that those with a request out may hold.
-	most := cfg.Limits.Sockets / 2
-	if deploy.Flight.Listen != "" {
-		most -= cfg.Limits.Sockets / 8
-	}
-	clients := &platform.Clients{Core: c, Log: log, MaxConns: most, BusyConns: cfg.Limits.Sockets / 3,
-		BodyMemory: int64(cfg.Limits.MemoryMB) << 20 / 16, RetryAfter: c.RetryAfter()}
-	go func() { served <- clients.Serve(ln) }()
-	log.Info("serving", "name", cfg.Name, "listen", cfg.Listen)
-
-	select {
-	case err := <-served:
-		return err
-	case s := <-signals:
-		log.Info("draining", "signal", s)
+		return fmt.Errorf("settings: %w", err)
 	}
-	if talk != nil {
-		talk.Leave()
-		defer talk.Close()
+	if d.deploy.Zones.Enabled {
+		if err := d.coordinator.WatchZones(d.deploy.ZoneRules(d.cfg.Seed)); err != nil {
+			return fmt.Errorf("zones: %w", err)
+		}
+		d.drains = &zoneDrains{coordinator: d.coordinator, store: d.store, log: d.log}
+		if err := d.drains.reload(d.deploy.Zones.Drained); err != nil {
+			return err
+		}
 	}
-	if own != nil {
-		own.Withdraw() // first of all: who finds us by our records is to find another
+	if d.deploy.Work.Enabled {
+		d.coordinator.EnableMaintenance()
 	}
-	leaveWork(work, log)
-	longestQuery := longest(cfg.Settings)
-	clients.Drain(time.Now().Add(min(longestQuery, killAfter) + killSlack))
-	answered := drain(c, clients, second, ln, signals, time.Now().Add(longestQuery+readUntil), log)
-	endWork(work, answered && c.Open() == 0)
 	return nil
 }
 
-// longest is the longest time that a query of any class may take.
-func longest(set aggregator.Settings) (most time.Duration) {
-	for _, class := range set.Classes {
-		most = max(most, class.Deadline)
+func (d *daemon) runCoordinator(ctx context.Context) error {
+	go d.coordinator.Run(ctx)
+	if d.drains != nil {
+		go d.drains.watch(ctx)
 	}
-	return most
+	return nil
 }
 
-// limit holds the runtime to what the configuration gives: the rest of the memory is for what Go does not count.
-func limit(l config.Limits) {
-	runtime.GOMAXPROCS(max(1, int(l.Cores)))
-	debug.SetMemoryLimit(int64(l.MemoryMB) << 20 / 2)
+// followDiscovery connects the platform's data nodes and its watch on discovery, which starts from the list of the last run.
+func (d *daemon) followDiscovery(ctx context.Context) error {
+	limits, rules := d.cfg.Settings.Limits, d.cfg.Settings.Rules
+	d.connections = make(chan struct{}, d.cfg.Limits.Sockets*dataNodeSocketsOf8/8)
+	nodes := &platform.Nodes{Core: d.coordinator, Log: d.log, Dial: dial, Streams: d.cfg.Streams, Connect: limits.ConnectTimeout,
+		Idle: limits.ConnIdle, Slots: d.connections}
+	d.coordinator.RegisterDispatcher(dnssd.Frames, nodes.Dispatch)
+	watch := platform.NewWatch(d.cfg.Discovery)
+	watch.Source = d.coordinator.Source(membership.Spec{Name: "discovery", Rank: discoveryRank})
+	watch.Log, watch.Dial = d.log, dial
+	watch.Keep = func(list []byte) { d.store.Put(store.Members, list) }
+	watch.Calls = membership.PollSchedule{Pushed: !d.cfg.Settings.PollList, Peers: d.cfg.Settings.Aggregators - 1,
+		Grace: rules.DrainGrace, Interval: rules.PollInterval}
+	watch.Confirm = watch.Calls.ConfirmTimeout()
+	watch.Draw = rand.New(rand.NewPCG(d.cfg.Seed, watchRandomStream)).Float64
+	if len(d.cfg.Known) > 0 {
+		watch.Remember(d.cfg.Known)
+	}
+	d.watch = watch
+	go watch.Run(ctx)
+	return nil
 }
 
-// reload takes in the configuration anew at each signal, until ctx ends; during a drain too, as the list of data
-// nodes still counts then. A faulty one changes nothing. Of our own file the second front's people, keys and limits hold
-// at once, where it was on at the start.
-func reload(ctx context.Context, signals <-chan os.Signal, cfg config.Config, watch *platform.Watch, second *flight.Server,
-	hands *zoneHands, talk *gossip.Gossip, log *slog.Logger) {
-	for {
-		select {
-		case <-ctx.Done():
-			return
-		case <-signals:
-		}
-		next, restart, err := cfg.Reload(os.Getenv)
-		if err != nil {
-			log.Error("configuration not taken; the old one stays", "cause", err)
-			continue
-		}
-		if second != nil || hands != nil || talk != nil {
-			deploy, err := config.LoadDeploy(config.DeployFile, cfg.Name)
-			if err == nil && second != nil {
-				err = second.Reload(deploy.Flight.People(), deploy.Flight.Keys(), deploy.Flight.Admission())
-			}
-			if err == nil && hands != nil {
-				err = hands.reload(deploy.Zones.Drained)
-			}
-			if err == nil && talk != nil {
-				err = talk.SetKeys(deploy.Peers.Keys())
-			}
-			if err != nil {
-				log.Error("configuration not taken; the old one stays", "cause", err)
-				continue
-			}
-		}
-		if len(restart) > 0 {
-			log.Warn("changes need a restart; the old values stay", "keys", restart)
-		}
-		limit(next.Limits)
-		watch.Move(ctx, next.Discovery)
-		cfg = next
-		log.Info("configuration reloaded", "discovery", cfg.Discovery)
-	}
+func (d *daemon) joinPeers(ctx context.Context) (err error) {
+	d.peers, err = startPeers(ctx, d.deploy, d.cfg, d.coordinator, d.log, d.store)
+	return err
 }
 
-// startFlight starts the second front, and describes it by records where they are to be served.
-func startFlight(ctx context.Context, deploy config.Deploy, cfg config.Config, c *coordinator.Coordinator, log *slog.Logger,
-	served chan<- error) (*flight.Server, *dnssd.Service, error) {
-	ln, err := net.Listen("tcp", deploy.Flight.Listen)
-	if err != nil {
-		return nil, nil, fmt.Errorf("flight.listen: %w", err)
-	}
-	options := flight.Options{Core: c, Log: log, Memory: int64(cfg.Limits.MemoryMB) << 20 / 4, Admission: deploy.Flight.Admission(),
-		People: deploy.Flight.People(), Keys: deploy.Flight.Keys(), Shards: cfg.Settings.Shards, Covered: c.CoveredShards}
-	for _, class := range cfg.Settings.Classes {
-		options.Classes = append(options.Classes, flight.Class{Name: class.Name, Limit: class.Deadline, Schema: deploy.Flight.Schema(class.Name)})
-	}
-	server, err := flight.New(options)
-	if err != nil {
-		return nil, nil, err
-	}
-	go func() { served <- server.Serve(ln, min(deploy.Flight.Connections, cfg.Limits.Sockets/8)) }()
-	log.Info("serving Arrow Flight", "listen", deploy.Flight.Listen)
-	d := deploy.DNSSD
-	if d.Serve == "" {
-		return server, nil, nil
-	}
-	pc, err := net.ListenPacket("udp", d.Serve)
-	if err != nil {
-		return nil, nil, fmt.Errorf("dnssd.serve: %w", err)
-	}
-	own := &dnssd.Service{Instance: cfg.Name, Type: flightService, Domain: d.Domain,
-		Addr: netip.MustParseAddrPort(deploy.Flight.Listen), Text: []string{"txtvers=1", "proto=flight"}}
-	go func() {
-		if err := own.Serve(ctx, pc); err != nil {
-			log.Error("records are no longer served", "cause", err)
-		}
-	}()
-	return server, own, nil
+func (d *daemon) startMaintenance(context.Context) error {
+	d.agent = startAgent(d.deploy, d.cfg, d.coordinator, d.store, d.peers, d.log)
+	return nil
 }
 
-// findNodes starts what our own file names besides discovery: the fixed list and the zones. What the zones told last
-// is kept, and holds after a restart until they are heard.
-func findNodes(ctx context.Context, deploy config.Deploy, cfg config.Config, c *coordinator.Coordinator, log *slog.Logger,
-	slots chan struct{}, kept *store.Store) error {
-	zones := deploy.DNSSD.Zones()
-	if fixed := deploy.Fixed(); len(fixed) > 0 {
-		c.Source(membership.Spec{Name: "fixed list", Rank: fixedRank}).Replace(fixed, false)
-	}
-	if len(zones)+len(deploy.Node) == 0 {
+// serveOperators serves the operators' socket, where one is configured.
+func (d *daemon) serveOperators(context.Context) error {
+	if d.deploy.Admin.Socket == "" {
 		return nil
 	}
-	nodes := &flight.Nodes{Core: c, Log: log, Dial: dial, Streams: cfg.Streams,
-		Connect: cfg.Settings.Limits.ConnectTimeout, Idle: cfg.Settings.Limits.ConnIdle, Slots: slots}
-	c.RegisterDispatcher(dnssd.Flight, nodes.Dispatch)
-	client := dnssd.NewClient(deploy.DNSSD.Questions, max(4, cfg.Limits.Sockets/16))
-	listener := &dnssd.Listener{Allow: deploy.DNSSD.Allowed()}
-	for _, z := range zones {
-		source := &keeper{Source: c.Source(membership.Spec{Name: z.Domain, Rank: zoneRank, Damped: true,
-			MaxStale: time.Duration(deploy.DNSSD.Stale)}), key: store.Members + "/" + z.Domain, store: kept}
-		source.remember(log)
-		f := &dnssd.Follower{Zone: z, Client: client, To: source, Log: log, Poll: time.Duration(deploy.DNSSD.Poll)}
-		listener.Followers = append(listener.Followers, f)
-	}
-	if deploy.DNSSD.Notify != "" {
-		pc, err := net.ListenPacket("udp", deploy.DNSSD.Notify)
-		if err != nil {
-			return fmt.Errorf("dnssd.notify: %w", err)
-		}
-		go func() {
-			if err := listener.Serve(ctx, pc); err != nil {
-				log.Error("NOTIFY is no longer taken; serials are still asked for", "cause", err)
-			}
-		}()
-	}
-	for _, f := range listener.Followers {
-		go f.Run(ctx)
+	server, err := admin.Serve(d.deploy.Admin.Socket, adminCommands(d.peers, d.agent, d.store, d.drains), d.log)
+	if err != nil {
+		return err
 	}
+	d.onClose(server.Close)
 	return nil
 }
 
-// keeper is a zone's source whose list is kept in the store.
-type keeper struct {
-	*coordinator.Source
-	key   string
-	store *store.Store
-	last  []byte
+func (d *daemon) followReloads(ctx context.Context) error {
+	go d.reload(ctx)
+	return nil
 }
 
-// Tell passes on what the zone has told, and keeps what it comes to.
-func (k *keeper) Update(u membership.Update) {
-	if k.Source.Update(u); u.Basis == membership.Failed {
-		return
+// serveClients serves the platform's HTTP front.
+func (d *daemon) serveClients(context.Context) (err error) {
+	if d.fronts.listener, err = net.Listen("tcp", d.cfg.Listen); err != nil {
+		return fmt.Errorf("listen: %w", err)
 	}
-	data, err := json.Marshal(k.Claims())
-	if err == nil && !bytes.Equal(data, k.last) {
-		k.last = data
-		k.store.Put(k.key, data)
+	sockets := d.cfg.Limits.Sockets
+	maxConns := sockets / clientSocketsDiv
+	if d.deploy.Flight.Listen != "" {
+		maxConns -= sockets / flightSocketsDiv
 	}
+	d.fronts.clients = &platform.Clients{Core: d.coordinator, Log: d.log, MaxConns: maxConns, BusyConns: sockets / busyClientsDiv,
+		BodyMemory: int64(d.cfg.Limits.MemoryMB) << 20 / clientBodyMemoryDiv, RetryAfter: d.coordinator.RetryAfter()}
+	go func() { d.failed <- d.fronts.clients.Serve(d.fronts.listener) }()
+	d.log.Info("serving", "name", d.cfg.Name, "listen", d.cfg.Listen)
+	return nil
 }
 
-// remember starts from the list as it was kept.
-func (k *keeper) remember(log *slog.Logger) {
-	var list []membership.Record
-	if raw := k.store.Get(k.key); len(raw) > 0 {
-		if err := json.Unmarshal(raw, &list); err != nil {
-			log.Warn("remembered list not understood", "key", k.key, "cause", err)
-			return
-		}
-		k.Replace(list, true)
-	}
+func dial(ctx context.Context, addr string) (net.Conn, error) {
+	var dialer net.Dialer
+	return dialer.DialContext(ctx, "tcp", addr)
 }
 
-// drain goes on serving while clients still come, then answers what is open and returns, at end at the latest. It tells whether
-// all was answered and read.
-func drain(c *coordinator.Coordinator, clients *platform.Clients, second *flight.Server, ln net.Listener,
-	signals <-chan os.Signal, end time.Time, log *slog.Logger) (answered bool) {
-	time.Sleep(restUntil)
-	clients.CloseIdle()
-	time.Sleep(listenUntil - restUntil)
-	ln.Close()
-	var open sync.WaitGroup
-	open.Go(clients.Wait)
-	if second != nil {
-		open.Go(second.Drain)
-	}
-	done := make(chan struct{})
-	go func() { open.Wait(); close(done) }()
-	select {
-	case <-done:
-		log.Info("drained")
-		return true
-	case <-time.After(time.Until(end)):
-		log.Warn("ended while clients still read their answers", "open", c.Open())
-	case <-signals:
-		log.Warn("ended by a second signal", "open", c.Open())
+// longestDeadline is the longest time that a query of any class may take.
+func longestDeadline(settings aggregator.Settings) (longest time.Duration) {
+	for _, class := range settings.Classes {
+		longest = max(longest, class.Deadline)
 	}
-	return false
+	return longest
+}
+
+// applyLimits holds the Go runtime to the cores and the memory that the configuration gives.
+func applyLimits(limits config.Limits) {
+	runtime.GOMAXPROCS(max(1, int(limits.Cores)))
+	debug.SetMemoryLimit(int64(limits.MemoryMB) << 20 / runtimeMemoryDiv)
 }
--- a/cmd/gullfall/work.go
+++ b/cmd/gullfall/work.go
@@ -27,8 +27,8 @@
 	"gullfall/internal/store"
 )
 
-// startWork takes part in the work on machines where our own file says so; nil where it does not.
-func startWork(deploy config.Deploy, cfg config.Config, c *coordinator.Coordinator, kept *store.Store, talk *gossip.Gossip, log *slog.Logger) *agent.Agent {
+// startAgent takes part in the work on machines where our own file says so; nil where it does not.
+func startAgent(deploy config.Deploy, cfg config.Config, c *coordinator.Coordinator, kept *store.Store, talk *gossip.Gossip, log *slog.Logger) *agent.Agent {
 	w := deploy.Work
 	if !w.Enabled {
 		return nil
@@ -41,12 +41,12 @@
 	}
 	return agent.Start(agent.Options{Observations: told, Store: kept, Coordinator: c, Name: cfg.Name, Log: log,
 		Layout: maintenance.Layout{ShardSets: set.ShardSets, Shards: set.Shards, Reach: set.Reach}, Limits: w.Limits(), WarmupTime: set.Rules.WarmupTime,
-		LongestAttempt: longest(set), PresenceBound: time.Duration(w.Bound), Duty: time.Duration(w.Lease), Drift: w.Drift, Duties: w.Duties, Every: time.Duration(w.Every),
+		LongestAttempt: longestDeadline(set), PresenceBound: time.Duration(w.Bound), Duty: time.Duration(w.Lease), Drift: w.Drift, Duties: w.Duties, Every: time.Duration(w.Every),
 		Hook: w.Hook, HookFor: time.Duration(w.HookTime), Budget: w.Budget})
 }
 
-// leaveWork gives the duty back as the first thing of a drain, so that another takes it over.
-func leaveWork(work *agent.Agent, log *slog.Logger) {
+// resignDuty gives the duty back as the first thing of a drain, so that another takes it over.
+func resignDuty(work *agent.Agent, log *slog.Logger) {
 	if work == nil {
 		return
 	}
@@ -59,8 +59,8 @@
 	}()
 }
 
-// endWork ends the part at the end of a drain.
-func endWork(work *agent.Agent, quiet bool) {
+// closeAgent ends the part at the end of a drain.
+func closeAgent(work *agent.Agent, quiet bool) {
 	if work == nil {
 		return
 	}
--- a/cmd/gullfall/zones.go
+++ b/cmd/gullfall/zones.go
@@ -30,22 +30,22 @@
 
 const mostDrained = 64 // zones by hand
 
-// zoneHands joins what the file and the store say of zones left by hand.
-type zoneHands struct {
-	core *coordinator.Coordinator
-	kept *store.Store
-	log  *slog.Logger
+// zoneDrains joins what the file and the store say of zones left by hand.
+type zoneDrains struct {
+	coordinator *coordinator.Coordinator
+	store       *store.Store
+	log         *slog.Logger
 
 	mu   sync.Mutex
 	file []string
 }
 
 // watch follows the store until ctx ends.
-func (z *zoneHands) watch(ctx context.Context) {
+func (z *zoneDrains) watch(ctx context.Context) {
 	last := ""
 	for {
-		changed := z.kept.Changed()
-		if now := string(z.kept.Get(drainedKey)); now != last {
+		changed := z.store.Changed()
+		if now := string(z.store.Get(drainedKey)); now != last {
 			if last = now; z.apply() != nil {
 				return // zones are not watched: told where they are drained
 			}
@@ -59,18 +59,18 @@
 }
 
 // reload takes in the file's.
-func (z *zoneHands) reload(file []string) error {
+func (z *zoneDrains) reload(file []string) error {
 	z.mu.Lock()
 	z.file = file
 	z.mu.Unlock()
 	return z.apply()
 }
 
-func (z *zoneHands) apply() error {
+func (z *zoneDrains) apply() error {
 	z.mu.Lock()
 	defer z.mu.Unlock()
 	names := append([]string{}, z.file...)
-	stored, err := storedZones(z.kept.Get(drainedKey))
+	stored, err := storedZones(z.store.Get(drainedKey))
 	if err != nil {
 		z.log.Error("zones drained in the store not understood; those of the file hold", "cause", err)
 	}
@@ -79,7 +79,7 @@
 			names = append(names, n)
 		}
 	}
-	return z.core.DrainZones(names)
+	return z.coordinator.DrainZones(names)
 }
 
 func storedZones(raw []byte) (names []string, err error) {
@@ -90,20 +90,20 @@
 }
 
 // word drains a zone for all that share the store, or no longer.
-func (z *zoneHands) word(ctx context.Context, zone string, drain bool) error {
+func (z *zoneDrains) word(ctx context.Context, zone string, drain bool) error {
 	known := false
-	for _, s := range z.core.Zones() {
+	for _, s := range z.coordinator.Zones() {
 		known = known || s.Zone == zone
 	}
 	if drain && !known {
 		return fmt.Errorf("no zone %q is known; see `gullfall zones`", zone)
 	}
 	for {
-		if err := z.kept.Sync(ctx); err != nil {
+		if err := z.store.Sync(ctx); err != nil {
 			return fmt.Errorf("the store was not heard in time; to drain it at this coordinator alone set zones.drained in deploy/gullfall.toml and send SIGHUP: %w", err)
 		}
 		var e statemachine.Entry
-		z.kept.View(func(st *statemachine.State) { e, _ = st.Get(drainedKey) })
+		z.store.View(func(st *statemachine.State) { e, _ = st.Get(drainedKey) })
 		names, err := storedZones(e.Value)
 		if err != nil {
 			return fmt.Errorf("%s in the store: %w", drainedKey, err)
@@ -125,12 +125,12 @@
 		if err != nil {
 			return err
 		}
-		r, err := z.kept.Do(ctx, statemachine.Command{If: []statemachine.Condition{{Key: drainedKey, Revision: e.Revision}}, Put: []statemachine.Pair{{Key: drainedKey, Value: data}}})
+		r, err := z.store.Do(ctx, statemachine.Command{If: []statemachine.Condition{{Key: drainedKey, Revision: e.Revision}}, Put: []statemachine.Pair{{Key: drainedKey, Value: data}}})
 		switch {
 		case err != nil:
 			return fmt.Errorf("the store did not answer in time, so it may or may not have been taken: %w", err)
 		case r.Failed == "":
-			return z.kept.Wait(ctx, r.Index)
+			return z.store.Wait(ctx, r.Index)
 		case r.Failed != statemachine.Conflict:
 			return r.Err()
 		}
@@ -171,12 +171,12 @@
 }
 
 // zoneCommands adds the commands of zones that are watched.
-func zoneCommands(commands map[string]admin.Command, hands *zoneHands) {
-	if hands == nil {
+func zoneCommands(commands map[string]admin.Command, drains *zoneDrains) {
+	if drains == nil {
 		return
 	}
 	commands["zones"] = func(context.Context, json.RawMessage) (any, error) {
-		return zoneViews(hands.core.Zones(), time.Now()), nil
+		return zoneViews(drains.coordinator.Zones(), time.Now()), nil
 	}
 	for name, drain := range map[string]bool{"zones drain": true, "zones undrain": false} {
 		commands[name] = func(ctx context.Context, args json.RawMessage) (any, error) {
@@ -186,7 +186,7 @@
 			}
 			ctx, cancel := context.WithDeadline(ctx, time.Now().Add(workTime))
 			defer cancel()
-			return zone, hands.word(ctx, zone, drain)
+			return zone, drains.word(ctx, zone, drain)
 		}
 	}
 }
