--- /dev/null
+++ b/cmd/gullfall/agent.go
@@ -0,0 +1,114 @@
+package main
+
+import (
+	"context"
+	"log/slog"
+	"time"
+
+	"gullfall/internal/admin"
+	"gullfall/internal/config"
+	"gullfall/internal/coordinator"
+	"gullfall/internal/gossip"
+	"gullfall/internal/maintenance"
+	"gullfall/internal/maintenance/agent"
+	"gullfall/internal/observations"
+	"gullfall/internal/store"
+)
+
+// Times that the end of a drain leaves to the maintenance agent.
+const (
+	resignTimeout     = 2 * time.Second
+	agentCloseTimeout = time.Second
+)
+
+// startAgent starts the maintenance agent, by which machines are taken out for work; nil where deploy/gullfall.toml has it off.
+// Peers may be nil.
+func startAgent(deploy config.Deploy, cfg config.Config, c *coordinator.Coordinator, members *store.Store, peers *gossip.Gossip, log *slog.Logger) *agent.Agent {
+	work := deploy.Work
+	if !work.Enabled {
+		return nil
+	}
+	settings := cfg.Settings
+	log.Info("maintenance agent started", "bound", time.Duration(work.Bound), "lease", time.Duration(work.Lease))
+	var observed func(string) observations.View
+	if peers != nil {
+		observed = peers.Observations
+	}
+	return agent.Start(agent.Options{
+		Store:          members,
+		Coordinator:    c,
+		Name:           cfg.Name,
+		Log:            log,
+		Layout:         maintenance.Layout{ShardSets: settings.ShardSets, Shards: settings.Shards, Reach: settings.Reach},
+		Limits:         work.Limits(),
+		WarmupTime:     settings.Rules.WarmupTime,
+		LongestAttempt: longestDeadline(settings),
+		PresenceBound:  time.Duration(work.Bound),
+		Duty:           time.Duration(work.Lease),
+		Drift:          work.Drift,
+		Every:          time.Duration(work.Every),
+		Duties:         work.Duties,
+		Hook:           work.Hook,
+		HookFor:        time.Duration(work.HookTime),
+		Budget:         work.Budget,
+		Observations:   observed,
+	})
+}
+
+// resignDuty gives the agent's leases back at the beginning of a drain, so that another coordinator takes them over at once.
+// The drain does not wait for it.
+func resignDuty(a *agent.Agent, log *slog.Logger) {
+	if a == nil {
+		return
+	}
+	go func() {
+		ctx, cancel := context.WithTimeout(context.Background(), resignTimeout)
+		defer cancel()
+		if err := a.Leave(ctx); err != nil {
+			log.Warn("duty not resigned; its lease runs out", "cause", err)
+		}
+	}()
+}
+
+// closeAgent stops the agent at the end of a drain. Idle says that no attempt is in flight, so that maintenance need not wait
+// for this coordinator any longer.
+func closeAgent(a *agent.Agent, idle bool) {
+	if a == nil {
+		return
+	}
+	ctx, cancel := context.WithTimeout(context.Background(), agentCloseTimeout)
+	defer cancel()
+	a.Close(ctx, idle)
+}
+
+// workWord is what the command line sends with a command on maintenance, a start excepted.
+type workWord struct {
+	By, Word, Machine, As, Name string
+	Request                     uint64
+	Fresh                       bool
+}
+
+// addMaintenanceCommands adds the commands of the maintenance agent.
+func addMaintenanceCommands(commands map[string]admin.Command, a *agent.Agent) {
+	commands["work start"] = command(func(ctx context.Context, request agent.Request) (agent.Planned, error) {
+		return a.Start(ctx, request)
+	})
+	commands["work look"] = command(func(ctx context.Context, w workWord) (agent.View, error) {
+		return a.View(ctx, w.Fresh)
+	})
+	commands["work order"] = command(func(ctx context.Context, w workWord) (uint64, error) {
+		return w.Request, a.Order(ctx, w.By, w.Word, w.Request)
+	})
+	commands["work done"] = command(func(ctx context.Context, w workWord) (string, error) {
+		return w.Machine, a.Done(ctx, w.By, w.Machine, w.As)
+	})
+	commands["work forget"] = command(func(ctx context.Context, w workWord) (string, error) {
+		return w.Name, a.Forget(ctx, w.By, w.Name)
+	})
+	commands["duties hand-on"] = command(func(ctx context.Context, w workWord) (bool, error) {
+		return true, a.HandOver(ctx, w.Name)
+	})
+	commands["duties try"] = command(func(ctx context.Context, w workWord) (agent.DutyAttempt, error) {
+		return a.TryDuty(ctx, w.Name)
+	})
+}
--- a/cmd/gullfall/dnssd.go
+++ b/cmd/gullfall/dnssd.go
@@ -1,16 +1,10 @@
 package main
 
-// This file is the commands that show records: dnssd browse, which looks once, and dnssd watch, which follows. They
-// use the daemon's own follower and membership table, so that they show what it would decide. They must never write
-// anything but their output.
-
 import (
 	"context"
-	"encoding/json"
 	"errors"
 	"fmt"
 	"log/slog"
-	"os"
 	"os/signal"
 	"slices"
 	"sync"
@@ -22,6 +16,8 @@
 	"gullfall/internal/membership"
 )
 
+// dnssdCmd shows records: browse looks once, watch follows them. Both use the daemon's own follower and membership table, so that
+// they show what it would decide.
 type dnssdCmd struct {
 	Browse browseCmd `cmd:"" help:"Look once: what the records say, and why a data node is or is not used."`
 	Watch  watchCmd  `cmd:"" help:"Follow the records and tell each change."`
@@ -57,7 +53,7 @@
 	return zones, deploy, nil
 }
 
-// line is one thing that is told.
+// line is one line of output: a data node, or a message about a zone.
 type line struct {
 	At       time.Time `json:"at,omitzero"`
 	Zone     string    `json:"zone"`
@@ -70,124 +66,151 @@
 	Why      string    `json:"why,omitempty"`
 }
 
-// show is a table that tells what it is told.
-type show struct {
-	mu       sync.Mutex
-	table    *membership.Table
+// zoneDisplay prints what followers of zones report.
+type zoneDisplay struct {
 	json     bool
-	quiet    bool // lists are shown at the end, not as they change
-	zone     string
-	lists    int
-	failed   string
-	problems map[string][]dnssd.Problem
+	onlyLast bool // the list is printed once at the end, not as it changes
+
+	mu       sync.Mutex // guards what follows, and orders the output
+	table    *membership.Table
+	lists    int                        // lists that have come
+	failed   string                     // why the last one that failed did
+	problems map[string][]dnssd.Problem // records that can't be used, by zone
 }
 
-func (s *show) print(l line) {
-	if s.json {
-		json.NewEncoder(os.Stdout).Encode(l)
+func (d *zoneDisplay) print(l line) {
+	if d.json {
+		_ = printJSON(l) // as fmt.Printf below: a reader that has left ends the command by SIGPIPE
 		return
 	}
-	text := ""
+	timestamp := ""
 	if !l.At.IsZero() {
-		text = l.At.Format("15:04:05.000 ")
+		timestamp = l.At.Format("15:04:05.000 ")
 	}
 	if l.Node == "" {
-		fmt.Printf("%s%-24s %s\n", text, l.Zone, l.Why)
+		fmt.Printf("%s%-24s %s\n", timestamp, l.Zone, l.Why)
 		return
 	}
 	cell := "-"
 	if l.Cell != nil {
 		cell = fmt.Sprint(*l.Cell)
 	}
-	fmt.Printf("%s%-24s %-9s %-22s cell %-4s priority %-3d weight %-6g %s\n", text, l.Node, l.State, l.Addr, cell, l.Priority, l.Weight, l.Why)
+	fmt.Printf("%s%-24s %-9s %-22s cell %-4s priority %-3d weight %-6g %s\n", timestamp, l.Node, l.State, l.Addr, cell, l.Priority, l.Weight, l.Why)
+}
+
+// printNode prints a data node as the table has it.
+func (d *zoneDisplay) printNode(at time.Time, zone string, m membership.Record) {
+	d.print(line{At: at, Zone: zone, Node: m.ID, State: m.State.String(), Addr: m.Addr, Cell: &m.ShardSet, Priority: m.Priority,
+		Weight: m.Weight, Why: d.table.Explain(m.ID)})
+}
+
+// printProblem prints why a record can't be used.
+func (d *zoneDisplay) printProblem(at time.Time, zone string, p dnssd.Problem) {
+	d.print(line{At: at, Zone: zone, Why: "not usable: " + p.Instance + ": " + p.Cause.Error()})
 }
 
-func (s *show) result(now time.Time, r membership.Result) {
-	if s.quiet {
+// printResult prints what an update has changed.
+func (d *zoneDisplay) printResult(now time.Time, zone string, r membership.Result) {
+	if d.onlyLast {
 		return
 	}
 	for _, m := range r.Changes {
-		s.print(line{At: now, Zone: s.zone, Node: m.ID, State: m.State.String(), Addr: m.Addr, Cell: &m.ShardSet,
-			Priority: m.Priority, Weight: m.Weight, Why: s.table.Explain(m.ID)})
+		d.printNode(now, zone, m)
 	}
 	for _, n := range r.Notes {
 		if n.ID == "" {
-			s.print(line{At: now, Zone: s.zone, Why: string(n.Cause) + ": " + n.Detail})
+			d.print(line{At: now, Zone: zone, Why: string(n.Cause) + ": " + n.Detail})
+		}
+	}
+}
+
+// report takes the records of a zone that can't be used, and prints them where they have changed.
+func (d *zoneDisplay) report(zone string, list []dnssd.Problem) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	if !d.onlyLast && !slices.EqualFunc(list, d.problems[zone], equalProblems) {
+		for _, p := range list {
+			d.printProblem(time.Now(), zone, p)
 		}
 	}
+	d.problems[zone] = list
+}
+
+func equalProblems(a, b dnssd.Problem) bool {
+	return a.Instance == b.Instance && a.Cause.Error() == b.Cause.Error()
 }
 
-// teller is one zone's way to a show.
-type teller struct {
-	*show
+// zoneUpdater passes the updates of one zone to the table of a display.
+type zoneUpdater struct {
+	*zoneDisplay
 	zone   string
 	source *membership.Source
 }
 
-func (t *teller) Update(u membership.Update) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	t.show.zone = t.zone
-	if u.Basis == membership.Failed {
-		t.failed = t.zone + ": " + u.Cause
+// Update takes a list, or that there was none.
+func (u *zoneUpdater) Update(update membership.Update) {
+	u.mu.Lock()
+	defer u.mu.Unlock()
+	if update.Basis == membership.Failed {
+		u.failed = u.zone + ": " + update.Cause
 	} else {
-		t.lists++
+		u.lists++
 	}
 	now := time.Now()
-	t.result(now, t.source.Update(now, u))
+	u.printResult(now, u.zone, u.source.Update(now, update))
 }
 
-func (t *teller) Renew() {
-	t.mu.Lock()
-	defer t.mu.Unlock()
+// Renew takes that nothing has changed.
+func (u *zoneUpdater) Renew() {
+	u.mu.Lock()
+	defer u.mu.Unlock()
 	now := time.Now()
-	t.show.zone = t.zone
-	t.result(now, t.source.Renew(now))
+	u.printResult(now, u.zone, u.source.Renew(now))
 }
 
-func (t *teller) SerialSeen(serial uint32) bool {
-	t.mu.Lock()
-	defer t.mu.Unlock()
+// SerialSeen takes a zone's serial and tells whether its list is to be fetched.
+func (u *zoneUpdater) SerialSeen(serial uint32) bool {
+	u.mu.Lock()
+	defer u.mu.Unlock()
 	now := time.Now()
-	t.show.zone = t.zone
-	fetch, r := t.source.SerialSeen(now, serial)
-	t.result(now, r)
+	fetch, r := u.source.SerialSeen(now, serial)
+	u.printResult(now, u.zone, r)
 	return fetch
 }
 
-// follow starts a follower for each zone.
-func (z zoneFlags) follow(ctx context.Context, quiet bool) (*show, *sync.WaitGroup, error) {
+// dnsQuestionsAtOnce bounds the questions to DNS servers that are open at once.
+const dnsQuestionsAtOnce = 16
+
+// anyShardSet lets every shard set be shown: which ones there are is the settings' to say, which these commands do not read.
+const anyShardSet = 1 << 20
+
+// follow starts a follower for each zone, until ctx ends; the group ends with them.
+func (z zoneFlags) follow(ctx context.Context, display *zoneDisplay) (*sync.WaitGroup, error) {
 	zones, deploy, err := z.zones()
 	if err != nil {
-		return nil, nil, err
+		return nil, err
 	}
 	cfg := deploy.Damping()
-	cfg.ShardSets, cfg.Shards = 1<<20, 1 // cells are the settings' to bound; here all are shown
-	table, err := membership.New(cfg)
-	if err != nil {
-		return nil, nil, err
+	cfg.ShardSets, cfg.Shards = anyShardSet, 1
+	if display.table, err = membership.New(cfg); err != nil {
+		return nil, err
 	}
-	s := &show{table: table, json: z.JSON, quiet: quiet, problems: map[string][]dnssd.Problem{}}
-	client := dnssd.NewClient(deploy.DNSSD.Questions, 16)
-	var wg sync.WaitGroup
+	display.json, display.problems = z.JSON, map[string][]dnssd.Problem{}
+	client := dnssd.NewClient(deploy.DNSSD.Questions, dnsQuestionsAtOnce)
+	var followers sync.WaitGroup
 	for _, zone := range zones {
-		t := &teller{show: s, zone: zone.Domain, source: table.Source(membership.Spec{Name: zone.Domain, Damped: true})}
-		f := &dnssd.Follower{Zone: zone, Client: client, To: t, Log: slog.New(slog.DiscardHandler), Poll: time.Duration(deploy.DNSSD.Poll),
-			Report: func(list []dnssd.Problem) {
-				s.mu.Lock()
-				defer s.mu.Unlock()
-				if !quiet && !slices.EqualFunc(list, s.problems[zone.Domain], func(a, b dnssd.Problem) bool {
-					return a.Instance == b.Instance && a.Cause.Error() == b.Cause.Error()
-				}) {
-					for _, p := range list {
-						s.print(line{At: time.Now(), Zone: zone.Domain, Why: "not usable: " + p.Instance + ": " + p.Cause.Error()})
-					}
-				}
-				s.problems[zone.Domain] = list
-			}}
-		wg.Go(func() { f.Run(ctx) })
-	}
-	return s, &wg, nil
+		source := display.table.Source(membership.Spec{Name: zone.Domain, Damped: true})
+		follower := &dnssd.Follower{
+			Zone:   zone,
+			Client: client,
+			To:     &zoneUpdater{zoneDisplay: display, zone: zone.Domain, source: source},
+			Log:    slog.New(slog.DiscardHandler),
+			Poll:   time.Duration(deploy.DNSSD.Poll),
+			Report: func(list []dnssd.Problem) { display.report(zone.Domain, list) },
+		}
+		followers.Go(func() { follower.Run(ctx) })
+	}
+	return &followers, nil
 }
 
 type browseCmd struct {
@@ -197,24 +220,24 @@
 
 // Run looks at the records once.
 func (b browseCmd) Run() error {
-	ctx, cancel := context.WithDeadline(context.Background(), time.Now().Add(b.For))
+	ctx, cancel := context.WithTimeout(context.Background(), b.For)
 	defer cancel()
-	s, wg, err := b.follow(ctx, true)
+	display := &zoneDisplay{onlyLast: true}
+	followers, err := b.follow(ctx, display)
 	if err != nil {
 		return err
 	}
-	wg.Wait()
-	for _, m := range s.table.List() {
-		s.print(line{Node: m.ID, State: m.State.String(), Addr: m.Addr, Cell: &m.ShardSet, Priority: m.Priority, Weight: m.Weight,
-			Why: s.table.Explain(m.ID)})
+	followers.Wait()
+	for _, m := range display.table.List() {
+		display.printNode(time.Time{}, "", m)
 	}
-	for zone, list := range s.problems {
+	for zone, list := range display.problems {
 		for _, p := range list {
-			s.print(line{Zone: zone, Why: "not usable: " + p.Instance + ": " + p.Cause.Error()})
+			display.printProblem(time.Time{}, zone, p)
 		}
 	}
-	if s.lists == 0 {
-		return fmt.Errorf("no list has come; %s", s.failed)
+	if display.lists == 0 {
+		return fmt.Errorf("no list has come; %s", display.failed)
 	}
 	return nil
 }
@@ -230,13 +253,13 @@
 	defer stop()
 	if w.For > 0 {
 		var cancel context.CancelFunc
-		ctx, cancel = context.WithDeadline(ctx, time.Now().Add(w.For))
+		ctx, cancel = context.WithTimeout(ctx, w.For)
 		defer cancel()
 	}
-	_, wg, err := w.follow(ctx, false)
+	followers, err := w.follow(ctx, &zoneDisplay{})
 	if err != nil {
 		return err
 	}
-	wg.Wait()
+	followers.Wait()
 	return nil
 }
--- /dev/null
+++ b/cmd/gullfall/duties.go
@@ -0,0 +1,95 @@
+package main
+
+import (
+	"errors"
+	"fmt"
+	"os"
+	"slices"
+	"strings"
+	"text/tabwriter"
+
+	"gullfall/internal/maintenance/agent"
+)
+
+type dutiesCmd struct {
+	Show   dutiesShowCmd   `cmd:"" default:"withargs" help:"Show who holds which duty."`
+	HandOn dutiesHandOnCmd `cmd:"" help:"Have the coordinator behind the socket give a duty back, so that another takes it over."`
+	Try    dutiesTryCmd    `cmd:"" help:"Exit with status 0 only if the coordinator behind the socket holds a duty and the store takes its token; print the token."`
+}
+
+type dutiesShowCmd struct{ maintenanceViewFlags }
+
+// Run shows the duties.
+func (c dutiesShowCmd) Run() error {
+	return c.show(func(v agent.View) error {
+		t := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
+		fmt.Fprintln(t, "duty\theld by\tterm\ttoken\tlease")
+		slices.SortFunc(v.Duties, func(a, b agent.DutyView) int { return strings.Compare(a.Duty, b.Duty) })
+		for _, d := range v.Duties {
+			holder := d.Holder
+			if holder == "" {
+				holder = "nobody"
+			}
+			fmt.Fprintf(t, "%s\t%s\t%d\t%d\t%gs\n", d.Duty, holder, d.Term, d.Token, d.LeaseS)
+		}
+		if err := t.Flush(); err != nil {
+			return err
+		}
+		fmt.Printf("store: %s leads in term %d; %s has applied up to %d\n", nobody(v.Store.Leader), v.Store.Term, v.Store.Name, v.Store.Index)
+		return nil
+	})
+}
+
+// nobody is a name, or that there is none.
+func nobody(name string) string {
+	if name == "" {
+		return "nobody"
+	}
+	return name
+}
+
+type dutiesHandOnCmd struct {
+	socketFlag
+	Name string `arg:"" default:"maintenance" help:"The duty."`
+}
+
+// Run has a duty handed on.
+func (c dutiesHandOnCmd) Run() error {
+	var done bool
+	if err := c.ask("duties hand-on", workWord{Name: c.Name}, &done); err != nil {
+		return err
+	}
+	if !done {
+		return errors.New("it was not handed on")
+	}
+	fmt.Println("given back; another coordinator takes it over within a quarter of a lease")
+	return nil
+}
+
+type dutiesTryCmd struct {
+	socketFlag
+	Name string `arg:"" help:"The duty."`
+	JSON bool   `name:"json" help:"For machines."`
+}
+
+// Run tries a duty.
+func (c dutiesTryCmd) Run() error {
+	var t agent.DutyAttempt
+	if err := c.ask("duties try", workWord{Name: c.Name}, &t); err != nil {
+		return err
+	}
+	if c.JSON {
+		if err := printJSON(t); err != nil {
+			return err
+		}
+	} else if t.Accepted {
+		fmt.Println(t.Token)
+	}
+	switch {
+	case !t.Holds:
+		return fmt.Errorf("%s does not hold %s", t.Who, t.Duty)
+	case !t.Accepted:
+		return fmt.Errorf("the store does not take token %d of %s any more: %s", t.Token, t.Who, t.Why)
+	}
+	return nil
+}
--- a/cmd/gullfall/main.go
+++ b/cmd/gullfall/main.go
@@ -1,5 +1,6 @@
-// Command gullfall is the coordinator and its operators' command line. Without a word it serves. This file owns flags
-// and exit statuses; it must never do a command's work.
+// Command gullfall is the coordinator and its operators' command line. Without a command it serves. One file holds one command or
+// one part of the daemon; main.go holds the list of commands and the exit statuses: 1 where a command failed, 2 where the command
+// line was not understood.
 package main
 
 import (
@@ -14,7 +15,7 @@
 	"gullfall/internal/config"
 )
 
-// commands are the words of the command line.
+// commands are the commands of the command line.
 type commands struct {
 	Serve   serveCmd   `cmd:"" default:"1" help:"Coordinate queries (this is what gullfall does without a word). Reads NODE_CONFIG and deploy/gullfall.toml."`
 	Check   checkCmd   `cmd:"" help:"Read and check all configuration; name every faulty key."`
@@ -47,11 +48,11 @@
 // Run serves until it is told to end.
 func (serveCmd) Run() error {
 	level := new(slog.LevelVar)
-	return run(level, func(format string) *slog.Logger { return logTo(os.Stderr, format, level) })
+	return run(level, func(format string) *slog.Logger { return newLogger(os.Stderr, format, level) })
 }
 
-// logTo is a log in the format that the configuration names.
-func logTo(w io.Writer, format string, level slog.Leveler) *slog.Logger {
+// newLogger logs in the format that the configuration names: "json", else text.
+func newLogger(w io.Writer, format string, level slog.Leveler) *slog.Logger {
 	if format == "json" {
 		return slog.New(slog.NewJSONHandler(w, &slog.HandlerOptions{Level: level}))
 	}
@@ -65,31 +66,17 @@
 // Run reads all configuration as serving would, and opens nothing.
 func (c checkCmd) Run() error {
 	faults := 0
-	tell := func(err error) {
-		if err == nil {
-			return
-		}
-		if joined, ok := err.(interface{ Unwrap() []error }); ok {
-			for _, e := range joined.Unwrap() {
-				fmt.Println(e)
-				faults++
-			}
-			return
-		}
-		fmt.Println(err)
-		faults++
-	}
 	cfg, err := config.Load(os.Getenv)
-	tell(err)
+	faults += printFaults(err)
 	if err == nil {
 		if len(cfg.Raw) == 0 {
 			fmt.Println("settings: not in the file; they are to come from the store")
 		} else {
-			tell(cfg.Adopt(cfg.Raw))
+			faults += printFaults(cfg.Adopt(cfg.Raw))
 		}
 	}
 	deploy, err := config.LoadDeploy(c.Deploy, cfg.Name)
-	tell(err)
+	faults += printFaults(err)
 	if faults > 0 {
 		return fmt.Errorf("%d faults", faults)
 	}
@@ -98,10 +85,25 @@
 	return nil
 }
 
+// printFaults prints each of the joined errors on a line and returns how many there are.
+func printFaults(err error) int {
+	if err == nil {
+		return 0
+	}
+	faults := []error{err}
+	if joined, ok := err.(interface{ Unwrap() []error }); ok {
+		faults = joined.Unwrap()
+	}
+	for _, fault := range faults {
+		fmt.Println(fault)
+	}
+	return len(faults)
+}
+
 type versionCmd struct{}
 
-// Run tells the version as the build has recorded it.
-func (versionCmd) Run() error {
+// Run prints the version as the build has recorded it.
+func (versionCmd) Run() error { //nolint:unparam // kong calls Run methods that return an error
 	version, revision := "(devel)", "unknown revision"
 	if info, ok := debug.ReadBuildInfo(); ok {
 		version = info.Main.Version
--- /dev/null
+++ b/cmd/gullfall/observations.go
@@ -0,0 +1,56 @@
+package main
+
+import (
+	"fmt"
+	"maps"
+	"math"
+	"os"
+	"slices"
+	"text/tabwriter"
+
+	"gullfall/internal/observations"
+)
+
+// learnedView is what all coordinators have told of a data node.
+type learnedView struct {
+	Node      string  `json:"node"`
+	Doubtful  bool    `json:"doubtful"`
+	ColdS     float64 `json:"cold_s,omitempty"` // yet
+	LatencyMS float64 `json:"latency_ms"`       // below 0 where not known
+	Busy      float64 `json:"busy"`             // below 0 where not known
+}
+
+// learnedViews sorts what is known by data node.
+func learnedViews(all map[string]observations.View) (list []learnedView) {
+	for _, id := range slices.Sorted(maps.Keys(all)) {
+		v := all[id]
+		l := learnedView{id, v.Suspect, tenths(v.WarmingFor), -1, v.Utilization}
+		if v.Latency >= 0 {
+			l.LatencyMS = math.Round(v.Latency*1e4) / 10
+		}
+		list = append(list, l)
+	}
+	return list
+}
+
+type peersLearnedCmd struct {
+	socketFlag
+	JSON bool `name:"json" help:"For machines."`
+}
+
+// Run shows what is learned.
+func (p peersLearnedCmd) Run() error {
+	var list []learnedView
+	if err := p.ask("learned", nil, &list); err != nil {
+		return err
+	}
+	if p.JSON {
+		return printJSON(list)
+	}
+	t := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
+	fmt.Fprintln(t, "data node\tdoubtful\tcold_s\tlatency_ms\tbusy")
+	for _, l := range list {
+		fmt.Fprintf(t, "%s\t%v\t%.1f\t%.1f\t%.2f\n", l.Node, l.Doubtful, l.ColdS, l.LatencyMS, l.Busy)
+	}
+	return t.Flush()
+}
--- a/cmd/gullfall/peers.go
+++ b/cmd/gullfall/peers.go
@@ -1,17 +1,10 @@
 package main
 
-// This file owns the coordinators' talk in the daemon, and `gullfall peers`, which shows it. It must never show a key.
-
 import (
 	"context"
-	"crypto/rand"
-	"encoding/binary"
-	"encoding/json"
 	"errors"
 	"fmt"
 	"io"
-	"log/slog"
-	"maps"
 	"math"
 	"os"
 	"slices"
@@ -20,102 +13,15 @@
 	"time"
 
 	"gullfall/internal/admin"
-	"gullfall/internal/config"
-	"gullfall/internal/coordinator"
 	"gullfall/internal/gossip"
-	"gullfall/internal/maintenance/agent"
-	"gullfall/internal/observations"
 	"gullfall/internal/store"
 	"gullfall/internal/swim"
 )
 
-// keptPeers is the key under which the store keeps where the others were last.
-const keptPeers = "peers"
-
-// startPeers begins to talk where our own file says so; nil where it does not.
-func startPeers(ctx context.Context, deploy config.Deploy, cfg config.Config, c *coordinator.Coordinator, log *slog.Logger, kept *store.Store) (*gossip.Gossip, error) {
-	p := deploy.Peers
-	if p.Listen == "" {
-		return nil, nil
-	}
-	var raw [8]byte
-	if _, err := rand.Read(raw[:]); err != nil {
-		return nil, err
-	}
-	process := binary.BigEndian.Uint64(raw[:])
-	o := gossip.Options{Swim: p.Swim(cfg.Name, process, cfg.Seed^process), Fleet: p.Fleet, Keys: p.Keys(), Routes: p.Routes(), Log: log, WarmupTime: cfg.Settings.Rules.WarmupTime}
-	var last []string
-	if data := kept.Get(keptPeers + "/" + cfg.Name); len(data) > 0 && json.Unmarshal(data, &last) == nil {
-		o.Swim.Seeds = append(append([]string{}, o.Swim.Seeds...), last...)
-	}
-	addrs := make(chan []string, 1)
-	o.SaveAddrs = func(list []string) { // only the newest is worth keeping
-		select {
-		case <-addrs:
-		default:
-		}
-		addrs <- list
-	}
-	go func() {
-		for list := range addrs {
-			if data, err := json.Marshal(list); err == nil {
-				kept.Put(keptPeers+"/"+cfg.Name, data)
-			}
-		}
-	}()
-	talk, err := gossip.Start(o)
-	if err != nil {
-		return nil, err
-	}
-	c.OnObservation(func(s coordinator.Observation) {
-		if s.Started {
-			talk.ObserveStart(s.Node, s.Ago)
-			return
-		}
-		if s.Failed {
-			talk.Observe(s.Node, observations.Failed, 0)
-			return
-		}
-		talk.Observe(s.Node, observations.Answered, 0)
-		if s.Latency > 0 {
-			talk.Observe(s.Node, observations.Latency, s.Latency.Seconds())
-		}
-		if s.Utilization >= 0 {
-			talk.Observe(s.Node, observations.Utilization, s.Utilization)
-		}
-	})
-	go hear(ctx, c, talk, cfg.Name)
-	log.Info("watching the other coordinators", "listen", p.Listen, "fleet", p.Fleet)
-	return talk, nil
-}
-
-// hearEvery is how often core is told what other coordinators have learned.
-const hearEvery = 250 * time.Millisecond
-
-// hear passes on what others tell of data nodes, until ctx ends.
-func hear(ctx context.Context, c *coordinator.Coordinator, talk *gossip.Gossip, self string) {
-	tick := time.NewTicker(hearEvery)
-	defer tick.Stop()
-	for {
-		select {
-		case <-ctx.Done():
-			return
-		case <-tick.C:
-		}
-		var list []coordinator.PeerReport
-		for id, v := range talk.AllObservations() {
-			t := coordinator.PeerReport{Node: id, Failing: v.Suspect && v.FailedBy != self, Failed: v.Failed, Answered: v.Answered}
-			if v.WarmingFor > 0 && v.WarmingSeenBy != self {
-				t.WarmingUp, t.Started = true, v.Started
-			}
-			if t.WarmingUp || t.Failing {
-				list = append(list, t)
-			}
-		}
-		if len(list) > 0 {
-			c.ApplyPeerReports(list)
-		}
-	}
+type peersCmd struct {
+	Learned peersLearnedCmd `cmd:"" help:"Show what all coordinators have told of each data node."`
+	Show    peersShowCmd    `cmd:"" default:"withargs" help:"Show who of the coordinators is there, and who reaches whom."`
+	Forget  peersForgetCmd  `cmd:"" help:"Say that a dead coordinator is gone for good; it no longer counts for the majority."`
 }
 
 // peersView is what `gullfall peers` shows.
@@ -134,6 +40,7 @@
 	Received int64            `json:"bytes_received"`
 }
 
+// peerView is one coordinator as another sees it.
 type peerView struct {
 	Name        string   `json:"name"`
 	Addr        string   `json:"addr"`
@@ -149,63 +56,64 @@
 	CutTo       []string `json:"does_not_reach,omitempty"`
 }
 
-// adminCommands are the commands that the parts which are on serve.
-func adminCommands(talk *gossip.Gossip, work *agent.Agent, kept *store.Store, drains *zoneDrains) map[string]admin.Command {
-	commands := map[string]admin.Command{}
-	workCommands(commands, work)
-	storeCommands(commands, kept, talk)
-	zoneCommands(commands, drains)
-	if talk == nil {
-		return commands
-	}
-	commands["learned"] = func(context.Context, json.RawMessage) (any, error) { return learnedViews(talk.AllObservations()), nil }
-	commands["peers"] = func(context.Context, json.RawMessage) (any, error) {
-		var v peersView
-		if !talk.View(func(s *swim.Swim) { v = viewOf(s, talk.Since()) }) {
-			return nil, errors.New("the talk has ended")
+// addPeerCommands adds the commands that show and change the coordinators' view of each other.
+func addPeerCommands(commands map[string]admin.Command, peers *gossip.Gossip, members *store.Store) {
+	commands["learned"] = view(func() ([]learnedView, error) { return learnedViews(peers.AllObservations()), nil })
+	commands["peers"] = view(func() (v peersView, err error) {
+		if !peers.View(func(s *swim.Swim) { v = viewOfPeers(s, peers.Since()) }) {
+			return v, errGossipEnded
 		}
-		v.Dropped = map[string]int64{"seal": talk.Drops.Seal.Load(), "version": talk.Drops.Version.Load(),
-			"replay": talk.Drops.Replay.Load(), "form": talk.Drops.Form.Load(), "full": talk.Drops.Full.Load()}
-		v.Sent, v.Received = talk.Traffic.BytesOut.Load(), talk.Traffic.BytesIn.Load()
-		return v, nil
-	}
-	commands["peers forget"] = func(_ context.Context, args json.RawMessage) (any, error) {
-		var name string
-		if err := json.Unmarshal(args, &name); err != nil {
-			return nil, err
+		v.Dropped = map[string]int64{
+			"seal":    peers.Drops.Seal.Load(),
+			"version": peers.Drops.Version.Load(),
+			"replay":  peers.Drops.Replay.Load(),
+			"form":    peers.Drops.Form.Load(),
+			"full":    peers.Drops.Full.Load(),
 		}
-		err := fmt.Errorf("no coordinator %q is known", name)
-		talk.View(func(s *swim.Swim) {
-			if state, known := s.Holds(name); known && state == swim.Dead {
-				err = nil
-			} else if known {
-				err = fmt.Errorf("%q is %v; only one that is dead can be gone for good", name, state)
-			}
-		})
-		if err != nil {
-			return nil, err
+		v.Sent, v.Received = peers.Traffic.BytesOut.Load(), peers.Traffic.BytesIn.Load()
+		return v, nil
+	})
+	commands["peers forget"] = command(func(_ context.Context, name string) (forgotten, error) {
+		return forgetPeer(peers, members, name)
+	})
+}
+
+// errGossipEnded is the answer to a question that comes in while the coordinator shuts down.
+var errGossipEnded = errors.New("gossip with the other coordinators has ended")
+
+// forgetPeer removes a dead coordinator from the view, so that it no longer counts for the majority. One that is not dead can't
+// be forgotten: it would be back with its next packet.
+func forgetPeer(peers *gossip.Gossip, members *store.Store, name string) (forgotten, error) {
+	err := fmt.Errorf("no coordinator %q is known", name)
+	peers.View(func(s *swim.Swim) {
+		if state, known := s.Holds(name); known && state == swim.Dead {
+			err = nil
+		} else if known {
+			err = fmt.Errorf("%q is %v; only one that is dead can be gone for good", name, state)
 		}
-		talk.Forget(name)
-		f := forgotten{Name: name}
-		_, f.Member = kept.Status().Peers[name]
-		return f, nil
+	})
+	if err != nil {
+		return forgotten{}, err
 	}
-	return commands
+	peers.Forget(name)
+	_, member := members.Status().Peers[name]
+	return forgotten{Name: name, Member: member}, nil
 }
 
-func viewOf(s *swim.Swim, now time.Duration) peersView {
-	verdict := s.Quorum()
-	v := peersView{Verdict: verdict.Kind.String(), Here: verdict.Here, Known: verdict.Known, Majority: verdict.Majority,
+// viewOfPeers is the view at a time on the gossip's own clock.
+func viewOfPeers(s *swim.Swim, now time.Duration) peersView {
+	quorum := s.Quorum()
+	v := peersView{Verdict: quorum.Kind.String(), Here: quorum.Here, Known: quorum.Known, Majority: quorum.Majority,
 		Refused: s.Refused(), Health: s.Health(), Counts: s.Counts(), Self: s.Self()}
 	ago := func(t time.Duration) float64 {
 		if t == 0 {
 			return -1
 		}
-		return math.Round((now-t).Seconds()*10) / 10
+		return tenths(now - t)
 	}
 	for _, m := range s.Members() {
-		p := peerView{Name: m.Name, Addr: m.Addr, State: m.State.String(), Incarnation: m.Incarnation, SinceS: math.Round((now-m.Since).Seconds()*10) / 10,
-			Suspectors: m.Suspectors, Phi: math.Round(math.Min(m.Phi, 99)*100) / 100, HeardS: ago(m.Heard), ReachedS: ago(m.Reached),
+		p := peerView{Name: m.Name, Addr: m.Addr, State: m.State.String(), Incarnation: m.Incarnation, SinceS: tenths(now - m.Since),
+			Suspectors: m.Suspectors, Phi: math.Round(math.Min(m.Phi, maxPhiShown)*100) / 100, HeardS: ago(m.Heard), ReachedS: ago(m.Reached),
 			RTTMS: float64(m.RTT.Microseconds()) / 1000, CutFrom: m.CutFrom, CutTo: m.CutTo}
 		if m.State == swim.Alive && m.Partly {
 			p.State = "partly"
@@ -215,74 +123,11 @@
 	return v
 }
 
-// learnedView is what all coordinators have told of a data node.
-type learnedView struct {
-	Node      string  `json:"node"`
-	Doubtful  bool    `json:"doubtful"`
-	ColdS     float64 `json:"cold_s,omitempty"` // yet
-	LatencyMS float64 `json:"latency_ms"`       // below 0 where not known
-	Busy      float64 `json:"busy"`             // below 0 where not known
-}
+// maxPhiShown bounds the suspicion level that is printed; beyond it the figure says nothing more.
+const maxPhiShown = 99
 
-func learnedViews(all map[string]observations.View) (list []learnedView) {
-	for _, id := range slices.Sorted(maps.Keys(all)) {
-		v := all[id]
-		l := learnedView{id, v.Suspect, math.Round(v.WarmingFor.Seconds()*10) / 10, -1, v.Utilization}
-		if v.Latency >= 0 {
-			l.LatencyMS = math.Round(v.Latency*1e4) / 10
-		}
-		list = append(list, l)
-	}
-	return list
-}
-
-type peersLearnedCmd struct {
-	socketFlag
-	JSON bool `name:"json" help:"For machines."`
-}
-
-// Run shows what is learned.
-func (p peersLearnedCmd) Run() error {
-	var list []learnedView
-	if err := p.ask("learned", nil, &list); err != nil {
-		return err
-	}
-	if p.JSON {
-		return json.NewEncoder(os.Stdout).Encode(list)
-	}
-	t := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
-	fmt.Fprintln(t, "data node\tdoubtful\tcold_s\tlatency_ms\tbusy")
-	for _, l := range list {
-		fmt.Fprintf(t, "%s\t%v\t%.1f\t%.1f\t%.2f\n", l.Node, l.Doubtful, l.ColdS, l.LatencyMS, l.Busy)
-	}
-	return t.Flush()
-}
-
-type peersCmd struct {
-	Learned peersLearnedCmd `cmd:"" help:"Show what all coordinators have told of each data node."`
-	Show    peersShowCmd    `cmd:"" default:"withargs" help:"Show who of the coordinators is there, and who reaches whom."`
-	Forget  peersForgetCmd  `cmd:"" help:"Say that a dead coordinator is gone for good; it no longer counts for the majority."`
-}
-
-type socketFlag struct {
-	Socket string `help:"The coordinator's admin socket; that of deploy/gullfall.toml by default."`
-}
-
-// path is the socket that the flag or our own file names.
-func (f socketFlag) path() (string, error) {
-	if f.Socket != "" {
-		return f.Socket, nil
-	}
-	var name string
-	if cfg, err := config.Load(os.Getenv); err == nil {
-		name = cfg.Name
-	}
-	d, err := config.LoadDeploy(config.DeployFile, name)
-	if err == nil && d.Admin.Socket == "" {
-		err = errors.New("admin.socket in deploy/gullfall.toml is empty; set it, or give --socket")
-	}
-	return d.Admin.Socket, err
-}
+// tenths is a span in seconds, rounded to tenths for the reader.
+func tenths(d time.Duration) float64 { return math.Round(d.Seconds()*10) / 10 }
 
 type peersShowCmd struct {
 	socketFlag
@@ -292,67 +137,59 @@
 
 // Run shows the view of one coordinator.
 func (p peersShowCmd) Run() error {
-	path, err := p.path()
-	if err != nil {
-		return err
-	}
-	for {
-		ctx, cancel := context.WithDeadline(context.Background(), time.Now().Add(5*time.Second))
+	return repeat(p.Watch, func() error {
 		var v peersView
-		err := admin.Call(ctx, path, "peers", nil, &v)
-		cancel()
-		if err != nil {
+		if err := p.call(viewTimeout, "peers", nil, &v); err != nil {
 			return err
 		}
 		if p.JSON {
-			err = json.NewEncoder(os.Stdout).Encode(v)
-		} else {
-			err = v.table(os.Stdout)
+			return printJSON(v)
 		}
-		if err != nil || !p.Watch {
-			return err
-		}
-		time.Sleep(time.Second)
-	}
+		return v.table(os.Stdout)
+	})
 }
 
-// table prints the view, with who does not reach whom as a matrix where anybody does not.
+// table prints the view, and below it who does not reach whom, where there is anybody.
 func (v peersView) table(w io.Writer) error {
-	fmt.Fprintf(w, "%s: %s, %d of %d here, majority %v, own times %d-fold\n", v.Self, v.Verdict, v.Here, v.Known, v.Majority, 1+v.Health)
+	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
+	fmt.Fprintf(t, "%s: %s, %d of %d here, majority %v, own times %d-fold\n", v.Self, v.Verdict, v.Here, v.Known, v.Majority, 1+v.Health)
 	if v.Refused != "" {
-		fmt.Fprintf(w, "refused: %s\n", v.Refused)
+		fmt.Fprintf(t, "refused: %s\n", v.Refused)
 	}
-	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(t, "name\tstate\tinc\tsince_s\theard_s\trtt_ms\tphi\tsuspected by")
-	cut := false
 	for _, m := range v.Members {
-		fmt.Fprintf(t, "%s\t%s\t%d\t%.1f\t%.1f\t%.1f\t%.2f\t%s\n", m.Name, m.State, m.Incarnation, m.SinceS, m.HeardS, m.RTTMS, m.Phi, strings.Join(m.Suspectors, " "))
-		cut = cut || len(m.CutTo) > 0
+		fmt.Fprintf(t, "%s\t%s\t%d\t%.1f\t%.1f\t%.1f\t%.2f\t%s\n", m.Name, m.State, m.Incarnation, m.SinceS, m.HeardS, m.RTTMS, m.Phi,
+			strings.Join(m.Suspectors, " "))
 	}
-	if cut {
-		// Rows and columns of those that have a cut only: the others reach all.
-		fmt.Fprint(t, "\nfrom, to")
-		var some []peerView
-		for _, m := range v.Members {
-			if len(m.CutTo)+len(m.CutFrom) > 0 {
-				some = append(some, m)
-				fmt.Fprint(t, "\t", m.Name)
+	v.cutMatrix(t)
+	return t.Flush()
+}
+
+// cutMatrix prints a row and a column for each coordinator that does not reach another, or is not reached; the others reach all.
+func (v peersView) cutMatrix(t *tabwriter.Writer) {
+	if !slices.ContainsFunc(v.Members, func(m peerView) bool { return len(m.CutTo) > 0 }) {
+		return
+	}
+	fmt.Fprint(t, "\nfrom, to")
+	var affected []peerView
+	for _, m := range v.Members {
+		if len(m.CutTo)+len(m.CutFrom) > 0 {
+			affected = append(affected, m)
+			fmt.Fprint(t, "\t", m.Name)
+		}
+	}
+	fmt.Fprintln(t)
+	for _, from := range affected {
+		fmt.Fprint(t, from.Name)
+		for _, to := range affected {
+			mark := "."
+			if slices.Contains(from.CutTo, to.Name) {
+				mark = "x"
 			}
+			fmt.Fprint(t, "\t", mark)
 		}
 		fmt.Fprintln(t)
-		for _, from := range some {
-			fmt.Fprint(t, from.Name)
-			for _, to := range some {
-				mark := "."
-				if slices.Contains(from.CutTo, to.Name) {
-					mark = "x"
-				}
-				fmt.Fprint(t, "\t", mark)
-			}
-			fmt.Fprintln(t)
-		}
 	}
-	return t.Flush()
 }
 
 // forgotten is what comes of a forget.
@@ -366,16 +203,10 @@
 	Name string `arg:"" help:"The dead coordinator's name."`
 }
 
-// Run passes on the operator's word.
+// Run tells all coordinators that one is gone for good.
 func (p peersForgetCmd) Run() error {
-	path, err := p.path()
-	if err != nil {
-		return err
-	}
-	ctx, cancel := context.WithDeadline(context.Background(), time.Now().Add(5*time.Second))
-	defer cancel()
 	var f forgotten
-	if err := admin.Call(ctx, path, "peers forget", p.Name, &f); err != nil {
+	if err := p.call(viewTimeout, "peers forget", p.Name, &f); err != nil {
 		return err
 	}
 	fmt.Printf("%s is gone for good; the others hear of it within some periods\n", f.Name)
--- a/cmd/gullfall/store.go
+++ b/cmd/gullfall/store.go
@@ -5,7 +5,6 @@
 
 import (
 	"context"
-	"encoding/json"
 	"errors"
 	"fmt"
 	"io"
@@ -19,12 +18,12 @@
 	"gullfall/internal/admin"
 	"gullfall/internal/config"
 	"gullfall/internal/gossip"
-	"gullfall/internal/statemachine"
 	"gullfall/internal/store"
 	"gullfall/internal/swim"
 )
 
 // goneAfter is how long a member is dead, or has left, before it is proposed for removal: longer than a machine takes to start.
+// Nobody is removed without an operator's command.
 const goneAfter = 10 * time.Minute
 
 // storeView is what `gullfall store` shows.
@@ -45,14 +44,14 @@
 	Proposed string `json:"proposed,omitempty"` // for removal, and why
 }
 
-// viewOfStore joins the store's members with what is seen of them; talk may be nil.
-func viewOfStore(st store.Status, talk *gossip.Gossip) storeView {
+// viewOfStore joins the store's members with what is seen of them; peers may be nil.
+func viewOfStore(st store.Status, peers *gossip.Gossip) storeView {
 	v := storeView{Self: st.Name, Leader: st.Leader, Term: st.Term, Applied: st.Index, HeardS: st.Heard.Seconds()}
 	seen := map[string]swim.Member{}
 	var now time.Duration
-	if talk != nil {
-		talk.View(func(s *swim.Swim) {
-			now = talk.Since()
+	if peers != nil {
+		peers.View(func(s *swim.Swim) {
+			now = peers.Since()
 			for _, m := range s.Members() {
 				seen[m.Name] = m
 			}
@@ -60,7 +59,7 @@
 	}
 	for _, name := range slices.Sorted(maps.Keys(st.Peers)) {
 		m := storeMember{Name: name, Addr: st.Addrs[name], Vote: st.Peers[name] == "voter"}
-		if talk != nil {
+		if peers != nil {
 			m.Peer, m.Proposed = proposal(seen, name, now)
 		}
 		v.Members = append(v.Members, m)
@@ -82,87 +81,29 @@
 	return m.State.String(), ""
 }
 
-// storeCommands adds the commands of the store; kept is this coordinator's member.
-func storeCommands(commands map[string]admin.Command, kept *store.Store, talk *gossip.Gossip) {
-	commands["store"] = func(context.Context, json.RawMessage) (any, error) { return viewOfStore(kept.Status(), talk), nil }
-	for name, do := range map[string]func(context.Context, *store.Store, note) (note, error){"store put": takeNote, "store get": readNote} {
-		commands[name] = func(ctx context.Context, args json.RawMessage) (any, error) {
-			var n note
-			if err := json.Unmarshal(args, &n); err != nil {
-				return nil, err
-			}
-			ctx, cancel := context.WithDeadline(ctx, time.Now().Add(workTime))
-			defer cancel()
-			return do(ctx, kept, n)
-		}
-	}
-	commands["store change"] = func(ctx context.Context, args json.RawMessage) (any, error) {
-		var c store.MemberChange
-		if err := json.Unmarshal(args, &c); err != nil {
-			return nil, err
+// addStoreCommands adds the commands of this coordinator's member of the store. Peers may be nil.
+func addStoreCommands(commands map[string]admin.Command, member *store.Store, peers *gossip.Gossip) {
+	commands["store"] = view(func() (storeView, error) { return viewOfStore(member.Status(), peers), nil })
+	commands["store put"] = command(func(ctx context.Context, n note) (note, error) { return putNote(ctx, member, n) })
+	commands["store get"] = command(func(ctx context.Context, n note) (note, error) { return readNote(ctx, member, n) })
+	commands["store change"] = command(func(ctx context.Context, change store.MemberChange) (string, error) {
+		if change.What == store.Remove && isAlive(peers, change.Name) {
+			return "", fmt.Errorf("%s is there; end it first, then remove it", change.Name)
 		}
-		if talk != nil && c.What == store.Remove {
-			alive := false
-			talk.View(func(s *swim.Swim) {
-				state, known := s.Holds(c.Name)
-				alive = known && state < swim.Dead
-			})
-			if alive {
-				return nil, fmt.Errorf("%s is there; end it first, then remove it", c.Name)
-			}
-		}
-		ctx, cancel := context.WithDeadline(ctx, time.Now().Add(workTime))
-		defer cancel()
-		return c.What, kept.Change(ctx, c)
-	}
-}
-
-// noteKey begins the keys of operators' notes, which share the store with what is settled there.
-const noteKey = "notes/"
-
-// mostNote bounds a note, in bytes.
-const mostNote = 4096
-
-// note is a value under a key of the operators' own.
-type note struct {
-	Key, Value string
-	Revision   uint64  // 0: there is none
-	If         *uint64 // put only where this is the revision
-	Stale      bool    // read what is applied here
-	Conflict   string  // why it was not put
-}
-
-func takeNote(ctx context.Context, kept *store.Store, n note) (note, error) {
-	c := statemachine.Command{Put: []statemachine.Pair{{Key: noteKey + n.Key, Value: []byte(n.Value)}}}
-	if n.Key == "" || n.Value == "" || len(n.Value) > mostNote {
-		return n, fmt.Errorf("a note needs a key, and a value of 1 to %d bytes", mostNote)
-	}
-	if n.If != nil {
-		c.If = []statemachine.Condition{{Key: noteKey + n.Key, Revision: *n.If}}
-	}
-	r, err := kept.Do(ctx, c)
-	switch {
-	case err != nil:
-		return n, fmt.Errorf("the store did not answer in time, so it may or may not have been taken: %w", err)
-	case r.Failed == statemachine.Conflict:
-		n.Conflict = r.Why
-		return n, nil
-	}
-	n.Revision = r.Index
-	return n, r.Err()
+		return change.What, member.Change(ctx, change)
+	})
 }
 
-func readNote(ctx context.Context, kept *store.Store, n note) (note, error) {
-	if !n.Stale {
-		if err := kept.Sync(ctx); err != nil {
-			return n, fmt.Errorf("the store was not heard in time; --stale shows what is known here: %w", err)
-		}
+// isAlive tells whether a coordinator is seen to run; never where coordinators do not watch each other (peers is nil).
+func isAlive(peers *gossip.Gossip, name string) (alive bool) {
+	if peers == nil {
+		return false
 	}
-	kept.View(func(st *statemachine.State) {
-		e, _ := st.Get(noteKey + n.Key)
-		n.Value, n.Revision = string(e.Value), e.Revision
+	peers.View(func(s *swim.Swim) {
+		state, known := s.Holds(name)
+		alive = known && state < swim.Dead
 	})
-	return n, nil
+	return alive
 }
 
 type storeCmd struct {
@@ -208,14 +149,14 @@
 		return err
 	}
 	if c.JSON {
-		return json.NewEncoder(os.Stdout).Encode(v)
+		return printJSON(v)
 	}
 	return v.table(os.Stdout)
 }
 
 func (v storeView) table(w io.Writer) error {
-	fmt.Fprintf(w, "%s: %s leads in term %d; applied up to %d\n", v.Self, nobody(v.Leader), v.Term, v.Applied)
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
+	fmt.Fprintf(t, "%s: %s leads in term %d; applied up to %d\n", v.Self, nobody(v.Leader), v.Term, v.Applied)
 	fmt.Fprintln(t, "name\taddr\tvote\tamong the coordinators\tproposed for removal")
 	for _, m := range v.Members {
 		fmt.Fprintf(t, "%s\t%s\t%v\t%s\t%s\n", m.Name, m.Addr, m.Vote, m.Peer, m.Proposed)
@@ -263,33 +204,3 @@
 	}
 	return c.change(store.MemberChange{What: store.Remove, Name: c.Name}, c.Name+" is no member of the store any more")
 }
-
-type storeNoteCmd struct {
-	socketFlag
-	Key   string  `arg:"" help:"The note's key."`
-	Value string  `arg:"" optional:"" help:"Its value; without one it is read."`
-	If    *uint64 `help:"Put it only where this is the revision that was read; 0 for none yet."`
-	Stale bool    `help:"Read what is known here, without asking the store's leader."`
-	JSON  bool    `name:"json" help:"For machines."`
-}
-
-// Run reads or puts a note.
-func (c storeNoteCmd) Run() error {
-	command, n := "store get", note{Key: c.Key, Value: c.Value, If: c.If, Stale: c.Stale}
-	if c.Value != "" {
-		command = "store put"
-	}
-	if err := c.ask(command, n, &n); err != nil {
-		return err
-	}
-	switch {
-	case n.Conflict != "":
-		return errors.New(n.Conflict)
-	case c.JSON:
-		return json.NewEncoder(os.Stdout).Encode(n)
-	case n.Revision == 0:
-		return fmt.Errorf("there is no note %q", c.Key)
-	}
-	fmt.Printf("%d\t%s\n", n.Revision, n.Value)
-	return nil
-}
