--- a/cmd/gullfall-lab/dnssd.go
+++ b/cmd/gullfall-lab/dnssd.go
@@ -141,7 +141,7 @@
 		return err
 	}
 	time.Sleep(2 * time.Second) // the first list
-	if listed := f.Logged("data node listed"); listed < d.Nodes {
+	if listed := f.Listed(); listed < d.Nodes {
 		return fmt.Errorf("only %d of %d data nodes are listed after 2 s\n%s", listed, d.Nodes, f.Log(2000))
 	}
 	l := &load.Load{Addr: f.Front, Owner: "club", Rate: d.Rate, Shards: 32, Classes: fleet.Classes, Open: 300, Ledger: f.Ledger, Seed: d.Seed}
--- a/internal/lab/fleet/coordinator.go
+++ b/internal/lab/fleet/coordinator.go
@@ -16,6 +16,9 @@
 	"time"
 )
 
+// logFile is where the program's log goes, in its folder.
+const logFile = "gullfall.log"
+
 // Coordinator is one running bin/gullfall.
 type Coordinator struct {
 	Front string // where it listens
@@ -42,7 +45,7 @@
 			return c, err
 		}
 	}
-	log, err := os.Create(filepath.Join(c.dir, "gullfall.log"))
+	log, err := os.Create(filepath.Join(c.dir, logFile))
 	if err != nil {
 		return c, err
 	}
@@ -80,7 +83,7 @@
 
 // Log is the end of what the program has logged.
 func (c *Coordinator) Log(bytes int) string {
-	raw, _ := os.ReadFile(filepath.Join(c.dir, "gullfall.log"))
+	raw, _ := os.ReadFile(filepath.Join(c.dir, logFile))
 	return string(raw[max(0, len(raw)-bytes):])
 }
 
@@ -89,7 +92,7 @@
 
 // Lines are the lines of the log that hold a text.
 func (c *Coordinator) Lines(text string) (lines []string) {
-	raw, _ := os.ReadFile(filepath.Join(c.dir, "gullfall.log"))
+	raw, _ := os.ReadFile(filepath.Join(c.dir, logFile))
 	for line := range strings.Lines(string(raw)) {
 		if strings.Contains(line, text) {
 			lines = append(lines, line)
--- a/internal/lab/fleet/fleet.go
+++ b/internal/lab/fleet/fleet.go
@@ -199,6 +199,9 @@
 // Logged counts the lines of the log that hold a text.
 func (f *Fleet) Logged(text string) int { return f.coord.Logged(text) }
 
+// Listed is how many data nodes the program has logged as listed.
+func (f *Fleet) Listed() int { return f.coord.Listed() }
+
 // CPU is the processor time that the program has used.
 func (f *Fleet) CPU() time.Duration {
 	raw, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", f.coord.Pid()))
