--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -1,36 +1,35 @@
-// Package admission decides who comes in at a door, what those who are in may hold, and who is cut when memory is
-// short. It does no I/O, reads no clock, starts no goroutine and logs nothing: time comes in with each call, and the
+// Package admission decides which calls and queries a front admits, how many bytes of answers they may hold, and which slow
+// reader is evicted when memory is short. It does no I/O, reads no clock, starts no goroutine and logs nothing: time comes in with each call, and the
 // same calls in the same order give the same results.
 //
 // # The table
 //
-// Each pass counts in four scopes: its connection, its owner, its network, and all. What is asked is checked in this
-// order, and the first that says no gives the refusal its scope and its time to come back:
+// Each pass counts in four scopes: its connection, its owner, its network, and all. A request is checked in this order, and the
+// first scope whose limit is reached gives the rejection its scope and its Retry-After:
 //
-//	scope       streams   queries   queries a second   bytes held
+//	scope       streams   queries   queries a second   bytes
 //	connection  yes       yes       yes                yes
 //	owner       yes       yes       yes                yes
 //	network     yes       yes       yes                yes
 //	all         yes       yes       yes                yes
 //
-// A figure of 0 sets no limit. A refused one counts nowhere: what it had been counted in is given back at once.
+// A figure of 0 sets no limit. A rejected request counts nowhere.
 //
-// # When to come back
+// # Retry-After
 //
 // Over a rate: when the bucket has the token that was wanted (a token bucket: Rate a second, Burst at once). Over a
-// number: the expected time until as many have left as must, by how often one has left that scope of late (a mean
-// that decays). Both within Config.LeastRetry and MostRetry. Somebody who was told a time comes back to a door that
-// is, on average, open.
+// number: the expected time until as many passes as must were released, by how often one of that scope was released of late (an
+// exponentially weighted mean). Both within Config.MinRetryAfter and MaxRetryAfter, so that a client that waits as told is, on
+// average, admitted.
 //
 // # When memory is short
 //
-// What answers hold is counted where it is held. A newcomer that finds no room makes room in this order: readers that
-// have made no progress for Grace or longer, the longest first; of equals the one that holds more. Nobody is cut for
-// a newcomer that would still find no room, and nobody that makes progress is ever cut. A reader without progress for
-// Stall is cut in any case.
+// A newcomer for which there is no memory evicts readers that have made no progress for SlowReaderGrace, the longest first; of
+// equals the one that holds more. Nobody is evicted for a newcomer that would still not be admitted, and nobody that makes
+// progress is ever evicted. A reader without progress for StallTimeout is evicted in any case.
 //
 // Memory is bounded: a scope without passes is kept only while its bucket is not full again or its mean is young, and of
-// those MaxIdle at most.
+// those MaxIdleScopes at most.
 package admission
 
 import (
@@ -47,27 +46,27 @@
 	Bytes   int64   // held by answers that are being read
 }
 
-// Config holds the figures of a Door. The zero value of a duration or of MaxIdle stands for its default.
+// Config holds the limits of a Controller. The zero value of a duration or of MaxIdleScopes stands for its default.
 type Config struct {
 	Connection, Owner, Network, All Limits
 
-	LeastRetry, MostRetry time.Duration // 50 ms and 5 s
-	Grace                 time.Duration // a reader without progress for as long may be cut for another; 1 s
-	Stall                 time.Duration // and for as long is cut in any case; 20 s
-	MaxIdle               int           // scopes kept without a pass; 4096
+	MinRetryAfter, MaxRetryAfter time.Duration // 50 ms and 5 s
+	SlowReaderGrace              time.Duration // a reader without progress for as long may be cut for another; 1 s
+	StallTimeout                 time.Duration // and for as long is cut in any case; 20 s
+	MaxIdleScopes                int           // scopes kept without a pass; 4096
 }
 
 func (c Config) withDefaults() Config {
 	for _, d := range []struct {
 		to *time.Duration
 		by time.Duration
-	}{{&c.LeastRetry, 50 * time.Millisecond}, {&c.MostRetry, 5 * time.Second}, {&c.Grace, time.Second}, {&c.Stall, 20 * time.Second}} {
+	}{{&c.MinRetryAfter, 50 * time.Millisecond}, {&c.MaxRetryAfter, 5 * time.Second}, {&c.SlowReaderGrace, time.Second}, {&c.StallTimeout, 20 * time.Second}} {
 		if *d.to <= 0 {
 			*d.to = d.by
 		}
 	}
-	if c.MaxIdle <= 0 {
-		c.MaxIdle = 4096
+	if c.MaxIdleScopes <= 0 {
+		c.MaxIdleScopes = 4096
 	}
 	for _, l := range []*Limits{&c.Connection, &c.Owner, &c.Network, &c.All} {
 		if l.Rate > 0 && l.Burst < 1 {
@@ -87,11 +86,11 @@
 			return fmt.Errorf("%s: a figure is negative or not finite", s.name)
 		}
 	}
-	if c = c.withDefaults(); c.LeastRetry > c.MostRetry {
-		return fmt.Errorf("the least time to come back, %v, is above the most, %v", c.LeastRetry, c.MostRetry)
+	if c = c.withDefaults(); c.MinRetryAfter > c.MaxRetryAfter {
+		return fmt.Errorf("the least time to come back, %v, is above the most, %v", c.MinRetryAfter, c.MaxRetryAfter)
 	}
-	if c.Grace > c.Stall {
-		return fmt.Errorf("grace, %v, is above stall, %v", c.Grace, c.Stall)
+	if c.SlowReaderGrace > c.StallTimeout {
+		return fmt.Errorf("grace, %v, is above stall, %v", c.SlowReaderGrace, c.StallTimeout)
 	}
 	return nil
 }
@@ -105,8 +104,8 @@
 	Query              // a query within one
 )
 
-// Who asks.
-type Who struct {
+// Client is who asks.
+type Client struct {
 	Connection uint64
 	Owner      string // empty where nobody is known
 	Network    string // as the address sets name it; empty for none
@@ -139,20 +138,20 @@
 
 func (m Measure) String() string { return [...]string{"streams", "queries", "rate", "bytes"}[m] }
 
-// Refusal says what was too much, where, and when to come back.
-type Refusal struct {
-	Scope   Scope
-	Measure Measure
-	Limit   float64
-	After   time.Duration
+// Rejection says which limit was reached, in which scope, and when to try again.
+type Rejection struct {
+	Scope      Scope
+	Measure    Measure
+	Limit      float64
+	RetryAfter time.Duration
 }
 
-// Error is the refusal in words that a client can act on.
-func (r *Refusal) Error() string {
+// Error is the rejection in words that a client can act on.
+func (r *Rejection) Error() string {
 	where := "this " + r.Scope.String()
 	if r.Scope == All {
 		where = "all clients together"
 	}
 	what := map[Measure]string{Streams: "open streams", Queries: "open queries", Rate: "queries a second", Bytes: "bytes of unread answers"}[r.Measure]
-	return fmt.Sprintf("the limit of %g %s for %s is reached; come back in %v", r.Limit, what, where, r.After.Round(time.Millisecond))
+	return fmt.Sprintf("the limit of %g %s for %s is reached; come back in %v", r.Limit, what, where, r.RetryAfter.Round(time.Millisecond))
 }
--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -47,12 +47,12 @@
 			d := door(t, c.cfg)
 			var got []string
 			for i, conn := range []uint64{1, 1, 2, 2, 3} {
-				_, r := d.Admit(at(0), Who{conn, []string{"a", "a", "a", "b", "b"}[i], "n"}, c.kind)
+				_, r := d.Admit(at(0), Client{conn, []string{"a", "a", "a", "b", "b"}[i], "n"}, c.kind)
 				if r == nil {
 					got = append(got, "-")
 				} else {
 					got = append(got, r.Scope.String())
-					if r.After < 50*time.Millisecond || r.After > 5*time.Second || !strings.Contains(r.Error(), "come back in") {
+					if r.RetryAfter < 50*time.Millisecond || r.RetryAfter > 5*time.Second || !strings.Contains(r.Error(), "come back in") {
 						t.Errorf("refusal %+v: %v", r, r)
 					}
 				}
@@ -69,30 +69,30 @@
 	d := door(t, Config{Owner: Limits{Rate: 4, Burst: 1}})
 	now := at(0)
 	for range 20 {
-		p, r := d.Admit(now, Who{1, "a", ""}, Query)
+		p, r := d.Admit(now, Client{1, "a", ""}, Query)
 		if r != nil {
 			t.Fatalf("at %v: %v", now.Sub(epoch), r)
 		}
 		d.Release(now, p)
-		if _, r = d.Admit(now, Who{1, "a", ""}, Query); r == nil || r.Measure != Rate {
+		if _, r = d.Admit(now, Client{1, "a", ""}, Query); r == nil || r.Measure != Rate {
 			t.Fatalf("the second at once: %v", r)
 		}
-		now = now.Add(r.After)
+		now = now.Add(r.RetryAfter)
 	}
 	// One place, given back every 0.3 s: told about that, and no sooner than it has been of late.
 	d = door(t, Config{All: Limits{Streams: 1}})
 	now = at(0)
-	p, _ := d.Admit(now, Who{Connection: 1}, Stream)
+	p, _ := d.Admit(now, Client{Connection: 1}, Stream)
 	for range 40 {
 		now = now.Add(300 * time.Millisecond)
 		d.Release(now, p)
-		p, _ = d.Admit(now, Who{Connection: 1}, Stream)
+		p, _ = d.Admit(now, Client{Connection: 1}, Stream)
 	}
-	if _, r := d.Admit(now, Who{Connection: 2}, Stream); r == nil || math.Abs(r.After.Seconds()-0.3) > 0.02 {
-		t.Errorf("told %v, places come every 300ms", r.After)
+	if _, r := d.Admit(now, Client{Connection: 2}, Stream); r == nil || math.Abs(r.RetryAfter.Seconds()-0.3) > 0.02 {
+		t.Errorf("told %v, places come every 300ms", r.RetryAfter)
 	}
-	if _, r := d.Admit(now.Add(2*time.Second), Who{Connection: 2}, Stream); r == nil || r.After < 2*time.Second {
-		t.Errorf("told %v though none has come for 2 s", r.After)
+	if _, r := d.Admit(now.Add(2*time.Second), Client{Connection: 2}, Stream); r == nil || r.RetryAfter < 2*time.Second {
+		t.Errorf("told %v though none has come for 2 s", r.RetryAfter)
 	}
 }
 
@@ -114,7 +114,7 @@
 			d := door(t, Config{All: Limits{Bytes: 100}})
 			names := map[*Pass]string{}
 			for i, name := range []string{"a", "b", "c"} {
-				p, _ := d.Admit(at(float64(i)), Who{Connection: uint64(i)}, Stream)
+				p, _ := d.Admit(at(float64(i)), Client{Connection: uint64(i)}, Stream)
 				if _, r := d.Hold(at(float64(i)), p, 30); r != nil {
 					t.Fatal(r)
 				}
@@ -123,12 +123,12 @@
 					d.Read(at(9.9), p, 1) // it reads
 				}
 			}
-			p, _ := d.Admit(at(10), Who{Connection: 9}, Stream)
+			p, _ := d.Admit(at(10), Client{Connection: 9}, Stream)
 			cut, r := d.Hold(at(10), p, c.need)
 			var got []string
 			for _, v := range cut {
 				got = append(got, names[v])
-				if v.Held() != 0 {
+				if v.Bytes() != 0 {
 					t.Error("one that was cut still holds")
 				}
 			}
@@ -146,8 +146,8 @@
 			}
 		})
 	}
-	d := door(t, Config{Stall: 5 * time.Second, Owner: Limits{Bytes: 50}})
-	p, _ := d.Admit(at(0), Who{1, "a", ""}, Stream)
+	d := door(t, Config{StallTimeout: 5 * time.Second, Owner: Limits{Bytes: 50}})
+	p, _ := d.Admit(at(0), Client{1, "a", ""}, Stream)
 	d.Hold(at(0), p, 50)
 	if _, r := d.Hold(at(1), p, 1); r == nil || r.Scope != Owner || r.Measure != Bytes {
 		t.Errorf("over the owner's bytes: %v", r)
@@ -171,9 +171,9 @@
 
 // TestReserve: room for an answer that has not come is kept, and nobody is cut for not reading it.
 func TestReserve(t *testing.T) {
-	d := door(t, Config{All: Limits{Bytes: 100}, Stall: 5 * time.Second})
-	a, _ := d.Admit(at(0), Who{Connection: 1}, Stream)
-	b, _ := d.Admit(at(0), Who{Connection: 2}, Stream)
+	d := door(t, Config{All: Limits{Bytes: 100}, StallTimeout: 5 * time.Second})
+	a, _ := d.Admit(at(0), Client{Connection: 1}, Stream)
+	b, _ := d.Admit(at(0), Client{Connection: 2}, Stream)
 	if _, r := d.Reserve(at(0), a, 80); r != nil {
 		t.Fatal(r)
 	}
@@ -187,8 +187,8 @@
 	if cut, r := d.Hold(at(12), b, 30); r != nil || len(cut) != 1 {
 		t.Errorf("one that does not read stays: %v, %v", cut, r)
 	}
-	var s Sizes
-	if got := s.Expect("x", 2); got != 2*Unknown {
+	var s SizeEstimator
+	if got := s.Expect("x", 2); got != 2*DefaultPartBytes {
 		t.Errorf("unknown: %d", got)
 	}
 	s.Learn("x", 2, 2000)
@@ -209,10 +209,10 @@
 
 // TestBounds: however many ask, what is kept of them is bounded, and those who are in are never forgotten.
 func TestBounds(t *testing.T) {
-	d := door(t, Config{Owner: Limits{Rate: 1, Burst: 1}, MaxIdle: 100})
-	kept, _ := d.Admit(at(0), Who{0, "kept", "n"}, Query)
+	d := door(t, Config{Owner: Limits{Rate: 1, Burst: 1}, MaxIdleScopes: 100})
+	kept, _ := d.Admit(at(0), Client{0, "kept", "n"}, Query)
 	for i := range 10_000 {
-		p, r := d.Admit(at(float64(i)/1000), Who{uint64(i + 1), fmt.Sprint("o", i), "n"}, Query)
+		p, r := d.Admit(at(float64(i)/1000), Client{uint64(i + 1), fmt.Sprint("o", i), "n"}, Query)
 		if r != nil {
 			t.Fatal(r)
 		}
@@ -232,25 +232,25 @@
 	d := door(t, Config{})
 	var in []*Pass
 	for i := range 5 {
-		p, _ := d.Admit(at(0), Who{uint64(i), "a", ""}, Stream)
+		p, _ := d.Admit(at(0), Client{uint64(i), "a", ""}, Stream)
 		in = append(in, p)
 	}
-	if err := d.Change(Config{Owner: Limits{Streams: 3}}); err != nil {
+	if err := d.SetLimits(Config{Owner: Limits{Streams: 3}}); err != nil {
 		t.Fatal(err)
 	}
-	if _, r := d.Admit(at(1), Who{9, "a", ""}, Stream); r == nil {
+	if _, r := d.Admit(at(1), Client{9, "a", ""}, Stream); r == nil {
 		t.Error("a sixth came in where three may")
 	}
 	for _, p := range in[:3] {
 		d.Release(at(2), p)
 	}
-	if _, r := d.Admit(at(3), Who{9, "a", ""}, Stream); r != nil {
+	if _, r := d.Admit(at(3), Client{9, "a", ""}, Stream); r != nil {
 		t.Error(r)
 	}
-	if err := d.Change(Config{Owner: Limits{Streams: -1}}); err == nil {
+	if err := d.SetLimits(Config{Owner: Limits{Streams: -1}}); err == nil {
 		t.Error("a negative figure was taken")
 	}
-	if _, err := New(Config{Grace: time.Minute}); err == nil {
+	if _, err := New(Config{SlowReaderGrace: time.Minute}); err == nil {
 		t.Error("a grace above the stall was taken")
 	}
 }
@@ -262,26 +262,26 @@
 			return Limits{Streams: rapid.IntRange(0, 4).Draw(t, name+" streams"), Queries: rapid.IntRange(0, 4).Draw(t, name+" queries"),
 				Bytes: int64(rapid.IntRange(0, 60).Draw(t, name+" bytes"))}
 		}
-		cfg := Config{Connection: limit("connection"), Owner: limit("owner"), Network: limit("network"), All: limit("all"), Stall: 9 * time.Second}
+		cfg := Config{Connection: limit("connection"), Owner: limit("owner"), Network: limit("network"), All: limit("all"), StallTimeout: 9 * time.Second}
 		d, err := New(cfg)
 		if err != nil {
 			t.Fatal(err)
 		}
 		type in struct {
 			p     *Pass
-			who   Who
+			who   Client
 			kind  Kind
 			held  int64
 			moved time.Time
 		}
 		var open []*in
 		now := at(0)
-		same := func(a, b Who, s Scope) bool {
+		same := func(a, b Client, s Scope) bool {
 			return s == All || s == Connection && a.Connection == b.Connection || s == Owner && a.Owner == b.Owner || s == Network && a.Network == b.Network
 		}
-		has := func(w Who, s Scope) bool { return s != Owner || w.Owner != "" }
+		has := func(w Client, s Scope) bool { return s != Owner || w.Owner != "" }
 		limits := []Limits{cfg.Connection, cfg.Owner, cfg.Network, cfg.All}
-		sum := func(w Who, s Scope) (streams, queries int, bytes int64) {
+		sum := func(w Client, s Scope) (streams, queries int, bytes int64) {
 			for _, o := range open {
 				if same(o.who, w, s) {
 					if bytes += o.held; o.kind == Stream {
@@ -297,7 +297,7 @@
 			now = now.Add(time.Duration(rapid.IntRange(0, 1500).Draw(t, "ms")) * time.Millisecond)
 			switch what := rapid.SampledFrom([]string{"enter", "enter", "hold", "hold", "read", "leave", "tick"}).Draw(t, "what"); {
 			case what == "enter":
-				w := Who{uint64(rapid.IntRange(0, 2).Draw(t, "connection")), rapid.SampledFrom([]string{"", "a", "b"}).Draw(t, "owner"), rapid.SampledFrom([]string{"m", "n"}).Draw(t, "network")}
+				w := Client{uint64(rapid.IntRange(0, 2).Draw(t, "connection")), rapid.SampledFrom([]string{"", "a", "b"}).Draw(t, "owner"), rapid.SampledFrom([]string{"m", "n"}).Draw(t, "network")}
 				k := Kind(rapid.IntRange(0, 1).Draw(t, "kind"))
 				want := -1
 				for s := Connection; s < scopes && want < 0; s++ {
@@ -336,12 +336,12 @@
 					d.Release(now, o.p)
 					open = append(open[:i], open[i+1:]...)
 				case "read":
-					if !o.p.cut {
+					if !o.p.evicted {
 						o.held, o.moved = max(0, o.held-bytes), now
 						d.Read(now, o.p, bytes)
 					}
 				case "hold":
-					if o.p.cut {
+					if o.p.evicted {
 						break
 					}
 					before := o.held
@@ -368,8 +368,8 @@
 				}
 			}
 			for _, o := range open {
-				if o.p.Held() != o.held {
-					t.Fatalf("a pass holds %d, want %d", o.p.Held(), o.held)
+				if o.p.Bytes() != o.held {
+					t.Fatalf("a pass holds %d, want %d", o.p.Bytes(), o.held)
 				}
 				for s := Connection; s < scopes; s++ {
 					if _, _, bytes := sum(o.who, s); has(o.who, s) && limits[s].Bytes > 0 && bytes > limits[s].Bytes {
@@ -378,7 +378,7 @@
 				}
 			}
 			for _, u := range d.Usage() {
-				streams, queries, bytes := sum(Who{Owner: u.ID, Network: u.ID}, u.Scope)
+				streams, queries, bytes := sum(Client{Owner: u.ID, Network: u.ID}, u.Scope)
 				if u.Streams != streams || u.Queries != queries || u.Bytes != bytes {
 					t.Fatalf("usage %+v, want %d %d %d", u, streams, queries, bytes)
 				}
@@ -393,13 +393,13 @@
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			d := door(b, Config{Owner: Limits{Rate: 1e6, Queries: 1e6}, All: Limits{Bytes: 1 << 40}})
 			for i := range n {
-				d.Admit(at(0), Who{uint64(i), fmt.Sprint("o", i%1000), "n"}, Query)
+				d.Admit(at(0), Client{uint64(i), fmt.Sprint("o", i%1000), "n"}, Query)
 			}
 			b.ReportAllocs()
 			now := at(1)
 			for i := 0; b.Loop(); i++ {
 				now = now.Add(time.Microsecond)
-				p, r := d.Admit(now, Who{uint64(i % 7), "x", "n"}, Query)
+				p, r := d.Admit(now, Client{uint64(i % 7), "x", "n"}, Query)
 				if r != nil {
 					b.Fatal(r)
 				}
--- a/internal/config/flight.go
+++ b/internal/config/flight.go
@@ -125,7 +125,7 @@
 		return admission.Limits{Streams: l.Streams, Queries: l.Queries, Rate: l.Rate, Burst: l.Burst, Bytes: l.Bytes}
 	}
 	return admission.Config{Connection: set(f.Limits.Connection), Owner: set(f.Limits.Owner), Network: set(f.Limits.Network),
-		All: set(f.Limits.All), Grace: time.Duration(f.Limits.Grace), Stall: time.Duration(f.Limits.Stall)}
+		All: set(f.Limits.All), SlowReaderGrace: time.Duration(f.Limits.Grace), StallTimeout: time.Duration(f.Limits.Stall)}
 }
 
 // People says who may ask; the file has been checked.
--- a/internal/flight/actions.go
+++ b/internal/flight/actions.go
@@ -261,7 +261,7 @@
 	}
 	for name, err := range faults {
 		known := slices.ContainsFunc(sessionChoices, func(o session.Option) bool { return o.Name == name })
-		if errors.Is(err, session.ErrOption) && !known {
+		if errors.Is(err, session.ErrInvalidOption) && !known {
 			fault(name, gen.SetSessionOptionsResult_INVALID_NAME)
 		} else {
 			fault(name, gen.SetSessionOptionsResult_INVALID_VALUE)
--- a/internal/flight/calls.go
+++ b/internal/flight/calls.go
@@ -111,7 +111,7 @@
 // stateStatus is the status of an error of internal/session.
 func stateStatus(err error) error {
 	switch {
-	case errors.Is(err, session.ErrNotYours):
+	case errors.Is(err, session.ErrOtherOwner):
 		return status.Error(codes.PermissionDenied, err.Error())
 	case errors.Is(err, session.ErrCancelled):
 		return status.Error(codes.Canceled, err.Error())
@@ -251,10 +251,14 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	dropped, ok := s.flights.Finish(time.Now(), id, err == nil, size(k.answer.Values))
-	s.forget(dropped)
-	if err == nil && !ok {
-		err = unavailable("answers that are kept hold all they may; fetch those, or ask for less", drainAgain)
+	if err != nil {
+		s.flights.Fail(time.Now(), id)
+	} else {
+		evicted, ok := s.flights.Complete(time.Now(), id, size(k.answer.Values))
+		s.forget(evicted)
+		if !ok {
+			err = unavailable("answers that are kept hold all they may; fetch those, or ask for less", drainAgain)
+		}
 	}
 	if k.err = err; err != nil {
 		k.answer = coordinator.Answer{}
@@ -386,7 +390,11 @@
 			// What is kept is counted with the flights; room is asked for what is sent of it.
 			err := s.send(&room{s: s, g: g, class: k.query.Class}, stream, s.class(k.query.Class), share{whole: whole, hits: hits, missing: missing(parts, hits)}, o)
 			s.mu.Lock()
-			s.flights.Sent(time.Now(), t.Flight, t.Range, err == nil)
+			if err == nil {
+				s.flights.Sent(time.Now(), t.Flight, t.Range)
+			} else {
+				s.flights.Interrupted(time.Now(), t.Flight, t.Range)
+			}
 			s.mu.Unlock()
 			return err
 		}
--- a/internal/flight/server.go
+++ b/internal/flight/server.go
@@ -90,7 +90,7 @@
 	kept     map[string]*kept
 	sessions *session.Sessions
 	presses  []*press
-	sizes    admission.Sizes
+	sizes    admission.SizeEstimator
 }
 
 // NewServer returns a server in front of the core with nothing but a bound on what answers that are being read hold.
@@ -113,8 +113,8 @@
 		return nil, fmt.Errorf("flight.limits: %w", err)
 	}
 	s := &Server{Options: o, door: door, drain: make(chan struct{}), cuts: map[*admission.Pass]context.CancelCauseFunc{},
-		flights: session.NewFlights(session.FlightConfig{Bytes: o.Memory / 2}), kept: map[string]*kept{},
-		sessions: session.NewSessions(session.SessionConfig{Options: sessionChoices})}
+		flights: session.NewFlights(session.FlightConfig{MaxBytes: o.Memory / 2}), kept: map[string]*kept{},
+		sessions: session.NewSessions(session.Config{Options: sessionChoices})}
 	s.keys.set(o.Keys)
 	s.people.Store(&o.People)
 	s.grpc = grpc.NewServer(grpc.MaxRecvMsgSize(queryjson.MaxBytes), grpc.MaxConcurrentStreams(256),
@@ -130,7 +130,7 @@
 func (s *Server) Reload(people People, keys []Key, door admission.Config) error {
 	door.All.Bytes = s.Memory
 	s.mu.Lock()
-	err := s.door.Change(door)
+	err := s.door.SetLimits(door)
 	s.mu.Unlock()
 	if err != nil {
 		return fmt.Errorf("flight.limits: %w", err)
@@ -217,7 +217,7 @@
 
 // guest is who asks, as a call's context has it.
 type guest struct {
-	who   admission.Who
+	who   admission.Client
 	named bool // the owner is known by credentials; else the ticket names it
 	pass  *admission.Pass
 }
@@ -262,7 +262,7 @@
 	pass, refusal := s.door.Admit(time.Now(), g.who, admission.Stream)
 	if refusal != nil {
 		s.mu.Unlock()
-		return ctx, nil, unavailable(refusal.Error(), refusal.After)
+		return ctx, nil, unavailable(refusal.Error(), refusal.RetryAfter)
 	}
 	g.pass = pass
 	ctx, end := context.WithCancelCause(context.WithValue(ctx, guestKey{}, g))
@@ -349,7 +349,7 @@
 	defer s.mu.Unlock()
 	pass, refusal := s.door.Admit(time.Now(), who, admission.Query)
 	if refusal != nil {
-		return nil, unavailable(refusal.Error(), refusal.After)
+		return nil, unavailable(refusal.Error(), refusal.RetryAfter)
 	}
 	return func() {
 		s.mu.Lock()
@@ -378,7 +378,7 @@
 }
 
 // held ends the streams that were cut for another, and turns a refusal into an error. The caller holds the lock.
-func (s *Server) held(cut []*admission.Pass, refusal *admission.Refusal, bytes int64) error {
+func (s *Server) held(cut []*admission.Pass, refusal *admission.Rejection, bytes int64) error {
 	for _, p := range cut {
 		s.cut(p, errShort)
 	}
@@ -386,7 +386,7 @@
 		return nil
 	}
 	s.Log.Warn("answers that are being read hold all they may; refused", "bytes", bytes, "cause", refusal)
-	return unavailable(refusal.Error(), refusal.After)
+	return unavailable(refusal.Error(), refusal.RetryAfter)
 }
 
 // drop gives the room back: no answer came.
--- a/internal/flight/suite_test.go
+++ b/internal/flight/suite_test.go
@@ -241,7 +241,7 @@
 // TestSlowReaders: two hundred that read nothing are held within the memory that there is, and are cut for one that
 // reads; each that was refused or cut is told when to come back.
 func TestSlowReaders(t *testing.T) {
-	s := start(t, flight.Options{Memory: 8 << 20, Admission: admission.Config{Grace: 200 * time.Millisecond, Stall: 2 * time.Second}}, 0,
+	s := start(t, flight.Options{Memory: 8 << 20, Admission: admission.Config{SlowReaderGrace: 200 * time.Millisecond, StallTimeout: 2 * time.Second}}, 0,
 		answers(t, func(int) []byte { return make([]byte, 200<<10) }))
 	var mu sync.Mutex
 	var wg sync.WaitGroup
--- a/internal/session/flights.go
+++ b/internal/session/flights.go
@@ -6,19 +6,20 @@
 // # The life of a flight
 //
 //	state    comes by                          ends by
-//	planned  Open                              Claim or Start: running; Unclaimed over: dropped
-//	running  the first Claim, or Start         Finish: ready or failed; Cancel: cancelled
-//	ready    Finish with an answer             Keep over, or all ranges fetched and Linger over: dropped
-//	failed   Finish without one                Keep over: dropped
-//	cancelled Cancel                           Keep over: dropped
+//	planned  Open                              Claim: running; UnclaimedTTL over: removed
+//	running  the first Claim                   Complete: ready; Fail: failed; Cancel: cancelled
+//	ready    Complete                          TTL over, or all ranges fetched and FetchedTTL over: removed
+//	failed   Fail, or Complete without room    TTL over: removed
+//	cancelled Cancel                           TTL over: removed
 //
 // A flight is asked once, whoever claims whichever of its ranges, and however often: its final answer is one. A range
-// may be fetched again for as long as the flight is kept. Renew moves Keep's end, to MostKeep after Finish at the latest.
+// may be fetched again for as long as the flight is kept. Renew moves the end of TTL, to MaxTTL after the query's end at the
+// latest.
 //
-// # What goes when there is too much
+// # Eviction
 //
-// Ready flights whose ranges were all fetched, the longest first; then planned ones, the oldest first. One that is
-// running, or whose answer was not fetched yet, is never dropped for another: the newcomer is refused.
+// Where there are too many, flights that are over go first, the oldest first, then planned ones. One that is running, or whose
+// answer was not fetched yet, is never evicted for another: the newcomer is rejected.
 package session
 
 import (
@@ -31,40 +32,40 @@
 
 // The errors of flights. They are wrapped with what was asked for.
 var (
-	ErrUnknown   = errors.New("not known, or no longer kept")
-	ErrNotYours  = errors.New("belongs to another owner")
-	ErrCancelled = errors.New("was cancelled")
-	ErrFull      = errors.New("too many are kept")
+	ErrUnknown    = errors.New("not known, or no longer kept")
+	ErrOtherOwner = errors.New("belongs to another owner")
+	ErrCancelled  = errors.New("was cancelled")
+	ErrFull       = errors.New("too many are kept")
 )
 
-// FlightConfig holds the figures of Flights. The zero value of a field stands for its default.
+// FlightConfig bounds what Flights keeps. The zero value of a field stands for its default.
 type FlightConfig struct {
-	Most      int           // kept in all; 1024
-	PerOwner  int           // of one owner; 128
-	Bytes     int64         // of answers in all; 16 MiB
-	Unclaimed time.Duration // 30 s
-	Keep      time.Duration // 30 s
-	MostKeep  time.Duration // 5 min
-	Linger    time.Duration // 2 s
+	MaxFlights   int           // flights kept in all; 1024
+	MaxPerOwner  int           // flights kept of one owner; 128
+	MaxBytes     int64         // of all answers that are kept; 16 MiB
+	UnclaimedTTL time.Duration // how long a planned flight waits for its first Claim; 30 s
+	TTL          time.Duration // how long one that is over is kept; 30 s
+	MaxTTL       time.Duration // how long it can be kept by Renew; 5 min
+	FetchedTTL   time.Duration // how long one is kept whose ranges were all fetched; 2 s
 }
 
 func (c FlightConfig) withDefaults() FlightConfig {
 	for _, v := range []struct {
 		to *time.Duration
 		by time.Duration
-	}{{&c.Unclaimed, 30 * time.Second}, {&c.Keep, 30 * time.Second}, {&c.MostKeep, 5 * time.Minute}, {&c.Linger, 2 * time.Second}} {
+	}{{&c.UnclaimedTTL, 30 * time.Second}, {&c.TTL, 30 * time.Second}, {&c.MaxTTL, 5 * time.Minute}, {&c.FetchedTTL, 2 * time.Second}} {
 		if *v.to <= 0 {
 			*v.to = v.by
 		}
 	}
-	if c.Most <= 0 {
-		c.Most = 1024
+	if c.MaxFlights <= 0 {
+		c.MaxFlights = 1024
 	}
-	if c.PerOwner <= 0 {
-		c.PerOwner = 128
+	if c.MaxPerOwner <= 0 {
+		c.MaxPerOwner = 128
 	}
-	if c.Bytes <= 0 {
-		c.Bytes = 16 << 20
+	if c.MaxBytes <= 0 {
+		c.MaxBytes = 16 << 20
 	}
 	return c
 }
@@ -91,102 +92,114 @@
 	ranges    int
 	phase     Phase
 	fetched   []bool
-	reading   int // ranges that are being sent just now
+	readers   int // ranges that are being sent just now
 	bytes     int64
 	opened    time.Time
 	deadline  time.Time // of the query
 	finished  time.Time
-	end       time.Time // when it is dropped, unless something is being sent
+	expires   time.Time // when it is dropped, unless something is being sent
 }
 
 // Flights are those that are kept. They are not safe for use by several goroutines.
 type Flights struct {
-	cfg   FlightConfig
-	all   map[string]*flight
-	owner map[string]int
-	bytes int64
+	cfg      FlightConfig
+	flights  map[string]*flight
+	perOwner map[string]int
+	bytes    int64
 }
 
 // NewFlights returns an empty account.
 func NewFlights(cfg FlightConfig) *Flights {
-	return &Flights{cfg: cfg.withDefaults(), all: map[string]*flight{}, owner: map[string]int{}}
+	return &Flights{cfg: cfg.withDefaults(), flights: map[string]*flight{}, perOwner: map[string]int{}}
 }
 
-// Open plans a flight of so many ranges; its query ends at the deadline. What is dropped to make room is returned.
-func (f *Flights) Open(now time.Time, id, owner string, ranges int, deadline time.Time) (dropped []string, err error) {
+// Open plans a flight of so many ranges; its query ends at the deadline. Flights that were evicted to make room are returned. The
+// error wraps ErrFull where there is no room.
+func (f *Flights) Open(now time.Time, id, owner string, ranges int, deadline time.Time) (evicted []string, err error) {
 	if ranges < 1 {
 		return nil, fmt.Errorf("flight of %d ranges", ranges)
 	}
-	if f.all[id] != nil {
+	if f.flights[id] != nil {
 		return nil, fmt.Errorf("flight %s: there is one", id)
 	}
-	for f.owner[owner] >= f.cfg.PerOwner {
-		id, ok := f.spare(owner)
+	for f.perOwner[owner] >= f.cfg.MaxPerOwner {
+		other, ok := f.evictable(owner)
 		if !ok {
-			return dropped, fmt.Errorf("flights of owner %q: %w", owner, ErrFull)
+			return evicted, fmt.Errorf("flights of owner %q: %w", owner, ErrFull)
 		}
-		dropped = append(dropped, id)
-		f.drop(f.all[id])
+		evicted = append(evicted, other)
+		f.remove(f.flights[other])
 	}
-	for len(f.all) >= f.cfg.Most {
-		id, ok := f.spare("")
+	for len(f.flights) >= f.cfg.MaxFlights {
+		other, ok := f.evictable("")
 		if !ok {
-			return dropped, fmt.Errorf("flights: %w", ErrFull)
+			return evicted, fmt.Errorf("flights: %w", ErrFull)
 		}
-		dropped = append(dropped, id)
-		f.drop(f.all[id])
+		evicted = append(evicted, other)
+		f.remove(f.flights[other])
 	}
-	f.all[id] = &flight{id: id, owner: owner, ranges: ranges, fetched: make([]bool, ranges), opened: now, deadline: deadline,
-		end: now.Add(f.cfg.Unclaimed)}
-	f.owner[owner]++
-	return dropped, nil
+	f.flights[id] = &flight{id: id, owner: owner, ranges: ranges, fetched: make([]bool, ranges), opened: now, deadline: deadline,
+		expires: now.Add(f.cfg.UnclaimedTTL)}
+	f.perOwner[owner]++
+	return evicted, nil
 }
 
-// spare finds the flight that goes first when there is too much; of one owner where one is named.
-func (f *Flights) spare(owner string) (id string, ok bool) {
-	var best *flight
-	rank := func(x *flight) int {
-		switch {
-		case x.reading > 0 || x.phase == Running || x.phase == Ready && !x.whole():
-			return 0
-		case x.phase == Planned:
-			return 1
-		}
-		return 2
-	}
-	for _, x := range f.all {
-		if owner != "" && x.owner != owner || rank(x) == 0 {
+// evictable finds the flight that is evicted first where there are too many; of one owner where one is named.
+func (f *Flights) evictable(owner string) (id string, ok bool) {
+	var first *flight
+	for _, x := range f.flights {
+		if owner != "" && x.owner != owner || x.evictionRank() == neverEvicted {
 			continue
 		}
-		if best == nil || cmp.Or(cmp.Compare(rank(best), rank(x)), x.opened.Compare(best.opened), cmp.Compare(x.id, best.id)) < 0 {
-			best = x
+		if first == nil || cmp.Or(cmp.Compare(first.evictionRank(), x.evictionRank()), x.opened.Compare(first.opened), cmp.Compare(x.id, first.id)) < 0 {
+			first = x
 		}
 	}
-	if best == nil {
+	if first == nil {
 		return "", false
 	}
-	return best.id, true
+	return first.id, true
 }
 
-// whole tells whether all ranges were fetched.
-func (x *flight) whole() bool { return !slices.Contains(x.fetched, false) }
+// evictionRank orders flights for eviction: of a higher rank, sooner.
+type evictionRank int
 
-func (f *Flights) drop(x *flight) {
-	delete(f.all, x.id)
+const (
+	neverEvicted evictionRank = iota // it runs, is being read, or has an answer that was not fetched yet
+	evictedLast                      // nobody has claimed it
+	evictedFirst                     // it is over
+)
+
+func (x *flight) evictionRank() evictionRank {
+	switch {
+	case x.readers > 0 || x.phase == Running || x.phase == Ready && !x.allFetched():
+		return neverEvicted
+	case x.phase == Planned:
+		return evictedLast
+	}
+	return evictedFirst
+}
+
+// allFetched tells whether all ranges were fetched.
+func (x *flight) allFetched() bool { return !slices.Contains(x.fetched, false) }
+
+// remove forgets a flight.
+func (f *Flights) remove(x *flight) {
+	delete(f.flights, x.id)
 	f.bytes -= x.bytes
-	if f.owner[x.owner]--; f.owner[x.owner] == 0 {
-		delete(f.owner, x.owner)
+	if f.perOwner[x.owner]--; f.perOwner[x.owner] == 0 {
+		delete(f.perOwner, x.owner)
 	}
 }
 
 // find is the flight of an id, if it is the owner's and not over.
 func (f *Flights) find(now time.Time, id, owner string) (*flight, error) {
-	x := f.all[id]
+	x := f.flights[id]
 	switch {
-	case x == nil || x.reading == 0 && x.phase != Running && !now.Before(x.end):
+	case x == nil || x.readers == 0 && x.phase != Running && !now.Before(x.expires):
 		return nil, fmt.Errorf("flight %s: %w", id, ErrUnknown)
 	case x.owner != owner:
-		return nil, fmt.Errorf("flight %s: %w", id, ErrNotYours)
+		return nil, fmt.Errorf("flight %s: %w", id, ErrOtherOwner)
 	}
 	return x, nil
 }
@@ -213,7 +226,7 @@
 	}
 	switch x.phase {
 	case Planned:
-		x.phase, x.end = Running, x.deadline
+		x.phase, x.expires = Running, x.deadline
 		return Start, nil
 	case Running:
 		return Wait, nil
@@ -223,40 +236,49 @@
 		return 0, fmt.Errorf("flight %s: %w", id, ErrCancelled)
 	}
 	if r >= 0 {
-		x.reading++
+		x.readers++
 	}
 	return Send, nil
 }
 
-// Finish notes how the query ended; an answer has a size. Where there is no room for it, ok is false: the flight has
-// failed, and the caller keeps no answer. What is dropped to make room is returned.
-func (f *Flights) Finish(now time.Time, id string, answered bool, bytes int64) (dropped []string, ok bool) {
-	x := f.all[id]
-	if x == nil || x.phase != Running {
-		return nil, false // it was cancelled meanwhile
+// Complete notes that the query was answered, by an answer of a size in bytes. Where there is no room for it ok is false: the
+// flight has failed, and the caller keeps no answer. Flights that were evicted to make room are returned.
+func (f *Flights) Complete(now time.Time, id string, bytes int64) (evicted []string, ok bool) {
+	x := f.end(now, id)
+	if x == nil {
+		return nil, false
 	}
-	x.finished, x.end = now, now.Add(f.cfg.Keep)
-	if x.phase = Failed; !answered {
-		return nil, true
-	}
-	for f.bytes+bytes > f.cfg.Bytes {
-		id, any := f.spareAnswer()
-		if !any {
-			return dropped, false
+	for f.bytes+bytes > f.cfg.MaxBytes {
+		other, found := f.evictableAnswer()
+		if !found {
+			return evicted, false
 		}
-		dropped = append(dropped, id)
-		f.drop(f.all[id])
+		evicted = append(evicted, other)
+		f.remove(f.flights[other])
 	}
 	x.phase, x.bytes = Ready, bytes
 	f.bytes += bytes
-	return dropped, true
+	return evicted, true
+}
+
+// Fail notes that the query ended without an answer. It returns false for a flight that does not run, as it was cancelled.
+func (f *Flights) Fail(now time.Time, id string) bool { return f.end(now, id) != nil }
+
+// end ends a running flight as one that has failed; nil where it does not run.
+func (f *Flights) end(now time.Time, id string) *flight {
+	x := f.flights[id]
+	if x == nil || x.phase != Running {
+		return nil
+	}
+	x.phase, x.finished, x.expires = Failed, now, now.Add(f.cfg.TTL)
+	return x
 }
 
-// spareAnswer finds the answer that goes first for another.
-func (f *Flights) spareAnswer() (id string, ok bool) {
+// evictableAnswer finds the answer that is evicted first to make room for another.
+func (f *Flights) evictableAnswer() (id string, ok bool) {
 	var best *flight
-	for _, x := range f.all {
-		if x.phase == Ready && x.reading == 0 && x.whole() &&
+	for _, x := range f.flights {
+		if x.phase == Ready && x.readers == 0 && x.allFetched() &&
 			(best == nil || cmp.Or(x.finished.Compare(best.finished), cmp.Compare(x.id, best.id)) < 0) {
 			best = x
 		}
@@ -267,17 +289,35 @@
 	return best.id, true
 }
 
-// Sent notes that the sending of a range is over, and whether all of it was sent.
-func (f *Flights) Sent(now time.Time, id string, r int, all bool) {
-	x := f.all[id]
-	if x == nil || x.reading == 0 || r < 0 || r >= x.ranges {
-		return
+// Sent notes that a range was sent whole.
+func (f *Flights) Sent(now time.Time, id string, r int) {
+	if x := f.endRead(id, r); x != nil {
+		x.fetched[r] = true
+		f.expireFetched(now, x)
 	}
-	x.reading--
-	if x.fetched[r] = x.fetched[r] || all; x.whole() {
-		if end := now.Add(f.cfg.Linger); end.Before(x.end) {
-			x.end = end
-		}
+}
+
+// Interrupted notes that the sending of a range has ended before all of it was sent.
+func (f *Flights) Interrupted(now time.Time, id string, r int) {
+	if x := f.endRead(id, r); x != nil {
+		f.expireFetched(now, x)
+	}
+}
+
+// endRead counts a reader of a range off; nil where none was counted.
+func (f *Flights) endRead(id string, r int) *flight {
+	x := f.flights[id]
+	if x == nil || x.readers == 0 || r < 0 || r >= x.ranges {
+		return nil
+	}
+	x.readers--
+	return x
+}
+
+// expireFetched lets a flight whose ranges were all fetched expire sooner.
+func (f *Flights) expireFetched(now time.Time, x *flight) {
+	if expires := now.Add(f.cfg.FetchedTTL); x.allFetched() && expires.Before(x.expires) {
+		x.expires = expires
 	}
 }
 
@@ -291,20 +331,20 @@
 	case Cancelled:
 		return until, fmt.Errorf("flight %s: %w", id, ErrCancelled)
 	case Planned:
-		if end := x.opened.Add(f.cfg.MostKeep); now.Add(f.cfg.Unclaimed).Before(end) {
-			end = now.Add(f.cfg.Unclaimed)
-			x.end = end
+		if end := x.opened.Add(f.cfg.MaxTTL); now.Add(f.cfg.UnclaimedTTL).Before(end) {
+			end = now.Add(f.cfg.UnclaimedTTL)
+			x.expires = end
 		}
 	case Ready, Failed:
-		end, last := now.Add(f.cfg.Keep), x.finished.Add(f.cfg.MostKeep)
+		end, last := now.Add(f.cfg.TTL), x.finished.Add(f.cfg.MaxTTL)
 		if end.After(last) {
 			end = last
 		}
-		if end.After(x.end) {
-			x.end = end
+		if end.After(x.expires) {
+			x.expires = end
 		}
 	}
-	return x.end, nil
+	return x.expires, nil
 }
 
 // Cancel gives a flight up. running tells that its query must be given up now; one that is over stays over.
@@ -314,7 +354,7 @@
 		return false, 0, err
 	}
 	if was = x.phase; was == Planned || was == Running {
-		x.phase, x.finished, x.end = Cancelled, now, now.Add(f.cfg.Keep)
+		x.phase, x.finished, x.expires = Cancelled, now, now.Add(f.cfg.TTL)
 	}
 	return was == Running, was, nil
 }
@@ -325,15 +365,15 @@
 	if err != nil {
 		return 0, until, err
 	}
-	return x.phase, x.end, nil
+	return x.phase, x.expires, nil
 }
 
 // Tick drops what is over and returns it, by id. A running flight whose deadline has passed stays until Finish.
 func (f *Flights) Tick(now time.Time) (dropped []string) {
-	for _, x := range f.all {
-		if x.reading == 0 && x.phase != Running && !now.Before(x.end) {
+	for _, x := range f.flights {
+		if x.readers == 0 && x.phase != Running && !now.Before(x.expires) {
 			dropped = append(dropped, x.id)
-			f.drop(x)
+			f.remove(x)
 		}
 	}
 	slices.Sort(dropped)
@@ -341,4 +381,4 @@
 }
 
 // Len is how many flights are kept, and the bytes of their answers.
-func (f *Flights) Len() (flights int, bytes int64) { return len(f.all), f.bytes }
+func (f *Flights) Len() (flights int, bytes int64) { return len(f.flights), f.bytes }
--- a/internal/session/state_test.go
+++ b/internal/session/session_test.go
@@ -19,7 +19,7 @@
 
 func at(s float64) time.Time { return epoch.Add(time.Duration(s * float64(time.Second))) }
 
-var words = map[error]string{ErrUnknown: "unknown", ErrNotYours: "not yours", ErrCancelled: "cancelled", ErrFull: "full"}
+var words = map[error]string{ErrUnknown: "unknown", ErrOtherOwner: "not yours", ErrCancelled: "cancelled", ErrFull: "full"}
 
 func word(err error) string {
 	for e, w := range words {
@@ -85,11 +85,16 @@
 					} else {
 						got = append(got, next[next2])
 					}
-				case "finish", "fail":
-					_, ok := f.Finish(at(now), "x", what == "finish", int64(n))
+				case "finish":
+					_, ok := f.Complete(at(now), "x", int64(n))
 					got = append(got, map[bool]string{true: "ok", false: "error"}[ok])
-				case "sent", "broke":
-					f.Sent(at(now), "x", n, what == "sent")
+				case "fail":
+					ok := f.Fail(at(now), "x")
+					got = append(got, map[bool]string{true: "ok", false: "error"}[ok])
+				case "sent":
+					f.Sent(at(now), "x", n)
+				case "broke":
+					f.Interrupted(at(now), "x", n)
 				case "renew":
 					_, err := f.Renew(at(now), "x", owner)
 					got = append(got, word(err))
@@ -108,12 +113,12 @@
 			if diff := cmp.Diff(c.want, strings.Join(got, " ")); diff != "" {
 				t.Errorf("(-want +got)\n%s", diff)
 			}
-			f.Sent(at(now), "x", 0, false)
-			f.Sent(at(now), "x", 1, false)
-			f.Finish(at(now), "x", false, 0)
+			f.Interrupted(at(now), "x", 0)
+			f.Interrupted(at(now), "x", 1)
+			f.Fail(at(now), "x")
 			f.Tick(at(now + 1e6))
-			if n, bytes := f.Len(); n+int(bytes)+len(f.owner) > 0 {
-				t.Errorf("left: %d flights, %d bytes, %d owners", n, bytes, len(f.owner))
+			if n, bytes := f.Len(); n+int(bytes)+len(f.perOwner) > 0 {
+				t.Errorf("left: %d flights, %d bytes, %d owners", n, bytes, len(f.perOwner))
 			}
 		})
 	}
@@ -121,10 +126,10 @@
 
 // TestRenewEnds: a flight can't be kept for ever.
 func TestRenewEnds(t *testing.T) {
-	f := NewFlights(FlightConfig{MostKeep: time.Minute})
+	f := NewFlights(FlightConfig{MaxTTL: time.Minute})
 	f.Open(at(0), "x", "me", 1, at(5))
 	f.Claim(at(0), "x", "me", 0)
-	f.Finish(at(1), "x", true, 1)
+	f.Complete(at(1), "x", 1)
 	for s := 1.0; s < 100; s++ {
 		until, err := f.Renew(at(s), "x", "me")
 		if until.After(at(61)) {
@@ -142,18 +147,18 @@
 
 // TestFull: what goes for a newcomer, and who is refused.
 func TestFull(t *testing.T) {
-	f := NewFlights(FlightConfig{Most: 4, PerOwner: 3, Bytes: 100})
+	f := NewFlights(FlightConfig{MaxFlights: 4, MaxPerOwner: 3, MaxBytes: 100})
 	run := func(id string, bytes int64, fetched bool) {
 		t.Helper()
 		if _, err := f.Claim(at(0), id, "me", 0); err != nil {
 			t.Fatal(err)
 		}
-		if _, ok := f.Finish(at(1), id, true, bytes); !ok {
+		if _, ok := f.Complete(at(1), id, bytes); !ok {
 			t.Fatalf("%s: no room", id)
 		}
 		if fetched {
 			f.Claim(at(1), id, "me", 0)
-			f.Sent(at(1), id, 0, true)
+			f.Sent(at(1), id, 0)
 		}
 	}
 	for _, id := range []string{"a", "b", "c"} {
@@ -183,15 +188,15 @@
 		t.Errorf("a third, for a planned one: %v", err)
 	}
 	// d's answer finds no room beside b's, which nobody has fetched.
-	if dropped, ok := f.Finish(at(2), "d", true, 90); ok || len(dropped) > 0 {
+	if dropped, ok := f.Complete(at(2), "d", 90); ok || len(dropped) > 0 {
 		t.Errorf("an answer too many: %v, %v", dropped, ok)
 	}
 	if next, err := f.Claim(at(2), "d", "me", 0); next != Report || err != nil {
 		t.Errorf("its flight: %v, %v", next, err)
 	}
 	f.Claim(at(2), "b", "me", 0)
-	f.Sent(at(2), "b", 0, true)
-	if dropped, ok := f.Finish(at(2), "e", true, 90); !ok || !slices.Equal(dropped, []string{"b"}) {
+	f.Sent(at(2), "b", 0)
+	if dropped, ok := f.Complete(at(2), "e", 90); !ok || !slices.Equal(dropped, []string{"b"}) {
 		t.Errorf("with one to spare: %v, %v", dropped, ok)
 	}
 }
@@ -200,7 +205,7 @@
 // is kept stays within its bounds.
 func TestFlights(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		f := NewFlights(FlightConfig{Most: 5, PerOwner: 3, Bytes: 50})
+		f := NewFlights(FlightConfig{MaxFlights: 5, MaxPerOwner: 3, MaxBytes: 50})
 		asked, over, owners := map[string]int{}, map[string]bool{}, map[string]string{}
 		sending := map[string]int{}
 		now, made := at(0), 0
@@ -233,12 +238,21 @@
 			case "finish":
 				if asked[id] > 0 && !over[id] {
 					over[id] = true
-					f.Finish(now, id, rapid.Bool().Draw(t, "answered"), int64(rapid.IntRange(0, 40).Draw(t, "bytes")))
+					answered, bytes := rapid.Bool().Draw(t, "answered"), int64(rapid.IntRange(0, 40).Draw(t, "bytes"))
+					if answered {
+						f.Complete(now, id, bytes)
+					} else {
+						f.Fail(now, id)
+					}
 				}
 			case "sent":
 				if sending[id] > 0 {
 					sending[id]--
-					f.Sent(now, id, rapid.IntRange(0, 1).Draw(t, "range"), rapid.Bool().Draw(t, "all"))
+					if r, whole := rapid.IntRange(0, 1).Draw(t, "range"), rapid.Bool().Draw(t, "all"); whole {
+						f.Sent(now, id, r)
+					} else {
+						f.Interrupted(now, id, r)
+					}
 				}
 			case "renew":
 				f.Renew(now, id, owner)
@@ -254,11 +268,11 @@
 			}
 			n, bytes := f.Len()
 			total, count := int64(0), map[string]int{}
-			for _, x := range f.all {
+			for _, x := range f.flights {
 				total += x.bytes
 				count[x.owner]++
 			}
-			if n > 5 || bytes > 50 || total != bytes || count["a"] > 3 || count["b"] > 3 || count["a"] != f.owner["a"] {
+			if n > 5 || bytes > 50 || total != bytes || count["a"] > 3 || count["b"] > 3 || count["a"] != f.perOwner["a"] {
 				t.Fatalf("%d flights, %d bytes (%d counted), owners %v", n, bytes, total, count)
 			}
 		}
@@ -267,7 +281,7 @@
 
 // TestSessions: options are checked one by one; sessions are their owner's, bounded, and end.
 func TestSessions(t *testing.T) {
-	s := NewSessions(SessionConfig{Most: 4, PerOwner: 2, Options: []Option{{Name: "codec", Values: []string{"zstd", "lz4"}},
+	s := NewSessions(Config{MaxSessions: 4, MaxPerOwner: 2, Options: []Option{{Name: "codec", Values: []string{"zstd", "lz4"}},
 		{Name: "batch", Check: func(v string) error {
 			if v == "0" {
 				return errors.New("is 0")
--- a/internal/session/sessions.go
+++ b/internal/session/sessions.go
@@ -1,8 +1,5 @@
 package session
 
-// This file owns sessions: the options that a client sets once for its further calls. It must never let one owner see
-// or fill another's, nor keep one that nobody uses.
-
 import (
 	"cmp"
 	"errors"
@@ -12,8 +9,8 @@
 	"time"
 )
 
-// ErrOption marks an option that is not known, or a value that it can't have.
-var ErrOption = errors.New("option")
+// ErrInvalidOption marks an option that is not known, or a value that it can't have.
+var ErrInvalidOption = errors.New("option")
 
 // Option describes one that a session may have.
 type Option struct {
@@ -22,40 +19,41 @@
 	Check  func(value string) error
 }
 
-// SessionConfig holds the figures of Sessions. The zero value of a field stands for its default.
-type SessionConfig struct {
-	Options  []Option
-	Most     int           // in all; 4096
-	PerOwner int           // 256
-	Idle     time.Duration // after which one that nobody uses ends; 10 min
+// Config bounds what Sessions keeps. The zero value of a field stands for its default.
+type Config struct {
+	Options     []Option      // those that a session may have
+	MaxSessions int           // sessions kept in all; 4096
+	MaxPerOwner int           // sessions kept of one owner; 256
+	IdleTimeout time.Duration // after which a session that nobody uses ends; 10 min
 }
 
+// session is the options that a client has set once for its further calls.
 type session struct {
 	id, owner string
 	options   map[string]string
-	used      time.Time
+	lastUsed  time.Time
 }
 
 // Sessions are those that are open. They are not safe for use by several goroutines.
 type Sessions struct {
-	cfg     SessionConfig
-	options map[string]Option
-	all     map[string]*session
-	owner   map[string]int
+	cfg      Config
+	options  map[string]Option
+	sessions map[string]*session
+	perOwner map[string]int
 }
 
 // NewSessions returns an empty account.
-func NewSessions(cfg SessionConfig) *Sessions {
-	if cfg.Most <= 0 {
-		cfg.Most = 4096
+func NewSessions(cfg Config) *Sessions {
+	if cfg.MaxSessions <= 0 {
+		cfg.MaxSessions = 4096
 	}
-	if cfg.PerOwner <= 0 {
-		cfg.PerOwner = 256
+	if cfg.MaxPerOwner <= 0 {
+		cfg.MaxPerOwner = 256
 	}
-	if cfg.Idle <= 0 {
-		cfg.Idle = 10 * time.Minute
+	if cfg.IdleTimeout <= 0 {
+		cfg.IdleTimeout = 10 * time.Minute
 	}
-	s := &Sessions{cfg: cfg, options: map[string]Option{}, all: map[string]*session{}, owner: map[string]int{}}
+	s := &Sessions{cfg: cfg, options: map[string]Option{}, sessions: map[string]*session{}, perOwner: map[string]int{}}
 	for _, o := range cfg.Options {
 		s.options[o.Name] = o
 	}
@@ -66,43 +64,44 @@
 // other owners none does.
 func (s *Sessions) Open(now time.Time, id, owner string) error {
 	s.Tick(now)
-	if s.all[id] != nil {
+	if s.sessions[id] != nil {
 		return fmt.Errorf("session %s: there is one", id)
 	}
-	if s.owner[owner] >= s.cfg.PerOwner || len(s.all) >= s.cfg.Most {
+	if s.perOwner[owner] >= s.cfg.MaxPerOwner || len(s.sessions) >= s.cfg.MaxSessions {
 		var oldest *session
-		for _, x := range s.all {
-			if x.owner == owner && (oldest == nil || cmp.Or(x.used.Compare(oldest.used), cmp.Compare(x.id, oldest.id)) < 0) {
+		for _, x := range s.sessions {
+			if x.owner == owner && (oldest == nil || cmp.Or(x.lastUsed.Compare(oldest.lastUsed), cmp.Compare(x.id, oldest.id)) < 0) {
 				oldest = x
 			}
 		}
 		if oldest == nil {
 			return fmt.Errorf("sessions: %w", ErrFull)
 		}
-		s.end(oldest)
+		s.remove(oldest)
 	}
-	s.all[id] = &session{id: id, owner: owner, options: map[string]string{}, used: now}
-	s.owner[owner]++
+	s.sessions[id] = &session{id: id, owner: owner, options: map[string]string{}, lastUsed: now}
+	s.perOwner[owner]++
 	return nil
 }
 
-func (s *Sessions) end(x *session) {
-	delete(s.all, x.id)
-	if s.owner[x.owner]--; s.owner[x.owner] == 0 {
-		delete(s.owner, x.owner)
+// remove forgets a session.
+func (s *Sessions) remove(x *session) {
+	delete(s.sessions, x.id)
+	if s.perOwner[x.owner]--; s.perOwner[x.owner] == 0 {
+		delete(s.perOwner, x.owner)
 	}
 }
 
 // find is the session of an id, if it is the owner's; it counts as used.
 func (s *Sessions) find(now time.Time, id, owner string) (*session, error) {
-	x := s.all[id]
+	x := s.sessions[id]
 	switch {
-	case x == nil || now.Sub(x.used) >= s.cfg.Idle:
+	case x == nil || now.Sub(x.lastUsed) >= s.cfg.IdleTimeout:
 		return nil, fmt.Errorf("session: %w", ErrUnknown)
 	case x.owner != owner:
-		return nil, fmt.Errorf("session: %w", ErrNotYours)
+		return nil, fmt.Errorf("session: %w", ErrOtherOwner)
 	}
-	x.used = now
+	x.lastUsed = now
 	return x, nil
 }
 
@@ -119,13 +118,13 @@
 		o, known := s.options[name]
 		switch {
 		case !known:
-			faults[name] = fmt.Errorf("%w %s: not known", ErrOption, name)
+			faults[name] = fmt.Errorf("%w %s: not known", ErrInvalidOption, name)
 		case value == "":
 			delete(x.options, name)
 		case len(o.Values) > 0 && !slices.Contains(o.Values, value):
-			faults[name] = fmt.Errorf("%w %s: %q is none of %q", ErrOption, name, value, o.Values)
+			faults[name] = fmt.Errorf("%w %s: %q is none of %q", ErrInvalidOption, name, value, o.Values)
 		case o.Check != nil && o.Check(value) != nil:
-			faults[name] = fmt.Errorf("%w %s: %w", ErrOption, name, o.Check(value))
+			faults[name] = fmt.Errorf("%w %s: %w", ErrInvalidOption, name, o.Check(value))
 		default:
 			x.options[name] = value
 		}
@@ -148,18 +147,18 @@
 	if err != nil {
 		return err
 	}
-	s.end(x)
+	s.remove(x)
 	return nil
 }
 
 // Tick ends those that nobody has used for long.
 func (s *Sessions) Tick(now time.Time) {
-	for _, x := range s.all {
-		if now.Sub(x.used) >= s.cfg.Idle {
-			s.end(x)
+	for _, x := range s.sessions {
+		if now.Sub(x.lastUsed) >= s.cfg.IdleTimeout {
+			s.remove(x)
 		}
 	}
 }
 
 // Len is how many are open.
-func (s *Sessions) Len() int { return len(s.all) }
+func (s *Sessions) Len() int { return len(s.sessions) }
