--- a/cmd/gullfall/flightfront.go
+++ b/cmd/gullfall/flightfront.go
@@ -23,7 +23,7 @@
 	if err != nil {
 		return fmt.Errorf("flight.listen: %w", err)
 	}
-	options := flight.Options{Core: d.coordinator, Log: d.log, Memory: int64(d.cfg.Limits.MemoryMB) << 20 / flightMemoryDiv,
+	options := flight.Options{Coordinator: d.coordinator, Log: d.log, Memory: int64(d.cfg.Limits.MemoryMB) << 20 / flightMemoryDiv,
 		Admission: front.Admission(), People: front.People(), Keys: front.Keys(), Shards: d.cfg.Settings.Shards,
 		Covered: d.coordinator.CoveredShards}
 	for _, class := range d.cfg.Settings.Classes {
--- a/cmd/gullfall/sources.go
+++ b/cmd/gullfall/sources.go
@@ -39,8 +39,8 @@
 		return nil
 	}
 	limits := d.cfg.Settings.Limits
-	nodes := &flight.Nodes{Core: d.coordinator, Log: d.log, Dial: dial, Streams: d.cfg.Streams, Connect: limits.ConnectTimeout,
-		Idle: limits.ConnIdle, Slots: d.connections}
+	nodes := &flight.Nodes{Coordinator: d.coordinator, Log: d.log, Dial: dial, Streams: d.cfg.Streams, Connect: limits.ConnectTimeout,
+		Idle: limits.ConnIdle, Connections: d.connections}
 	d.coordinator.RegisterDispatcher(dnssd.Flight, nodes.Dispatch)
 	client := dnssd.NewClient(d.deploy.DNSSD.Questions, max(minDNSSockets, d.cfg.Limits.Sockets/dnsSocketsDiv))
 	listener := &dnssd.Listener{Allow: d.deploy.DNSSD.Allowed()}
--- a/internal/faults/standins_test.go
+++ b/internal/faults/standins_test.go
@@ -55,8 +55,8 @@
 }
 
 func carryFlight(c *coordinator.Coordinator) coordinator.Dispatcher {
-	return (&flight.Nodes{Core: c, Log: quiet, Dial: dial, Streams: 32, Connect: 250 * time.Millisecond,
-		Slots: make(chan struct{}, 64)}).Dispatch
+	return (&flight.Nodes{Coordinator: c, Log: quiet, Dial: dial, Streams: 32, Connect: 250 * time.Millisecond,
+		Connections: make(chan struct{}, 64)}).Dispatch
 }
 
 // conns is a listener whose connections can be cut.
@@ -283,7 +283,7 @@
 	}()
 	var writing sync.Mutex
 	w := arrowflight.NewRecordWriter(stream, ipc.WithSchema(flight.Schema))
-	tell := func(shard int, doc string, m flight.PartTold) {
+	tell := func(shard int, doc string, m flight.PartResponse) {
 		writing.Lock()
 		defer writing.Unlock()
 		b := array.NewRecordBuilder(memory.DefaultAllocator, flight.Schema)
@@ -304,7 +304,7 @@
 		} else if err != nil {
 			return err
 		}
-		var ask flight.PartsAsk
+		var ask flight.CallRequest
 		if err := json.Unmarshal(m.GetAppMetadata(), &ask); err != nil {
 			return status.Error(codes.InvalidArgument, err.Error())
 		}
@@ -316,7 +316,7 @@
 			mu.Lock()
 			out[p.ID] = number
 			mu.Unlock()
-			answer := func(m flight.PartTold, doc string) {
+			answer := func(m flight.PartResponse, doc string) {
 				if settle(p.ID, false) {
 					m.ID = p.ID
 					tell(p.Shard, doc, m)
@@ -324,22 +324,22 @@
 			}
 			switch act {
 			case "ok":
-				answer(flight.PartTold{Last: true, Load: map[string]float64{"util": 0.5}}, s.b.doc(p.ID))
+				answer(flight.PartResponse{Last: true, Load: map[string]float64{"util": 0.5}}, s.b.doc(p.ID))
 			case "busy":
-				answer(flight.PartTold{Status: codes.ResourceExhausted.String()}, "")
+				answer(flight.PartResponse{Status: codes.ResourceExhausted.String()}, "")
 			case "err":
-				answer(flight.PartTold{Status: codes.Internal.String()}, "")
+				answer(flight.PartResponse{Status: codes.Internal.String()}, "")
 			case "hold":
 				go func() {
 					<-s.b.release
-					answer(flight.PartTold{Last: true}, s.b.doc(p.ID))
+					answer(flight.PartResponse{Last: true}, s.b.doc(p.ID))
 				}()
 			case "spoilt":
 				settle(p.ID, false)
-				tell(p.Shard+100, s.b.doc(p.ID), flight.PartTold{ID: p.ID, Last: true})
+				tell(p.Shard+100, s.b.doc(p.ID), flight.PartResponse{ID: p.ID, Last: true})
 			case "cut":
 				go func() {
-					tell(p.Shard, "half", flight.PartTold{ID: p.ID})
+					tell(p.Shard, "half", flight.PartResponse{ID: p.ID})
 					time.Sleep(cutAfter)
 					s.b.cut(s.name)
 					s.l.cut()
--- a/internal/flight/abuse_test.go
+++ b/internal/flight/abuse_test.go
@@ -173,7 +173,7 @@
 // faulty is a data node that does one thing wrong.
 type faulty struct {
 	arrowflight.BaseFlightServer
-	do func(parts []flight.PartAsk, w *arrowflight.Writer, stream arrowflight.FlightService_DoExchangeServer) error
+	do func(parts []flight.PartRequest, w *arrowflight.Writer, stream arrowflight.FlightService_DoExchangeServer) error
 
 	mu    sync.Mutex
 	calls int
@@ -185,7 +185,7 @@
 	if err != nil {
 		return err
 	}
-	var ask flight.PartsAsk
+	var ask flight.CallRequest
 	if err := json.Unmarshal(m.GetAppMetadata(), &ask); err != nil {
 		return err
 	}
@@ -203,7 +203,7 @@
 }
 
 // row is a batch of one document.
-func row(w *arrowflight.Writer, shard int, doc string, m flight.PartTold) error {
+func row(w *arrowflight.Writer, shard int, doc string, m flight.PartResponse) error {
 	b := array.NewRecordBuilder(memory.DefaultAllocator, flight.Schema)
 	defer b.Release()
 	b.Field(0).(*array.Int32Builder).Append(int32(shard))
@@ -259,67 +259,67 @@
 // TestFaultyCalls: whatever goes wrong on a call's stream, and at whichever of its messages, each query has its whole
 // answer from other data nodes, and what came before a fault is not mixed with what comes after.
 func TestFaultyCalls(t *testing.T) {
-	for name, do := range map[string]func(parts []flight.PartAsk, w *arrowflight.Writer, stream arrowflight.FlightService_DoExchangeServer) error{
-		"no answer at all": func([]flight.PartAsk, *arrowflight.Writer, arrowflight.FlightService_DoExchangeServer) error {
+	for name, do := range map[string]func(parts []flight.PartRequest, w *arrowflight.Writer, stream arrowflight.FlightService_DoExchangeServer) error{
+		"no answer at all": func([]flight.PartRequest, *arrowflight.Writer, arrowflight.FlightService_DoExchangeServer) error {
 			return fmt.Errorf("broken")
 		},
-		"cut after half of a part": func(p []flight.PartAsk, w *arrowflight.Writer, _ arrowflight.FlightService_DoExchangeServer) error {
-			row(w, p[0].Shard, "half", flight.PartTold{ID: p[0].ID})
+		"cut after half of a part": func(p []flight.PartRequest, w *arrowflight.Writer, _ arrowflight.FlightService_DoExchangeServer) error {
+			row(w, p[0].Shard, "half", flight.PartResponse{ID: p[0].ID})
 			return fmt.Errorf("broken")
 		},
-		"ends well without an end of the part": func(p []flight.PartAsk, w *arrowflight.Writer, _ arrowflight.FlightService_DoExchangeServer) error {
-			return row(w, p[0].Shard, "half", flight.PartTold{ID: p[0].ID})
+		"ends well without an end of the part": func(p []flight.PartRequest, w *arrowflight.Writer, _ arrowflight.FlightService_DoExchangeServer) error {
+			return row(w, p[0].Shard, "half", flight.PartResponse{ID: p[0].ID})
 		},
-		"another shard's document": func(p []flight.PartAsk, w *arrowflight.Writer, _ arrowflight.FlightService_DoExchangeServer) error {
+		"another shard's document": func(p []flight.PartRequest, w *arrowflight.Writer, _ arrowflight.FlightService_DoExchangeServer) error {
 			for _, p := range p {
-				row(w, p.Shard+1, "x", flight.PartTold{ID: p.ID, Last: true})
+				row(w, p.Shard+1, "x", flight.PartResponse{ID: p.ID, Last: true})
 			}
 			return nil
 		},
-		"metadata that is none": func(p []flight.PartAsk, w *arrowflight.Writer, _ arrowflight.FlightService_DoExchangeServer) error {
+		"metadata that is none": func(p []flight.PartRequest, w *arrowflight.Writer, _ arrowflight.FlightService_DoExchangeServer) error {
 			b := array.NewRecordBuilder(memory.DefaultAllocator, flight.Schema)
 			defer b.Release()
 			return w.WriteWithAppMetadata(b.NewRecordBatch(), []byte("{"))
 		},
-		"parts that nobody asked for": func(p []flight.PartAsk, w *arrowflight.Writer, _ arrowflight.FlightService_DoExchangeServer) error {
-			return row(w, 0, "x", flight.PartTold{ID: "nobody", Last: true})
+		"parts that nobody asked for": func(p []flight.PartRequest, w *arrowflight.Writer, _ arrowflight.FlightService_DoExchangeServer) error {
+			return row(w, 0, "x", flight.PartResponse{ID: "nobody", Last: true})
 		},
-		"too large": func(p []flight.PartAsk, w *arrowflight.Writer, _ arrowflight.FlightService_DoExchangeServer) error {
+		"too large": func(p []flight.PartRequest, w *arrowflight.Writer, _ arrowflight.FlightService_DoExchangeServer) error {
 			for range 4 {
-				row(w, p[0].Shard, strings.Repeat("x", 100<<10), flight.PartTold{ID: p[0].ID})
+				row(w, p[0].Shard, strings.Repeat("x", 100<<10), flight.PartResponse{ID: p[0].ID})
 			}
 			return nil
 		},
-		"a body that lies about its lengths": func(p []flight.PartAsk, w *arrowflight.Writer, stream arrowflight.FlightService_DoExchangeServer) error {
-			row(w, p[0].Shard, "half", flight.PartTold{ID: p[0].ID})
+		"a body that lies about its lengths": func(p []flight.PartRequest, w *arrowflight.Writer, stream arrowflight.FlightService_DoExchangeServer) error {
+			row(w, p[0].Shard, "half", flight.PartResponse{ID: p[0].ID})
 			return stream.Send(&arrowflight.FlightData{DataHeader: bytes.Repeat([]byte{0xff}, 64), DataBody: []byte("x")})
 		},
-		"a dictionary is missing": func(p []flight.PartAsk, _ *arrowflight.Writer, stream arrowflight.FlightService_DoExchangeServer) error {
+		"a dictionary is missing": func(p []flight.PartRequest, _ *arrowflight.Writer, stream arrowflight.FlightService_DoExchangeServer) error {
 			schema, err := flight.NewSchema([]flight.Field{{Name: "club", Type: "dictionary"}})
 			if err != nil {
 				return err
 			}
-			meta, _ := json.Marshal(flight.PartTold{ID: p[0].ID, Last: true})
+			meta, _ := json.Marshal(flight.PartResponse{ID: p[0].ID, Last: true})
 			list := recorded(schema, func(b *array.RecordBuilder) { b.Field(0).(*array.BinaryDictionaryBuilder).AppendString("Olinda") }, meta)
 			stream.Send(list[0])
 			stream.Send(list[len(list)-1])
 			return fmt.Errorf("broken")
 		},
-		"a schema that changes half-way": func(p []flight.PartAsk, w *arrowflight.Writer, stream arrowflight.FlightService_DoExchangeServer) error {
-			row(w, p[0].Shard, "half", flight.PartTold{ID: p[0].ID})
+		"a schema that changes half-way": func(p []flight.PartRequest, w *arrowflight.Writer, stream arrowflight.FlightService_DoExchangeServer) error {
+			row(w, p[0].Shard, "half", flight.PartResponse{ID: p[0].ID})
 			schema, err := flight.NewSchema([]flight.Field{{Name: "x", Type: "int32"}})
 			if err != nil {
 				return err
 			}
-			meta, _ := json.Marshal(flight.PartTold{ID: p[0].ID, Last: true})
+			meta, _ := json.Marshal(flight.PartResponse{ID: p[0].ID, Last: true})
 			for _, m := range recorded(schema, func(b *array.RecordBuilder) { b.Field(0).(*array.Int32Builder).Append(1) }, meta) {
 				stream.Send(m)
 			}
 			return fmt.Errorf("broken")
 		},
-		"turned away": func(p []flight.PartAsk, w *arrowflight.Writer, _ arrowflight.FlightService_DoExchangeServer) error {
+		"turned away": func(p []flight.PartRequest, w *arrowflight.Writer, _ arrowflight.FlightService_DoExchangeServer) error {
 			for _, p := range p {
-				row(w, p.Shard, "x", flight.PartTold{ID: p.ID, Status: "ResourceExhausted"})
+				row(w, p.Shard, "x", flight.PartResponse{ID: p.ID, Status: "ResourceExhausted"})
 			}
 			return nil
 		},
@@ -360,12 +360,12 @@
 		t.Run(fmt.Sprint(after), func(t *testing.T) {
 			t.Parallel()
 			var g *grpc.Server
-			f := &faulty{do: func(p []flight.PartAsk, w *arrowflight.Writer, stream arrowflight.FlightService_DoExchangeServer) error {
+			f := &faulty{do: func(p []flight.PartRequest, w *arrowflight.Writer, stream arrowflight.FlightService_DoExchangeServer) error {
 				for i, p := range p {
 					if i == after {
 						break
 					}
-					row(w, p.Shard, fmt.Sprintf("%016x", uint64(p.Shard+1)*0x9e3779b97f4a7c15), flight.PartTold{ID: p.ID, Last: true})
+					row(w, p.Shard, fmt.Sprintf("%016x", uint64(p.Shard+1)*0x9e3779b97f4a7c15), flight.PartResponse{ID: p.ID, Last: true})
 				}
 				time.Sleep(20 * time.Millisecond) // what was sent is to arrive
 				go g.Stop()
@@ -388,9 +388,9 @@
 // TestTransparentRetry: a stream that a data node turns back unprocessed (GOAWAY with a lower last stream) may be moved to
 // a new connection by the library. Only that second copy reaches a handler: no part is at a data node twice.
 func TestTransparentRetry(t *testing.T) {
-	f := &faulty{parts: map[string]int{}, do: func(p []flight.PartAsk, w *arrowflight.Writer, _ arrowflight.FlightService_DoExchangeServer) error {
+	f := &faulty{parts: map[string]int{}, do: func(p []flight.PartRequest, w *arrowflight.Writer, _ arrowflight.FlightService_DoExchangeServer) error {
 		for _, p := range p {
-			row(w, p.Shard, fmt.Sprintf("%016x", uint64(p.Shard+1)*0x9e3779b97f4a7c15), flight.PartTold{ID: p.ID, Last: true})
+			row(w, p.Shard, fmt.Sprintf("%016x", uint64(p.Shard+1)*0x9e3779b97f4a7c15), flight.PartResponse{ID: p.ID, Last: true})
 		}
 		return nil
 	}}
@@ -450,7 +450,7 @@
 		}
 	}()
 	s := start(t, flight.Options{}, 0, func(c *coordinator.Coordinator) coordinator.Dispatcher {
-		return (&flight.Nodes{Core: c, Log: slog.New(slog.DiscardHandler), Streams: 64, Connect: time.Second, Slots: make(chan struct{}, 64),
+		return (&flight.Nodes{Coordinator: c, Log: slog.New(slog.DiscardHandler), Streams: 64, Connect: time.Second, Connections: make(chan struct{}, 64),
 			Dial: func(ctx context.Context, addr string) (net.Conn, error) {
 				return (&net.Dialer{}).DialContext(ctx, "tcp", addr)
 			}}).Dispatch
--- a/internal/flight/actions.go
+++ b/internal/flight/actions.go
@@ -82,7 +82,7 @@
 	if a.GetType() == LoadAction {
 		s.mu.Lock()
 		flights, bytes := s.flights.Len()
-		report := map[string]any{"open": s.Core.Open(), "flights": flights, "flight_bytes": bytes, "sessions": s.sessions.Len()}
+		report := map[string]any{"open": s.Coordinator.Open(), "flights": flights, "flight_bytes": bytes, "sessions": s.sessions.Len()}
 		s.mu.Unlock()
 		raw, _ := json.Marshal(report)
 		return stream.Send(&flight.Result{Body: raw})
@@ -111,7 +111,7 @@
 	if err != nil {
 		return t, "", status.Error(codes.InvalidArgument, err.Error())
 	}
-	if g := guestOf(ctx); g.named && owner != g.who.Owner {
+	if g := callerOf(ctx); g.authenticated && owner != g.client.Owner {
 		return t, "", status.Error(codes.PermissionDenied, "the ticket belongs to another owner")
 	}
 	return t, owner, nil
@@ -137,7 +137,7 @@
 		if err != nil {
 			return nil, status.Error(codes.InvalidArgument, err.Error())
 		}
-		if g := guestOf(ctx); g.named && from != g.who.Owner {
+		if g := callerOf(ctx); g.authenticated && from != g.client.Owner {
 			return nil, status.Error(codes.PermissionDenied, "the descriptor belongs to another owner")
 		}
 		id, owner = string(payload), from
@@ -146,12 +146,12 @@
 	}
 	s.mu.Lock()
 	running, was, err := s.flights.Cancel(time.Now(), id, owner)
-	if k := s.kept[id]; running && k != nil && k.stop != nil {
-		k.stop()
+	if k := s.results[id]; running && k != nil && k.cancel != nil {
+		k.cancel()
 	}
 	s.mu.Unlock()
 	if err != nil {
-		return nil, stateStatus(err)
+		return nil, sessionStatus(err)
 	}
 	result := &gen.CancelFlightInfoResult{Status: gen.CancelStatus_CANCEL_STATUS_CANCELLED}
 	switch {
@@ -177,7 +177,7 @@
 	until, err := s.flights.Renew(time.Now(), t.Flight, owner)
 	s.mu.Unlock()
 	if err != nil {
-		return nil, stateStatus(err)
+		return nil, sessionStatus(err)
 	}
 	payload, _ := json.Marshal(t)
 	return &flight.FlightEndpoint{ExpirationTime: timestamppb.New(until), Location: req.GetEndpoint().GetLocation(),
@@ -193,16 +193,16 @@
 }
 
 // sessionOptions are those of the session that a call names; none where it names none.
-func (s *Server) sessionOptions(ctx context.Context, g *guest) (o options, err error) {
+func (s *Server) sessionOptions(ctx context.Context, g *caller) (o streamOptions, err error) {
 	id := sessionID(ctx)
 	if id == "" {
 		return o, nil
 	}
 	s.mu.Lock()
-	set, err := s.sessions.Options(time.Now(), id, g.who.Owner)
+	set, err := s.sessions.Options(time.Now(), id, g.client.Owner)
 	s.mu.Unlock()
 	if err != nil {
-		return o, stateStatus(err)
+		return o, sessionStatus(err)
 	}
 	if o.codec = set[optionCodec]; o.codec == "none" {
 		o.codec = ""
@@ -243,21 +243,21 @@
 			fault(name, gen.SetSessionOptionsResult_INVALID_VALUE)
 		}
 	}
-	id, owner := sessionID(ctx), guestOf(ctx).who.Owner
+	id, owner := sessionID(ctx), callerOf(ctx).client.Owner
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := time.Now()
 	if id == "" {
 		id = rand.Text()
 		if err := s.sessions.Open(now, id, owner); err != nil {
-			return nil, stateStatus(err)
+			return nil, sessionStatus(err)
 		}
 		cookie := http.Cookie{Name: flightsession.StatefulSessionCookieName, Value: id}
 		grpc.SetHeader(ctx, metadata.Pairs("set-cookie", cookie.String()))
 	}
 	faults, err := s.sessions.Set(now, id, owner, set)
 	if err != nil {
-		return nil, stateStatus(err)
+		return nil, sessionStatus(err)
 	}
 	for name, err := range faults {
 		known := slices.ContainsFunc(sessionChoices, func(o session.Option) bool { return o.Name == name })
@@ -273,9 +273,9 @@
 func (s *Server) getOptions(ctx context.Context, _ []byte) (proto.Message, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	set, err := s.sessions.Options(time.Now(), sessionID(ctx), guestOf(ctx).who.Owner)
+	set, err := s.sessions.Options(time.Now(), sessionID(ctx), callerOf(ctx).client.Owner)
 	if err != nil {
-		return nil, stateStatus(err)
+		return nil, sessionStatus(err)
 	}
 	result := &gen.GetSessionOptionsResult{SessionOptions: map[string]*gen.SessionOptionValue{}}
 	for name, value := range set {
@@ -287,8 +287,8 @@
 func (s *Server) closeSession(ctx context.Context, _ []byte) (proto.Message, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if err := s.sessions.Close(time.Now(), sessionID(ctx), guestOf(ctx).who.Owner); err != nil {
-		return nil, stateStatus(err)
+	if err := s.sessions.Close(time.Now(), sessionID(ctx), callerOf(ctx).client.Owner); err != nil {
+		return nil, sessionStatus(err)
 	}
 	return &gen.CloseSessionResult{Status: gen.CloseSessionResult_CLOSED}, nil
 }
--- a/internal/flight/auth.go
+++ b/internal/flight/auth.go
@@ -68,8 +68,8 @@
 	return owner, ok
 }
 
-// bearerFor is how long a token of a handshake holds.
-const bearerFor = time.Hour
+// bearerTTL is how long a token of a handshake holds.
+const bearerTTL = time.Hour
 
 var errCredentials = status.Error(codes.Unauthenticated, "credentials are not known; send authorization: Basic or Bearer, or do a Handshake")
 
@@ -83,9 +83,9 @@
 	return netip.Addr{}
 }
 
-// caller finds who asks: by credentials, or else by network. named is false where nobody is to be known, so that the
+// authenticate finds who asks: by credentials, or else by network. named is false where nobody is to be known, so that the
 // ticket names the owner.
-func (s *Server) caller(ctx context.Context) (owner string, named bool, err error) {
+func (s *Server) authenticate(ctx context.Context) (owner string, named bool, err error) {
 	people := s.people.Load()
 	addr := address(ctx)
 	if people.Denied != nil && people.Denied.Contains(addr) || people.Allowed != nil && !people.Allowed.Contains(addr) {
@@ -126,9 +126,9 @@
 	return "", false, errCredentials
 }
 
-// token is a bearer token for an owner.
-func (s *Server) token(owner string) string {
-	return base64.RawURLEncoding.EncodeToString(s.keys.seal(forBearer, owner, time.Now().Add(bearerFor), nil))
+// bearerToken is a bearer token for an owner.
+func (s *Server) bearerToken(owner string) string {
+	return base64.RawURLEncoding.EncodeToString(s.keys.seal(forBearer, owner, time.Now().Add(bearerTTL), nil))
 }
 
 // Handshake takes a name and a password, as BasicAuth in the payload or as a header, and returns a bearer token, in the
@@ -152,10 +152,10 @@
 		if !named {
 			return errCredentials
 		}
-	} else if owner, _, err = s.caller(stream.Context()); err != nil {
+	} else if owner, _, err = s.authenticate(stream.Context()); err != nil {
 		return err
 	}
-	token := s.token(owner)
+	token := s.bearerToken(owner)
 	stream.SetHeader(metadata.Pairs("authorization", "Bearer "+token))
 	return stream.Send(&flight.HandshakeResponse{Payload: []byte(token)})
 }
--- /dev/null
+++ b/internal/flight/backoff.go
@@ -0,0 +1,30 @@
+package flight
+
+import "time"
+
+// Pauses between connections that fail; they double.
+const (
+	minBackoff = 50 * time.Millisecond
+	maxBackoff = time.Second
+)
+
+// backoff is when the next connection may be opened, once some have failed. Its methods take the time; it reads no clock.
+type backoff struct {
+	failures int
+	until    time.Time
+}
+
+// ready tells whether a connection may be opened.
+func (b *backoff) ready(now time.Time) bool { return !now.Before(b.until) }
+
+// note takes in how one ended; chance within 0 and 1 spreads those who wait for the same data node.
+func (b *backoff) note(now time.Time, up bool, chance float64) {
+	if up {
+		*b = backoff{}
+		return
+	}
+	if b.failures++; b.failures > 1 { // one may fail by chance, and is tried anew at once
+		pause := min(minBackoff<<min(b.failures-2, 10), maxBackoff)
+		b.until = now.Add(time.Duration(float64(pause) * (0.5 + chance/2)))
+	}
+}
--- a/internal/flight/codec.go
+++ b/internal/flight/codec.go
@@ -9,13 +9,10 @@
 	"encoding/json"
 	"errors"
 	"fmt"
-	"slices"
 	"strings"
-	"sync"
 
 	"github.com/apache/arrow-go/v18/arrow"
 	"github.com/apache/arrow-go/v18/arrow/array"
-	"github.com/apache/arrow-go/v18/arrow/flight"
 	"github.com/apache/arrow-go/v18/arrow/ipc"
 	"github.com/apache/arrow-go/v18/arrow/memory"
 
@@ -79,14 +76,14 @@
 	Missing  []int  `json:"missing,omitempty"` // with the last one: shards that the answer lacks
 }
 
-// options are what a client has asked for.
-type options struct {
+// streamOptions are what a client has asked for.
+type streamOptions struct {
 	codec string // zstd, lz4 or empty
 	rows  int    // most rows of a batch
 }
 
 // writerOptions are those of the IPC writer.
-func (o options) writerOptions(schema *arrow.Schema) []ipc.Option {
+func (o streamOptions) writerOptions(schema *arrow.Schema) []ipc.Option {
 	list := []ipc.Option{ipc.WithSchema(schema), ipc.WithAllocator(memory.DefaultAllocator)}
 	switch o.codec {
 	case "zstd":
@@ -102,16 +99,16 @@
 	WriteWithAppMetadata(rec arrow.RecordBatch, meta []byte) error
 }
 
-// share is the part of an answer that one stream carries.
-type share struct {
-	id      string // of an exchange's query
-	whole   bool
-	hits    []coordinator.PartValue
-	missing []int
+// answerShare is the part of an answer that one stream carries.
+type answerShare struct {
+	id       string // of an exchange's query
+	complete bool
+	values   []coordinator.PartValue
+	missing  []int
 }
 
-// size is the bytes that the documents of hits take.
-func size(hits []coordinator.PartValue) (n int64) {
+// totalBytes is the bytes that the documents of hits take.
+func totalBytes(hits []coordinator.PartValue) (n int64) {
 	for _, h := range hits {
 		for _, doc := range h.Docs {
 			n += int64(len(doc))
@@ -120,31 +117,31 @@
 	return n
 }
 
-// errBatch marks a data node's batch that is not of its class's schema.
-var errBatch = errors.New("batch is not of the class's schema")
+// errWrongSchema marks a data node's batch that is not of its class's schema.
+var errWrongSchema = errors.New("batch is not of the class's schema")
 
 // write writes a share batch by batch; after each one sent is told how many bytes of documents it has carried.
-func write(out batchWriter, schema *arrow.Schema, s share, o options, sent func(bytes int64)) error {
+func write(out batchWriter, schema *arrow.Schema, s answerShare, o streamOptions, sent func(bytes int64)) error {
 	if schema.Equal(Schema) {
 		return writeDocs(out, s, o, sent)
 	}
-	for i, h := range s.hits {
+	for i, h := range s.values {
 		for j, doc := range h.Docs {
-			last := i == len(s.hits)-1 && j == len(h.Docs)-1
+			last := i == len(s.values)-1 && j == len(h.Docs)-1
 			if err := writeBatch(out, schema, doc, o, func(end bool) []byte { return s.meta(&h.Shard, last && end) }); err != nil {
 				return fmt.Errorf("shard %d: %w", h.Shard, err)
 			}
 			sent(int64(len(doc)))
 		}
 	}
-	if len(s.hits) == 0 {
+	if len(s.values) == 0 {
 		return writeEmpty(out, schema, s.meta(nil, true))
 	}
 	return nil
 }
 
-func (s *share) meta(shard *int, last bool) []byte {
-	m := batchMeta{ID: s.id, Complete: s.whole, Last: last}
+func (s *answerShare) meta(shard *int, last bool) []byte {
+	m := batchMeta{ID: s.id, Complete: s.complete, Last: last}
 	if shard != nil {
 		n := *shard
 		m.Shard = &n
@@ -165,7 +162,7 @@
 }
 
 // writeDocs writes documents as rows. Batches hold rows of several shards, up to their bounds.
-func writeDocs(out batchWriter, s share, o options, sent func(int64)) error {
+func writeDocs(out batchWriter, s answerShare, o streamOptions, sent func(int64)) error {
 	b := array.NewRecordBuilder(memory.DefaultAllocator, Schema)
 	defer b.Release()
 	rows, bytes, first, several := 0, 0, 0, false
@@ -187,7 +184,7 @@
 		rows, bytes, several = 0, 0, false
 		return err
 	}
-	for _, h := range s.hits {
+	for _, h := range s.values {
 		for _, doc := range h.Docs {
 			if rows > 0 && (rows >= most || bytes+len(doc) > batchBytes) {
 				if err := flush(false); err != nil {
@@ -221,33 +218,33 @@
 
 // writeBatch writes the one batch of a document that is an IPC stream, sliced where it has too many rows. What lies
 // about its lengths makes the library panic or err; both end here.
-func writeBatch(out batchWriter, schema *arrow.Schema, doc []byte, o options, meta func(end bool) []byte) (err error) {
+func writeBatch(out batchWriter, schema *arrow.Schema, doc []byte, o streamOptions, meta func(end bool) []byte) (err error) {
 	defer func() {
 		if cause := recover(); cause != nil {
-			err = fmt.Errorf("%w: %v", errBatch, cause)
+			err = fmt.Errorf("%w: %v", errWrongSchema, cause)
 		}
 	}()
 	if len(doc) > maxIPC {
-		return fmt.Errorf("%w: %d bytes", errBatch, len(doc))
+		return fmt.Errorf("%w: %d bytes", errWrongSchema, len(doc))
 	}
 	in, err := ipc.NewReader(bytes.NewReader(doc), ipc.WithAllocator(memory.DefaultAllocator))
 	if err != nil {
-		return fmt.Errorf("%w: %v", errBatch, err)
+		return fmt.Errorf("%w: %v", errWrongSchema, err)
 	}
 	defer in.Release()
 	if !in.Schema().Equal(schema) {
-		return fmt.Errorf("%w: it is of %v", errBatch, in.Schema())
+		return fmt.Errorf("%w: it is of %v", errWrongSchema, in.Schema())
 	}
 	if !in.Next() {
-		return fmt.Errorf("%w: empty: %v", errBatch, in.Err())
+		return fmt.Errorf("%w: empty: %v", errWrongSchema, in.Err())
 	}
 	rec := in.RecordBatch()
 	rec.Retain()
 	defer rec.Release()
 	if in.Next() {
-		return fmt.Errorf("%w: several in one document", errBatch)
+		return fmt.Errorf("%w: several in one document", errWrongSchema)
 	} else if err := in.Err(); err != nil {
-		return fmt.Errorf("%w: %v", errBatch, err)
+		return fmt.Errorf("%w: %v", errWrongSchema, err)
 	}
 	most := rec.NumRows()
 	if o.rows > 0 {
@@ -267,127 +264,3 @@
 	}
 	return nil
 }
-
-// streamWriter is a stream's writer.
-type streamWriter interface {
-	batchWriter
-	Close() error
-}
-
-// writer opens the writer of a stream. Compressed batches of a schema without dictionaries go through a press, since
-// an encoder of its own for each stream costs more than all that it compresses; dictionaries are a stream's own.
-func (s *Server) writer(stream flight.DataStreamWriter, schema *arrow.Schema, o options) streamWriter {
-	if o.codec == "" || slices.ContainsFunc(schema.Fields(), func(f arrow.Field) bool { return f.Type.ID() == arrow.DICTIONARY }) {
-		return flight.NewRecordWriter(stream, o.writerOptions(schema)...)
-	}
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	for _, p := range s.presses {
-		if p.codec == o.codec && p.schema.Equal(schema) {
-			return &pressed{stream: stream, press: p}
-		}
-	}
-	p := &press{codec: o.codec, schema: schema, options: o.writerOptions(schema)}
-	s.presses = append(s.presses, p) // as many as there are classes and codecs
-	return &pressed{stream: stream, press: p}
-}
-
-// press compresses batches of one schema for all streams, one at a time.
-type press struct {
-	codec   string
-	schema  *arrow.Schema
-	options []ipc.Option
-
-	mu   sync.Mutex // guards what follows; never held over a send
-	w    *ipc.Writer
-	out  caught
-	head *flight.FlightData // the schema's message
-}
-
-// caught keeps what an IPC writer writes.
-type caught struct{ list []*flight.FlightData }
-
-func (c *caught) Start() error { return nil }
-func (c *caught) Close() error { return nil }
-func (c *caught) WritePayload(p ipc.Payload) error {
-	meta := p.Meta()
-	defer meta.Release()
-	var body bytes.Buffer
-	if err := p.SerializeBody(&body); err != nil {
-		return err
-	}
-	c.list = append(c.list, &flight.FlightData{DataHeader: bytes.Clone(meta.Bytes()), DataBody: body.Bytes()})
-	return nil
-}
-
-// run compresses a batch; without one it returns the schema's message alone.
-func (p *press) run(rec arrow.RecordBatch) (head, body *flight.FlightData, err error) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	sound := false
-	defer func() {
-		if p.out.list = nil; !sound {
-			p.w, p.head = nil, nil // what it has left behind is not known
-		}
-	}()
-	if p.w == nil {
-		p.w = ipc.NewWriterWithPayloadWriter(&p.out, p.options...)
-		empty := array.NewRecordBuilder(memory.DefaultAllocator, p.schema)
-		defer empty.Release()
-		first := empty.NewRecordBatch()
-		defer first.Release()
-		if err := p.w.Write(first); err != nil {
-			return nil, nil, err
-		}
-		if len(p.out.list) != 2 {
-			return nil, nil, fmt.Errorf("%d messages where a schema and a batch were written", len(p.out.list))
-		}
-		p.head, p.out.list = p.out.list[0], nil
-	}
-	if rec != nil {
-		if err := p.w.Write(rec); err != nil {
-			return nil, nil, err
-		}
-		if len(p.out.list) != 1 {
-			return nil, nil, fmt.Errorf("%d messages where a batch was written", len(p.out.list))
-		}
-		body = p.out.list[0]
-	}
-	sound = true
-	return p.head, body, nil
-}
-
-// pressed is a stream whose batches a press compresses.
-type pressed struct {
-	stream flight.DataStreamWriter
-	press  *press
-	begun  bool
-}
-
-func (p *pressed) WriteWithAppMetadata(rec arrow.RecordBatch, meta []byte) error {
-	head, body, err := p.press.run(rec)
-	if err != nil {
-		return err
-	}
-	if err := p.begin(head); err != nil {
-		return err
-	}
-	body.AppMetadata = meta
-	return p.stream.Send(body)
-}
-
-func (p *pressed) begin(head *flight.FlightData) error {
-	if p.begun {
-		return nil
-	}
-	p.begun = true
-	return p.stream.Send(&flight.FlightData{DataHeader: head.DataHeader, DataBody: head.DataBody})
-}
-
-func (p *pressed) Close() error {
-	head, _, err := p.press.run(nil)
-	if err != nil {
-		return err
-	}
-	return p.begin(head)
-}
--- a/internal/flight/codec_test.go
+++ b/internal/flight/codec_test.go
@@ -22,10 +22,10 @@
 func benchmarkWrite(b *testing.B, schema *arrow.Schema, hits []coordinator.PartValue, codec string) {
 	s := &Server{}
 	b.ReportAllocs()
-	b.SetBytes(size(hits))
+	b.SetBytes(totalBytes(hits))
 	for b.Loop() {
-		out := s.writer(&nowhere{}, schema, options{codec: codec})
-		if err := write(out, schema, share{whole: true, hits: hits}, options{codec: codec}, func(int64) {}); err != nil {
+		out := s.newWriter(&nowhere{}, schema, streamOptions{codec: codec})
+		if err := write(out, schema, answerShare{complete: true, values: hits}, streamOptions{codec: codec}, func(int64) {}); err != nil {
 			b.Fatal(err)
 		}
 		out.Close()
--- /dev/null
+++ b/internal/flight/doget.go
@@ -0,0 +1,141 @@
+package flight
+
+import (
+	"context"
+	"encoding/json"
+	"errors"
+	"time"
+
+	"github.com/apache/arrow-go/v18/arrow/flight"
+	"google.golang.org/grpc/codes"
+	"google.golang.org/grpc/status"
+
+	"gullfall/internal/coordinator"
+	"gullfall/internal/session"
+)
+
+// missing are the shards of parts that the hits lack.
+func missing(parts []coordinator.Part, hits []coordinator.PartValue) (list []int) {
+	have := map[int]bool{}
+	for _, h := range hits {
+		have[h.Shard] = true
+	}
+	for _, p := range parts {
+		if !have[p.Shard] {
+			list = append(list, p.Shard)
+		}
+	}
+	return list
+}
+
+// DoGet fetches a range of a flight by its sealed ticket, or asks one query by a plain one.
+func (s *Server) DoGet(t *flight.Ticket, stream flight.FlightService_DoGetServer) error {
+	ctx := stream.Context()
+	g := callerOf(ctx)
+	o, err := s.sessionOptions(ctx, g)
+	if err != nil {
+		return err
+	}
+	if sealed(t.GetTicket()) {
+		return s.fetchRange(ctx, g, t.GetTicket(), o, stream)
+	}
+	q, _, err := s.parseTicket(t.GetTicket(), g)
+	if err != nil {
+		return err
+	}
+	end, limited := ctx.Deadline()
+	if !limited {
+		return status.Error(codes.InvalidArgument, "a deadline is needed")
+	}
+	q.Deadline = end
+	leave, err := s.admitQuery(g, q.Tenant)
+	if err != nil {
+		return err
+	}
+	defer leave()
+	room, err := s.reserve(g, q.Class, len(q.Parts))
+	if err != nil {
+		return err
+	}
+	answer, err := s.Coordinator.Execute(ctx, q)
+	if err := statusOf(ctx, answer, err, end); err != nil {
+		room.release()
+		return err
+	}
+	return s.sendAnswer(room, stream, s.classOf(q.Class), answerShare{complete: answer.Complete, values: answer.Values, missing: missing(q.Parts, answer.Values)}, o)
+}
+
+// sendAnswer writes a share of an answer to a stream. A reader that is slow holds up its own stream, until its deadline or
+// until the door cuts it.
+func (s *Server) sendAnswer(room *reservation, stream flight.DataStreamWriter, class Class, sh answerShare, o streamOptions) error {
+	total := totalBytes(sh.values)
+	read, err := room.commit(total)
+	if err != nil {
+		return err
+	}
+	out := s.newWriter(stream, class.Schema, o)
+	left := total
+	err = write(out, class.Schema, sh, o, func(n int64) { read(n); left -= n })
+	read(left)
+	if cerr := out.Close(); err == nil {
+		err = cerr
+	}
+	switch {
+	case errors.Is(err, errWrongSchema):
+		s.Log.Error("answer not fit for the class's schema", "class", class.Name, "cause", err)
+		return status.Errorf(codes.DataLoss, "a data node's answer can't be used: %v", err)
+	case err != nil:
+		s.Log.Info("answer not written whole", "cause", err)
+	}
+	return err
+}
+
+// fetchRange sends one range of a flight.
+func (s *Server) fetchRange(ctx context.Context, g *caller, raw []byte, o streamOptions, stream flight.DataStreamWriter) error {
+	owner, payload, err := s.keys.open(time.Now(), forFetch, raw)
+	if err != nil {
+		return status.Error(codes.InvalidArgument, err.Error())
+	}
+	if g.authenticated && owner != g.client.Owner {
+		return status.Error(codes.PermissionDenied, "the ticket belongs to another owner")
+	}
+	var t fetchTicket
+	if err := json.Unmarshal(payload, &t); err != nil {
+		return status.Error(codes.InvalidArgument, errToken.Error())
+	}
+	for {
+		k, next, err := s.claimRange(g, t.Flight, owner, t.Range)
+		if err != nil {
+			return err
+		}
+		switch next {
+		case session.Report:
+			return k.err
+		case session.Send:
+			parts, whole := k.ranges[t.Range], k.answer.Complete
+			var hits []coordinator.PartValue
+			for _, p := range parts {
+				for _, h := range k.answer.Values {
+					if h.Shard == p.Shard {
+						hits = append(hits, h)
+					}
+				}
+			}
+			// What is kept is counted with the flights; room is asked for what is sent of it.
+			err := s.sendAnswer(&reservation{server: s, caller: g, class: k.query.Class}, stream, s.classOf(k.query.Class), answerShare{complete: whole, values: hits, missing: missing(parts, hits)}, o)
+			s.mu.Lock()
+			if err == nil {
+				s.flights.Sent(time.Now(), t.Flight, t.Range)
+			} else {
+				s.flights.Interrupted(time.Now(), t.Flight, t.Range)
+			}
+			s.mu.Unlock()
+			return err
+		}
+		select {
+		case <-k.done:
+		case <-ctx.Done():
+			return status.FromContextError(ctx.Err()).Err()
+		}
+	}
+}
--- a/internal/flight/exchange.go
+++ b/internal/flight/exchange.go
@@ -21,19 +21,19 @@
 	"gullfall/internal/coordinator"
 )
 
-// mostExchanged is how many queries of one exchange are open at once; further ones wait unread.
-const mostExchanged = 1024
+// maxExchanged is how many queries of one exchange are open at once; further ones wait unread.
+const maxExchanged = 1024
 
-// asked is a question of an exchange, in the metadata of a message without a body: a plain ticket with an id of the
+// exchangeRequest is a question of an exchange, in the metadata of a message without a body: a plain ticket with an id of the
 // client's and the milliseconds that it will wait, or {"cancel":"id"}.
-type asked struct {
+type exchangeRequest struct {
 	ID         string `json:"id"`
 	DeadlineMS int64  `json:"deadline_ms"`
 	Cancel     string `json:"cancel"`
 }
 
-// told is what an exchange tells of a query that has no answer, in the metadata of a batch without rows.
-type told struct {
+// exchangeError is what an exchange tells of a query that has no answer, in the metadata of a batch without rows.
+type exchangeError struct {
 	ID      string `json:"id"`
 	Status  string `json:"status"` // a gRPC code's name
 	Message string `json:"message"`
@@ -42,11 +42,11 @@
 
 // exchange is one stream.
 type exchange struct {
-	s      *Server
-	g      *guest
-	stream flight.FlightService_DoExchangeServer
-	class  Class // of all its queries, as its descriptor names it
-	opts   options
+	server  *Server
+	caller  *caller
+	stream  flight.FlightService_DoExchangeServer
+	class   Class // of all its queries, as its descriptor names it
+	options streamOptions
 
 	mu   sync.Mutex // guards open
 	open map[string]context.CancelFunc
@@ -57,7 +57,7 @@
 
 // DoExchange answers many queries of one class on one stream. Its first message has a descriptor whose path is the class.
 func (s *Server) DoExchange(stream flight.FlightService_DoExchangeServer) error {
-	g := guestOf(stream.Context())
+	g := callerOf(stream.Context())
 	opts, err := s.sessionOptions(stream.Context(), g)
 	if err != nil {
 		return err
@@ -73,9 +73,9 @@
 		return status.Error(codes.InvalidArgument, "the first message needs a descriptor whose path is a class")
 	}
 	ctx, stop := context.WithCancel(stream.Context())
-	e := &exchange{s: s, g: g, stream: stream, class: s.class(path[0]), opts: opts, open: map[string]context.CancelFunc{}}
+	e := &exchange{server: s, caller: g, stream: stream, class: s.classOf(path[0]), options: opts, open: map[string]context.CancelFunc{}}
 	var queries sync.WaitGroup
-	places := make(chan struct{}, mostExchanged)
+	places := make(chan struct{}, maxExchanged)
 	defer func() {
 		stop()
 		queries.Wait() // each has had its final answer, or its parts are being given up
@@ -85,7 +85,7 @@
 			return status.Error(codes.InvalidArgument, "questions go into the metadata of messages without a body")
 		}
 		if raw := m.GetAppMetadata(); len(raw) > 0 {
-			var q asked
+			var q exchangeRequest
 			if err := json.Unmarshal(raw, &q); err != nil {
 				return status.Errorf(codes.InvalidArgument, "question: %v", err)
 			}
@@ -99,7 +99,7 @@
 			queries.Wait()
 			e.writing.Lock()
 			defer e.writing.Unlock()
-			return e.writer().Close()
+			return e.openWriter().Close()
 		} else if err != nil {
 			return err
 		}
@@ -107,12 +107,12 @@
 }
 
 // begin starts a query once there is a place for it. An error ends the exchange.
-func (e *exchange) begin(ctx context.Context, q asked, raw []byte, places chan struct{}, queries *sync.WaitGroup) error {
+func (e *exchange) begin(ctx context.Context, q exchangeRequest, raw []byte, places chan struct{}, queries *sync.WaitGroup) error {
 	if q.ID == "" || len(q.ID) > 64 {
 		return status.Errorf(codes.InvalidArgument, "question with an id of %d bytes; 1 to 64 are allowed", len(q.ID))
 	}
 	if q.DeadlineMS <= 0 {
-		return e.tell(q.ID, status.Error(codes.InvalidArgument, "deadline_ms is needed"))
+		return e.writeError(q.ID, status.Error(codes.InvalidArgument, "deadline_ms is needed"))
 	}
 	end := time.Now().Add(time.Duration(min(q.DeadlineMS, 3_600_000)) * time.Millisecond)
 	select {
@@ -130,7 +130,7 @@
 	if twice {
 		cancel()
 		<-places
-		return e.tell(q.ID, status.Error(codes.AlreadyExists, "a question of this id is open"))
+		return e.writeError(q.ID, status.Error(codes.AlreadyExists, "a question of this id is open"))
 	}
 	queries.Go(func() {
 		defer func() {
@@ -141,7 +141,7 @@
 			<-places
 		}()
 		if err := e.answer(ctx, q.ID, raw, end); err != nil {
-			e.tell(q.ID, err)
+			e.writeError(q.ID, err)
 		}
 	})
 	return nil
@@ -157,8 +157,8 @@
 
 // answer asks one query and writes its answer. What it returns is told; it is nil once an answer was begun.
 func (e *exchange) answer(ctx context.Context, id string, raw []byte, end time.Time) error {
-	s := e.s
-	q, t, err := s.parse(raw, e.g)
+	s := e.server
+	q, t, err := s.parseTicket(raw, e.caller)
 	if err != nil {
 		return err
 	}
@@ -166,26 +166,26 @@
 		return status.Errorf(codes.InvalidArgument, "class %q on an exchange of class %q", t.Class, e.class.Name)
 	}
 	q.ID, q.Class, q.Deadline = rand.Text(), e.class.Name, end // the client's id is its own, and may be another's too
-	leave, err := s.query(e.g, q.Tenant)
+	leave, err := s.admitQuery(e.caller, q.Tenant)
 	if err != nil {
 		return err
 	}
 	defer leave()
-	room, err := s.reserve(e.g, q.Class, len(q.Parts))
+	room, err := s.reserve(e.caller, q.Class, len(q.Parts))
 	if err != nil {
 		return err
 	}
-	answer, err := s.Core.Execute(ctx, q)
+	answer, err := s.Coordinator.Execute(ctx, q)
 	if errors.Is(err, coordinator.ErrGone) && time.Now().Before(end) {
-		room.drop()
+		room.release()
 		return status.Error(codes.Canceled, "was cancelled")
 	}
-	if err := verdict(ctx, answer, err, end); err != nil {
-		room.drop()
+	if err := statusOf(ctx, answer, err, end); err != nil {
+		room.release()
 		return err
 	}
-	total := size(answer.Values)
-	read, err := room.come(total)
+	total := totalBytes(answer.Values)
+	read, err := room.commit(total)
 	if err != nil {
 		return err
 	}
@@ -193,34 +193,34 @@
 	defer func() { read(left) }()
 	e.writing.Lock()
 	defer e.writing.Unlock()
-	sh := share{id: id, whole: answer.Complete, hits: answer.Values, missing: missing(q.Parts, answer.Values)}
-	err = write(e.writer(), e.class.Schema, sh, e.opts, func(n int64) { read(n); left -= n })
-	if errors.Is(err, errBatch) {
+	sh := answerShare{id: id, complete: answer.Complete, values: answer.Values, missing: missing(q.Parts, answer.Values)}
+	err = write(e.openWriter(), e.class.Schema, sh, e.options, func(n int64) { read(n); left -= n })
+	if errors.Is(err, errWrongSchema) {
 		s.Log.Error("answer not fit for the class's schema", "class", e.class.Name, "cause", err)
-		return e.send(id, status.Error(codes.DataLoss, "a data node's answer can't be used"))
+		return e.writeErrorLocked(id, status.Error(codes.DataLoss, "a data node's answer can't be used"))
 	}
 	return nil // an error of the stream ends it, which all its queries see
 }
 
-// tell writes how a query ended that has no answer.
-func (e *exchange) tell(id string, err error) error {
+// writeError writes how a query ended that has no answer.
+func (e *exchange) writeError(id string, err error) error {
 	e.writing.Lock()
 	defer e.writing.Unlock()
-	return e.send(id, err)
+	return e.writeErrorLocked(id, err)
 }
 
-// writer opens the stream's writer. The caller holds the lock.
-func (e *exchange) writer() streamWriter {
+// openWriter opens the stream's writer. The caller holds the lock.
+func (e *exchange) openWriter() streamWriter {
 	if e.out == nil {
-		e.out = e.s.writer(e.stream, e.class.Schema, e.opts)
+		e.out = e.server.newWriter(e.stream, e.class.Schema, e.options)
 	}
 	return e.out
 }
 
-// send is tell for one that holds the lock.
-func (e *exchange) send(id string, err error) error {
+// writeErrorLocked is tell for one that holds the lock.
+func (e *exchange) writeErrorLocked(id string, err error) error {
 	st := status.Convert(err)
-	m := told{ID: id, Status: st.Code().String(), Message: st.Message()}
+	m := exchangeError{ID: id, Status: st.Code().String(), Message: st.Message()}
 	for _, d := range st.Details() {
 		if r, ok := d.(*errdetails.RetryInfo); ok {
 			m.RetryMS = r.GetRetryDelay().AsDuration().Milliseconds()
@@ -230,5 +230,5 @@
 	if merr != nil {
 		return merr
 	}
-	return writeEmpty(e.writer(), e.class.Schema, raw)
+	return writeEmpty(e.openWriter(), e.class.Schema, raw)
 }
--- a/internal/flight/formats_test.go
+++ b/internal/flight/formats_test.go
@@ -13,12 +13,12 @@
 	golden.JSON(t, "forms.json", map[string]any{
 		"ticket":         golden.Filled[Ticket](),
 		"fetch ticket":   golden.Filled[fetchTicket](),
-		"flight":         golden.Filled[listed](),
+		"flight":         golden.Filled[classInfo](),
 		"batch metadata": golden.Filled[batchMeta](),
 		"part ticket":    golden.Filled[PartTicket](),
-		"part":           golden.Filled[PartAsk](),
-		"parts":          golden.Filled[PartsAsk](),
-		"part's answer":  golden.Filled[PartTold](),
+		"part":           golden.Filled[PartRequest](),
+		"parts":          golden.Filled[CallRequest](),
+		"part's answer":  golden.Filled[PartResponse](),
 	})
 }
 
--- a/internal/flight/nodecalls.go
+++ b/internal/flight/nodecalls.go
@@ -30,8 +30,8 @@
 // PartsPath is the path of a call's descriptor.
 const PartsPath = "parts"
 
-// PartAsk is one part of a call.
-type PartAsk struct {
+// PartRequest is one part of a call.
+type PartRequest struct {
 	ID         string `json:"id"`
 	Shard      int    `json:"shard"`
 	Q          string `json:"q"`
@@ -39,14 +39,14 @@
 	Key        string `json:"idempotency_key,omitempty"` // of a keyed class: a repeat is dropped by it
 }
 
-// PartsAsk is the metadata of a message to a data node.
-type PartsAsk struct {
-	Parts  []PartAsk `json:"parts,omitempty"`
-	Cancel string    `json:"cancel,omitempty"`
+// CallRequest is the metadata of a message to a data node.
+type CallRequest struct {
+	Parts  []PartRequest `json:"parts,omitempty"`
+	Cancel string        `json:"cancel,omitempty"`
 }
 
-// PartTold is the metadata of a batch from a data node.
-type PartTold struct {
+// PartResponse is the metadata of a batch from a data node.
+type PartResponse struct {
 	ID      string             `json:"id"`
 	Last    bool               `json:"last,omitempty"`
 	Status  string             `json:"status,omitempty"` // a gRPC code's name, for a part that has no answer
@@ -54,18 +54,18 @@
 	Load    map[string]float64 `json:"load,omitempty"`
 }
 
-// group is a call on its stream. Its fields but sending are guarded by the peer's lock.
-type group struct {
-	cancel  context.CancelFunc
-	ch      *channel
-	stream  flight.FlightService_DoExchangeClient
-	list    []*coordinator.Attempt          // all of its parts, in the order in which they were sent here
-	left    map[string]*coordinator.Attempt // by id, those without an end
-	sending sync.Mutex                      // one message at a time
+// nodeCall is a call on its stream. Its fields but sending are guarded by the peer's lock.
+type nodeCall struct {
+	cancel   context.CancelFunc
+	channel  *channel
+	stream   flight.FlightService_DoExchangeClient
+	attempts []*coordinator.Attempt          // all of its parts, in the order in which they were sent here
+	pending  map[string]*coordinator.Attempt // by id, those without an end
+	sending  sync.Mutex                      // one message at a time
 }
 
-// enrol notes a call, before anything else can be ordered of its parts, and lets it be sent.
-func (p *peer) enrol(list []*coordinator.Attempt) {
+// startCall notes a call, before anything else can be ordered of its parts, and lets it be sent.
+func (p *nodeConn) startCall(list []*coordinator.Attempt) {
 	end := list[0].Deadline
 	for _, a := range list {
 		if a.Deadline.After(end) {
@@ -73,30 +73,30 @@
 		}
 	}
 	ctx, cancel := context.WithDeadline(context.Background(), end)
-	g := &group{cancel: cancel, list: list, left: map[string]*coordinator.Attempt{}}
+	g := &nodeCall{cancel: cancel, attempts: list, pending: map[string]*coordinator.Attempt{}}
 	p.mu.Lock()
 	for _, a := range list {
-		g.left[a.ID] = a
-		p.calls[a] = &call{cancel: func() {}, group: g}
+		g.pending[a.ID] = a
+		p.calls[a] = &attemptState{cancel: func() {}, call: g}
 	}
 	p.mu.Unlock()
-	go p.share(ctx, g, min(int64(len(list)), p.width))
+	go p.runCall(ctx, g, min(int64(len(list)), p.maxStreams))
 }
 
-// share sends the parts of a call on one stream and reports the end of each.
-func (p *peer) share(ctx context.Context, g *group, n int64) {
+// runCall sends the parts of a call on one stream and reports the end of each.
+func (p *nodeConn) runCall(ctx context.Context, g *nodeCall, n int64) {
 	defer g.cancel()
-	if err := p.turns.Acquire(ctx, n); err != nil {
-		p.rest(g, coordinator.Result{Outcome: coordinator.Cancelled})
+	if err := p.streams.Acquire(ctx, n); err != nil {
+		p.finishAll(g, coordinator.Result{Outcome: coordinator.Cancelled})
 		return
 	}
-	defer p.turns.Release(n)
+	defer p.streams.Release(n)
 	ch, err := p.acquire(ctx)
 	if err != nil {
 		if ctx.Err() == nil {
 			p.Log.Info("no channel to data node", "node", p.node.ID(), "cause", err)
 		}
-		p.rest(g, coordinator.Result{Outcome: unsent(err)})
+		p.finishAll(g, coordinator.Result{Outcome: outcomeWithoutChannel(err)})
 		return
 	}
 	defer func() {
@@ -104,60 +104,60 @@
 		p.release(ch, 1)
 		p.mu.Unlock()
 	}()
-	ask, live := p.begin(g, ch)
+	ask, live := p.beginCall(g, ch)
 	if !live {
 		return
 	}
-	err = p.speak(ctx, g, ch, ask)
+	err = p.exchange(ctx, g, ch, ask)
 	if status.Code(err) == codes.Unimplemented {
-		p.plain.Store(true)
+		p.noExchange.Store(true)
 		p.Log.Info("data node does not offer DoExchange; it is asked by DoGet", "node", p.node.ID())
-		p.each(g) // none of them has run
+		p.retryAsParts(g) // none of them has run
 		return
 	}
 	p.mu.Lock()
-	left := len(g.left)
+	left := len(g.pending)
 	p.mu.Unlock()
 	if left == 0 {
 		return
 	}
 	r := coordinator.Result{Outcome: coordinator.Errored} // a stream that ended well without them
 	if err != nil {
-		if r.Outcome = outcome(ctx, err); r.Outcome == coordinator.Reset && p.lives(ctx) {
+		if r.Outcome = outcomeOfStream(ctx, err); r.Outcome == coordinator.Reset && p.reconnects(ctx) {
 			r.Outcome = coordinator.ConnectionLost
 		}
 	}
 	p.Log.Info("parts ended without their values", "node", p.node.ID(), "parts", left, "cause", err)
-	p.rest(g, r)
+	p.finishAll(g, r)
 }
 
-// begin notes that the data node may know of a call's parts from now on, and returns those that are still wanted.
-func (p *peer) begin(g *group, ch *channel) (ask PartsAsk, live bool) {
+// beginCall notes that the data node may know of a call's parts from now on, and returns those that are still wanted.
+func (p *nodeConn) beginCall(g *nodeCall, ch *channel) (ask CallRequest, live bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	g.ch = ch
+	g.channel = ch
 	now := time.Now()
-	for _, a := range g.list {
-		if g.left[a.ID] != a {
+	for _, a := range g.attempts {
+		if g.pending[a.ID] != a {
 			continue // given up while it waited
 		}
 		if outcome, ok := a.Sendable(now); !ok {
-			p.finish(g, a, coordinator.Result{Outcome: outcome})
+			p.finishLocked(g, a, coordinator.Result{Outcome: outcome})
 			continue
 		}
-		p.calls[a].begun, p.calls[a].ch = now, ch
-		ask.Parts = append(ask.Parts, PartAsk{ID: a.ID, Shard: a.Shard, Q: a.Text, Key: a.IdempotencyKey,
+		p.calls[a].begun, p.calls[a].channel = now, ch
+		ask.Parts = append(ask.Parts, PartRequest{ID: a.ID, Shard: a.Shard, Q: a.Text, Key: a.IdempotencyKey,
 			DeadlineMS: max(1, time.Until(a.Deadline).Milliseconds())})
 	}
 	return ask, len(ask.Parts) > 0
 }
 
-// speak sends a call and reads its answers until all parts have an end, or the stream does.
-func (p *peer) speak(ctx context.Context, g *group, ch *channel, ask PartsAsk) (err error) {
+// exchange sends a call and reads its answers until all parts have an end, or the stream does.
+func (p *nodeConn) exchange(ctx context.Context, g *nodeCall, ch *channel, ask CallRequest) (err error) {
 	defer func() {
 		if cause := recover(); cause != nil {
 			p.Log.Error("stream of data node not understood", "node", p.node.ID(), "cause", cause)
-			err = fmt.Errorf("%w: %v", errStream, cause)
+			err = fmt.Errorf("%w: %v", errMalformedStream, cause)
 		}
 	}()
 	stream, err := ch.client.DoExchange(ctx)
@@ -177,25 +177,25 @@
 	in, err := flight.NewRecordReader(stream)
 	if err != nil {
 		if err == io.EOF {
-			err = errStream
+			err = errMalformedStream
 		}
 		return err
 	}
 	defer in.Release()
 	got, sizes := map[string]*coordinator.Result{}, map[string]int{}
-	for p.waits(g) && in.Next() {
+	for p.pending(g) && in.Next() {
 		p.mu.Lock()
-		ch.heard = time.Now()
+		ch.lastReceived = time.Now()
 		p.mu.Unlock()
-		var m PartTold
+		var m PartResponse
 		if err := json.Unmarshal(in.LatestAppMetadata(), &m); err != nil {
-			return fmt.Errorf("%w: metadata: %v", errStream, err)
+			return fmt.Errorf("%w: metadata: %v", errMalformedStream, err)
 		}
-		if err := p.take(g, in.RecordBatch(), m, got, sizes); err != nil {
+		if err := p.takeBatch(g, in.RecordBatch(), m, got, sizes); err != nil {
 			return err
 		}
 	}
-	if p.waits(g) {
+	if p.pending(g) {
 		if err := in.Err(); err != nil && err != io.EOF {
 			return err
 		}
@@ -206,10 +206,10 @@
 	return stream.CloseSend()
 }
 
-// take takes in one batch of a part.
-func (p *peer) take(g *group, rec arrow.RecordBatch, m PartTold, got map[string]*coordinator.Result, sizes map[string]int) error {
+// takeBatch takes in one batch of a part.
+func (p *nodeConn) takeBatch(g *nodeCall, rec arrow.RecordBatch, m PartResponse, got map[string]*coordinator.Result, sizes map[string]int) error {
 	p.mu.Lock()
-	a := g.left[m.ID]
+	a := g.pending[m.ID]
 	p.mu.Unlock()
 	if a == nil {
 		return nil // it was given up meanwhile
@@ -219,7 +219,7 @@
 		if m.Status == codes.ResourceExhausted.String() || m.Status == codes.Unavailable.String() {
 			r.Outcome = coordinator.Overloaded
 		}
-		p.end(g, a, r)
+		p.finish(g, a, r)
 		return nil
 	}
 	r := got[m.ID]
@@ -228,22 +228,22 @@
 		got[m.ID] = r
 	}
 	n, err := documents(rec, a.Shard, r)
-	if sizes[m.ID] += n; err == nil && sizes[m.ID] > maxPart {
-		err = fmt.Errorf("%w: over %d bytes", errStream, maxPart)
+	if sizes[m.ID] += n; err == nil && sizes[m.ID] > maxPartBytes {
+		err = fmt.Errorf("%w: over %d bytes", errMalformedStream, maxPartBytes)
 	}
 	if err == nil && m.Last && len(r.Docs) == 0 {
-		err = fmt.Errorf("%w: no document", errStream)
+		err = fmt.Errorf("%w: no document", errMalformedStream)
 	}
 	if err != nil { // it costs its part, not the call
 		p.Log.Info("part ended without its value", "node", p.node.ID(), "part", m.ID, "cause", err)
-		p.end(g, a, coordinator.Result{Outcome: coordinator.Errored})
+		p.finish(g, a, coordinator.Result{Outcome: coordinator.Errored})
 		return nil
 	}
 	if m.Load != nil {
 		r.LoadReport = m.Load
 	}
 	if m.Last {
-		p.end(g, a, *r)
+		p.finish(g, a, *r)
 	}
 	return nil
 }
@@ -253,7 +253,7 @@
 	if !rec.Schema().Equal(Schema) {
 		doc, err := EncodeBatch(rec)
 		if err != nil {
-			return 0, fmt.Errorf("%w: %v", errStream, err)
+			return 0, fmt.Errorf("%w: %v", errMalformedStream, err)
 		}
 		r.Docs = append(r.Docs, doc)
 		return len(doc), nil
@@ -264,7 +264,7 @@
 	}
 	for i := range docs.Len() {
 		if int(shards.Value(i)) != shard {
-			return size, fmt.Errorf("%w: document of shard %d", errStream, shards.Value(i))
+			return size, fmt.Errorf("%w: document of shard %d", errMalformedStream, shards.Value(i))
 		}
 		size += len(docs.Value(i))
 		r.Docs = append(r.Docs, append([]byte(nil), docs.Value(i)...))
@@ -273,76 +273,76 @@
 }
 
 // send sends a message; it waits for nobody but the transport.
-func (g *group) send(m *flight.FlightData) error {
+func (g *nodeCall) send(m *flight.FlightData) error {
 	g.sending.Lock()
 	defer g.sending.Unlock()
 	return g.stream.Send(m)
 }
 
-// waits tells whether some part of a call has no end yet.
-func (p *peer) waits(g *group) bool {
+// pending tells whether some part of a call has no end yet.
+func (p *nodeConn) pending(g *nodeCall) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return len(g.left) > 0
+	return len(g.pending) > 0
 }
 
-// end reports the end of a part.
-func (p *peer) end(g *group, a *coordinator.Attempt, r coordinator.Result) {
+// finish reports the end of a part.
+func (p *nodeConn) finish(g *nodeCall, a *coordinator.Attempt, r coordinator.Result) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.finish(g, a, r)
+	p.finishLocked(g, a, r)
 }
 
-// finish is end for one that holds the lock.
-func (p *peer) finish(g *group, a *coordinator.Attempt, r coordinator.Result) {
-	if g.left[a.ID] != a {
+// finishLocked is end for one that holds the lock.
+func (p *nodeConn) finishLocked(g *nodeCall, a *coordinator.Attempt, r coordinator.Result) {
+	if g.pending[a.ID] != a {
 		return
 	}
-	delete(g.left, a.ID)
+	delete(g.pending, a.ID)
 	delete(p.calls, a)
-	p.Core.Report(a, r)
+	p.Coordinator.Report(a, r)
 }
 
-// rest reports the same end for all parts that have none.
-func (p *peer) rest(g *group, r coordinator.Result) {
+// finishAll reports the same end for all parts that have none.
+func (p *nodeConn) finishAll(g *nodeCall, r coordinator.Result) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for _, a := range g.list {
-		p.finish(g, a, r)
+	for _, a := range g.attempts {
+		p.finishLocked(g, a, r)
 	}
 }
 
-// each asks for the parts of a call by a stream for each.
-func (p *peer) each(g *group) {
+// retryAsParts asks for the parts of a call by a stream for each.
+func (p *nodeConn) retryAsParts(g *nodeCall) {
 	p.mu.Lock()
-	list := g.left
-	g.left = map[string]*coordinator.Attempt{}
+	list := g.pending
+	g.pending = map[string]*coordinator.Attempt{}
 	for _, a := range list {
 		delete(p.calls, a)
 	}
 	p.mu.Unlock()
 	for _, a := range list {
-		p.single(a)
+		p.startPart(a)
 	}
 }
 
-// giveUp tells the data node that a part of a call is given up, and reports its end after that. The last part takes the
+// cancelPart tells the data node that a part of a call is given up, and reports its end after that. The last part takes the
 // stream with it.
-func (p *peer) giveUp(g *group, a *coordinator.Attempt, begun bool) {
+func (p *nodeConn) cancelPart(g *nodeCall, a *coordinator.Attempt, begun bool) {
 	if !begun {
-		p.end(g, a, coordinator.Result{Outcome: coordinator.Cancelled})
+		p.finish(g, a, coordinator.Result{Outcome: coordinator.Cancelled})
 		return
 	}
 	p.mu.Lock()
-	last := len(g.left) == 1 && g.left[a.ID] == a
+	last := len(g.pending) == 1 && g.pending[a.ID] == a
 	stream := g.stream
 	p.mu.Unlock()
-	if raw, err := json.Marshal(PartsAsk{Cancel: a.ID}); err == nil && stream != nil && !last {
+	if raw, err := json.Marshal(CallRequest{Cancel: a.ID}); err == nil && stream != nil && !last {
 		if err := g.send(&flight.FlightData{AppMetadata: raw}); err != nil && !errors.Is(err, io.EOF) {
 			g.cancel() // it can't be told otherwise
 		}
 	} else {
 		g.cancel()
 	}
-	p.end(g, a, coordinator.Result{Outcome: coordinator.Cancelled})
+	p.finish(g, a, coordinator.Result{Outcome: coordinator.Cancelled})
 }
--- a/internal/flight/suite_test.go
+++ b/internal/flight/suite_test.go
@@ -63,7 +63,7 @@
 	if carry != nil {
 		serve = carry(c)
 	} else {
-		serve = (&flight.Nodes{Core: c, Log: log, Streams: 64, Connect: 250 * time.Millisecond, Slots: make(chan struct{}, 64),
+		serve = (&flight.Nodes{Coordinator: c, Log: log, Streams: 64, Connect: 250 * time.Millisecond, Connections: make(chan struct{}, 64),
 			Dial: func(ctx context.Context, addr string) (net.Conn, error) {
 				return (&net.Dialer{}).DialContext(ctx, "tcp", addr)
 			}}).Dispatch
@@ -87,7 +87,7 @@
 	}
 	s.list = c.Source(membership.Spec{Name: "list"})
 	s.list.Replace(list, false)
-	o.Core, o.Log, o.Shards, o.Covered = c, log, shards, c.CoveredShards
+	o.Coordinator, o.Log, o.Shards, o.Covered = c, log, shards, c.CoveredShards
 	if o.Classes == nil {
 		o.Classes = []flight.Class{{Name: "report", Limit: 5 * time.Second}, {Name: "rating", Limit: 5 * time.Second}}
 	}
--- a/internal/lab/datanode/datanode.go
+++ b/internal/lab/datanode/datanode.go
@@ -285,7 +285,7 @@
 		defer mu.Unlock()
 		out.endAll(n)
 	}()
-	tell := func(shard int, doc string, m flight.PartTold) {
+	tell := func(shard int, doc string, m flight.PartResponse) {
 		b := array.NewRecordBuilder(memory.DefaultAllocator, flight.Schema)
 		defer b.Release()
 		if doc != "" {
@@ -298,7 +298,7 @@
 		w.WriteWithAppMetadata(rec, raw)
 	}
 	for m := first; ; {
-		var ask flight.PartsAsk
+		var ask flight.CallRequest
 		if err := json.Unmarshal(m.GetAppMetadata(), &ask); err != nil {
 			return status.Error(codes.InvalidArgument, err.Error())
 		}
@@ -310,14 +310,14 @@
 			n.Ledger.Begin(n.ID, part.ID)
 			if n.draining.Load() {
 				n.Ledger.End(n.ID, part.ID)
-				tell(0, "", flight.PartTold{ID: part.ID, Status: codes.ResourceExhausted.String()})
+				tell(0, "", flight.PartResponse{ID: part.ID, Status: codes.ResourceExhausted.String()})
 				continue
 			}
 			out[part.ID] = time.AfterFunc(n.pause(), func() {
 				mu.Lock()
 				defer mu.Unlock()
 				if out.end(n, part.ID) {
-					tell(part.Shard, n.doc(part.Shard), flight.PartTold{ID: part.ID, Last: true})
+					tell(part.Shard, n.doc(part.Shard), flight.PartResponse{ID: part.ID, Last: true})
 				}
 			})
 		}
