--- a/internal/admission/controller.go
+++ b/internal/admission/controller.go
@@ -13,7 +13,7 @@
 	kind         Kind
 	scopes       [scopes]*scope
 	number       uint64
-	bytes    int64
+	bytes        int64
 	lastProgress time.Time // when it last made progress, or began to hold
 	holderIndex  int       // its index among those that hold; -1 where it holds nothing
 	reading      bool      // something of what it holds is being read; else it is only reserved
--- a/internal/flight/actions.go
+++ b/internal/flight/actions.go
@@ -1,7 +1,7 @@
 package flight
 
-// This file owns DoAction: flights that are cancelled or renewed, sessions, and the load report. It must never answer
-// for a flight or a session of another owner.
+// DoAction: flights that are cancelled or renewed, sessions, and the load report. A flight or a session of another owner
+// is refused (PermissionDenied).
 
 import (
 	"context"
@@ -117,7 +117,7 @@
 	return t, owner, nil
 }
 
-// cancelFlight gives a flight up: parts that are out are given up at their data nodes by the core. A flight that is
+// cancelFlight gives a flight up: parts that are out are cancelled at their data nodes by the coordinator. A flight that is
 // polled is known by its descriptor, one that is complete by its endpoints.
 func (s *Server) cancelFlight(ctx context.Context, body []byte) (proto.Message, error) {
 	var req gen.CancelFlightInfoRequest
@@ -253,7 +253,9 @@
 			return nil, sessionStatus(err)
 		}
 		cookie := http.Cookie{Name: flightsession.StatefulSessionCookieName, Value: id}
-		grpc.SetHeader(ctx, metadata.Pairs("set-cookie", cookie.String()))
+		if err := grpc.SetHeader(ctx, metadata.Pairs("set-cookie", cookie.String())); err != nil {
+			s.Log.Info("session cookie not sent", "cause", err)
+		}
 	}
 	faults, err := s.sessions.Set(now, id, owner, set)
 	if err != nil {
--- a/internal/flight/auth.go
+++ b/internal/flight/auth.go
@@ -1,13 +1,14 @@
 package flight
 
-// This file owns who asks: credentials in headers, the handshake, and owners by network. It must never compare a secret
-// in a time that tells of it, nor say which half of a credential was wrong.
+// Who asks: credentials in headers, the handshake, and owners by network. Secrets are compared in constant time, and an error does
+// not say which half of a credential was wrong.
 
 import (
 	"context"
 	"crypto/sha256"
 	"crypto/subtle"
 	"encoding/base64"
+	"errors"
 	"io"
 	"net/netip"
 	"strings"
@@ -83,9 +84,9 @@
 	return netip.Addr{}
 }
 
-// authenticate finds who asks: by credentials, or else by network. named is false where nobody is to be known, so that the
+// authenticate finds who asks: by credentials, or else by network. Authenticated is false where nobody is configured, so that the
 // ticket names the owner.
-func (s *Server) authenticate(ctx context.Context) (owner string, named bool, err error) {
+func (s *Server) authenticate(ctx context.Context) (owner string, authenticated bool, err error) {
 	people := s.people.Load()
 	addr := address(ctx)
 	if people.Denied != nil && people.Denied.Contains(addr) || people.Allowed != nil && !people.Allowed.Contains(addr) {
@@ -95,28 +96,11 @@
 		return "", false, nil
 	}
 	if md, ok := metadata.FromIncomingContext(ctx); ok && len(md.Get("authorization")) > 0 {
-		scheme, value, _ := strings.Cut(md.Get("authorization")[0], " ")
-		value = strings.TrimSpace(value)
-		switch strings.ToLower(scheme) {
-		case "basic":
-			raw, err := base64.StdEncoding.DecodeString(value)
-			user, password, ok := strings.Cut(string(raw), ":")
-			if err == nil && ok {
-				if owner, ok := people.basic(user, password); ok {
-					return owner, true, nil
-				}
-			}
-		case "bearer":
-			if owner, ok := people.bearer(value); ok {
-				return owner, true, nil
-			}
-			if raw, err := base64.RawURLEncoding.DecodeString(value); err == nil {
-				if owner, _, err := s.keys.open(time.Now(), forBearer, raw); err == nil {
-					return owner, true, nil
-				}
-			}
+		owner, known := s.checkCredentials(people, md.Get("authorization")[0])
+		if !known {
+			return "", false, errCredentials
 		}
-		return "", false, errCredentials
+		return owner, true, nil
 	}
 	if people.Networks != nil {
 		if owner, ok := people.Networks.Lookup(addr); ok {
@@ -126,6 +110,32 @@
 	return "", false, errCredentials
 }
 
+// checkCredentials finds the owner of an authorization header: Basic, or Bearer with a configured token or one of a handshake.
+func (s *Server) checkCredentials(people *People, header string) (owner string, known bool) {
+	scheme, value, _ := strings.Cut(header, " ")
+	value = strings.TrimSpace(value)
+	switch strings.ToLower(scheme) {
+	case "basic":
+		raw, err := base64.StdEncoding.DecodeString(value)
+		user, password, ok := strings.Cut(string(raw), ":")
+		if err != nil || !ok {
+			return "", false
+		}
+		return people.basic(user, password)
+	case "bearer":
+		if owner, ok := people.bearer(value); ok {
+			return owner, true
+		}
+		raw, err := base64.RawURLEncoding.DecodeString(value)
+		if err != nil {
+			return "", false
+		}
+		owner, _, err := s.keys.open(time.Now(), forBearer, raw)
+		return owner, err == nil
+	}
+	return "", false
+}
+
 // bearerToken is a bearer token for an owner.
 func (s *Server) bearerToken(owner string) string {
 	return base64.RawURLEncoding.EncodeToString(s.keys.seal(forBearer, owner, time.Now().Add(bearerTTL), nil))
@@ -140,7 +150,7 @@
 	}
 	owner := ""
 	req, err := stream.Recv()
-	if err != nil && err != io.EOF {
+	if err != nil && !errors.Is(err, io.EOF) {
 		return err
 	}
 	if err == nil && len(req.GetPayload()) > 0 {
@@ -156,6 +166,8 @@
 		return err
 	}
 	token := s.bearerToken(owner)
-	stream.SetHeader(metadata.Pairs("authorization", "Bearer "+token))
+	if err := stream.SetHeader(metadata.Pairs("authorization", "Bearer "+token)); err != nil {
+		return err
+	}
 	return stream.Send(&flight.HandshakeResponse{Payload: []byte(token)})
 }
--- a/internal/flight/backoff.go
+++ b/internal/flight/backoff.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Pauses between connections that fail; they double.
+// Bounds of the pauses between connections that fail; they double.
 const (
 	minBackoff = 50 * time.Millisecond
 	maxBackoff = time.Second
@@ -17,14 +17,13 @@
 // ready tells whether a connection may be opened.
 func (b *backoff) ready(now time.Time) bool { return !now.Before(b.until) }
 
-// note takes in how one ended; chance within 0 and 1 spreads those who wait for the same data node.
-func (b *backoff) note(now time.Time, up bool, chance float64) {
-	if up {
-		*b = backoff{}
-		return
-	}
+// succeeded notes that a connection came up.
+func (b *backoff) succeeded() { *b = backoff{} }
+
+// failed notes that a connection did not come up; jitter within 0 and 1 spreads those who wait for the same data node.
+func (b *backoff) failed(now time.Time, jitter float64) {
 	if b.failures++; b.failures > 1 { // one may fail by chance, and is tried anew at once
 		pause := min(minBackoff<<min(b.failures-2, 10), maxBackoff)
-		b.until = now.Add(time.Duration(float64(pause) * (0.5 + chance/2)))
+		b.until = now.Add(time.Duration(float64(pause) * (0.5 + jitter/2)))
 	}
 }
--- a/internal/flight/codec.go
+++ b/internal/flight/codec.go
@@ -1,9 +1,5 @@
 package flight
 
-// This file owns how answers become record batches: schemas by class, the documents of a part as rows or as whole
-// batches, compression, sizes, and the metadata of each batch. It must never copy a row of a batch that comes as one,
-// mark as whole what is not, or pass on a batch of another schema.
-
 import (
 	"bytes"
 	"encoding/json"
@@ -120,39 +116,51 @@
 // errWrongSchema marks a data node's batch that is not of its class's schema.
 var errWrongSchema = errors.New("batch is not of the class's schema")
 
-// write writes a share batch by batch; after each one sent is told how many bytes of documents it has carried.
+// write writes a share batch by batch; after each one sent is called with the bytes of documents that it has carried.
 func write(out batchWriter, schema *arrow.Schema, s answerShare, o streamOptions, sent func(bytes int64)) error {
 	if schema.Equal(Schema) {
 		return writeDocs(out, s, o, sent)
 	}
-	for i, h := range s.values {
-		for j, doc := range h.Docs {
-			last := i == len(s.values)-1 && j == len(h.Docs)-1
-			if err := writeBatch(out, schema, doc, o, func(end bool) []byte { return s.meta(&h.Shard, last && end) }); err != nil {
-				return fmt.Errorf("shard %d: %w", h.Shard, err)
+	for i, value := range s.values {
+		for j, doc := range value.Docs {
+			meta := batchMetadata{inner: s.meta, last: s.meta, shard: value.Shard}
+			if i == len(s.values)-1 && j == len(value.Docs)-1 {
+				meta.last = s.lastMeta
+			}
+			if err := writeBatch(out, schema, doc, o, meta); err != nil {
+				return fmt.Errorf("shard %d: %w", value.Shard, err)
 			}
 			sent(int64(len(doc)))
 		}
 	}
 	if len(s.values) == 0 {
-		return writeEmpty(out, schema, s.meta(nil, true))
+		return writeEmpty(out, schema, s.lastMeta(nil))
 	}
 	return nil
 }
 
-func (s *answerShare) meta(shard *int, last bool) []byte {
-	m := batchMeta{ID: s.id, Complete: s.complete, Last: last}
-	if shard != nil {
-		n := *shard
-		m.Shard = &n
-	}
-	if last {
-		m.Missing = s.missing
-	}
-	raw, _ := json.Marshal(m)
+// batchMetadata makes the metadata of the slices of one document: of the last one, and of those before it.
+type batchMetadata struct {
+	inner, last func(shard *int) []byte
+	shard       int
+}
+
+// meta is the metadata of a batch that others follow; of one shard where all rows are.
+func (s *answerShare) meta(shard *int) []byte {
+	return batchMeta{ID: s.id, Complete: s.complete, Shard: shard}.encode()
+}
+
+// lastMeta is the metadata of the last batch of an answer.
+func (s *answerShare) lastMeta(shard *int) []byte {
+	return batchMeta{ID: s.id, Complete: s.complete, Shard: shard, Last: true, Missing: s.missing}.encode()
+}
+
+func (m batchMeta) encode() []byte {
+	raw, _ := json.Marshal(m) // it has no field that can't be encoded
 	return raw
 }
 
+// writeEmpty writes a batch without rows, for its metadata.
 func writeEmpty(out batchWriter, schema *arrow.Schema, meta []byte) error {
 	b := array.NewRecordBuilder(memory.DefaultAllocator, schema)
 	defer b.Release()
@@ -163,44 +171,70 @@
 
 // writeDocs writes documents as rows. Batches hold rows of several shards, up to their bounds.
 func writeDocs(out batchWriter, s answerShare, o streamOptions, sent func(int64)) error {
-	b := array.NewRecordBuilder(memory.DefaultAllocator, Schema)
-	defer b.Release()
-	rows, bytes, first, several := 0, 0, 0, false
-	most := batchRows
-	if o.rows > 0 {
-		most = min(most, o.rows)
-	}
-	flush := func(last bool) error {
-		var shard *int
-		if rows > 0 && !several {
-			shard = &first
-		}
-		rec := b.NewRecordBatch()
-		defer rec.Release()
-		err := out.WriteWithAppMetadata(rec, s.meta(shard, last))
-		if err == nil {
-			sent(int64(bytes))
-		}
-		rows, bytes, several = 0, 0, false
-		return err
-	}
-	for _, h := range s.values {
-		for _, doc := range h.Docs {
-			if rows > 0 && (rows >= most || bytes+len(doc) > batchBytes) {
-				if err := flush(false); err != nil {
+	w := newDocWriter(out, o, sent)
+	defer w.builder.Release()
+	for _, value := range s.values {
+		for _, doc := range value.Docs {
+			if w.full(doc) {
+				if err := w.flush(s.meta); err != nil {
 					return err
 				}
 			}
-			if rows == 0 {
-				first = h.Shard
-			}
-			several = several || h.Shard != first
-			b.Field(0).(*array.Int32Builder).Append(int32(h.Shard))
-			b.Field(1).(*array.BinaryBuilder).Append(doc)
-			rows, bytes = rows+1, bytes+len(doc)
+			w.add(value.Shard, doc)
 		}
 	}
-	return flush(true)
+	return w.flush(s.lastMeta)
+}
+
+// docWriter gathers documents as rows of a batch.
+type docWriter struct {
+	out     batchWriter
+	sent    func(int64)
+	maxRows int
+	builder *array.RecordBuilder
+
+	rows, bytes int  // of the batch that is being built
+	shard       int  // of its first row
+	mixed       bool // it has rows of several shards
+}
+
+func newDocWriter(out batchWriter, o streamOptions, sent func(int64)) *docWriter {
+	w := &docWriter{out: out, sent: sent, maxRows: batchRows, builder: array.NewRecordBuilder(memory.DefaultAllocator, Schema)}
+	if o.rows > 0 {
+		w.maxRows = min(w.maxRows, o.rows)
+	}
+	return w
+}
+
+// full tells whether a document has to go into the next batch.
+func (w *docWriter) full(doc []byte) bool {
+	return w.rows > 0 && (w.rows >= w.maxRows || w.bytes+len(doc) > batchBytes)
+}
+
+func (w *docWriter) add(shard int, doc []byte) {
+	if w.rows == 0 {
+		w.shard = shard
+	}
+	w.mixed = w.mixed || shard != w.shard
+	w.builder.Field(0).(*array.Int32Builder).Append(int32(shard))
+	w.builder.Field(1).(*array.BinaryBuilder).Append(doc)
+	w.rows, w.bytes = w.rows+1, w.bytes+len(doc)
+}
+
+// flush writes the batch, with the metadata that meta makes for the shard of its rows, or for none where they are of several.
+func (w *docWriter) flush(meta func(shard *int) []byte) error {
+	var shard *int
+	if w.rows > 0 && !w.mixed {
+		shard = &w.shard
+	}
+	batch := w.builder.NewRecordBatch()
+	defer batch.Release()
+	err := w.out.WriteWithAppMetadata(batch, meta(shard))
+	if err == nil {
+		w.sent(int64(w.bytes))
+	}
+	w.rows, w.bytes, w.mixed = 0, 0, false
+	return err
 }
 
 // EncodeBatch turns a batch into a document: an IPC stream of its own, whose columns are not copied by row.
@@ -218,7 +252,7 @@
 
 // writeBatch writes the one batch of a document that is an IPC stream, sliced where it has too many rows. What lies
 // about its lengths makes the library panic or err; both end here.
-func writeBatch(out batchWriter, schema *arrow.Schema, doc []byte, o streamOptions, meta func(end bool) []byte) (err error) {
+func writeBatch(out batchWriter, schema *arrow.Schema, doc []byte, o streamOptions, meta batchMetadata) (err error) {
 	defer func() {
 		if cause := recover(); cause != nil {
 			err = fmt.Errorf("%w: %v", errWrongSchema, cause)
@@ -229,14 +263,14 @@
 	}
 	in, err := ipc.NewReader(bytes.NewReader(doc), ipc.WithAllocator(memory.DefaultAllocator))
 	if err != nil {
-		return fmt.Errorf("%w: %v", errWrongSchema, err)
+		return fmt.Errorf("%w: %w", errWrongSchema, err)
 	}
 	defer in.Release()
 	if !in.Schema().Equal(schema) {
 		return fmt.Errorf("%w: it is of %v", errWrongSchema, in.Schema())
 	}
 	if !in.Next() {
-		return fmt.Errorf("%w: empty: %v", errWrongSchema, in.Err())
+		return fmt.Errorf("%w: no batch: %v", errWrongSchema, in.Err()) //nolint:errorlint // nil where the stream just ends
 	}
 	rec := in.RecordBatch()
 	rec.Retain()
@@ -244,19 +278,23 @@
 	if in.Next() {
 		return fmt.Errorf("%w: several in one document", errWrongSchema)
 	} else if err := in.Err(); err != nil {
-		return fmt.Errorf("%w: %v", errWrongSchema, err)
+		return fmt.Errorf("%w: %w", errWrongSchema, err)
 	}
 	most := rec.NumRows()
 	if o.rows > 0 {
 		most = min(most, int64(o.rows))
 	}
 	if most == rec.NumRows() {
-		return out.WriteWithAppMetadata(rec, meta(true))
+		return out.WriteWithAppMetadata(rec, meta.last(&meta.shard))
 	}
 	for from := int64(0); from < rec.NumRows(); from += most {
 		to := min(from+most, rec.NumRows())
 		part := rec.NewSlice(from, to)
-		err := out.WriteWithAppMetadata(part, meta(to == rec.NumRows()))
+		encode := meta.inner
+		if to == rec.NumRows() {
+			encode = meta.last
+		}
+		err := out.WriteWithAppMetadata(part, encode(&meta.shard))
 		part.Release()
 		if err != nil {
 			return err
--- a/internal/flight/compress.go
+++ b/internal/flight/compress.go
@@ -19,7 +19,8 @@
 	Close() error
 }
 
-// newWriter opens the writer of a stream. Compressed batches of a schema without dictionaries go through a press, since
+// newWriter opens the writer of a stream. Compressed batches of a schema without dictionaries go through a compressor
+// that all streams of the schema share, since
 // an encoder of its own for each stream costs more than all that it compresses; dictionaries are a stream's own.
 func (s *Server) newWriter(stream flight.DataStreamWriter, schema *arrow.Schema, o streamOptions) streamWriter {
 	if o.codec == "" || slices.ContainsFunc(schema.Fields(), func(f arrow.Field) bool { return f.Type.ID() == arrow.DICTIONARY }) {
@@ -29,12 +30,12 @@
 	defer s.mu.Unlock()
 	for _, p := range s.compressors {
 		if p.codec == o.codec && p.schema.Equal(schema) {
-			return &compressedWriter{stream: stream, press: p}
+			return &compressedWriter{stream: stream, compressor: p}
 		}
 	}
 	p := &compressor{codec: o.codec, schema: schema, options: o.writerOptions(schema)}
 	s.compressors = append(s.compressors, p) // as many as there are classes and codecs
-	return &compressedWriter{stream: stream, press: p}
+	return &compressedWriter{stream: stream, compressor: p}
 }
 
 // compressor compresses batches of one schema for all streams, one at a time.
@@ -102,15 +103,15 @@
 	return p.head, body, nil
 }
 
-// compressedWriter is a stream whose batches a press compresses.
+// compressedWriter is a stream whose batches a compressor compresses.
 type compressedWriter struct {
-	stream flight.DataStreamWriter
-	press  *compressor
-	begun  bool
+	stream     flight.DataStreamWriter
+	compressor *compressor
+	begun      bool
 }
 
 func (p *compressedWriter) WriteWithAppMetadata(rec arrow.RecordBatch, meta []byte) error {
-	head, body, err := p.press.run(rec)
+	head, body, err := p.compressor.run(rec)
 	if err != nil {
 		return err
 	}
@@ -130,7 +131,7 @@
 }
 
 func (p *compressedWriter) Close() error {
-	head, _, err := p.press.run(nil)
+	head, _, err := p.compressor.run(nil)
 	if err != nil {
 		return err
 	}
--- a/internal/flight/doget.go
+++ b/internal/flight/doget.go
@@ -53,23 +53,23 @@
 		return err
 	}
 	defer leave()
-	room, err := s.reserve(g, q.Class, len(q.Parts))
+	memory, err := s.reserve(g, q.Class, len(q.Parts))
 	if err != nil {
 		return err
 	}
 	answer, err := s.Coordinator.Execute(ctx, q)
 	if err := statusOf(ctx, answer, err, end); err != nil {
-		room.release()
+		memory.release()
 		return err
 	}
-	return s.sendAnswer(room, stream, s.classOf(q.Class), answerShare{complete: answer.Complete, values: answer.Values, missing: missing(q.Parts, answer.Values)}, o)
+	return s.sendAnswer(memory, stream, s.classOf(q.Class), answerShare{complete: answer.Complete, values: answer.Values, missing: missing(q.Parts, answer.Values)}, o)
 }
 
 // sendAnswer writes a share of an answer to a stream. A reader that is slow holds up its own stream, until its deadline or
-// until the door cuts it.
-func (s *Server) sendAnswer(room *reservation, stream flight.DataStreamWriter, class Class, sh answerShare, o streamOptions) error {
+// until it is evicted.
+func (s *Server) sendAnswer(memory *reservation, stream flight.DataStreamWriter, class Class, sh answerShare, o streamOptions) error {
 	total := totalBytes(sh.values)
-	read, err := room.commit(total)
+	read, err := memory.commit(total)
 	if err != nil {
 		return err
 	}
@@ -91,51 +91,58 @@
 }
 
 // fetchRange sends one range of a flight.
-func (s *Server) fetchRange(ctx context.Context, g *caller, raw []byte, o streamOptions, stream flight.DataStreamWriter) error {
+func (s *Server) fetchRange(ctx context.Context, c *caller, raw []byte, o streamOptions, stream flight.DataStreamWriter) error {
 	owner, payload, err := s.keys.open(time.Now(), forFetch, raw)
 	if err != nil {
 		return status.Error(codes.InvalidArgument, err.Error())
 	}
-	if g.authenticated && owner != g.client.Owner {
+	if c.authenticated && owner != c.client.Owner {
 		return status.Error(codes.PermissionDenied, "the ticket belongs to another owner")
 	}
-	var t fetchTicket
-	if err := json.Unmarshal(payload, &t); err != nil {
+	var ticket fetchTicket
+	if err := json.Unmarshal(payload, &ticket); err != nil {
 		return status.Error(codes.InvalidArgument, errToken.Error())
 	}
 	for {
-		k, next, err := s.claimRange(g, t.Flight, owner, t.Range)
+		result, next, err := s.claimRange(c, ticket.Flight, owner, ticket.Range)
 		if err != nil {
 			return err
 		}
 		switch next {
 		case session.Report:
-			return k.err
+			return result.err
 		case session.Send:
-			parts, whole := k.ranges[t.Range], k.answer.Complete
-			var hits []coordinator.PartValue
-			for _, p := range parts {
-				for _, h := range k.answer.Values {
-					if h.Shard == p.Shard {
-						hits = append(hits, h)
-					}
-				}
-			}
-			// What is kept is counted with the flights; room is asked for what is sent of it.
-			err := s.sendAnswer(&reservation{server: s, caller: g, class: k.query.Class}, stream, s.classOf(k.query.Class), answerShare{complete: whole, values: hits, missing: missing(parts, hits)}, o)
-			s.mu.Lock()
-			if err == nil {
-				s.flights.Sent(time.Now(), t.Flight, t.Range)
-			} else {
-				s.flights.Interrupted(time.Now(), t.Flight, t.Range)
-			}
-			s.mu.Unlock()
-			return err
+			return s.sendRange(c, result, ticket, o, stream)
 		}
 		select {
-		case <-k.done:
+		case <-result.done:
 		case <-ctx.Done():
 			return status.FromContextError(ctx.Err()).Err()
 		}
 	}
 }
+
+// sendRange sends a range of a flight whose answer is there, and notes whether all of it was sent.
+func (s *Server) sendRange(c *caller, result *flightResult, ticket fetchTicket, o streamOptions, stream flight.DataStreamWriter) error {
+	parts := result.ranges[ticket.Range]
+	var values []coordinator.PartValue
+	for _, part := range parts {
+		for _, value := range result.answer.Values {
+			if value.Shard == part.Shard {
+				values = append(values, value)
+			}
+		}
+	}
+	class := result.query.Class
+	share := answerShare{complete: result.answer.Complete, values: values, missing: missing(parts, values)}
+	// The answer itself is counted with the flights; memory is reserved for what is being sent of it.
+	err := s.sendAnswer(&reservation{server: s, caller: c, class: class}, stream, s.classOf(class), share, o)
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if err == nil {
+		s.flights.Sent(time.Now(), ticket.Flight, ticket.Range)
+	} else {
+		s.flights.Interrupted(time.Now(), ticket.Flight, ticket.Range)
+	}
+	return err
+}
--- a/internal/flight/exchange.go
+++ b/internal/flight/exchange.go
@@ -1,9 +1,5 @@
 package flight
 
-// This file owns DoExchange: many queries on one stream, each with its own time, answered in any order. One goroutine
-// reads, one for each query waits for its answer, and answers are written one at a time. It must never read further
-// questions while the most that may be open are, nor leave a query out once the client has gone.
-
 import (
 	"context"
 	"crypto/rand"
@@ -48,6 +44,9 @@
 	class   Class // of all its queries, as its descriptor names it
 	options streamOptions
 
+	places  chan struct{} // one for each query that may be open
+	queries sync.WaitGroup
+
 	mu   sync.Mutex // guards open
 	open map[string]context.CancelFunc
 
@@ -63,7 +62,7 @@
 		return err
 	}
 	first, err := stream.Recv()
-	if err == io.EOF {
+	if errors.Is(err, io.EOF) {
 		return nil
 	} else if err != nil {
 		return err
@@ -73,41 +72,54 @@
 		return status.Error(codes.InvalidArgument, "the first message needs a descriptor whose path is a class")
 	}
 	ctx, stop := context.WithCancel(stream.Context())
-	e := &exchange{server: s, caller: g, stream: stream, class: s.classOf(path[0]), options: opts, open: map[string]context.CancelFunc{}}
-	var queries sync.WaitGroup
-	places := make(chan struct{}, maxExchanged)
+	e := &exchange{server: s, caller: g, stream: stream, class: s.classOf(path[0]), options: opts, open: map[string]context.CancelFunc{},
+		places: make(chan struct{}, maxExchanged)}
 	defer func() {
 		stop()
-		queries.Wait() // each has had its final answer, or its parts are being given up
+		e.queries.Wait() // each has had its final answer, or its parts are being cancelled
 	}()
-	for m := first; ; {
-		if len(m.GetDataHeader()) > 0 || len(m.GetDataBody()) > 0 {
-			return status.Error(codes.InvalidArgument, "questions go into the metadata of messages without a body")
-		}
-		if raw := m.GetAppMetadata(); len(raw) > 0 {
-			var q exchangeRequest
-			if err := json.Unmarshal(raw, &q); err != nil {
-				return status.Errorf(codes.InvalidArgument, "question: %v", err)
-			}
-			if q.Cancel != "" {
-				e.cancel(q.Cancel)
-			} else if err := e.begin(ctx, q, raw, places, &queries); err != nil {
-				return err
-			}
+	for message := first; ; {
+		if err := e.handle(ctx, message); err != nil {
+			return err
 		}
-		if m, err = stream.Recv(); err == io.EOF {
-			queries.Wait()
-			e.writing.Lock()
-			defer e.writing.Unlock()
-			return e.openWriter().Close()
+		if message, err = stream.Recv(); errors.Is(err, io.EOF) {
+			return e.finish()
 		} else if err != nil {
 			return err
 		}
 	}
 }
 
+// handle takes one message of the client: a question or a cancellation in its metadata. An error ends the exchange.
+func (e *exchange) handle(ctx context.Context, message *flight.FlightData) error {
+	if len(message.GetDataHeader()) > 0 || len(message.GetDataBody()) > 0 {
+		return status.Error(codes.InvalidArgument, "questions go into the metadata of messages without a body")
+	}
+	raw := message.GetAppMetadata()
+	if len(raw) == 0 {
+		return nil
+	}
+	var request exchangeRequest
+	if err := json.Unmarshal(raw, &request); err != nil {
+		return status.Errorf(codes.InvalidArgument, "question: %v", err)
+	}
+	if request.Cancel != "" {
+		e.cancel(request.Cancel)
+		return nil
+	}
+	return e.begin(ctx, request, raw)
+}
+
+// finish closes the stream once all queries have their answers.
+func (e *exchange) finish() error {
+	e.queries.Wait()
+	e.writing.Lock()
+	defer e.writing.Unlock()
+	return e.openWriter().Close()
+}
+
 // begin starts a query once there is a place for it. An error ends the exchange.
-func (e *exchange) begin(ctx context.Context, q exchangeRequest, raw []byte, places chan struct{}, queries *sync.WaitGroup) error {
+func (e *exchange) begin(ctx context.Context, q exchangeRequest, raw []byte) error {
 	if q.ID == "" || len(q.ID) > 64 {
 		return status.Errorf(codes.InvalidArgument, "question with an id of %d bytes; 1 to 64 are allowed", len(q.ID))
 	}
@@ -116,7 +128,7 @@
 	}
 	end := time.Now().Add(time.Duration(min(q.DeadlineMS, 3_600_000)) * time.Millisecond)
 	select {
-	case places <- struct{}{}:
+	case e.places <- struct{}{}:
 	case <-ctx.Done():
 		return status.FromContextError(ctx.Err()).Err()
 	}
@@ -129,24 +141,25 @@
 	e.mu.Unlock()
 	if twice {
 		cancel()
-		<-places
+		<-e.places
 		return e.writeError(q.ID, status.Error(codes.AlreadyExists, "a question of this id is open"))
 	}
-	queries.Go(func() {
+	e.queries.Go(func() {
 		defer func() {
 			cancel()
 			e.mu.Lock()
 			delete(e.open, q.ID)
 			e.mu.Unlock()
-			<-places
+			<-e.places
 		}()
 		if err := e.answer(ctx, q.ID, raw, end); err != nil {
-			e.writeError(q.ID, err)
+			_ = e.writeError(q.ID, err) // an error of the stream ends it, which all its queries see
 		}
 	})
 	return nil
 }
 
+// cancel gives up the query of an id, if it is open.
 func (e *exchange) cancel(id string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -171,21 +184,21 @@
 		return err
 	}
 	defer leave()
-	room, err := s.reserve(e.caller, q.Class, len(q.Parts))
+	memory, err := s.reserve(e.caller, q.Class, len(q.Parts))
 	if err != nil {
 		return err
 	}
 	answer, err := s.Coordinator.Execute(ctx, q)
 	if errors.Is(err, coordinator.ErrGone) && time.Now().Before(end) {
-		room.release()
+		memory.release()
 		return status.Error(codes.Canceled, "was cancelled")
 	}
 	if err := statusOf(ctx, answer, err, end); err != nil {
-		room.release()
+		memory.release()
 		return err
 	}
 	total := totalBytes(answer.Values)
-	read, err := room.commit(total)
+	read, err := memory.commit(total)
 	if err != nil {
 		return err
 	}
--- a/internal/flight/interceptor.go
+++ b/internal/flight/interceptor.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"errors"
 	"net/netip"
 	"sync/atomic"
 	"time"
@@ -19,7 +20,7 @@
 // connKey is where a connection's number lies in its calls' contexts.
 type connKey struct{}
 
-// connCounter numbers connections: the door counts by them, since several clients may share an address.
+// connCounter numbers connections: admission counts by them, since several clients may share an address.
 type connCounter struct{ next *atomic.Uint64 }
 
 func (c connCounter) TagConn(ctx context.Context, _ *stats.ConnTagInfo) context.Context {
@@ -73,10 +74,10 @@
 		g.client.Owner, g.authenticated = owner, named
 	}
 	s.mu.Lock()
-	pass, refusal := s.admission.Admit(time.Now(), g.client, admission.Stream)
-	if refusal != nil {
+	pass, rejection := s.admission.Admit(time.Now(), g.client, admission.Stream)
+	if rejection != nil {
 		s.mu.Unlock()
-		return ctx, nil, unavailable(refusal.Error(), refusal.RetryAfter)
+		return ctx, nil, unavailable(rejection.Error(), rejection.RetryAfter)
 	}
 	g.pass = pass
 	ctx, end := context.WithCancelCause(context.WithValue(ctx, callerKey{}, g))
@@ -101,7 +102,7 @@
 	return handler(ctx, req)
 }
 
-// callerStream is a stream whose context knows the guest, and ends when the door cuts it.
+// callerStream is a stream whose context knows the caller, and ends when the caller is evicted.
 type callerStream struct {
 	grpc.ServerStream
 	ctx context.Context
@@ -127,8 +128,8 @@
 	case <-ctx.Done():
 		// A handler that waits for its reader is ended by the end of its stream, which is when this returns; one
 		// that waits for anything else sees its context.
-		if why := context.Cause(ctx); why == errStalled || why == errMemoryPressure {
-			s.Log.Warn("reader was cut", "method", info.FullMethod, "cause", why)
+		if why := context.Cause(ctx); errors.Is(why, errStalled) || errors.Is(why, errMemoryPressure) {
+			s.Log.Warn("slow reader evicted", "method", info.FullMethod, "cause", why)
 			return unavailable(why.Error(), drainRetryAfter)
 		}
 		err = <-done
@@ -152,9 +153,9 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	pass, refusal := s.admission.Admit(time.Now(), who, admission.Query)
-	if refusal != nil {
-		return nil, unavailable(refusal.Error(), refusal.RetryAfter)
+	pass, rejection := s.admission.Admit(time.Now(), who, admission.Query)
+	if rejection != nil {
+		return nil, unavailable(rejection.Error(), rejection.RetryAfter)
 	}
 	return func() {
 		s.mu.Lock()
@@ -163,7 +164,7 @@
 	}, nil
 }
 
-// unavailable is a refusal with a time to come back.
+// unavailable is a rejection with a time to come back.
 func unavailable(why string, after time.Duration) error {
 	st, err := status.New(codes.Unavailable, why).WithDetails(&errdetails.RetryInfo{RetryDelay: durationpb.New(after)})
 	if err != nil {
--- a/internal/flight/nodecalls.go
+++ b/internal/flight/nodecalls.go
@@ -1,9 +1,8 @@
 package flight
 
-// This file owns calls to data nodes: several parts on one DoExchange stream, so that a call counts as the module counts
-// it, each part given up by a message of its own. A data node that does not offer DoExchange is asked by DoGet, a stream
-// for each part. It must never have a part out twice, report the end of one before the data node was told of it, or use
-// what came before a cut.
+// Calls to data nodes by DoExchange: several parts on one stream, so that a call counts as the module counts it, each part
+// cancelled by a message of its own. A part's end is reported only once the data node was told of it, and what came before the
+// stream broke is not used.
 //
 // The coordinator sends one message without a body whose descriptor's path is "parts" and whose metadata is
 // {"parts":[{"id":"q.3","shard":3,"q":"...","deadline_ms":240}]} (with "idempotency_key" in a keyed class), and {"cancel":"q.3"} for one that is given up. The data
@@ -111,7 +110,7 @@
 	err = p.exchange(ctx, g, ch, ask)
 	if status.Code(err) == codes.Unimplemented {
 		p.noExchange.Store(true)
-		p.Log.Info("data node does not offer DoExchange; it is asked by DoGet", "node", p.node.ID())
+		p.Log.Info("data node does not offer DoExchange; using DoGet", "node", p.node.ID())
 		p.retryAsParts(g) // none of them has run
 		return
 	}
@@ -171,12 +170,12 @@
 	if err != nil {
 		return err
 	}
-	if err := g.send(&flight.FlightData{FlightDescriptor: &flight.FlightDescriptor{Type: flight.DescriptorPATH, Path: []string{PartsPath}}, AppMetadata: raw}); err != nil && err != io.EOF {
+	if err := g.send(&flight.FlightData{FlightDescriptor: &flight.FlightDescriptor{Type: flight.DescriptorPATH, Path: []string{PartsPath}}, AppMetadata: raw}); err != nil && !errors.Is(err, io.EOF) {
 		return err
 	}
 	in, err := flight.NewRecordReader(stream)
 	if err != nil {
-		if err == io.EOF {
+		if errors.Is(err, io.EOF) {
 			err = errMalformedStream
 		}
 		return err
@@ -189,14 +188,14 @@
 		p.mu.Unlock()
 		var m PartResponse
 		if err := json.Unmarshal(in.LatestAppMetadata(), &m); err != nil {
-			return fmt.Errorf("%w: metadata: %v", errMalformedStream, err)
+			return fmt.Errorf("%w: metadata: %w", errMalformedStream, err)
 		}
 		if err := p.takeBatch(g, in.RecordBatch(), m, got, sizes); err != nil {
 			return err
 		}
 	}
 	if p.pending(g) {
-		if err := in.Err(); err != nil && err != io.EOF {
+		if err := in.Err(); err != nil && !errors.Is(err, io.EOF) {
 			return err
 		}
 		return nil
@@ -253,7 +252,7 @@
 	if !rec.Schema().Equal(Schema) {
 		doc, err := EncodeBatch(rec)
 		if err != nil {
-			return 0, fmt.Errorf("%w: %v", errMalformedStream, err)
+			return 0, fmt.Errorf("%w: %w", errMalformedStream, err)
 		}
 		r.Docs = append(r.Docs, doc)
 		return len(doc), nil
@@ -326,23 +325,27 @@
 	}
 }
 
-// cancelPart tells the data node that a part of a call is given up, and reports its end after that. The last part takes the
-// stream with it.
-func (p *nodeConn) cancelPart(g *nodeCall, a *coordinator.Attempt, begun bool) {
-	if !begun {
-		p.finish(g, a, coordinator.Result{Outcome: coordinator.Cancelled})
-		return
+// cancelPart tells the data node that a part of a call is given up, and reports its end after that. The last part of a call takes
+// the stream with it. One that the data node may not know of is only reported.
+func (p *nodeConn) cancelPart(c *nodeCall, a *coordinator.Attempt, begun time.Time) {
+	if !begun.IsZero() {
+		p.sendCancel(c, a)
 	}
+	p.finish(c, a, coordinator.Result{Outcome: coordinator.Cancelled})
+}
+
+// sendCancel sends the cancellation of a part, or ends the stream where that can't be sent or no other part is left on it.
+func (p *nodeConn) sendCancel(c *nodeCall, a *coordinator.Attempt) {
 	p.mu.Lock()
-	last := len(g.pending) == 1 && g.pending[a.ID] == a
-	stream := g.stream
+	last := len(c.pending) == 1 && c.pending[a.ID] == a
+	stream := c.stream
 	p.mu.Unlock()
-	if raw, err := json.Marshal(CallRequest{Cancel: a.ID}); err == nil && stream != nil && !last {
-		if err := g.send(&flight.FlightData{AppMetadata: raw}); err != nil && !errors.Is(err, io.EOF) {
-			g.cancel() // it can't be told otherwise
-		}
-	} else {
-		g.cancel()
+	raw, err := json.Marshal(CallRequest{Cancel: a.ID})
+	if err != nil || stream == nil || last {
+		c.cancel()
+		return
+	}
+	if err := c.send(&flight.FlightData{AppMetadata: raw}); err != nil && !errors.Is(err, io.EOF) {
+		c.cancel()
 	}
-	p.finish(g, a, coordinator.Result{Outcome: coordinator.Cancelled})
 }
--- a/internal/flight/nodeparts.go
+++ b/internal/flight/nodeparts.go
@@ -119,7 +119,7 @@
 func (p *nodeConn) readPart(ch *channel, stream flight.FlightService_DoGetClient, shard int) (coordinator.Result, error) {
 	in, err := flight.NewRecordReader(stream)
 	if err != nil {
-		if err == io.EOF {
+		if errors.Is(err, io.EOF) {
 			err = errMalformedStream
 		}
 		return coordinator.Result{}, err
@@ -143,7 +143,7 @@
 			r.LoadReport = meta.Load
 		}
 	}
-	if err := in.Err(); err != nil && err != io.EOF {
+	if err := in.Err(); err != nil && !errors.Is(err, io.EOF) {
 		return coordinator.Result{}, err
 	}
 	if len(r.Docs) == 0 {
--- a/internal/flight/nodes.go
+++ b/internal/flight/nodes.go
@@ -118,7 +118,7 @@
 	}
 	p.mu.Unlock()
 	if c != nil && c.call != nil {
-		p.cancelPart(c.call, a, !c.begun.IsZero())
+		p.cancelPart(c.call, a, c.begun)
 	}
 	if c != nil {
 		p.retire(func(ch *channel) bool { return ch == c.channel && !c.begun.IsZero() && ch.lastReceived.Before(c.begun) })
@@ -154,7 +154,7 @@
 // lock.
 func (p *nodeConn) release(ch *channel, n int) {
 	if ch.inFlight -= n; ch.inFlight == 0 && ch.retired {
-		ch.conn.Close()
+		_ = ch.conn.Close() // nothing is in flight on it
 		<-p.Connections
 	}
 }
@@ -201,7 +201,7 @@
 		switch state {
 		case connectivity.Ready:
 			p.mu.Lock()
-			p.backoff.note(time.Now(), true, 0)
+			p.backoff.succeeded()
 			p.mu.Unlock()
 			return ch, nil
 		case connectivity.Idle:
@@ -212,7 +212,7 @@
 			p.mu.Lock()
 			if !ch.failed && ctx.Err() == nil { // several may have waited for it; it failed once
 				ch.failed = true
-				p.backoff.note(time.Now(), false, rand.Float64())
+				p.backoff.failed(time.Now(), rand.Float64())
 			}
 			p.release(ch, 1)
 			p.mu.Unlock()
@@ -238,7 +238,7 @@
 	if err == nil {
 		var res *flight.Result
 		if res, err = stream.Recv(); err == nil {
-			json.Unmarshal(res.GetBody(), &r.LoadReport)
+			_ = json.Unmarshal(res.GetBody(), &r.LoadReport) // a report of another form is none
 		}
 	}
 	if err != nil {
--- a/internal/flight/poll.go
+++ b/internal/flight/poll.go
@@ -16,74 +16,100 @@
 // pollTimeout is how long a poll that has no news waits for some.
 const pollTimeout = time.Second
 
-// PollFlightInfo asks a query that takes long, and tells how far it is: by a descriptor at first, then by that of the
-// last answer. Endpoints come once all is in.
+// Times of a poll.
+const (
+	firstPollTimeout = 20 * time.Millisecond // the first answer comes soon, with the descriptor that is polled from then on
+	pollInterval     = 10 * time.Millisecond // how often progress is looked at
+)
+
+// PollFlightInfo starts a query that takes long, and reports its progress: by a descriptor of the query at first, then by the
+// descriptor of the last answer. Endpoints come once all parts are in.
 func (s *Server) PollFlightInfo(ctx context.Context, d *flight.FlightDescriptor) (*flight.PollInfo, error) {
-	g := callerOf(ctx)
-	var id, owner string
-	var k *flightResult
+	c := callerOf(ctx)
+	id, owner, err := s.polledFlight(d, c)
+	if err != nil {
+		return nil, err
+	}
+	result, next, err := s.claimRange(c, id, owner, -1)
+	if err != nil {
+		return nil, err
+	}
+	switch next {
+	case session.Start:
+		err = s.awaitProgress(ctx, result, firstPollTimeout, func() bool { return false })
+	case session.Wait:
+		before := result.received.Load()
+		err = s.awaitProgress(ctx, result, pollTimeout, func() bool { return result.received.Load() != before })
+	}
+	if err != nil {
+		return nil, err
+	}
+	return s.pollInfo(d, id, owner, result)
+}
+
+// polledFlight is the flight of a sealed descriptor, or a new one for a descriptor of a query.
+func (s *Server) polledFlight(d *flight.FlightDescriptor, c *caller) (id, owner string, err error) {
 	if d.GetType() == flight.DescriptorCMD && sealed(d.GetCmd()) {
-		from, payload, err := s.keys.open(time.Now(), forPoll, d.GetCmd())
-		if err != nil {
-			return nil, status.Error(codes.InvalidArgument, err.Error())
-		}
-		if g.authenticated && from != g.client.Owner {
-			return nil, status.Error(codes.PermissionDenied, "the descriptor belongs to another owner")
-		}
-		id, owner = string(payload), from
-	} else {
-		q, t, err := s.parseDescriptor(d, g)
+		owner, payload, err := s.keys.open(time.Now(), forPoll, d.GetCmd())
 		if err != nil {
-			return nil, err
+			return "", "", status.Error(codes.InvalidArgument, err.Error())
 		}
-		if id, _, err = s.planFlight(q, t); err != nil {
-			return nil, err
+		if c.authenticated && owner != c.client.Owner {
+			return "", "", status.Error(codes.PermissionDenied, "the descriptor belongs to another owner")
 		}
-		owner = q.Tenant
+		return string(payload), owner, nil
 	}
-	k, next, err := s.claimRange(g, id, owner, -1)
+	q, t, err := s.parseDescriptor(d, c)
 	if err != nil {
-		return nil, err
+		return "", "", err
 	}
-	if next == session.Wait || next == session.Start {
-		before, pause := k.received.Load(), time.NewTimer(pollTimeout)
-		if next == session.Start {
-			pause.Reset(20 * time.Millisecond) // the first answer is to come soon, with what is to be asked after
-		}
-		ticker := time.NewTicker(10 * time.Millisecond)
-		for waiting := true; waiting; {
-			select {
-			case <-k.done:
-				waiting = false
-			case <-pause.C:
-				waiting = false
-			case <-ticker.C:
-				waiting = next == session.Start || k.received.Load() == before
-			case <-s.drain:
-				pause.Stop()
-				ticker.Stop()
-				return nil, unavailable("this coordinator drains and answers are not handed on; ask another", drainRetryAfter)
-			case <-ctx.Done():
-				pause.Stop()
-				ticker.Stop()
-				return nil, status.FromContextError(ctx.Err()).Err()
+	id, _, err = s.planFlight(q, t)
+	return id, q.Tenant, err
+}
+
+// awaitProgress waits until a flight has its final answer, progressed says so, or the time is over.
+func (s *Server) awaitProgress(ctx context.Context, result *flightResult, timeout time.Duration, progressed func() bool) error {
+	timer := time.NewTimer(timeout)
+	defer timer.Stop()
+	ticker := time.NewTicker(pollInterval)
+	defer ticker.Stop()
+	for {
+		select {
+		case <-result.done:
+			return nil
+		case <-timer.C:
+			return nil
+		case <-ticker.C:
+			if progressed() {
+				return nil
 			}
+		case <-s.drain:
+			return unavailable("this coordinator drains and answers are not handed on; ask another", drainRetryAfter)
+		case <-ctx.Done():
+			return status.FromContextError(ctx.Err()).Err()
 		}
-		pause.Stop()
-		ticker.Stop()
 	}
+}
+
+// pollInfo tells how far a flight is; its endpoints once it has its answer.
+func (s *Server) pollInfo(d *flight.FlightDescriptor, id, owner string, result *flightResult) (*flight.PollInfo, error) {
 	until := time.Now().Add(ticketTTL)
-	progress := float64(k.received.Load()) / float64(len(k.query.Parts))
+	progress := float64(result.received.Load()) / float64(len(result.query.Parts))
 	select {
-	case <-k.done:
-		if k.err != nil {
-			return nil, k.err
+	case <-result.done:
+		if result.err != nil {
+			return nil, result.err
 		}
 		progress = 1
-		return &flight.PollInfo{Info: s.flightInfo(d, id, k, until), Progress: &progress, ExpirationTime: timestamppb.New(until)}, nil
+		return &flight.PollInfo{Info: s.flightInfo(d, id, result, until), Progress: &progress, ExpirationTime: timestamppb.New(until)}, nil
 	default:
 	}
-	return &flight.PollInfo{Info: &flight.FlightInfo{FlightDescriptor: d, TotalRecords: -1, TotalBytes: -1,
-		Schema: flight.SerializeSchema(s.classOf(k.query.Class).Schema, memory.DefaultAllocator)}, Progress: &progress, ExpirationTime: timestamppb.New(until),
-		FlightDescriptor: &flight.FlightDescriptor{Type: flight.DescriptorCMD, Cmd: s.keys.seal(forPoll, owner, until, []byte(id))}}, nil
+	schema := flight.SerializeSchema(s.classOf(result.query.Class).Schema, memory.DefaultAllocator)
+	next := &flight.FlightDescriptor{Type: flight.DescriptorCMD, Cmd: s.keys.seal(forPoll, owner, until, []byte(id))}
+	return &flight.PollInfo{
+		Info:             &flight.FlightInfo{FlightDescriptor: d, TotalRecords: -1, TotalBytes: -1, Schema: schema},
+		Progress:         &progress,
+		ExpirationTime:   timestamppb.New(until),
+		FlightDescriptor: next,
+	}, nil
 }
--- a/internal/flight/server.go
+++ b/internal/flight/server.go
@@ -93,7 +93,7 @@
 	sizeEstimates admission.SizeEstimator
 }
 
-// NewServer returns a server in front of the core with nothing but a bound on what answers that are being read hold.
+// NewServer returns a server in front of a coordinator whose only limit is the memory of answers that are being read, in bytes.
 func NewServer(c *coordinator.Coordinator, log *slog.Logger, limit int64) *Server {
 	s, err := New(Options{Coordinator: c, Log: log, Memory: limit})
 	if err != nil {
@@ -108,11 +108,11 @@
 		o.Memory = 16 << 20
 	}
 	o.Admission.All.Bytes = o.Memory
-	door, err := admission.New(o.Admission)
+	controller, err := admission.New(o.Admission)
 	if err != nil {
 		return nil, fmt.Errorf("flight.limits: %w", err)
 	}
-	s := &Server{Options: o, admission: door, drain: make(chan struct{}), cancels: map[*admission.Pass]context.CancelCauseFunc{},
+	s := &Server{Options: o, admission: controller, drain: make(chan struct{}), cancels: map[*admission.Pass]context.CancelCauseFunc{},
 		flights: session.NewFlights(session.FlightConfig{MaxBytes: o.Memory / 2}), results: map[string]*flightResult{},
 		sessions: session.NewSessions(session.Config{Options: sessionChoices})}
 	s.keys.set(o.Keys)
@@ -127,10 +127,10 @@
 }
 
 // Reload takes in other people, keys and limits; who is in stays in.
-func (s *Server) Reload(people People, keys []Key, door admission.Config) error {
-	door.All.Bytes = s.Memory
+func (s *Server) Reload(people People, keys []Key, limits admission.Config) error {
+	limits.All.Bytes = s.Memory
 	s.mu.Lock()
-	err := s.admission.SetLimits(door)
+	err := s.admission.SetLimits(limits)
 	s.mu.Unlock()
 	if err != nil {
 		return fmt.Errorf("flight.limits: %w", err)
@@ -170,7 +170,7 @@
 // Stop ends the server at once.
 func (s *Server) Stop() { s.grpc.Stop() }
 
-// tick lets time pass for the door, the flights and the sessions.
+// tick lets time pass for admission, flights and sessions.
 func (s *Server) tick(done <-chan struct{}) {
 	ticker := time.NewTicker(250 * time.Millisecond)
 	defer ticker.Stop()
@@ -195,7 +195,7 @@
 	errMemoryPressure = errors.New("the answer was read too slowly while memory is short; read it faster, or in more endpoints")
 )
 
-// cancelStream ends the stream of a pass that the door has cut. The caller holds the lock.
+// cancelStream ends the stream of a pass that was evicted. The caller holds the lock.
 func (s *Server) cancelStream(p *admission.Pass, why error) {
 	if end := s.cancels[p]; end != nil {
 		end(why)
--- a/internal/flight/server_test.go
+++ b/internal/flight/server_test.go
@@ -65,7 +65,7 @@
 const ticket = `{"class":"report","shards":[{"shard":0,"weight":1}]}`
 
 // read asks and counts the batches and documents of the answer.
-func read(t *testing.T, client flight.Client, ctx context.Context, ticket string) (batches, docs int, err error) {
+func read(ctx context.Context, t *testing.T, client flight.Client, ticket string) (batches, docs int, err error) {
 	t.Helper()
 	stream, err := client.DoGet(ctx, &flight.Ticket{Ticket: []byte(ticket)})
 	if err != nil {
@@ -96,11 +96,11 @@
 
 // TestManyDocuments: a whole season in one part comes in batches of bounded size, each with its metadata.
 func TestManyDocuments(t *testing.T) {
-	batches, docs, err := read(t, newClient(t, 1<<20, 2500, 10), within(t), ticket)
+	batches, docs, err := read(within(t), t, newClient(t, 1<<20, 2500, 10), ticket)
 	if batches != 3 || docs != 2500 || err != nil {
 		t.Errorf("got %d batches, %d documents, %v", batches, docs, err)
 	}
-	batches, docs, err = read(t, newClient(t, 1<<20, 5, 100<<10), within(t), ticket)
+	batches, docs, err = read(within(t), t, newClient(t, 1<<20, 5, 100<<10), ticket)
 	if batches != 3 || docs != 5 || err != nil {
 		t.Errorf("large ones: got %d batches, %d documents, %v", batches, docs, err)
 	}
@@ -109,7 +109,7 @@
 // TestAnswersHoldALimit: what readers hold all together is bounded; beyond it a query is refused, with a time to
 // come back.
 func TestAnswersHoldALimit(t *testing.T) {
-	_, _, err := read(t, newClient(t, 1000, 1, 1001), within(t), ticket)
+	_, _, err := read(within(t), t, newClient(t, 1000, 1, 1001), ticket)
 	st := status.Convert(err)
 	if st.Code() != codes.Unavailable || len(st.Details()) != 1 {
 		t.Fatalf("got %v", err)
@@ -124,11 +124,11 @@
 	client := newClient(t, 1<<20, 1, 1)
 	for _, text := range []string{"", "{", `{"class":"report"}`, `{"class":"report","shards":[{}]}`,
 		`{"class":"other","shards":[{"shard":0}]}`, `{"class":"report","shards":[{"shard":0,"cost":1e30}]}`} {
-		if _, _, err := read(t, client, within(t), text); status.Code(err) != codes.InvalidArgument {
+		if _, _, err := read(within(t), t, client, text); status.Code(err) != codes.InvalidArgument {
 			t.Errorf("%s: %v", text, err)
 		}
 	}
-	if _, _, err := read(t, client, t.Context(), ticket); status.Code(err) != codes.InvalidArgument {
+	if _, _, err := read(t.Context(), t, client, ticket); status.Code(err) != codes.InvalidArgument {
 		t.Errorf("no deadline: %v", err)
 	}
 }
@@ -163,7 +163,7 @@
 	if schema, err := flight.DeserializeSchema(info.Schema, memory.DefaultAllocator); err != nil || !schema.Equal(Schema) {
 		t.Errorf("schema %v, %v", schema, err)
 	}
-	if _, docs, err := read(t, client, within(t), string(info.Endpoint[0].Ticket.Ticket)); docs != 1 || err != nil {
+	if _, docs, err := read(within(t), t, client, string(info.Endpoint[0].Ticket.Ticket)); docs != 1 || err != nil {
 		t.Errorf("by its ticket: %d documents, %v", docs, err)
 	}
 	if _, err := client.GetFlightInfo(within(t), &flight.FlightDescriptor{}); status.Code(err) != codes.InvalidArgument {
--- a/internal/flight/tickets.go
+++ b/internal/flight/tickets.go
@@ -1,7 +1,7 @@
 package flight
 
-// This file owns sealed tokens: tickets of flights and bearer tokens. A client can't read more than it put in, can't make
-// one, and can't use one that is over or of another purpose. It must never put a key into an error or a log.
+// Sealed tokens: tickets of flights and bearer tokens. A client can't read more than it put in, can't forge one, and can't use one
+// that has expired or is of another purpose. Keys stay out of errors and logs.
 
 import (
 	"crypto/hmac"
