--- a/cmd/gullfall-lab/demo.go
+++ b/cmd/gullfall-lab/demo.go
@@ -120,13 +120,13 @@
 		by   string // which of the sources names it
 	}{
 		{"record removed", func(n *datanode.Node) { f.Ledger.Off(n.ID); f.Zone.Remove(f.Instance(n, "").Label) },
-			func(n *datanode.Node) { f.Ledger.On(n.ID, false); f.Zone.Set(f.Instance(n, "")) }, "records"},
+			func(n *datanode.Node) { f.Ledger.On(n.ID); f.Zone.Set(f.Instance(n, "")) }, "records"},
 		{"killed", func(n *datanode.Node) { n.Kill() },
-			func(n *datanode.Node) { n.Start(); f.Ledger.On(n.ID, true); f.Zone.Set(f.Instance(n, "")) }, "records"},
+			func(n *datanode.Node) { _ = n.Start(); f.Ledger.Restarted(n.ID); f.Zone.Set(f.Instance(n, "")) }, "records"},
 		{"drained by its TXT record", func(n *datanode.Node) { f.Ledger.Off(n.ID); f.Zone.Set(f.Instance(n, "draining")) },
-			func(n *datanode.Node) { f.Ledger.On(n.ID, false); f.Zone.Set(f.Instance(n, "serving")) }, "records"},
+			func(n *datanode.Node) { f.Ledger.On(n.ID); f.Zone.Set(f.Instance(n, "serving")) }, "records"},
 		{"drained by discovery", func(n *datanode.Node) { f.Ledger.Off(n.ID); f.Directory.Set(fleet.Entry(n, "DRAINING")) },
-			func(n *datanode.Node) { f.Ledger.On(n.ID, false); f.Directory.Set(fleet.Entry(n, "SERVING")) }, "discovery"},
+			func(n *datanode.Node) { f.Ledger.On(n.ID); f.Directory.Set(fleet.Entry(n, "SERVING")) }, "discovery"},
 		{"record flaps", func(n *datanode.Node) {
 			f.Zone.Remove(f.Instance(n, "").Label)
 			time.AfterFunc(200*time.Millisecond, func() { f.Zone.Set(f.Instance(n, "")) })
--- a/cmd/gullfall-lab/dnssd.go
+++ b/cmd/gullfall-lab/dnssd.go
@@ -245,8 +245,12 @@
 		n := free[f.Chance().IntN(len(free))]
 		away[n.ID] = true
 		label := f.Instance(n, "").Label
-		home := func(cold bool) {
-			f.Ledger.On(n.ID, cold)
+		home := func(restarted bool) {
+			if restarted {
+				f.Ledger.Restarted(n.ID)
+			} else {
+				f.Ledger.On(n.ID)
+			}
 			f.Zone.Set(f.Instance(n, "serving"))
 			old.back(label)
 			delete(away, n.ID)
--- a/internal/lab/datanode/ledger.go
+++ b/internal/lab/datanode/ledger.go
@@ -101,16 +101,21 @@
 	}
 }
 
-// On notes that a data node may get work again; cold, where it runs anew.
-func (l *Ledger) On(node string, cold bool) {
+// On notes that a data node may get work again.
+func (l *Ledger) On(node string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.settle(node)
 	delete(l.cold, node)
-	if cold {
-		l.cold[node] = time.Now()
-		l.returns++
-	}
+}
+
+// Restarted is On for a data node whose process runs anew, so that it is warming up.
+func (l *Ledger) Restarted(node string) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.settle(node)
+	l.cold[node] = time.Now()
+	l.returns++
 }
 
 // settle notes how long after its removal a data node had its last new work.
@@ -123,7 +128,7 @@
 	if last, any := l.last[node]; any {
 		late = last.Sub(since)
 	}
-	l.after.RecordValue(max(1, late.Microseconds()))
+	_ = l.after.RecordValue(max(1, late.Microseconds()))
 	delete(l.off, node)
 	delete(l.last, node)
 }
--- a/internal/lab/fleetlog/fleetlog.go
+++ b/internal/lab/fleetlog/fleetlog.go
@@ -186,7 +186,7 @@
 			h = histogram()
 			c.ends[f["end"]] = h
 		}
-		h.RecordValue(max(1, duration(f["took"]).Microseconds()))
+		_ = h.RecordValue(max(1, duration(f["took"]).Microseconds()))
 	}
 }
 
@@ -202,7 +202,7 @@
 		c.ways[w] = t
 	}
 	t.queries++
-	t.took.RecordValue(max(1, took.Microseconds()))
+	_ = t.took.RecordValue(max(1, took.Microseconds()))
 	key := strings.TrimSpace(w.End + " " + w.Why)
 	if c.r.Second[key] == nil {
 		c.r.Second[key] = map[int]int{}
--- a/internal/lab/flightsuite/cases.go
+++ b/internal/lab/flightsuite/cases.go
@@ -10,6 +10,7 @@
 	"fmt"
 	"io"
 	"slices"
+	"strconv"
 	"strings"
 	"sync"
 	"time"
@@ -466,17 +467,20 @@
 		}
 		go func() {
 			for i := range n {
-				ask(i)
+				_ = ask(i) // a question that was not sent is missed below
 			}
 		}()
 		seen, tries := map[string]int{}, 0
 		var fault error
 		err = e.Answers(func(id, code string, g Got) {
-			var i int
-			fmt.Sscanf(id, "q%d", &i)
+			i, err := strconv.Atoi(strings.TrimPrefix(id, "q"))
+			if err != nil {
+				fault = fmt.Errorf("answer to %q, which was not asked", id)
+				return
+			}
 			if code == "Unavailable" && g.Retry > 0 && tries < 5*n {
 				tries++
-				time.AfterFunc(g.Retry, func() { ask(i) })
+				time.AfterFunc(g.Retry, func() { _ = ask(i) })
 				return
 			}
 			if seen[id]++; seen[id] > 1 {
@@ -487,7 +491,7 @@
 				fault = fmt.Errorf("%s: %w", id, err)
 			}
 			if len(seen) == n {
-				e.Done()
+				_ = e.Done() // the stream ends in any case
 			}
 		})
 		if err != nil || fault != nil || len(seen) != n {
@@ -501,12 +505,15 @@
 			return err
 		}
 		defer e.Leave()
-		e.Ask(c.Question(`"id":"good","deadline_ms":5000,`, 0))
-		e.Ask(c.Question(`"id":"timeless",`, 0))
-		e.Ask(c.Question(`"id":"shard","deadline_ms":5000,`, c.Shards))
-		e.Ask(bytes.Replace(c.Question(`"id":"class","deadline_ms":5000,`, 0), []byte(c.Class), []byte("none"), 1))
-		e.Ask([]byte(`{"cancel":"nobody"}`))
-		e.Done()
+		err = e.AskAll(
+			c.Question(`"id":"good","deadline_ms":5000,`, 0),
+			c.Question(`"id":"timeless",`, 0),
+			c.Question(`"id":"shard","deadline_ms":5000,`, c.Shards),
+			bytes.Replace(c.Question(`"id":"class","deadline_ms":5000,`, 0), []byte(c.Class), []byte("none"), 1),
+			[]byte(`{"cancel":"nobody"}`))
+		if err != nil {
+			return err
+		}
 		got := map[string]string{}
 		err = e.Answers(func(id, code string, _ Got) { got[id] = code })
 		if err != nil || got["good"] != "OK" || got["timeless"] != "InvalidArgument" || got["shard"] != "InvalidArgument" || got["class"] != "InvalidArgument" || len(got) != 4 {
@@ -520,10 +527,13 @@
 			return err
 		}
 		defer e.Leave()
-		e.Ask(c.Question(`"id":"a","deadline_ms":5000,`, 0))
-		e.Ask([]byte(`{"cancel":"a"}`))
-		e.Ask(c.Question(`"id":"b","deadline_ms":5000,`, 1))
-		e.Done()
+		err = e.AskAll(
+			c.Question(`"id":"a","deadline_ms":5000,`, 0),
+			[]byte(`{"cancel":"a"}`),
+			c.Question(`"id":"b","deadline_ms":5000,`, 1))
+		if err != nil {
+			return err
+		}
 		got := map[string]string{}
 		err = e.Answers(func(id, code string, _ Got) { got[id] = code })
 		if err != nil || got["a"] != "Canceled" && got["a"] != "OK" || got["b"] != "OK" {
--- a/internal/lab/flightsuite/suite.go
+++ b/internal/lab/flightsuite/suite.go
@@ -299,6 +299,16 @@
 	return e.stream.Send(m)
 }
 
+// AskAll sends questions one after the other, and that there are no more.
+func (e *Exchange) AskAll(questions ...[]byte) error {
+	for _, question := range questions {
+		if err := e.Ask(question); err != nil {
+			return err
+		}
+	}
+	return e.Done()
+}
+
 // Done says that no more questions come.
 func (e *Exchange) Done() error { return e.stream.CloseSend() }
 
@@ -357,22 +367,7 @@
 	for _, c := range Cases {
 		r := Result{Name: c.Name, Skipped: c.Users && len(e.Users) < 2 || c.Open && len(e.Users) > 0}
 		if !r.Skipped {
-			err := func() (err error) {
-				defer func() {
-					if cause := recover(); cause != nil {
-						err = fmt.Errorf("panic: %v", cause)
-					}
-				}()
-				client, err := Dial(e)
-				if err != nil {
-					return err
-				}
-				defer client.Close()
-				if len(e.Users) > 0 {
-					client.header = []string{"authorization", "Bearer " + e.Users[0].Token}
-				}
-				return c.Run(ctx, client)
-			}()
+			err := runCase(ctx, e, c)
 			if r.Passed = err == nil; err != nil {
 				r.Fault = err.Error()
 			}
@@ -382,6 +377,25 @@
 	return list
 }
 
+// runCase runs one case on a connection of its own; a panic of the case is its fault.
+func runCase(ctx context.Context, e Env, c Case) (err error) {
+	defer func() {
+		if cause := recover(); cause != nil {
+			err = fmt.Errorf("panic: %v", cause)
+		}
+	}()
+	client, err := Dial(e)
+	if err != nil {
+		return err
+	}
+	defer client.Close()
+	if len(e.Users) > 0 {
+		client.header = []string{"authorization", "Bearer " + e.Users[0].Token}
+	}
+	return c.Run(ctx, client)
+}
+
+// basic is the authorization header of a user's name and password.
 func basic(u User) string {
 	return "Basic " + base64.StdEncoding.EncodeToString([]byte(u.Name+":"+u.Password))
 }
--- a/internal/lab/knownred/knownred.go
+++ b/internal/lab/knownred/knownred.go
@@ -82,7 +82,7 @@
 			return v, fmt.Errorf("reading the run: %w", err)
 		}
 		if e.Action == "output" {
-			io.WriteString(out, e.Output)
+			_, _ = io.WriteString(out, e.Output)
 		}
 		if strings.Contains(e.Test, "/") {
 			continue
--- a/internal/lab/linearizability/linearizability.go
+++ b/internal/lab/linearizability/linearizability.go
@@ -125,21 +125,40 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for key, value := range final {
-		var written *Op
-		for i, o := range h.all {
-			if o.Key == key && o.Kind != Get && o.Value == value && (o.Kind == Put || o.Done || o.Unknown) {
-				written = &h.all[i]
-			}
-		}
-		for _, o := range h.all {
-			if o.Key != key || o.Unknown || !(o.Kind == Put || o.Kind == Swap && o.Done) || o.Value == value {
-				continue
-			}
-			if written == nil || !written.Unknown && o.Call > written.End {
-				lost = append(lost, fmt.Sprintf("%s: %q was acknowledged and %q is read", key, o.Value, value))
-				break
-			}
+		if newer := h.newerThan(key, value); newer != nil {
+			lost = append(lost, fmt.Sprintf("%s: %q was acknowledged and %q is read", key, newer.Value, value))
 		}
 	}
 	return lost
 }
+
+// newerThan finds an acknowledged write of a key that must have come after the last write of value; nil where there is none. The
+// caller holds the lock.
+func (h *History) newerThan(key, value string) *Op {
+	written := h.lastWriteOf(key, value)
+	for i := range h.all {
+		o := &h.all[i]
+		if o.Key != key || !o.acknowledgedWrite() || o.Value == value {
+			continue
+		}
+		if written == nil || !written.Unknown && o.Call > written.End {
+			return o
+		}
+	}
+	return nil
+}
+
+// lastWriteOf finds the last write of a value to a key that may have been done; nil where there is none.
+func (h *History) lastWriteOf(key, value string) (written *Op) {
+	for i, o := range h.all {
+		if o.Key == key && o.Value == value && (o.Kind == Put || o.Kind == Swap && (o.Done || o.Unknown)) {
+			written = &h.all[i]
+		}
+	}
+	return written
+}
+
+// acknowledgedWrite tells whether an operation wrote its value for certain.
+func (o *Op) acknowledgedWrite() bool {
+	return !o.Unknown && (o.Kind == Put || o.Kind == Swap && o.Done)
+}
--- a/internal/lab/load/load.go
+++ b/internal/lab/load/load.go
@@ -121,49 +121,34 @@
 	wg.Wait()
 }
 
-// ask asks one query and checks its answer.
+// part is a shard of a query and its share of the weight.
+type part struct {
+	Shard  int     `json:"shard"`
+	Weight float64 `json:"weight"`
+}
+
+// response is what a coordinator answers.
+type response struct {
+	Complete bool
+	Hits     []hit
+}
+
+type hit struct {
+	Shard int
+	Doc   string
+}
+
+// answerSlack is how long after its deadline an answer still counts, and how long beyond that it is waited for.
+const answerSlack = time.Second
+
+// ask asks one query and counts how it ended.
 func (l *Load) ask(client *http.Client, id string, class Class, shards []int) {
-	type part struct {
-		Shard  int     `json:"shard"`
-		Weight float64 `json:"weight"`
-	}
-	body := struct {
-		Shards []part `json:"shards"`
-		Q      string `json:"q"`
-	}{Q: "c41e77d0"}
 	var parts []string
 	for _, s := range shards {
-		body.Shards = append(body.Shards, part{s, 1 / float64(len(shards))})
 		parts = append(parts, id+"."+strconv.Itoa(s))
 	}
-	raw, _ := json.Marshal(body)
 	start := time.Now()
-	ctx, cancel := context.WithDeadline(context.Background(), start.Add(class.Deadline+2*time.Second))
-	defer cancel()
-	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+l.Addr+"/"+class.Name, bytes.NewReader(raw))
-	if err != nil {
-		panic(err)
-	}
-	req.Header.Set("Req-Id", id)
-	req.Header.Set("Req-Owner", l.Owner)
-	req.Header.Set("Req-Deadline-Ms", strconv.FormatInt(class.Deadline.Milliseconds(), 10))
-	var answer struct {
-		Complete bool
-		Hits     []struct {
-			Shard int
-			Doc   string
-		}
-	}
-	res, err := client.Do(req)
-	status := 0
-	if err == nil {
-		status = res.StatusCode
-		raw, err = io.ReadAll(res.Body)
-		res.Body.Close()
-		if status == http.StatusOK && err == nil {
-			err = json.Unmarshal(raw, &answer)
-		}
-	}
+	status, answer, err := l.post(client, id, class, shards)
 	took := time.Since(start)
 	l.Ledger.Done(parts)
 	l.mu.Lock()
@@ -171,30 +156,70 @@
 	t := l.tallies[class.Name]
 	t.Asked++
 	switch {
-	case err != nil || took > class.Deadline+time.Second:
+	case err != nil || took > class.Deadline+answerSlack:
 		t.Lost++
 	case status == http.StatusServiceUnavailable || status == http.StatusTooManyRequests:
 		t.Refused++
 	case status != http.StatusOK:
 		t.Failed++
 	default:
-		t.Served++
-		if t.took.RecordValue(took.Microseconds()); !answer.Complete {
-			t.Partial++
-		}
-		wanted := map[int]bool{}
-		for _, s := range shards {
-			wanted[s] = true
-		}
-		good := 0
-		for _, h := range answer.Hits {
-			if wanted[h.Shard] && h.Doc == datanode.Doc(h.Shard) {
-				good++
-				delete(wanted, h.Shard)
-			}
-		}
-		if good != len(answer.Hits) || answer.Complete != (len(wanted) == 0) {
-			t.Wrong++
+		t.countAnswer(took, answer, shards)
+	}
+}
+
+// post sends one query and reads its answer.
+func (l *Load) post(client *http.Client, id string, class Class, shards []int) (status int, answer response, err error) {
+	body := struct {
+		Shards []part `json:"shards"`
+		Q      string `json:"q"`
+	}{Q: "c41e77d0"}
+	for _, s := range shards {
+		body.Shards = append(body.Shards, part{s, 1 / float64(len(shards))})
+	}
+	raw, err := json.Marshal(body)
+	if err != nil {
+		return 0, answer, err
+	}
+	ctx, cancel := context.WithTimeout(context.Background(), class.Deadline+2*answerSlack)
+	defer cancel()
+	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+l.Addr+"/"+class.Name, bytes.NewReader(raw))
+	if err != nil {
+		return 0, answer, err
+	}
+	req.Header.Set("Req-Id", id)
+	req.Header.Set("Req-Owner", l.Owner)
+	req.Header.Set("Req-Deadline-Ms", strconv.FormatInt(class.Deadline.Milliseconds(), 10))
+	res, err := client.Do(req)
+	if err != nil {
+		return 0, answer, err
+	}
+	defer res.Body.Close()
+	raw, err = io.ReadAll(res.Body)
+	if res.StatusCode == http.StatusOK && err == nil {
+		err = json.Unmarshal(raw, &answer)
+	}
+	return res.StatusCode, answer, err
+}
+
+// countAnswer counts an answer, and whether it has what its shards hold.
+func (t *Tally) countAnswer(took time.Duration, answer response, shards []int) {
+	t.Served++
+	_ = t.took.RecordValue(took.Microseconds()) // a value beyond the histogram's range is left out
+	if !answer.Complete {
+		t.Partial++
+	}
+	wanted := map[int]bool{}
+	for _, s := range shards {
+		wanted[s] = true
+	}
+	right := 0
+	for _, h := range answer.Hits {
+		if wanted[h.Shard] && h.Doc == datanode.Doc(h.Shard) {
+			right++
+			delete(wanted, h.Shard)
 		}
 	}
+	if right != len(answer.Hits) || answer.Complete != (len(wanted) == 0) {
+		t.Wrong++
+	}
 }
--- a/internal/lab/nameserver/nameserver.go
+++ b/internal/lab/nameserver/nameserver.go
@@ -9,7 +9,6 @@
 	"net"
 	"net/netip"
 	"slices"
-	"strconv"
 	"strings"
 	"sync"
 	"time"
@@ -152,7 +151,7 @@
 		raw, err = m.Pack()
 	}
 	if err == nil {
-		nc.Write(raw)
+		_, _ = nc.Write(raw) // a datagram may be lost in any case
 	}
 }
 
@@ -287,112 +286,6 @@
 	s.extra = extra
 }
 
-// Do carries out one line of a script:
-//
-//	add LABEL ADDR [key=value ...]   an instance of _dn._tcp; priority= and weight= go to SRV, the rest to TXT
-//	remove LABEL                     drain LABEL (its TXT says so)
-//	flap LABEL PAUSE                 it vanishes, and returns after the pause
-//	mute|refuse|servfail|lose|truncate|lie|transfer|bare|nosoa on|off
-//	serial N                         cut N (messages of a transfer; -1 for none)
-//
-// An error names the line.
-func (s *Server) Do(line string) error {
-	words := strings.Fields(line)
-	fail := func(why string) error { return fmt.Errorf("nameserver script %q: %s", line, why) }
-	if len(words) < 2 {
-		return fail("too few words")
-	}
-	label := strings.ReplaceAll(words[1], "_", " ")
-	switch words[0] {
-	case "add":
-		if len(words) < 3 {
-			return fail("no address")
-		}
-		addr, err := netip.ParseAddrPort(words[2])
-		if err != nil {
-			return fail(err.Error())
-		}
-		i := Instance{Label: label, Service: "_dn._tcp", Addr: addr}
-		for _, w := range words[3:] {
-			name, value, _ := strings.Cut(w, "=")
-			n, err := strconv.ParseUint(value, 10, 16)
-			switch {
-			case name == "priority" && err == nil:
-				i.Priority = uint16(n)
-			case name == "srvweight" && err == nil:
-				i.Weight = uint16(n)
-			default:
-				i.Text = append(i.Text, w)
-			}
-		}
-		s.zone.Set(i)
-	case "remove":
-		s.zone.Remove(label)
-	case "drain":
-		i, ok := s.zone.Get(label)
-		if !ok {
-			return fail("no such instance")
-		}
-		i.Text = append([]string{"state=draining"}, i.Text...)
-		s.zone.Set(i)
-	case "flap":
-		i, ok := s.zone.Get(label)
-		if !ok || len(words) < 3 {
-			return fail("no such instance, or no pause")
-		}
-		pause, err := time.ParseDuration(words[2])
-		if err != nil {
-			return fail(err.Error())
-		}
-		s.zone.Remove(label)
-		time.AfterFunc(pause, func() { s.zone.Set(i) })
-	case "serial":
-		n, err := strconv.ParseUint(words[1], 10, 32)
-		if err != nil {
-			return fail(err.Error())
-		}
-		s.zone.SetSerial(uint32(n))
-	case "cut":
-		n, err := strconv.Atoi(words[1])
-		if err != nil {
-			return fail(err.Error())
-		}
-		s.mu.Lock()
-		s.cutAfter = n
-		s.mu.Unlock()
-	default:
-		on := words[1] == "on"
-		if !on && words[1] != "off" {
-			return fail("neither on nor off")
-		}
-		s.mu.Lock()
-		defer s.mu.Unlock()
-		switch words[0] {
-		case "mute":
-			s.mute = on
-		case "refuse":
-			s.refuse = map[bool]int{true: dns.RcodeRefused}[on]
-		case "servfail":
-			s.refuse = map[bool]int{true: dns.RcodeServerFailure}[on]
-		case "lose":
-			s.lost = on
-		case "truncate":
-			s.cutList = on
-		case "lie":
-			s.lie = on
-		case "transfer":
-			s.transfers = on
-		case "bare":
-			s.bare = on
-		case "nosoa":
-			s.noSOA = on
-		default:
-			return fail("no such word")
-		}
-	}
-	return nil
-}
-
 // ServeDNS answers one question.
 func (s *Server) ServeDNS(w dns.ResponseWriter, q *dns.Msg) {
 	s.mu.Lock()
@@ -424,7 +317,7 @@
 		return
 	default:
 		a.Authoritative = true
-		s.answer(a, asked, cutList, bare)
+		s.answer(a, asked, answerFaults{cutList: cutList, bare: bare})
 	}
 	a.Extra = append(a.Extra, extra...)
 	if lie {
@@ -442,11 +335,14 @@
 	if t := q.IsTsig(); t != nil {
 		a.SetTsig(t.Hdr.Name, t.Algorithm, 300, time.Now().Unix())
 	}
-	w.WriteMsg(a)
+	_ = w.WriteMsg(a) // whoever asks asks again
 }
 
+// answerFaults are what is wrong with answers: a list that is cut, and none of the records that save the next questions.
+type answerFaults struct{ cutList, bare bool }
+
 // answer finds the records that a question asks for, with those that save the next ones.
-func (s *Server) answer(a *dns.Msg, q dns.Question, cutList, bare bool) {
+func (s *Server) answer(a *dns.Msg, q dns.Question, faults answerFaults) {
 	z := s.zone
 	z.mu.Lock()
 	defer z.mu.Unlock()
@@ -465,7 +361,7 @@
 			a.Answer = append(a.Answer, rr)
 		}
 	}
-	if cutList && q.Qtype == dns.TypePTR {
+	if faults.cutList && q.Qtype == dns.TypePTR {
 		a.Answer, a.Truncated = a.Answer[:len(a.Answer)/2], true
 		return
 	}
@@ -476,7 +372,7 @@
 		}
 		return
 	}
-	if q.Qtype == dns.TypePTR && !bare {
+	if q.Qtype == dns.TypePTR && !faults.bare {
 		for _, rr := range z.all() {
 			if rr.Header().Rrtype != dns.TypePTR {
 				a.Extra = append(a.Extra, rr)
--- a/internal/lab/proxy/packets.go
+++ b/internal/lab/proxy/packets.go
@@ -112,11 +112,11 @@
 				wait += time.Duration(w.rng.Int64N(int64(w.loss.Reorder)))
 			}
 			if wait == 0 {
-				w.out.Write(buf[:n]) // one that nobody takes is lost, as packets are
+				_, _ = w.out.Write(buf[:n]) // one that nobody takes is lost, as packets are
 				continue
 			}
 			packet := append([]byte(nil), buf[:n]...)
-			time.AfterFunc(wait, func() { w.out.Write(packet) })
+			time.AfterFunc(wait, func() { _, _ = w.out.Write(packet) })
 		}
 		w.mu.Unlock()
 	}
--- a/internal/lab/proxy/proxy.go
+++ b/internal/lab/proxy/proxy.go
@@ -162,57 +162,75 @@
 		}
 		p.wg.Add(2)
 		p.mu.Unlock()
-		go p.copy(pr, out, in, true)
-		go p.copy(pr, in, out, false)
+		go p.copy(direction{pair: pr, to: out, from: in, up: true})
+		go p.copy(direction{pair: pr, to: in, from: out})
 	}
 }
 
+// direction is one way of a pair.
+type direction struct {
+	pair     *pair
+	to, from net.Conn
+	up       bool // from the one that connected to the target
+}
+
 // copy carries one direction of a pair until either side ends; the pair is given back by whichever ends first.
-func (p *Proxy) copy(pr *pair, to, from net.Conn, up bool) {
+func (p *Proxy) copy(d direction) {
 	defer p.wg.Done()
 	buf := make([]byte, 32<<10)
 	for {
-		n, err := from.Read(buf)
+		n, err := d.from.Read(buf)
 		if n > 0 {
-			p.mu.Lock()
-			fault, delay := p.fault, p.delay
-			drop := fault == Drop || up && fault == DropUp || !up && fault == DropDown
-			switch {
-			case drop:
-				p.counts.Dropped += int64(n)
-			case up:
-				p.counts.Up += int64(n)
-			default:
-				p.counts.Down += int64(n)
-			}
-			p.mu.Unlock()
-			if fault == Delay {
-				time.Sleep(delay)
-			}
-			if !drop {
-				if _, werr := to.Write(buf[:n]); werr != nil {
-					err = werr
-				}
+			if werr := p.forward(d, buf[:n]); werr != nil {
+				err = werr
 			}
 		}
 		if err != nil {
-			p.mu.Lock()
-			if pr.halves++; errors.Is(err, io.EOF) && pr.halves < 2 {
-				if tc, ok := to.(*net.TCPConn); ok {
-					tc.CloseWrite() // a half close passes on, so that a client that only sends still gets its answer
-					p.mu.Unlock()
-					return
-				}
-			}
-			if p.pairs[pr] {
-				delete(p.pairs, pr)
-				pr.in.Close()
-				pr.out.Close()
-			}
-			p.mu.Unlock()
+			p.ended(d, err)
+			return
+		}
+	}
+}
+
+// forward passes a chunk on, late or not at all, as the fault says.
+func (p *Proxy) forward(d direction, chunk []byte) error {
+	p.mu.Lock()
+	fault, delay := p.fault, p.delay
+	drop := fault == Drop || d.up && fault == DropUp || !d.up && fault == DropDown
+	switch {
+	case drop:
+		p.counts.Dropped += int64(len(chunk))
+	case d.up:
+		p.counts.Up += int64(len(chunk))
+	default:
+		p.counts.Down += int64(len(chunk))
+	}
+	p.mu.Unlock()
+	if fault == Delay {
+		time.Sleep(delay)
+	}
+	if drop {
+		return nil
+	}
+	_, err := d.to.Write(chunk)
+	return err
+}
+
+// ended closes a pair once a direction has ended. A half close is passed on, so that a client that only sends still gets its answer.
+func (p *Proxy) ended(d direction, err error) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if d.pair.halves++; errors.Is(err, io.EOF) && d.pair.halves < 2 {
+		if conn, ok := d.to.(*net.TCPConn); ok {
+			conn.CloseWrite()
 			return
 		}
 	}
+	if p.pairs[d.pair] {
+		delete(p.pairs, d.pair)
+		d.pair.in.Close()
+		d.pair.out.Close()
+	}
 }
 
 // Close ends the listener and every connection, and waits for all that the proxy started.
