--- a/internal/lab/datanode/flight.go
+++ b/internal/lab/datanode/flight.go
@@ -7,7 +7,6 @@
 	"sync"
 	"time"
 
-
 	"github.com/apache/arrow-go/v18/arrow/array"
 	arrowflight "github.com/apache/arrow-go/v18/arrow/flight"
 	"github.com/apache/arrow-go/v18/arrow/ipc"
