--- a/cmd/gullfall/main_test.go
+++ b/cmd/gullfall/main_test.go
@@ -22,6 +22,7 @@
 
 	"gullfall/aggregator"
 	"gullfall/internal/coordinator"
+	"gullfall/internal/membership"
 	"gullfall/internal/platform"
 )
 
@@ -211,7 +212,7 @@
 func TestDrainEnds(t *testing.T) {
 	log := slog.New(slog.DiscardHandler)
 	c, err := coordinator.New(aggregator.Settings{ShardSets: 1, Shards: 1, Reach: 1,
-		Classes: []aggregator.Class{{Name: "report", LatencyObjective: time.Second, Deadline: time.Second}}}, 1, log)
+		Classes: []aggregator.Class{{Name: "report", LatencyObjective: time.Second, Deadline: time.Second}}}, 1, log, membership.Config{})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/gullfall/serve.go
+++ b/cmd/gullfall/serve.go
@@ -193,7 +193,7 @@
 }
 
 func (d *daemon) createCoordinator() (err error) {
-	d.coordinator, err = coordinator.NewWith(d.cfg.Settings, d.cfg.Seed, d.log, d.deploy.Damping())
+	d.coordinator, err = coordinator.New(d.cfg.Settings, d.cfg.Seed, d.log, d.deploy.Damping())
 	if err != nil {
 		return fmt.Errorf("settings: %w", err)
 	}
--- a/internal/coordinator/cold_test.go
+++ b/internal/coordinator/cold_test.go
@@ -28,7 +28,7 @@
 			set := aggregator.Settings{Aggregators: 1, Tick: tick, ShardSets: 1, Shards: 4, Reach: 1, CallCost: time.Millisecond, Rules: rules,
 				Classes: []aggregator.Class{{Name: "report", LatencyObjective: 4 * time.Second, Deadline: 8 * time.Second, Priority: 1, CompleteShare: 1, MinShare: 1}},
 				Limits:  aggregator.Limits{MaxAttempts: 3, MaxBatch: 8, CanCancel: true, SendRetryAfter: true, MaxRetryAfter: time.Second}}
-			c, err := New(set, 7, slog.New(slog.NewTextHandler(io.Discard, nil)))
+			c, err := New(set, 7, slog.New(slog.NewTextHandler(io.Discard, nil)), membership.Config{})
 			if err != nil {
 				t.Fatal(err)
 			}
--- a/internal/coordinator/core.go
+++ b/internal/coordinator/core.go
@@ -210,19 +210,15 @@
 	seen     uint64 // the version of the list that the module knows
 }
 
-// New returns a core for the settings; the seed settles the module's random choices.
-func New(set aggregator.Settings, seed uint64, log *slog.Logger) (*Coordinator, error) {
-	return NewWith(set, seed, log, membership.Config{})
-}
-
-// NewWith is New with figures of its own for who counts as there; which cells hold a shard is the settings' to say.
-func NewWith(set aggregator.Settings, seed uint64, log *slog.Logger, who membership.Config) (*Coordinator, error) {
+// New returns a coordinator for the settings. The seed settles the module's random choices. damping says who counts as present; its
+// shard sets, shards and reach are taken from the settings.
+func New(set aggregator.Settings, seed uint64, log *slog.Logger, damping membership.Config) (*Coordinator, error) {
 	agg, err := aggregator.New(set, seed)
 	if err != nil {
 		return nil, err
 	}
-	who.ShardSets, who.Shards, who.Reach = set.ShardSets, set.Shards, set.Reach
-	table, err := membership.New(who)
+	damping.ShardSets, damping.Shards, damping.Reach = set.ShardSets, set.Shards, set.Reach
+	table, err := membership.New(damping)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/coordinator/core_test.go
+++ b/internal/coordinator/core_test.go
@@ -37,7 +37,7 @@
 			MaxRetryAfter: 2 * time.Second},
 		CallCost: time.Millisecond,
 	}
-	c, err := New(set, 7, slog.New(slog.NewTextHandler(io.Discard, nil)))
+	c, err := New(set, 7, slog.New(slog.NewTextHandler(io.Discard, nil)), membership.Config{})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -220,7 +220,7 @@
 // TestInput: what can't be asked never reaches the module.
 func TestInput(t *testing.T) {
 	c, err := New(aggregator.Settings{ShardSets: 1, Shards: 2, Reach: 1, Tenants: []aggregator.Tenant{{Name: "club"}},
-		Classes: []aggregator.Class{{Name: "report", LatencyObjective: 1, Deadline: 1}}}, 1, slog.New(slog.DiscardHandler))
+		Classes: []aggregator.Class{{Name: "report", LatencyObjective: 1, Deadline: 1}}}, 1, slog.New(slog.DiscardHandler), membership.Config{})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/coordinator/deployments_test.go
+++ b/internal/coordinator/deployments_test.go
@@ -51,7 +51,7 @@
 				if err != nil {
 					t.Fatal(err)
 				}
-				c, err := coordinator.New(set, 7, slog.New(slog.DiscardHandler))
+				c, err := coordinator.New(set, 7, slog.New(slog.DiscardHandler), membership.Config{})
 				if err != nil {
 					t.Fatal(err)
 				}
--- a/internal/coordinator/gossip_test.go
+++ b/internal/coordinator/gossip_test.go
@@ -41,7 +41,7 @@
 			rules := aggregator.Rules{DrainGrace: 2 * time.Second, WarmupTime: 5 * time.Second}
 			set := aggregator.Settings{Aggregators: 5, Tick: tick, ShardSets: 4, Shards: 4, Reach: 1, Rules: rules,
 				Classes: []aggregator.Class{{Name: "report", LatencyObjective: time.Second, Deadline: 2 * time.Second, Priority: 1, CompleteShare: 1, MinShare: 1}}}
-			core, err := New(set, 7, slog.New(slog.DiscardHandler))
+			core, err := New(set, 7, slog.New(slog.DiscardHandler), membership.Config{})
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -87,7 +87,7 @@
 		for _, c := range []struct{ nodes, single, byKind int }{{mostLines, mostLines, 0}, {10_000, 0, 1}} {
 			var logged lines
 			core, err := New(aggregator.Settings{Aggregators: 1, Tick: tick, ShardSets: 1, Shards: 1, Reach: 1,
-				Classes: []aggregator.Class{{Name: "report", LatencyObjective: time.Second, Deadline: 2 * time.Second, Priority: 1, CompleteShare: 1, MinShare: 1}}}, 7, slog.New(slog.NewTextHandler(&logged, nil)))
+				Classes: []aggregator.Class{{Name: "report", LatencyObjective: time.Second, Deadline: 2 * time.Second, Priority: 1, CompleteShare: 1, MinShare: 1}}}, 7, slog.New(slog.NewTextHandler(&logged, nil)), membership.Config{})
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -108,7 +108,7 @@
 func TestHearStart(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		core, err := New(aggregator.Settings{Aggregators: 2, Tick: tick, ShardSets: 1, Shards: 1, Reach: 1, Rules: aggregator.Rules{WarmupTime: 5 * time.Second},
-			Classes: []aggregator.Class{{Name: "report", LatencyObjective: time.Second, Deadline: 2 * time.Second, Priority: 1, CompleteShare: 1, MinShare: 1}}}, 7, slog.New(slog.DiscardHandler))
+			Classes: []aggregator.Class{{Name: "report", LatencyObjective: time.Second, Deadline: 2 * time.Second, Priority: 1, CompleteShare: 1, MinShare: 1}}}, 7, slog.New(slog.DiscardHandler), membership.Config{})
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/coordinator/list_bench_test.go
+++ b/internal/coordinator/list_bench_test.go
@@ -20,7 +20,7 @@
 	}
 	for b.Loop() {
 		c, err := New(aggregator.Settings{Aggregators: 3, Tick: 5 * time.Millisecond, ShardSets: 64, Shards: 64, Reach: 2,
-			Classes: []aggregator.Class{{Name: "lookup", LatencyObjective: time.Second, Deadline: 2 * time.Second, Priority: 1, CompleteShare: 1, MinShare: 1}}}, 7, slog.New(slog.DiscardHandler))
+			Classes: []aggregator.Class{{Name: "lookup", LatencyObjective: time.Second, Deadline: 2 * time.Second, Priority: 1, CompleteShare: 1, MinShare: 1}}}, 7, slog.New(slog.DiscardHandler), membership.Config{})
 		if err != nil {
 			b.Fatal(err)
 		}
--- a/internal/coordinator/zones_test.go
+++ b/internal/coordinator/zones_test.go
@@ -43,7 +43,7 @@
 				CompleteShare: 1, MinShare: 1}},
 			Limits: aggregator.Limits{MaxAttempts: 3, MaxBatch: 8, CanCancel: true, SendRetryAfter: true, MaxRetryAfter: time.Second}}
 		var logged lines
-		c, err := New(set, 7, slog.New(slog.NewTextHandler(&logged, nil)))
+		c, err := New(set, 7, slog.New(slog.NewTextHandler(&logged, nil)), membership.Config{})
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/faults/faults_test.go
+++ b/internal/faults/faults_test.go
@@ -149,7 +149,7 @@
 	t.Helper()
 	b := &book{acts: acts, tries: map[string]int{}, out: map[int]attempt{}, starts: map[string]int{},
 		release: make(chan struct{})}
-	c, err := coordinator.New(set, 7, slog.New(slog.NewTextHandler(io.Discard, nil)))
+	c, err := coordinator.New(set, 7, slog.New(slog.NewTextHandler(io.Discard, nil)), membership.Config{})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/flight/server_test.go
+++ b/internal/flight/server_test.go
@@ -30,7 +30,7 @@
 	log := slog.New(slog.DiscardHandler)
 	c, err := coordinator.New(aggregator.Settings{ShardSets: 1, Shards: 4, Reach: 1, Tick: time.Millisecond,
 		Classes: []aggregator.Class{{Name: "report", LatencyObjective: time.Second, Deadline: 3 * time.Second, CompleteShare: 1, MinShare: 1, Priority: 1}},
-	}, 1, log)
+	}, 1, log, membership.Config{})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/flight/suite_test.go
+++ b/internal/flight/suite_test.go
@@ -53,7 +53,7 @@
 		Classes: []aggregator.Class{{Name: "report", LatencyObjective: 2 * time.Second, Deadline: 5 * time.Second, Priority: 1, CompleteShare: 1, MinShare: 1},
 			{Name: "rating", LatencyObjective: 2 * time.Second, Deadline: 5 * time.Second, Priority: 1, CompleteShare: 1, MinShare: 1}},
 		Limits: aggregator.Limits{MaxAttempts: 3, MaxBatch: 8, CanCancel: true, SendRetryAfter: true, MaxRetryAfter: time.Second,
-			ConnectTimeout: 250 * time.Millisecond, ConnIdle: 30 * time.Second}}, 7, log)
+			ConnectTimeout: 250 * time.Millisecond, ConnIdle: 30 * time.Second}}, 7, log, membership.Config{})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/platform/bench_test.go
+++ b/internal/platform/bench_test.go
@@ -24,7 +24,7 @@
 	set := aggregator.Settings{Aggregators: 1, Tick: time.Microsecond, ShardSets: 1, Shards: 8, Reach: 1, CallCost: time.Millisecond,
 		Classes: []aggregator.Class{{Name: "lookup", LatencyObjective: time.Second, Deadline: 2 * time.Second, Priority: 1, CompleteShare: 1, MinShare: 1}},
 		Limits:  aggregator.Limits{MaxAttempts: 3, MaxBatch: 8, CanCancel: true, ConnectTimeout: 250 * time.Millisecond}}
-	c, err := coordinator.NewWith(set, 1, log, membership.Config{})
+	c, err := coordinator.New(set, 1, log, membership.Config{})
 	if err != nil {
 		b.Fatal(err)
 	}
--- a/internal/platform/ending_test.go
+++ b/internal/platform/ending_test.go
@@ -14,6 +14,7 @@
 
 	"gullfall/aggregator"
 	"gullfall/internal/coordinator"
+	"gullfall/internal/membership"
 )
 
 var endings = []struct {
@@ -249,7 +250,7 @@
 	log := slog.New(slog.DiscardHandler)
 	set := aggregator.Settings{Aggregators: 1, Tick: 5 * time.Millisecond, ShardSets: 1, Shards: 1, Reach: 1,
 		Classes: []aggregator.Class{{Name: "report", LatencyObjective: time.Second, Deadline: 3 * time.Second, Priority: 1, CompleteShare: 1, MinShare: 1}}}
-	c, err := coordinator.New(set, 7, log)
+	c, err := coordinator.New(set, 7, log, membership.Config{})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/platform/fleet_test.go
+++ b/internal/platform/fleet_test.go
@@ -87,7 +87,7 @@
 		log := slog.New(slog.DiscardHandler)
 		set := aggregator.Settings{ShardSets: 1, Shards: 1, Reach: 1, Classes: []aggregator.Class{{LatencyObjective: 1, Deadline: 1}}}
 		for seed := range uint64(coordinators) {
-			c, err := coordinator.New(set, seed, log)
+			c, err := coordinator.New(set, seed, log, membership.Config{})
 			if err != nil {
 				t.Fatal(err)
 			}
--- a/internal/platform/formats_test.go
+++ b/internal/platform/formats_test.go
@@ -64,7 +64,7 @@
 		Classes: []aggregator.Class{{Name: "entry", LatencyObjective: time.Second, Deadline: 2 * time.Second, Priority: 1, CompleteShare: 1, MinShare: 1,
 			Effect: aggregator.Keyed, DedupWindow: 300 * time.Millisecond}},
 		Limits: aggregator.Limits{MaxAttempts: 2, MaxBatch: 8, CanCancel: true, ConnectTimeout: 250 * time.Millisecond}}
-	k, err := coordinator.New(set, 1, log)
+	k, err := coordinator.New(set, 1, log, membership.Config{})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -88,7 +88,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	k, err := coordinator.New(aggregator.Settings{ShardSets: 2, Shards: 2, Reach: 1, Classes: []aggregator.Class{{LatencyObjective: 1, Deadline: 1}}}, 1, slog.New(slog.DiscardHandler))
+	k, err := coordinator.New(aggregator.Settings{ShardSets: 2, Shards: 2, Reach: 1, Classes: []aggregator.Class{{LatencyObjective: 1, Deadline: 1}}}, 1, slog.New(slog.DiscardHandler), membership.Config{})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/platform/keyed_test.go
+++ b/internal/platform/keyed_test.go
@@ -37,7 +37,7 @@
 					Classes: []aggregator.Class{{Name: "entry", LatencyObjective: time.Second, Deadline: 2 * time.Second, Priority: 1, CompleteShare: 1, MinShare: 1,
 						Effect: c.effect, DedupWindow: 300 * time.Millisecond}},
 					Limits: aggregator.Limits{MaxAttempts: 2, CanCancel: true, ConnectTimeout: 250 * time.Millisecond}}
-				k, err := coordinator.New(set, 1, log)
+				k, err := coordinator.New(set, 1, log, membership.Config{})
 				if err != nil {
 					t.Fatal(err)
 				}
--- a/internal/platform/scenario_test.go
+++ b/internal/platform/scenario_test.go
@@ -652,7 +652,7 @@
 	if strings.Contains(nodes, "slowstart=1") { // a data node that has just started may be sent next to nothing
 		set.Rules.OverloadMultiple, set.Rules.OverloadWindow, set.Rules.InitialCapacity, set.Rules.WarmupTime = 2, time.Second, 0.001, time.Minute
 	}
-	c, err := coordinator.New(set, 7, log)
+	c, err := coordinator.New(set, 7, log, membership.Config{})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/platform/silence_test.go
+++ b/internal/platform/silence_test.go
@@ -134,7 +134,7 @@
 		Limits:  aggregator.Limits{MaxAttempts: 3, CanCancel: true, ConnectTimeout: 250 * time.Millisecond}}
 	var asking sync.WaitGroup
 	for i := range coordinators {
-		c, err := coordinator.New(set, seed+uint64(i), log)
+		c, err := coordinator.New(set, seed+uint64(i), log, membership.Config{})
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/platform/slots_test.go
+++ b/internal/platform/slots_test.go
@@ -46,7 +46,7 @@
 			Classes: []aggregator.Class{{Name: "report", LatencyObjective: time.Second, Deadline: 3 * time.Second, Priority: 1, CompleteShare: 1, MinShare: 1}},
 			Limits:  aggregator.Limits{MaxAttempts: 3, CanCancel: true, ConnectTimeout: 250 * time.Millisecond, ConnIdle: 30 * time.Second},
 			Rules:   aggregator.Rules{OverloadMultiple: 2, OverloadWindow: time.Second, InitialCapacity: 0.01, WarmupTime: 20 * time.Second}}
-		c, err := coordinator.New(set, 1, log)
+		c, err := coordinator.New(set, 1, log, membership.Config{})
 		if err != nil {
 			t.Fatal(err)
 		}
