--- a/internal/coordinator/core.go
+++ b/internal/coordinator/core.go
@@ -104,16 +104,16 @@
 	Text           string
 	IdempotencyKey string // of the query; empty where its class is not keyed
 	Deadline       time.Time
-	begin          time.Time // after it, the attempt may not be begun any more; zero for no such bound
+	sendBefore     time.Time // after it, the attempt may not be begun any more; zero for no such bound
 
-	number int
-	part   *part
-	node   *Node
-	seen   uint64 // the list that the module decided by
-	begun  time.Time
-	why    aggregator.Outcome // of a drop that was ordered
-	over   bool
-	end    Outcome
+	number       int
+	part         *part
+	node         *Node
+	listVersion  uint64 // the list that the module decided by
+	sentAt       time.Time
+	cancelReason aggregator.Outcome // of a drop that was ordered
+	ended        bool
+	outcome      Outcome
 }
 
 // Sendable decides, at the moment in which an attempt's frame is written, whether it may still go out; much may have
@@ -125,13 +125,13 @@
 //	a repeat may no longer be dropped by its holders     Busy
 func (a *Attempt) Sendable(now time.Time) (outcome Outcome, ok bool) {
 	switch {
-	case a.part.q.ended.Load():
+	case a.part.query.closed.Load():
 		return NotSent, false
 	case a.node.Excluded():
 		return Overloaded, false
-	case a.node.restarted.Load() > a.seen:
+	case a.node.restartVersion.Load() > a.listVersion:
 		return NotSent, false
-	case !a.begin.IsZero() && now.After(a.begin):
+	case !a.sendBefore.IsZero() && now.After(a.sendBefore):
 		return Overloaded, false
 	}
 	return 0, true
@@ -148,66 +148,66 @@
 
 type query struct {
 	Query
-	parts []*part
-	reply chan Answer
-	taken time.Time
-	over  bool
-	ended atomic.Bool // it is over, or its client has left: nothing of it may begin
+	parts      []*part
+	reply      chan Answer
+	receivedAt time.Time
+	finished   bool
+	closed     atomic.Bool // it is over, or its client has left: nothing of it may begin
 }
 
 type part struct {
-	id    string
-	q     *query
-	shard int
-	docs  [][]byte
-	in    bool
-	tries []*Attempt
+	id       string
+	query    *query
+	shard    int
+	docs     [][]byte
+	received bool
+	attempts []*Attempt
 }
 
 // input is what has happened since the last Step.
 type input struct {
 	event   aggregator.Event
 	attempt *Attempt
-	end     Outcome
+	outcome Outcome
 	docs    [][]byte
-	ask     *query
+	query   *query
 	due     time.Time // not taken in before
 }
 
 // Coordinator is the facade. Its methods may be called from any goroutine, but for Run.
 type Coordinator struct {
-	set     aggregator.Settings
-	seed    uint64
-	log     *slog.Logger
-	start   time.Time
-	classes map[string]int
-	tenants map[string]int
-	notify  chan struct{}
-
-	mu      sync.Mutex // guards what follows and nodes' fields; never held over Step
-	inbox   []input
-	nodes   map[string]*Node
-	pending int // queries and parts held, those in the inbox included
-
-	table    *membership.Table
-	carriers map[string]Dispatcher // by protocol
-	listed   bool                  // some source has told a whole list
-	zones    *zoneWatch            // nil where zones are not watched
-	work     *workWatch            // nil where machines are not taken out for work
-	sight    atomic.Pointer[func(Observation)]
-	starts   map[string]time.Time // of data nodes, as others tell; guarded by mu
-	version  uint64               // of the joined list; guarded by mu
+	settings aggregator.Settings
+	seed     uint64
+	log      *slog.Logger
+	start    time.Time
+	classes  map[string]int
+	tenants  map[string]int
+	notify   chan struct{}
+
+	mu    sync.Mutex // guards what follows and nodes' fields; never held over Step
+	inbox []input
+	nodes map[string]*Node
+	open  int // queries and parts held, those in the inbox included
+
+	table           *membership.Table
+	dispatchers     map[string]Dispatcher // by protocol
+	hasCompleteList bool                  // some source has told a whole list
+	zones           *zoneState            // nil where zones are not watched
+	maintenance     *maintenanceState     // nil where machines are not taken out for work
+	observer        atomic.Pointer[func(Observation)]
+	reportedStarts  map[string]time.Time // of data nodes, as others tell; guarded by mu
+	listVersion     uint64               // of the joined list; guarded by mu
 
 	// The loop's own.
-	agg      *aggregator.Aggregator
-	queries  map[string]*query
-	parts    map[string]*part
-	attempts map[*Attempt]bool
-	actions  []aggregator.Action
-	held     []input // not due yet
-	wake     time.Time
-	last     time.Time
-	seen     uint64 // the version of the list that the module knows
+	module            *aggregator.Aggregator
+	queries           map[string]*query
+	parts             map[string]*part
+	attempts          map[*Attempt]bool
+	actions           []aggregator.Action
+	delayed           []input // not due yet
+	wakeAt            time.Time
+	lastTick          time.Time
+	moduleListVersion uint64 // the version of the list that the module knows
 }
 
 // New returns a coordinator for the settings. The seed settles the module's random choices. damping says who counts as present; its
@@ -222,8 +222,8 @@
 	if err != nil {
 		return nil, err
 	}
-	c := &Coordinator{set: set, seed: seed, log: log, start: time.Now(), classes: map[string]int{}, tenants: map[string]int{},
-		notify: make(chan struct{}, 1), nodes: map[string]*Node{}, starts: map[string]time.Time{}, table: table, carriers: map[string]Dispatcher{}, agg: agg, queries: map[string]*query{},
+	c := &Coordinator{settings: set, seed: seed, log: log, start: time.Now(), classes: map[string]int{}, tenants: map[string]int{},
+		notify: make(chan struct{}, 1), nodes: map[string]*Node{}, reportedStarts: map[string]time.Time{}, table: table, dispatchers: map[string]Dispatcher{}, module: agg, queries: map[string]*query{},
 		parts: map[string]*part{}, attempts: map[*Attempt]bool{}}
 	for i, class := range set.Classes {
 		c.classes[class.Name] = i
@@ -235,10 +235,10 @@
 }
 
 // clock turns a time into the module's clock, which starts at an hour so that a start before ours is above 0.
-func (c *Coordinator) clock(t time.Time) time.Duration { return t.Sub(c.start) + time.Hour }
+func (c *Coordinator) moduleClock(t time.Time) time.Duration { return t.Sub(c.start) + time.Hour }
 
 // put adds inputs, all for the same Step.
-func (c *Coordinator) put(inputs ...input) {
+func (c *Coordinator) enqueue(inputs ...input) {
 	c.mu.Lock()
 	c.inbox = append(c.inbox, inputs...)
 	c.mu.Unlock()
@@ -254,7 +254,7 @@
 }
 
 // weightSlack is by how much weights may miss 1 for being rounded.
-const weightSlack = 1e-3
+const weightTolerance = 1e-3
 
 // Validate finds what can't be asked, whatever its deadline; the error wraps ErrInput and its message is for the client.
 func (c *Coordinator) Validate(q *Query) error {
@@ -280,7 +280,7 @@
 	}
 	seen, sum := map[int]bool{}, 0.0
 	for _, p := range q.Parts {
-		if p.Shard < 0 || p.Shard >= c.set.Shards || seen[p.Shard] {
+		if p.Shard < 0 || p.Shard >= c.settings.Shards || seen[p.Shard] {
 			return fmt.Errorf("%w: unknown or repeated shard %d", ErrInput, p.Shard)
 		}
 		if !(p.Weight >= 0 && p.Weight <= 1) || p.Work < 0 {
@@ -288,31 +288,31 @@
 		}
 		seen[p.Shard], sum = true, sum+p.Weight
 	}
-	if math.Abs(sum-1) > weightSlack {
+	if math.Abs(sum-1) > weightTolerance {
 		return fmt.Errorf("%w: weights add up to %g", ErrInput, sum)
 	}
 	return nil
 }
 
 // mostKey is the longest idempotency key, in bytes.
-const mostKey = 128
+const maxKeyLength = 128
 
 // keyed tells whether the holders of a class's parts drop a repeat by the query's key.
-func (c *Coordinator) keyed(class string) bool {
-	return c.set.Classes[c.classes[class]].Effect == aggregator.Keyed
+func (c *Coordinator) isKeyed(class string) bool {
+	return c.settings.Classes[c.classes[class]].Effect == aggregator.Keyed
 }
 
 // checkKey refuses a query of a keyed class whose key is missing, or is not one that each wire carries unchanged: the
 // frames' list of a part ends at a space, and its entries at a comma. A key in another class is the client's own affair.
 func (c *Coordinator) checkKey(q *Query) error {
-	if !c.keyed(q.Class) {
+	if !c.isKeyed(q.Class) {
 		return nil
 	}
 	if q.IdempotencyKey == "" {
 		return fmt.Errorf("%w: class %q needs an idempotency key, the same for each retry of a query", ErrInput, q.Class)
 	}
-	if len(q.IdempotencyKey) > mostKey {
-		return fmt.Errorf("%w: idempotency key of %d bytes; %d are allowed", ErrInput, len(q.IdempotencyKey), mostKey)
+	if len(q.IdempotencyKey) > maxKeyLength {
+		return fmt.Errorf("%w: idempotency key of %d bytes; %d are allowed", ErrInput, len(q.IdempotencyKey), maxKeyLength)
 	}
 	for _, r := range q.IdempotencyKey {
 		if r <= ' ' || r > '~' || r == ',' {
@@ -324,79 +324,79 @@
 
 // Execute takes a query and waits for its final answer. An error wraps ErrInput, where the query was not taken,
 // or is ErrGone, where ctx ended first.
-func (c *Coordinator) Execute(ctx context.Context, asked Query) (Answer, error) {
-	if err := c.Validate(&asked); err != nil {
+func (c *Coordinator) Execute(ctx context.Context, request Query) (Answer, error) {
+	if err := c.Validate(&request); err != nil {
 		return Answer{}, err
 	}
-	if !asked.Deadline.After(time.Now()) {
+	if !request.Deadline.After(time.Now()) {
 		return Answer{}, fmt.Errorf("%w: deadline has passed", ErrInput)
 	}
 	// No client waits for longer than its class's limit, whatever it says.
-	if end := time.Now().Add(c.set.Classes[c.classes[asked.Class]].Deadline); asked.Deadline.After(end) {
-		asked.Deadline = end
+	if end := time.Now().Add(c.settings.Classes[c.classes[request.Class]].Deadline); request.Deadline.After(end) {
+		request.Deadline = end
 	}
-	if !c.keyed(asked.Class) {
-		asked.IdempotencyKey = ""
+	if !c.isKeyed(request.Class) {
+		request.IdempotencyKey = ""
 	}
-	q := &query{Query: asked, taken: time.Now(), reply: make(chan Answer, 1)}
-	size := 1 + len(asked.Parts)
+	q := &query{Query: request, receivedAt: time.Now(), reply: make(chan Answer, 1)}
+	size := 1 + len(request.Parts)
 	c.mu.Lock()
-	full := c.set.Limits.MaxOpen > 0 && c.pending >= c.set.Limits.MaxOpen
+	full := c.settings.Limits.MaxOpen > 0 && c.open >= c.settings.Limits.MaxOpen
 	if !full {
-		c.pending += size
+		c.open += size
 	}
 	c.mu.Unlock()
 	if full {
-		c.noRoom(q.taken)
+		c.noteOverload(q.receivedAt)
 		return Answer{Status: Rejected, RetryAfter: c.RetryAfter()}, nil
 	}
-	inputs := []input{{ask: q}}
-	tenant, known := c.tenants[asked.Tenant]
+	inputs := []input{{query: q}}
+	tenant, known := c.tenants[request.Tenant]
 	if !known {
 		tenant = -1
 	}
 	inputs[0].event = aggregator.Event{Kind: aggregator.QueryArrived, Query: q.ID, Class: c.classes[q.Class],
 		Tenant: tenant, Count: len(q.Parts), Retry: q.Retry, TimeLeft: time.Until(q.Deadline)}
-	for _, p := range asked.Parts {
-		made := &part{id: q.ID + "." + strconv.Itoa(p.Shard), q: q, shard: p.Shard}
+	for _, p := range request.Parts {
+		made := &part{id: q.ID + "." + strconv.Itoa(p.Shard), query: q, shard: p.Shard}
 		q.parts = append(q.parts, made)
-		inputs = append(inputs, input{ask: q, event: aggregator.Event{Kind: aggregator.PartArrived, Query: q.ID,
+		inputs = append(inputs, input{query: q, event: aggregator.Event{Kind: aggregator.PartArrived, Query: q.ID,
 			Part: made.id, Shard: p.Shard, Weight: p.Weight, Work: p.Work, Key: p.Key}})
 	}
-	c.put(inputs...)
+	c.enqueue(inputs...)
 	select {
 	case answer := <-q.reply:
 		return answer, nil
 	case <-ctx.Done():
-		q.ended.Store(true)
-		c.put(input{event: aggregator.Event{Kind: aggregator.ClientGone, Query: q.ID}, ask: q})
+		q.closed.Store(true)
+		c.enqueue(input{event: aggregator.Event{Kind: aggregator.ClientGone, Query: q.ID}, query: q})
 		return Answer{}, ErrGone
 	}
 }
 
 // RetryAfter is when who is turned away at the door may come back; 0 where the settings allow no such advice.
 func (c *Coordinator) RetryAfter() time.Duration {
-	if !c.set.Limits.SendRetryAfter {
+	if !c.settings.Limits.SendRetryAfter {
 		return 0
 	}
-	return c.set.Limits.MaxRetryAfter / 2
+	return c.settings.Limits.MaxRetryAfter / 2
 }
 
 // Open counts the queries and parts held.
 func (c *Coordinator) Open() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.pending
+	return c.open
 }
 
-var outcomes = map[Outcome]aggregator.Outcome{
+var moduleOutcomes = map[Outcome]aggregator.Outcome{
 	OK: aggregator.OK, Errored: aggregator.Errored, Overloaded: aggregator.Rejected,
 	NotConnected: aggregator.ConnectFailed, Reset: aggregator.Reset, Cancelled: aggregator.TimedOut,
 	NotSent: aggregator.NotSent, ConnectionLost: aggregator.ConnectionLost, ConnectTimeout: aggregator.ConnectTimeout,
 }
 
 // settleTime is how long what tells a data node of the end of an attempt may be on its way, or lie unread there.
-const settleTime = 5 * time.Millisecond
+const settleDelay = 5 * time.Millisecond
 
 // Report tells how an attempt ended; only the first report of an attempt counts. The end of one that the data
 // node learns from us, by a give-up or by a connection that we closed, is taken in later: what tells of it is on
@@ -404,20 +404,20 @@
 func (c *Coordinator) Report(a *Attempt, r Result) {
 	var due time.Time
 	if r.Outcome == Cancelled || r.Outcome == Reset || r.Outcome == ConnectionLost {
-		due = time.Now().Add(max(settleTime, c.set.Tick))
+		due = time.Now().Add(max(settleDelay, c.settings.Tick))
 	}
-	c.put(input{attempt: a, end: r.Outcome, due: due, docs: r.Docs, event: aggregator.Event{Kind: aggregator.AttemptEnded, Part: a.ID,
-		Attempt: a.number, Replica: a.node.id, Outcome: outcomes[r.Outcome], LoadReport: r.LoadReport}})
+	c.enqueue(input{attempt: a, outcome: r.Outcome, due: due, docs: r.Docs, event: aggregator.Event{Kind: aggregator.AttemptEnded, Part: a.ID,
+		Attempt: a.number, Replica: a.node.id, Outcome: moduleOutcomes[r.Outcome], LoadReport: r.LoadReport}})
 }
 
 // ReportProbe tells how a probe ended.
 func (c *Coordinator) ReportProbe(n *Node, r Result) {
-	c.saw(n, r.Outcome)
-	c.zoneSaw(n, nil, r.Outcome, time.Now())
-	c.workSaw(n, r.Outcome, r.LoadReport, time.Now())
-	c.sighted(n, nil, r.Outcome, r.LoadReport, time.Now())
+	c.observeForMembership(n, r.Outcome)
+	c.observeForZones(n, nil, r.Outcome, time.Now())
+	c.observeForMaintenance(n, r.Outcome, r.LoadReport, time.Now())
+	c.notifyObserver(n, nil, r.Outcome, r.LoadReport, time.Now())
 	c.log.Debug("probe ended", "node", n.id, "end", words[r.Outcome])
-	c.put(input{event: aggregator.Event{Kind: aggregator.ProbeEnded, Replica: n.id, Outcome: outcomes[r.Outcome],
+	c.enqueue(input{event: aggregator.Event{Kind: aggregator.ProbeEnded, Replica: n.id, Outcome: moduleOutcomes[r.Outcome],
 		LoadReport: r.LoadReport}})
 }
 
@@ -433,7 +433,7 @@
 		case <-timer.C:
 		}
 		// What comes within a tick is gathered, so that parts of several queries can share a call.
-		if wait := time.Until(c.last.Add(c.set.Tick)); wait > 0 {
+		if wait := time.Until(c.lastTick.Add(c.settings.Tick)); wait > 0 {
 			time.Sleep(wait)
 		}
 		timer.Reset(time.Until(c.Tick(time.Now())))
@@ -443,21 +443,21 @@
 // Tick takes in what has happened, steps the module, carries out what it says, and returns when it must be
 // called again if nothing happens before. Only one goroutine may call it.
 func (c *Coordinator) Tick(now time.Time) (next time.Time) {
-	c.last = now
+	c.lastTick = now
 	c.mu.Lock()
 	due := c.table.Next()
 	c.mu.Unlock()
 	if !due.IsZero() && !now.Before(due) {
-		c.join(false, false, c.table.Tick)
+		c.updateTable(false, false, c.table.Tick)
 	}
 	c.mu.Lock()
-	inbox := append(c.held, c.inbox...)
-	c.held, c.inbox = nil, nil
+	inbox := append(c.delayed, c.inbox...)
+	c.delayed, c.inbox = nil, nil
 	c.mu.Unlock()
 	var events []aggregator.Event
 	for i := range inbox {
 		if inbox[i].due.After(now) {
-			c.held = append(c.held, inbox[i])
+			c.delayed = append(c.delayed, inbox[i])
 		} else if c.accept(&inbox[i], now) {
 			events = append(events, inbox[i].event)
 		}
@@ -470,13 +470,13 @@
 			rest = append(rest, e)
 		}
 	}
-	lists = append(lists, c.lists()...)
+	lists = append(lists, c.takeListEvents()...)
 	// After the lists, which were told before and by what held then: the latest word on a data node counts.
-	zoned, changed, zoneNext := c.zoneStep(now)
+	zoned, changed, zoneNext := c.stepZones(now)
 	if changed {
 		lists = append(lists, zoned)
 	}
-	lapsed, changed, workNext := c.workStep(now)
+	lapsed, changed, workNext := c.stepMaintenance(now)
 	if changed {
 		lists = append(lists, lapsed)
 	}
@@ -485,27 +485,27 @@
 		if !now.Before(q.Deadline) {
 			// The module ends queries earlier; this is the backstop that no query outlives its client.
 			c.log.Error("query outlived by its deadline", "query", q.ID)
-			c.end(q, Answer{Status: Failed})
+			c.finish(q, Answer{Status: Failed})
 			events = append(events, aggregator.Event{Kind: aggregator.ClientGone, Query: q.ID})
 		}
 	}
 	for a := range c.attempts {
-		if a.why == aggregator.Unknown && !now.Before(a.Deadline) {
-			c.drop(a, aggregator.TimedOut)
+		if a.cancelReason == aggregator.Unknown && !now.Before(a.Deadline) {
+			c.cancel(a, aggregator.TimedOut)
 		}
 	}
-	if len(events) == 0 && !c.wake.IsZero() && !now.Before(c.wake) {
+	if len(events) == 0 && !c.wakeAt.IsZero() && !now.Before(c.wakeAt) {
 		events = append(events, aggregator.Event{Kind: aggregator.Wakeup})
 	}
-	if !c.wake.IsZero() && !now.Before(c.wake) {
-		c.wake = time.Time{}
+	if !c.wakeAt.IsZero() && !now.Before(c.wakeAt) {
+		c.wakeAt = time.Time{}
 	}
 	if len(events) > 0 {
-		c.step(now, events)
+		c.stepModule(now, events)
 	}
 	next = now.Add(time.Minute)
-	if !c.wake.IsZero() && c.wake.Before(next) {
-		next = c.wake
+	if !c.wakeAt.IsZero() && c.wakeAt.Before(next) {
+		next = c.wakeAt
 	}
 	for _, t := range []time.Time{zoneNext, workNext} {
 		if !t.IsZero() && t.Before(next) {
@@ -517,9 +517,9 @@
 		next = due
 	}
 	c.mu.Unlock()
-	for i := range c.held {
-		if c.held[i].due.Before(next) {
-			next = c.held[i].due
+	for i := range c.delayed {
+		if c.delayed[i].due.Before(next) {
+			next = c.delayed[i].due
 		}
 	}
 	for _, q := range c.queries {
@@ -528,7 +528,7 @@
 		}
 	}
 	for a := range c.attempts {
-		if a.why == aggregator.Unknown && a.Deadline.Before(next) {
+		if a.cancelReason == aggregator.Unknown && a.Deadline.Before(next) {
 			next = a.Deadline
 		}
 	}
@@ -537,10 +537,10 @@
 
 // lists takes out of the inbox what has just changed in the list, by what was seen in this very round: an attempt that
 // follows one that failed is to go by it.
-func (c *Coordinator) lists() (events []aggregator.Event) {
+func (c *Coordinator) takeListEvents() (events []aggregator.Event) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.seen = c.version
+	c.moduleListVersion = c.listVersion
 	c.inbox = slices.DeleteFunc(c.inbox, func(in input) bool {
 		if isList(in.event.Kind) {
 			events = append(events, in.event)
@@ -559,50 +559,50 @@
 func (c *Coordinator) accept(in *input, now time.Time) bool {
 	switch in.event.Kind {
 	case aggregator.QueryArrived:
-		if c.queries[in.ask.ID] != nil || slices.ContainsFunc(in.ask.parts, func(p *part) bool { return c.parts[p.id] != nil }) {
+		if c.queries[in.query.ID] != nil || slices.ContainsFunc(in.query.parts, func(p *part) bool { return c.parts[p.id] != nil }) {
 			// Ids are new for each request; a second of the same, while the first is open or a part of it still out,
 			// would mix up the parts of both.
-			in.ask.over = true
-			c.free(in.ask)
-			in.ask.reply <- Answer{Status: Failed}
+			in.query.finished = true
+			c.release(in.query)
+			in.query.reply <- Answer{Status: Failed}
 			return false
 		}
-		c.queries[in.ask.ID] = in.ask
-		in.event.TimeLeft = in.ask.Deadline.Sub(now)
+		c.queries[in.query.ID] = in.query
+		in.event.TimeLeft = in.query.Deadline.Sub(now)
 	case aggregator.PartArrived:
-		if in.ask.over {
+		if in.query.finished {
 			return false
 		}
-		for _, p := range in.ask.parts {
+		for _, p := range in.query.parts {
 			if p.id == in.event.Part {
 				c.parts[p.id] = p
 			}
 		}
 	case aggregator.ClientGone:
-		if in.ask.over {
+		if in.query.finished {
 			return false
 		}
-		c.end(in.ask, Answer{Status: Failed})
+		c.finish(in.query, Answer{Status: Failed})
 	case aggregator.AttemptEnded:
 		a := in.attempt
-		if a.over {
+		if a.ended {
 			return false
 		}
-		a.over, a.end = true, in.end
-		c.log.Debug("attempt ended", "node", a.node.id, "part", a.ID, "end", words[in.end], "load", in.event.LoadReport["util"], "took", now.Sub(a.begun))
+		a.ended, a.outcome = true, in.outcome
+		c.log.Debug("attempt ended", "node", a.node.id, "part", a.ID, "end", words[in.outcome], "load", in.event.LoadReport["util"], "took", now.Sub(a.sentAt))
 		delete(c.attempts, a)
-		a.node.hold(-1)
-		c.saw(a.node, in.end)
-		c.zoneSaw(a.node, a, in.end, now)
-		c.workSaw(a.node, in.end, in.event.LoadReport, now)
-		c.sighted(a.node, a, in.end, in.event.LoadReport, now)
-		if in.event.Outcome == aggregator.TimedOut && a.why != aggregator.Unknown {
-			in.event.Outcome = a.why
+		a.node.addInFlight(-1)
+		c.observeForMembership(a.node, in.outcome)
+		c.observeForZones(a.node, a, in.outcome, now)
+		c.observeForMaintenance(a.node, in.outcome, in.event.LoadReport, now)
+		c.notifyObserver(a.node, a, in.outcome, in.event.LoadReport, now)
+		if in.event.Outcome == aggregator.TimedOut && a.cancelReason != aggregator.Unknown {
+			in.event.Outcome = a.cancelReason
 		}
-		if in.event.Outcome == aggregator.OK && !a.part.q.over && !a.part.in {
-			a.part.in, a.part.docs = true, in.docs
-			if a.part.q.Received != nil {
-				a.part.q.Received.Add(1)
+		if in.event.Outcome == aggregator.OK && !a.part.query.finished && !a.part.received {
+			a.part.received, a.part.docs = true, in.docs
+			if a.part.query.Received != nil {
+				a.part.query.Received.Add(1)
 			}
 		}
 		c.forget(a.part)
@@ -612,25 +612,25 @@
 
 // step calls the module and carries out its actions. A module that panics is started anew, with the list as
 // it stands; the queries that it held fail.
-func (c *Coordinator) step(now time.Time, events []aggregator.Event) {
+func (c *Coordinator) stepModule(now time.Time, events []aggregator.Event) {
 	defer func() {
 		if r := recover(); r != nil {
 			c.log.Error("decision module panicked; started anew", "cause", r)
-			c.agg, _ = aggregator.New(c.set, c.seed)
+			c.module, _ = aggregator.New(c.settings, c.seed)
 			for _, q := range c.queries {
-				c.end(q, Answer{Status: Failed})
+				c.finish(q, Answer{Status: Failed})
 			}
 			for a := range c.attempts {
-				c.drop(a, aggregator.Cancelled)
+				c.cancel(a, aggregator.Cancelled)
 			}
-			c.wake = time.Time{}
+			c.wakeAt = time.Time{}
 			c.mu.Lock()
-			c.inbox = append(c.inbox, input{event: c.whole(aggregator.ListReplaced)})
+			c.inbox = append(c.inbox, input{event: c.completeList(aggregator.ListReplaced)})
 			c.mu.Unlock()
 			c.wakeUp()
 		}
 	}()
-	c.actions = c.agg.Step(c.clock(now), events, c.actions[:0])
+	c.actions = c.module.Step(c.moduleClock(now), events, c.actions[:0])
 	round := map[*Node]*Command{}
 	orders := map[*Node][]*Command{}
 	for _, a := range c.actions {
@@ -638,28 +638,28 @@
 		case aggregator.Send:
 			c.send(now, a, round, orders)
 		case aggregator.Cancel:
-			if p := c.parts[a.Part]; p != nil && a.Attempt < len(p.tries) {
-				c.drop(p.tries[a.Attempt], aggregator.Cancelled)
+			if p := c.parts[a.Part]; p != nil && a.Attempt < len(p.attempts) {
+				c.cancel(p.attempts[a.Attempt], aggregator.Cancelled)
 			}
 		case aggregator.Answer:
 			if q := c.queries[a.Query]; q != nil {
 				answer := Answer{Status: Answered, Complete: a.Complete}
 				for _, p := range q.parts {
-					if p.in {
+					if p.received {
 						answer.Values = append(answer.Values, PartValue{Shard: p.shard, Docs: p.docs})
 					}
 				}
-				c.end(q, answer)
+				c.finish(q, answer)
 			}
 		case aggregator.Reject:
 			if q := c.queries[a.Query]; q != nil {
-				c.tell("query refused", q, a.Reason, now)
-				c.end(q, Answer{Status: Rejected, RetryAfter: a.After})
+				c.logUnanswered("query refused", q, a.Reason, now)
+				c.finish(q, Answer{Status: Rejected, RetryAfter: a.After})
 			}
 		case aggregator.Fail:
 			if q := c.queries[a.Query]; q != nil {
-				c.tell("query failed", q, a.Reason, now)
-				c.end(q, Answer{Status: Failed})
+				c.logUnanswered("query failed", q, a.Reason, now)
+				c.finish(q, Answer{Status: Failed})
 			}
 		case aggregator.Probe, aggregator.CloseIdle:
 			if n := c.node(a.Replica); n != nil {
@@ -669,11 +669,11 @@
 				orders[n] = append(orders[n], &Command{Probe: a.Kind == aggregator.Probe,
 					CloseIdle: a.Kind == aggregator.CloseIdle})
 			} else if a.Kind == aggregator.Probe {
-				c.put(input{event: aggregator.Event{Kind: aggregator.ProbeEnded, Replica: a.Replica,
+				c.enqueue(input{event: aggregator.Event{Kind: aggregator.ProbeEnded, Replica: a.Replica,
 					Outcome: aggregator.ConnectFailed}})
 			}
 		case aggregator.Wake:
-			c.wake = now.Add(a.After)
+			c.wakeAt = now.Add(a.After)
 		}
 	}
 	for n, list := range orders {
@@ -687,27 +687,27 @@
 	if p == nil {
 		return
 	}
-	a := &Attempt{ID: p.id, Shard: p.shard, Text: p.q.Text, IdempotencyKey: p.q.IdempotencyKey, Deadline: now.Add(act.After), number: len(p.tries),
-		part: p, node: n, seen: c.seen, begun: now}
-	if act.After <= 0 || a.Deadline.After(p.q.Deadline) {
-		a.Deadline = p.q.Deadline
+	a := &Attempt{ID: p.id, Shard: p.shard, Text: p.query.Text, IdempotencyKey: p.query.IdempotencyKey, Deadline: now.Add(act.After), number: len(p.attempts),
+		part: p, node: n, listVersion: c.moduleListVersion, sentAt: now}
+	if act.After <= 0 || a.Deadline.After(p.query.Deadline) {
+		a.Deadline = p.query.Deadline
 	}
-	if act.BeginWithin < time.Until(p.q.Deadline) {
-		a.begin = now.Add(act.BeginWithin)
+	if act.BeginWithin < time.Until(p.query.Deadline) {
+		a.sendBefore = now.Add(act.BeginWithin)
 	}
-	p.tries = append(p.tries, a)
+	p.attempts = append(p.attempts, a)
 	c.attempts[a] = true
-	c.log.Debug("attempt begun", "node", act.Replica, "part", a.ID, "number", a.number, "after", now.Sub(p.q.taken))
+	c.log.Debug("attempt begun", "node", act.Replica, "part", a.ID, "number", a.number, "after", now.Sub(p.query.receivedAt))
 	if n != nil {
-		n.hold(1)
+		n.addInFlight(1)
 	} else {
 		a.node = &Node{id: act.Replica, c: c, ready: make(chan struct{}, 1)}
-		a.node.hold(1)
+		a.node.addInFlight(1)
 		c.Report(a, Result{Outcome: NotConnected})
 		return
 	}
 	o := round[n]
-	if o == nil || len(o.Call) >= max(1, c.set.Limits.MaxBatch) {
+	if o == nil || len(o.Call) >= max(1, c.settings.Limits.MaxBatch) {
 		o = &Command{}
 		round[n] = o
 		orders[n] = append(orders[n], o)
@@ -716,26 +716,26 @@
 }
 
 // drop orders that an attempt be given up; its end is reported once the data node was told.
-func (c *Coordinator) drop(a *Attempt, why aggregator.Outcome) {
-	if a.over || a.why != aggregator.Unknown {
+func (c *Coordinator) cancel(a *Attempt, why aggregator.Outcome) {
+	if a.ended || a.cancelReason != aggregator.Unknown {
 		return
 	}
-	a.why = why
+	a.cancelReason = why
 	a.node.post(&Command{Cancel: a})
 }
 
 // end gives a query its one final answer and forgets it. Attempts that are still out are the module's to
 // cancel.
-func (c *Coordinator) end(q *query, answer Answer) {
-	if q.over {
+func (c *Coordinator) finish(q *query, answer Answer) {
+	if q.finished {
 		return
 	}
-	q.over = true
-	q.ended.Store(true)
+	q.finished = true
+	q.closed.Store(true)
 	c.log.Debug("query ended", "query", q.ID, "class", q.Class, "verdict", answer.Status, "whole", answer.Complete,
-		"parts", len(q.parts), "took", time.Since(q.taken))
+		"parts", len(q.parts), "took", time.Since(q.receivedAt))
 	delete(c.queries, q.ID)
-	c.free(q) // first: whoever has the answer finds nothing held
+	c.release(q) // first: whoever has the answer finds nothing held
 	q.reply <- answer
 	for _, p := range q.parts {
 		c.forget(p)
@@ -744,28 +744,28 @@
 
 // forget lets go of a part once its query is over and nothing of it is out.
 func (c *Coordinator) forget(p *part) {
-	if p.q.over && !slices.ContainsFunc(p.tries, func(a *Attempt) bool { return !a.over }) {
+	if p.query.finished && !slices.ContainsFunc(p.attempts, func(a *Attempt) bool { return !a.ended }) {
 		delete(c.parts, p.id)
 	}
 }
 
 // tell logs a query that ends without an answer, with the parts that it lacks and their attempts.
-func (c *Coordinator) tell(what string, q *query, why aggregator.Reason, now time.Time) {
+func (c *Coordinator) logUnanswered(what string, q *query, why aggregator.Reason, now time.Time) {
 	if why == aggregator.OverCapacity || why == aggregator.ForecastTooLate {
-		c.noRoom(now)
+		c.noteOverload(now)
 	}
 	var missing []string
 	for _, p := range q.parts {
-		if p.in {
+		if p.received {
 			continue
 		}
 		text := strconv.Itoa(p.shard)
-		for _, a := range p.tries {
-			text += fmt.Sprintf(" %s %s %v", a.node.id, a.state(), now.Sub(a.begun).Round(time.Millisecond))
+		for _, a := range p.attempts {
+			text += fmt.Sprintf(" %s %s %v", a.node.id, a.state(), now.Sub(a.sentAt).Round(time.Millisecond))
 		}
 		missing = append(missing, text)
 	}
-	c.log.Info(what, "query", q.ID, "class", q.Class, "why", causes[why], "after", now.Sub(q.taken).Round(time.Millisecond),
+	c.log.Info(what, "query", q.ID, "class", q.Class, "why", causes[why], "after", now.Sub(q.receivedAt).Round(time.Millisecond),
 		"left", q.Deadline.Sub(now).Round(time.Millisecond), "parts", len(q.parts), "missing", missing)
 }
 
@@ -779,17 +779,17 @@
 // state is what became of an attempt, in a word.
 func (a *Attempt) state() string {
 	switch {
-	case a.over:
-		return words[a.end]
-	case a.why != aggregator.Unknown:
+	case a.ended:
+		return words[a.outcome]
+	case a.cancelReason != aggregator.Unknown:
 		return "being given up"
 	}
 	return "out"
 }
 
 // free takes a query off the count of what is held.
-func (c *Coordinator) free(q *query) {
+func (c *Coordinator) release(q *query) {
 	c.mu.Lock()
-	c.pending -= 1 + len(q.parts)
+	c.open -= 1 + len(q.parts)
 	c.mu.Unlock()
 }
--- a/internal/coordinator/core_test.go
+++ b/internal/coordinator/core_test.go
@@ -148,14 +148,14 @@
 	synctest.Test(t, func(t *testing.T) {
 		s := newStand(t, 6, serve)
 		s.Coordinator.mu.Lock()
-		s.pending += 6
+		s.open += 6
 		s.Coordinator.mu.Unlock()
 		start := time.Now()
 		if got := s.ask(t.Context(), "q", 0); got != "2 false 0 true" || time.Since(start) > 0 {
 			t.Errorf("full: got %s after %v", got, time.Since(start))
 		}
 		s.Coordinator.mu.Lock()
-		s.pending -= 6
+		s.open -= 6
 		s.Coordinator.mu.Unlock()
 		if got := s.ask(t.Context(), "q", 0); got != "1 true 1 false" {
 			t.Errorf("with room again: got %s", got)
@@ -205,7 +205,7 @@
 		s := newStand(t, 0, serve)
 		time.Sleep(time.Second)
 		synctest.Wait()
-		s.agg = nil // its next Step panics
+		s.module = nil // its next Step panics
 		if got := s.ask(t.Context(), "q", 0); got != "3 false 0 false" {
 			t.Errorf("held as it panicked: %s", got)
 		}
@@ -317,7 +317,7 @@
 		if len(s.Coordinator.nodes) != 2 || len(s.fleet.Claims()) != 2 {
 			t.Errorf("%d data nodes are known, %d of the source", len(s.Coordinator.nodes), len(s.fleet.Claims()))
 		}
-		if len(s.queries)+len(s.parts)+len(s.attempts)+len(s.held)+s.Open() > 0 {
+		if len(s.queries)+len(s.parts)+len(s.attempts)+len(s.delayed)+s.Open() > 0 {
 			t.Errorf("still held: %d queries, %d parts, %d attempts", len(s.queries), len(s.parts), len(s.attempts))
 		}
 		s.end()
--- a/internal/coordinator/gossip.go
+++ b/internal/coordinator/gossip.go
@@ -22,7 +22,7 @@
 
 // startSlack is by how much a start that is told has to be later than the one known to be another: what is told grows younger on its
 // way, by the way's time.
-const startSlack = 2 * time.Second
+const startTolerance = 2 * time.Second
 
 // ApplyPeerReports takes in what others tell. A start counts where it is later than the one known: whoever is held for cold is spared. Whether a
 // failure is evidence on its zone is internal/zones' to say.
@@ -36,9 +36,9 @@
 	for _, m := range c.table.List() {
 		listed[m.ID] = m
 	}
-	for id, at := range c.starts {
-		if m, ok := listed[id]; !ok || m.State == Gone || now.Sub(at) > c.set.Rules.WarmupTime {
-			delete(c.starts, id)
+	for id, at := range c.reportedStarts {
+		if m, ok := listed[id]; !ok || m.State == Gone || now.Sub(at) > c.settings.Rules.WarmupTime {
+			delete(c.reportedStarts, id)
 		}
 	}
 	for _, t := range list {
@@ -46,12 +46,12 @@
 		if !ok || m.State == Gone {
 			continue
 		}
-		if at := now.Add(-t.Started); t.WarmingUp && t.Started < c.set.Rules.WarmupTime && at.After(m.Started.Add(startSlack)) && at.After(c.starts[t.Node].Add(startSlack)) {
-			c.starts[t.Node] = at
-			event.Members = append(event.Members, c.member(m))
+		if at := now.Add(-t.Started); t.WarmingUp && t.Started < c.settings.Rules.WarmupTime && at.After(m.Started.Add(startTolerance)) && at.After(c.reportedStarts[t.Node].Add(startTolerance)) {
+			c.reportedStarts[t.Node] = at
+			event.Members = append(event.Members, c.moduleMember(m))
 		}
 		if t.Failing && c.zones != nil {
-			c.zones.t.ObservePeer(now, m.Zone, t.Node, t.Failed, t.Answered)
+			c.zones.tracker.ObservePeer(now, m.Zone, t.Node, t.Failed, t.Answered)
 		}
 	}
 	if len(event.Members) > 0 {
@@ -60,9 +60,9 @@
 }
 
 // toldStart turns a member's start by what others tell; the caller holds the lock.
-func (c *Coordinator) toldStart(m Member, out aggregator.Member) aggregator.Member {
-	if at, ok := c.starts[m.ID]; ok {
-		out.Started = max(out.Started, c.clock(at))
+func (c *Coordinator) adjustForReportedStart(m Member, out aggregator.Member) aggregator.Member {
+	if at, ok := c.reportedStarts[m.ID]; ok {
+		out.Started = max(out.Started, c.moduleClock(at))
 	}
 	return out
 }
--- a/internal/coordinator/gossip_test.go
+++ b/internal/coordinator/gossip_test.go
@@ -64,7 +64,7 @@
 			for range 5 { // longer than it takes to leave a zone, and shorter than to return
 				if c.heard {
 					for i := range 4 {
-						core.zoneSaw(core.node(fmt.Sprint("a", i)), nil, OK, time.Now())
+						core.observeForZones(core.node(fmt.Sprint("a", i)), nil, OK, time.Now())
 					}
 				}
 				core.ApplyPeerReports(c.told)
@@ -84,7 +84,7 @@
 // TestLongListIsLoggedByKind: a list of thousands costs a line of each kind; a few are told one by one.
 func TestLongListIsLoggedByKind(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		for _, c := range []struct{ nodes, single, byKind int }{{mostLines, mostLines, 0}, {10_000, 0, 1}} {
+		for _, c := range []struct{ nodes, single, byKind int }{{maxNoteLines, maxNoteLines, 0}, {10_000, 0, 1}} {
 			var logged lines
 			core, err := New(aggregator.Settings{Aggregators: 1, Tick: tick, ShardSets: 1, Shards: 1, Reach: 1,
 				Classes: []aggregator.Class{{Name: "report", LatencyObjective: time.Second, Deadline: 2 * time.Second, Priority: 1, CompleteShare: 1, MinShare: 1}}}, 7, slog.New(slog.NewTextHandler(&logged, nil)), membership.Config{})
@@ -139,16 +139,16 @@
 		} {
 			core.ApplyPeerReports([]PeerReport{c.told})
 			core.mu.Lock()
-			got := core.member(c.m).Started
+			got := core.moduleMember(c.m).Started
 			core.mu.Unlock()
-			if want := core.clock(c.want); got != want {
+			if want := core.moduleClock(c.want); got != want {
 				t.Errorf("%s: started at %v, want %v", c.name, got, want)
 			}
 		}
 		time.Sleep(6 * time.Second)
 		core.ApplyPeerReports(nil)
-		if len(core.starts) > 0 {
-			t.Errorf("%v is kept of starts that count no more", core.starts)
+		if len(core.reportedStarts) > 0 {
+			t.Errorf("%v is kept of starts that count no more", core.reportedStarts)
 		}
 		src.Replace(nil, false)
 	})
--- a/internal/coordinator/maintenance.go
+++ b/internal/coordinator/maintenance.go
@@ -24,32 +24,32 @@
 
 // workWatch is core's part of it. Its fields are guarded by Core.mu, but for the time; Core.work is set before Run and never
 // after, so that where no machine is taken out nothing here takes the lock.
-type workWatch struct {
+type maintenanceState struct {
 	Maintenance
-	back    map[string]comeback
-	outs    map[string]int // attempts without an end, by data node
-	seen    map[string]*seenNode
-	present atomic.Int64 // until when, by Core.clock
-	turned  atomic.Int64 // when a query was turned away for want of room last, by Core.clock; 0 for never
-	lapsed  bool         // as the module was told last
+	returned     map[string]nodeReturn
+	inFlight     map[string]int // attempts without an end, by data node
+	health       map[string]*nodeEvidence
+	present      atomic.Int64 // until when, by Core.clock
+	lastOverload atomic.Int64 // when a query was turned away for want of room last, by Core.clock; 0 for never
+	lapsed       bool         // as the module was told last
 }
 
-type comeback struct {
+type nodeReturn struct {
 	turn uint64
 	at   time.Time
 }
 
 // seenNode is what was last seen of a data node.
-type seenNode struct {
-	bad  int // failures in a row
-	last time.Time
-	util float64
+type nodeEvidence struct {
+	failures    int // failures in a row
+	lastFailure time.Time
+	utilization float64
 }
 
 // A data node that failed so often in a row, the last time so lately, is doubtful.
 const (
-	doubtAfter = 3
-	doubtFor   = 5 * time.Second
+	suspectAfter = 3
+	suspectFor   = 5 * time.Second
 )
 
 // EnableMaintenance lets machines be taken out for work. It is called before Run, and nothing is sent anywhere until SetWork and Present
@@ -57,28 +57,28 @@
 func (c *Coordinator) EnableMaintenance() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.work = &workWatch{Maintenance: Maintenance{Unknown: true}, back: map[string]comeback{}, outs: map[string]int{}, seen: map[string]*seenNode{}, lapsed: true}
+	c.maintenance = &maintenanceState{Maintenance: Maintenance{Unknown: true}, returned: map[string]nodeReturn{}, inFlight: map[string]int{}, health: map[string]*nodeEvidence{}, lapsed: true}
 }
 
 // ExtendPresence lets announced machines be sent to until then. Every attempt that is begun by then has an end by its class's limit.
 func (c *Coordinator) ExtendPresence(until time.Time) {
-	c.work.present.Store(int64(c.clock(until)))
+	c.maintenance.present.Store(int64(c.moduleClock(until)))
 	c.wakeUp()
 }
 
 // pressedFor is how long users' queries go first after one was turned away: some aims, so that a burst's gaps don't count as room.
-const pressedFor = 2 * time.Second
+const overloadWindow = 2 * time.Second
 
 // Overloaded tells whether a query was turned away for want of room just now.
 func (c *Coordinator) Overloaded() bool {
-	at := c.work.turned.Load()
-	return at > 0 && c.clock(time.Now())-time.Duration(at) < pressedFor
+	at := c.maintenance.lastOverload.Load()
+	return at > 0 && c.moduleClock(time.Now())-time.Duration(at) < overloadWindow
 }
 
 // noRoom notes that a query was turned away for want of room.
-func (c *Coordinator) noRoom(now time.Time) {
-	if c.work != nil {
-		c.work.turned.Store(int64(c.clock(now)))
+func (c *Coordinator) noteOverload(now time.Time) {
+	if c.maintenance != nil {
+		c.maintenance.lastOverload.Store(int64(c.moduleClock(now)))
 	}
 }
 
@@ -87,17 +87,17 @@
 
 // absent tells that announced machines may not be sent to now.
 func (c *Coordinator) absent() bool {
-	return c.work != nil && int64(c.clock(time.Now())) >= c.work.present.Load()
+	return c.maintenance != nil && int64(c.moduleClock(time.Now())) >= c.maintenance.present.Load()
 }
 
 // mayGo tells whether a data node is announced; the caller holds the lock.
-func (c *Coordinator) mayGo(m Member) bool {
-	return c.work != nil && (c.work.Unknown || c.work.Announced[m.ID])
+func (c *Coordinator) isAnnounced(m Member) bool {
+	return c.maintenance != nil && (c.maintenance.Unknown || c.maintenance.Announced[m.ID])
 }
 
 // inWork tells whether nothing may be sent to a data node; the caller holds the lock.
-func (c *Coordinator) inWork(m Member) bool {
-	return c.work != nil && (c.work.Excluded[m.ID] || c.work.Addrs[m.Addr])
+func (c *Coordinator) isExcluded(m Member) bool {
+	return c.maintenance != nil && (c.maintenance.Excluded[m.ID] || c.maintenance.Addrs[m.Addr])
 }
 
 // SetMaintenance takes in what is known now. Once it returns nothing more is begun at a machine that it bars; what is out there ends
@@ -105,22 +105,24 @@
 func (c *Coordinator) SetMaintenance(w Maintenance) {
 	c.mu.Lock()
 	now := time.Now()
-	old := c.work.Maintenance
-	c.work.Maintenance = w
+	old := c.maintenance.Maintenance
+	c.maintenance.Maintenance = w
 	for id, turn := range w.Returned {
-		if c.work.back[id].turn != turn {
-			c.work.back[id] = comeback{turn, now}
+		if c.maintenance.returned[id].turn != turn {
+			c.maintenance.returned[id] = nodeReturn{turn, now}
 		}
 	}
-	maps.DeleteFunc(c.work.back, func(id string, b comeback) bool { return now.Sub(b.at) > c.set.Rules.WarmupTime && w.Returned[id] == 0 })
+	maps.DeleteFunc(c.maintenance.returned, func(id string, b nodeReturn) bool {
+		return now.Sub(b.at) > c.settings.Rules.WarmupTime && w.Returned[id] == 0
+	})
 	event := aggregator.Event{Kind: aggregator.ListChanged}
 	for _, m := range c.table.List() {
 		if old.Excluded[m.ID] == w.Excluded[m.ID] && old.Addrs[m.Addr] == w.Addrs[m.Addr] && old.Announced[m.ID] == w.Announced[m.ID] &&
 			old.Unknown == w.Unknown && old.Returned[m.ID] == w.Returned[m.ID] {
 			continue
 		}
-		c.apply(m)
-		event.Members = append(event.Members, c.member(m))
+		c.applyRecord(m)
+		event.Members = append(event.Members, c.moduleMember(m))
 	}
 	if len(event.Members) > 0 {
 		c.inbox = append(c.inbox, input{event: event})
@@ -130,27 +132,27 @@
 }
 
 // workStep tells the module when announced machines may no longer be used, or may again, and when that is to be looked at next.
-func (c *Coordinator) workStep(now time.Time) (event aggregator.Event, changed bool, next time.Time) {
-	if c.work == nil {
+func (c *Coordinator) stepMaintenance(now time.Time) (event aggregator.Event, changed bool, next time.Time) {
+	if c.maintenance == nil {
 		return event, false, next
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	until := time.Duration(c.work.present.Load())
-	lapsed := c.clock(now) >= until
+	until := time.Duration(c.maintenance.present.Load())
+	lapsed := c.moduleClock(now) >= until
 	if !lapsed {
-		next = now.Add(until - c.clock(now))
+		next = now.Add(until - c.moduleClock(now))
 	}
-	if lapsed == c.work.lapsed {
+	if lapsed == c.maintenance.lapsed {
 		return event, false, next
 	}
-	c.work.lapsed = lapsed
+	c.maintenance.lapsed = lapsed
 	event.Kind = aggregator.ListChanged
 	for _, m := range c.table.List() {
-		if c.mayGo(m) {
-			event.Members = append(event.Members, c.member(m))
+		if c.isAnnounced(m) {
+			event.Members = append(event.Members, c.moduleMember(m))
 			if n := c.nodes[m.ID]; lapsed && n != nil {
-				n.orders = append(n.orders, &Command{RejectQueued: true}) // what is not begun is turned back
+				n.commands = append(n.commands, &Command{RejectQueued: true}) // what is not begun is turned back
 				n.signal()
 			}
 		}
@@ -159,39 +161,39 @@
 }
 
 // worked turns a member's state and start by the work on it; the caller holds the lock.
-func (c *Coordinator) worked(m Member, out aggregator.Member) aggregator.Member {
-	if c.work == nil {
+func (c *Coordinator) adjustForMaintenance(m Member, out aggregator.Member) aggregator.Member {
+	if c.maintenance == nil {
 		return out
 	}
-	if out.State == aggregator.Serving && (c.inWork(m) || c.mayGo(m) && c.work.lapsed) {
+	if out.State == aggregator.Serving && (c.isExcluded(m) || c.isAnnounced(m) && c.maintenance.lapsed) {
 		out.State = aggregator.Draining
 	}
-	if b, ok := c.work.back[m.ID]; ok {
-		out.Started = max(out.Started, c.clock(b.at))
+	if b, ok := c.maintenance.returned[m.ID]; ok {
+		out.Started = max(out.Started, c.moduleClock(b.at))
 	}
 	return out
 }
 
 // workSaw notes what the end of an attempt or a probe says of a data node.
-func (c *Coordinator) workSaw(n *Node, end Outcome, load map[string]float64, now time.Time) {
-	if c.work == nil {
+func (c *Coordinator) observeForMaintenance(n *Node, end Outcome, load map[string]float64, now time.Time) {
+	if c.maintenance == nil {
 		return
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	s := c.work.seen[n.id]
+	s := c.maintenance.health[n.id]
 	if s == nil {
-		s = &seenNode{}
-		c.work.seen[n.id] = s
+		s = &nodeEvidence{}
+		c.maintenance.health[n.id] = s
 	}
 	if u, ok := load["util"]; ok {
-		s.util = u
+		s.utilization = u
 	}
 	switch end {
 	case OK, Errored, Overloaded, ConnectionLost:
-		s.bad = 0
+		s.failures = 0
 	case NotConnected, ConnectTimeout, Reset:
-		s.bad, s.last = s.bad+1, now
+		s.failures, s.lastFailure = s.failures+1, now
 	}
 }
 
@@ -199,11 +201,11 @@
 func (c *Coordinator) Idle(id string) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.work == nil || !c.work.Excluded[id] {
+	if c.maintenance == nil || !c.maintenance.Excluded[id] {
 		return false
 	}
 	n := c.nodes[id]
-	return c.work.outs[id] == 0 && (n == nil || n.barred.Load())
+	return c.maintenance.inFlight[id] == 0 && (n == nil || n.excluded.Load())
 }
 
 // NodeHealth is a data node as this coordinator sees it.
@@ -222,23 +224,23 @@
 	var list []NodeHealth
 	listed := map[string]bool{}
 	for _, m := range c.table.List() {
-		l := NodeHealth{Member: m, WarmingUp: !m.Started.IsZero() && now.Sub(m.Started) < c.set.Rules.WarmupTime}
-		if c.work != nil {
-			if s := c.work.seen[m.ID]; s != nil {
-				l.Utilization, l.Suspect = s.util, s.bad >= doubtAfter && now.Sub(s.last) < doubtFor
+		l := NodeHealth{Member: m, WarmingUp: !m.Started.IsZero() && now.Sub(m.Started) < c.settings.Rules.WarmupTime}
+		if c.maintenance != nil {
+			if s := c.maintenance.health[m.ID]; s != nil {
+				l.Utilization, l.Suspect = s.utilization, s.failures >= suspectAfter && now.Sub(s.lastFailure) < suspectFor
 			}
-			if b, ok := c.work.back[m.ID]; ok && now.Sub(b.at) < c.set.Rules.WarmupTime {
+			if b, ok := c.maintenance.returned[m.ID]; ok && now.Sub(b.at) < c.settings.Rules.WarmupTime {
 				l.WarmingUp = true
 			}
 		}
-		if c.zones != nil && !c.zones.t.Usable(m.Zone) {
+		if c.zones != nil && !c.zones.tracker.Usable(m.Zone) {
 			l.Suspect = true
 		}
 		listed[m.ID] = true
 		list = append(list, l)
 	}
-	if c.work != nil {
-		maps.DeleteFunc(c.work.seen, func(id string, _ *seenNode) bool { return !listed[id] })
+	if c.maintenance != nil {
+		maps.DeleteFunc(c.maintenance.health, func(id string, _ *nodeEvidence) bool { return !listed[id] })
 	}
 	return slices.Clip(list)
 }
--- a/internal/coordinator/maintenance_test.go
+++ b/internal/coordinator/maintenance_test.go
@@ -63,7 +63,7 @@
 			s.fill(true)
 			s.ask(context.Background(), "r", 0)
 			s.fill(false)
-			time.Sleep(pressedFor)
+			time.Sleep(overloadWindow)
 		}, told{Query: served}},
 	} {
 		synctest.Test(t, func(t *testing.T) {
@@ -133,8 +133,8 @@
 	s.Coordinator.mu.Lock()
 	defer s.Coordinator.mu.Unlock()
 	if full {
-		s.pending += 20
+		s.open += 20
 	} else {
-		s.pending -= 20
+		s.open -= 20
 	}
 }
--- a/internal/coordinator/nodes.go
+++ b/internal/coordinator/nodes.go
@@ -33,19 +33,19 @@
 
 // Node is a data node as its carrier sees it.
 type Node struct {
-	id      string
-	c       *Coordinator
-	member  Member
-	carry   Dispatcher
-	begun   bool // carry runs
-	barred  atomic.Bool
-	orders  []*Command
-	ready   chan struct{}
-	out     int  // attempts without an end
-	retired bool // it has left the list; its carrier ends once nothing is out
-
-	restarted atomic.Uint64 // the version of the list that told of its last start, where one was known before
-	announced atomic.Bool   // may go out for work: to be sent to only while this coordinator is present
+	id          string
+	c           *Coordinator
+	member      Member
+	dispatch    Dispatcher
+	dispatching bool // carry runs
+	excluded    atomic.Bool
+	commands    []*Command
+	ready       chan struct{}
+	inFlight    int  // attempts without an end
+	retired     bool // it has left the list; its carrier ends once nothing is out
+
+	restartVersion atomic.Uint64 // the version of the list that told of its last start, where one was known before
+	announced      atomic.Bool   // may go out for work: to be sent to only while this coordinator is present
 }
 
 // ID is the data node's name in its list.
@@ -59,20 +59,20 @@
 }
 
 // Excluded tells that the list says draining or gone: nothing more may be written to it, queued calls included.
-func (n *Node) Excluded() bool { return n.barred.Load() || n.announced.Load() && n.c.absent() }
+func (n *Node) Excluded() bool { return n.excluded.Load() || n.announced.Load() && n.c.absent() }
 
 // Pick waits for the next order. It returns nil once the data node has left the list
 // and nothing of it is out.
 func (n *Node) Pick(ctx context.Context) *Command {
 	for {
 		n.c.mu.Lock()
-		if len(n.orders) > 0 {
-			o := n.orders[0]
-			n.orders = n.orders[1:]
+		if len(n.commands) > 0 {
+			o := n.commands[0]
+			n.commands = n.commands[1:]
 			n.c.mu.Unlock()
 			return o
 		}
-		retired := n.retired && n.out == 0
+		retired := n.retired && n.inFlight == 0
 		n.c.mu.Unlock()
 		if retired {
 			return nil
@@ -89,22 +89,22 @@
 // blocks.
 func (n *Node) post(list ...*Command) {
 	n.c.mu.Lock()
-	n.orders = append(n.orders, list...)
-	if !n.begun {
-		n.begun = true
-		go n.carry(n)
+	n.commands = append(n.commands, list...)
+	if !n.dispatching {
+		n.dispatching = true
+		go n.dispatch(n)
 	}
 	n.c.mu.Unlock()
 	n.signal()
 }
 
 // hold counts the attempts that are out.
-func (n *Node) hold(by int) {
+func (n *Node) addInFlight(by int) {
 	n.c.mu.Lock()
-	n.out += by
-	if w := n.c.work; w != nil {
-		if w.outs[n.id] += by; w.outs[n.id] == 0 {
-			delete(w.outs, n.id)
+	n.inFlight += by
+	if w := n.c.maintenance; w != nil {
+		if w.inFlight[n.id] += by; w.inFlight[n.id] == 0 {
+			delete(w.inFlight, n.id)
 		}
 	}
 	n.c.mu.Unlock()
@@ -122,13 +122,13 @@
 func (c *Coordinator) RegisterDispatcher(proto string, carry Dispatcher) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.carriers[proto] = carry
+	c.dispatchers[proto] = carry
 }
 
 // Source is one of those that tell of data nodes.
 type Source struct {
-	c *Coordinator
-	s *membership.Source
+	c      *Coordinator
+	source *membership.Source
 }
 
 // Source adds one to those that the list is joined from.
@@ -140,7 +140,7 @@
 
 // Update takes in what the source has told.
 func (s *Source) Update(u membership.Update) {
-	s.c.join(u.Full && u.Basis != membership.Failed, u.Cached, func(now time.Time) membership.Result { return s.s.Update(now, u) })
+	s.c.updateTable(u.Full && u.Basis != membership.Failed, u.Cached, func(now time.Time) membership.Result { return s.source.Update(now, u) })
 }
 
 // Change takes in the entries that have changed.
@@ -152,12 +152,12 @@
 }
 
 // Renew renews the lease of what the source has told: nothing has changed there.
-func (s *Source) Renew() { s.c.join(false, false, s.s.Renew) }
+func (s *Source) Renew() { s.c.updateTable(false, false, s.source.Renew) }
 
 // SerialSeen takes in the serial that a zone has now, and tells whether its list is to be fetched.
 func (s *Source) SerialSeen(serial uint32) (fetch bool) {
-	s.c.join(false, false, func(now time.Time) (r membership.Result) {
-		fetch, r = s.s.SerialSeen(now, serial)
+	s.c.updateTable(false, false, func(now time.Time) (r membership.Result) {
+		fetch, r = s.source.SerialSeen(now, serial)
 		return r
 	})
 	return fetch
@@ -167,7 +167,7 @@
 func (s *Source) Claims() []Member {
 	s.c.mu.Lock()
 	defer s.c.mu.Unlock()
-	return s.s.Claims()
+	return s.source.Claims()
 }
 
 // CoveredShards is how many shards have a serving data node now.
@@ -180,9 +180,9 @@
 		}
 	}
 	c.mu.Unlock()
-	for shard := range c.set.Shards {
-		for i := range c.set.Reach {
-			if cells[(shard+i)%c.set.ShardSets] {
+	for shard := range c.settings.Shards {
+		for i := range c.settings.Reach {
+			if cells[(shard+i)%c.settings.ShardSets] {
 				n++
 				break
 			}
@@ -193,29 +193,29 @@
 
 // join lets the membership table decide, applies what it has decided at once, ahead of the next Step, and passes it
 // on to the module: the whole list, where a source has told one, or what has changed.
-func (c *Coordinator) join(full, remembered bool, decide func(now time.Time) membership.Result) {
+func (c *Coordinator) updateTable(full, remembered bool, decide func(now time.Time) membership.Result) {
 	c.mu.Lock()
 	now := time.Now()
 	r := decide(now)
 	if len(r.Changes) > 0 || full {
-		c.zoneList(now)
+		c.updateZoneMembers(now)
 	}
-	c.version++
+	c.listVersion++
 	var started []Observation
 	event := aggregator.Event{Kind: aggregator.ListChanged}
 	for _, m := range r.Changes {
-		c.apply(m)
-		event.Members = append(event.Members, c.member(m))
-		if ago := now.Sub(m.Started); m.State == Serving && !m.Started.IsZero() && ago < c.set.Rules.WarmupTime {
+		c.applyRecord(m)
+		event.Members = append(event.Members, c.moduleMember(m))
+		if ago := now.Sub(m.Started); m.State == Serving && !m.Started.IsZero() && ago < c.settings.Rules.WarmupTime {
 			started = append(started, Observation{Node: m.ID, Started: true, Ago: ago, Utilization: -1})
 		}
 	}
 	switch {
-	case full && remembered && !c.listed:
-		event = c.whole(aggregator.ListCached)
+	case full && remembered && !c.hasCompleteList:
+		event = c.completeList(aggregator.ListCached)
 	case full && !remembered:
-		c.listed = true
-		event = c.whole(aggregator.ListReplaced)
+		c.hasCompleteList = true
+		event = c.completeList(aggregator.ListReplaced)
 	}
 	news := full || len(r.Changes) > 0
 	if news {
@@ -225,25 +225,25 @@
 	if news {
 		c.wakeUp()
 	}
-	if f := c.sight.Load(); f != nil {
+	if f := c.observer.Load(); f != nil {
 		for _, s := range started {
 			(*f)(s)
 		}
 	}
-	c.explainAll(r.Notes)
+	c.logNotes(r.Notes)
 }
 
 // warnings are the notes that someone should look at.
-var warnings = map[membership.Cause]bool{membership.Held: true, membership.Emptied: true, membership.WentBack: true,
+var warningCauses = map[membership.Cause]bool{membership.Held: true, membership.Emptied: true, membership.WentBack: true,
 	membership.Stale: true, membership.Lapsed: true, membership.Suppressed: true, membership.Excess: true, membership.Unfit: true}
 
 // mostLines is how many lines one change of the list may cost; beyond, what happened alike to several is told in one.
-const mostLines = 50
+const maxNoteLines = 50
 
-func (c *Coordinator) explainAll(notes []membership.Note) {
-	if len(notes) <= mostLines {
+func (c *Coordinator) logNotes(notes []membership.Note) {
+	if len(notes) <= maxNoteLines {
 		for _, n := range notes {
-			c.explain(n)
+			c.logNote(n)
 		}
 		return
 	}
@@ -260,10 +260,10 @@
 	for _, n := range notes {
 		switch k := (alike{n.Cause, n.Source}); {
 		case n.ID == "" || count[k] == 1:
-			c.explain(n)
+			c.logNote(n)
 		case count[k] > 1:
 			level := slog.LevelInfo
-			if warnings[n.Cause] {
+			if warningCauses[n.Cause] {
 				level = slog.LevelWarn
 			}
 			c.log.Log(context.Background(), level, "data nodes "+string(n.Cause), "count", count[k], "source", n.Source, "first", n.ID)
@@ -273,9 +273,9 @@
 }
 
 // explain logs why the list changes, or does not.
-func (c *Coordinator) explain(n membership.Note) {
+func (c *Coordinator) logNote(n membership.Note) {
 	level := slog.LevelInfo
-	if warnings[n.Cause] {
+	if warningCauses[n.Cause] {
 		level = slog.LevelWarn
 	}
 	var args []any
@@ -293,24 +293,24 @@
 	c.log.Log(context.Background(), level, msg, args...)
 }
 
-var evidence = map[Outcome]membership.Evidence{OK: membership.Answered, Errored: membership.Answered,
+var membershipEvidence = map[Outcome]membership.Evidence{OK: membership.Answered, Errored: membership.Answered,
 	Overloaded: membership.Rejected, NotConnected: membership.ConnectionRefused, ConnectTimeout: membership.ConnectionRefused, Reset: membership.ConnectionReset, ConnectionLost: membership.ConnectionReopened}
 
 // saw passes on what the end of an attempt or a probe says of a data node; not of one that has since moved or gone.
-func (c *Coordinator) saw(n *Node, end Outcome) {
-	e, known := evidence[end]
+func (c *Coordinator) observeForMembership(n *Node, end Outcome) {
+	e, known := membershipEvidence[end]
 	if !known || n.Excluded() || c.node(n.id) != n {
 		return
 	}
-	c.join(false, false, func(now time.Time) membership.Result { return c.table.Observe(now, n.id, e) })
+	c.updateTable(false, false, func(now time.Time) membership.Result { return c.table.Observe(now, n.id, e) })
 }
 
 // apply notes an entry, and starts or retires the data node's carrier. One that has moved is served by a new carrier:
 // nothing more goes to the old address, and what is out there ends there.
-func (c *Coordinator) apply(m Member) {
+func (c *Coordinator) applyRecord(m Member) {
 	n := c.nodes[m.ID]
 	if n != nil && (m.State == Gone || n.member.Addr != m.Addr || n.member.Proto != m.Proto) {
-		n.bar(true)
+		n.setExcluded(true)
 		n.retired = true
 		n.signal()
 		delete(c.nodes, m.ID)
@@ -320,48 +320,48 @@
 		return
 	}
 	if n == nil {
-		carry := c.carriers[m.Proto]
+		carry := c.dispatchers[m.Proto]
 		if carry == nil {
 			c.log.Warn("no carrier for the data node's protocol", "node", m.ID, "proto", m.Proto)
 			return
 		}
-		n = &Node{id: m.ID, c: c, carry: carry, ready: make(chan struct{}, 1)}
+		n = &Node{id: m.ID, c: c, dispatch: carry, ready: make(chan struct{}, 1)}
 		c.nodes[m.ID] = n
 	}
 	if m.Started.After(n.member.Started) && n.member.ID != "" {
-		n.restarted.Store(c.version)
+		n.restartVersion.Store(c.listVersion)
 	}
 	n.member = m
-	n.announced.Store(c.mayGo(m))
-	n.bar(m.State != Serving || c.inWork(m))
+	n.announced.Store(c.isAnnounced(m))
+	n.setExcluded(m.State != Serving || c.isExcluded(m))
 }
 
 // bar sets whether anything new may be begun at the data node; what waits for it there is to be turned back. The
 // caller holds the lock.
-func (n *Node) bar(bar bool) {
-	if n.barred.Swap(bar) != bar && bar && n.begun {
-		n.orders = append(n.orders, &Command{RejectQueued: true})
+func (n *Node) setExcluded(bar bool) {
+	if n.excluded.Swap(bar) != bar && bar && n.dispatching {
+		n.commands = append(n.commands, &Command{RejectQueued: true})
 		n.signal()
 	}
 }
 
 // whole is the joined list of all sources. The caller holds the lock.
-func (c *Coordinator) whole(kind aggregator.EventKind) aggregator.Event {
+func (c *Coordinator) completeList(kind aggregator.EventKind) aggregator.Event {
 	event := aggregator.Event{Kind: kind}
 	for _, m := range c.table.List() {
-		event.Members = append(event.Members, c.member(m))
+		event.Members = append(event.Members, c.moduleMember(m))
 	}
 	return event
 }
 
 // member turns an entry into the module's terms.
-func (c *Coordinator) member(m Member) aggregator.Member {
+func (c *Coordinator) moduleMember(m Member) aggregator.Member {
 	out := aggregator.Member{Replica: m.ID, ShardSet: m.ShardSet, Zone: m.Zone, Size: m.Weight,
 		State: []aggregator.State{aggregator.Serving, aggregator.Draining, aggregator.Gone}[m.State]}
 	if !m.Started.IsZero() {
-		out.Started = max(c.clock(m.Started), time.Nanosecond)
+		out.Started = max(c.moduleClock(m.Started), time.Nanosecond)
 	}
-	return c.worked(m, c.zoned(m, c.toldStart(m, out)))
+	return c.adjustForMaintenance(m, c.adjustForZone(m, c.adjustForReportedStart(m, out)))
 }
 
 // node finds a listed data node.
--- a/internal/coordinator/observation.go
+++ b/internal/coordinator/observation.go
@@ -15,11 +15,11 @@
 }
 
 // OnObservation has f told of each from now on. It is called on core's own goroutines and must not block.
-func (c *Coordinator) OnObservation(f func(Observation)) { c.sight.Store(&f) }
+func (c *Coordinator) OnObservation(f func(Observation)) { c.observer.Store(&f) }
 
 // sighted passes on how an attempt or a probe ended; a is nil for a probe. An attempt that was given up says nothing.
-func (c *Coordinator) sighted(n *Node, a *Attempt, end Outcome, load map[string]float64, now time.Time) {
-	f := c.sight.Load()
+func (c *Coordinator) notifyObserver(n *Node, a *Attempt, end Outcome, load map[string]float64, now time.Time) {
+	f := c.observer.Load()
 	if f == nil {
 		return
 	}
@@ -30,7 +30,7 @@
 			s.Utilization = u
 		}
 		if end == OK && a != nil {
-			s.Latency = now.Sub(a.begun)
+			s.Latency = now.Sub(a.sentAt)
 		}
 	case NotConnected, ConnectTimeout, Reset:
 		s.Failed = true
--- a/internal/coordinator/zones.go
+++ b/internal/coordinator/zones.go
@@ -17,20 +17,20 @@
 
 // zoneTick is how often verdicts are taken while some zone is not healthy or some data node fails: often enough that
 // Confirm and Quiet hold to a tenth of a second, seldom enough to cost nothing at rest.
-const zoneTick = 100 * time.Millisecond
+const zoneInterval = 100 * time.Millisecond
 
 // zoneLogEvery bounds the log lines of one zone and verdict: a zone that flaps is told into each verdict once a second
 // at most, with the changes that were not told; a zone that goes doubtful and then out is told both.
-const zoneLogEvery = time.Second
+const zoneLogInterval = time.Second
 
 // zoneWatch is core's part of the zones' verdicts. Its fields are guarded by Core.mu; Core.zones itself is set before
 // Run and never after, so that where zones are not watched nothing here takes the lock.
-type zoneWatch struct {
-	t      *zones.Tracker
-	told   map[string]time.Time // when a change of the zone was last logged
-	untold map[string]int       // by zone and verdict
-	heard  map[string]time.Time // by data node: when it last answered an attempt or a probe
-	cut    map[string]time.Time // and when a connection to it was last lost and could be opened again
+type zoneState struct {
+	tracker            *zones.Tracker
+	loggedAt           map[string]time.Time // when a change of the zone was last logged
+	suppressed         map[string]int       // by zone and verdict
+	lastAnswer         map[string]time.Time // by data node: when it last answered an attempt or a probe
+	lastConnectionLoss map[string]time.Time // and when a connection to it was last lost and could be opened again
 }
 
 // WatchZones lets zones that fail as a whole be left and returned to at a pace. It is called before Run; without it
@@ -42,8 +42,8 @@
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.zones = &zoneWatch{t: t, told: map[string]time.Time{}, untold: map[string]int{}, heard: map[string]time.Time{},
-		cut: map[string]time.Time{}}
+	c.zones = &zoneState{tracker: t, loggedAt: map[string]time.Time{}, suppressed: map[string]int{}, lastAnswer: map[string]time.Time{},
+		lastConnectionLoss: map[string]time.Time{}}
 	return nil
 }
 
@@ -54,7 +54,7 @@
 	if c.zones == nil {
 		return nil
 	}
-	return c.zones.t.All(time.Now())
+	return c.zones.tracker.All(time.Now())
 }
 
 // DrainZones makes the zones drained by an operator's word exactly those named: they are left whatever the guard
@@ -74,18 +74,18 @@
 	for _, z := range names {
 		named[z] = true
 	}
-	for _, s := range c.zones.t.All(now) {
+	for _, s := range c.zones.tracker.All(now) {
 		if s.Drained && !named[s.Zone] {
-			changes = append(changes, c.zones.t.Undrain(now, s.Zone))
+			changes = append(changes, c.zones.tracker.Undrain(now, s.Zone))
 		}
 	}
 	for _, z := range names {
-		if !c.zones.t.Drained(z) {
-			changes = append(changes, c.zones.t.Drain(now, z))
+		if !c.zones.tracker.Drained(z) {
+			changes = append(changes, c.zones.tracker.Drain(now, z))
 		}
 	}
 	if len(changes) > 0 {
-		c.inbox = append(c.inbox, input{event: c.zoneMembers(changes)})
+		c.inbox = append(c.inbox, input{event: c.zoneListEvent(changes)})
 	}
 	c.mu.Unlock()
 	for _, ch := range changes {
@@ -106,7 +106,7 @@
 // connection that was lost and is open again says nothing either, until what is sent on the new one is lost as well with no
 // answer between: a data node that takes connections and resets each is no better than one that refuses. The caller holds
 // no lock; a is nil for a probe.
-func (c *Coordinator) zoneSaw(n *Node, a *Attempt, end Outcome, now time.Time) {
+func (c *Coordinator) observeForZones(n *Node, a *Attempt, end Outcome, now time.Time) {
 	if c.zones == nil {
 		return
 	}
@@ -115,23 +115,23 @@
 	e, known := zoneEvidence[end]
 	switch {
 	case end == OK || end == Errored || end == Overloaded:
-		c.zones.heard[n.id] = now
+		c.zones.lastAnswer[n.id] = now
 	case end == ConnectionLost && a != nil:
-		if last := c.zones.cut[n.id]; !last.IsZero() && a.begun.After(last) && c.zones.heard[n.id].Before(last) {
+		if last := c.zones.lastConnectionLoss[n.id]; !last.IsZero() && a.sentAt.After(last) && c.zones.lastAnswer[n.id].Before(last) {
 			e, known = zones.Refused, true
 		}
-		c.zones.cut[n.id] = now
+		c.zones.lastConnectionLoss[n.id] = now
 	case end != Cancelled || a == nil:
-	case a.why == aggregator.TimedOut, a.why == aggregator.Cancelled && c.zones.heard[n.id].Before(a.begun):
+	case a.cancelReason == aggregator.TimedOut, a.cancelReason == aggregator.Cancelled && c.zones.lastAnswer[n.id].Before(a.sentAt):
 		e, known = zones.TimedOut, true
 	}
 	if known {
-		c.zones.t.Observe(now, n.member.Zone, n.id, e)
+		c.zones.tracker.Observe(now, n.member.Zone, n.id, e)
 	}
 }
 
 // zoneList passes on which data nodes serve, by zone; the caller holds the lock.
-func (c *Coordinator) zoneList(now time.Time) {
+func (c *Coordinator) updateZoneMembers(now time.Time) {
 	if c.zones == nil {
 		return
 	}
@@ -141,54 +141,54 @@
 			serving[m.ID] = m.Zone
 		}
 	}
-	c.zones.t.List(now, serving)
-	for id := range c.zones.heard {
+	c.zones.tracker.List(now, serving)
+	for id := range c.zones.lastAnswer {
 		if _, ok := serving[id]; !ok {
-			delete(c.zones.heard, id)
+			delete(c.zones.lastAnswer, id)
 		}
 	}
-	for id := range c.zones.cut {
+	for id := range c.zones.lastConnectionLoss {
 		if _, ok := serving[id]; !ok {
-			delete(c.zones.cut, id)
+			delete(c.zones.lastConnectionLoss, id)
 		}
 	}
 }
 
 // zoneStep takes the verdicts that are due and returns the event that hands the module what changed, and when the
 // verdicts must be taken again; the caller holds no lock.
-func (c *Coordinator) zoneStep(now time.Time) (event aggregator.Event, changed bool, next time.Time) {
+func (c *Coordinator) stepZones(now time.Time) (event aggregator.Event, changed bool, next time.Time) {
 	if c.zones == nil {
 		return event, false, time.Time{}
 	}
 	c.mu.Lock()
-	changes := c.zones.t.Step(now)
+	changes := c.zones.tracker.Step(now)
 	if len(changes) > 0 {
-		event, changed = c.zoneMembers(changes), true
+		event, changed = c.zoneListEvent(changes), true
 	}
 	var lines []zones.Change
 	for _, ch := range changes {
 		key := ch.Zone + "\x00" + ch.To.String()
-		if now.Sub(c.zones.told[key]) < zoneLogEvery {
-			c.zones.untold[key]++
+		if now.Sub(c.zones.loggedAt[key]) < zoneLogInterval {
+			c.zones.suppressed[key]++
 			continue
 		}
-		c.zones.told[key] = now
+		c.zones.loggedAt[key] = now
 		lines = append(lines, ch)
 	}
 	untold := map[string]int{}
 	for _, ch := range lines {
 		key := ch.Zone + "\x00" + ch.To.String()
-		untold[key] = c.zones.untold[key]
-		delete(c.zones.untold, key)
+		untold[key] = c.zones.suppressed[key]
+		delete(c.zones.suppressed, key)
 	}
 	var failing []string
 	for _, ch := range changes {
 		if ch.To == zones.Out {
-			failing = append(failing, c.zones.t.Failing(now, ch.Zone)...)
+			failing = append(failing, c.zones.tracker.Failing(now, ch.Zone)...)
 		}
 	}
 	settled := true
-	for _, s := range c.zones.t.All(now) {
+	for _, s := range c.zones.tracker.All(now) {
 		if s.State != zones.Healthy || s.Failing > 0 {
 			settled = false
 		}
@@ -203,20 +203,20 @@
 			"untold", untold[ch.Zone+"\x00"+ch.To.String()])
 	}
 	// What was seen there is told once it is clear, as a silence is not by one attempt.
-	if f := c.sight.Load(); f != nil {
+	if f := c.observer.Load(); f != nil {
 		for _, id := range failing {
 			(*f)(Observation{Node: id, Failed: true, Utilization: -1})
 		}
 	}
 	if !settled {
-		next = now.Add(zoneTick)
+		next = now.Add(zoneInterval)
 	}
 	return event, changed, next
 }
 
 // zoneMembers is the list event that hands the module the data nodes of the zones that changed; the caller holds
 // the lock.
-func (c *Coordinator) zoneMembers(changes []zones.Change) aggregator.Event {
+func (c *Coordinator) zoneListEvent(changes []zones.Change) aggregator.Event {
 	of := map[string]bool{}
 	for _, ch := range changes {
 		of[ch.Zone] = true
@@ -224,22 +224,22 @@
 	event := aggregator.Event{Kind: aggregator.ListChanged}
 	for _, m := range c.table.List() {
 		if of[m.Zone] {
-			event.Members = append(event.Members, c.member(m))
+			event.Members = append(event.Members, c.moduleMember(m))
 		}
 	}
 	return event
 }
 
 // zoned turns a member's state and start by its zone's verdict; the caller holds the lock.
-func (c *Coordinator) zoned(m Member, out aggregator.Member) aggregator.Member {
+func (c *Coordinator) adjustForZone(m Member, out aggregator.Member) aggregator.Member {
 	if c.zones == nil {
 		return out
 	}
-	if out.State == aggregator.Serving && !c.zones.t.Usable(m.Zone) {
+	if out.State == aggregator.Serving && !c.zones.tracker.Usable(m.Zone) {
 		out.State = aggregator.Draining
 	}
-	if since, ok := c.zones.t.WarmingSince(m.Zone); ok {
-		out.Started = max(out.Started, c.clock(since))
+	if since, ok := c.zones.tracker.WarmingSince(m.Zone); ok {
+		out.Started = max(out.Started, c.moduleClock(since))
 	}
 	return out
 }
--- a/internal/coordinator/zones_test.go
+++ b/internal/coordinator/zones_test.go
@@ -166,7 +166,7 @@
 	t.Logf("judged by zone:      %+v (a cold data node stands %d in its first second)", on, coldMost)
 	// While out nothing goes there. A return that finds the zone still dead costs an attempt at each of its 4 data
 	// nodes, and what is begun before the next verdict: a zone tick of 20 queries a second, 3 attempts each at most.
-	perReturn := 4 + 3*int(math.Ceil(20*zoneTick.Seconds()))
+	perReturn := 4 + 3*int(math.Ceil(20*zoneInterval.Seconds()))
 	if on.afterAll > on.returns*perReturn || on.afterAll >= off.afterAll {
 		t.Errorf("%d attempts went to the dead zone more than a second after its loss, in %d returns; %d judged by data node",
 			on.afterAll, on.returns, off.afterAll)
