--- a/internal/coordinator/nodes.go
+++ b/internal/coordinator/endpoints.go
@@ -1,14 +1,6 @@
 package coordinator
 
-// This file owns the data nodes of the joined list and the orders that wait for each. What sources tell, and what is
-// seen of data nodes, goes to the membership table; what that decides is applied here and passed on to the module. It
-// must never open a connection, weigh one source against another, nor let an order wait here for longer than its
-// carrier takes to pick it up.
-
 import (
-	"context"
-	"log/slog"
-	"sync/atomic"
 	"time"
 
 	"gullfall/aggregator"
@@ -28,103 +20,6 @@
 	Gone     = membership.Gone
 )
 
-// Dispatcher serves one data node: it picks up orders until Pick says that there will be none.
-type Dispatcher func(*Node)
-
-// Node is a data node as its carrier sees it.
-type Node struct {
-	id          string
-	c           *Coordinator
-	member      Member
-	dispatch    Dispatcher
-	dispatching bool // carry runs
-	excluded    atomic.Bool
-	commands    []*Command
-	ready       chan struct{}
-	inFlight    int  // attempts without an end
-	retired     bool // it has left the list; its carrier ends once nothing is out
-
-	restartVersion atomic.Uint64 // the version of the list that told of its last start, where one was known before
-	announced      atomic.Bool   // may go out for work: to be sent to only while this coordinator is present
-}
-
-// ID is the data node's name in its list.
-func (n *Node) ID() string { return n.id }
-
-// Addr is where the data node listens now.
-func (n *Node) Addr() string {
-	n.c.mu.Lock()
-	defer n.c.mu.Unlock()
-	return n.member.Addr
-}
-
-// Excluded tells that the list says draining or gone: nothing more may be written to it, queued calls included.
-func (n *Node) Excluded() bool { return n.excluded.Load() || n.announced.Load() && n.c.absent() }
-
-// Pick waits for the next order. It returns nil once the data node has left the list
-// and nothing of it is out.
-func (n *Node) Pick(ctx context.Context) *Command {
-	for {
-		n.c.mu.Lock()
-		if len(n.commands) > 0 {
-			o := n.commands[0]
-			n.commands = n.commands[1:]
-			n.c.mu.Unlock()
-			return o
-		}
-		retired := n.retired && n.inFlight == 0
-		n.c.mu.Unlock()
-		if retired {
-			return nil
-		}
-		select {
-		case <-n.ready:
-		case <-ctx.Done():
-			return nil
-		}
-	}
-}
-
-// post leaves orders for the carrier, which begins with the first: a list may name far more data nodes than are ever sent to. It never
-// blocks.
-func (n *Node) post(list ...*Command) {
-	n.c.mu.Lock()
-	n.commands = append(n.commands, list...)
-	if !n.dispatching {
-		n.dispatching = true
-		go n.dispatch(n)
-	}
-	n.c.mu.Unlock()
-	n.signal()
-}
-
-// hold counts the attempts that are out.
-func (n *Node) addInFlight(by int) {
-	n.c.mu.Lock()
-	n.inFlight += by
-	if w := n.c.maintenance; w != nil {
-		if w.inFlight[n.id] += by; w.inFlight[n.id] == 0 {
-			delete(w.inFlight, n.id)
-		}
-	}
-	n.c.mu.Unlock()
-	n.signal()
-}
-
-func (n *Node) signal() {
-	select {
-	case n.ready <- struct{}{}:
-	default:
-	}
-}
-
-// RegisterDispatcher names what serves the data nodes of a protocol, one goroutine for each that has been sent to. It comes before the first list.
-func (c *Coordinator) RegisterDispatcher(proto string, carry Dispatcher) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.dispatchers[proto] = carry
-}
-
 // Source is one of those that tell of data nodes.
 type Source struct {
 	c      *Coordinator
@@ -233,66 +128,6 @@
 	c.logNotes(r.Notes)
 }
 
-// warnings are the notes that someone should look at.
-var warningCauses = map[membership.Cause]bool{membership.Held: true, membership.Emptied: true, membership.WentBack: true,
-	membership.Stale: true, membership.Lapsed: true, membership.Suppressed: true, membership.Excess: true, membership.Unfit: true}
-
-// mostLines is how many lines one change of the list may cost; beyond, what happened alike to several is told in one.
-const maxNoteLines = 50
-
-func (c *Coordinator) logNotes(notes []membership.Note) {
-	if len(notes) <= maxNoteLines {
-		for _, n := range notes {
-			c.logNote(n)
-		}
-		return
-	}
-	type alike struct {
-		what   membership.Cause
-		source string
-	}
-	count := map[alike]int{}
-	for _, n := range notes {
-		if n.ID != "" {
-			count[alike{n.Cause, n.Source}]++
-		}
-	}
-	for _, n := range notes {
-		switch k := (alike{n.Cause, n.Source}); {
-		case n.ID == "" || count[k] == 1:
-			c.logNote(n)
-		case count[k] > 1:
-			level := slog.LevelInfo
-			if warningCauses[n.Cause] {
-				level = slog.LevelWarn
-			}
-			c.log.Log(context.Background(), level, "data nodes "+string(n.Cause), "count", count[k], "source", n.Source, "first", n.ID)
-			count[k] = 0
-		}
-	}
-}
-
-// explain logs why the list changes, or does not.
-func (c *Coordinator) logNote(n membership.Note) {
-	level := slog.LevelInfo
-	if warningCauses[n.Cause] {
-		level = slog.LevelWarn
-	}
-	var args []any
-	msg := string(n.Cause)
-	if n.ID != "" {
-		msg = "data node " + msg
-		args = append(args, "node", n.ID)
-	}
-	if n.Source != "" {
-		args = append(args, "source", n.Source)
-	}
-	if n.Detail != "" {
-		args = append(args, "why", n.Detail)
-	}
-	c.log.Log(context.Background(), level, msg, args...)
-}
-
 var membershipEvidence = map[Outcome]membership.Evidence{OK: membership.Answered, Errored: membership.Answered,
 	Overloaded: membership.Rejected, NotConnected: membership.ConnectionRefused, ConnectTimeout: membership.ConnectionRefused, Reset: membership.ConnectionReset, ConnectionLost: membership.ConnectionReopened}
 
@@ -336,15 +171,6 @@
 	n.setExcluded(m.State != Serving || c.isExcluded(m))
 }
 
-// bar sets whether anything new may be begun at the data node; what waits for it there is to be turned back. The
-// caller holds the lock.
-func (n *Node) setExcluded(bar bool) {
-	if n.excluded.Swap(bar) != bar && bar && n.dispatching {
-		n.commands = append(n.commands, &Command{RejectQueued: true})
-		n.signal()
-	}
-}
-
 // whole is the joined list of all sources. The caller holds the lock.
 func (c *Coordinator) completeList(kind aggregator.EventKind) aggregator.Event {
 	event := aggregator.Event{Kind: kind}
@@ -363,10 +189,3 @@
 	}
 	return c.adjustForMaintenance(m, c.adjustForZone(m, c.adjustForReportedStart(m, out)))
 }
-
-// node finds a listed data node.
-func (c *Coordinator) node(id string) *Node {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	return c.nodes[id]
-}
