--- a/internal/coordinator/coordinator.go
+++ b/internal/coordinator/coordinator.go
@@ -14,56 +14,42 @@
 	"gullfall/internal/membership"
 )
 
-// input is what has happened since the last Step.
+// input is something that has happened since the last step of the module, with its event.
 type input struct {
 	event   aggregator.Event
-	attempt *Attempt
-	outcome Outcome
-	docs    [][]byte
-	query   *query
-	due     time.Time // not taken in before
+	attempt *Attempt  // AttemptEnded: which
+	outcome Outcome   // AttemptEnded: how
+	docs    [][]byte  // AttemptEnded: the part's value
+	query   *query    // QueryArrived, PartArrived, ClientGone: which
+	due     time.Time // the loop takes it in no sooner; zero for at once
 }
 
-// Coordinator is the facade. Its methods may be called from any goroutine, but for Run.
+// Coordinator is the facade. Its methods may be called from any goroutine; Run, and Tick in its place, from one only.
 type Coordinator struct {
 	settings aggregator.Settings
-	seed     uint64
+	seed     uint64 // of the module's random choices
 	log      *slog.Logger
 	start    time.Time
-	classes  map[string]int
-	tenants  map[string]int
-	notify   chan struct{}
+	classes  map[string]int // index in settings.Classes, by name
+	tenants  map[string]int // index in settings.Tenants, by name
+	notify   chan struct{}  // holds one token while the loop has something to look at
+	observer atomic.Pointer[func(Observation)]
 
-	mu    sync.Mutex // guards what follows and nodes' fields; never held over Step
-	inbox []input
-	nodes map[string]*Node
-	open  int // queries and parts held, those in the inbox included
+	// mu guards what follows up to loop, and the fields of each Node that are not atomic. It is never held over the module's Step.
+	mu          sync.Mutex
+	inbox       []input
+	open        int // queries and parts in progress, those in the inbox included
+	endpoints   endpoints
+	zones       *zoneState        // set before Run; nil where zones are not watched
+	maintenance *maintenanceState // set before Run; nil where machines are not taken out for maintenance
 
-	table           *membership.Table
-	dispatchers     map[string]Dispatcher // by protocol
-	hasCompleteList bool                  // some source has told a whole list
-	zones           *zoneState            // nil where zones are not watched
-	maintenance     *maintenanceState     // nil where machines are not taken out for work
-	observer        atomic.Pointer[func(Observation)]
-	reportedStarts  map[string]time.Time // of data nodes, as others tell; guarded by mu
-	listVersion     uint64               // of the joined list; guarded by mu
-
-	// The loop's own.
-	module            *aggregator.Aggregator
-	queries           map[string]*query
-	parts             map[string]*part
-	attempts          map[*Attempt]bool
-	actions           []aggregator.Action
-	delayed           []input // not due yet
-	wakeAt            time.Time
-	lastTick          time.Time
-	moduleListVersion uint64 // the version of the list that the module knows
+	loop eventLoop // used by the loop's goroutine only
 }
 
-// New returns a coordinator for the settings. The seed settles the module's random choices. damping says who counts as present; its
-// shard sets, shards and reach are taken from the settings.
+// New returns a coordinator for the settings. The seed determines the module's random choices. damping says who counts as present;
+// its shard sets, shards and reach are taken from the settings.
 func New(set aggregator.Settings, seed uint64, log *slog.Logger, damping membership.Config) (*Coordinator, error) {
-	agg, err := aggregator.New(set, seed)
+	module, err := aggregator.New(set, seed)
 	if err != nil {
 		return nil, err
 	}
@@ -72,9 +58,17 @@
 	if err != nil {
 		return nil, err
 	}
-	c := &Coordinator{settings: set, seed: seed, log: log, start: time.Now(), classes: map[string]int{}, tenants: map[string]int{},
-		notify: make(chan struct{}, 1), nodes: map[string]*Node{}, reportedStarts: map[string]time.Time{}, table: table, dispatchers: map[string]Dispatcher{}, module: agg, queries: map[string]*query{},
-		parts: map[string]*part{}, attempts: map[*Attempt]bool{}}
+	c := &Coordinator{
+		settings:  set,
+		seed:      seed,
+		log:       log,
+		start:     time.Now(),
+		classes:   make(map[string]int, len(set.Classes)),
+		tenants:   make(map[string]int, len(set.Tenants)),
+		notify:    make(chan struct{}, 1),
+		endpoints: newEndpoints(table),
+		loop:      eventLoop{module: module, queries: newQueryTable()},
+	}
 	for i, class := range set.Classes {
 		c.classes[class.Name] = i
 	}
@@ -84,10 +78,11 @@
 	return c, nil
 }
 
-// clock turns a time into the module's clock, which starts at an hour so that a start before ours is above 0.
+// moduleClock turns a time into the module's clock. That begins at one hour, so that a data node that started before this
+// process still has a start above 0.
 func (c *Coordinator) moduleClock(t time.Time) time.Duration { return t.Sub(c.start) + time.Hour }
 
-// put adds inputs, all for the same Step.
+// enqueue adds inputs, all for the same step of the module.
 func (c *Coordinator) enqueue(inputs ...input) {
 	c.mu.Lock()
 	c.inbox = append(c.inbox, inputs...)
@@ -95,7 +90,7 @@
 	c.wakeUp()
 }
 
-// wakeUp lets the loop look at its inbox.
+// wakeUp lets the loop look at its inbox. It never blocks.
 func (c *Coordinator) wakeUp() {
 	select {
 	case c.notify <- struct{}{}:
--- a/internal/coordinator/coordinator_test.go
+++ b/internal/coordinator/coordinator_test.go
@@ -136,8 +136,8 @@
 		if diff := cmp.Diff([]string{"call q.0", "drop q.0", "call r.1", "drop r.1"}, s.seen); diff != "" {
 			t.Errorf("(-want +got)\n%s", diff)
 		}
-		if len(s.queries)+len(s.parts)+len(s.attempts)+s.Open() > 0 {
-			t.Errorf("still held: %d queries, %d parts, %d attempts", len(s.queries), len(s.parts), len(s.attempts))
+		if len(s.loop.queries.open)+len(s.loop.queries.parts)+len(s.loop.queries.attempts)+s.Open() > 0 {
+			t.Errorf("still held: %d queries, %d parts, %d attempts", len(s.loop.queries.open), len(s.loop.queries.parts), len(s.loop.queries.attempts))
 		}
 		s.end()
 	})
@@ -205,7 +205,7 @@
 		s := newStand(t, 0, serve)
 		time.Sleep(time.Second)
 		synctest.Wait()
-		s.module = nil // its next Step panics
+		s.loop.module = nil // its next Step panics
 		if got := s.ask(t.Context(), "q", 0); got != "3 false 0 false" {
 			t.Errorf("held as it panicked: %s", got)
 		}
@@ -314,11 +314,11 @@
 			}
 		}
 		synctest.Wait()
-		if len(s.Coordinator.nodes) != 2 || len(s.fleet.Claims()) != 2 {
-			t.Errorf("%d data nodes are known, %d of the source", len(s.Coordinator.nodes), len(s.fleet.Claims()))
+		if len(s.Coordinator.endpoints.nodes) != 2 || len(s.fleet.Claims()) != 2 {
+			t.Errorf("%d data nodes are known, %d of the source", len(s.Coordinator.endpoints.nodes), len(s.fleet.Claims()))
 		}
-		if len(s.queries)+len(s.parts)+len(s.attempts)+len(s.delayed)+s.Open() > 0 {
-			t.Errorf("still held: %d queries, %d parts, %d attempts", len(s.queries), len(s.parts), len(s.attempts))
+		if len(s.loop.queries.open)+len(s.loop.queries.parts)+len(s.loop.queries.attempts)+len(s.loop.delayed)+s.Open() > 0 {
+			t.Errorf("still held: %d queries, %d parts, %d attempts", len(s.loop.queries.open), len(s.loop.queries.parts), len(s.loop.queries.attempts))
 		}
 		s.end()
 	})
--- a/internal/coordinator/dispatch.go
+++ b/internal/coordinator/dispatch.go
@@ -19,12 +19,12 @@
 
 // send books an attempt into the call that this round makes to its replica, or into a new one.
 func (c *Coordinator) send(now time.Time, act aggregator.Action, round map[*Node]*Command, orders map[*Node][]*Command) {
-	p, n := c.parts[act.Part], c.node(act.Replica)
+	p, n := c.loop.queries.parts[act.Part], c.node(act.Replica)
 	if p == nil {
 		return
 	}
 	a := &Attempt{ID: p.id, Shard: p.shard, Text: p.query.Text, IdempotencyKey: p.query.IdempotencyKey, Deadline: now.Add(act.After), number: len(p.attempts),
-		part: p, node: n, listVersion: c.moduleListVersion, sentAt: now}
+		part: p, node: n, listVersion: c.loop.listVersion, sentAt: now}
 	if act.After <= 0 || a.Deadline.After(p.query.Deadline) {
 		a.Deadline = p.query.Deadline
 	}
@@ -32,7 +32,7 @@
 		a.sendBefore = now.Add(act.BeginWithin)
 	}
 	p.attempts = append(p.attempts, a)
-	c.attempts[a] = true
+	c.loop.queries.attempts[a] = true
 	c.log.Debug("attempt begun", "node", act.Replica, "part", a.ID, "number", a.number, "after", now.Sub(p.query.receivedAt))
 	if n != nil {
 		n.addInFlight(1)
@@ -154,7 +154,7 @@
 func (c *Coordinator) RegisterDispatcher(proto string, carry Dispatcher) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.dispatchers[proto] = carry
+	c.endpoints.dispatchers[proto] = carry
 }
 
 // bar sets whether anything new may be begun at the data node; what waits for it there is to be turned back. The
@@ -170,5 +170,5 @@
 func (c *Coordinator) node(id string) *Node {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.nodes[id]
+	return c.endpoints.nodes[id]
 }
--- a/internal/coordinator/endpoints.go
+++ b/internal/coordinator/endpoints.go
@@ -7,7 +7,7 @@
 	"gullfall/internal/membership"
 )
 
-// Member is one entry of a list of data nodes.
+// Member is one record of a list of data nodes.
 type Member = membership.Record
 
 // State is what a list says of a data node.
@@ -20,6 +20,20 @@
 	Gone     = membership.Gone
 )
 
+// endpoints is the list of data nodes as joined from all sources. Its fields are guarded by Coordinator.mu.
+type endpoints struct {
+	table          *membership.Table
+	dispatchers    map[string]Dispatcher // by protocol
+	nodes          map[string]*Node      // those listed, by id
+	complete       bool                  // some source has sent a complete list that was not cached
+	reportedStarts map[string]time.Time  // by id, as peers report them
+	version        uint64                // counts the updates
+}
+
+func newEndpoints(table *membership.Table) endpoints {
+	return endpoints{table: table, dispatchers: map[string]Dispatcher{}, nodes: map[string]*Node{}, reportedStarts: map[string]time.Time{}}
+}
+
 // Source is one of those that tell of data nodes.
 type Source struct {
 	c      *Coordinator
@@ -30,7 +44,7 @@
 func (c *Coordinator) Source(spec membership.Spec) *Source {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return &Source{c, c.table.Source(spec)}
+	return &Source{c, c.endpoints.table.Source(spec)}
 }
 
 // Update takes in what the source has told.
@@ -69,7 +83,7 @@
 func (c *Coordinator) CoveredShards() (n int) {
 	c.mu.Lock()
 	cells := map[int]bool{}
-	for _, m := range c.table.List() {
+	for _, m := range c.endpoints.table.List() {
 		if m.State == Serving {
 			cells[m.ShardSet] = true
 		}
@@ -95,7 +109,7 @@
 	if len(r.Changes) > 0 || full {
 		c.updateZoneMembers(now)
 	}
-	c.listVersion++
+	c.endpoints.version++
 	var started []Observation
 	event := aggregator.Event{Kind: aggregator.ListChanged}
 	for _, m := range r.Changes {
@@ -106,10 +120,10 @@
 		}
 	}
 	switch {
-	case full && remembered && !c.hasCompleteList:
+	case full && remembered && !c.endpoints.complete:
 		event = c.completeList(aggregator.ListCached)
 	case full && !remembered:
-		c.hasCompleteList = true
+		c.endpoints.complete = true
 		event = c.completeList(aggregator.ListReplaced)
 	}
 	news := full || len(r.Changes) > 0
@@ -137,34 +151,34 @@
 	if !known || n.Excluded() || c.node(n.id) != n {
 		return
 	}
-	c.updateTable(false, false, func(now time.Time) membership.Result { return c.table.Observe(now, n.id, e) })
+	c.updateTable(false, false, func(now time.Time) membership.Result { return c.endpoints.table.Observe(now, n.id, e) })
 }
 
 // apply notes an entry, and starts or retires the data node's carrier. One that has moved is served by a new carrier:
 // nothing more goes to the old address, and what is out there ends there.
 func (c *Coordinator) applyRecord(m Member) {
-	n := c.nodes[m.ID]
+	n := c.endpoints.nodes[m.ID]
 	if n != nil && (m.State == Gone || n.member.Addr != m.Addr || n.member.Proto != m.Proto) {
 		n.setExcluded(true)
 		n.retired = true
 		n.signal()
-		delete(c.nodes, m.ID)
+		delete(c.endpoints.nodes, m.ID)
 		n = nil
 	}
 	if m.State == Gone {
 		return
 	}
 	if n == nil {
-		carry := c.dispatchers[m.Proto]
+		carry := c.endpoints.dispatchers[m.Proto]
 		if carry == nil {
 			c.log.Warn("no carrier for the data node's protocol", "node", m.ID, "proto", m.Proto)
 			return
 		}
 		n = &Node{id: m.ID, c: c, dispatch: carry, ready: make(chan struct{}, 1)}
-		c.nodes[m.ID] = n
+		c.endpoints.nodes[m.ID] = n
 	}
 	if m.Started.After(n.member.Started) && n.member.ID != "" {
-		n.restartVersion.Store(c.listVersion)
+		n.restartVersion.Store(c.endpoints.version)
 	}
 	n.member = m
 	n.announced.Store(c.isAnnounced(m))
@@ -174,7 +188,7 @@
 // whole is the joined list of all sources. The caller holds the lock.
 func (c *Coordinator) completeList(kind aggregator.EventKind) aggregator.Event {
 	event := aggregator.Event{Kind: kind}
-	for _, m := range c.table.List() {
+	for _, m := range c.endpoints.table.List() {
 		event.Members = append(event.Members, c.moduleMember(m))
 	}
 	return event
--- a/internal/coordinator/gossip.go
+++ b/internal/coordinator/gossip.go
@@ -33,12 +33,12 @@
 	defer c.mu.Unlock()
 	event := aggregator.Event{Kind: aggregator.ListChanged}
 	listed := map[string]Member{}
-	for _, m := range c.table.List() {
+	for _, m := range c.endpoints.table.List() {
 		listed[m.ID] = m
 	}
-	for id, at := range c.reportedStarts {
+	for id, at := range c.endpoints.reportedStarts {
 		if m, ok := listed[id]; !ok || m.State == Gone || now.Sub(at) > c.settings.Rules.WarmupTime {
-			delete(c.reportedStarts, id)
+			delete(c.endpoints.reportedStarts, id)
 		}
 	}
 	for _, t := range list {
@@ -46,8 +46,8 @@
 		if !ok || m.State == Gone {
 			continue
 		}
-		if at := now.Add(-t.Started); t.WarmingUp && t.Started < c.settings.Rules.WarmupTime && at.After(m.Started.Add(startTolerance)) && at.After(c.reportedStarts[t.Node].Add(startTolerance)) {
-			c.reportedStarts[t.Node] = at
+		if at := now.Add(-t.Started); t.WarmingUp && t.Started < c.settings.Rules.WarmupTime && at.After(m.Started.Add(startTolerance)) && at.After(c.endpoints.reportedStarts[t.Node].Add(startTolerance)) {
+			c.endpoints.reportedStarts[t.Node] = at
 			event.Members = append(event.Members, c.moduleMember(m))
 		}
 		if t.Failing && c.zones != nil {
@@ -61,7 +61,7 @@
 
 // toldStart turns a member's start by what others tell; the caller holds the lock.
 func (c *Coordinator) adjustForReportedStart(m Member, out aggregator.Member) aggregator.Member {
-	if at, ok := c.reportedStarts[m.ID]; ok {
+	if at, ok := c.endpoints.reportedStarts[m.ID]; ok {
 		out.Started = max(out.Started, c.moduleClock(at))
 	}
 	return out
--- a/internal/coordinator/gossip_test.go
+++ b/internal/coordinator/gossip_test.go
@@ -147,8 +147,8 @@
 		}
 		time.Sleep(6 * time.Second)
 		core.ApplyPeerReports(nil)
-		if len(core.reportedStarts) > 0 {
-			t.Errorf("%v is kept of starts that count no more", core.reportedStarts)
+		if len(core.endpoints.reportedStarts) > 0 {
+			t.Errorf("%v is kept of starts that count no more", core.endpoints.reportedStarts)
 		}
 		src.Replace(nil, false)
 	})
--- a/internal/coordinator/loop.go
+++ b/internal/coordinator/loop.go
@@ -8,6 +8,17 @@
 	"gullfall/aggregator"
 )
 
+// eventLoop is the state of the loop; only the goroutine of Run touches it.
+type eventLoop struct {
+	module      *aggregator.Aggregator
+	actions     []aggregator.Action // of the last step; its memory is used again
+	queries     queryTable
+	delayed     []input   // not due yet
+	wakeAt      time.Time // when the module wants to be called; zero for never
+	lastTick    time.Time
+	listVersion uint64 // of the endpoints that the module knows
+}
+
 // Run is the loop: it steps about once a tick while there is something to take in, until ctx ends.
 func (c *Coordinator) Run(ctx context.Context) {
 	timer := time.NewTimer(0)
@@ -20,7 +31,7 @@
 		case <-timer.C:
 		}
 		// What comes within a tick is gathered, so that parts of several queries can share a call.
-		if wait := time.Until(c.lastTick.Add(c.settings.Tick)); wait > 0 {
+		if wait := time.Until(c.loop.lastTick.Add(c.settings.Tick)); wait > 0 {
 			time.Sleep(wait)
 		}
 		timer.Reset(time.Until(c.Tick(time.Now())))
@@ -30,21 +41,21 @@
 // Tick takes in what has happened, steps the module, carries out what it says, and returns when it must be
 // called again if nothing happens before. Only one goroutine may call it.
 func (c *Coordinator) Tick(now time.Time) (next time.Time) {
-	c.lastTick = now
+	c.loop.lastTick = now
 	c.mu.Lock()
-	due := c.table.Next()
+	due := c.endpoints.table.Next()
 	c.mu.Unlock()
 	if !due.IsZero() && !now.Before(due) {
-		c.updateTable(false, false, c.table.Tick)
+		c.updateTable(false, false, c.endpoints.table.Tick)
 	}
 	c.mu.Lock()
-	inbox := append(c.delayed, c.inbox...)
-	c.delayed, c.inbox = nil, nil
+	inbox := append(c.loop.delayed, c.inbox...)
+	c.loop.delayed, c.inbox = nil, nil
 	c.mu.Unlock()
 	var events []aggregator.Event
 	for i := range inbox {
 		if inbox[i].due.After(now) {
-			c.delayed = append(c.delayed, inbox[i])
+			c.loop.delayed = append(c.loop.delayed, inbox[i])
 		} else if c.accept(&inbox[i], now) {
 			events = append(events, inbox[i].event)
 		}
@@ -68,7 +79,7 @@
 		lists = append(lists, lapsed)
 	}
 	events = append(lists, rest...)
-	for _, q := range c.queries {
+	for _, q := range c.loop.queries.open {
 		if !now.Before(q.Deadline) {
 			// The module ends queries earlier; this is the backstop that no query outlives its client.
 			c.log.Error("query outlived by its deadline", "query", q.ID)
@@ -76,23 +87,23 @@
 			events = append(events, aggregator.Event{Kind: aggregator.ClientGone, Query: q.ID})
 		}
 	}
-	for a := range c.attempts {
+	for a := range c.loop.queries.attempts {
 		if a.cancelReason == aggregator.Unknown && !now.Before(a.Deadline) {
 			c.cancel(a, aggregator.TimedOut)
 		}
 	}
-	if len(events) == 0 && !c.wakeAt.IsZero() && !now.Before(c.wakeAt) {
+	if len(events) == 0 && !c.loop.wakeAt.IsZero() && !now.Before(c.loop.wakeAt) {
 		events = append(events, aggregator.Event{Kind: aggregator.Wakeup})
 	}
-	if !c.wakeAt.IsZero() && !now.Before(c.wakeAt) {
-		c.wakeAt = time.Time{}
+	if !c.loop.wakeAt.IsZero() && !now.Before(c.loop.wakeAt) {
+		c.loop.wakeAt = time.Time{}
 	}
 	if len(events) > 0 {
 		c.stepModule(now, events)
 	}
 	next = now.Add(time.Minute)
-	if !c.wakeAt.IsZero() && c.wakeAt.Before(next) {
-		next = c.wakeAt
+	if !c.loop.wakeAt.IsZero() && c.loop.wakeAt.Before(next) {
+		next = c.loop.wakeAt
 	}
 	for _, t := range []time.Time{zoneNext, workNext} {
 		if !t.IsZero() && t.Before(next) {
@@ -100,21 +111,21 @@
 		}
 	}
 	c.mu.Lock()
-	if due = c.table.Next(); !due.IsZero() && due.Before(next) {
+	if due = c.endpoints.table.Next(); !due.IsZero() && due.Before(next) {
 		next = due
 	}
 	c.mu.Unlock()
-	for i := range c.delayed {
-		if c.delayed[i].due.Before(next) {
-			next = c.delayed[i].due
+	for i := range c.loop.delayed {
+		if c.loop.delayed[i].due.Before(next) {
+			next = c.loop.delayed[i].due
 		}
 	}
-	for _, q := range c.queries {
+	for _, q := range c.loop.queries.open {
 		if q.Deadline.Before(next) {
 			next = q.Deadline
 		}
 	}
-	for a := range c.attempts {
+	for a := range c.loop.queries.attempts {
 		if a.cancelReason == aggregator.Unknown && a.Deadline.Before(next) {
 			next = a.Deadline
 		}
@@ -127,7 +138,7 @@
 func (c *Coordinator) takeListEvents() (events []aggregator.Event) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.moduleListVersion = c.listVersion
+	c.loop.listVersion = c.endpoints.version
 	c.inbox = slices.DeleteFunc(c.inbox, func(in input) bool {
 		if isList(in.event.Kind) {
 			events = append(events, in.event)
@@ -146,7 +157,7 @@
 func (c *Coordinator) accept(in *input, now time.Time) bool {
 	switch in.event.Kind {
 	case aggregator.QueryArrived:
-		if c.queries[in.query.ID] != nil || slices.ContainsFunc(in.query.parts, func(p *part) bool { return c.parts[p.id] != nil }) {
+		if c.loop.queries.open[in.query.ID] != nil || slices.ContainsFunc(in.query.parts, func(p *part) bool { return c.loop.queries.parts[p.id] != nil }) {
 			// Ids are new for each request; a second of the same, while the first is open or a part of it still out,
 			// would mix up the parts of both.
 			in.query.finished = true
@@ -154,7 +165,7 @@
 			in.query.reply <- Answer{Status: Failed}
 			return false
 		}
-		c.queries[in.query.ID] = in.query
+		c.loop.queries.open[in.query.ID] = in.query
 		in.event.TimeLeft = in.query.Deadline.Sub(now)
 	case aggregator.PartArrived:
 		if in.query.finished {
@@ -162,7 +173,7 @@
 		}
 		for _, p := range in.query.parts {
 			if p.id == in.event.Part {
-				c.parts[p.id] = p
+				c.loop.queries.parts[p.id] = p
 			}
 		}
 	case aggregator.ClientGone:
@@ -177,7 +188,7 @@
 		}
 		a.ended, a.outcome = true, in.outcome
 		c.log.Debug("attempt ended", "node", a.node.id, "part", a.ID, "end", words[in.outcome], "load", in.event.LoadReport["util"], "took", now.Sub(a.sentAt))
-		delete(c.attempts, a)
+		delete(c.loop.queries.attempts, a)
 		a.node.addInFlight(-1)
 		c.observeForMembership(a.node, in.outcome)
 		c.observeForZones(a.node, a, in.outcome, now)
@@ -203,33 +214,33 @@
 	defer func() {
 		if r := recover(); r != nil {
 			c.log.Error("decision module panicked; started anew", "cause", r)
-			c.module, _ = aggregator.New(c.settings, c.seed)
-			for _, q := range c.queries {
+			c.loop.module, _ = aggregator.New(c.settings, c.seed)
+			for _, q := range c.loop.queries.open {
 				c.finish(q, Answer{Status: Failed})
 			}
-			for a := range c.attempts {
+			for a := range c.loop.queries.attempts {
 				c.cancel(a, aggregator.Cancelled)
 			}
-			c.wakeAt = time.Time{}
+			c.loop.wakeAt = time.Time{}
 			c.mu.Lock()
 			c.inbox = append(c.inbox, input{event: c.completeList(aggregator.ListReplaced)})
 			c.mu.Unlock()
 			c.wakeUp()
 		}
 	}()
-	c.actions = c.module.Step(c.moduleClock(now), events, c.actions[:0])
+	c.loop.actions = c.loop.module.Step(c.moduleClock(now), events, c.loop.actions[:0])
 	round := map[*Node]*Command{}
 	orders := map[*Node][]*Command{}
-	for _, a := range c.actions {
+	for _, a := range c.loop.actions {
 		switch a.Kind {
 		case aggregator.Send:
 			c.send(now, a, round, orders)
 		case aggregator.Cancel:
-			if p := c.parts[a.Part]; p != nil && a.Attempt < len(p.attempts) {
+			if p := c.loop.queries.parts[a.Part]; p != nil && a.Attempt < len(p.attempts) {
 				c.cancel(p.attempts[a.Attempt], aggregator.Cancelled)
 			}
 		case aggregator.Answer:
-			if q := c.queries[a.Query]; q != nil {
+			if q := c.loop.queries.open[a.Query]; q != nil {
 				answer := Answer{Status: Answered, Complete: a.Complete}
 				for _, p := range q.parts {
 					if p.received {
@@ -239,12 +250,12 @@
 				c.finish(q, answer)
 			}
 		case aggregator.Reject:
-			if q := c.queries[a.Query]; q != nil {
+			if q := c.loop.queries.open[a.Query]; q != nil {
 				c.logUnanswered("query refused", q, a.Reason, now)
 				c.finish(q, Answer{Status: Rejected, RetryAfter: a.After})
 			}
 		case aggregator.Fail:
-			if q := c.queries[a.Query]; q != nil {
+			if q := c.loop.queries.open[a.Query]; q != nil {
 				c.logUnanswered("query failed", q, a.Reason, now)
 				c.finish(q, Answer{Status: Failed})
 			}
@@ -260,7 +271,7 @@
 					Outcome: aggregator.ConnectFailed}})
 			}
 		case aggregator.Wake:
-			c.wakeAt = now.Add(a.After)
+			c.loop.wakeAt = now.Add(a.After)
 		}
 	}
 	for n, list := range orders {
--- a/internal/coordinator/maintenance.go
+++ b/internal/coordinator/maintenance.go
@@ -116,7 +116,7 @@
 		return now.Sub(b.at) > c.settings.Rules.WarmupTime && w.Returned[id] == 0
 	})
 	event := aggregator.Event{Kind: aggregator.ListChanged}
-	for _, m := range c.table.List() {
+	for _, m := range c.endpoints.table.List() {
 		if old.Excluded[m.ID] == w.Excluded[m.ID] && old.Addrs[m.Addr] == w.Addrs[m.Addr] && old.Announced[m.ID] == w.Announced[m.ID] &&
 			old.Unknown == w.Unknown && old.Returned[m.ID] == w.Returned[m.ID] {
 			continue
@@ -148,10 +148,10 @@
 	}
 	c.maintenance.lapsed = lapsed
 	event.Kind = aggregator.ListChanged
-	for _, m := range c.table.List() {
+	for _, m := range c.endpoints.table.List() {
 		if c.isAnnounced(m) {
 			event.Members = append(event.Members, c.moduleMember(m))
-			if n := c.nodes[m.ID]; lapsed && n != nil {
+			if n := c.endpoints.nodes[m.ID]; lapsed && n != nil {
 				n.commands = append(n.commands, &Command{RejectQueued: true}) // what is not begun is turned back
 				n.signal()
 			}
@@ -204,7 +204,7 @@
 	if c.maintenance == nil || !c.maintenance.Excluded[id] {
 		return false
 	}
-	n := c.nodes[id]
+	n := c.endpoints.nodes[id]
 	return c.maintenance.inFlight[id] == 0 && (n == nil || n.excluded.Load())
 }
 
@@ -223,7 +223,7 @@
 	now := time.Now()
 	var list []NodeHealth
 	listed := map[string]bool{}
-	for _, m := range c.table.List() {
+	for _, m := range c.endpoints.table.List() {
 		l := NodeHealth{Member: m, WarmingUp: !m.Started.IsZero() && now.Sub(m.Started) < c.settings.Rules.WarmupTime}
 		if c.maintenance != nil {
 			if s := c.maintenance.health[m.ID]; s != nil {
--- a/internal/coordinator/queries.go
+++ b/internal/coordinator/queries.go
@@ -79,10 +79,21 @@
 	query    *query
 	shard    int
 	docs     [][]byte
-	received bool
+	received bool // a data node has answered it
 	attempts []*Attempt
 }
 
+// queryTable holds what is in progress. It belongs to the event loop.
+type queryTable struct {
+	open     map[string]*query // by id
+	parts    map[string]*part  // by id; a part outlives its query until none of its attempts is in flight
+	attempts map[*Attempt]bool // in flight
+}
+
+func newQueryTable() queryTable {
+	return queryTable{open: map[string]*query{}, parts: map[string]*part{}, attempts: map[*Attempt]bool{}}
+}
+
 // Execute takes a query and waits for its final answer. An error wraps ErrInput, where the query was not taken,
 // or is ErrGone, where ctx ended first.
 func (c *Coordinator) Execute(ctx context.Context, request Query) (Answer, error) {
@@ -160,7 +171,7 @@
 	q.closed.Store(true)
 	c.log.Debug("query ended", "query", q.ID, "class", q.Class, "verdict", answer.Status, "whole", answer.Complete,
 		"parts", len(q.parts), "took", time.Since(q.receivedAt))
-	delete(c.queries, q.ID)
+	delete(c.loop.queries.open, q.ID)
 	c.release(q) // first: whoever has the answer finds nothing held
 	q.reply <- answer
 	for _, p := range q.parts {
@@ -171,7 +182,7 @@
 // forget lets go of a part once its query is over and nothing of it is out.
 func (c *Coordinator) forget(p *part) {
 	if p.query.finished && !slices.ContainsFunc(p.attempts, func(a *Attempt) bool { return !a.ended }) {
-		delete(c.parts, p.id)
+		delete(c.loop.queries.parts, p.id)
 	}
 }
 
--- a/internal/coordinator/sources_test.go
+++ b/internal/coordinator/sources_test.go
@@ -137,7 +137,7 @@
 		state := func() string {
 			s.Coordinator.mu.Lock()
 			defer s.Coordinator.mu.Unlock()
-			return s.table.List()[1].State.String()
+			return s.endpoints.table.List()[1].State.String()
 		}
 		if got := state(); got != "draining" {
 			t.Errorf("while the first is sound the second is %s", got)
--- a/internal/coordinator/zones.go
+++ b/internal/coordinator/zones.go
@@ -136,7 +136,7 @@
 		return
 	}
 	serving := map[string]string{}
-	for _, m := range c.table.List() {
+	for _, m := range c.endpoints.table.List() {
 		if m.State == Serving {
 			serving[m.ID] = m.Zone
 		}
@@ -222,7 +222,7 @@
 		of[ch.Zone] = true
 	}
 	event := aggregator.Event{Kind: aggregator.ListChanged}
-	for _, m := range c.table.List() {
+	for _, m := range c.endpoints.table.List() {
 		if of[m.Zone] {
 			event.Members = append(event.Members, c.moduleMember(m))
 		}
