--- a/internal/coordinator/attempt.go
+++ b/internal/coordinator/attempt.go
@@ -9,52 +9,66 @@
 // Outcome is how an attempt or a probe ended.
 type Outcome int
 
-// The outcomes that a carrier reports.
+// The outcomes that a dispatcher reports.
 const (
 	OK             Outcome = iota + 1
 	Errored                // it may have run
-	Overloaded             // turned away unseen
-	NotConnected           // never written whole
+	Overloaded             // rejected by the data node, or turned back here, and never begun
+	NotConnected           // never written in full
 	Reset                  // the connection ended after it was written
-	Cancelled              // given up as ordered
+	Cancelled              // cancelled on command
 	NotSent                // never sent, and no fault of the data node: nothing was left to send it with
-	ConnectionLost         // its connection was lost or is of no more use, but the data node is there
-	ConnectTimeout         // never written whole: its connection did not come up in time
+	ConnectionLost         // its connection was lost or can't be used any more, but the data node is there
+	ConnectTimeout         // never written in full: its connection did not come up in time
 )
 
-// Result goes with a Report.
+// Result is what a dispatcher reports of an attempt or a probe.
 type Result struct {
 	Outcome    Outcome
-	Docs       [][]byte
-	LoadReport map[string]float64
+	Docs       [][]byte           // of an attempt that is OK
+	LoadReport map[string]float64 // by name; nil where the data node sent none
 }
 
-// Attempt is one sending of a part to a data node. Its Deadline is when the answer is of no more use.
+// Attempt is one sending of a part to a data node.
 type Attempt struct {
-	ID             string
+	ID             string // of the part
 	Shard          int
 	Text           string
-	IdempotencyKey string // of the query; empty where its class is not keyed
-	Deadline       time.Time
-	sendBefore     time.Time // after it, the attempt may not be begun any more; zero for no such bound
+	IdempotencyKey string    // of the query; empty where its class is not keyed
+	Deadline       time.Time // an answer after it is of no use
+	sendBefore     time.Time // it may not be sent later; zero for no such bound
 
-	number       int
+	number       int // counts the attempts of its part from 0
 	part         *part
 	node         *Node
-	listVersion  uint64 // the list that the module decided by
+	listVersion  uint64 // of the endpoints that the module decided by
 	sentAt       time.Time
-	cancelReason aggregator.Outcome // of a drop that was ordered
+	cancelReason aggregator.Outcome // Unknown while it is not to be cancelled
 	ended        bool
 	outcome      Outcome
 }
 
-// Sendable decides, at the moment in which an attempt's frame is written, whether it may still go out; much may have
-// happened while it waited for a connection. One that may not is to be reported with the outcome returned.
+// newAttempt makes the next attempt of a part, with the bounds that the action of the module sets.
+func (c *Coordinator) newAttempt(now time.Time, p *part, n *Node, action aggregator.Action) *Attempt {
+	q := p.query
+	a := &Attempt{ID: p.id, Shard: p.shard, Text: q.Text, IdempotencyKey: q.IdempotencyKey, Deadline: now.Add(action.After),
+		number: len(p.attempts), part: p, node: n, listVersion: c.loop.listVersion, sentAt: now}
+	if action.After <= 0 || a.Deadline.After(q.Deadline) {
+		a.Deadline = q.Deadline
+	}
+	if action.BeginWithin < time.Until(q.Deadline) {
+		a.sendBefore = now.Add(action.BeginWithin)
+	}
+	return a
+}
+
+// Sendable decides, at the moment in which an attempt's frame is written, whether it may still go out; much may have happened while it
+// waited for a connection. One that may not is to be reported with the outcome returned.
 //
-//	its query has ended, or its client has left          NotSent
-//	the list says draining or gone                       Busy
-//	the list says of a restart that the module had not   NotSent: its share of a slow start was not looked at
-//	a repeat may no longer be dropped by its holders     Busy
+//	its query has ended, or its client has left        NotSent
+//	the data node is excluded                          Overloaded
+//	it restarted, and the module did not know          NotSent: a data node that is warming up must not get a full share
+//	its holders may have forgotten its key             Overloaded
 func (a *Attempt) Sendable(now time.Time) (outcome Outcome, ok bool) {
 	switch {
 	case a.part.query.closed.Load():
@@ -69,18 +83,19 @@
 	return 0, true
 }
 
+// moduleOutcomes maps the outcomes to the module's.
 var moduleOutcomes = map[Outcome]aggregator.Outcome{
 	OK: aggregator.OK, Errored: aggregator.Errored, Overloaded: aggregator.Rejected,
 	NotConnected: aggregator.ConnectFailed, Reset: aggregator.Reset, Cancelled: aggregator.TimedOut,
 	NotSent: aggregator.NotSent, ConnectionLost: aggregator.ConnectionLost, ConnectTimeout: aggregator.ConnectTimeout,
 }
 
-// settleTime is how long what tells a data node of the end of an attempt may be on its way, or lie unread there.
+// settleDelay is how long the message that ends an attempt may be on its way to the data node, or lie unread there.
 const settleDelay = 5 * time.Millisecond
 
-// Report tells how an attempt ended; only the first report of an attempt counts. The end of one that the data
-// node learns from us, by a give-up or by a connection that we closed, is taken in later: what tells of it is on
-// its way until then, and a further attempt must not overtake it on another connection.
+// Report tells how an attempt ended; only the first report of an attempt counts. Where the data node learns of the end from us, by a
+// cancellation or by a connection that we closed, the loop takes the report in later: a retry on another connection must not overtake
+// that message, or the part would run twice at once.
 func (c *Coordinator) Report(a *Attempt, r Result) {
 	var due time.Time
 	if r.Outcome == Cancelled || r.Outcome == Reset || r.Outcome == ConnectionLost {
@@ -92,19 +107,24 @@
 
 // ReportProbe tells how a probe ended.
 func (c *Coordinator) ReportProbe(n *Node, r Result) {
-	c.observeForMembership(n, r.Outcome)
-	c.observeForZones(n, nil, r.Outcome, time.Now())
-	c.observeForMaintenance(n, r.Outcome, r.LoadReport, time.Now())
-	c.notifyObserver(n, nil, r.Outcome, r.LoadReport, time.Now())
+	c.observeOutcome(n, nil, r.Outcome, r.LoadReport, time.Now())
 	c.log.Debug("probe ended", "node", n.id, "end", words[r.Outcome])
 	c.enqueue(input{event: aggregator.Event{Kind: aggregator.ProbeEnded, Replica: n.id, Outcome: moduleOutcomes[r.Outcome],
 		LoadReport: r.LoadReport}})
 }
 
+// observeOutcome passes the end of an attempt, or of a probe where a is nil, to all that judge data nodes.
+func (c *Coordinator) observeOutcome(n *Node, a *Attempt, outcome Outcome, load map[string]float64, now time.Time) {
+	c.observeForMembership(n, outcome)
+	c.observeForZones(n, a, outcome, now)
+	c.observeForMaintenance(n, outcome, load, now)
+	c.notifyObserver(n, a, outcome, load, now)
+}
+
 var words = map[Outcome]string{OK: "ok", Errored: "err", Overloaded: "busy", NotConnected: "not connected",
 	Reset: "reset", Cancelled: "given up", NotSent: "not sent", ConnectionLost: "cut", ConnectTimeout: "connect timeout"}
 
-// state is what became of an attempt, in a word.
+// state is where an attempt stands, for the log.
 func (a *Attempt) state() string {
 	switch {
 	case a.ended:
--- a/internal/coordinator/endpoints.go
+++ b/internal/coordinator/endpoints.go
@@ -49,30 +49,38 @@
 
 // Update takes in what the source has told.
 func (s *Source) Update(u membership.Update) {
-	s.c.updateTable(u.Full && u.Basis != membership.Failed, u.Cached, func(now time.Time) membership.Result { return s.source.Update(now, u) })
+	kind := partialUpdate
+	switch {
+	case !u.Full || u.Basis == membership.Failed:
+	case u.Cached:
+		kind = cachedUpdate
+	default:
+		kind = completeUpdate
+	}
+	s.c.updateTable(kind, func(now time.Time) membership.Result { return s.source.Update(now, u) })
 }
 
-// Change takes in the entries that have changed.
+// Change takes in the records that have changed.
 func (s *Source) Change(members []Member) { s.Update(membership.Update{Records: members}) }
 
-// Replace takes in a complete list: what it lacks is gone. A remembered list may be out of date.
-func (s *Source) Replace(members []Member, remembered bool) {
-	s.Update(membership.Update{Full: true, Cached: remembered, Records: members})
+// Replace takes in a complete list: what it lacks is gone. A cached list, of an earlier run, may be out of date.
+func (s *Source) Replace(members []Member, cached bool) {
+	s.Update(membership.Update{Full: true, Cached: cached, Records: members})
 }
 
 // Renew renews the lease of what the source has told: nothing has changed there.
-func (s *Source) Renew() { s.c.updateTable(false, false, s.source.Renew) }
+func (s *Source) Renew() { s.c.updateTable(partialUpdate, s.source.Renew) }
 
-// SerialSeen takes in the serial that a zone has now, and tells whether its list is to be fetched.
+// SerialSeen takes in the serial that a DNS zone has now, and tells whether its list is to be fetched.
 func (s *Source) SerialSeen(serial uint32) (fetch bool) {
-	s.c.updateTable(false, false, func(now time.Time) (r membership.Result) {
+	s.c.updateTable(partialUpdate, func(now time.Time) (r membership.Result) {
 		fetch, r = s.source.SerialSeen(now, serial)
 		return r
 	})
 	return fetch
 }
 
-// Claims are the records that the source now stands for; a list to be remembered.
+// Claims are the records that the source now stands for; a list to be cached.
 func (s *Source) Claims() []Member {
 	s.c.mu.Lock()
 	defer s.c.mu.Unlock()
@@ -81,17 +89,10 @@
 
 // CoveredShards is how many shards have a serving data node now.
 func (c *Coordinator) CoveredShards() (n int) {
-	c.mu.Lock()
-	cells := map[int]bool{}
-	for _, m := range c.endpoints.table.List() {
-		if m.State == Serving {
-			cells[m.ShardSet] = true
-		}
-	}
-	c.mu.Unlock()
+	serving := c.servingShardSets()
 	for shard := range c.settings.Shards {
 		for i := range c.settings.Reach {
-			if cells[(shard+i)%c.settings.ShardSets] {
+			if serving[(shard+i)%c.settings.ShardSets] {
 				n++
 				break
 			}
@@ -100,66 +101,88 @@
 	return n
 }
 
-// join lets the membership table decide, applies what it has decided at once, ahead of the next Step, and passes it
-// on to the module: the whole list, where a source has told one, or what has changed.
-func (c *Coordinator) updateTable(full, remembered bool, decide func(now time.Time) membership.Result) {
+// servingShardSets are the shard sets with a serving data node.
+func (c *Coordinator) servingShardSets() map[int]bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	serving := map[int]bool{}
+	for _, m := range c.endpoints.table.List() {
+		if m.State == Serving {
+			serving[m.ShardSet] = true
+		}
+	}
+	return serving
+}
+
+// updateKind says how much of the list an update covers.
+type updateKind int
+
+const (
+	partialUpdate  updateKind = iota // some records
+	cachedUpdate                     // all, from the cache of an earlier run
+	completeUpdate                   // all
+)
+
+// updateTable lets the membership table decide and applies the result at once, ahead of the module's next step: nothing more goes to a
+// data node that has just been excluded. The module gets the complete list where a source has sent one, else the changes.
+func (c *Coordinator) updateTable(kind updateKind, decide func(now time.Time) membership.Result) {
 	c.mu.Lock()
 	now := time.Now()
-	r := decide(now)
-	if len(r.Changes) > 0 || full {
+	result := decide(now)
+	changed := kind != partialUpdate || len(result.Changes) > 0
+	if changed {
 		c.updateZoneMembers(now)
 	}
 	c.endpoints.version++
-	var started []Observation
 	event := aggregator.Event{Kind: aggregator.ListChanged}
-	for _, m := range r.Changes {
+	for _, m := range result.Changes {
 		c.applyRecord(m)
 		event.Members = append(event.Members, c.moduleMember(m))
-		if ago := now.Sub(m.Started); m.State == Serving && !m.Started.IsZero() && ago < c.settings.Rules.WarmupTime {
-			started = append(started, Observation{Node: m.ID, Started: true, Ago: ago, Utilization: -1})
-		}
 	}
 	switch {
-	case full && remembered && !c.endpoints.complete:
+	case kind == cachedUpdate && !c.endpoints.complete:
 		event = c.completeList(aggregator.ListCached)
-	case full && !remembered:
+	case kind == completeUpdate:
 		c.endpoints.complete = true
 		event = c.completeList(aggregator.ListReplaced)
 	}
-	news := full || len(r.Changes) > 0
-	if news {
+	if changed {
 		c.inbox = append(c.inbox, input{event: event})
 	}
 	c.mu.Unlock()
-	if news {
+	if changed {
 		c.wakeUp()
 	}
-	if f := c.observer.Load(); f != nil {
-		for _, s := range started {
-			(*f)(s)
-		}
-	}
-	c.logNotes(r.Notes)
+	c.notifyStarts(result.Changes, now)
+	c.logNotes(result.Notes)
 }
 
-var membershipEvidence = map[Outcome]membership.Evidence{OK: membership.Answered, Errored: membership.Answered,
-	Overloaded: membership.Rejected, NotConnected: membership.ConnectionRefused, ConnectTimeout: membership.ConnectionRefused, Reset: membership.ConnectionReset, ConnectionLost: membership.ConnectionReopened}
+// membershipEvidence is what the outcomes say of a data node's presence; those that are missing say nothing.
+var membershipEvidence = map[Outcome]membership.Evidence{
+	OK:             membership.Answered,
+	Errored:        membership.Answered,
+	Overloaded:     membership.Rejected,
+	NotConnected:   membership.ConnectionRefused,
+	ConnectTimeout: membership.ConnectionRefused,
+	Reset:          membership.ConnectionReset,
+	ConnectionLost: membership.ConnectionReopened,
+}
 
-// saw passes on what the end of an attempt or a probe says of a data node; not of one that has since moved or gone.
-func (c *Coordinator) observeForMembership(n *Node, end Outcome) {
-	e, known := membershipEvidence[end]
+// observeForMembership passes the end of an attempt or a probe to the membership table, unless the data node has moved or gone since.
+func (c *Coordinator) observeForMembership(n *Node, outcome Outcome) {
+	e, known := membershipEvidence[outcome]
 	if !known || n.Excluded() || c.node(n.id) != n {
 		return
 	}
-	c.updateTable(false, false, func(now time.Time) membership.Result { return c.endpoints.table.Observe(now, n.id, e) })
+	c.updateTable(partialUpdate, func(now time.Time) membership.Result { return c.endpoints.table.Observe(now, n.id, e) })
 }
 
-// apply notes an entry, and starts or retires the data node's carrier. One that has moved is served by a new carrier:
-// nothing more goes to the old address, and what is out there ends there.
+// applyRecord creates, updates or retires the data node of a record. One that has moved is served by a new dispatcher: nothing more goes
+// to the old address, and what is in flight there ends there. The caller holds the lock.
 func (c *Coordinator) applyRecord(m Member) {
 	n := c.endpoints.nodes[m.ID]
 	if n != nil && (m.State == Gone || n.member.Addr != m.Addr || n.member.Proto != m.Proto) {
-		n.setExcluded(true)
+		n.exclude()
 		n.retired = true
 		n.signal()
 		delete(c.endpoints.nodes, m.ID)
@@ -169,12 +192,12 @@
 		return
 	}
 	if n == nil {
-		carry := c.endpoints.dispatchers[m.Proto]
-		if carry == nil {
+		dispatch := c.endpoints.dispatchers[m.Proto]
+		if dispatch == nil {
 			c.log.Warn("no carrier for the data node's protocol", "node", m.ID, "proto", m.Proto)
 			return
 		}
-		n = &Node{id: m.ID, c: c, dispatch: carry, ready: make(chan struct{}, 1)}
+		n = &Node{id: m.ID, c: c, dispatch: dispatch, ready: make(chan struct{}, 1)}
 		c.endpoints.nodes[m.ID] = n
 	}
 	if m.Started.After(n.member.Started) && n.member.ID != "" {
@@ -182,22 +205,36 @@
 	}
 	n.member = m
 	n.announced.Store(c.isAnnounced(m))
-	n.setExcluded(m.State != Serving || c.isExcluded(m))
+	if m.State != Serving || c.isExcluded(m) {
+		n.exclude()
+	} else {
+		n.excluded.Store(false)
+	}
 }
 
-// whole is the joined list of all sources. The caller holds the lock.
+// completeList is the joined list of all sources. The caller holds the lock.
 func (c *Coordinator) completeList(kind aggregator.EventKind) aggregator.Event {
+	return c.listEvent(kind, func(Member) bool { return true })
+}
+
+// listEvent is an event with the listed records that are wanted. The caller holds the lock.
+func (c *Coordinator) listEvent(kind aggregator.EventKind, wanted func(Member) bool) aggregator.Event {
 	event := aggregator.Event{Kind: kind}
 	for _, m := range c.endpoints.table.List() {
-		event.Members = append(event.Members, c.moduleMember(m))
+		if wanted(m) {
+			event.Members = append(event.Members, c.moduleMember(m))
+		}
 	}
 	return event
 }
 
-// member turns an entry into the module's terms.
+// moduleStates maps the states of a record to the module's.
+var moduleStates = [...]aggregator.State{Serving: aggregator.Serving, Draining: aggregator.Draining, Gone: aggregator.Gone}
+
+// moduleMember turns a record into the module's terms, as changed by its zone, by maintenance and by what peers report. The caller holds
+// the lock.
 func (c *Coordinator) moduleMember(m Member) aggregator.Member {
-	out := aggregator.Member{Replica: m.ID, ShardSet: m.ShardSet, Zone: m.Zone, Size: m.Weight,
-		State: []aggregator.State{aggregator.Serving, aggregator.Draining, aggregator.Gone}[m.State]}
+	out := aggregator.Member{Replica: m.ID, ShardSet: m.ShardSet, Zone: m.Zone, Size: m.Weight, State: moduleStates[m.State]}
 	if !m.Started.IsZero() {
 		out.Started = max(c.moduleClock(m.Started), time.Nanosecond)
 	}
--- a/internal/coordinator/gossip.go
+++ b/internal/coordinator/gossip.go
@@ -1,32 +1,29 @@
 package coordinator
 
-// This file owns what other coordinators tell of data nodes, and what core makes of it: a start that the list has not told yet, and
-// failures as evidence on a zone. It must never let another's word outweigh what this coordinator has seen itself, nor hold on to it for
-// longer than a start or a piece of evidence counts.
-
 import (
+	"maps"
 	"time"
 
 	"gullfall/aggregator"
 )
 
-// PeerReport is what others tell of a data node.
+// PeerReport is what other coordinators report of a data node. Its times are ages.
 type PeerReport struct {
 	Node      string
 	Failing   bool          // for another coordinator
-	Failed    time.Duration // how long ago
-	Answered  time.Duration // how long ago it last answered anybody; below 0 where not known
+	Failed    time.Duration // since it failed
+	Answered  time.Duration // since it last answered any coordinator; below 0 where not known
 	WarmingUp bool          // it started, or came back
-	Started   time.Duration // how long ago
+	Started   time.Duration // since it did
 }
 
-// startSlack is by how much a start that is told has to be later than the one known to be another: what is told grows younger on its
-// way, by the way's time.
+// startTolerance is by how much a reported start has to be later than the known one to be another start. A report counts the age when it
+// was sent, so the same start seems later by the time that the report took.
 const startTolerance = 2 * time.Second
 
-// ApplyPeerReports takes in what others tell. A start counts where it is later than the one known: whoever is held for cold is spared. Whether a
-// failure is evidence on its zone is internal/zones' to say.
-func (c *Coordinator) ApplyPeerReports(list []PeerReport) {
+// ApplyPeerReports takes in what other coordinators report. A start later than the known one makes a data node warm up here too.
+// Failures go to the tracker of zones, which weighs them against what was seen here.
+func (c *Coordinator) ApplyPeerReports(reports []PeerReport) {
 	now := time.Now()
 	c.mu.Lock()
 	defer c.wakeUp()
@@ -34,24 +31,22 @@
 	event := aggregator.Event{Kind: aggregator.ListChanged}
 	listed := map[string]Member{}
 	for _, m := range c.endpoints.table.List() {
-		listed[m.ID] = m
-	}
-	for id, at := range c.endpoints.reportedStarts {
-		if m, ok := listed[id]; !ok || m.State == Gone || now.Sub(at) > c.settings.Rules.WarmupTime {
-			delete(c.endpoints.reportedStarts, id)
+		if m.State != Gone {
+			listed[m.ID] = m
 		}
 	}
-	for _, t := range list {
-		m, ok := listed[t.Node]
-		if !ok || m.State == Gone {
+	c.endpoints.forgetReportedStarts(now, listed, c.settings.Rules.WarmupTime)
+	for _, r := range reports {
+		m, ok := listed[r.Node]
+		if !ok {
 			continue
 		}
-		if at := now.Add(-t.Started); t.WarmingUp && t.Started < c.settings.Rules.WarmupTime && at.After(m.Started.Add(startTolerance)) && at.After(c.endpoints.reportedStarts[t.Node].Add(startTolerance)) {
-			c.endpoints.reportedStarts[t.Node] = at
+		if c.isNewStart(now, m, r) {
+			c.endpoints.reportedStarts[r.Node] = now.Add(-r.Started)
 			event.Members = append(event.Members, c.moduleMember(m))
 		}
-		if t.Failing && c.zones != nil {
-			c.zones.tracker.ObservePeer(now, m.Zone, t.Node, t.Failed, t.Answered)
+		if r.Failing && c.zones != nil {
+			c.zones.tracker.ObservePeer(now, m.Zone, r.Node, r.Failed, r.Answered)
 		}
 	}
 	if len(event.Members) > 0 {
@@ -59,7 +54,25 @@
 	}
 }
 
-// toldStart turns a member's start by what others tell; the caller holds the lock.
+// forgetReportedStarts drops the reported starts of data nodes that are no longer listed or have warmed up.
+func (e *endpoints) forgetReportedStarts(now time.Time, listed map[string]Member, warmup time.Duration) {
+	maps.DeleteFunc(e.reportedStarts, func(id string, at time.Time) bool {
+		_, ok := listed[id]
+		return !ok || now.Sub(at) > warmup
+	})
+}
+
+// isNewStart tells whether a report is of a start that neither the list nor another report has told, and that is so late that the data
+// node is still warming up. The caller holds the lock.
+func (c *Coordinator) isNewStart(now time.Time, m Member, r PeerReport) bool {
+	if !r.WarmingUp || r.Started >= c.settings.Rules.WarmupTime {
+		return false
+	}
+	at := now.Add(-r.Started)
+	return at.After(m.Started.Add(startTolerance)) && at.After(c.endpoints.reportedStarts[m.ID].Add(startTolerance))
+}
+
+// adjustForReportedStart makes a data node start when peers report it, if that is later than listed. The caller holds the lock.
 func (c *Coordinator) adjustForReportedStart(m Member, out aggregator.Member) aggregator.Member {
 	if at, ok := c.endpoints.reportedStarts[m.ID]; ok {
 		out.Started = max(out.Started, c.moduleClock(at))
--- a/internal/coordinator/maintenance.go
+++ b/internal/coordinator/maintenance.go
@@ -1,9 +1,5 @@
 package coordinator
 
-// This file owns what core makes of machines that are taken out for work: who may not be sent to, who only while this
-// coordinator is present, who comes back cold, and what the fleet looks like from here. It must never decide who goes, nor
-// say that nothing is out at a machine while an attempt there has no end.
-
 import (
 	"maps"
 	"slices"
@@ -13,116 +9,119 @@
 	"gullfall/aggregator"
 )
 
-// Maintenance is what this coordinator knows of machines in work. The zero value lets everything be used.
+// Maintenance is what this coordinator knows of machines that go out for maintenance. The zero value lets everything be used.
 type Maintenance struct {
 	Excluded  map[string]bool   // by id: nothing may be sent there
-	Addrs     map[string]bool   // by address, under whatever id
-	Announced map[string]bool   // may be barred any time: to be sent to only while present
-	Returned  map[string]uint64 // come back from work, by their turn: cold since this was told
-	Unknown   bool              // nothing is known yet: all are to be sent to only while present
+	Addrs     map[string]bool   // by address, under whatever id: nothing may be sent there
+	Announced map[string]bool   // by id: may be excluded any time, so usable only while this coordinator is present
+	Returned  map[string]uint64 // by id: back, in this turn; warming up since that was told
+	Unknown   bool              // nothing is known yet: all data nodes are usable only while this coordinator is present
 }
 
-// workWatch is core's part of it. Its fields are guarded by Core.mu, but for the time; Core.work is set before Run and never
-// after, so that where no machine is taken out nothing here takes the lock.
+// maintenanceState is the coordinator's part in maintenance. Its fields are guarded by Coordinator.mu, but for the atomic ones.
 type maintenanceState struct {
 	Maintenance
 	returned     map[string]nodeReturn
-	inFlight     map[string]int // attempts without an end, by data node
+	inFlight     map[string]int // attempts without an end, by data node; they outlive its record
 	health       map[string]*nodeEvidence
-	present      atomic.Int64 // until when, by Core.clock
-	lastOverload atomic.Int64 // when a query was turned away for want of room last, by Core.clock; 0 for never
-	lapsed       bool         // as the module was told last
+	absenceKnown bool // the module was last told that announced data nodes may not be used
+
+	presentUntil atomic.Int64 // by the module's clock
+	lastOverload atomic.Int64 // by the module's clock, when a query was rejected for want of capacity; 0 for never
 }
 
+// nodeReturn is the return of a data node from maintenance.
 type nodeReturn struct {
 	turn uint64
-	at   time.Time
+	at   time.Time // when it was told
 }
 
-// seenNode is what was last seen of a data node.
+// nodeEvidence is what attempts and probes last showed of a data node.
 type nodeEvidence struct {
-	failures    int // failures in a row
+	failures    int // in a row
 	lastFailure time.Time
 	utilization float64
 }
 
-// A data node that failed so often in a row, the last time so lately, is doubtful.
+// A data node is suspect after so many failures in a row, for so long after the last.
 const (
 	suspectAfter = 3
 	suspectFor   = 5 * time.Second
 )
 
-// EnableMaintenance lets machines be taken out for work. It is called before Run, and nothing is sent anywhere until SetWork and Present
-// have said more.
+// suspect tells whether the data node failed repeatedly just now.
+func (e *nodeEvidence) suspect(now time.Time) bool {
+	return e.failures >= suspectAfter && now.Sub(e.lastFailure) < suspectFor
+}
+
+// EnableMaintenance lets machines be taken out for maintenance. It is called before Run; nothing is sent anywhere until SetMaintenance
+// and ExtendPresence have said more.
 func (c *Coordinator) EnableMaintenance() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.maintenance = &maintenanceState{Maintenance: Maintenance{Unknown: true}, returned: map[string]nodeReturn{}, inFlight: map[string]int{}, health: map[string]*nodeEvidence{}, lapsed: true}
+	c.maintenance = &maintenanceState{
+		Maintenance:  Maintenance{Unknown: true},
+		returned:     map[string]nodeReturn{},
+		inFlight:     map[string]int{},
+		health:       map[string]*nodeEvidence{},
+		absenceKnown: true,
+	}
 }
 
-// ExtendPresence lets announced machines be sent to until then. Every attempt that is begun by then has an end by its class's limit.
+// ExtendPresence lets announced data nodes be used until then. Every attempt that is sent by then ends within its class's limit.
 func (c *Coordinator) ExtendPresence(until time.Time) {
-	c.maintenance.present.Store(int64(c.moduleClock(until)))
+	c.maintenance.presentUntil.Store(int64(c.moduleClock(until)))
 	c.wakeUp()
 }
 
-// pressedFor is how long users' queries go first after one was turned away: some aims, so that a burst's gaps don't count as room.
+// overloadWindow is how long a rejection counts as overload. It spans the gaps of a burst, which would else look like free capacity.
 const overloadWindow = 2 * time.Second
 
-// Overloaded tells whether a query was turned away for want of room just now.
+// Overloaded tells whether a query was rejected for want of capacity just now.
 func (c *Coordinator) Overloaded() bool {
 	at := c.maintenance.lastOverload.Load()
 	return at > 0 && c.moduleClock(time.Now())-time.Duration(at) < overloadWindow
 }
 
-// noRoom notes that a query was turned away for want of room.
+// noteOverload records that a query was rejected for want of capacity.
 func (c *Coordinator) noteOverload(now time.Time) {
 	if c.maintenance != nil {
 		c.maintenance.lastOverload.Store(int64(c.moduleClock(now)))
 	}
 }
 
-// IsPresent tells whether announced machines may be sent to now.
+// IsPresent tells whether announced data nodes may be used now.
 func (c *Coordinator) IsPresent() bool { return !c.absent() }
 
-// absent tells that announced machines may not be sent to now.
+// absent tells whether announced data nodes may not be used now.
 func (c *Coordinator) absent() bool {
-	return c.maintenance != nil && int64(c.moduleClock(time.Now())) >= c.maintenance.present.Load()
+	return c.maintenance != nil && int64(c.moduleClock(time.Now())) >= c.maintenance.presentUntil.Load()
 }
 
-// mayGo tells whether a data node is announced; the caller holds the lock.
+// isAnnounced tells whether a data node may go out for maintenance. The caller holds the lock.
 func (c *Coordinator) isAnnounced(m Member) bool {
 	return c.maintenance != nil && (c.maintenance.Unknown || c.maintenance.Announced[m.ID])
 }
 
-// inWork tells whether nothing may be sent to a data node; the caller holds the lock.
+// isExcluded tells whether a data node is out for maintenance. The caller holds the lock.
 func (c *Coordinator) isExcluded(m Member) bool {
 	return c.maintenance != nil && (c.maintenance.Excluded[m.ID] || c.maintenance.Addrs[m.Addr])
 }
 
-// SetMaintenance takes in what is known now. Once it returns nothing more is begun at a machine that it bars; what is out there ends
-// there.
-func (c *Coordinator) SetMaintenance(w Maintenance) {
+// SetMaintenance takes in what is known now. Once it returns nothing new begins at a machine that it excludes; what is in flight there
+// ends there.
+func (c *Coordinator) SetMaintenance(m Maintenance) {
 	c.mu.Lock()
 	now := time.Now()
 	old := c.maintenance.Maintenance
-	c.maintenance.Maintenance = w
-	for id, turn := range w.Returned {
-		if c.maintenance.returned[id].turn != turn {
-			c.maintenance.returned[id] = nodeReturn{turn, now}
-		}
-	}
-	maps.DeleteFunc(c.maintenance.returned, func(id string, b nodeReturn) bool {
-		return now.Sub(b.at) > c.settings.Rules.WarmupTime && w.Returned[id] == 0
-	})
+	c.maintenance.Maintenance = m
+	c.maintenance.updateReturns(now, c.settings.Rules.WarmupTime)
 	event := aggregator.Event{Kind: aggregator.ListChanged}
-	for _, m := range c.endpoints.table.List() {
-		if old.Excluded[m.ID] == w.Excluded[m.ID] && old.Addrs[m.Addr] == w.Addrs[m.Addr] && old.Announced[m.ID] == w.Announced[m.ID] &&
-			old.Unknown == w.Unknown && old.Returned[m.ID] == w.Returned[m.ID] {
-			continue
+	for _, member := range c.endpoints.table.List() {
+		if !old.alike(&m, member) {
+			c.applyRecord(member)
+			event.Members = append(event.Members, c.moduleMember(member))
 		}
-		c.applyRecord(m)
-		event.Members = append(event.Members, c.moduleMember(m))
 	}
 	if len(event.Members) > 0 {
 		c.inbox = append(c.inbox, input{event: event})
@@ -131,73 +130,100 @@
 	c.wakeUp()
 }
 
-// workStep tells the module when announced machines may no longer be used, or may again, and when that is to be looked at next.
-func (c *Coordinator) stepMaintenance(now time.Time) (event aggregator.Event, changed bool, next time.Time) {
+// alike tells whether both say the same of a data node.
+func (m *Maintenance) alike(o *Maintenance, member Member) bool {
+	id, addr := member.ID, member.Addr
+	return m.Excluded[id] == o.Excluded[id] && m.Addrs[addr] == o.Addrs[addr] && m.Announced[id] == o.Announced[id] &&
+		m.Unknown == o.Unknown && m.Returned[id] == o.Returned[id]
+}
+
+// updateReturns notes when each return was told first, and forgets those that are no longer told once their data node is warm.
+func (s *maintenanceState) updateReturns(now time.Time, warmup time.Duration) {
+	for id, turn := range s.Returned {
+		if s.returned[id].turn != turn {
+			s.returned[id] = nodeReturn{turn, now}
+		}
+	}
+	maps.DeleteFunc(s.returned, func(id string, r nodeReturn) bool { return now.Sub(r.at) > warmup && s.Returned[id] == 0 })
+}
+
+// stepMaintenance notices that this coordinator's presence has ended, or begun. It returns the event that tells the module, if anything
+// changed, and when presence is to be looked at again.
+func (c *Coordinator) stepMaintenance(now time.Time) (events []aggregator.Event, next time.Time) {
 	if c.maintenance == nil {
-		return event, false, next
+		return nil, time.Time{}
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	until := time.Duration(c.maintenance.present.Load())
-	lapsed := c.moduleClock(now) >= until
-	if !lapsed {
+	until := time.Duration(c.maintenance.presentUntil.Load())
+	absent := c.moduleClock(now) >= until
+	if !absent {
 		next = now.Add(until - c.moduleClock(now))
 	}
-	if lapsed == c.maintenance.lapsed {
-		return event, false, next
+	if absent == c.maintenance.absenceKnown {
+		return nil, next
 	}
-	c.maintenance.lapsed = lapsed
-	event.Kind = aggregator.ListChanged
-	for _, m := range c.endpoints.table.List() {
-		if c.isAnnounced(m) {
-			event.Members = append(event.Members, c.moduleMember(m))
-			if n := c.endpoints.nodes[m.ID]; lapsed && n != nil {
-				n.commands = append(n.commands, &Command{RejectQueued: true}) // what is not begun is turned back
-				n.signal()
+	c.maintenance.absenceKnown = absent
+	event := c.listEvent(aggregator.ListChanged, c.isAnnounced)
+	if len(event.Members) == 0 {
+		return nil, next
+	}
+	if absent {
+		for _, m := range c.endpoints.table.List() {
+			if n := c.endpoints.nodes[m.ID]; n != nil && c.isAnnounced(m) {
+				n.rejectQueued()
 			}
 		}
 	}
-	return event, len(event.Members) > 0, next
+	return []aggregator.Event{event}, next
 }
 
-// worked turns a member's state and start by the work on it; the caller holds the lock.
+// adjustForMaintenance makes a data node that is out for maintenance draining, and one that came back a data node that started with its
+// return. The caller holds the lock.
 func (c *Coordinator) adjustForMaintenance(m Member, out aggregator.Member) aggregator.Member {
 	if c.maintenance == nil {
 		return out
 	}
-	if out.State == aggregator.Serving && (c.isExcluded(m) || c.isAnnounced(m) && c.maintenance.lapsed) {
+	if out.State == aggregator.Serving && (c.isExcluded(m) || c.isAnnounced(m) && c.maintenance.absenceKnown) {
 		out.State = aggregator.Draining
 	}
-	if b, ok := c.maintenance.returned[m.ID]; ok {
-		out.Started = max(out.Started, c.moduleClock(b.at))
+	if r, ok := c.maintenance.returned[m.ID]; ok {
+		out.Started = max(out.Started, c.moduleClock(r.at))
 	}
 	return out
 }
 
-// workSaw notes what the end of an attempt or a probe says of a data node.
-func (c *Coordinator) observeForMaintenance(n *Node, end Outcome, load map[string]float64, now time.Time) {
+// addInFlight changes the number of attempts in flight at a data node. The caller holds Coordinator.mu.
+func (s *maintenanceState) addInFlight(id string, by int) {
+	if s.inFlight[id] += by; s.inFlight[id] == 0 {
+		delete(s.inFlight, id)
+	}
+}
+
+// observeForMaintenance notes what the end of an attempt or a probe says of a data node.
+func (c *Coordinator) observeForMaintenance(n *Node, outcome Outcome, load map[string]float64, now time.Time) {
 	if c.maintenance == nil {
 		return
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	s := c.maintenance.health[n.id]
-	if s == nil {
-		s = &nodeEvidence{}
-		c.maintenance.health[n.id] = s
+	e := c.maintenance.health[n.id]
+	if e == nil {
+		e = &nodeEvidence{}
+		c.maintenance.health[n.id] = e
 	}
 	if u, ok := load["util"]; ok {
-		s.utilization = u
+		e.utilization = u
 	}
-	switch end {
+	switch outcome {
 	case OK, Errored, Overloaded, ConnectionLost:
-		s.failures = 0
+		e.failures = 0
 	case NotConnected, ConnectTimeout, Reset:
-		s.failures, s.lastFailure = s.failures+1, now
+		e.failures, e.lastFailure = e.failures+1, now
 	}
 }
 
-// Idle tells whether nothing is out at a data node that may not be sent to, whatever became of its entry.
+// Idle tells whether a data node is out for maintenance and nothing is in flight there, whatever became of its record.
 func (c *Coordinator) Idle(id string) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -211,7 +237,7 @@
 // NodeHealth is a data node as this coordinator sees it.
 type NodeHealth struct {
 	Member
-	Suspect     bool // it failed several times in a row just now, or its zone is left
+	Suspect     bool // it failed several times in a row just now, or its zone is out
 	WarmingUp   bool
 	Utilization float64 // as it reported last
 }
@@ -224,23 +250,29 @@
 	var list []NodeHealth
 	listed := map[string]bool{}
 	for _, m := range c.endpoints.table.List() {
-		l := NodeHealth{Member: m, WarmingUp: !m.Started.IsZero() && now.Sub(m.Started) < c.settings.Rules.WarmupTime}
-		if c.maintenance != nil {
-			if s := c.maintenance.health[m.ID]; s != nil {
-				l.Utilization, l.Suspect = s.utilization, s.failures >= suspectAfter && now.Sub(s.lastFailure) < suspectFor
-			}
-			if b, ok := c.maintenance.returned[m.ID]; ok && now.Sub(b.at) < c.settings.Rules.WarmupTime {
-				l.WarmingUp = true
-			}
-		}
-		if c.zones != nil && !c.zones.tracker.Usable(m.Zone) {
-			l.Suspect = true
-		}
 		listed[m.ID] = true
-		list = append(list, l)
+		list = append(list, c.nodeHealth(now, m))
 	}
 	if c.maintenance != nil {
 		maps.DeleteFunc(c.maintenance.health, func(id string, _ *nodeEvidence) bool { return !listed[id] })
 	}
 	return slices.Clip(list)
 }
+
+// nodeHealth is a data node as this coordinator sees it. The caller holds the lock.
+func (c *Coordinator) nodeHealth(now time.Time, m Member) NodeHealth {
+	warmup := c.settings.Rules.WarmupTime
+	health := NodeHealth{Member: m, WarmingUp: !m.Started.IsZero() && now.Sub(m.Started) < warmup}
+	if c.maintenance != nil {
+		if e := c.maintenance.health[m.ID]; e != nil {
+			health.Utilization, health.Suspect = e.utilization, e.suspect(now)
+		}
+		if r, ok := c.maintenance.returned[m.ID]; ok && now.Sub(r.at) < warmup {
+			health.WarmingUp = true
+		}
+	}
+	if c.zones != nil && !c.zones.tracker.Usable(m.Zone) {
+		health.Suspect = true
+	}
+	return health
+}
--- a/internal/coordinator/queries.go
+++ b/internal/coordinator/queries.go
@@ -12,51 +12,51 @@
 	"gullfall/aggregator"
 )
 
-// ErrInput marks a query that never reached the module: what was asked can't be understood.
+// ErrInput marks a query that can't be understood; it never reaches the module.
 var ErrInput = errors.New("bad query")
 
-// ErrGone tells that the client left before the answer.
+// ErrGone says that the client left before the answer.
 var ErrGone = errors.New("client gone")
 
-// Query is what a client asks, as a front read it.
+// Query is a client's query, as a front read it.
 type Query struct {
 	ID       string
 	Class    string
 	Tenant   string
-	Retry    bool
+	Retry    bool // the client says that it sends the query again
 	Deadline time.Time
-	// IdempotencyKey goes with each attempt of each part of a keyed class, so that its holders drop a repeat. It is made
-	// by the client and carried unread; classes of another effect do without.
+	// IdempotencyKey goes with each attempt of each part of a keyed class, so that a data node can drop a repeat. The client makes
+	// it, and it is passed on unread; other classes need none.
 	IdempotencyKey string
 	Text           string // what each part carries
 	Parts          []Part
-	Received       *atomic.Int32 // counts the parts that have come, for who looks on; may be nil
+	Received       *atomic.Int32 // counts the parts that a data node has answered; may be nil
 }
 
-// Part is one shard's share of a query.
+// Part is one shard's part of a query.
 type Part struct {
 	Shard  int
-	Weight float64
+	Weight float64       // share of the answer, 0 to 1
 	Work   time.Duration // expected; 0 where not known
 	Key    string
 }
 
-// Status is what a final answer says.
+// Status says how a query ended.
 type Status int
 
-// The verdicts.
+// The statuses of a query.
 const (
 	Answered Status = iota + 1
-	Rejected        // asking again is harmless
+	Rejected        // nothing was lost: it may be sent again
 	Failed
 )
 
 // Answer is the one final answer of a query.
 type Answer struct {
 	Status     Status
-	Complete   bool
+	Complete   bool // all parts are there
 	Values     []PartValue
-	RetryAfter time.Duration // Refused: when to come back; 0 for no advice
+	RetryAfter time.Duration // of a rejected one: when to come back; 0 for no advice
 }
 
 // PartValue is the value of one part, as a data node gave it: its documents.
@@ -65,15 +65,17 @@
 	Docs  [][]byte
 }
 
+// query is a Query that was admitted. Its fields belong to the event loop once it is enqueued, but for closed.
 type query struct {
 	Query
 	parts      []*part
 	reply      chan Answer
 	receivedAt time.Time
-	finished   bool
-	closed     atomic.Bool // it is over, or its client has left: nothing of it may begin
+	finished   bool        // its answer is out
+	closed     atomic.Bool // it is finished, or its client has left: nothing of it may be sent any more
 }
 
+// part is a Part of an admitted query. Its id is the query's, a dot and the shard.
 type part struct {
 	id       string
 	query    *query
@@ -94,8 +96,25 @@
 	return queryTable{open: map[string]*query{}, parts: map[string]*part{}, attempts: map[*Attempt]bool{}}
 }
 
-// Execute takes a query and waits for its final answer. An error wraps ErrInput, where the query was not taken,
-// or is ErrGone, where ctx ended first.
+// add registers an attempt that is about to be sent.
+func (t *queryTable) add(a *Attempt) {
+	a.part.attempts = append(a.part.attempts, a)
+	t.attempts[a] = true
+}
+
+// receive takes in the value of a part, the first time that it is answered while its query is open.
+func (p *part) receive(docs [][]byte) {
+	if p.query.finished || p.received {
+		return
+	}
+	p.received, p.docs = true, docs
+	if p.query.Received != nil {
+		p.query.Received.Add(1)
+	}
+}
+
+// Execute takes a query and waits for its final answer. An error wraps ErrInput where the query was not taken, or is ErrGone where
+// ctx ended first.
 func (c *Coordinator) Execute(ctx context.Context, request Query) (Answer, error) {
 	if err := c.Validate(&request); err != nil {
 		return Answer{}, err
@@ -111,31 +130,11 @@
 		request.IdempotencyKey = ""
 	}
 	q := &query{Query: request, receivedAt: time.Now(), reply: make(chan Answer, 1)}
-	size := 1 + len(request.Parts)
-	c.mu.Lock()
-	full := c.settings.Limits.MaxOpen > 0 && c.open >= c.settings.Limits.MaxOpen
-	if !full {
-		c.open += size
-	}
-	c.mu.Unlock()
-	if full {
+	if !c.reserve(q) {
 		c.noteOverload(q.receivedAt)
 		return Answer{Status: Rejected, RetryAfter: c.RetryAfter()}, nil
 	}
-	inputs := []input{{query: q}}
-	tenant, known := c.tenants[request.Tenant]
-	if !known {
-		tenant = -1
-	}
-	inputs[0].event = aggregator.Event{Kind: aggregator.QueryArrived, Query: q.ID, Class: c.classes[q.Class],
-		Tenant: tenant, Count: len(q.Parts), Retry: q.Retry, TimeLeft: time.Until(q.Deadline)}
-	for _, p := range request.Parts {
-		made := &part{id: q.ID + "." + strconv.Itoa(p.Shard), query: q, shard: p.Shard}
-		q.parts = append(q.parts, made)
-		inputs = append(inputs, input{query: q, event: aggregator.Event{Kind: aggregator.PartArrived, Query: q.ID,
-			Part: made.id, Shard: p.Shard, Weight: p.Weight, Work: p.Work, Key: p.Key}})
-	}
-	c.enqueue(inputs...)
+	c.enqueue(c.arrivals(q)...)
 	select {
 	case answer := <-q.reply:
 		return answer, nil
@@ -146,7 +145,47 @@
 	}
 }
 
-// RetryAfter is when who is turned away at the door may come back; 0 where the settings allow no such advice.
+// size is what a query counts for in Limits.MaxOpen: itself and each of its parts.
+func (q *query) size() int { return 1 + len(q.Parts) }
+
+// reserve counts a query as open, unless as much is open as the settings allow.
+func (c *Coordinator) reserve(q *query) bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.settings.Limits.MaxOpen > 0 && c.open >= c.settings.Limits.MaxOpen {
+		return false
+	}
+	c.open += q.size()
+	return true
+}
+
+// release ends what reserve began.
+func (c *Coordinator) release(q *query) {
+	c.mu.Lock()
+	c.open -= q.size()
+	c.mu.Unlock()
+}
+
+// arrivals makes the parts of a query, and the inputs that tell the module of it and of them.
+func (c *Coordinator) arrivals(q *query) []input {
+	tenant, known := c.tenants[q.Tenant]
+	if !known {
+		tenant = -1
+	}
+	inputs := make([]input, 0, q.size())
+	inputs = append(inputs, input{query: q, event: aggregator.Event{Kind: aggregator.QueryArrived, Query: q.ID, Class: c.classes[q.Class],
+		Tenant: tenant, Count: len(q.Parts), Retry: q.Retry, TimeLeft: time.Until(q.Deadline)}})
+	q.parts = make([]*part, 0, len(q.Parts))
+	for _, p := range q.Parts {
+		made := &part{id: q.ID + "." + strconv.Itoa(p.Shard), query: q, shard: p.Shard}
+		q.parts = append(q.parts, made)
+		inputs = append(inputs, input{query: q, event: aggregator.Event{Kind: aggregator.PartArrived, Query: q.ID,
+			Part: made.id, Shard: p.Shard, Weight: p.Weight, Work: p.Work, Key: p.Key}})
+	}
+	return inputs
+}
+
+// RetryAfter is when a client that is rejected on arrival may come back; 0 where the settings allow no such advice.
 func (c *Coordinator) RetryAfter() time.Duration {
 	if !c.settings.Limits.SendRetryAfter {
 		return 0
@@ -154,15 +193,38 @@
 	return c.settings.Limits.MaxRetryAfter / 2
 }
 
-// Open counts the queries and parts held.
+// Open counts the queries and parts in progress.
 func (c *Coordinator) Open() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.open
 }
 
-// end gives a query its one final answer and forgets it. Attempts that are still out are the module's to
-// cancel.
+// conclude ends a query as an action of the module says.
+func (c *Coordinator) conclude(now time.Time, q *query, action aggregator.Action) {
+	switch action.Kind {
+	case aggregator.Answer:
+		c.finish(q, Answer{Status: Answered, Complete: action.Complete, Values: q.values()})
+	case aggregator.Reject:
+		c.logUnanswered("query refused", q, action.Reason, now)
+		c.finish(q, Answer{Status: Rejected, RetryAfter: action.After})
+	case aggregator.Fail:
+		c.logUnanswered("query failed", q, action.Reason, now)
+		c.finish(q, Answer{Status: Failed})
+	}
+}
+
+// values are the parts that have been answered, in the order of the query.
+func (q *query) values() (values []PartValue) {
+	for _, p := range q.parts {
+		if p.received {
+			values = append(values, PartValue{Shard: p.shard, Docs: p.docs})
+		}
+	}
+	return values
+}
+
+// finish gives a query its one final answer and forgets it. Attempts that are still in flight are the module's to cancel.
 func (c *Coordinator) finish(q *query, answer Answer) {
 	if q.finished {
 		return
@@ -172,26 +234,31 @@
 	c.log.Debug("query ended", "query", q.ID, "class", q.Class, "verdict", answer.Status, "whole", answer.Complete,
 		"parts", len(q.parts), "took", time.Since(q.receivedAt))
 	delete(c.loop.queries.open, q.ID)
-	c.release(q) // first: whoever has the answer finds nothing held
+	c.release(q) // before the reply: whoever has the answer finds nothing open
 	q.reply <- answer
 	for _, p := range q.parts {
 		c.forget(p)
 	}
 }
 
-// forget lets go of a part once its query is over and nothing of it is out.
+// forget drops a part once its query is finished and none of its attempts is in flight.
 func (c *Coordinator) forget(p *part) {
 	if p.query.finished && !slices.ContainsFunc(p.attempts, func(a *Attempt) bool { return !a.ended }) {
 		delete(c.loop.queries.parts, p.id)
 	}
 }
 
-// tell logs a query that ends without an answer, with the parts that it lacks and their attempts.
-func (c *Coordinator) logUnanswered(what string, q *query, why aggregator.Reason, now time.Time) {
-	if why == aggregator.OverCapacity || why == aggregator.ForecastTooLate {
+// logUnanswered logs a query that ends without an answer, with the parts that it lacks and their attempts.
+func (c *Coordinator) logUnanswered(message string, q *query, reason aggregator.Reason, now time.Time) {
+	if reason == aggregator.OverCapacity || reason == aggregator.ForecastTooLate {
 		c.noteOverload(now)
 	}
-	var missing []string
+	c.log.Info(message, "query", q.ID, "class", q.Class, "why", causes[reason], "after", now.Sub(q.receivedAt).Round(time.Millisecond),
+		"left", q.Deadline.Sub(now).Round(time.Millisecond), "parts", len(q.parts), "missing", q.missing(now))
+}
+
+// missing describes the parts without an answer, one string each: the shard, then data node, state and age of each attempt.
+func (q *query) missing(now time.Time) (missing []string) {
 	for _, p := range q.parts {
 		if p.received {
 			continue
@@ -202,17 +269,9 @@
 		}
 		missing = append(missing, text)
 	}
-	c.log.Info(what, "query", q.ID, "class", q.Class, "why", causes[why], "after", now.Sub(q.receivedAt).Round(time.Millisecond),
-		"left", q.Deadline.Sub(now).Round(time.Millisecond), "parts", len(q.parts), "missing", missing)
+	return missing
 }
 
 // causes are why the module gives a query up, in a word.
 var causes = map[aggregator.Reason]string{aggregator.NoReplica: "no holder", aggregator.OverCapacity: "held", aggregator.ForecastTooLate: "forecast",
 	aggregator.DeadlineExceeded: "late", aggregator.AttemptsExhausted: "spent", aggregator.QueryOfDeath: "wrecked"}
-
-// free takes a query off the count of what is held.
-func (c *Coordinator) release(q *query) {
-	c.mu.Lock()
-	c.open -= 1 + len(q.parts)
-	c.mu.Unlock()
-}
--- a/internal/coordinator/zones.go
+++ b/internal/coordinator/zones.go
@@ -1,53 +1,58 @@
 package coordinator
 
-// This file owns what core passes to the zones' verdicts and what it makes of them: evidence of attempts, probes and
-// the list goes in; a zone that is out is handed to the module as draining, a returning one as cold since its return
-// began. It must never decide a verdict, nor bar a carrier for a zone's sake: what is out at a data node of a zone
-// that is left ends there under the module's rules.
-
 import (
 	"context"
 	"fmt"
 	"log/slog"
+	"maps"
 	"time"
 
 	"gullfall/aggregator"
 	"gullfall/internal/zones"
 )
 
-// zoneTick is how often verdicts are taken while some zone is not healthy or some data node fails: often enough that
-// Confirm and Quiet hold to a tenth of a second, seldom enough to cost nothing at rest.
+// zoneInterval is how often the states of zones are updated while some zone is not healthy or some data node fails. Their rules then
+// hold to a tenth of a second, and a healthy fleet costs nothing.
 const zoneInterval = 100 * time.Millisecond
 
-// zoneLogEvery bounds the log lines of one zone and verdict: a zone that flaps is told into each verdict once a second
-// at most, with the changes that were not told; a zone that goes doubtful and then out is told both.
+// zoneLogInterval is the shortest time between two log lines of one zone and state, so that a zone that flaps does not fill the log.
 const zoneLogInterval = time.Second
 
-// zoneWatch is core's part of the zones' verdicts. Its fields are guarded by Core.mu; Core.zones itself is set before
-// Run and never after, so that where zones are not watched nothing here takes the lock.
+// zoneState is the coordinator's part in the states of zones. Its fields are guarded by Coordinator.mu.
 type zoneState struct {
 	tracker            *zones.Tracker
-	loggedAt           map[string]time.Time // when a change of the zone was last logged
-	suppressed         map[string]int       // by zone and verdict
-	lastAnswer         map[string]time.Time // by data node: when it last answered an attempt or a probe
-	lastConnectionLoss map[string]time.Time // and when a connection to it was last lost and could be opened again
+	loggedAt           map[zoneLine]time.Time // when such a change was last logged
+	suppressed         map[zoneLine]int       // changes since that were not logged
+	lastAnswer         map[string]time.Time   // by data node: of an attempt or a probe
+	lastConnectionLoss map[string]time.Time   // by data node: of a connection that could be opened again
+}
+
+// zoneLine is a kind of log line: a zone went into a state.
+type zoneLine struct {
+	zone string
+	to   zones.State
 }
 
-// WatchZones lets zones that fail as a whole be left and returned to at a pace. It is called before Run; without it
-// each data node is judged alone, as on the platform.
+// WatchZones lets zones that fail as a whole be left, and returned to at the pace of slow start. It is called before Run. Without it each
+// data node is judged alone, as on the platform.
 func (c *Coordinator) WatchZones(cfg zones.Config) error {
-	t, err := zones.New(cfg)
+	tracker, err := zones.New(cfg)
 	if err != nil {
 		return err
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.zones = &zoneState{tracker: t, loggedAt: map[string]time.Time{}, suppressed: map[string]int{}, lastAnswer: map[string]time.Time{},
-		lastConnectionLoss: map[string]time.Time{}}
+	c.zones = &zoneState{
+		tracker:            tracker,
+		loggedAt:           map[zoneLine]time.Time{},
+		suppressed:         map[zoneLine]int{},
+		lastAnswer:         map[string]time.Time{},
+		lastConnectionLoss: map[string]time.Time{},
+	}
 	return nil
 }
 
-// Zones gives the verdicts of all zones; nil where zones are not watched.
+// Zones gives the states of all zones; nil where zones are not watched.
 func (c *Coordinator) Zones() []zones.Status {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -57,8 +62,8 @@
 	return c.zones.tracker.All(time.Now())
 }
 
-// DrainZones makes the zones drained by an operator's word exactly those named: they are left whatever the guard
-// says, and those drained before that are no longer named return at a pace.
+// DrainZones makes the zones that an operator has drained exactly those named. They are left whatever the evidence says; those that are
+// no longer named return at the pace of slow start. Naming a zone is an error where zones are not watched.
 func (c *Coordinator) DrainZones(names []string) error {
 	c.mu.Lock()
 	if c.zones == nil {
@@ -68,22 +73,7 @@
 		}
 		return fmt.Errorf("zones.drained: %v: zones are not watched; set zones.enabled in the deploy file", names)
 	}
-	now := time.Now()
-	named := map[string]bool{}
-	var changes []zones.Change
-	for _, z := range names {
-		named[z] = true
-	}
-	for _, s := range c.zones.tracker.All(now) {
-		if s.Drained && !named[s.Zone] {
-			changes = append(changes, c.zones.tracker.Undrain(now, s.Zone))
-		}
-	}
-	for _, z := range names {
-		if !c.zones.tracker.Drained(z) {
-			changes = append(changes, c.zones.tracker.Drain(now, z))
-		}
-	}
+	changes := c.zones.setDrained(time.Now(), names)
 	if len(changes) > 0 {
 		c.inbox = append(c.inbox, input{event: c.zoneListEvent(changes)})
 	}
@@ -95,42 +85,74 @@
 	return nil
 }
 
-var zoneEvidence = map[Outcome]zones.Evidence{OK: zones.Good, Errored: zones.Good, NotConnected: zones.Refused, ConnectTimeout: zones.Refused,
-	Reset: zones.Refused}
+// setDrained drains the zones named and undrains all others.
+func (z *zoneState) setDrained(now time.Time, names []string) (changes []zones.Change) {
+	named := map[string]bool{}
+	for _, name := range names {
+		named[name] = true
+	}
+	for _, s := range z.tracker.All(now) {
+		if s.Drained && !named[s.Zone] {
+			changes = append(changes, z.tracker.Undrain(now, s.Zone))
+		}
+	}
+	for _, name := range names {
+		if !z.tracker.Drained(name) {
+			changes = append(changes, z.tracker.Drain(now, name))
+		}
+	}
+	return changes
+}
+
+// zoneEvidence is what the outcomes alone say of a zone; those that are missing depend on what else was seen.
+var zoneEvidence = map[Outcome]zones.Evidence{
+	OK:             zones.Good,
+	Errored:        zones.Good,
+	NotConnected:   zones.Refused,
+	ConnectTimeout: zones.Refused,
+	Reset:          zones.Refused,
+}
 
-// zoneSaw passes on what the end of an attempt or a probe says of a data node's zone. An attempt given up because its
-// time ran out is a timeout. So is one that the module gave up when nothing had been heard from the data node since
-// the attempt was sent: a data node that swallows what it is sent never lets an attempt run out, for the module tries
-// the part elsewhere first, and without this a silent zone would give no evidence at all. Given up while the data node
-// answered others, an attempt says nothing: the module gives attempts up when their query ends for other reasons. A
-// connection that was lost and is open again says nothing either, until what is sent on the new one is lost as well with no
-// answer between: a data node that takes connections and resets each is no better than one that refuses. The caller holds
-// no lock; a is nil for a probe.
-func (c *Coordinator) observeForZones(n *Node, a *Attempt, end Outcome, now time.Time) {
+// observeForZones passes the end of an attempt, or of a probe where a is nil, to the tracker of zones. The caller does not hold the lock.
+func (c *Coordinator) observeForZones(n *Node, a *Attempt, outcome Outcome, now time.Time) {
 	if c.zones == nil {
 		return
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	e, known := zoneEvidence[end]
+	if e, known := c.zones.evidence(n.id, a, outcome, now); known {
+		c.zones.tracker.Observe(now, n.member.Zone, n.id, e)
+	}
+}
+
+// evidence is what the end of an attempt or a probe at a data node says of its zone; not known where it says nothing.
+//
+// A cancelled attempt is a timeout where its time ran out. It is one too where the module cancelled it and the data node has answered
+// nothing since it was sent: the module sends the part elsewhere before its time runs out, so a zone that swallows what it is sent would
+// else give no evidence at all. While the data node answers others, a cancellation says nothing: most come with the end of a query.
+//
+// A lost connection that can be opened again is a refusal only where what was sent on the new one is lost too, with no answer between:
+// such a data node takes connections and resets each.
+func (z *zoneState) evidence(node string, a *Attempt, outcome Outcome, now time.Time) (e zones.Evidence, known bool) {
+	e, known = zoneEvidence[outcome]
 	switch {
-	case end == OK || end == Errored || end == Overloaded:
-		c.zones.lastAnswer[n.id] = now
-	case end == ConnectionLost && a != nil:
-		if last := c.zones.lastConnectionLoss[n.id]; !last.IsZero() && a.sentAt.After(last) && c.zones.lastAnswer[n.id].Before(last) {
-			e, known = zones.Refused, true
+	case outcome == OK || outcome == Errored || outcome == Overloaded:
+		z.lastAnswer[node] = now
+	case a == nil:
+	case outcome == ConnectionLost:
+		lost := z.lastConnectionLoss[node]
+		z.lastConnectionLoss[node] = now
+		if !lost.IsZero() && a.sentAt.After(lost) && z.lastAnswer[node].Before(lost) {
+			return zones.Refused, true
 		}
-		c.zones.lastConnectionLoss[n.id] = now
-	case end != Cancelled || a == nil:
-	case a.cancelReason == aggregator.TimedOut, a.cancelReason == aggregator.Cancelled && c.zones.lastAnswer[n.id].Before(a.sentAt):
-		e, known = zones.TimedOut, true
-	}
-	if known {
-		c.zones.tracker.Observe(now, n.member.Zone, n.id, e)
+	case outcome != Cancelled:
+	case a.cancelReason == aggregator.TimedOut, a.cancelReason == aggregator.Cancelled && z.lastAnswer[node].Before(a.sentAt):
+		return zones.TimedOut, true
 	}
+	return e, known
 }
 
-// zoneList passes on which data nodes serve, by zone; the caller holds the lock.
+// updateZoneMembers tells the tracker which data nodes serve, by zone. The caller holds the lock.
 func (c *Coordinator) updateZoneMembers(now time.Time) {
 	if c.zones == nil {
 		return
@@ -142,95 +164,103 @@
 		}
 	}
 	c.zones.tracker.List(now, serving)
-	for id := range c.zones.lastAnswer {
-		if _, ok := serving[id]; !ok {
-			delete(c.zones.lastAnswer, id)
-		}
-	}
-	for id := range c.zones.lastConnectionLoss {
-		if _, ok := serving[id]; !ok {
-			delete(c.zones.lastConnectionLoss, id)
-		}
+	left := func(id string, _ time.Time) bool {
+		_, serves := serving[id]
+		return !serves
 	}
+	maps.DeleteFunc(c.zones.lastAnswer, left)
+	maps.DeleteFunc(c.zones.lastConnectionLoss, left)
 }
 
-// zoneStep takes the verdicts that are due and returns the event that hands the module what changed, and when the
-// verdicts must be taken again; the caller holds no lock.
-func (c *Coordinator) stepZones(now time.Time) (event aggregator.Event, changed bool, next time.Time) {
+// stepZones updates the states of zones. It returns the event that hands the module what changed, if anything, and when the states must
+// be updated again. The caller does not hold the lock.
+func (c *Coordinator) stepZones(now time.Time) (events []aggregator.Event, next time.Time) {
 	if c.zones == nil {
-		return event, false, time.Time{}
+		return nil, time.Time{}
 	}
 	c.mu.Lock()
 	changes := c.zones.tracker.Step(now)
 	if len(changes) > 0 {
-		event, changed = c.zoneListEvent(changes), true
+		events = append(events, c.zoneListEvent(changes))
+	}
+	lines := c.zones.logLines(now, changes)
+	failures := c.zones.failures(now, changes)
+	if !c.zones.settled(now) {
+		next = now.Add(zoneInterval)
 	}
-	var lines []zones.Change
+	c.mu.Unlock()
+	for _, line := range lines {
+		line.log(c.log)
+	}
+	// Peers hear of failures only once their zone is out: one attempt without an answer proves nothing.
+	c.observed(failures...)
+	return events, next
+}
+
+// zoneChange is a change that is to be logged, with how many of its kind were not.
+type zoneChange struct {
+	zones.Change
+	suppressed int
+}
+
+// logLines are the changes to be logged; the others are counted.
+func (z *zoneState) logLines(now time.Time, changes []zones.Change) (lines []zoneChange) {
 	for _, ch := range changes {
-		key := ch.Zone + "\x00" + ch.To.String()
-		if now.Sub(c.zones.loggedAt[key]) < zoneLogInterval {
-			c.zones.suppressed[key]++
+		kind := zoneLine{ch.Zone, ch.To}
+		if now.Sub(z.loggedAt[kind]) < zoneLogInterval {
+			z.suppressed[kind]++
 			continue
 		}
-		c.zones.loggedAt[key] = now
-		lines = append(lines, ch)
+		z.loggedAt[kind] = now
+		lines = append(lines, zoneChange{ch, z.suppressed[kind]})
+		delete(z.suppressed, kind)
 	}
-	untold := map[string]int{}
-	for _, ch := range lines {
-		key := ch.Zone + "\x00" + ch.To.String()
-		untold[key] = c.zones.suppressed[key]
-		delete(c.zones.suppressed, key)
+	return lines
+}
+
+func (ch zoneChange) log(log *slog.Logger) {
+	level := slog.LevelInfo
+	if ch.To == zones.Out {
+		level = slog.LevelWarn
 	}
-	var failing []string
+	log.Log(context.Background(), level, "zone "+ch.To.String(), "zone", ch.Zone, "was", ch.From.String(), "why", ch.Reason,
+		"untold", ch.suppressed)
+}
+
+// failures are the data nodes that fail in the zones that have just gone out.
+func (z *zoneState) failures(now time.Time, changes []zones.Change) (failures []Observation) {
 	for _, ch := range changes {
-		if ch.To == zones.Out {
-			failing = append(failing, c.zones.tracker.Failing(now, ch.Zone)...)
+		if ch.To != zones.Out {
+			continue
 		}
-	}
-	settled := true
-	for _, s := range c.zones.tracker.All(now) {
-		if s.State != zones.Healthy || s.Failing > 0 {
-			settled = false
+		for _, id := range z.tracker.Failing(now, ch.Zone) {
+			failures = append(failures, Observation{Node: id, Failed: true, Utilization: -1})
 		}
 	}
-	c.mu.Unlock()
-	for _, ch := range lines {
-		level := slog.LevelInfo
-		if ch.To == zones.Out {
-			level = slog.LevelWarn
-		}
-		c.log.Log(context.Background(), level, "zone "+ch.To.String(), "zone", ch.Zone, "was", ch.From.String(), "why", ch.Reason,
-			"untold", untold[ch.Zone+"\x00"+ch.To.String()])
-	}
-	// What was seen there is told once it is clear, as a silence is not by one attempt.
-	if f := c.observer.Load(); f != nil {
-		for _, id := range failing {
-			(*f)(Observation{Node: id, Failed: true, Utilization: -1})
+	return failures
+}
+
+// settled tells whether all zones are healthy and no data node fails.
+func (z *zoneState) settled(now time.Time) bool {
+	for _, s := range z.tracker.All(now) {
+		if s.State != zones.Healthy || s.Failing > 0 {
+			return false
 		}
 	}
-	if !settled {
-		next = now.Add(zoneInterval)
-	}
-	return event, changed, next
+	return true
 }
 
-// zoneMembers is the list event that hands the module the data nodes of the zones that changed; the caller holds
-// the lock.
+// zoneListEvent hands the module the data nodes of the zones that changed. The caller holds the lock.
 func (c *Coordinator) zoneListEvent(changes []zones.Change) aggregator.Event {
-	of := map[string]bool{}
+	changed := map[string]bool{}
 	for _, ch := range changes {
-		of[ch.Zone] = true
-	}
-	event := aggregator.Event{Kind: aggregator.ListChanged}
-	for _, m := range c.endpoints.table.List() {
-		if of[m.Zone] {
-			event.Members = append(event.Members, c.moduleMember(m))
-		}
+		changed[ch.Zone] = true
 	}
-	return event
+	return c.listEvent(aggregator.ListChanged, func(m Member) bool { return changed[m.Zone] })
 }
 
-// zoned turns a member's state and start by its zone's verdict; the caller holds the lock.
+// adjustForZone makes a data node of a zone that is out draining, and one of a zone that returns a data node that started with the
+// return. What is in flight there goes on under the module's rules. The caller holds the lock.
 func (c *Coordinator) adjustForZone(m Member, out aggregator.Member) aggregator.Member {
 	if c.zones == nil {
 		return out
