--- a/internal/coordinator/endpointlog.go
+++ b/internal/coordinator/endpointlog.go
@@ -7,13 +7,10 @@
 	"gullfall/internal/membership"
 )
 
-// warnings are the notes that someone should look at.
-var warningCauses = map[membership.Cause]bool{membership.Held: true, membership.Emptied: true, membership.WentBack: true,
-	membership.Stale: true, membership.Lapsed: true, membership.Suppressed: true, membership.Excess: true, membership.Unfit: true}
-
-// mostLines is how many lines one change of the list may cost; beyond, what happened alike to several is told in one.
+// maxNoteLines is how many notes of one update of the list are logged one by one; of more, those alike are logged as one line.
 const maxNoteLines = 50
 
+// logNotes logs why the list changes, or does not.
 func (c *Coordinator) logNotes(notes []membership.Note) {
 	if len(notes) <= maxNoteLines {
 		for _, n := range notes {
@@ -21,41 +18,32 @@
 		}
 		return
 	}
-	type alike struct {
-		what   membership.Cause
+	type kind struct {
+		cause  membership.Cause
 		source string
 	}
-	count := map[alike]int{}
+	count := map[kind]int{}
 	for _, n := range notes {
 		if n.ID != "" {
-			count[alike{n.Cause, n.Source}]++
+			count[kind{n.Cause, n.Source}]++
 		}
 	}
 	for _, n := range notes {
-		switch k := (alike{n.Cause, n.Source}); {
+		switch k := (kind{n.Cause, n.Source}); {
 		case n.ID == "" || count[k] == 1:
 			c.logNote(n)
 		case count[k] > 1:
-			level := slog.LevelInfo
-			if warningCauses[n.Cause] {
-				level = slog.LevelWarn
-			}
-			c.log.Log(context.Background(), level, "data nodes "+string(n.Cause), "count", count[k], "source", n.Source, "first", n.ID)
-			count[k] = 0
+			c.log.Log(context.Background(), noteLevel(n), "data nodes "+string(n.Cause), "count", count[k], "source", n.Source, "first", n.ID)
+			count[k] = 0 // its line is written
 		}
 	}
 }
 
-// explain logs why the list changes, or does not.
 func (c *Coordinator) logNote(n membership.Note) {
-	level := slog.LevelInfo
-	if warningCauses[n.Cause] {
-		level = slog.LevelWarn
-	}
 	var args []any
-	msg := string(n.Cause)
+	message := string(n.Cause)
 	if n.ID != "" {
-		msg = "data node " + msg
+		message = "data node " + message
 		args = append(args, "node", n.ID)
 	}
 	if n.Source != "" {
@@ -64,5 +52,15 @@
 	if n.Detail != "" {
 		args = append(args, "why", n.Detail)
 	}
-	c.log.Log(context.Background(), level, msg, args...)
+	c.log.Log(context.Background(), noteLevel(n), message, args...)
+}
+
+// noteLevel is a warning for what an operator should look at.
+func noteLevel(n membership.Note) slog.Level {
+	switch n.Cause {
+	case membership.Held, membership.Emptied, membership.WentBack, membership.Stale, membership.Lapsed, membership.Suppressed,
+		membership.Excess, membership.Unfit:
+		return slog.LevelWarn
+	}
+	return slog.LevelInfo
 }
--- a/internal/coordinator/loop.go
+++ b/internal/coordinator/loop.go
@@ -154,8 +154,8 @@
 	return true
 }
 
-// nextTick is the earliest time at which something falls due: of those given, where not zero, and of all that the loop waits for.
-func (c *Coordinator) nextTick(now time.Time, others ...time.Time) time.Time {
+// nextTick is the earliest time at which something falls due: of the two given, where not zero, and of all that the loop waits for.
+func (c *Coordinator) nextTick(now, zoneNext, maintenanceNext time.Time) time.Time {
 	next := now.Add(idleInterval)
 	earlier := func(t time.Time) {
 		if t.Before(next) {
@@ -163,9 +163,9 @@
 		}
 	}
 	c.mu.Lock()
-	others = append(others, c.loop.wakeAt, c.endpoints.table.Next())
+	recordsNext := c.endpoints.table.Next()
 	c.mu.Unlock()
-	for _, t := range others {
+	for _, t := range [...]time.Time{zoneNext, maintenanceNext, recordsNext, c.loop.wakeAt} {
 		if !t.IsZero() {
 			earlier(t)
 		}
--- a/internal/coordinator/validate.go
+++ b/internal/coordinator/validate.go
@@ -7,10 +7,14 @@
 	"gullfall/aggregator"
 )
 
-// weightSlack is by how much weights may miss 1 for being rounded.
-const weightTolerance = 1e-3
+// What a query may hold.
+const (
+	weightTolerance = 1e-3 // weights are rounded: their sum may miss 1 by this
+	maxIDLength     = 128  // bytes
+	maxKeyLength    = 128  // bytes of an idempotency key
+)
 
-// Validate finds what can't be asked, whatever its deadline; the error wraps ErrInput and its message is for the client.
+// Validate finds what can't be executed, whatever its deadline. The error wraps ErrInput; its message is for the client.
 func (c *Coordinator) Validate(q *Query) error {
 	if _, known := c.classes[q.Class]; !known {
 		return fmt.Errorf("%w: unknown class %q", ErrInput, q.Class)
@@ -18,26 +22,40 @@
 	if _, known := c.tenants[q.Tenant]; !known && len(c.tenants) > 0 {
 		return fmt.Errorf("%w: unknown owner %q", ErrInput, q.Tenant)
 	}
-	if q.ID == "" || len(q.ID) > 128 {
-		return fmt.Errorf("%w: id of %d bytes", ErrInput, len(q.ID))
-	}
-	for _, r := range q.ID {
-		if r <= ' ' || r > '~' {
-			return fmt.Errorf("%w: id %q", ErrInput, q.ID)
-		}
+	if err := validateID(q.ID); err != nil {
+		return err
 	}
-	if err := c.checkKey(q); err != nil {
+	if err := c.validateKey(q); err != nil {
 		return err
 	}
-	if len(q.Parts) == 0 {
+	return c.validateParts(q.Parts)
+}
+
+func validateID(id string) error {
+	if id == "" || len(id) > maxIDLength {
+		return fmt.Errorf("%w: id of %d bytes", ErrInput, len(id))
+	}
+	for _, r := range id {
+		if !isVisibleASCII(r) {
+			return fmt.Errorf("%w: id %q", ErrInput, id)
+		}
+	}
+	return nil
+}
+
+func isVisibleASCII(r rune) bool { return r > ' ' && r <= '~' }
+
+// validateParts checks that the shards exist, each once, and that the weights add up to 1.
+func (c *Coordinator) validateParts(parts []Part) error {
+	if len(parts) == 0 {
 		return fmt.Errorf("%w: no shards", ErrInput)
 	}
 	seen, sum := map[int]bool{}, 0.0
-	for _, p := range q.Parts {
+	for _, p := range parts {
 		if p.Shard < 0 || p.Shard >= c.settings.Shards || seen[p.Shard] {
 			return fmt.Errorf("%w: unknown or repeated shard %d", ErrInput, p.Shard)
 		}
-		if !(p.Weight >= 0 && p.Weight <= 1) || p.Work < 0 {
+		if !(p.Weight >= 0 && p.Weight <= 1) || p.Work < 0 { // also a weight that is not a number
 			return fmt.Errorf("%w: weight or cost of shard %d", ErrInput, p.Shard)
 		}
 		seen[p.Shard], sum = true, sum+p.Weight
@@ -48,17 +66,14 @@
 	return nil
 }
 
-// mostKey is the longest idempotency key, in bytes.
-const maxKeyLength = 128
-
-// keyed tells whether the holders of a class's parts drop a repeat by the query's key.
+// isKeyed tells whether data nodes drop a repeat of a part of the class by the query's idempotency key.
 func (c *Coordinator) isKeyed(class string) bool {
 	return c.settings.Classes[c.classes[class]].Effect == aggregator.Keyed
 }
 
-// checkKey refuses a query of a keyed class whose key is missing, or is not one that each wire carries unchanged: the
-// frames' list of a part ends at a space, and its entries at a comma. A key in another class is the client's own affair.
-func (c *Coordinator) checkKey(q *Query) error {
+// validateKey checks that a query of a keyed class has a key, and one that every protocol passes on unchanged: in a frame the list of a
+// part ends at a space, and its entries at a comma. A key in another class is not looked at.
+func (c *Coordinator) validateKey(q *Query) error {
 	if !c.isKeyed(q.Class) {
 		return nil
 	}
@@ -69,7 +84,7 @@
 		return fmt.Errorf("%w: idempotency key of %d bytes; %d are allowed", ErrInput, len(q.IdempotencyKey), maxKeyLength)
 	}
 	for _, r := range q.IdempotencyKey {
-		if r <= ' ' || r > '~' || r == ',' {
+		if !isVisibleASCII(r) || r == ',' {
 			return fmt.Errorf("%w: idempotency key %q; visible ASCII without commas is allowed", ErrInput, q.IdempotencyKey)
 		}
 	}
