--- a/cmd/gullfall-lab/zones.go
+++ b/cmd/gullfall-lab/zones.go
@@ -18,6 +18,7 @@
 	"gonum.org/v1/plot/plotter"
 	"gonum.org/v1/plot/vg"
 
+	"gullfall/internal/coordinator"
 	"gullfall/internal/lab/fleet"
 	"gullfall/internal/lab/proxy"
 )
@@ -211,13 +212,13 @@
 		return t.Sub(began), err == nil && !t.Before(began) && t.Before(back)
 	}
 	for _, c := range f.Coords {
-		for _, line := range c.Lines(`msg="attempt begun" node=a-`) {
+		for _, line := range c.Lines(fmt.Sprintf("msg=%q node=a-", coordinator.LogAttemptBegun)) {
 			if after, ok := away(line); ok {
 				play.IntoZone++
 				play.LeaveMS = max(play.LeaveMS, float64(after.Milliseconds()))
 			}
 		}
-		for _, line := range c.Lines(`msg="attempt ended" node=a-`) {
+		for _, line := range c.Lines(fmt.Sprintf("msg=%q node=a-", coordinator.LogAttemptEnded)) {
 			if _, ok := away(line); ok {
 				play.Ends[logValue(line, "end")]++
 			}
--- a/cmd/gullfall-lab/zones_test.go
+++ b/cmd/gullfall-lab/zones_test.go
@@ -9,11 +9,11 @@
 )
 
 func TestLogValue(t *testing.T) {
-	line := `time=2026-12-01T22:23:27.5Z level=DEBUG msg="attempt ended" node=a-1 part=p7 end="given up" took=52ms`
+	line := `time=2026-12-01T22:23:27.5Z level=DEBUG msg="attempt ended" node=a-1 part=p7 end="not connected" took=52ms`
 	for _, c := range []struct{ key, want string }{
 		{"time", "2026-12-01T22:23:27.5Z"},
 		{"msg", "attempt ended"},
-		{"end", "given up"},
+		{"end", "not connected"},
 		{"took", "52ms"},
 		{"node", "a-1"},
 		{"de", ""}, // inside node= and end=, not a key of its own
--- a/internal/coordinator/attempt.go
+++ b/internal/coordinator/attempt.go
@@ -108,7 +108,7 @@
 // ReportProbe tells how a probe ended.
 func (c *Coordinator) ReportProbe(n *Node, r Result) {
 	c.observeOutcome(n, nil, r.Outcome, r.LoadReport, time.Now())
-	c.log.Debug("probe ended", "node", n.id, "end", words[r.Outcome])
+	c.log.Debug("probe ended", "node", n.id, "end", r.Outcome.String())
 	c.enqueue(input{event: aggregator.Event{Kind: aggregator.ProbeEnded, Replica: n.id, Outcome: moduleOutcomes[r.Outcome],
 		LoadReport: r.LoadReport}})
 }
@@ -120,17 +120,3 @@
 	c.observeForMaintenance(n, outcome, load, now)
 	c.notifyObserver(n, a, outcome, load, now)
 }
-
-var words = map[Outcome]string{OK: "ok", Errored: "err", Overloaded: "busy", NotConnected: "not connected",
-	Reset: "reset", Cancelled: "given up", NotSent: "not sent", ConnectionLost: "cut", ConnectTimeout: "connect timeout"}
-
-// state is where an attempt stands, for the log.
-func (a *Attempt) state() string {
-	switch {
-	case a.ended:
-		return words[a.outcome]
-	case a.cancelReason != aggregator.Unknown:
-		return "being given up"
-	}
-	return "out"
-}
--- a/internal/coordinator/coordinator_test.go
+++ b/internal/coordinator/coordinator_test.go
@@ -103,7 +103,7 @@
 func TestOneRound(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newStand(t, 0, serve)
-		if got := s.ask(t.Context(), "q", 0, 1, 2); got != "1 true 3 false" {
+		if got := s.ask(t.Context(), "q", 0, 1, 2); got != "answered true 3 false" {
 			t.Errorf("got %s", got)
 		}
 		synctest.Wait()
@@ -123,7 +123,7 @@
 				serve(s, o)
 			}
 		})
-		if got := s.ask(t.Context(), "q", 0); got != "2 false 0 true" {
+		if got := s.ask(t.Context(), "q", 0); got != "rejected false 0 true" {
 			t.Errorf("got %s", got)
 		}
 		ctx, leave := context.WithCancel(t.Context())
@@ -151,13 +151,13 @@
 		s.open += 6
 		s.Coordinator.mu.Unlock()
 		start := time.Now()
-		if got := s.ask(t.Context(), "q", 0); got != "2 false 0 true" || time.Since(start) > 0 {
+		if got := s.ask(t.Context(), "q", 0); got != "rejected false 0 true" || time.Since(start) > 0 {
 			t.Errorf("full: got %s after %v", got, time.Since(start))
 		}
 		s.Coordinator.mu.Lock()
 		s.open -= 6
 		s.Coordinator.mu.Unlock()
-		if got := s.ask(t.Context(), "q", 0); got != "1 true 1 false" {
+		if got := s.ask(t.Context(), "q", 0); got != "answered true 1 false" {
 			t.Errorf("with room again: got %s", got)
 		}
 		s.end()
@@ -175,10 +175,10 @@
 		first := make(chan string)
 		go func() { first <- s.ask(t.Context(), "q", 0) }()
 		synctest.Wait()
-		if got := s.ask(t.Context(), "q", 0); got != "3 false 0 false" {
+		if got := s.ask(t.Context(), "q", 0); got != "failed false 0 false" {
 			t.Errorf("second: %s", got)
 		}
-		if got := <-first; got != "1 true 1 false" {
+		if got := <-first; got != "answered true 1 false" {
 			t.Errorf("first: %s", got)
 		}
 		// Nor does one come between a part that is being given up and its end.
@@ -187,11 +187,11 @@
 		time.Sleep(50 * time.Millisecond)
 		leave()
 		time.Sleep(20 * time.Millisecond)
-		if got := s.ask(t.Context(), "q", 0); got != "3 false 0 false" {
+		if got := s.ask(t.Context(), "q", 0); got != "failed false 0 false" {
 			t.Errorf("while a part is out: %s", got)
 		}
 		time.Sleep(time.Second)
-		if got := s.ask(t.Context(), "q", 0); got != "1 true 1 false" {
+		if got := s.ask(t.Context(), "q", 0); got != "answered true 1 false" {
 			t.Errorf("afterwards: %s", got)
 		}
 		s.end()
@@ -206,11 +206,11 @@
 		time.Sleep(time.Second)
 		synctest.Wait()
 		s.loop.module = nil // its next Step panics
-		if got := s.ask(t.Context(), "q", 0); got != "3 false 0 false" {
+		if got := s.ask(t.Context(), "q", 0); got != "failed false 0 false" {
 			t.Errorf("held as it panicked: %s", got)
 		}
 		time.Sleep(time.Second)
-		if got := s.ask(t.Context(), "r", 0); got != "1 true 1 false" {
+		if got := s.ask(t.Context(), "r", 0); got != "answered true 1 false" {
 			t.Errorf("after it: %s", got)
 		}
 		s.end()
@@ -291,7 +291,7 @@
 					serve(s, o)
 				}
 			})
-			if got := s.ask(t.Context(), "q", 0); got != "1 true 1 false" {
+			if got := s.ask(t.Context(), "q", 0); got != "answered true 1 false" {
 				t.Errorf("got %s", got)
 			}
 			if wait := again.Sub(ended); end != Errored && wait < 5*time.Millisecond {
@@ -309,7 +309,7 @@
 		s := newStand(t, 0, serve)
 		for i := range 100 {
 			s.fleet.Change([]Member{{ID: fmt.Sprint("r", i), State: Gone}, {ID: fmt.Sprint("r", i+1)}})
-			if got := s.ask(t.Context(), fmt.Sprint("q", i), 0, 1, 2, 3); got != "1 true 4 false" {
+			if got := s.ask(t.Context(), fmt.Sprint("q", i), 0, 1, 2, 3); got != "answered true 4 false" {
 				t.Errorf("query %d: %s", i, got)
 			}
 		}
--- a/internal/coordinator/dispatch.go
+++ b/internal/coordinator/dispatch.go
@@ -182,7 +182,7 @@
 	}
 	a := c.newAttempt(now, p, n, action)
 	c.loop.queries.add(a)
-	c.log.Debug("attempt begun", "node", n.id, "part", a.ID, "number", a.number, "after", now.Sub(p.query.receivedAt))
+	c.log.Debug(LogAttemptBegun, "node", n.id, "part", a.ID, "number", a.number, "after", now.Sub(p.query.receivedAt))
 	n.addInFlight(1)
 	if !listed {
 		c.Report(a, Result{Outcome: NotConnected})
--- a/internal/coordinator/endpoints.go
+++ b/internal/coordinator/endpoints.go
@@ -194,7 +194,7 @@
 	if n == nil {
 		dispatch := c.endpoints.dispatchers[m.Proto]
 		if dispatch == nil {
-			c.log.Warn("no carrier for the data node's protocol", "node", m.ID, "proto", m.Proto)
+			c.log.Warn("no dispatcher for the data node's protocol", "node", m.ID, "proto", m.Proto)
 			return
 		}
 		n = &Node{id: m.ID, c: c, dispatch: dispatch, ready: make(chan struct{}, 1)}
--- a/internal/coordinator/loop.go
+++ b/internal/coordinator/loop.go
@@ -128,7 +128,7 @@
 func (c *Coordinator) failOverdueQueries(now time.Time) (events []aggregator.Event) {
 	for _, q := range c.loop.queries.open {
 		if !now.Before(q.Deadline) {
-			c.log.Error("query outlived by its deadline", "query", q.ID)
+			c.log.Error("query not ended by its deadline", "query", q.ID)
 			c.finish(q, Answer{Status: Failed})
 			events = append(events, aggregator.Event{Kind: aggregator.ClientGone, Query: q.ID})
 		}
@@ -241,7 +241,7 @@
 		return false
 	}
 	a.ended, a.outcome = true, in.outcome
-	c.log.Debug("attempt ended", "node", a.node.id, "part", a.ID, "end", words[in.outcome], "load", in.event.LoadReport["util"], "took", now.Sub(a.sentAt))
+	c.log.Debug(LogAttemptEnded, "node", a.node.id, "part", a.ID, "end", in.outcome.String(), "load", in.event.LoadReport["util"], "took", now.Sub(a.sentAt))
 	delete(c.loop.queries.attempts, a)
 	a.node.addInFlight(-1)
 	c.observeOutcome(a.node, a, in.outcome, in.event.LoadReport, now)
@@ -273,7 +273,7 @@
 
 // restartModule fails all open queries, cancels their attempts and starts a new module.
 func (c *Coordinator) restartModule(cause any) {
-	c.log.Error("decision module panicked; started anew", "cause", cause)
+	c.log.Error("decision module panicked; restarted", "cause", cause)
 	c.loop.module, _ = aggregator.New(c.settings, c.seed) // New took the same settings before
 	for _, q := range c.loop.queries.open {
 		c.finish(q, Answer{Status: Failed})
--- a/internal/coordinator/maintenance_test.go
+++ b/internal/coordinator/maintenance_test.go
@@ -18,7 +18,7 @@
 	}
 	announced := Maintenance{Announced: map[string]bool{"n1": true}}
 	barred := Maintenance{Announced: announced.Announced, Excluded: map[string]bool{"n1": true}}
-	const served, failed = "1 true 1 false", "2 false 0 true"
+	const served, failed = "answered true 1 false", "rejected false 0 true"
 	for _, c := range []struct {
 		what   string
 		change func(s *stand)
--- a/internal/coordinator/queries.go
+++ b/internal/coordinator/queries.go
@@ -206,10 +206,10 @@
 	case aggregator.Answer:
 		c.finish(q, Answer{Status: Answered, Complete: action.Complete, Values: q.values()})
 	case aggregator.Reject:
-		c.logUnanswered("query refused", q, action.Reason, now)
+		c.logUnanswered(LogQueryRejected, q, action.Reason, now)
 		c.finish(q, Answer{Status: Rejected, RetryAfter: action.After})
 	case aggregator.Fail:
-		c.logUnanswered("query failed", q, action.Reason, now)
+		c.logUnanswered(LogQueryFailed, q, action.Reason, now)
 		c.finish(q, Answer{Status: Failed})
 	}
 }
@@ -231,7 +231,7 @@
 	}
 	q.finished = true
 	q.closed.Store(true)
-	c.log.Debug("query ended", "query", q.ID, "class", q.Class, "verdict", answer.Status, "whole", answer.Complete,
+	c.log.Debug(LogQueryEnded, "query", q.ID, "class", q.Class, "status", answer.Status.String(), "complete", answer.Complete,
 		"parts", len(q.parts), "took", time.Since(q.receivedAt))
 	delete(c.loop.queries.open, q.ID)
 	c.release(q) // before the reply: whoever has the answer finds nothing open
@@ -253,7 +253,7 @@
 	if reason == aggregator.OverCapacity || reason == aggregator.ForecastTooLate {
 		c.noteOverload(now)
 	}
-	c.log.Info(message, "query", q.ID, "class", q.Class, "why", causes[reason], "after", now.Sub(q.receivedAt).Round(time.Millisecond),
+	c.log.Info(message, "query", q.ID, "class", q.Class, "reason", reasonText[reason], "after", now.Sub(q.receivedAt).Round(time.Millisecond),
 		"left", q.Deadline.Sub(now).Round(time.Millisecond), "parts", len(q.parts), "missing", q.missing(now))
 }
 
@@ -271,7 +271,3 @@
 	}
 	return missing
 }
-
-// causes are why the module gives a query up, in a word.
-var causes = map[aggregator.Reason]string{aggregator.NoReplica: "no holder", aggregator.OverCapacity: "held", aggregator.ForecastTooLate: "forecast",
-	aggregator.DeadlineExceeded: "late", aggregator.AttemptsExhausted: "spent", aggregator.QueryOfDeath: "wrecked"}
--- a/internal/coordinator/sources_test.go
+++ b/internal/coordinator/sources_test.go
@@ -28,10 +28,10 @@
 		go func() { done <- s.ask(t.Context(), "q", 0) }()
 		time.Sleep(100 * time.Millisecond)
 		s.fleet.Replace([]Member{{ID: "n2"}}, false)
-		if got := <-done; got != "1 true 1 false" {
+		if got := <-done; got != "answered true 1 false" {
 			t.Errorf("the query that was under way: %s", got)
 		}
-		if got := s.ask(t.Context(), "r", 0); got != "1 true 1 false" {
+		if got := s.ask(t.Context(), "r", 0); got != "answered true 1 false" {
 			t.Errorf("a later one: %s", got)
 		}
 		if got := fmt.Sprint(s.seen); got != "[call q.0 barred call r.0]" && got != "[call q.0 call r.0 barred]" {
@@ -142,7 +142,7 @@
 		if got := state(); got != "draining" {
 			t.Errorf("while the first is sound the second is %s", got)
 		}
-		if got := s.ask(t.Context(), "q", 0); got != "1 true 1 false" {
+		if got := s.ask(t.Context(), "q", 0); got != "answered true 1 false" {
 			t.Errorf("a query while the first is down: %s", got)
 		}
 		if got := state(); got != "serving" {
--- a/internal/lab/fleetlog/fleetlog.go
+++ b/internal/lab/fleetlog/fleetlog.go
@@ -17,12 +17,14 @@
 	"time"
 
 	"github.com/HdrHistogram/hdrhistogram-go"
+
+	"gullfall/internal/coordinator"
 )
 
 // Way is one way in which queries ended badly.
 type Way struct {
-	End   string `json:"end"`   // refused, failed, partial
-	Why   string `json:"why"`   // the module's cause
+	End   string `json:"end"`   // rejected, failed, partial
+	Why   string `json:"why"`   // the module's reason
 	Parts string `json:"parts"` // unsent: no part was sent; else how the last attempt of most missing parts stood
 	Class string `json:"class"`
 }
@@ -156,7 +158,7 @@
 		c.r.Unread++
 		return
 	}
-	msg := f["msg"]
+	msg := current(f["msg"])
 	c.r.Lines[msg]++
 	second, err := strconv.ParseFloat(at, 64)
 	if err != nil {
@@ -171,20 +173,21 @@
 		second = t.Sub(c.first).Seconds()
 	}
 	switch msg {
-	case "query refused", "query failed":
+	case coordinator.LogQueryRejected, coordinator.LogQueryFailed:
 		c.told[f["query"]] = true
 		end := strings.TrimPrefix(msg, "query ")
-		c.bad(Way{end, f["why"], c.missing(f["missing"]), f["class"]}, duration(f["after"]), int(second))
-	case "query ended":
+		c.bad(Way{end, current(either(f, "reason", "why")), c.missing(f["missing"]), f["class"]}, duration(f["after"]), int(second))
+	case coordinator.LogQueryEnded:
 		c.ended++
-		if f["verdict"] == "1" && f["whole"] == "false" {
+		if current(either(f, "status", "verdict")) == coordinator.Answered.String() && either(f, "complete", "whole") == "false" {
 			c.bad(Way{"partial", "", "", f["class"]}, duration(f["took"]), int(second))
 		}
-	case "attempt ended":
-		h := c.ends[f["end"]]
+	case coordinator.LogAttemptEnded:
+		end := current(f["end"])
+		h := c.ends[end]
 		if h == nil {
 			h = histogram()
-			c.ends[f["end"]] = h
+			c.ends[end] = h
 		}
 		h.RecordValue(max(1, duration(f["took"]).Microseconds()))
 	}
@@ -210,7 +213,7 @@
 	c.r.Second[key][second]++
 }
 
-// missing reads the parts that a query lacked, "[3 s-1 out 40ms 7 s-2 busy 9ms s-1 given up 4ms]": a shard, then its
+// missing reads the parts that a query lacked, "[3 s-1 in flight 40ms 7 s-2 overloaded 9ms s-1 cancelled 4ms]": a shard, then its
 // attempts, each a data node, how it stood and its age. It counts the last attempt of each part under its data node, and
 // returns how most of them stood.
 func (c *counter) missing(text string) string {
@@ -220,7 +223,7 @@
 		if node == "" {
 			return
 		}
-		end := strings.Join(state, " ")
+		end := current(strings.Join(state, " "))
 		stood[end]++
 		if c.nodes[node] == nil {
 			c.nodes[node] = map[string]int{}
@@ -235,7 +238,7 @@
 		case notShard == nil:
 			settle()
 		case notAge == nil: // the end of an attempt; a further one of the same part may follow
-		case node == "" || slices.Contains(ends, strings.Join(state, " ")):
+		case node == "" || slices.Contains(attemptStates, current(strings.Join(state, " "))):
 			node, state, sent = word, nil, true
 		default:
 			state = append(state, word)
@@ -254,8 +257,47 @@
 	return best
 }
 
-// ends are how an attempt may stand, as the core words them.
-var ends = []string{"ok", "err", "busy", "not connected", "not sent", "reset", "given up", "cut", "out", "being given up"}
+// attemptStates are how an attempt may stand, as the coordinator words it.
+var attemptStates = coordinator.AttemptStates()
+
+// earlierWords maps the words of logs of earlier versions to those of today.
+var earlierWords = map[string]string{
+	"query refused": coordinator.LogQueryRejected,
+
+	"1": coordinator.Answered.String(),
+	"2": coordinator.Rejected.String(),
+	"3": coordinator.Failed.String(),
+
+	"no holder": "no replica",
+	"held":      "over capacity",
+	"forecast":  "forecast too late",
+	"late":      "deadline exceeded",
+	"spent":     "attempts exhausted",
+	"wrecked":   "query of death",
+
+	"err":            coordinator.Errored.String(),
+	"busy":           coordinator.Overloaded.String(),
+	"given up":       coordinator.Cancelled.String(),
+	"cut":            coordinator.ConnectionLost.String(),
+	"out":            "in flight",
+	"being given up": "cancelling",
+}
+
+// current is today's word for one that may be of an earlier version.
+func current(word string) string {
+	if now, ok := earlierWords[word]; ok {
+		return now
+	}
+	return word
+}
+
+// either is the value of a field, which an earlier version had under another key.
+func either(f map[string]string, key, earlier string) string {
+	if value, ok := f[key]; ok {
+		return value
+	}
+	return f[earlier]
+}
 
 func ms(h *hdrhistogram.Histogram, q float64) float64 { return float64(h.ValueAtQuantile(q)) / 1000 }
 
