--- a/internal/coordinator/coordinator_test.go
+++ b/internal/coordinator/coordinator_test.go
@@ -18,18 +18,18 @@
 	"gullfall/internal/membership"
 )
 
-// stand is a core with one data node whose carrier does as the test says, in virtual time.
-type stand struct {
+// testbed is a coordinator with one data node whose dispatcher does as the test says, in virtual time.
+type testbed struct {
 	*Coordinator
-	fleet *Source
-	mu    sync.Mutex
-	seen  []string
-	end   func()
+	list     *Source
+	mu       sync.Mutex
+	commands []string
+	end      func()
 }
 
 var tick = 5 * time.Millisecond
 
-func newStand(t *testing.T, maxOpen int, act func(s *stand, o *Command), first ...func(*Coordinator)) *stand {
+func newTestbed(t *testing.T, maxOpen int, act func(s *testbed, o *Command), first ...func(*Coordinator)) *testbed {
 	t.Helper()
 	set := aggregator.Settings{Aggregators: 1, Tick: tick, ShardSets: 1, Shards: 4, Reach: 1,
 		Classes: []aggregator.Class{{Name: "report", LatencyObjective: time.Second, Deadline: 3 * time.Second, Priority: 1, CompleteShare: 1, MinShare: 1}},
@@ -44,7 +44,7 @@
 	for _, f := range first {
 		f(c)
 	}
-	s := &stand{Coordinator: c}
+	s := &testbed{Coordinator: c}
 	c.RegisterDispatcher("", func(n *Node) {
 		for o := n.Pick(context.Background()); o != nil; o = n.Pick(context.Background()) {
 			s.mu.Lock()
@@ -54,11 +54,11 @@
 				for _, a := range o.Call {
 					line += " " + a.ID
 				}
-				s.seen = append(s.seen, line)
+				s.commands = append(s.commands, line)
 			case o.Cancel != nil:
-				s.seen = append(s.seen, "drop "+o.Cancel.ID)
+				s.commands = append(s.commands, "cancel "+o.Cancel.ID)
 			case o.RejectQueued:
-				s.seen = append(s.seen, "barred")
+				s.commands = append(s.commands, "reject queued")
 			}
 			s.mu.Unlock()
 			act(s, o)
@@ -66,17 +66,17 @@
 	})
 	ctx, stop := context.WithCancel(t.Context())
 	go c.Run(ctx)
-	s.fleet = c.Source(membership.Spec{Name: "list"})
-	s.fleet.Replace([]Member{{ID: "n1"}}, false)
+	s.list = c.Source(membership.Spec{Name: "list"})
+	s.list.Replace([]Member{{ID: "n1"}}, false)
 	s.end = func() {
-		s.fleet.Replace(nil, false)
+		s.list.Replace(nil, false)
 		time.Sleep(10 * time.Second)
 		stop()
 	}
 	return s
 }
 
-func (s *stand) ask(ctx context.Context, id string, shards ...int) string {
+func (s *testbed) execute(ctx context.Context, id string, shards ...int) string {
 	q := Query{ID: id, Class: "report", Deadline: time.Now().Add(2 * time.Second), Text: "t"}
 	for _, shard := range shards {
 		q.Parts = append(q.Parts, Part{Shard: shard, Weight: 1 / float64(len(shards))})
@@ -89,7 +89,7 @@
 }
 
 // serve answers every call and every drop.
-func serve(s *stand, o *Command) {
+func serve(s *testbed, o *Command) {
 	for _, a := range o.Call {
 		s.Report(a, Result{Outcome: OK, Docs: [][]byte{[]byte("v")}})
 		s.Report(a, Result{Outcome: Reset}) // only the first report of an attempt counts
@@ -99,41 +99,41 @@
 	}
 }
 
-// TestOneRound: a query's parts go out in one round, in calls of at most a bundle.
-func TestOneRound(t *testing.T) {
+// TestPartsShareCalls: a query's parts go out in one step, in calls of at most MaxBatch.
+func TestPartsShareCalls(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := newStand(t, 0, serve)
-		if got := s.ask(t.Context(), "q", 0, 1, 2); got != "answered true 3 false" {
+		s := newTestbed(t, 0, serve)
+		if got := s.execute(t.Context(), "q", 0, 1, 2); got != "answered true 3 false" {
 			t.Errorf("got %s", got)
 		}
 		synctest.Wait()
-		if diff := cmp.Diff([]string{"call q.0 q.1", "call q.2"}, s.seen); diff != "" {
+		if diff := cmp.Diff([]string{"call q.0 q.1", "call q.2"}, s.commands); diff != "" {
 			t.Errorf("(-want +got)\n%s", diff)
 		}
 		s.end()
 	})
 }
 
-// TestTimeOutIsTold: an attempt whose time is over is dropped at the data node before its query ends, and a
-// client that leaves has its part dropped.
-func TestTimeOutIsTold(t *testing.T) {
+// TestTimeoutIsCancelledAtDataNode: an attempt whose time is over is cancelled at the data node before its query ends, and a
+// client that leaves has its part cancelled.
+func TestTimeoutIsCancelledAtDataNode(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := newStand(t, 0, func(s *stand, o *Command) {
+		s := newTestbed(t, 0, func(s *testbed, o *Command) {
 			if o.Cancel != nil {
 				serve(s, o)
 			}
 		})
-		if got := s.ask(t.Context(), "q", 0); got != "rejected false 0 true" {
+		if got := s.execute(t.Context(), "q", 0); got != "rejected false 0 true" {
 			t.Errorf("got %s", got)
 		}
 		ctx, leave := context.WithCancel(t.Context())
 		time.AfterFunc(100*time.Millisecond, leave)
-		if got := s.ask(ctx, "r", 1); got != ErrGone.Error() {
+		if got := s.execute(ctx, "r", 1); got != ErrGone.Error() {
 			t.Errorf("got %s", got)
 		}
 		time.Sleep(time.Second)
 		synctest.Wait()
-		if diff := cmp.Diff([]string{"call q.0", "drop q.0", "call r.1", "drop r.1"}, s.seen); diff != "" {
+		if diff := cmp.Diff([]string{"call q.0", "cancel q.0", "call r.1", "cancel r.1"}, s.commands); diff != "" {
 			t.Errorf("(-want +got)\n%s", diff)
 		}
 		if len(s.loop.queries.open)+len(s.loop.queries.parts)+len(s.loop.queries.attempts)+s.Open() > 0 {
@@ -143,22 +143,22 @@
 	})
 }
 
-// TestMaxOpen: with as much open as the settings allow, a query is refused at once, with a time to come back.
+// TestMaxOpen: with as much open as the settings allow, a query is rejected at once, with a time to come back.
 func TestMaxOpen(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := newStand(t, 6, serve)
+		s := newTestbed(t, 6, serve)
 		s.Coordinator.mu.Lock()
 		s.open += 6
 		s.Coordinator.mu.Unlock()
 		start := time.Now()
-		if got := s.ask(t.Context(), "q", 0); got != "rejected false 0 true" || time.Since(start) > 0 {
+		if got := s.execute(t.Context(), "q", 0); got != "rejected false 0 true" || time.Since(start) > 0 {
 			t.Errorf("full: got %s after %v", got, time.Since(start))
 		}
 		s.Coordinator.mu.Lock()
 		s.open -= 6
 		s.Coordinator.mu.Unlock()
-		if got := s.ask(t.Context(), "q", 0); got != "answered true 1 false" {
-			t.Errorf("with room again: got %s", got)
+		if got := s.execute(t.Context(), "q", 0); got != "answered true 1 false" {
+			t.Errorf("with capacity again: got %s", got)
 		}
 		s.end()
 	})
@@ -168,14 +168,14 @@
 // their query's id, so both could not be told apart.
 func TestSameIDTwice(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := newStand(t, 0, func(s *stand, o *Command) {
+		s := newTestbed(t, 0, func(s *testbed, o *Command) {
 			time.Sleep(100 * time.Millisecond)
 			serve(s, o)
 		})
 		first := make(chan string)
-		go func() { first <- s.ask(t.Context(), "q", 0) }()
+		go func() { first <- s.execute(t.Context(), "q", 0) }()
 		synctest.Wait()
-		if got := s.ask(t.Context(), "q", 0); got != "failed false 0 false" {
+		if got := s.execute(t.Context(), "q", 0); got != "failed false 0 false" {
 			t.Errorf("second: %s", got)
 		}
 		if got := <-first; got != "answered true 1 false" {
@@ -183,15 +183,15 @@
 		}
 		// Nor does one come between a part that is being given up and its end.
 		ctx, leave := context.WithCancel(t.Context())
-		go func() { s.ask(ctx, "q", 0) }()
+		go func() { s.execute(ctx, "q", 0) }()
 		time.Sleep(50 * time.Millisecond)
 		leave()
 		time.Sleep(20 * time.Millisecond)
-		if got := s.ask(t.Context(), "q", 0); got != "failed false 0 false" {
+		if got := s.execute(t.Context(), "q", 0); got != "failed false 0 false" {
 			t.Errorf("while a part is out: %s", got)
 		}
 		time.Sleep(time.Second)
-		if got := s.ask(t.Context(), "q", 0); got != "answered true 1 false" {
+		if got := s.execute(t.Context(), "q", 0); got != "answered true 1 false" {
 			t.Errorf("afterwards: %s", got)
 		}
 		s.end()
@@ -202,23 +202,23 @@
 // program goes on with a new one.
 func TestPanickingModule(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := newStand(t, 0, serve)
+		s := newTestbed(t, 0, serve)
 		time.Sleep(time.Second)
 		synctest.Wait()
 		s.loop.module = nil // its next Step panics
-		if got := s.ask(t.Context(), "q", 0); got != "failed false 0 false" {
+		if got := s.execute(t.Context(), "q", 0); got != "failed false 0 false" {
 			t.Errorf("held as it panicked: %s", got)
 		}
 		time.Sleep(time.Second)
-		if got := s.ask(t.Context(), "r", 0); got != "answered true 1 false" {
+		if got := s.execute(t.Context(), "r", 0); got != "answered true 1 false" {
 			t.Errorf("after it: %s", got)
 		}
 		s.end()
 	})
 }
 
-// TestInput: what can't be asked never reaches the module.
-func TestInput(t *testing.T) {
+// TestInvalidQueries: what can't be executed never reaches the module.
+func TestInvalidQueries(t *testing.T) {
 	c, err := New(aggregator.Settings{ShardSets: 1, Shards: 2, Reach: 1, Tenants: []aggregator.Tenant{{Name: "club"}},
 		Classes: []aggregator.Class{{Name: "report", LatencyObjective: 1, Deadline: 1}}}, 1, slog.New(slog.DiscardHandler), membership.Config{})
 	if err != nil {
@@ -254,7 +254,7 @@
 // TestClassLimitBindsDeadlines: a deadline past the class's limit does not hold a query for longer.
 func TestClassLimitBindsDeadlines(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := newStand(t, 0, func(s *stand, o *Command) {
+		s := newTestbed(t, 0, func(s *testbed, o *Command) {
 			if o.Cancel != nil {
 				serve(s, o)
 			}
@@ -269,16 +269,16 @@
 	})
 }
 
-// TestFurtherAttemptWaits: after a give-up or a reset the next attempt of a part goes out no sooner than 5 ms
+// TestRetryWaitsForCancellation: after a cancellation or a reset the next attempt of a part goes out no sooner than 5 ms
 // later, however short the tick, so that it can't overtake what tells the data node, or its machine, of the end of
 // the one before.
-func TestFurtherAttemptWaits(t *testing.T) {
+func TestRetryWaitsForCancellation(t *testing.T) {
 	for _, end := range []Outcome{Cancelled, Reset, ConnectionLost, Errored} {
 		synctest.Test(t, func(t *testing.T) {
 			var ended, again time.Time
 			tick = time.Millisecond
 			defer func() { tick = 5 * time.Millisecond }()
-			s := newStand(t, 0, func(s *stand, o *Command) {
+			s := newTestbed(t, 0, func(s *testbed, o *Command) {
 				switch {
 				case o.Call != nil && ended.IsZero():
 					time.Sleep(100 * time.Millisecond) // long after the last tick
@@ -291,7 +291,7 @@
 					serve(s, o)
 				}
 			})
-			if got := s.ask(t.Context(), "q", 0); got != "answered true 1 false" {
+			if got := s.execute(t.Context(), "q", 0); got != "answered true 1 false" {
 				t.Errorf("got %s", got)
 			}
 			if wait := again.Sub(ended); end != Errored && wait < 5*time.Millisecond {
@@ -303,19 +303,19 @@
 }
 
 // TestNodesAreForgotten: data nodes come under new names for as long as the program runs. What is kept of one ends
-// with it, its carrier included (or the test would not end).
+// with it, its dispatcher included (or the test would not end).
 func TestNodesAreForgotten(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := newStand(t, 0, serve)
+		s := newTestbed(t, 0, serve)
 		for i := range 100 {
-			s.fleet.Change([]Member{{ID: fmt.Sprint("r", i), State: Gone}, {ID: fmt.Sprint("r", i+1)}})
-			if got := s.ask(t.Context(), fmt.Sprint("q", i), 0, 1, 2, 3); got != "answered true 4 false" {
+			s.list.Change([]Member{{ID: fmt.Sprint("r", i), State: Gone}, {ID: fmt.Sprint("r", i+1)}})
+			if got := s.execute(t.Context(), fmt.Sprint("q", i), 0, 1, 2, 3); got != "answered true 4 false" {
 				t.Errorf("query %d: %s", i, got)
 			}
 		}
 		synctest.Wait()
-		if len(s.Coordinator.endpoints.nodes) != 2 || len(s.fleet.Claims()) != 2 {
-			t.Errorf("%d data nodes are known, %d of the source", len(s.Coordinator.endpoints.nodes), len(s.fleet.Claims()))
+		if len(s.endpoints.nodes) != 2 || len(s.list.Claims()) != 2 {
+			t.Errorf("%d data nodes are known, %d of the source", len(s.endpoints.nodes), len(s.list.Claims()))
 		}
 		if len(s.loop.queries.open)+len(s.loop.queries.parts)+len(s.loop.queries.attempts)+len(s.loop.delayed)+s.Open() > 0 {
 			t.Errorf("still held: %d queries, %d parts, %d attempts", len(s.loop.queries.open), len(s.loop.queries.parts), len(s.loop.queries.attempts))
--- a/internal/coordinator/list_bench_test.go
+++ b/internal/coordinator/endpoints_bench_test.go
@@ -11,8 +11,8 @@
 	"gullfall/internal/membership"
 )
 
-// BenchmarkRemembered: a coordinator that starts takes in a remembered list of 10,000 data nodes.
-func BenchmarkRemembered(b *testing.B) {
+// BenchmarkCachedList: a coordinator that starts takes in a cached list of 10,000 data nodes.
+func BenchmarkCachedList(b *testing.B) {
 	var list []Member
 	for i := range 10_000 {
 		list = append(list, Member{ID: fmt.Sprintf("node-%05d", i), Addr: fmt.Sprint("127.0.0.1:", i+1), Zone: "abc"[i%3 : i%3+1], ShardSet: i % 64, Weight: 1,
--- a/internal/coordinator/sources_test.go
+++ b/internal/coordinator/endpoints_test.go
@@ -1,6 +1,6 @@
 package coordinator
 
-// The list as it is joined from several sources: what reaches carriers and the module, in virtual time.
+// The list as it is joined from several sources: what reaches dispatchers and the module, in virtual time.
 
 import (
 	"context"
@@ -18,42 +18,42 @@
 // does not go out twice, and nothing new goes there.
 func TestRemovalWithPartsOut(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := newStand(t, 0, func(s *stand, o *Command) {
+		s := newTestbed(t, 0, func(s *testbed, o *Command) {
 			if o.Call != nil {
 				time.Sleep(300 * time.Millisecond)
 			}
 			serve(s, o)
 		})
 		done := make(chan string)
-		go func() { done <- s.ask(t.Context(), "q", 0) }()
+		go func() { done <- s.execute(t.Context(), "q", 0) }()
 		time.Sleep(100 * time.Millisecond)
-		s.fleet.Replace([]Member{{ID: "n2"}}, false)
+		s.list.Replace([]Member{{ID: "n2"}}, false)
 		if got := <-done; got != "answered true 1 false" {
-			t.Errorf("the query that was under way: %s", got)
+			t.Errorf("the query that was in progress: %s", got)
 		}
-		if got := s.ask(t.Context(), "r", 0); got != "answered true 1 false" {
+		if got := s.execute(t.Context(), "r", 0); got != "answered true 1 false" {
 			t.Errorf("a later one: %s", got)
 		}
-		if got := fmt.Sprint(s.seen); got != "[call q.0 barred call r.0]" && got != "[call q.0 call r.0 barred]" {
-			t.Errorf("carriers saw %s", got)
+		if got := fmt.Sprint(s.commands); got != "[call q.0 reject queued call r.0]" && got != "[call q.0 call r.0 reject queued]" {
+			t.Errorf("dispatchers got %s", got)
 		}
 		s.end()
 	})
 }
 
-// log is what carriers have seen, as "address: order".
-type log struct {
-	mu   sync.Mutex
-	seen []string
+// log is what dispatchers have seen, as "address: order".
+type commandLog struct {
+	mu       sync.Mutex
+	commands []string
 }
 
-func (l *log) carry(s *stand, name string) Dispatcher {
+func (l *commandLog) dispatcher(s *testbed, name string) Dispatcher {
 	return func(n *Node) {
 		addr := n.Addr()
 		for o := n.Pick(context.Background()); o != nil; o = n.Pick(context.Background()) {
 			l.mu.Lock()
 			if o.Call != nil {
-				l.seen = append(l.seen, name+addr)
+				l.commands = append(l.commands, name+addr)
 			}
 			l.mu.Unlock()
 			serve(s, o)
@@ -61,29 +61,29 @@
 	}
 }
 
-func (l *log) take() string {
+func (l *commandLog) take() string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	out := strings.Join(l.seen, " ")
-	l.seen = nil
+	out := strings.Join(l.commands, " ")
+	l.commands = nil
 	return out
 }
 
 // TestSourcesJoined: one data node in two sources is one; the owner says where it is and by which protocol it is
-// reached; a drain that either tells holds; and one that has moved is served by a new carrier.
+// reached; a drain that either tells holds; and one that has moved is served by a new dispatcher.
 func TestSourcesJoined(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := newStand(t, 0, serve)
-		s.fleet.Replace(nil, false) // only what follows
-		var l log
-		s.RegisterDispatcher("x", l.carry(s, "x:"))
-		s.RegisterDispatcher("y", l.carry(s, "y:"))
+		s := newTestbed(t, 0, serve)
+		s.list.Replace(nil, false) // only what follows
+		var l commandLog
+		s.RegisterDispatcher("x", l.dispatcher(s, "x:"))
+		s.RegisterDispatcher("y", l.dispatcher(s, "y:"))
 		zone, dir := s.Source(membership.Spec{Name: "zone", Rank: 9, Damped: true}), s.Source(membership.Spec{Name: "dir", Rank: 1})
 		n := 0
 		expect := func(what, want string) {
 			t.Helper()
 			time.Sleep(20 * time.Millisecond)
-			s.ask(t.Context(), fmt.Sprint("q", n), 0)
+			s.execute(t.Context(), fmt.Sprint("q", n), 0)
 			if n++; l.take() != want {
 				t.Errorf("%s: not %q", what, want)
 			}
@@ -106,7 +106,7 @@
 		expect("the other tells of a new start", "x:1")
 		dir.Change([]Member{{ID: "a", State: Gone}})
 		zone.Change([]Member{{ID: "b", Addr: "4", Proto: "smoke"}})
-		expect("no carrier knows the protocol", "")
+		expect("no dispatcher knows the protocol", "")
 		zone.Replace(nil, false)
 		s.end()
 	})
@@ -117,8 +117,8 @@
 	synctest.Test(t, func(t *testing.T) {
 		down := true
 		var mu sync.Mutex
-		s := newStand(t, 0, serve)
-		s.fleet.Replace(nil, false)
+		s := newTestbed(t, 0, serve)
+		s.list.Replace(nil, false)
 		s.RegisterDispatcher("first", func(n *Node) {
 			for o := n.Pick(context.Background()); o != nil; o = n.Pick(context.Background()) {
 				mu.Lock()
@@ -142,7 +142,7 @@
 		if got := state(); got != "draining" {
 			t.Errorf("while the first is sound the second is %s", got)
 		}
-		if got := s.ask(t.Context(), "q", 0); got != "answered true 1 false" {
+		if got := s.execute(t.Context(), "q", 0); got != "answered true 1 false" {
 			t.Errorf("a query while the first is down: %s", got)
 		}
 		if got := state(); got != "serving" {
--- a/internal/coordinator/gossip_test.go
+++ b/internal/coordinator/gossip_test.go
@@ -15,7 +15,7 @@
 	"gullfall/internal/zones"
 )
 
-func TestHear(t *testing.T) {
+func TestPeerReportsOfFailures(t *testing.T) {
 	failing := func(failed, answered time.Duration) (list []PeerReport) { // all four data nodes of zone a
 		for i := range 4 {
 			list = append(list, PeerReport{Node: fmt.Sprint("a", i), Failing: true, Failed: failed, Answered: answered})
@@ -104,8 +104,9 @@
 	})
 }
 
-// TestHearStart: a start that the list has not told yet makes a data node cold; the known one told again does not, nor does one long ago.
-func TestHearStart(t *testing.T) {
+// TestPeerReportsOfStarts: a start that the list has not brought yet makes a data node warm up; the known one reported again does not,
+// nor does one long ago.
+func TestPeerReportsOfStarts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		core, err := New(aggregator.Settings{Aggregators: 2, Tick: tick, ShardSets: 1, Shards: 1, Reach: 1, Rules: aggregator.Rules{WarmupTime: 5 * time.Second},
 			Classes: []aggregator.Class{{Name: "report", LatencyObjective: time.Second, Deadline: 2 * time.Second, Priority: 1, CompleteShare: 1, MinShare: 1}}}, 7, slog.New(slog.DiscardHandler), membership.Config{})
--- a/internal/coordinator/maintenance_test.go
+++ b/internal/coordinator/maintenance_test.go
@@ -10,76 +10,76 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// TestWork: what is sent to a data node that goes out for work and comes back, with and without presence, and what is told of it.
-func TestWork(t *testing.T) {
+// TestMaintenance: what is sent to a data node that goes out for maintenance and comes back, with and without presence.
+func TestMaintenance(t *testing.T) {
 	type told struct {
 		Query                 string // verdict of one that is asked then; empty for none
 		Quiet, Present, Press bool
 	}
 	announced := Maintenance{Announced: map[string]bool{"n1": true}}
-	barred := Maintenance{Announced: announced.Announced, Excluded: map[string]bool{"n1": true}}
+	excluded := Maintenance{Announced: announced.Announced, Excluded: map[string]bool{"n1": true}}
 	const served, failed = "answered true 1 false", "rejected false 0 true"
 	for _, c := range []struct {
 		what   string
-		change func(s *stand)
+		change func(s *testbed)
 		want   told
 	}{
-		{"nothing is known", func(s *stand) {}, told{Query: failed}},
-		{"no plan", func(s *stand) { s.SetMaintenance(Maintenance{}) }, told{Query: served}},
-		{"called, and not present", func(s *stand) { s.SetMaintenance(announced) }, told{Query: failed}},
-		{"called, and present", func(s *stand) { s.SetMaintenance(announced); s.ExtendPresence(time.Now().Add(time.Hour)) }, told{Query: served, Present: true}},
-		{"called, and present until just now", func(s *stand) {
+		{"nothing is known", func(s *testbed) {}, told{Query: failed}},
+		{"no plan", func(s *testbed) { s.SetMaintenance(Maintenance{}) }, told{Query: served}},
+		{"called, and not present", func(s *testbed) { s.SetMaintenance(announced) }, told{Query: failed}},
+		{"called, and present", func(s *testbed) { s.SetMaintenance(announced); s.ExtendPresence(time.Now().Add(time.Hour)) }, told{Query: served, Present: true}},
+		{"called, and present until just now", func(s *testbed) {
 			s.SetMaintenance(announced)
 			s.ExtendPresence(time.Now().Add(time.Second))
 			time.Sleep(time.Second)
 		}, told{Query: failed}},
-		{"barred", func(s *stand) { s.SetMaintenance(barred); s.ExtendPresence(time.Now().Add(time.Hour)) }, told{Query: failed, Quiet: true, Present: true}},
-		{"barred by its address", func(s *stand) { s.SetMaintenance(Maintenance{Addrs: map[string]bool{"127.0.0.1:1": true}}) }, told{Query: failed}},
-		{"barred with a part out", func(s *stand) {
+		{"excluded", func(s *testbed) { s.SetMaintenance(excluded); s.ExtendPresence(time.Now().Add(time.Hour)) }, told{Query: failed, Quiet: true, Present: true}},
+		{"excluded by its address", func(s *testbed) { s.SetMaintenance(Maintenance{Addrs: map[string]bool{"127.0.0.1:1": true}}) }, told{Query: failed}},
+		{"excluded with a part out", func(s *testbed) {
 			s.SetMaintenance(Maintenance{})
-			go s.ask(context.Background(), "held", 3)
+			go s.execute(context.Background(), "held", 3)
 			time.Sleep(100 * time.Millisecond)
-			s.SetMaintenance(barred)
+			s.SetMaintenance(excluded)
 		}, told{}},
-		{"and once that has ended", func(s *stand) {
+		{"and once that has ended", func(s *testbed) {
 			s.SetMaintenance(Maintenance{})
-			go s.ask(context.Background(), "held", 3)
+			go s.execute(context.Background(), "held", 3)
 			time.Sleep(100 * time.Millisecond)
-			s.SetMaintenance(barred)
+			s.SetMaintenance(excluded)
 			time.Sleep(3 * time.Second)
 		}, told{Quiet: true}},
-		{"back", func(s *stand) {
-			s.SetMaintenance(barred)
+		{"back", func(s *testbed) {
+			s.SetMaintenance(excluded)
 			s.SetMaintenance(Maintenance{Returned: map[string]uint64{"n1": 1}})
 		}, told{Query: served}},
-		{"one turned away", func(s *stand) {
+		{"one turned away", func(s *testbed) {
 			s.SetMaintenance(Maintenance{})
-			s.fill(true)
-			s.ask(context.Background(), "r", 0)
-			s.fill(false)
+			free := s.fill()
+			s.execute(context.Background(), "r", 0)
+			free()
 		}, told{Query: served, Press: true}},
-		{"one turned away some seconds ago", func(s *stand) {
+		{"one turned away some seconds ago", func(s *testbed) {
 			s.SetMaintenance(Maintenance{})
-			s.fill(true)
-			s.ask(context.Background(), "r", 0)
-			s.fill(false)
+			free := s.fill()
+			s.execute(context.Background(), "r", 0)
+			free()
 			time.Sleep(overloadWindow)
 		}, told{Query: served}},
 	} {
 		synctest.Test(t, func(t *testing.T) {
-			s := newStand(t, 20, func(s *stand, o *Command) {
+			s := newTestbed(t, 20, func(s *testbed, o *Command) {
 				if len(o.Call) > 0 && o.Call[0].ID == "held.3" {
 					return // no answer; it ends as it is given up
 				}
 				serve(s, o)
 			}, (*Coordinator).EnableMaintenance)
-			s.fleet.Replace([]Member{{ID: "n1", Addr: "127.0.0.1:1"}}, false)
+			s.list.Replace([]Member{{ID: "n1", Addr: "127.0.0.1:1"}}, false)
 			time.Sleep(10 * tick)
 			c.change(s)
 			time.Sleep(10 * tick)
 			got := told{Quiet: s.Idle("n1"), Present: s.IsPresent(), Press: s.Overloaded()}
 			if c.want.Query != "" {
-				got.Query = s.ask(t.Context(), "q", 0)
+				got.Query = s.execute(t.Context(), "q", 0)
 			}
 			if d := cmp.Diff(c.want, got); d != "" {
 				t.Errorf("%s (-want +got)\n%s", c.what, d)
@@ -89,12 +89,12 @@
 	}
 }
 
-// TestSight: what is told of the ends of attempts; of one that was given up, nothing.
-func TestSight(t *testing.T) {
+// TestObservations: what the observer gets of the ends of attempts; of a cancelled one, nothing.
+func TestObservations(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ends := map[string]Result{"ok.0": {Outcome: OK, Docs: [][]byte{[]byte("v")}, LoadReport: map[string]float64{"util": 0.5}}, "bad.1": {Outcome: NotConnected},
 			"gone.2": {Outcome: Cancelled}}
-		s := newStand(t, 0, func(s *stand, o *Command) {
+		s := newTestbed(t, 0, func(s *testbed, o *Command) {
 			for _, a := range o.Call {
 				time.Sleep(20 * time.Millisecond)
 				s.Report(a, ends[a.ID])
@@ -110,13 +110,13 @@
 			}
 			got[len(got)-1].Latency = 0
 		})
-		s.ask(t.Context(), "ok", 0)
+		s.execute(t.Context(), "ok", 0)
 		ctx, cancel := context.WithDeadline(t.Context(), time.Now().Add(100*time.Millisecond))
 		defer cancel()
-		s.ask(ctx, "gone", 2)
+		s.execute(ctx, "gone", 2)
 		ctx, cancel = context.WithDeadline(t.Context(), time.Now().Add(100*time.Millisecond))
 		defer cancel()
-		s.ask(ctx, "bad", 1)
+		s.execute(ctx, "bad", 1)
 		synctest.Wait()
 		want := []Observation{{Node: "n1", Utilization: 0.5}, {Node: "n1", Failed: true, Utilization: -1}}
 		mu.Lock()
@@ -128,13 +128,14 @@
 	})
 }
 
-// fill has as much open as the settings allow, or no longer.
-func (s *stand) fill(full bool) {
-	s.Coordinator.mu.Lock()
-	defer s.Coordinator.mu.Unlock()
-	if full {
-		s.open += 20
-	} else {
-		s.open -= 20
+// fill has as much open as the settings allow, until free is called.
+func (s *testbed) fill() (free func()) {
+	const maxOpen = 20
+	add := func(n int) {
+		s.Coordinator.mu.Lock()
+		defer s.Coordinator.mu.Unlock()
+		s.open += n
 	}
+	add(maxOpen)
+	return func() { add(-maxOpen) }
 }
--- a/internal/coordinator/cold_test.go
+++ b/internal/coordinator/slowstart_test.go
@@ -17,9 +17,9 @@
 	"gullfall/internal/membership"
 )
 
-// TestColdReturn: under a flood, a data node that was away for long and came back under its id without saying since when
-// it runs gets no more in the rule's window than a cold one can stand; one whose record only flapped gets its full share.
-func TestColdReturn(t *testing.T) {
+// TestSlowStartAfterReturn: under a flood, a data node that was away for long and came back under its id without saying since when
+// it runs gets no more in the rule's window than one that warms up can stand; one whose record only flapped gets its full share.
+func TestSlowStartAfterReturn(t *testing.T) {
 	const work, window = 100 * time.Millisecond, time.Second
 	rules := aggregator.Rules{DrainGrace: 2 * time.Second, OverloadMultiple: 2, OverloadWindow: window, InitialCapacity: 0.3, WarmupTime: 5 * time.Second}
 	most := int(rules.OverloadMultiple * rules.InitialCapacity * float64(window/work))
--- a/internal/coordinator/zones_test.go
+++ b/internal/coordinator/zones_test.go
@@ -1,7 +1,7 @@
 package coordinator
 
-// A zone that fails as a whole, from the carrier's reports to what the module sends: it is left within Confirm of the
-// evidence, nothing new goes there while it is out, and it is returned to at the pace of a cold data node.
+// A zone that fails as a whole, from the dispatcher's reports to what the module sends: it is left within Confirm of the
+// evidence, nothing new goes there while it is out, and it is returned to at the pace of a warming-up data node.
 
 import (
 	"context"
@@ -21,22 +21,29 @@
 )
 
 type zoneRun struct {
-	lastDead time.Duration // from the loss of the zone to the last attempt begun there while it was dead
-	afterAll int           // attempts begun at the dead zone from a second after its loss until it answered again
-	returns  int           // returns begun while it was dead, by the log
-	outs     int           // lines that told the zone out
-	firstSec int           // attempts begun at its busiest data node in the first second of its return
-	answered int
-	asked    int
+	lastSentWhileLost time.Duration // from the loss of the zone to the last attempt begun there while it was dead
+	lateAttempts      int           // attempts begun at the dead zone from a second after its loss until it answered again
+	returns           int           // returns begun while it was dead, by the log
+	outLines          int           // lines that told the zone out
+	firstSecond       int           // attempts begun at its busiest data node in the first second of its return
+	answered          int
+	executed          int
 }
 
-// playZoneLoss plays zone a lost for 10 s under 20 queries a second. How is the end of what is sent there: NotConnected where it
-// refuses connections, Cut where it takes and resets them, Dropped where it is silent and takes what it is sent.
-func playZoneLoss(t *testing.T, watch bool, how Outcome) (run zoneRun, coldMost int) {
+// judgement sets how the coordinator judges data nodes.
+type judgement func(*Coordinator) error
+
+func byNode(*Coordinator) error   { return nil }
+func byZone(c *Coordinator) error { return c.WatchZones(zones.Config{Seed: 3}) }
+
+// playZoneLoss plays zone a lost for 10 s under 20 queries a second. how is the outcome of what is sent there: NotConnected where
+// it refuses connections, ConnectionLost where it takes and resets them, Cancelled where it is silent and takes what it is sent.
+func playZoneLoss(t *testing.T, judge judgement, how Outcome) (run zoneRun, maxWarmingUp int) {
+	t.Helper()
 	const work, window = 50 * time.Millisecond, time.Second
 	rules := aggregator.Rules{DrainGrace: 2 * time.Second, OverloadMultiple: 2, OverloadWindow: window, InitialCapacity: 0.3,
 		WarmupTime: 5 * time.Second}
-	coldMost = int(rules.OverloadMultiple * rules.InitialCapacity * float64(window/work))
+	maxWarmingUp = int(rules.OverloadMultiple * rules.InitialCapacity * float64(window/work))
 	synctest.Test(t, func(t *testing.T) {
 		set := aggregator.Settings{Aggregators: 1, Tick: tick, ShardSets: 4, Shards: 4, Reach: 1, CallCost: time.Millisecond,
 			Rules: rules, Classes: []aggregator.Class{{Name: "report", LatencyObjective: time.Second, Deadline: 2 * time.Second, Priority: 1,
@@ -47,10 +54,8 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if watch {
-			if err := c.WatchZones(zones.Config{Seed: 3}); err != nil {
-				t.Fatal(err)
-			}
+		if err := judge(c); err != nil {
+			t.Fatal(err)
 		}
 		var dead atomic.Bool
 		var mu sync.Mutex
@@ -65,9 +70,9 @@
 					now := time.Now()
 					switch {
 					case inA && dead.Load():
-						run.lastDead = now.Sub(died)
+						run.lastSentWhileLost = now.Sub(died)
 						if now.Sub(died) > time.Second {
-							run.afterAll++
+							run.lateAttempts++
 						}
 					case inA && !back.IsZero() && now.Sub(back) < window:
 						perNode[n.ID()]++
@@ -123,16 +128,16 @@
 			time.Sleep(50 * time.Millisecond)
 		}
 		wg.Wait()
-		src.Replace(nil, false) // the carriers end
+		src.Replace(nil, false) // the dispatchers end
 		time.Sleep(10 * time.Second)
 		stop()
 		for _, n := range perNode {
-			run.firstSec = max(run.firstSec, n)
+			run.firstSecond = max(run.firstSecond, n)
 		}
-		run.answered, run.asked = int(answered.Load()), 600
-		run.outs = logged.count("msg=\"zone out\"")
+		run.answered, run.executed = int(answered.Load()), 600
+		run.outLines = logged.count("msg=\"zone out\"")
 	})
-	return run, coldMost
+	return run, maxWarmingUp
 }
 
 // lines keeps what was logged, for counting.
@@ -160,23 +165,23 @@
 }
 
 func TestZoneLeftAndReturned(t *testing.T) {
-	off, _ := playZoneLoss(t, false, NotConnected)
-	on, coldMost := playZoneLoss(t, true, NotConnected)
+	off, _ := playZoneLoss(t, byNode, NotConnected)
+	on, maxWarmingUp := playZoneLoss(t, byZone, NotConnected)
 	t.Logf("judged by data node: %+v", off)
-	t.Logf("judged by zone:      %+v (a cold data node stands %d in its first second)", on, coldMost)
+	t.Logf("judged by zone:      %+v (a cold data node stands %d in its first second)", on, maxWarmingUp)
 	// While out nothing goes there. A return that finds the zone still dead costs an attempt at each of its 4 data
 	// nodes, and what is begun before the next verdict: a zone tick of 20 queries a second, 3 attempts each at most.
 	perReturn := 4 + 3*int(math.Ceil(20*zoneInterval.Seconds()))
-	if on.afterAll > on.returns*perReturn || on.afterAll >= off.afterAll {
+	if on.lateAttempts > on.returns*perReturn || on.lateAttempts >= off.lateAttempts {
 		t.Errorf("%d attempts went to the dead zone more than a second after its loss, in %d returns; %d judged by data node",
-			on.afterAll, on.returns, off.afterAll)
+			on.lateAttempts, on.returns, off.lateAttempts)
 	}
-	if on.firstSec > coldMost {
-		t.Errorf("a returning data node got %d attempts in its first second; a cold one stands %d", on.firstSec, coldMost)
+	if on.firstSecond > maxWarmingUp {
+		t.Errorf("a returning data node got %d attempts in its first second; a cold one stands %d", on.firstSecond, maxWarmingUp)
 	}
 	// A zone goes doubtful and then out within a second; the line that tells it out must not be held back by the one
 	// that told it doubtful.
-	if on.outs == 0 {
+	if on.outLines == 0 {
 		t.Errorf("the zone went out %d times, and no line told it", on.returns+1)
 	}
 	if on.answered < off.answered {
@@ -189,16 +194,16 @@
 // and resets each gives none either but that nothing is heard between two of them.
 func TestZoneWithoutRefusalsLeft(t *testing.T) {
 	for how, name := range map[Outcome]string{Cancelled: "silent", ConnectionLost: "resetting"} {
-		off, _ := playZoneLoss(t, false, how)
-		on, _ := playZoneLoss(t, true, how)
+		off, _ := playZoneLoss(t, byNode, how)
+		on, _ := playZoneLoss(t, byZone, how)
 		t.Logf("%s, judged by data node: %+v", name, off)
 		t.Logf("%s, judged by zone:      %+v", name, on)
-		if on.outs == 0 {
+		if on.outLines == 0 {
 			t.Errorf("a %s zone was never told out", name)
 		}
-		if on.afterAll >= off.afterAll {
+		if on.lateAttempts >= off.lateAttempts {
 			t.Errorf("%d attempts went to the %s zone more than a second after its loss; %d judged by data node",
-				on.afterAll, name, off.afterAll)
+				on.lateAttempts, name, off.lateAttempts)
 		}
 		if on.answered < off.answered {
 			t.Errorf("%s: whole answers: %d judged by zone, %d by data node", name, on.answered, off.answered)
