--- a/internal/queryjson/queryjson.go
+++ b/internal/queryjson/queryjson.go
@@ -1,5 +1,5 @@
-// Package queryjson reads the JSON form in which both fronts are handed the parts of a query. It owns that form and
-// nothing else; whether the deployment knows a shard is the core's to say.
+// Package queryjson reads the JSON form in which both fronts receive the parts of a query. Whether the deployment knows a shard is for
+// the coordinator to say.
 package queryjson
 
 import (
@@ -11,11 +11,13 @@
 	"gullfall/internal/coordinator"
 )
 
-// MaxBytes is the longest form that is read.
+// MaxBytes is the longest form that the fronts read.
 const MaxBytes = 64 << 10
 
-// Parts reads {"shards":[{"shard":3,"weight":0.5,"cost":9000,"key":"..."}],"q":"..."}; cost is in microseconds.
+// Parts reads {"shards":[{"shard":3,"weight":0.5,"cost":9000,"key":"..."}],"q":"..."}; cost is in microseconds. It returns the parts of
+// a query and the text that each carries. An error wraps coordinator.ErrInput.
 func Parts(raw []byte) (parts []coordinator.Part, text string, err error) {
+	// The struct has no name and its fields no tags because clients read both in the errors of encoding/json.
 	var body struct {
 		Shards []struct {
 			Shard  *int
@@ -26,13 +28,13 @@
 		Q string
 	}
 	if err := json.Unmarshal(raw, &body); err != nil {
-		return nil, "", fmt.Errorf("%w: %v", coordinator.ErrInput, err)
+		return nil, "", fmt.Errorf("%w: %w", coordinator.ErrInput, err)
 	}
 	for _, s := range body.Shards {
 		if s.Shard == nil {
 			return nil, "", fmt.Errorf("%w: a part without its shard", coordinator.ErrInput)
 		}
-		if !(math.Abs(s.Cost) < math.MaxInt32) {
+		if !(math.Abs(s.Cost) < math.MaxInt32) { // beyond what a time.Duration holds, or no number
 			return nil, "", fmt.Errorf("%w: cost of shard %d", coordinator.ErrInput, *s.Shard)
 		}
 		parts = append(parts, coordinator.Part{Shard: *s.Shard, Weight: s.Weight, Key: s.Key,
