--- a/internal/simulator/codec.go
+++ b/internal/simulator/codec.go
@@ -26,50 +26,50 @@
 }
 
 // fields reads the members of one message by position; the first failure sticks.
-type fields struct {
-	raw  []json.RawMessage
+type message struct {
+	fields  []json.RawMessage
 	name string
 	err  error
 }
 
 // read decodes member i into dst; missing and null members leave it as it is.
-func (f *fields) read(i int, field string, dst any) {
-	if f.err != nil || i >= len(f.raw) {
+func (f *message) read(i int, field string, dst any) {
+	if f.err != nil || i >= len(f.fields) {
 		return
 	}
-	if err := json.Unmarshal(f.raw[i], dst); err != nil {
+	if err := json.Unmarshal(f.fields[i], dst); err != nil {
 		f.err = fmt.Errorf("%s: %s: %w", f.name, field, err)
 	}
 }
 
-func (f *fields) text(i int, field string) (s string) {
+func (f *message) text(i int, field string) (s string) {
 	f.read(i, field, &s)
 	return s
 }
 
 // label reads a text that some sites leave out by writing 0.
-func (f *fields) label(i int, field string) string {
+func (f *message) label(i int, field string) string {
 	var v any
 	f.read(i, field, &v)
 	s, _ := v.(string)
 	return s
 }
 
-func (f *fields) number(i int, field string) (x float64) {
+func (f *message) number(i int, field string) (x float64) {
 	f.read(i, field, &x)
 	return x
 }
 
-func (f *fields) integer(i int, field string) int { return int(f.number(i, field)) }
+func (f *message) integer(i int, field string) int { return int(f.number(i, field)) }
 
-func (f *fields) seconds(i int, field string) time.Duration {
+func (f *message) seconds(i int, field string) time.Duration {
 	return config.Duration(f.number(i, field))
 }
 
 // report reads a load report, an object of numbers; what is missing or of another form is no report.
-func (f *fields) report(i int) map[string]float64 {
+func (f *message) report(i int) map[string]float64 {
 	var report map[string]float64
-	if i >= len(f.raw) || json.Unmarshal(f.raw[i], &report) != nil {
+	if i >= len(f.fields) || json.Unmarshal(f.fields[i], &report) != nil {
 		return nil
 	}
 	return report
@@ -87,17 +87,17 @@
 	"on": aggregator.Serving, "fading": aggregator.Draining, "off": aggregator.Gone,
 }
 
-var forms = map[string]aggregator.EventKind{
+var listKinds = map[string]aggregator.EventKind{
 	"changes": aggregator.ListChanged, "all": aggregator.ListReplaced,
 	"remembered": aggregator.ListCached, "refused": aggregator.ListCallFailed,
 }
 
 // members decodes the entries of a numbered list. A state it does not know reads as draining.
-func members(raw []json.RawMessage) ([]aggregator.Member, error) {
+func decodeMembers(raw []json.RawMessage) ([]aggregator.Member, error) {
 	list := make([]aggregator.Member, 0, len(raw))
 	for _, entry := range raw {
-		f := fields{name: "SHEET entry"}
-		if err := json.Unmarshal(entry, &f.raw); err != nil {
+		f := message{name: "SHEET entry"}
+		if err := json.Unmarshal(entry, &f.fields); err != nil {
 			return nil, fmt.Errorf("SHEET entry: %w", err)
 		}
 		state, known := states[f.text(2, "StageState")]
@@ -116,10 +116,10 @@
 }
 
 // event decodes the messages that go to the module; ok is false for those that do not.
-func (h *Host) event(in *instance, f *fields) (e aggregator.Event, ok bool) {
+func (h *Host) event(in *instance, f *message) (e aggregator.Event, ok bool) {
 	switch f.name {
 	case "INCOMING":
-		return in.incoming(f), true
+		return in.arrival(f), true
 	case "COMPLETED":
 		e = aggregator.Event{Kind: aggregator.AttemptEnded, Part: f.text(2, "Job"), Attempt: f.integer(3, "Copy"),
 			Replica: f.text(4, "Server"), Outcome: outcomes[f.text(5, "Ending")], Elapsed: f.seconds(6, "WaitTimeS")}
@@ -137,13 +137,13 @@
 		}
 		e = aggregator.Event{Kind: aggregator.GossipReceived, Data: data}
 	case "MEMBERS":
-		kind, known := forms[f.text(3, "Form")]
+		kind, known := listKinds[f.text(3, "Form")]
 		if !known {
 			return e, false
 		}
 		e = aggregator.Event{Kind: kind}
 		if kind != aggregator.ListCallFailed {
-			e.Members = h.sheets[f.integer(4, "Page")]
+			e.Members = h.lists[f.integer(4, "Page")]
 		}
 	default:
 		return e, false
@@ -153,30 +153,30 @@
 
 // Bits of INCOMING's Bitmap.
 const (
-	bitHint  = 1
-	bitRetry = 2
+	flagWorkKnown  = 1
+	flagRetry = 2
 )
 
 // incoming decodes a query or a part; a part names its query by the number both carry.
-func (in *instance) incoming(f *fields) aggregator.Event {
+func (in *instance) arrival(f *message) aggregator.Event {
 	id, number, shard := f.text(2, "Job"), f.integer(4, "WholeNo"), f.integer(6, "SegmentNo")
 	bits := f.integer(11, "Bitmap")
 	e := aggregator.Event{Shard: shard, Key: f.label(9, "PathKey")}
-	if bits&bitHint != 0 {
+	if bits&flagWorkKnown != 0 {
 		e.Work = f.seconds(3, "ExpectedS")
 	}
 	if shard >= 0 {
-		e.Kind, e.Part, e.Query, e.Weight = aggregator.PartArrived, id, in.numbers[number], f.number(5, "Measure")
+		e.Kind, e.Part, e.Query, e.Weight = aggregator.PartArrived, id, in.queryByNumber[number], f.number(5, "Measure")
 		return e
 	}
-	in.numbers[number], in.queries[id] = id, number
+	in.queryByNumber[number], in.numberByQuery[id] = id, number
 	e.Kind, e.Query, e.Count, e.TimeLeft = aggregator.QueryArrived, id, f.integer(5, "Measure"), f.seconds(8, "LeftS")
-	e.Retry = bits&bitRetry != 0
-	e.Class, e.Tenant = index(in.classes, f.label(10, "Type")), index(in.tenants, f.label(7, "Tenant"))
+	e.Retry = bits&flagRetry != 0
+	e.Class, e.Tenant = indexOf(in.classes, f.label(10, "Type")), indexOf(in.tenants, f.label(7, "Tenant"))
 	return e
 }
 
-func index(names map[string]int, name string) int {
+func indexOf(names map[string]int, name string) int {
 	if i, ok := names[name]; ok {
 		return i
 	}
--- a/internal/simulator/host.go
+++ b/internal/simulator/host.go
@@ -14,17 +14,17 @@
 // Host holds the instances of one process. They share the numbered lists of the wire and nothing else.
 type Host struct {
 	instances map[int]*instance
-	sheets    map[int][]aggregator.Member
+	lists    map[int][]aggregator.Member
 }
 
 // instance is one aggregator with the events and actions of the batch in hand.
 type instance struct {
 	node    int
-	agg     *aggregator.Aggregator
+	module     *aggregator.Aggregator
 	classes map[string]int
 	tenants map[string]int
-	numbers map[int]string // a query's number to its id
-	queries map[string]int // and back, for as long as it is open
+	queryByNumber map[int]string // a query's number to its id
+	numberByQuery map[string]int // and back, for as long as it is open
 	events  []aggregator.Event
 	actions []aggregator.Action
 	queued  bool
@@ -32,7 +32,7 @@
 
 // NewHost returns a host without instances.
 func NewHost() *Host {
-	return &Host{instances: map[int]*instance{}, sheets: map[int][]aggregator.Member{}}
+	return &Host{instances: map[int]*instance{}, lists: map[int][]aggregator.Member{}}
 }
 
 // Serve answers batches from r on w until r ends.
@@ -74,12 +74,12 @@
 	answer := &reply{Round: b.Round, Do: [][]any{}}
 	var turn []*instance
 	for i, raw := range b.In {
-		f := fields{}
-		if err := json.Unmarshal(raw, &f.raw); err != nil {
+		f := message{}
+		if err := json.Unmarshal(raw, &f.fields); err != nil {
 			return nil, fmt.Errorf("message %d: %w", i, err)
 		}
 		f.read(0, "name", &f.name)
-		in, err := h.take(&f, answer)
+		in, err := h.apply(&f, answer)
 		if err == nil {
 			err = f.err
 		}
@@ -102,12 +102,12 @@
 }
 
 // take applies one message and returns the instance that has an event from it, if any.
-func (h *Host) take(f *fields, answer *reply) (*instance, error) {
+func (h *Host) apply(f *message, answer *reply) (*instance, error) {
 	if f.name == "SHEET" {
 		var raw []json.RawMessage
 		f.read(2, "Items", &raw)
-		list, err := members(raw)
-		h.sheets[f.integer(1, "Page")] = list
+		list, err := decodeMembers(raw)
+		h.lists[f.integer(1, "Page")] = list
 		return nil, err
 	}
 	node := f.integer(1, "NodeId")
@@ -127,19 +127,19 @@
 		return nil, nil
 	}
 	if e.Kind == aggregator.ClientGone {
-		in.close(e.Query)
+		in.forget(e.Query)
 	}
 	in.events = append(in.events, e)
 	return in, nil
 }
 
 // configure starts an instance afresh.
-func (h *Host) configure(node int, f *fields, answer *reply) (*instance, error) {
+func (h *Host) configure(node int, f *message, answer *reply) (*instance, error) {
 	var raw json.RawMessage
 	var seed uint64
 	f.read(3, "Settings", &raw)
-	if len(f.raw) > 2 {
-		if json.Unmarshal(f.raw[2], &seed) != nil {
+	if len(f.fields) > 2 {
+		if json.Unmarshal(f.fields[2], &seed) != nil {
 			seed = uint64(int64(f.number(2, "Entropy")))
 		}
 	}
@@ -155,8 +155,8 @@
 		answer.Do = append(answer.Do, panicked(node, err))
 		return nil, nil
 	}
-	in := &instance{node: node, agg: agg, classes: map[string]int{}, tenants: map[string]int{},
-		numbers: map[int]string{}, queries: map[string]int{}}
+	in := &instance{node: node, module: agg, classes: map[string]int{}, tenants: map[string]int{},
+		queryByNumber: map[int]string{}, numberByQuery: map[string]int{}}
 	for i, c := range set.Classes {
 		in.classes[c.Name] = i
 	}
@@ -168,10 +168,10 @@
 }
 
 // close forgets the number of a query that has ended.
-func (in *instance) close(query string) {
-	if number, ok := in.queries[query]; ok {
-		delete(in.queries, query)
-		delete(in.numbers, number)
+func (in *instance) forget(query string) {
+	if number, ok := in.numberByQuery[query]; ok {
+		delete(in.numberByQuery, query)
+		delete(in.queryByNumber, number)
 	}
 }
 
@@ -183,10 +183,10 @@
 			result = append(do, panicked(in.node, r))
 		}
 	}()
-	in.actions = in.agg.Step(now, in.events, in.actions[:0])
+	in.actions = in.module.Step(now, in.events, in.actions[:0])
 	for _, a := range in.actions {
 		if a.Kind == aggregator.Reject || a.Kind == aggregator.Fail || a.Kind == aggregator.Answer && a.Final {
-			in.close(a.Query)
+			in.forget(a.Query)
 		}
 		do = append(do, encode(in.node, a))
 	}
--- a/internal/simulator/simulator_test.go
+++ b/internal/simulator/simulator_test.go
@@ -130,8 +130,8 @@
 	}
 	h := NewHost()
 	for text, want := range map[string]int{`["FROM_PEER",3,5,"01ab"]`: 2, `["FROM_PEER",3,5,"xyz"]`: -1} {
-		f := fields{name: "FROM_PEER"}
-		if err := json.Unmarshal([]byte(text), &f.raw); err != nil {
+		f := message{name: "FROM_PEER"}
+		if err := json.Unmarshal([]byte(text), &f.fields); err != nil {
 			t.Fatal(err)
 		}
 		e, ok := h.event(&instance{}, &f)
@@ -144,7 +144,7 @@
 // TestReports: an object of numbers is a report, anything else is none and no error.
 func TestReports(t *testing.T) {
 	for text, want := range map[string]int{`{"queue":2,"inflight":1.5}`: 2, `[["queue",2]]`: 0, `null`: 0, `{"queue":"x"}`: 0} {
-		f := fields{raw: []json.RawMessage{json.RawMessage(text)}}
+		f := message{fields: []json.RawMessage{json.RawMessage(text)}}
 		if got := f.report(0); len(got) != want || f.err != nil {
 			t.Errorf("%s: got %v, %v", text, got, f.err)
 		}
