--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -1,4 +1,5 @@
-// Command simhost runs the decision module behind the bench's wire on standard input and output.
+// Command simhost runs the decision module behind the simulator's protocol on standard input and output. It exits with status 1 and one
+// line on standard error where a line of input can't be read.
 package main
 
 import (
--- a/internal/simulator/codec.go
+++ b/internal/simulator/codec.go
@@ -1,5 +1,3 @@
-// Package simulator carries the decision module on the bench's wire: it reads batches of events for many
-// instances, hands each instance its own, and writes their actions back. It decides nothing.
 package simulator
 
 import (
@@ -9,203 +7,223 @@
 	"time"
 
 	"gullfall/aggregator"
-	"gullfall/internal/config"
 )
 
-// batch is one line of input.
-type batch struct {
-	TimeS *float64
-	Round json.RawMessage
-	In    []json.RawMessage
-}
-
-// reply is one line of output.
-type reply struct {
-	Round json.RawMessage `json:"round,omitempty"`
-	Do    [][]any         `json:"do"`
-}
+// Names of the messages that come in.
+const (
+	msgConfigure  = "CONFIGURE"
+	msgExit       = "EXIT"
+	msgSheet      = "SHEET"
+	msgIncoming   = "INCOMING"
+	msgCompleted  = "COMPLETED"
+	msgClientGone = "TIMED_OUT_CLIENT"
+	msgWakeup     = "WAKEUP"
+	msgProbed     = "PROBED"
+	msgFromPeer   = "FROM_PEER"
+	msgMembers    = "MEMBERS"
+)
 
-// fields reads the members of one message by position; the first failure sticks.
-type message struct {
-	fields  []json.RawMessage
-	name string
-	err  error
-}
+// Names of the actions that go out.
+const (
+	actSend          = "TRANSMIT"
+	actCancel        = "CALL_OFF"
+	actAnswer        = "WRAP_UP"
+	actReject        = "BOUNCE"
+	actFail          = "SURRENDER"
+	actProbe         = "SOUND_OUT"
+	actWake          = "DEFER"
+	actCloseIdle     = "CLOSE_IDLE"
+	actSendGossip    = "MEMO_TO"
+	actPollEndpoints = "LISTEN"
+	actPanic         = "PANIC"
+)
 
-// read decodes member i into dst; missing and null members leave it as it is.
-func (f *message) read(i int, field string, dst any) {
-	if f.err != nil || i >= len(f.fields) {
-		return
-	}
-	if err := json.Unmarshal(f.fields[i], dst); err != nil {
-		f.err = fmt.Errorf("%s: %s: %w", f.name, field, err)
-	}
-}
+// Words of the simulator that stand in an action.
+const (
+	wakeToken = "wake"
+	allPeers  = "all"
+)
 
-func (f *message) text(i int, field string) (s string) {
-	f.read(i, field, &s)
-	return s
+var outcomes = map[string]aggregator.Outcome{
+	"ok":             aggregator.OK,
+	"error":          aggregator.Errored,
+	"full":           aggregator.Rejected,
+	"timeout":        aggregator.TimedOut,
+	"connect_failed": aggregator.ConnectFailed,
+	"reset":          aggregator.Reset,
+	"cancelled":      aggregator.Cancelled,
+	"moot":           aggregator.NotSent,
 }
 
-// label reads a text that some sites leave out by writing 0.
-func (f *message) label(i int, field string) string {
-	var v any
-	f.read(i, field, &v)
-	s, _ := v.(string)
-	return s
+var states = map[string]aggregator.State{
+	"on":     aggregator.Serving,
+	"fading": aggregator.Draining,
+	"off":    aggregator.Gone,
 }
 
-func (f *message) number(i int, field string) (x float64) {
-	f.read(i, field, &x)
-	return x
+var listKinds = map[string]aggregator.EventKind{
+	"changes":    aggregator.ListChanged,
+	"all":        aggregator.ListReplaced,
+	"remembered": aggregator.ListCached,
+	"refused":    aggregator.ListCallFailed,
 }
 
-func (f *message) integer(i int, field string) int { return int(f.number(i, field)) }
+// Flags of INCOMING.
+const (
+	flagWorkKnown = 1
+	flagRetry     = 2
+)
 
-func (f *message) seconds(i int, field string) time.Duration {
-	return config.Duration(f.number(i, field))
+// batch is one line of input.
+type batch struct {
+	TimeS *float64
+	Round json.RawMessage
+	In    []json.RawMessage
 }
 
-// report reads a load report, an object of numbers; what is missing or of another form is no report.
-func (f *message) report(i int) map[string]float64 {
-	var report map[string]float64
-	if i >= len(f.fields) || json.Unmarshal(f.fields[i], &report) != nil {
-		return nil
-	}
-	return report
+// reply is one line of output.
+type reply struct {
+	Round json.RawMessage `json:"round,omitempty"`
+	Do    [][]any         `json:"do"`
 }
 
-func seconds(d time.Duration) float64 { return float64(d/time.Microsecond) / 1e6 }
-
-var outcomes = map[string]aggregator.Outcome{
-	"ok": aggregator.OK, "error": aggregator.Errored, "full": aggregator.Rejected, "timeout": aggregator.TimedOut,
-	"connect_failed": aggregator.ConnectFailed, "reset": aggregator.Reset, "cancelled": aggregator.Cancelled,
-	"moot": aggregator.NotSent,
+// configuration is what CONFIGURE says.
+type configuration struct {
+	seed     uint64
+	settings json.RawMessage
 }
 
-var states = map[string]aggregator.State{
-	"on": aggregator.Serving, "fading": aggregator.Draining, "off": aggregator.Gone,
+// decodeConfiguration reads a CONFIGURE. A seed that is no unsigned integer is read as a number and cut off.
+func decodeConfiguration(m *message) (c configuration) {
+	m.read(3, "Settings", &c.settings)
+	if len(m.fields) > 2 && json.Unmarshal(m.fields[2], &c.seed) != nil {
+		c.seed = uint64(int64(m.number(2, "Entropy")))
+	}
+	return c
 }
 
-var listKinds = map[string]aggregator.EventKind{
-	"changes": aggregator.ListChanged, "all": aggregator.ListReplaced,
-	"remembered": aggregator.ListCached, "refused": aggregator.ListCallFailed,
+// decodeSheet reads a SHEET: a list of data nodes under a number, which later messages name.
+func decodeSheet(m *message) (page int, list []aggregator.Member, err error) {
+	var items []json.RawMessage
+	m.read(2, "Items", &items)
+	list, err = decodeMembers(items)
+	return m.integer(1, "Page"), list, err
 }
 
-// members decodes the entries of a numbered list. A state it does not know reads as draining.
-func decodeMembers(raw []json.RawMessage) ([]aggregator.Member, error) {
-	list := make([]aggregator.Member, 0, len(raw))
-	for _, entry := range raw {
-		f := message{name: "SHEET entry"}
-		if err := json.Unmarshal(entry, &f.fields); err != nil {
-			return nil, fmt.Errorf("SHEET entry: %w", err)
+// decodeMembers reads the entries of a list. A state that is not known reads as draining.
+func decodeMembers(items []json.RawMessage) ([]aggregator.Member, error) {
+	list := make([]aggregator.Member, 0, len(items))
+	for _, item := range items {
+		m := message{name: "SHEET entry"}
+		if err := json.Unmarshal(item, &m.fields); err != nil {
+			return nil, fmt.Errorf("%s: %w", m.name, err)
 		}
-		state, known := states[f.text(2, "StageState")]
+		state, known := states[m.text(2, "StageState")]
 		if !known {
 			state = aggregator.Draining
 		}
 		list = append(list, aggregator.Member{
-			Started: f.seconds(1, "UpSinceS"), State: state, Replica: f.text(3, "Server"),
-			ShardSet: f.integer(4, "Position"), Zone: f.text(5, "RegionPart"), Size: f.number(6, "Units"),
+			Started:  m.seconds(1, "UpSinceS"),
+			State:    state,
+			Replica:  m.text(3, "Server"),
+			ShardSet: m.integer(4, "Position"),
+			Zone:     m.text(5, "RegionPart"),
+			Size:     m.number(6, "Units"),
 		})
-		if f.err != nil {
-			return nil, f.err
+		if m.err != nil {
+			return nil, m.err
 		}
 	}
 	return list, nil
 }
 
-// event decodes the messages that go to the module; ok is false for those that do not.
-func (h *Host) event(in *instance, f *message) (e aggregator.Event, ok bool) {
-	switch f.name {
-	case "INCOMING":
-		return in.arrival(f), true
-	case "COMPLETED":
-		e = aggregator.Event{Kind: aggregator.AttemptEnded, Part: f.text(2, "Job"), Attempt: f.integer(3, "Copy"),
-			Replica: f.text(4, "Server"), Outcome: outcomes[f.text(5, "Ending")], Elapsed: f.seconds(6, "WaitTimeS")}
-	case "TIMED_OUT_CLIENT":
-		e = aggregator.Event{Kind: aggregator.ClientGone, Query: f.text(2, "Job")}
-	case "WAKEUP":
-		e = aggregator.Event{Kind: aggregator.Wakeup}
-	case "PROBED":
-		e = aggregator.Event{Kind: aggregator.ProbeEnded, Replica: f.text(2, "Server"),
-			Outcome: outcomes[f.text(3, "Ending")], Elapsed: f.seconds(4, "WaitTimeS"), LoadReport: f.report(5)}
-	case "FROM_PEER":
-		data, err := hex.DecodeString(f.text(3, "Octets"))
-		if err != nil {
-			return e, false
-		}
-		e = aggregator.Event{Kind: aggregator.GossipReceived, Data: data}
-	case "MEMBERS":
-		kind, known := listKinds[f.text(3, "Form")]
-		if !known {
-			return e, false
-		}
-		e = aggregator.Event{Kind: kind}
-		if kind != aggregator.ListCallFailed {
-			e.Members = h.lists[f.integer(4, "Page")]
-		}
-	default:
-		return e, false
-	}
-	return e, true
+// arrival is what INCOMING says of a query, or of a part where its shard is not negative.
+type arrival struct {
+	id     string
+	number int // of the query; its parts carry the same
+	shard  int
+	key    string
+	work   time.Duration // 0 where not known
+
+	weight float64 // of a part
+
+	count    int // of a query, as all that follows
+	timeLeft time.Duration
+	retry    bool
+	class    string
+	tenant   string
 }
 
-// Bits of INCOMING's Bitmap.
-const (
-	flagWorkKnown  = 1
-	flagRetry = 2
-)
+func (a *arrival) isPart() bool { return a.shard >= 0 }
 
-// incoming decodes a query or a part; a part names its query by the number both carry.
-func (in *instance) arrival(f *message) aggregator.Event {
-	id, number, shard := f.text(2, "Job"), f.integer(4, "WholeNo"), f.integer(6, "SegmentNo")
-	bits := f.integer(11, "Bitmap")
-	e := aggregator.Event{Shard: shard, Key: f.label(9, "PathKey")}
-	if bits&flagWorkKnown != 0 {
-		e.Work = f.seconds(3, "ExpectedS")
+// decodeArrival reads an INCOMING. Only the fields that the kind of arrival uses are read; the others may hold anything.
+func decodeArrival(m *message) arrival {
+	a := arrival{id: m.text(2, "Job"), number: m.integer(4, "WholeNo"), shard: m.integer(6, "SegmentNo")}
+	flags := m.integer(11, "Bitmap")
+	a.key = m.label(9, "PathKey")
+	if flags&flagWorkKnown != 0 {
+		a.work = m.seconds(3, "ExpectedS")
+	}
+	if a.isPart() {
+		a.weight = m.number(5, "Measure")
+		return a
 	}
-	if shard >= 0 {
-		e.Kind, e.Part, e.Query, e.Weight = aggregator.PartArrived, id, in.queryByNumber[number], f.number(5, "Measure")
-		return e
+	a.count, a.timeLeft = m.integer(5, "Measure"), m.seconds(8, "LeftS")
+	a.retry = flags&flagRetry != 0
+	a.class, a.tenant = m.label(10, "Type"), m.label(7, "Tenant")
+	return a
+}
+
+func decodeAttemptEnd(m *message) aggregator.Event {
+	return aggregator.Event{
+		Kind:    aggregator.AttemptEnded,
+		Part:    m.text(2, "Job"),
+		Attempt: m.integer(3, "Copy"),
+		Replica: m.text(4, "Server"),
+		Outcome: outcomes[m.text(5, "Ending")],
+		Elapsed: m.seconds(6, "WaitTimeS"),
 	}
-	in.queryByNumber[number], in.numberByQuery[id] = id, number
-	e.Kind, e.Query, e.Count, e.TimeLeft = aggregator.QueryArrived, id, f.integer(5, "Measure"), f.seconds(8, "LeftS")
-	e.Retry = bits&flagRetry != 0
-	e.Class, e.Tenant = indexOf(in.classes, f.label(10, "Type")), indexOf(in.tenants, f.label(7, "Tenant"))
-	return e
 }
 
-func indexOf(names map[string]int, name string) int {
-	if i, ok := names[name]; ok {
-		return i
+func decodeProbeEnd(m *message) aggregator.Event {
+	return aggregator.Event{
+		Kind:       aggregator.ProbeEnded,
+		Replica:    m.text(2, "Server"),
+		Outcome:    outcomes[m.text(3, "Ending")],
+		Elapsed:    m.seconds(4, "WaitTimeS"),
+		LoadReport: m.report(5),
 	}
-	return -1
 }
 
-// encode turns one action into the wire's form.
+// encode turns one action of an instance into the simulator's form.
 func encode(node int, a aggregator.Action) []any {
 	switch a.Kind {
 	case aggregator.Send:
-		return []any{"TRANSMIT", node, a.Part, a.Replica, seconds(a.After)}
+		return []any{actSend, node, a.Part, a.Replica, seconds(a.After)}
 	case aggregator.Cancel:
-		return []any{"CALL_OFF", node, a.Part, a.Attempt}
+		return []any{actCancel, node, a.Part, a.Attempt}
 	case aggregator.Answer:
-		return []any{"WRAP_UP", node, a.Query, a.Complete}
+		return []any{actAnswer, node, a.Query, a.Complete}
 	case aggregator.Reject:
-		return []any{"BOUNCE", node, a.Query, seconds(a.After)}
+		return []any{actReject, node, a.Query, seconds(a.After)}
 	case aggregator.Fail:
-		return []any{"SURRENDER", node, a.Query}
+		return []any{actFail, node, a.Query}
 	case aggregator.Probe:
-		return []any{"SOUND_OUT", node, a.Replica}
+		return []any{actProbe, node, a.Replica}
 	case aggregator.Wake:
-		return []any{"DEFER", node, seconds(a.After), "wake"}
+		return []any{actWake, node, seconds(a.After), wakeToken}
 	case aggregator.CloseIdle:
-		return []any{"CLOSE_IDLE", node, a.Replica}
+		return []any{actCloseIdle, node, a.Replica}
 	case aggregator.SendGossip:
-		return []any{"MEMO_TO", node, "all", hex.EncodeToString(a.Data)}
+		return []any{actSendGossip, node, allPeers, hex.EncodeToString(a.Data)}
 	case aggregator.PollEndpoints:
-		return []any{"LISTEN", node, true}
+		return []any{actPollEndpoints, node, true}
 	}
-	return []any{"PANIC", node, fmt.Sprintf("action of unknown kind %d", a.Kind)}
+	return encodePanic(node, fmt.Sprintf("action of unknown kind %d", a.Kind))
 }
+
+// encodePanic tells the simulator that an instance can't go on.
+func encodePanic(node int, cause any) []any { return []any{actPanic, node, fmt.Sprint(cause)} }
+
+// seconds is a time in the simulator's form, in whole microseconds.
+func seconds(d time.Duration) float64 { return float64(d/time.Microsecond) / 1e6 }
--- a/internal/simulator/host.go
+++ b/internal/simulator/host.go
@@ -1,8 +1,12 @@
+// Package simulator runs the decision module behind the simulator's protocol: it reads batches of messages for many instances of the
+// module, hands each instance its events, and writes their actions back. It takes no decision of its own.
 package simulator
 
 import (
 	"bufio"
+	"encoding/hex"
 	"encoding/json"
+	"errors"
 	"fmt"
 	"io"
 	"time"
@@ -11,23 +15,26 @@
 	"gullfall/internal/config"
 )
 
-// Host holds the instances of one process. They share the numbered lists of the wire and nothing else.
+// bufferSize of both directions, in bytes.
+const bufferSize = 1 << 20
+
+// Host holds the instances of one process. They share the numbered lists of data nodes and nothing else.
 type Host struct {
 	instances map[int]*instance
-	lists    map[int][]aggregator.Member
+	lists     map[int][]aggregator.Member
 }
 
-// instance is one aggregator with the events and actions of the batch in hand.
+// instance is one module, with the events and actions of the batch in hand.
 type instance struct {
-	node    int
-	module     *aggregator.Aggregator
-	classes map[string]int
-	tenants map[string]int
-	queryByNumber map[int]string // a query's number to its id
-	numberByQuery map[string]int // and back, for as long as it is open
-	events  []aggregator.Event
-	actions []aggregator.Action
-	queued  bool
+	node          int
+	module        *aggregator.Aggregator
+	classes       map[string]int
+	tenants       map[string]int
+	queryByNumber map[int]string // open queries
+	numberByQuery map[string]int // and back
+	events        []aggregator.Event
+	actions       []aggregator.Action
+	queued        bool // it has an event of the batch in hand
 }
 
 // NewHost returns a host without instances.
@@ -35,86 +42,94 @@
 	return &Host{instances: map[int]*instance{}, lists: map[int][]aggregator.Member{}}
 }
 
-// Serve answers batches from r on w until r ends.
+// Serve answers batches from r on w until r ends. An error names the line.
 func Serve(r io.Reader, w io.Writer) error {
-	in, out := bufio.NewReaderSize(r, 1<<20), bufio.NewWriterSize(w, 1<<20)
+	in, out := bufio.NewReaderSize(r, bufferSize), bufio.NewWriterSize(w, bufferSize)
 	encoder := json.NewEncoder(out)
 	encoder.SetEscapeHTML(false)
 	host := NewHost()
 	for line := 1; ; line++ {
 		text, err := in.ReadBytes('\n')
-		if len(text) == 0 && err == io.EOF {
+		if len(text) == 0 && errors.Is(err, io.EOF) {
 			return nil
 		}
-		if err != nil && err != io.EOF {
-			return fmt.Errorf("line %d: %w", line, err)
+		if err == nil || errors.Is(err, io.EOF) {
+			err = host.answer(text, encoder, out)
 		}
-		answer, err := host.Batch(text)
 		if err != nil {
 			return fmt.Errorf("line %d: %w", line, err)
 		}
-		if err := encoder.Encode(answer); err != nil {
-			return fmt.Errorf("line %d: %w", line, err)
-		}
-		if err := out.Flush(); err != nil {
-			return fmt.Errorf("line %d: %w", line, err)
-		}
 	}
 }
 
-// Batch runs one line of input and returns the line of output.
+// answer runs one line of input and writes the line of output.
+func (h *Host) answer(text []byte, encoder *json.Encoder, out *bufio.Writer) error {
+	r, err := h.Batch(text)
+	if err != nil {
+		return err
+	}
+	if err := encoder.Encode(r); err != nil {
+		return err
+	}
+	return out.Flush()
+}
+
+// Batch runs one line of input and returns the line of output. The instances step once all messages have been applied, in the order
+// in which they got their first event.
 func (h *Host) Batch(text []byte) (*reply, error) {
 	var b batch
 	if err := json.Unmarshal(text, &b); err != nil {
 		return nil, fmt.Errorf("batch: %w", err)
 	}
 	if b.TimeS == nil {
-		return nil, fmt.Errorf("batch: TimeS is missing")
+		return nil, errors.New("batch: TimeS is missing")
 	}
 	answer := &reply{Round: b.Round, Do: [][]any{}}
-	var turn []*instance
+	var queue []*instance
 	for i, raw := range b.In {
-		f := message{}
-		if err := json.Unmarshal(raw, &f.fields); err != nil {
-			return nil, fmt.Errorf("message %d: %w", i, err)
-		}
-		f.read(0, "name", &f.name)
-		in, err := h.apply(&f, answer)
-		if err == nil {
-			err = f.err
-		}
+		in, err := h.receive(raw, answer)
 		if err != nil {
 			return nil, fmt.Errorf("message %d: %w", i, err)
 		}
 		if in != nil && !in.queued {
 			in.queued = true
-			turn = append(turn, in)
+			queue = append(queue, in)
 		}
 	}
 	now := config.Duration(*b.TimeS)
-	for _, in := range turn {
+	for _, in := range queue {
 		in.queued = false
-		if h.instances[in.node] == in {
+		if h.instances[in.node] == in { // it may have ended since
 			answer.Do = in.step(now, answer.Do)
 		}
 	}
 	return answer, nil
 }
 
-// take applies one message and returns the instance that has an event from it, if any.
-func (h *Host) apply(f *message, answer *reply) (*instance, error) {
-	if f.name == "SHEET" {
-		var raw []json.RawMessage
-		f.read(2, "Items", &raw)
-		list, err := decodeMembers(raw)
-		h.lists[f.integer(1, "Page")] = list
+// receive applies one message and returns the instance that has an event from it, if any.
+func (h *Host) receive(raw []byte, answer *reply) (*instance, error) {
+	m, err := decodeMessage(raw)
+	if err != nil {
+		return nil, err
+	}
+	in, err := h.apply(&m, answer)
+	if err == nil {
+		err = m.err
+	}
+	return in, err
+}
+
+func (h *Host) apply(m *message, answer *reply) (*instance, error) {
+	if m.name == msgSheet {
+		page, list, err := decodeSheet(m)
+		h.lists[page] = list
 		return nil, err
 	}
-	node := f.integer(1, "NodeId")
-	switch f.name {
-	case "CONFIGURE":
-		return h.configure(node, f, answer)
-	case "EXIT":
+	node := m.integer(1, "NodeId")
+	switch m.name {
+	case msgConfigure:
+		return h.configure(node, m, answer)
+	case msgExit:
 		delete(h.instances, node)
 		return nil, nil
 	}
@@ -122,7 +137,7 @@
 	if in == nil {
 		return nil, nil
 	}
-	e, ok := h.event(in, f)
+	e, ok := h.event(in, m)
 	if !ok {
 		return nil, nil
 	}
@@ -133,29 +148,22 @@
 	return in, nil
 }
 
-// configure starts an instance afresh.
-func (h *Host) configure(node int, f *message, answer *reply) (*instance, error) {
-	var raw json.RawMessage
-	var seed uint64
-	f.read(3, "Settings", &raw)
-	if len(f.fields) > 2 {
-		if json.Unmarshal(f.fields[2], &seed) != nil {
-			seed = uint64(int64(f.number(2, "Entropy")))
-		}
+// configure starts an instance, in place of an earlier one. Settings that the module can't work with are told to the simulator.
+func (h *Host) configure(node int, m *message, answer *reply) (*instance, error) {
+	c := decodeConfiguration(m)
+	if m.err != nil {
+		return nil, m.err
 	}
-	if f.err != nil {
-		return nil, f.err
-	}
-	set, err := config.Settings(raw)
+	set, err := config.Settings(c.settings)
 	if err != nil {
-		return nil, fmt.Errorf("CONFIGURE: %w", err)
+		return nil, fmt.Errorf("%s: %w", m.name, err)
 	}
-	agg, err := aggregator.New(set, seed)
+	module, err := aggregator.New(set, c.seed)
 	if err != nil {
-		answer.Do = append(answer.Do, panicked(node, err))
+		answer.Do = append(answer.Do, encodePanic(node, err))
 		return nil, nil
 	}
-	in := &instance{node: node, module: agg, classes: map[string]int{}, tenants: map[string]int{},
+	in := &instance{node: node, module: module, classes: map[string]int{}, tenants: map[string]int{},
 		queryByNumber: map[int]string{}, numberByQuery: map[string]int{}}
 	for i, c := range set.Classes {
 		in.classes[c.Name] = i
@@ -167,7 +175,63 @@
 	return in, nil
 }
 
-// close forgets the number of a query that has ended.
+// event is what the module is to see of a message; ok is false where that is nothing.
+func (h *Host) event(in *instance, m *message) (e aggregator.Event, ok bool) {
+	switch m.name {
+	case msgIncoming:
+		return in.arrive(decodeArrival(m)), true
+	case msgCompleted:
+		return decodeAttemptEnd(m), true
+	case msgClientGone:
+		return aggregator.Event{Kind: aggregator.ClientGone, Query: m.text(2, "Job")}, true
+	case msgWakeup:
+		return aggregator.Event{Kind: aggregator.Wakeup}, true
+	case msgProbed:
+		return decodeProbeEnd(m), true
+	case msgFromPeer:
+		data, err := hex.DecodeString(m.text(3, "Octets"))
+		return aggregator.Event{Kind: aggregator.GossipReceived, Data: data}, err == nil
+	case msgMembers:
+		return h.listEvent(m)
+	}
+	return e, false
+}
+
+// listEvent finds the list that a message names by its number.
+func (h *Host) listEvent(m *message) (e aggregator.Event, ok bool) {
+	kind, known := listKinds[m.text(3, "Form")]
+	if !known {
+		return e, false
+	}
+	e.Kind = kind
+	if kind != aggregator.ListCallFailed {
+		e.Members = h.lists[m.integer(4, "Page")]
+	}
+	return e, true
+}
+
+// arrive is the event of a query or a part. A part names its query by the number that both carry.
+func (in *instance) arrive(a arrival) aggregator.Event {
+	e := aggregator.Event{Shard: a.shard, Key: a.key, Work: a.work}
+	if a.isPart() {
+		e.Kind, e.Part, e.Query, e.Weight = aggregator.PartArrived, a.id, in.queryByNumber[a.number], a.weight
+		return e
+	}
+	in.queryByNumber[a.number], in.numberByQuery[a.id] = a.id, a.number
+	e.Kind, e.Query, e.Count, e.TimeLeft, e.Retry = aggregator.QueryArrived, a.id, a.count, a.timeLeft, a.retry
+	e.Class, e.Tenant = indexOf(in.classes, a.class), indexOf(in.tenants, a.tenant)
+	return e
+}
+
+// indexOf is -1 for a name that is not known.
+func indexOf(names map[string]int, name string) int {
+	if i, ok := names[name]; ok {
+		return i
+	}
+	return -1
+}
+
+// forget drops the number of a query that has ended.
 func (in *instance) forget(query string) {
 	if number, ok := in.numberByQuery[query]; ok {
 		delete(in.numberByQuery, query)
@@ -180,7 +244,7 @@
 	defer func() {
 		in.events = in.events[:0]
 		if r := recover(); r != nil {
-			result = append(do, panicked(in.node, r))
+			result = append(do, encodePanic(in.node, r))
 		}
 	}()
 	in.actions = in.module.Step(now, in.events, in.actions[:0])
@@ -192,5 +256,3 @@
 	}
 	return do
 }
-
-func panicked(node int, cause any) []any { return []any{"PANIC", node, fmt.Sprint(cause)} }
--- a/internal/simulator/simulator_test.go
+++ b/internal/simulator/simulator_test.go
@@ -56,7 +56,7 @@
 	}
 }
 
-// TestExitForgets: a killed instance acts no more until it is configured again.
+// TestExitForgets: an instance that has ended does nothing until it is configured again.
 func TestExitForgets(t *testing.T) {
 	replies := serve(t, line(1, configure+","+list), line(2, asked+`,["EXIT",3]`), line(3, `["WAKEUP",3,"wake"]`))
 	for _, r := range replies[1:] {
@@ -82,7 +82,7 @@
 	}
 }
 
-// TestBadSettingsPanicOnTheWire: settings that can't be served are told by the wire's own action.
+// TestBadSettingsPanicOnTheWire: settings that can't be served are told by the simulator's own action.
 func TestBadSettingsPanicOnTheWire(t *testing.T) {
 	replies := serve(t, line(1, strings.Replace(configure, `"Sets":2`, `"Sets":0`, 1)))
 	if !strings.Contains(replies[0], `["PANIC",3,"Cells, Shards`) {
@@ -108,7 +108,7 @@
 	})
 }
 
-// TestEveryActionHasAForm: each action of the interface is written in the wire's words.
+// TestEveryActionHasAForm: each action of the interface is written in the simulator's words.
 func TestEveryActionHasAForm(t *testing.T) {
 	for action, want := range map[aggregator.ActionKind]string{
 		aggregator.Send: "TRANSMIT", aggregator.Cancel: "CALL_OFF", aggregator.Answer: "WRAP_UP",
