--- /dev/null
+++ b/internal/config/datanodes.go
@@ -0,0 +1,67 @@
+package config
+
+import (
+	"fmt"
+	"time"
+
+	"gullfall/internal/dnssd"
+	"gullfall/internal/membership"
+)
+
+// Membership is how returns of data nodes are damped (RFC 2439).
+type Membership struct {
+	HalfLife        Span `toml:"half_life"`
+	Suppress, Reuse float64
+	Longest         Span
+}
+
+// Node is a data node that the deploy file names.
+type Node struct {
+	ID, Addr, Zone, Proto string
+	Cell                  int
+	Weight                float64
+}
+
+// Damping is the part of the membership's figures that the file gives.
+func (d *Deploy) Damping() membership.Config {
+	m := d.Membership
+	return membership.Config{HalfLife: time.Duration(m.HalfLife), Suppress: m.Suppress, Reuse: m.Reuse,
+		MaxSuppress: time.Duration(m.Longest)}
+}
+
+// Fixed are the data nodes that the file names.
+func (d *Deploy) Fixed() (list []membership.Record) {
+	for _, n := range d.Node {
+		r := membership.Record{ID: n.ID, Addr: n.Addr, Zone: n.Zone, ShardSet: n.Cell, Weight: n.Weight, Unstated: true}
+		if n.Proto == "flight" {
+			r.Proto = dnssd.Flight
+		}
+		list = append(list, r)
+	}
+	return list
+}
+
+func (d *Deploy) checkNodes(f *faults) {
+	seen := map[string]bool{}
+	for i, n := range d.Node {
+		key := fmt.Sprintf("node[%d]", i)
+		if n.ID == "" || seen[n.ID] {
+			f.add("%s.id: %q is missing or another's", key, n.ID)
+		}
+		seen[n.ID] = true
+		n.check(f, key)
+	}
+}
+
+func (n *Node) check(f *faults, key string) {
+	if n.Addr == "" {
+		f.add("%s.addr: missing", key)
+	}
+	f.checkOptionalLoopback(key+".addr", n.Addr)
+	if n.Proto != "" && n.Proto != "frames" && n.Proto != "flight" {
+		f.add("%s.proto: %q is neither frames nor flight", key, n.Proto)
+	}
+	if n.Cell < 0 || !(n.Weight > 0) {
+		f.add("%s: cell or weight is negative", key)
+	}
+}
--- a/internal/config/flight.go
+++ b/internal/config/flight.go
@@ -1,8 +1,5 @@
 package config
 
-// This file owns the part of our own file that is about the second front: who may ask, by which keys tickets are sealed,
-// what clients may use, and the schemas of classes. It must never put a secret into an error.
-
 import (
 	"encoding/base64"
 	"fmt"
@@ -16,7 +13,14 @@
 	"gullfall/internal/flight"
 )
 
-// FlightFront is the second front.
+// Defaults and bounds of the keys under flight.
+const (
+	defaultFlightConnections = 128
+	maxOwnerBytes            = 255
+	minTokenBytes            = 16
+)
+
+// FlightFront is the Arrow Flight front.
 type FlightFront struct {
 	Listen      string
 	Connections int
@@ -29,13 +33,13 @@
 	Class       []FlightClass
 }
 
-// FlightOwner is one that may ask, by name and password or by a token.
+// FlightOwner is a tenant that may send queries, by user and password or by a token.
 type FlightOwner struct{ Name, User, Password, Token string }
 
-// FlightNetwork names the owner of who connects from a network without credentials.
+// FlightNetwork names the owner of clients that connect from a network without credentials.
 type FlightNetwork struct{ Network, Owner string }
 
-// TicketKey seals tickets; of several the first seals, and all open.
+// TicketKey seals tickets. Of several the first seals, and all open.
 type TicketKey struct {
 	ID     int
 	Secret string
@@ -47,7 +51,7 @@
 	Grace, Stall                    Span
 }
 
-// LimitSet are the figures of one scope; 0 sets no limit.
+// LimitSet are the limits of one scope; 0 for none.
 type LimitSet struct {
 	Streams, Queries int
 	Rate, Burst      float64
@@ -60,63 +64,64 @@
 	Column []flight.Field
 }
 
-// check names the faulty keys.
-func (f *FlightFront) check() (faults []error) {
-	fault := func(format string, args ...any) { faults = append(faults, fmt.Errorf(format, args...)) }
-	names := map[string]bool{}
+func (f *FlightFront) defaults() { setDefault(&f.Connections, defaultFlightConnections) }
+
+func (f *FlightFront) check(to *faults) {
+	to.checkOptionalLoopback("flight.listen", f.Listen)
+	if f.Connections < 0 {
+		to.add("flight.connections: %d is negative", f.Connections)
+	}
+	f.checkOwners(to)
+	f.checkNetworks(to)
+	to.checkNetworks("flight.allowed", f.Allowed)
+	to.checkNetworks("flight.denied", f.Denied)
+	ids := map[int]bool{}
+	for i, k := range f.TicketKey {
+		to.checkSecret(fmt.Sprintf("flight.ticket_key[%d]", i), k.ID, k.Secret, ids)
+	}
+	if err := f.Admission().Check(); err != nil {
+		to.add("flight.limits.%w", err)
+	}
+	f.checkClasses(to)
+}
+
+func (f *FlightFront) checkOwners(to *faults) {
 	for i, o := range f.Owner {
 		key := fmt.Sprintf("flight.owner[%d]", i)
-		if o.Name == "" || len(o.Name) > 255 {
-			fault("%s.name: missing, or over 255 bytes", key)
+		if o.Name == "" || len(o.Name) > maxOwnerBytes {
+			to.add("%s.name: missing, or over 255 bytes", key)
 		}
 		if (o.User == "") != (o.Password == "") || o.User == "" && o.Token == "" {
-			fault("%s: user and password, or a token, are needed", key)
+			to.add("%s: user and password, or a token, are needed", key)
 		}
-		if o.Token != "" && len(o.Token) < 16 {
-			fault("%s.token: under 16 characters", key)
+		if o.Token != "" && len(o.Token) < minTokenBytes {
+			to.add("%s.token: under 16 characters", key)
 		}
-		names[o.Name] = true
 	}
+}
+
+func (f *FlightFront) checkNetworks(to *faults) {
 	for i, n := range f.Network {
 		if _, err := netip.ParsePrefix(n.Network); err != nil {
-			fault("flight.network[%d].network: %w", i, err)
+			to.add("flight.network[%d].network: %w", i, err)
 		}
 		if n.Owner == "" {
-			fault("flight.network[%d].owner: missing", i)
-		}
-	}
-	for _, v := range []struct {
-		key  string
-		list []string
-	}{{"flight.allowed", f.Allowed}, {"flight.denied", f.Denied}} {
-		if _, err := networks(v.list); err != nil {
-			fault("%s: %w", v.key, err)
-		}
-	}
-	ids := map[int]bool{}
-	for i, k := range f.TicketKey {
-		if k.ID < 1 || k.ID > 255 || ids[k.ID] {
-			fault("flight.ticket_key[%d].id: %d is not within 1 and 255, or another's", i, k.ID)
-		}
-		ids[k.ID] = true
-		if raw, err := base64.StdEncoding.DecodeString(k.Secret); err != nil || len(raw) < 16 {
-			fault("flight.ticket_key[%d].secret: 16 bytes or more in base64 are needed", i)
+			to.add("flight.network[%d].owner: missing", i)
 		}
 	}
-	if err := f.Admission().Check(); err != nil {
-		fault("flight.limits.%w", err)
-	}
+}
+
+func (f *FlightFront) checkClasses(to *faults) {
 	seen := map[string]bool{}
 	for i, c := range f.Class {
 		if c.Name == "" || seen[c.Name] {
-			fault("flight.class[%d].name: %q is missing or another's", i, c.Name)
+			to.add("flight.class[%d].name: %q is missing or another's", i, c.Name)
 		}
 		seen[c.Name] = true
 		if _, err := flight.NewSchema(c.Column); err != nil {
-			fault("flight.class[%d].column: %w", i, err)
+			to.add("flight.class[%d].column: %w", i, err)
 		}
 	}
-	return faults
 }
 
 // Admission is what clients may use.
@@ -128,7 +133,7 @@
 		All: set(f.Limits.All), Grace: time.Duration(f.Limits.Grace), Stall: time.Duration(f.Limits.Stall)}
 }
 
-// People says who may ask; the file has been checked.
+// People says who may send queries. The file has been checked.
 func (f *FlightFront) People() (p flight.People) {
 	for _, o := range f.Owner {
 		p.Owners = append(p.Owners, flight.Owner{Name: o.Name, User: o.User, Password: o.Password, Token: o.Token})
@@ -148,7 +153,7 @@
 	return p
 }
 
-// Keys are those that seal and open tickets; the file has been checked.
+// Keys are those that seal and open tickets. The file has been checked.
 func (f *FlightFront) Keys() (list []flight.Key) {
 	for _, k := range f.TicketKey {
 		raw, _ := base64.StdEncoding.DecodeString(k.Secret)
@@ -157,7 +162,7 @@
 	return list
 }
 
-// Schema is a class's; nil where it has none of its own. The file has been checked.
+// Schema is that of a class; nil where it has none of its own. The file has been checked.
 func (f *FlightFront) Schema(class string) *arrow.Schema {
 	for _, c := range f.Class {
 		if c.Name == class {
--- /dev/null
+++ b/internal/config/maintenance.go
@@ -0,0 +1,97 @@
+package config
+
+import (
+	"time"
+
+	"gullfall/internal/maintenance"
+)
+
+// Work is how machines are taken out for maintenance; off while Enabled is false.
+type Work struct {
+	Enabled   bool
+	Bound     Span // how long machines of open requests are used without contact to the store
+	Lease     Span // of the duty
+	Drift     float64
+	Every     Span     // between looks at the plan
+	Duties    []string // further duties, beside that of maintenance
+	Floor     int
+	PerShard  int `toml:"per_shard"`
+	AtOnce    int `toml:"at_once"`
+	Share     float64
+	ZoneShare float64 `toml:"zone_share"`
+	Room      float64
+	Hook      []string
+	HookTime  Span `toml:"hook_time"`
+	Budget    int  // bytes of plans that the lease holder writes in a second
+}
+
+// Bounds of the keys under work.
+const (
+	minBound     = 100 * time.Millisecond
+	minLease     = 500 * time.Millisecond
+	minEvery     = 10 * time.Millisecond
+	maxDrift     = 0.5
+	minBudget    = 1024 // bytes a second
+	maxDuties    = 32
+	maxDutyBytes = 64
+)
+
+func (w *Work) defaults() {
+	setDefault(&w.Bound, Span(3*time.Second))
+	setDefault(&w.Lease, Span(10*time.Second))
+	setDefault(&w.Every, Span(200*time.Millisecond))
+	setDefault(&w.HookTime, Span(time.Minute))
+	setDefault(&w.Budget, 1<<20)
+	setDefault(&w.Drift, 0.01)
+	setDefault(&w.Floor, 1)
+	setDefault(&w.Share, 0.25)
+	setDefault(&w.ZoneShare, 0.5)
+	setDefault(&w.Room, 0.85)
+}
+
+func (w *Work) check(f *faults, store Store) {
+	w.checkTimes(f)
+	if w.Budget < minBudget {
+		f.add("work.budget: %d; 1024 bytes a second at least", w.Budget)
+	}
+	w.checkDuties(f)
+	if err := w.Limits().Check(); err != nil {
+		f.add("work: floor, per_shard, at_once, share, zone_share, room: %w", err)
+	}
+	if w.Enabled && store.Listen != "" && store.Directory == "" {
+		f.add("store.directory: empty, while work.enabled is true and the store has several members; name a folder on a disk that lasts")
+	}
+}
+
+func (w *Work) checkTimes(f *faults) {
+	bound, lease, every := time.Duration(w.Bound), time.Duration(w.Lease), time.Duration(w.Every)
+	for _, v := range []struct {
+		key   string
+		value time.Duration
+	}{{"bound", bound}, {"lease", lease}, {"every", every}, {"hook_time", time.Duration(w.HookTime)}} {
+		if v.value < 0 {
+			f.add("work.%s: %v is negative", v.key, v.value)
+		}
+	}
+	if !(w.Drift > 0 && w.Drift < maxDrift) {
+		f.add("work.drift: %v; give the share by which clocks may run fast or slow, above 0 and under 0.5", w.Drift)
+	}
+	if bound < minBound || lease < minLease || every < minEvery {
+		f.add("work.bound, work.lease, work.every: %v, %v and %v; 100ms, 500ms and 10ms at least", bound, lease, every)
+	}
+}
+
+func (w *Work) checkDuties(f *faults) {
+	seen := map[string]bool{maintenance.Duty: true}
+	for i, name := range w.Duties {
+		if name == "" || len(name) > maxDutyBytes || seen[name] || len(w.Duties) > maxDuties {
+			f.add("work.duties[%d]: %q; names of 1 to 64 bytes, each once, none %q, 32 at most", i, name, maintenance.Duty)
+		}
+		seen[name] = true
+	}
+}
+
+// Limits are the limits in the terms of internal/maintenance.
+func (w *Work) Limits() maintenance.Limits {
+	return maintenance.Limits{Floor: w.Floor, PerShard: w.PerShard, AtOnce: w.AtOnce, Share: w.Share, ZoneShare: w.ZoneShare, Room: w.Room}
+}
--- /dev/null
+++ b/internal/config/store.go
@@ -0,0 +1,82 @@
+package config
+
+import (
+	"fmt"
+	"slices"
+	"time"
+)
+
+// Bounds of the keys under store.
+const (
+	defaultCatchUp = 4 << 20  // bytes a second
+	minCatchUp     = 64 << 10 // bytes a second
+	minHeartbeat   = 50 * time.Millisecond
+	maxSkew        = 0.5
+)
+
+// Store is the replicated store of configuration and state, and which members it has.
+type Store struct {
+	Directory string
+	Listen    string
+	Heartbeat Span // a leader not heard for so long is replaced; 1s
+	Peer      []Peer
+	Route     []PeerRoute
+	CatchUp   int     `toml:"catch_up"` // bytes of a snapshot that the leader sends a member far behind in a second; 4 MiB
+	Skew      float64 // by how much the clock that leases are counted by runs fast; to try their bound, 0 in service
+}
+
+// Pace is how many bytes of a snapshot the leader sends a member far behind in a second.
+func (s Store) Pace() float64 {
+	if s.CatchUp == 0 {
+		return defaultCatchUp
+	}
+	return float64(s.CatchUp)
+}
+
+// Peer is one member of the store. A learner holds a copy and has no vote.
+type Peer struct {
+	Name, Addr string
+	Learner    bool
+}
+
+func (s *Store) check(f *faults, name string) {
+	f.checkOptionalLoopback("store.listen", s.Listen)
+	for i, p := range s.Peer {
+		if p.Name == "" || p.Addr == "" {
+			f.add("store.peer[%d]: name and addr are needed", i)
+		}
+		f.checkOptionalLoopback(fmt.Sprintf("store.peer[%d].addr", i), p.Addr)
+	}
+	for i, r := range s.Route {
+		f.checkOptionalLoopback(fmt.Sprintf("store.route[%d].addr", i), r.Addr)
+		f.checkOptionalLoopback(fmt.Sprintf("store.route[%d].via", i), r.Via)
+	}
+	s.checkFigures(f)
+	s.checkMembers(f, name)
+}
+
+func (s *Store) checkFigures(f *faults) {
+	if !(s.Skew > -maxSkew && s.Skew < maxSkew) {
+		f.add("store.skew: %v; between -0.5 and 0.5, and 0 in service", s.Skew)
+	}
+	if s.CatchUp != 0 && s.CatchUp < minCatchUp {
+		f.add("store.catch_up: %d; 65536 bytes a second at least", s.CatchUp)
+	}
+	if h := time.Duration(s.Heartbeat); h != 0 && h < minHeartbeat {
+		f.add("store.heartbeat: %v; give 50ms or more, longer than the longest pause of a member", h)
+	}
+}
+
+// checkMembers checks that the members can elect a leader, and that this coordinator is one of them.
+func (s *Store) checkMembers(f *faults, name string) {
+	votes := func(p Peer) bool { return !p.Learner }
+	self := func(p Peer) bool { return p.Name == name }
+	switch {
+	case len(s.Peer) > 0 && !slices.ContainsFunc(s.Peer, votes):
+		f.add("store.peer: all are learners; one at least must have a vote")
+	case (s.Listen != "") != (len(s.Peer) > 0):
+		f.add("store.listen, store.peer: one needs the other")
+	case len(s.Peer) > 0 && !slices.ContainsFunc(s.Peer, self):
+		f.add("store.peer: this coordinator, %q, is not among them", name)
+	}
+}
