--- a/internal/config/datanodes.go
+++ b/internal/config/datanodes.go
@@ -12,13 +12,13 @@
 type Membership struct {
 	HalfLife        Span `toml:"half_life"`
 	Suppress, Reuse float64
-	Longest         Span
+	MaxSuppress     Span `toml:"longest"`
 }
 
 // Node is a data node that the deploy file names.
 type Node struct {
 	ID, Addr, Zone, Proto string
-	Cell                  int
+	ShardSet              int `toml:"cell"`
 	Weight                float64
 }
 
@@ -26,13 +26,13 @@
 func (d *Deploy) Damping() membership.Config {
 	m := d.Membership
 	return membership.Config{HalfLife: time.Duration(m.HalfLife), Suppress: m.Suppress, Reuse: m.Reuse,
-		MaxSuppress: time.Duration(m.Longest)}
+		MaxSuppress: time.Duration(m.MaxSuppress)}
 }
 
 // Fixed are the data nodes that the file names.
 func (d *Deploy) Fixed() (list []membership.Record) {
 	for _, n := range d.Node {
-		r := membership.Record{ID: n.ID, Addr: n.Addr, Zone: n.Zone, ShardSet: n.Cell, Weight: n.Weight, Unstated: true}
+		r := membership.Record{ID: n.ID, Addr: n.Addr, Zone: n.Zone, ShardSet: n.ShardSet, Weight: n.Weight, Unstated: true}
 		if n.Proto == "flight" {
 			r.Proto = dnssd.Flight
 		}
@@ -61,7 +61,7 @@
 	if n.Proto != "" && n.Proto != "frames" && n.Proto != "flight" {
 		f.add("%s.proto: %q is neither frames nor flight", key, n.Proto)
 	}
-	if n.Cell < 0 || !(n.Weight > 0) {
+	if n.ShardSet < 0 || !(n.Weight > 0) {
 		f.add("%s: cell or weight is negative", key)
 	}
 }
--- a/internal/config/maintenance.go
+++ b/internal/config/maintenance.go
@@ -9,17 +9,17 @@
 // Work is how machines are taken out for maintenance; off while Enabled is false.
 type Work struct {
 	Enabled   bool
-	Bound     Span // how long machines of open requests are used without contact to the store
-	Lease     Span // of the duty
-	Drift     float64
+	Bound     Span     // how long machines of open requests are used without contact to the store
+	Lease     Span     // of the duty
+	Drift     float64  // by how much clocks may run fast or slow, as a share
 	Every     Span     // between looks at the plan
 	Duties    []string // further duties, beside that of maintenance
-	Floor     int
-	PerShard  int `toml:"per_shard"`
-	AtOnce    int `toml:"at_once"`
+	Floor     int      // these six: see maintenance.Limits
+	PerShard  int      `toml:"per_shard"`
+	AtOnce    int      `toml:"at_once"`
 	Share     float64
 	ZoneShare float64 `toml:"zone_share"`
-	Room      float64
+	Capacity  float64 `toml:"room"`
 	Hook      []string
 	HookTime  Span `toml:"hook_time"`
 	Budget    int  // bytes of plans that the lease holder writes in a second
@@ -46,7 +46,7 @@
 	setDefault(&w.Floor, 1)
 	setDefault(&w.Share, 0.25)
 	setDefault(&w.ZoneShare, 0.5)
-	setDefault(&w.Room, 0.85)
+	setDefault(&w.Capacity, 0.85)
 }
 
 func (w *Work) check(f *faults, store Store) {
@@ -93,5 +93,5 @@
 
 // Limits are the limits in the terms of internal/maintenance.
 func (w *Work) Limits() maintenance.Limits {
-	return maintenance.Limits{Floor: w.Floor, PerShard: w.PerShard, AtOnce: w.AtOnce, Share: w.Share, ZoneShare: w.ZoneShare, Room: w.Room}
+	return maintenance.Limits{Floor: w.Floor, PerShard: w.PerShard, AtOnce: w.AtOnce, Share: w.Share, ZoneShare: w.ZoneShare, Room: w.Capacity}
 }
--- a/internal/config/peers.go
+++ b/internal/config/peers.go
@@ -16,14 +16,14 @@
 
 // Peers is how the coordinators watch each other; off while Listen is empty.
 type Peers struct {
-	Listen  string
-	Fleet   string   // all that talk to each other name the same
-	Seeds   []string // where to join
-	Key     []PeerKey
-	Route   []PeerRoute
-	Period  Span
-	Timeout Span
-	Bear    Span // the longest pause of a coordinator that must not make it dead
+	Listen   string
+	Fleet    string   // all that talk to each other name the same
+	Seeds    []string // where to join
+	Key      []PeerKey
+	Route    []PeerRoute
+	Period   Span
+	Timeout  Span
+	MaxPause Span `toml:"bear"` // a coordinator that pauses for no longer is not declared dead
 }
 
 // PeerKey seals what is sent. Of several the first seals, and all open.
@@ -75,7 +75,7 @@
 // Swim is the configuration of the coordinators' membership protocol for one process.
 func (p *Peers) Swim(name string, process, seed uint64) swim.Config {
 	return swim.Config{Self: name, Addr: p.Listen, Process: process, Seed: seed, Seeds: p.Seeds, Period: time.Duration(p.Period),
-		Timeout: time.Duration(p.Timeout), MaxPause: time.Duration(p.Bear)}
+		Timeout: time.Duration(p.Timeout), MaxPause: time.Duration(p.MaxPause)}
 }
 
 // Keys are those that seal and open what the coordinators send. The file has been checked.
