--- a/internal/config/dnssd.go
+++ b/internal/config/dnssd.go
@@ -139,7 +139,7 @@
 	}
 }
 
-// isService tells whether a name is of the form _name._tcp.
+// isService reports whether a name is of the form _name._tcp.
 func isService(name string) bool {
 	labels := strings.Split(name, ".")
 	return len(labels) == 2 && strings.HasPrefix(labels[0], "_") && len(labels[0]) >= 2 && labels[1] == "_tcp"
--- a/internal/coordinator/attempt.go
+++ b/internal/coordinator/attempt.go
@@ -93,7 +93,7 @@
 // settleDelay is how long the message that ends an attempt may be on its way to the data node, or lie unread there.
 const settleDelay = 5 * time.Millisecond
 
-// Report tells how an attempt ended; only the first report of an attempt counts. Where the data node learns of the end from us, by a
+// Report takes in how an attempt ended; only the first report of an attempt counts. Where the data node learns of the end from us, by a
 // cancellation or by a connection that we closed, the loop takes the report in later: a retry on another connection must not overtake
 // that message, or the part would run twice at once.
 func (c *Coordinator) Report(a *Attempt, r Result) {
@@ -105,7 +105,7 @@
 		Attempt: a.number, Replica: a.node.id, Outcome: moduleOutcomes[r.Outcome], LoadReport: r.LoadReport}})
 }
 
-// ReportProbe tells how a probe ended.
+// ReportProbe takes in how a probe ended.
 func (c *Coordinator) ReportProbe(n *Node, r Result) {
 	c.observeOutcome(n, nil, r.Outcome, r.LoadReport, time.Now())
 	c.log.Debug("probe ended", "node", n.id, "end", r.Outcome.String())
--- a/internal/coordinator/dispatch.go
+++ b/internal/coordinator/dispatch.go
@@ -55,7 +55,7 @@
 	return n.member.Addr
 }
 
-// Excluded tells whether the data node is draining, gone or out for maintenance: nothing more may be written to it, queued calls
+// Excluded reports whether the data node is draining, gone or out for maintenance: nothing more may be written to it, queued calls
 // included.
 func (n *Node) Excluded() bool { return n.excluded.Load() || n.announced.Load() && n.c.absent() }
 
--- a/internal/coordinator/endpoints.go
+++ b/internal/coordinator/endpoints.go
@@ -34,20 +34,20 @@
 	return endpoints{table: table, dispatchers: map[string]Dispatcher{}, nodes: map[string]*Node{}, reportedStarts: map[string]time.Time{}}
 }
 
-// Source is one of those that tell of data nodes.
+// Source is one of the sources of the list of data nodes.
 type Source struct {
 	c      *Coordinator
 	source *membership.Source
 }
 
-// Source adds one to those that the list is joined from.
+// Source adds a source; the list is joined from all.
 func (c *Coordinator) Source(spec membership.Spec) *Source {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return &Source{c, c.endpoints.table.Source(spec)}
 }
 
-// Update takes in what the source has told.
+// Update takes in a message of the source.
 func (s *Source) Update(u membership.Update) {
 	kind := partialUpdate
 	switch {
@@ -68,10 +68,10 @@
 	s.Update(membership.Update{Full: true, Cached: cached, Records: members})
 }
 
-// Renew renews the lease of what the source has told: nothing has changed there.
+// Renew extends the lease of the source's records: nothing has changed there.
 func (s *Source) Renew() { s.c.updateTable(partialUpdate, s.source.Renew) }
 
-// SerialSeen takes in the serial that a DNS zone has now, and tells whether its list is to be fetched.
+// SerialSeen takes in the serial that a DNS zone has now, and reports whether its list is to be fetched.
 func (s *Source) SerialSeen(serial uint32) (fetch bool) {
 	s.c.updateTable(partialUpdate, func(now time.Time) (r membership.Result) {
 		fetch, r = s.source.SerialSeen(now, serial)
--- a/internal/coordinator/gossip.go
+++ b/internal/coordinator/gossip.go
@@ -62,7 +62,7 @@
 	})
 }
 
-// isNewStart tells whether a report is of a start that neither the list nor another report has told, and that is so late that the data
+// isNewStart reports whether a report is of a start that neither the list nor another report has brought, and that is so recent that the data
 // node is still warming up. The caller holds the lock.
 func (c *Coordinator) isNewStart(now time.Time, m Member, r PeerReport) bool {
 	if !r.WarmingUp || r.Started >= c.settings.Rules.WarmupTime {
--- a/internal/coordinator/gossip_test.go
+++ b/internal/coordinator/gossip_test.go
@@ -41,19 +41,19 @@
 			rules := aggregator.Rules{DrainGrace: 2 * time.Second, WarmupTime: 5 * time.Second}
 			set := aggregator.Settings{Aggregators: 5, Tick: tick, ShardSets: 4, Shards: 4, Reach: 1, Rules: rules,
 				Classes: []aggregator.Class{{Name: "report", LatencyObjective: time.Second, Deadline: 2 * time.Second, Priority: 1, CompleteShare: 1, MinShare: 1}}}
-			core, err := New(set, 7, slog.New(slog.DiscardHandler), membership.Config{})
+			coord, err := New(set, 7, slog.New(slog.DiscardHandler), membership.Config{})
 			if err != nil {
 				t.Fatal(err)
 			}
-			if err := core.WatchZones(zones.Config{Seed: 3}); err != nil {
+			if err := coord.WatchZones(zones.Config{Seed: 3}); err != nil {
 				t.Fatal(err)
 			}
-			core.RegisterDispatcher("", func(n *Node) {
+			coord.RegisterDispatcher("", func(n *Node) {
 				for o := n.Pick(t.Context()); o != nil; o = n.Pick(t.Context()) {
 				}
 			})
-			go core.Run(t.Context())
-			src := core.Source(membership.Spec{Name: "list"})
+			go coord.Run(t.Context())
+			src := coord.Source(membership.Spec{Name: "list"})
 			var list []Member
 			for _, z := range []string{"a", "b", "c"} {
 				for cell := range 4 {
@@ -64,13 +64,13 @@
 			for range 5 { // longer than it takes to leave a zone, and shorter than to return
 				if c.heard {
 					for i := range 4 {
-						core.observeForZones(core.node(fmt.Sprint("a", i)), nil, OK, time.Now())
+						coord.observeForZones(coord.node(fmt.Sprint("a", i)), nil, OK, time.Now())
 					}
 				}
-				core.ApplyPeerReports(c.told)
+				coord.ApplyPeerReports(c.told)
 				time.Sleep(250 * time.Millisecond)
 			}
-			for _, z := range core.Zones() {
+			for _, z := range coord.Zones() {
 				if z.Zone == "a" && z.State != c.want {
 					t.Errorf("%s: zone a is %v (%s), want %v", c.name, z.State, z.Reason, c.want)
 				}
@@ -86,17 +86,17 @@
 	synctest.Test(t, func(t *testing.T) {
 		for _, c := range []struct{ nodes, single, byKind int }{{maxNoteLines, maxNoteLines, 0}, {10_000, 0, 1}} {
 			var logged lines
-			core, err := New(aggregator.Settings{Aggregators: 1, Tick: tick, ShardSets: 1, Shards: 1, Reach: 1,
+			coord, err := New(aggregator.Settings{Aggregators: 1, Tick: tick, ShardSets: 1, Shards: 1, Reach: 1,
 				Classes: []aggregator.Class{{Name: "report", LatencyObjective: time.Second, Deadline: 2 * time.Second, Priority: 1, CompleteShare: 1, MinShare: 1}}}, 7, slog.New(slog.NewTextHandler(&logged, nil)), membership.Config{})
 			if err != nil {
 				t.Fatal(err)
 			}
-			core.RegisterDispatcher("", func(*Node) {})
+			coord.RegisterDispatcher("", func(*Node) {})
 			var list []Member
 			for i := range c.nodes {
 				list = append(list, Member{ID: fmt.Sprint("n", i), Addr: fmt.Sprint("n", i), Weight: 1})
 			}
-			core.Source(membership.Spec{Name: "list"}).Change(list)
+			coord.Source(membership.Spec{Name: "list"}).Change(list)
 			if single, byKind := logged.count("msg=\"data node listed\""), logged.count("msg=\"data nodes listed\" count=10000"); single != c.single || byKind != c.byKind {
 				t.Errorf("%d data nodes: %d lines of one, %d of a kind; want %d and %d", c.nodes, single, byKind, c.single, c.byKind)
 			}
@@ -108,18 +108,18 @@
 // nor does one long ago.
 func TestPeerReportsOfStarts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		core, err := New(aggregator.Settings{Aggregators: 2, Tick: tick, ShardSets: 1, Shards: 1, Reach: 1, Rules: aggregator.Rules{WarmupTime: 5 * time.Second},
+		coord, err := New(aggregator.Settings{Aggregators: 2, Tick: tick, ShardSets: 1, Shards: 1, Reach: 1, Rules: aggregator.Rules{WarmupTime: 5 * time.Second},
 			Classes: []aggregator.Class{{Name: "report", LatencyObjective: time.Second, Deadline: 2 * time.Second, Priority: 1, CompleteShare: 1, MinShare: 1}}}, 7, slog.New(slog.DiscardHandler), membership.Config{})
 		if err != nil {
 			t.Fatal(err)
 		}
-		core.RegisterDispatcher("", func(n *Node) {
+		coord.RegisterDispatcher("", func(n *Node) {
 			for o := n.Pick(t.Context()); o != nil; o = n.Pick(t.Context()) {
 			}
 		})
 		var seen []Observation
-		core.OnObservation(func(s Observation) { seen = append(seen, s) })
-		src := core.Source(membership.Spec{Name: "list"})
+		coord.OnObservation(func(s Observation) { seen = append(seen, s) })
+		src := coord.Source(membership.Spec{Name: "list"})
 		begun := time.Now()
 		old := Member{ID: "a", Addr: "a", Weight: 1, Started: begun.Add(-time.Minute)}
 		fresh := Member{ID: "b", Addr: "b", Weight: 1, Started: begun.Add(-time.Second)}
@@ -138,18 +138,18 @@
 			{"another start", PeerReport{Node: "a", WarmingUp: true, Started: time.Second}, old, begun.Add(-time.Second)},
 			{"that again, younger", PeerReport{Node: "a", WarmingUp: true, Started: 0}, old, begun.Add(-time.Second)},
 		} {
-			core.ApplyPeerReports([]PeerReport{c.told})
-			core.mu.Lock()
-			got := core.moduleMember(c.m).Started
-			core.mu.Unlock()
-			if want := core.moduleClock(c.want); got != want {
+			coord.ApplyPeerReports([]PeerReport{c.told})
+			coord.mu.Lock()
+			got := coord.moduleMember(c.m).Started
+			coord.mu.Unlock()
+			if want := coord.moduleClock(c.want); got != want {
 				t.Errorf("%s: started at %v, want %v", c.name, got, want)
 			}
 		}
 		time.Sleep(6 * time.Second)
-		core.ApplyPeerReports(nil)
-		if len(core.endpoints.reportedStarts) > 0 {
-			t.Errorf("%v is kept of starts that count no more", core.endpoints.reportedStarts)
+		coord.ApplyPeerReports(nil)
+		if len(coord.endpoints.reportedStarts) > 0 {
+			t.Errorf("%v is kept of starts that count no more", coord.endpoints.reportedStarts)
 		}
 		src.Replace(nil, false)
 	})
--- a/internal/coordinator/loop.go
+++ b/internal/coordinator/loop.go
@@ -145,7 +145,7 @@
 	}
 }
 
-// takeWakeup tells whether the module's own wakeup is due, and clears it.
+// takeWakeup reports whether the module's own wakeup is due, and clears it.
 func (c *Coordinator) takeWakeup(now time.Time) bool {
 	if c.loop.wakeAt.IsZero() || now.Before(c.loop.wakeAt) {
 		return false
@@ -184,7 +184,7 @@
 	return next
 }
 
-// accept applies an input to the loop's tables and tells whether the module is to see its event.
+// accept applies an input to the loop's tables and reports whether the module is to see its event.
 func (c *Coordinator) accept(in *input, now time.Time) bool {
 	switch in.event.Kind {
 	case aggregator.QueryArrived:
--- a/internal/coordinator/maintenance.go
+++ b/internal/coordinator/maintenance.go
@@ -14,7 +14,7 @@
 	Excluded  map[string]bool   // by id: nothing may be sent there
 	Addrs     map[string]bool   // by address, under whatever id: nothing may be sent there
 	Announced map[string]bool   // by id: may be excluded any time, so usable only while this coordinator is present
-	Returned  map[string]uint64 // by id: back, in this turn; warming up since that was told
+	Returned  map[string]uint64 // by id, in which turn it came back; it warms up since this coordinator learned of it
 	Unknown   bool              // nothing is known yet: all data nodes are usable only while this coordinator is present
 }
 
@@ -24,7 +24,7 @@
 	returned     map[string]nodeReturn
 	inFlight     map[string]int // attempts without an end, by data node; they outlive its record
 	health       map[string]*nodeEvidence
-	absenceKnown bool // the module was last told that announced data nodes may not be used
+	absenceKnown bool // the module knows announced data nodes as not usable
 
 	presentUntil atomic.Int64 // by the module's clock
 	lastOverload atomic.Int64 // by the module's clock, when a query was rejected for want of capacity; 0 for never
@@ -33,7 +33,7 @@
 // nodeReturn is the return of a data node from maintenance.
 type nodeReturn struct {
 	turn uint64
-	at   time.Time // when it was told
+	at   time.Time // when this coordinator learned of it
 }
 
 // nodeEvidence is what attempts and probes last showed of a data node.
@@ -49,7 +49,7 @@
 	suspectFor   = 5 * time.Second
 )
 
-// suspect tells whether the data node failed repeatedly just now.
+// suspect reports whether the data node failed repeatedly just now.
 func (e *nodeEvidence) suspect(now time.Time) bool {
 	return e.failures >= suspectAfter && now.Sub(e.lastFailure) < suspectFor
 }
@@ -77,7 +77,7 @@
 // overloadWindow is how long a rejection counts as overload. It spans the gaps of a burst, which would else look like free capacity.
 const overloadWindow = 2 * time.Second
 
-// Overloaded tells whether a query was rejected for want of capacity just now.
+// Overloaded reports whether a query was rejected for want of capacity just now.
 func (c *Coordinator) Overloaded() bool {
 	at := c.maintenance.lastOverload.Load()
 	return at > 0 && c.moduleClock(time.Now())-time.Duration(at) < overloadWindow
@@ -90,20 +90,20 @@
 	}
 }
 
-// IsPresent tells whether announced data nodes may be used now.
+// IsPresent reports whether announced data nodes may be used now.
 func (c *Coordinator) IsPresent() bool { return !c.absent() }
 
-// absent tells whether announced data nodes may not be used now.
+// absent reports whether announced data nodes may not be used now.
 func (c *Coordinator) absent() bool {
 	return c.maintenance != nil && int64(c.moduleClock(time.Now())) >= c.maintenance.presentUntil.Load()
 }
 
-// isAnnounced tells whether a data node may go out for maintenance. The caller holds the lock.
+// isAnnounced reports whether a data node may go out for maintenance. The caller holds the lock.
 func (c *Coordinator) isAnnounced(m Member) bool {
 	return c.maintenance != nil && (c.maintenance.Unknown || c.maintenance.Announced[m.ID])
 }
 
-// isExcluded tells whether a data node is out for maintenance. The caller holds the lock.
+// isExcluded reports whether a data node is out for maintenance. The caller holds the lock.
 func (c *Coordinator) isExcluded(m Member) bool {
 	return c.maintenance != nil && (c.maintenance.Excluded[m.ID] || c.maintenance.Addrs[m.Addr])
 }
@@ -130,14 +130,15 @@
 	c.wakeUp()
 }
 
-// alike tells whether both say the same of a data node.
+// alike reports whether both say the same of a data node.
 func (m *Maintenance) alike(o *Maintenance, member Member) bool {
 	id, addr := member.ID, member.Addr
 	return m.Excluded[id] == o.Excluded[id] && m.Addrs[addr] == o.Addrs[addr] && m.Announced[id] == o.Announced[id] &&
 		m.Unknown == o.Unknown && m.Returned[id] == o.Returned[id]
 }
 
-// updateReturns notes when each return was told first, and forgets those that are no longer told once their data node is warm.
+// updateReturns notes when this coordinator learned of each return, and forgets those that are no longer named once their data node has
+// warmed up.
 func (s *maintenanceState) updateReturns(now time.Time, warmup time.Duration) {
 	for id, turn := range s.Returned {
 		if s.returned[id].turn != turn {
@@ -223,7 +224,7 @@
 	}
 }
 
-// Idle tells whether a data node is out for maintenance and nothing is in flight there, whatever became of its record.
+// Idle reports whether a data node is out for maintenance and nothing is in flight there, whatever became of its record.
 func (c *Coordinator) Idle(id string) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/coordinator/validate.go
+++ b/internal/coordinator/validate.go
@@ -66,7 +66,7 @@
 	return nil
 }
 
-// isKeyed tells whether data nodes drop a repeat of a part of the class by the query's idempotency key.
+// isKeyed reports whether data nodes drop a repeat of a part of the class by the query's idempotency key.
 func (c *Coordinator) isKeyed(class string) bool {
 	return c.settings.Classes[c.classes[class]].Effect == aggregator.Keyed
 }
--- a/internal/coordinator/zones.go
+++ b/internal/coordinator/zones.go
@@ -240,7 +240,7 @@
 	return failures
 }
 
-// settled tells whether all zones are healthy and no data node fails.
+// settled reports whether all zones are healthy and no data node fails.
 func (z *zoneState) settled(now time.Time) bool {
 	for _, s := range z.tracker.All(now) {
 		if s.State != zones.Healthy || s.Failing > 0 {
--- a/internal/simulator/host.go
+++ b/internal/simulator/host.go
@@ -148,7 +148,7 @@
 	return in, nil
 }
 
-// configure starts an instance, in place of an earlier one. Settings that the module can't work with are told to the simulator.
+// configure starts an instance, in place of an earlier one. Settings that the module can't work with are answered by a PANIC.
 func (h *Host) configure(node int, m *message, answer *reply) (*instance, error) {
 	c := decodeConfiguration(m)
 	if m.err != nil {
