--- /dev/null
+++ b/internal/coordinator/endpointlog.go
@@ -0,0 +1,66 @@
+package coordinator
+
+import (
+	"context"
+	"log/slog"
+
+	"gullfall/internal/membership"
+)
+
+// maxNoteLines is how many notes of one update of the list are logged one by one; of more, those alike are logged as one line.
+const maxNoteLines = 50
+
+// logNotes logs why the list changes, or does not.
+func (c *Coordinator) logNotes(notes []membership.Note) {
+	if len(notes) <= maxNoteLines {
+		for _, n := range notes {
+			c.logNote(n)
+		}
+		return
+	}
+	type kind struct {
+		cause  membership.Cause
+		source string
+	}
+	count := map[kind]int{}
+	for _, n := range notes {
+		if n.ID != "" {
+			count[kind{n.Cause, n.Source}]++
+		}
+	}
+	for _, n := range notes {
+		switch k := (kind{n.Cause, n.Source}); {
+		case n.ID == "" || count[k] == 1:
+			c.logNote(n)
+		case count[k] > 1:
+			c.log.Log(context.Background(), noteLevel(n), "data nodes "+string(n.Cause), "count", count[k], "source", n.Source, "first", n.ID)
+			count[k] = 0 // its line is written
+		}
+	}
+}
+
+func (c *Coordinator) logNote(n membership.Note) {
+	var args []any
+	message := string(n.Cause)
+	if n.ID != "" {
+		message = "data node " + message
+		args = append(args, "node", n.ID)
+	}
+	if n.Source != "" {
+		args = append(args, "source", n.Source)
+	}
+	if n.Detail != "" {
+		args = append(args, "why", n.Detail)
+	}
+	c.log.Log(context.Background(), noteLevel(n), message, args...)
+}
+
+// noteLevel is a warning for what an operator should look at.
+func noteLevel(n membership.Note) slog.Level {
+	switch n.Cause {
+	case membership.Held, membership.Emptied, membership.WentBack, membership.Stale, membership.Lapsed, membership.Suppressed,
+		membership.Excess, membership.Unfit:
+		return slog.LevelWarn
+	}
+	return slog.LevelInfo
+}
--- a/internal/simulator/simulator_test.go
+++ b/internal/simulator/simulator_test.go
@@ -56,7 +56,7 @@
 	}
 }
 
-// TestExitForgets: a killed instance acts no more until it is configured again.
+// TestExitForgets: an instance that has ended does nothing until it is configured again.
 func TestExitForgets(t *testing.T) {
 	replies := serve(t, line(1, configure+","+list), line(2, asked+`,["EXIT",3]`), line(3, `["WAKEUP",3,"wake"]`))
 	for _, r := range replies[1:] {
@@ -82,7 +82,7 @@
 	}
 }
 
-// TestBadSettingsPanicOnTheWire: settings that can't be served are told by the wire's own action.
+// TestBadSettingsPanicOnTheWire: settings that can't be served are told by the simulator's own action.
 func TestBadSettingsPanicOnTheWire(t *testing.T) {
 	replies := serve(t, line(1, strings.Replace(configure, `"Sets":2`, `"Sets":0`, 1)))
 	if !strings.Contains(replies[0], `["PANIC",3,"Cells, Shards`) {
@@ -108,7 +108,7 @@
 	})
 }
 
-// TestEveryActionHasAForm: each action of the interface is written in the wire's words.
+// TestEveryActionHasAForm: each action of the interface is written in the simulator's words.
 func TestEveryActionHasAForm(t *testing.T) {
 	for action, want := range map[aggregator.ActionKind]string{
 		aggregator.Send: "TRANSMIT", aggregator.Cancel: "CALL_OFF", aggregator.Answer: "WRAP_UP",
@@ -130,8 +130,8 @@
 	}
 	h := NewHost()
 	for text, want := range map[string]int{`["FROM_PEER",3,5,"01ab"]`: 2, `["FROM_PEER",3,5,"xyz"]`: -1} {
-		f := fields{name: "FROM_PEER"}
-		if err := json.Unmarshal([]byte(text), &f.raw); err != nil {
+		f := message{name: "FROM_PEER"}
+		if err := json.Unmarshal([]byte(text), &f.fields); err != nil {
 			t.Fatal(err)
 		}
 		e, ok := h.event(&instance{}, &f)
@@ -144,7 +144,7 @@
 // TestReports: an object of numbers is a report, anything else is none and no error.
 func TestReports(t *testing.T) {
 	for text, want := range map[string]int{`{"queue":2,"inflight":1.5}`: 2, `[["queue",2]]`: 0, `null`: 0, `{"queue":"x"}`: 0} {
-		f := fields{raw: []json.RawMessage{json.RawMessage(text)}}
+		f := message{fields: []json.RawMessage{json.RawMessage(text)}}
 		if got := f.report(0); len(got) != want || f.err != nil {
 			t.Errorf("%s: got %v, %v", text, got, f.err)
 		}
