--- a/aggregator/bench_test.go
+++ b/aggregator/bench_test.go
@@ -9,7 +9,7 @@
 var sizes = []int{16, 60, 1000}
 
 // loaded is an aggregator of a fleet of n replicas, three for each shard, that has heard each of them.
-func loaded(b *testing.B, n int) (*Aggregator, time.Duration) {
+func loadedAggregator(b *testing.B, n int) (*Aggregator, time.Duration) {
 	set := testSettings()
 	set.ShardSets, set.Shards, set.Reach, set.Aggregators = max(n/3, 1), 4*max(n/3, 1), 1, 80
 	set.Limits.MaxBatch, set.CallCost = 8, 4*ms
@@ -35,14 +35,14 @@
 func BenchmarkStep(b *testing.B) {
 	for _, n := range sizes {
 		b.Run(fmt.Sprint(n, " replicas"), func(b *testing.B) {
-			a, now := loaded(b, n)
+			a, now := loadedAggregator(b, n)
 			var out []Action
 			for i := 0; b.Loop(); i++ {
 				id := fmt.Sprint("q", i)
 				now += 20 * ms
 				shards := make([]int, 12)
 				for j := range shards {
-					shards[j] = (i + j) % a.set.Shards
+					shards[j] = (i + j) % a.settings.Shards
 				}
 				out = a.Step(now, asks(id, 3*time.Second, shards...), out[:0])
 				var in []Event
@@ -62,11 +62,11 @@
 func BenchmarkList(b *testing.B) {
 	for _, n := range sizes {
 		b.Run(fmt.Sprint(n, " replicas"), func(b *testing.B) {
-			a, now := loaded(b, n)
+			a, now := loadedAggregator(b, n)
 			var out []Action
 			for i := 0; b.Loop(); i++ {
 				now += ms
-				m := Member{Replica: fmt.Sprint("r", i%n), ShardSet: i % n % a.set.ShardSets, State: State(i / n % 2)}
+				m := Member{Replica: fmt.Sprint("r", i%n), ShardSet: i % n % a.settings.ShardSets, State: State(i / n % 2)}
 				out = a.Step(now, []Event{{Kind: ListChanged, Members: []Member{m}}}, out[:0])
 			}
 		})
--- a/aggregator/blame_test.go
+++ b/aggregator/blame_test.go
@@ -8,7 +8,7 @@
 
 // wide returns settings and members for n replicas, each in a cell of its own, every shard held by reach
 // of them.
-func wide(n, reach, aggregators int) (Settings, []Member) {
+func fleetSettings(n, reach, aggregators int) (Settings, []Member) {
 	set := testSettings()
 	set.ShardSets, set.Shards, set.Reach, set.Aggregators = n, n, reach, aggregators
 	set.Limits.Probes = true
@@ -48,12 +48,12 @@
 
 // TestNoVainWait: a query that needs a replica which may not be used is refused at once.
 func TestNoVainWait(t *testing.T) {
-	set, all := wide(3, 1, 1000)
+	set, all := fleetSettings(3, 1, 1000)
 	all[0].Started = 100*time.Second - ms
 	refused := 0
 	for i := range 20 {
 		set.Rules.OverloadMultiple = 0.1
-		b := newBench(t, set, all...)
+		b := newHarness(t, set, all...)
 		refused += len(only(b.step(asks(fmt.Sprint(i), time.Second, 0)...), Reject))
 	}
 	if refused < 18 {
@@ -64,9 +64,9 @@
 // TestKillingQuery: after replicas have died, a query whose parts reset what runs them breaks few
 // replicas and is ended, while a query with an answer keeps going after a reset.
 func TestKillingQuery(t *testing.T) {
-	set, all := wide(30, 3, 40)
+	set, all := fleetSettings(30, 3, 40)
 	set.Rules.OverloadMultiple = 0
-	b := newBench(t, set, all...)
+	b := newHarness(t, set, all...)
 	shards := make([]int, 20)
 	for i := range shards {
 		shards[i] = i
@@ -79,15 +79,15 @@
 			var events []Event
 			refused += len(only(acts, Reject))
 			for _, s := range only(acts, Send) {
-				if broken[s.Replica] = true; b.n[s.Part] > 2 {
-					t.Errorf("try %d: part %s was sent %d times", try, s.Part, b.n[s.Part])
+				if broken[s.Replica] = true; b.attempts[s.Part] > 2 {
+					t.Errorf("try %d: part %s was sent %d times", try, s.Part, b.attempts[s.Part])
 				}
-				events = append(events, ended(s.Part, b.n[s.Part]-1, Reset))
+				events = append(events, ended(s.Part, b.attempts[s.Part]-1, Reset))
 			}
 			for _, s := range only(acts, Probe) {
 				events = append(events, Event{Kind: ProbeEnded, Replica: s.Replica, Outcome: OK})
 			}
-			b.now += b.set.Tick
+			b.now += b.settings.Tick
 			acts = b.step(append(events, Event{Kind: Wakeup})...)
 		}
 		if refused != 1 {
@@ -101,21 +101,21 @@
 		t.Errorf("the repeated query broke %d replicas", len(broken))
 	}
 	// A sound query: one part answered, one reset, which is sent again.
-	b = newBench(t, set, all...)
+	b = newHarness(t, set, all...)
 	b.step(asks("s", 3*time.Second, 0, 15)...)
 	b.step(ended("s/0", 0, OK))
 	b.step(ended("s/1", 0, Reset))
 	b.after(300 * ms)
-	if b.n["s/1"] != 2 {
-		t.Errorf("%d attempts of a part that was reset once, want 2", b.n["s/1"])
+	if b.attempts["s/1"] != 2 {
+		t.Errorf("%d attempts of a part that was reset once, want 2", b.attempts["s/1"])
 	}
 }
 
 // TestProbesGoBeforeParts: on guard, a part waits for the probes of holders that were not heard lately
 // and avoids one that does not answer; without a bad sign no probe is sent.
 func TestProbesGoBeforeParts(t *testing.T) {
-	set, all := wide(6, 2, 3)
-	b := newBench(t, set, all...)
+	set, all := fleetSettings(6, 2, 3)
+	b := newHarness(t, set, all...)
 	if acts := b.step(asks("calm", 3*time.Second, 0)...); len(only(acts, Probe)) > 0 || len(only(acts, Send)) != 1 {
 		t.Fatalf("without a sign: %v", acts)
 	}
@@ -138,7 +138,7 @@
 			if s.Replica == "r4" {
 				avoided++
 			}
-			b.step(ended(s.Part, b.n[s.Part]-1, OK))
+			b.step(ended(s.Part, b.attempts[s.Part]-1, OK))
 		}
 		b.now += time.Second
 	}
@@ -149,13 +149,13 @@
 
 // TestBadReports: absurd reports and probes of unknown replicas are hints that do no harm.
 func TestBadReports(t *testing.T) {
-	set, all := wide(6, 2, 40)
-	b := newBench(t, set, all...)
+	set, all := fleetSettings(6, 2, 40)
+	b := newHarness(t, set, all...)
 	inf := 1e308
 	for _, x := range []float64{-1, inf * 10, -inf * 10, inf*10 - inf*10, 1e300} {
 		b.step(Event{Kind: ProbeEnded, Replica: "r1", Outcome: OK, LoadReport: map[string]float64{"inflight": x, "other": x}},
 			Event{Kind: ProbeEnded, Replica: "gone", Outcome: OK})
-		if load := b.agg.byName["r1"].load; load != 0 {
+		if load := b.aggregator.replicaByName["r1"].reportedLoad; load != 0 {
 			t.Errorf("a report of %v was taken as a load of %v", x, load)
 		}
 	}
@@ -165,9 +165,9 @@
 // node to close idle connections before use; answers on idle connections teach it nothing.
 func TestIdleConnectionsFoundDead(t *testing.T) {
 	for _, dead := range []bool{true, false} {
-		set, all := wide(4, 2, 10)
+		set, all := fleetSettings(4, 2, 10)
 		set.Limits.Probes = false
-		b := newBench(t, set, all...)
+		b := newHarness(t, set, all...)
 		used, fresh := map[string]time.Duration{}, map[string]bool{}
 		closes := 0
 		for i := range 400 {
@@ -187,11 +187,11 @@
 						lost := dead && !fresh[act.Replica] && b.now-used[act.Replica] > 800*ms
 						used[act.Replica], fresh[act.Replica] = b.now, false
 						if !lost {
-							events = append(events, ended(act.Part, b.n[act.Part]-1, OK))
+							events = append(events, ended(act.Part, b.attempts[act.Part]-1, OK))
 						}
 					}
 				}
-				b.now += b.set.Tick
+				b.now += b.settings.Tick
 				acts = b.step(append(events, Event{Kind: Wakeup})...)
 			}
 		}
@@ -203,7 +203,7 @@
 
 // BenchmarkWideStep reports a Step at 120 replicas with hundreds of parts open.
 func BenchmarkWideStep(b *testing.B) {
-	set, all := wide(120, 3, 40)
+	set, all := fleetSettings(120, 3, 40)
 	a, err := New(set, 1)
 	if err != nil {
 		b.Fatal(err)
@@ -229,21 +229,21 @@
 	}{{1, false}, {6, true}} {
 		set := testSettings()
 		set.Tenants, set.OverQuotaFactor = []Tenant{{Name: "x", Rate: 100}, {Name: "y", Rate: 100}}, 0.05
-		b := newBench(t, set, members("a", "b", "c")...)
+		b := newHarness(t, set, members("a", "b", "c")...)
 		ask := func(tenant int, retry bool) *query {
 			return &query{tenant: tenant, retry: retry, parts: []*part{{}}}
 		}
 		for range 4 {
-			b.agg.rank(ask(1, false))
+			b.aggregator.rank(ask(1, false))
 		}
 		for range c.repeats {
-			b.agg.rank(ask(0, true))
+			b.aggregator.rank(ask(0, true))
 		}
 		again, other := ask(0, true), ask(1, false)
-		b.agg.rank(again)
-		b.agg.rank(other)
-		if got := again.worth < other.worth; got != c.first {
-			t.Errorf("after %d repeats: worth %v against %v", c.repeats, again.worth, other.worth)
+		b.aggregator.rank(again)
+		b.aggregator.rank(other)
+		if got := again.priority < other.priority; got != c.first {
+			t.Errorf("after %d repeats: worth %v against %v", c.repeats, again.priority, other.priority)
 		}
 	}
 }
--- a/aggregator/connect_test.go
+++ b/aggregator/connect_test.go
@@ -16,7 +16,7 @@
 	}{{ConnectTimeout, false}, {ConnectFailed, true}} {
 		set := testSettings()
 		set.ShardSets, set.Shards, set.Reach = 1, 1, 1
-		b := newBench(t, set, Member{Replica: "a"})
+		b := newHarness(t, set, Member{Replica: "a"})
 		for i := range 3 {
 			sent := only(b.step(asks(fmt.Sprint("q", i), 3*time.Second, 0)...), Send)
 			b.now += 20 * ms
@@ -24,8 +24,8 @@
 				b.step(ended(s.Part, 0, c.end))
 			}
 		}
-		if r := b.agg.byName["a"]; r.cold != c.cold || !r.ejected {
-			t.Errorf("outcome %d: cold %v, ejected %v; want cold %v and ejected", c.end, r.cold, r.ejected, c.cold)
+		if r := b.aggregator.replicaByName["a"]; r.warming != c.cold || !r.ejected {
+			t.Errorf("outcome %d: cold %v, ejected %v; want cold %v and ejected", c.end, r.warming, r.ejected, c.cold)
 		}
 	}
 }
--- a/aggregator/fleet_test.go
+++ b/aggregator/fleet_test.go
@@ -13,11 +13,11 @@
 // part must not ask on and on, each no taken for a sign that calls for more; nor may a no cost a replica its parts.
 func TestProbesOfAFleet(t *testing.T) {
 	const nodes, answered = 80, 12
-	set, all := wide(60, 3, nodes)
-	var fleet []*bench
+	set, all := fleetSettings(60, 3, nodes)
+	var fleet []*harness
 	for seed := range uint64(nodes) {
-		b := newBench(t, set, all...)
-		b.agg, _ = New(set, seed)
+		b := newHarness(t, set, all...)
+		b.aggregator, _ = New(set, seed)
 		b.step(Event{Kind: ListCached, Members: all})
 		b.step(asks("first", 3*time.Second, int(seed)%60)...)
 		b.step(ended("first/0", 0, Reset))
@@ -43,13 +43,13 @@
 				}
 				b.step(events...)
 				for _, s := range only(append(acts, b.after(100*ms)...), Send) {
-					b.step(ended(s.Part, b.n[s.Part]-1, OK))
+					b.step(ended(s.Part, b.attempts[s.Part]-1, OK))
 				}
 			}
 		}
 	}
 	for _, b := range fleet {
-		for _, r := range b.agg.fleet {
+		for _, r := range b.aggregator.replicas {
 			if r.ejected {
 				barred++
 			}
@@ -70,10 +70,10 @@
 	set.ShardSets, set.Shards, set.Reach, set.Aggregators = 1, 2, 1, nodes
 	set.Limits.MaxBatch, set.CallCost = 8, 4*ms
 	set.Rules.WarmupTime = 20 * time.Second
-	var fleet []*bench
+	var fleet []*harness
 	for seed := range uint64(nodes) {
-		b := newBench(t, set)
-		b.agg, _ = New(set, seed)
+		b := newHarness(t, set)
+		b.aggregator, _ = New(set, seed)
 		b.step(Event{Kind: ListCached, Members: []Member{{Replica: "a"}, {Replica: "b"}}})
 		for i := range 5 { // it learns how long a part takes
 			b.step(asks(fmt.Sprint("first", i), 3*time.Second, 0)...)
@@ -103,7 +103,7 @@
 					sent[time.Duration(step)*100*ms/set.Rules.OverloadWindow] += part.Seconds()
 					parts, called = parts+1, true
 				}
-				b.step(ended(s.Part, b.n[s.Part]-1, OK))
+				b.step(ended(s.Part, b.attempts[s.Part]-1, OK))
 			}
 			if called {
 				calls++
@@ -166,10 +166,10 @@
 		parts int
 		whole bool
 	}{{0.5, true, 80, 3, false}, {0.5, false, 80, 4, true}, {1, true, 80, 4, true}, {0.5, true, 3, 4, true}} {
-		set, all := wide(4, 1, c.nodes)
+		set, all := fleetSettings(4, 1, c.nodes)
 		set.Limits.Probes = false
 		set.Classes[0].MinShare, set.Classes[0].PartialShare = c.floor, 0.9
-		b := newBench(t, set, all...)
+		b := newHarness(t, set, all...)
 		for i := range 20 { // one shard each, the last of which is slow
 			b.step(asks(fmt.Sprint(i), 3*time.Second, i%4)...)
 			if b.now += 20 * ms; i%4 == 3 && c.slow {
--- a/aggregator/node_test.go
+++ b/aggregator/node_test.go
@@ -12,7 +12,7 @@
 func TestAnswerOpensNoStepAtTheEnd(t *testing.T) {
 	set := testSettings()
 	set.Classes[0].FetchParts, set.Classes[0].MinShare, set.Classes[0].PartialShare = 2, 0.5, 0.9
-	b := newBench(t, set, members("a", "b", "c")...)
+	b := newHarness(t, set, members("a", "b", "c")...)
 	b.step(asks("q", 900*ms, 0, 1)...)
 	b.step(ended("q/0", 0, OK))
 	b.now += 890 * ms
@@ -28,7 +28,7 @@
 	for _, seen := range []time.Duration{0, 800 * ms} {
 		set := testSettings()
 		set.Classes[0].LateShare = 0.9
-		b := newBench(t, set, members("a", "b", "c")...)
+		b := newHarness(t, set, members("a", "b", "c")...)
 		if seen > 0 {
 			b.step(asks("first", 3*time.Second, 0)...)
 			b.now += only(b.last, Wake)[0].After + seen
@@ -36,7 +36,7 @@
 		}
 		start := b.now
 		b.step(asks("q", 2*time.Second, 1)...)
-		for i := 0; b.agg.queries["q"] != nil && i < 1000; i++ {
+		for i := 0; b.aggregator.queries["q"] != nil && i < 1000; i++ {
 			b.after(set.Tick)
 		}
 		if left := start + 2*time.Second - b.now; left < max(600*ms, seen) {
@@ -93,8 +93,8 @@
 // TestResetOnIdleConnection: a reset at once on a connection out of use is the connection's fault. The
 // replica is not struck nor taken for cold, the query is not ended, and the part goes on a new connection.
 func TestResetOnIdleConnection(t *testing.T) {
-	set, all := wide(12, 3, 10)
-	b := newBench(t, set, all...)
+	set, all := fleetSettings(12, 3, 10)
+	b := newHarness(t, set, all...)
 	shards := []int{0, 3, 6, 9}
 	b.step(asks("warm", time.Second, 0, 1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11)...)
 	b.now += 50 * ms
@@ -115,22 +115,22 @@
 		}
 		events = events[:0]
 		for _, s := range only(acts, Send) {
-			if b.n[s.Part] == 2 && !slices.ContainsFunc(acts, func(c Action) bool {
+			if b.attempts[s.Part] == 2 && !slices.ContainsFunc(acts, func(c Action) bool {
 				return c.Kind == CloseIdle && c.Replica == s.Replica
 			}) {
 				t.Errorf("%s was sent again on an idle connection", s.Part)
 			}
-			events = append(events, ended(s.Part, b.n[s.Part]-1, OK))
+			events = append(events, ended(s.Part, b.attempts[s.Part]-1, OK))
 		}
 		b.now += 50 * ms
 		acts = b.step(append(events, Event{Kind: Wakeup})...)
 	}
-	if b.agg.queries["q"] != nil {
+	if b.aggregator.queries["q"] != nil {
 		t.Error("the query was not answered")
 	}
-	for _, r := range b.agg.fleet {
-		if r.cold || r.ejected || r.strikes > 0 {
-			t.Errorf("%s: cold %v, ejected %v, %v strikes", r.member.Replica, r.cold, r.ejected, r.strikes)
+	for _, r := range b.aggregator.replicas {
+		if r.warming || r.ejected || r.failures > 0 {
+			t.Errorf("%s: cold %v, ejected %v, %v strikes", r.member.Replica, r.warming, r.ejected, r.failures)
 		}
 	}
 }
@@ -145,7 +145,7 @@
 		set := testSettings()
 		set.Classes = append(set.Classes, set.Classes[0])
 		set.Classes[1].Effect = c.effect
-		b := newBench(t, set, members("a", "b", "c")...)
+		b := newHarness(t, set, members("a", "b", "c")...)
 		b.step(asks("warm", time.Second, 0, 1, 2)...)
 		b.now += 50 * ms
 		for i := range 3 {
@@ -170,8 +170,8 @@
 // late, both are let in.
 func TestSlowestPartDecides(t *testing.T) {
 	for _, busy := range []bool{true, false} {
-		set, all := wide(30, 3, 1)
-		b := newBench(t, set, all...)
+		set, all := fleetSettings(30, 3, 1)
+		b := newHarness(t, set, all...)
 		for i := range 300 {
 			id := fmt.Sprint(i)
 			b.step(asks(id, time.Second, i%30)...)
@@ -215,7 +215,7 @@
 			}
 		}
 		f.run(600*ms, 5*ms)
-		if n := f.n["q/0"]; n != want {
+		if n := f.attempts["q/0"]; n != want {
 			t.Errorf("%d parts: %d attempts of the one whose answer was lost, want %d", parts, n, want)
 		}
 	}
@@ -225,42 +225,42 @@
 // what the node holds must not grow with them.
 // One that was there a short while ago, or owes an answer, is kept.
 func TestWhatIsGoneIsForgotten(t *testing.T) {
-	b := newBench(t, testSettings(), members("a", "b", "c")...)
+	b := newHarness(t, testSettings(), members("a", "b", "c")...)
 	for i := range 500 {
 		was, is := fmt.Sprint("r", i), fmt.Sprint("r", i+1)
 		fresh := members(is)[0]
-		fresh.ShardSet = i % b.agg.set.ShardSets
-		old := Member{Replica: was, ShardSet: (i + b.agg.set.ShardSets - 1) % b.agg.set.ShardSets, State: Gone}
+		fresh.ShardSet = i % b.aggregator.settings.ShardSets
+		old := Member{Replica: was, ShardSet: (i + b.aggregator.settings.ShardSets - 1) % b.aggregator.settings.ShardSets, State: Gone}
 		b.step(Event{Kind: ListChanged, Members: []Member{old, fresh}})
 		b.now += 10 * time.Second
 		q := fmt.Sprint("q", i)
-		for _, s := range only(b.step(asks(q, time.Second, i%b.agg.set.Shards)...), Send) {
+		for _, s := range only(b.step(asks(q, time.Second, i%b.aggregator.settings.Shards)...), Send) {
 			b.step(Event{Kind: AttemptEnded, Part: s.Part, Replica: s.Replica, Outcome: OK})
 		}
 	}
-	a := b.agg
+	a := b.aggregator
 	held := 0
-	for _, cell := range a.cells {
+	for _, cell := range a.shardSets {
 		held += len(cell)
 	}
 	// Those of the last 40 s and the one listed, beside the three of the start.
-	if most := 4 + 5; len(a.fleet) > most || len(a.byName) > most || len(a.byTag) > most || held > most {
-		t.Errorf("%d replicas, %d names, %d tags, %d in cells", len(a.fleet), len(a.byName), len(a.byTag), held)
+	if most := 4 + 5; len(a.replicas) > most || len(a.replicaByName) > most || len(a.replicaByTag) > most || held > most {
+		t.Errorf("%d replicas, %d names, %d tags, %d in cells", len(a.replicas), len(a.replicaByName), len(a.replicaByTag), held)
 	}
-	if len(a.taken.at)+len(a.extras.at)+len(a.queries)+len(a.parts)+len(a.live) > 0 {
-		t.Errorf("%d taken, %d extras, %d queries, %d parts", len(a.taken.at), len(a.extras.at), len(a.queries), len(a.parts))
+	if len(a.accepted.times)+len(a.retries.times)+len(a.queries)+len(a.parts)+len(a.live) > 0 {
+		t.Errorf("%d taken, %d extras, %d queries, %d parts", len(a.accepted.times), len(a.retries.times), len(a.queries), len(a.parts))
 	}
 	sent := only(b.step(asks("last", time.Hour, 0)...), Send)[0]
 	b.step(Event{Kind: ListReplaced})
 	b.now += time.Second
 	b.step(Event{Kind: Wakeup})
-	if a.byName[sent.Replica] == nil {
+	if a.replicaByName[sent.Replica] == nil {
 		t.Error("a replica that owes an answer is forgotten")
 	}
 	b.step(Event{Kind: AttemptEnded, Part: sent.Part, Replica: sent.Replica, Outcome: OK})
 	b.now += time.Minute
 	b.step(Event{Kind: Wakeup})
-	if len(a.fleet) > 0 {
-		t.Errorf("%d replicas are held of an empty list", len(a.fleet))
+	if len(a.replicas) > 0 {
+		t.Errorf("%d replicas are held of an empty list", len(a.replicas))
 	}
 }
--- a/aggregator/peers_test.go
+++ b/aggregator/peers_test.go
@@ -11,19 +11,19 @@
 // that are none do no harm.
 func TestPackedNews(t *testing.T) {
 	aim := 2 * time.Second
-	list := []news{{1, newsSent, 500 * ms}, {65535, newsExcess, 1900 * ms}, {7, newsExcess, 9 * time.Second}}
-	got := unpack(pack(list, aim), aim)
+	list := []gossipEntry{{1, gossipSent, 500 * ms}, {65535, gossipExcess, 1900 * ms}, {7, gossipExcess, 9 * time.Second}}
+	got := decodeGossip(encodeGossip(list, aim), aim)
 	for i, n := range got {
 		want := min(list[i].span, aim)
 		if n.tag != list[i].tag || n.kind != list[i].kind || n.span < want-20*ms || n.span > want+20*ms {
 			t.Errorf("entry %d: %+v became %+v", i, list[i], n)
 		}
 	}
-	if n := len(pack(make([]news, 200), aim)); n > peerBytes || len(got) != len(list) {
+	if n := len(encodeGossip(make([]gossipEntry, 200), aim)); n > maxGossipBytes || len(got) != len(list) {
 		t.Errorf("%d bytes, %d entries", n, len(got))
 	}
 	for _, bad := range [][]byte{nil, {1}, bytes.Repeat([]byte{255}, 256), bytes.Repeat([]byte{9}, 999)} {
-		for _, n := range unpack(bad, aim) {
+		for _, n := range decodeGossip(bad, aim) {
 			if n.span < 0 || n.span > 3*aim {
 				t.Errorf("%v: %+v", bad[:3], n)
 			}
@@ -36,7 +36,7 @@
 func TestPeersTellTies(t *testing.T) {
 	set := testSettings()
 	set.Limits.Gossip = true
-	busy := pack([]news{{tagOf("a"), newsSent, 900 * ms}, {tagOf("none"), newsSent, 900 * ms}}, time.Second)
+	busy := encodeGossip([]gossipEntry{{replicaTag("a"), gossipSent, 900 * ms}, {replicaTag("none"), gossipSent, 900 * ms}}, time.Second)
 	got := map[string]int{}
 	for seed := range uint64(40) {
 		a, err := New(set, seed)
@@ -52,7 +52,7 @@
 		if len(only(acts, SendGossip)) != 1 {
 			t.Fatalf("%d messages for one query", len(only(acts, SendGossip)))
 		}
-		if a.byName["a"].ejected {
+		if a.replicaByName["a"].ejected {
 			t.Fatal("a hint ejected a replica")
 		}
 	}
@@ -75,9 +75,9 @@
 
 // TestNoPeersNoMessages: where messages are not permitted none is sent and none is kept.
 func TestNoPeersNoMessages(t *testing.T) {
-	b := newBench(t, testSettings(), members("a", "b", "c")...)
+	b := newHarness(t, testSettings(), members("a", "b", "c")...)
 	for i := range 5 {
-		if acts := b.step(asks(fmt.Sprint(i), time.Second, 0)...); len(only(acts, SendGossip)) > 0 || len(b.agg.news) > 0 {
+		if acts := b.step(asks(fmt.Sprint(i), time.Second, 0)...); len(only(acts, SendGossip)) > 0 || len(b.aggregator.pendingGossip) > 0 {
 			t.Fatal("a message")
 		}
 	}
@@ -90,7 +90,7 @@
 	set.Shards, set.ShardSets, set.Reach = 4, 4, 1
 	set.Classes[0].MinShare, set.Classes[0].PartialShare, set.Classes[0].FetchParts = 0.7, 0.9, 2
 	set.Limits.MaxAttempts = 1
-	b := newBench(t, set, members("a", "b", "c")...) // the fourth cell is empty
+	b := newHarness(t, set, members("a", "b", "c")...) // the fourth cell is empty
 	b.step(asks("hole", 3*time.Second, 0, 1, 2, 3)...)
 	if len(only(b.last, Send)) != 3 {
 		t.Fatalf("%d parts sent, want 3", len(only(b.last, Send)))
@@ -122,7 +122,7 @@
 	set := testSettings()
 	set.Classes[0].MinShare, set.Classes[0].PartialShare, set.Classes[0].FetchParts = 0.5, 0.9, 2
 	set.Limits.MaxAttempts = 1
-	b := newBench(t, set, members("a", "b", "c")...)
+	b := newHarness(t, set, members("a", "b", "c")...)
 	b.step(asks("q", 3*time.Second, 0, 1)...)
 	b.step(ended("q/0", 0, OK), ended("q/1", 0, OK))
 	second := []Event{{Kind: PartArrived, Query: "q", Part: "s0", Shard: 0, Weight: 0.5},
--- a/aggregator/rules_test.go
+++ b/aggregator/rules_test.go
@@ -10,40 +10,40 @@
 const ms = time.Millisecond
 
 // bench drives one aggregator by hand and keeps its own, simple account of what was sent.
-type bench struct {
-	t    *testing.T
-	set  Settings
-	agg  *Aggregator
-	now  time.Duration
-	n    map[string]int // attempts by part
-	last []Action
+type harness struct {
+	t          *testing.T
+	settings   Settings
+	aggregator *Aggregator
+	now        time.Duration
+	attempts   map[string]int // attempts by part
+	last       []Action
 }
 
-func newBench(t *testing.T, set Settings, members ...Member) *bench {
+func newHarness(t *testing.T, set Settings, members ...Member) *harness {
 	t.Helper()
 	a, err := New(set, 7)
 	if err != nil {
 		t.Fatal(err)
 	}
-	b := &bench{t: t, set: set, agg: a, now: 100 * time.Second, n: map[string]int{}}
+	b := &harness{t: t, settings: set, aggregator: a, now: 100 * time.Second, attempts: map[string]int{}}
 	b.step(Event{Kind: ListCached, Members: members})
 	return b
 }
 
-func (b *bench) step(events ...Event) []Action {
-	b.last = b.agg.Step(b.now, events, nil)
+func (b *harness) step(events ...Event) []Action {
+	b.last = b.aggregator.Step(b.now, events, nil)
 	for _, act := range b.last {
 		if act.Kind == Send {
-			b.n[act.Part]++
+			b.attempts[act.Part]++
 		}
 	}
 	return b.last
 }
 
 // after steps at intervals of a tick until d has passed and returns all actions.
-func (b *bench) after(d time.Duration) (all []Action) {
+func (b *harness) after(d time.Duration) (all []Action) {
 	for end := b.now + d; b.now < end; {
-		b.now += b.set.Tick
+		b.now += b.settings.Tick
 		all = append(all, b.step(Event{Kind: Wakeup})...)
 	}
 	return all
@@ -84,12 +84,12 @@
 func TestLostQuery(t *testing.T) {
 	set := testSettings()
 	set.Classes[0].LateShare = 1
-	b := newBench(t, set, members("a", "b", "c")...)
+	b := newHarness(t, set, members("a", "b", "c")...)
 	start, left := b.now, 1700*ms
 	b.step(asks("q", left, 0)...)
 	finals := 0
 	for b.now < start+3*time.Second {
-		for _, act := range b.after(b.set.Tick) {
+		for _, act := range b.after(b.settings.Tick) {
 			switch act.Kind {
 			case Answer, Reject, Fail:
 				if finals++; b.now > start+left {
@@ -128,13 +128,13 @@
 			set := testSettings()
 			set.Limits.CanCancel = false
 			set.Classes[0].Effect, set.Classes[0].DedupWindow = c.effect, 400*ms
-			b := newBench(t, set, members("a", "b", "c")...)
+			b := newHarness(t, set, members("a", "b", "c")...)
 			b.step(asks("q", 3*time.Second, 0)...)
 			b.now += c.late
 			b.step(ended("q/0", 0, c.outcome))
 			b.after(20 * ms)
-			if b.n["q/0"] != c.want {
-				t.Errorf("%d attempts, want %d", b.n["q/0"], c.want)
+			if b.attempts["q/0"] != c.want {
+				t.Errorf("%d attempts, want %d", b.attempts["q/0"], c.want)
 			}
 		})
 	}
@@ -145,7 +145,7 @@
 	for outcome, want := range map[Outcome]ActionKind{Errored: Fail, Rejected: Reject} {
 		set := testSettings()
 		set.Classes[0].Effect, set.Limits.MaxAttempts = Unsafe, 1
-		b := newBench(t, set, members("a", "b", "c")...)
+		b := newHarness(t, set, members("a", "b", "c")...)
 		b.step(asks("q", 3*time.Second, 0)...)
 		if got := only(b.step(ended("q/0", 0, outcome)), want); len(got) != 1 {
 			t.Errorf("outcome %d: no action of kind %d in %v", outcome, want, b.last)
@@ -158,7 +158,7 @@
 func TestFailureWhileOut(t *testing.T) {
 	set := testSettings()
 	set.Classes[0].Effect = Unsafe
-	b := newBench(t, set, members("a", "b", "c")...)
+	b := newHarness(t, set, members("a", "b", "c")...)
 	b.step(asks("q", time.Second, 0)...)
 	all := b.after(2 * time.Second)
 	if len(only(all, Fail)) != 1 || len(only(all, Reject)) != 0 {
@@ -169,7 +169,7 @@
 // TestOneAttemptAtATime: without copies, an overdue attempt is cancelled first and only then answered by
 // another.
 func TestOneAttemptAtATime(t *testing.T) {
-	b := newBench(t, testSettings(), members("a", "b", "c")...)
+	b := newHarness(t, testSettings(), members("a", "b", "c")...)
 	b.step(asks("q", 3*time.Second, 0)...)
 	hung := b.last[0].Replica
 	for i := range 6 { // peers answer, the hung one does not
@@ -180,10 +180,10 @@
 			b.step(ended(id+"/0", 0, OK))
 		}
 	}
-	if b.n["q/0"] != 1 {
-		t.Fatalf("%d attempts before any outcome, want 1", b.n["q/0"])
+	if b.attempts["q/0"] != 1 {
+		t.Fatalf("%d attempts before any outcome, want 1", b.attempts["q/0"])
 	}
-	if b.agg.parts["q/0"] == nil || !b.agg.parts["q/0"].tries[0].dropped {
+	if b.aggregator.parts["q/0"] == nil || !b.aggregator.parts["q/0"].attempts[0].abandoned {
 		t.Fatal("the silent attempt was not called off")
 	}
 	if s := only(b.step(ended("q/0", 0, Cancelled)), Send); len(s) != 1 || s[0].Replica == hung {
@@ -198,7 +198,7 @@
 		"gone":     {Kind: ListChanged, Members: []Member{{Replica: "a", State: Gone}}},
 		"absent":   {Kind: ListReplaced, Members: []Member{{Replica: "b", ShardSet: 1}, {Replica: "c", ShardSet: 2}}},
 	} {
-		b := newBench(t, testSettings(), members("a", "b", "c")...)
+		b := newHarness(t, testSettings(), members("a", "b", "c")...)
 		b.step(e)
 		for i := range 20 {
 			for _, s := range only(b.step(asks(fmt.Sprint(i), 3*time.Second, 0)...), Send) {
@@ -215,7 +215,7 @@
 func TestColdReplica(t *testing.T) {
 	set := testSettings()
 	set.ShardSets, set.Reach, set.Aggregators = 1, 1, 2
-	b := newBench(t, set, Member{Replica: "a", Started: 99900 * ms})
+	b := newHarness(t, set, Member{Replica: "a", Started: 99900 * ms})
 	sent := 0
 	for i := range 50 {
 		sent += len(only(b.step(asks(fmt.Sprint(i), 3*time.Second, 0)...), Send))
@@ -245,7 +245,7 @@
 			set := testSettings()
 			set.Limits.MaxAttempts = 1
 			set.Classes[0].MinShare, set.Classes[0].PartialShare = c.floor, 1
-			b := newBench(t, set, members("a", "b", "c")...)
+			b := newHarness(t, set, members("a", "b", "c")...)
 			b.step(asks("q", 900*ms, 0, 1, 2, 0)...)
 			for i := range c.ok {
 				b.step(ended(fmt.Sprint("q/", i), 0, OK))
@@ -264,7 +264,7 @@
 func TestSecondStep(t *testing.T) {
 	set := testSettings()
 	set.Classes[0].FetchParts = 1
-	b := newBench(t, set, members("a", "b", "c")...)
+	b := newHarness(t, set, members("a", "b", "c")...)
 	b.step(asks("q", 3*time.Second, 0)...)
 	first := only(b.step(ended("q/0", 0, OK)), Answer)
 	b.step(Event{Kind: PartArrived, Query: "q", Part: "s", Shard: 0, Weight: 1})
@@ -279,7 +279,7 @@
 	set := testSettings()
 	set.Rules.RetryWindow, set.Rules.RetryFloor, set.Rules.RetryRatio = time.Second, 2, 0.1
 	set.Limits.MaxAttempts = 10
-	b := newBench(t, set, members("a", "b", "c")...)
+	b := newHarness(t, set, members("a", "b", "c")...)
 	var taken, extras []time.Duration
 	within := func(at []time.Duration) (n int) {
 		for _, t := range at {
@@ -296,10 +296,10 @@
 		b.now += 7 * ms
 		var events []Event
 		for _, s := range only(acts, Send) {
-			events = append(events, ended(s.Part, b.n[s.Part]-1, Errored))
+			events = append(events, ended(s.Part, b.attempts[s.Part]-1, Errored))
 		}
 		for _, s := range only(b.step(events...), Send) {
-			if b.n[s.Part] > 1 {
+			if b.attempts[s.Part] > 1 {
 				if extras = append(extras, b.now); float64(within(extras)) > 2+0.1*float64(within(taken)) {
 					t.Fatalf("step %d: %d further attempts for %d taken", i, within(extras), within(taken))
 				}
@@ -326,7 +326,7 @@
 // calls and every effect a class can have.
 func TestLongRandomRunWide(t *testing.T) {
 	for seed := range uint64(4) {
-		set, all := wide(120, 2+int(seed%2), 80)
+		set, all := fleetSettings(120, 2+int(seed%2), 80)
 		for i := range all {
 			all[i].Zone = fmt.Sprint("z", i%(2+int(seed%2)))
 		}
@@ -339,7 +339,7 @@
 }
 
 func randomRun(t *testing.T, set Settings, all []Member, seed uint64) {
-	b := newBench(t, set, all...)
+	b := newHarness(t, set, all...)
 	rng := rand.New(rand.NewPCG(seed, 1))
 	type attempt struct {
 		part string
@@ -403,9 +403,9 @@
 					t.Fatalf("seed %d: %s may run twice", seed, act.Part)
 				}
 				flying[act.Part]++
-				out = append(out, attempt{act.Part, b.n[act.Part] - 1})
-				if b.n[act.Part] > set.Limits.MaxAttempts {
-					t.Fatalf("seed %d: %d attempts of %s", seed, b.n[act.Part], act.Part)
+				out = append(out, attempt{act.Part, b.attempts[act.Part] - 1})
+				if b.attempts[act.Part] > set.Limits.MaxAttempts {
+					t.Fatalf("seed %d: %d attempts of %s", seed, b.attempts[act.Part], act.Part)
 				}
 				if barred[act.Replica] {
 					t.Fatalf("seed %d: sent to %s, which drains", seed, act.Replica)
@@ -435,8 +435,8 @@
 			}
 		}
 	}
-	if len(b.agg.queries) > 100 || len(b.agg.parts) > 3000 || len(b.agg.live) > 100 {
-		t.Errorf("seed %d: %d queries, %d parts held", seed, len(b.agg.queries), len(b.agg.parts))
+	if len(b.aggregator.queries) > 100 || len(b.aggregator.parts) > 3000 || len(b.aggregator.live) > 100 {
+		t.Errorf("seed %d: %d queries, %d parts held", seed, len(b.aggregator.queries), len(b.aggregator.parts))
 	}
 }
 
@@ -447,7 +447,7 @@
 	set.Shards = 12
 	set.Classes[0].MinShare, set.Classes[0].PartialShare = 0.5, 0.9
 	for _, missing := range []int{0, 1} {
-		b := newBench(t, set, members("a", "b", "c")...)
+		b := newHarness(t, set, members("a", "b", "c")...)
 		events := asks("q", 900*ms, 0, 1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11)
 		for i := range events {
 			events[i].Weight = 0.083333
--- a/aggregator/settings.go
+++ b/aggregator/settings.go
@@ -8,7 +8,7 @@
 )
 
 // check names the first figure that can't be served.
-func (set Settings) check() error {
+func (set Settings) validate() error {
 	if set.ShardSets < 1 || set.Shards < 1 {
 		//lint:ignore ST1005 the message begins with the name of the key
 		return fmt.Errorf("Cells, Shards: %d, %d: both must be above 0", set.ShardSets, set.Shards)
--- a/aggregator/slowstart_test.go
+++ b/aggregator/slowstart_test.go
@@ -23,7 +23,7 @@
 }
 
 // slowStart is when the data node starts, on the benches' clock.
-const slowStart = 200 * time.Second
+const slowStartAt = 200 * time.Second
 
 // runSlowStart plays ten falling windows and returns, over all sliding windows, by how many calls the worst goes beyond what
 // the settings allow it, and how many calls were sent in all.
@@ -38,11 +38,11 @@
 		mu := -day.spread * day.spread / 2
 		return time.Duration(float64(day.work) * math.Exp(mu+day.spread*rng.NormFloat64()))
 	}
-	fleet, weights, sum := make([]*bench, day.nodes), make([]float64, day.nodes), 0.0
+	fleet, weights, sum := make([]*harness, day.nodes), make([]float64, day.nodes), 0.0
 	warm := []Member{{Replica: "a"}, {Replica: "b"}}
 	for i := range fleet {
-		b := newBench(t, set)
-		b.agg, _ = New(set, seed*1000+uint64(i))
+		b := newHarness(t, set)
+		b.aggregator, _ = New(set, seed*1000+uint64(i))
 		b.step(Event{Kind: ListCached, Members: warm})
 		for j := range 8 {
 			id := fmt.Sprint("first", j)
@@ -52,12 +52,12 @@
 				}
 			}
 		}
-		b.now = slowStart
+		b.now = slowStartAt
 		fleet[i] = b
 		weights[i] = math.Pow(float64(i+1), -day.skew)
 		sum += weights[i]
 	}
-	start := slowStart
+	start := slowStartAt
 	for _, b := range fleet {
 		changes := []Member{{Replica: "cold", Started: start}}
 		if day.alone {
@@ -93,12 +93,12 @@
 			if asked {
 				events = append(events, asks(fmt.Sprint(now, i), 3*time.Second, 0, 1, 2, 3)...)
 			}
-			if len(events) == 0 && (b.agg.wake < 0 || now < b.agg.wake) {
+			if len(events) == 0 && (b.aggregator.wakeAt < 0 || now < b.aggregator.wakeAt) {
 				continue
 			}
 			inCall := 0
 			for _, s := range only(b.step(events...), Send) {
-				due = append(due, answer{now + work(), i, s.Part, b.n[s.Part] - 1})
+				due = append(due, answer{now + work(), i, s.Part, b.attempts[s.Part] - 1})
 				if s.Replica != "cold" {
 					continue
 				}
--- a/aggregator/symptoms_test.go
+++ b/aggregator/symptoms_test.go
@@ -9,7 +9,7 @@
 
 // fleet is a hand-driven fleet whose replicas answer as told by react.
 type fleet struct {
-	*bench
+	*harness
 	asked int
 	got   map[string]int // first sends by replica
 	react func(replica string) (Outcome, time.Duration)
@@ -22,14 +22,14 @@
 }
 
 func newFleet(t *testing.T, set Settings, react func(string) (Outcome, time.Duration)) *fleet {
-	return &fleet{bench: newBench(t, set, members("a", "b", "c")...), got: map[string]int{}, react: react}
+	return &fleet{harness: newHarness(t, set, members("a", "b", "c")...), got: map[string]int{}, react: react}
 }
 
 // run plays d with a query of one part at each interval and returns all actions.
 func (f *fleet) run(d, interval time.Duration) (all []Action) {
 	f.got = map[string]int{}
 	ask := f.now
-	for end := f.now + d; f.now < end; f.now += f.set.Tick {
+	for end := f.now + d; f.now < end; f.now += f.settings.Tick {
 		var events []Event
 		var later []dueOutcome
 		for _, o := range f.due {
@@ -48,16 +48,16 @@
 		for _, act := range f.step(append(events, Event{Kind: Wakeup})...) {
 			all = append(all, act)
 			if act.Kind == Cancel {
-				f.due = append(f.due, dueOutcome{f.now + f.set.Tick, ended(act.Part, act.Attempt, Cancelled)})
+				f.due = append(f.due, dueOutcome{f.now + f.settings.Tick, ended(act.Part, act.Attempt, Cancelled)})
 			}
 			if act.Kind == Probe {
 				back := Event{Kind: ProbeEnded, Replica: act.Replica, Outcome: OK}
-				f.due = append(f.due, dueOutcome{f.now + f.set.Tick, back})
+				f.due = append(f.due, dueOutcome{f.now + f.settings.Tick, back})
 			}
 			if act.Kind == Send {
 				f.got[act.Replica]++
 				if outcome, took := f.react(act.Replica); outcome != NotSent {
-					f.due = append(f.due, dueOutcome{f.now + took, ended(act.Part, f.n[act.Part]-1, outcome)})
+					f.due = append(f.due, dueOutcome{f.now + took, ended(act.Part, f.attempts[act.Part]-1, outcome)})
 				}
 			}
 		}
@@ -210,7 +210,7 @@
 func TestPatience(t *testing.T) {
 	set := testSettings()
 	set.Classes[0].LatencyObjective, set.Classes[0].Deadline = 4*time.Second, 8*time.Second
-	b := newBench(t, set, members("a", "b", "c")...)
+	b := newHarness(t, set, members("a", "b", "c")...)
 	for i := range 60 {
 		id := fmt.Sprintf("warm%d", i)
 		b.step(asks(id, 6*time.Second, i%3)...)
@@ -218,11 +218,11 @@
 		b.step(ended(id+"/0", 0, OK))
 	}
 	q := &query{}
-	if got := b.agg.patience(q); got < 0.35 || got > 0.6 {
+	if got := b.aggregator.hedgeDelay(q); got < 0.35 || got > 0.6 {
 		t.Errorf("parts take 0.1 s and one is chased after %.2f s, want about four times as long", got)
 	}
-	b.agg.stat(q).high.v = 1.0
-	if got := b.agg.patience(q); got != 2.0 {
+	b.aggregator.latencyOf(q).high.value = 1.0
+	if got := b.aggregator.hedgeDelay(q); got != 2.0 {
 		t.Errorf("one part in twenty takes 1 s and one is chased after %.2f s, want 2", got)
 	}
 }
--- a/aggregator/timeout_test.go
+++ b/aggregator/timeout_test.go
@@ -11,7 +11,7 @@
 func TestTimeoutsAreRemembered(t *testing.T) {
 	set := testSettings()
 	set.ShardSets, set.Shards, set.Reach = 1, 1, 1
-	b := newBench(t, set, Member{Replica: "a"})
+	b := newHarness(t, set, Member{Replica: "a"})
 	for i := range 40 { // it learns how long a part takes
 		for _, s := range only(b.step(asks(fmt.Sprint("first", i), 3*time.Second, 0)...), Send) {
 			b.now += 20 * ms
