--- /dev/null
+++ b/aggregator/canary.go
@@ -0,0 +1,35 @@
+package aggregator
+
+import (
+	"math"
+	"time"
+)
+
+const (
+	queryOfDeathResets = 2    // replicas that may break under a query without any answer
+	canaryFleetShare   = 0.12 // share of the fleet that a query may touch before its first answer
+	canaryWaitShare    = 0.12 // share of the aim that the rest waits for that answer
+)
+
+// canaryLimit is how many parts of a query may go out now. A query that breaks what runs it shows nothing
+// before, so until a part is answered it may touch a small share of the fleet, and one replica while on guard
+// or once a part was reset. It also spares a fleet that fails for other reasons; it costs a part's latency.
+func (a *Aggregator) canaryLimit(q *query) (room int, until time.Duration) {
+	until = q.firstSend + scale(canaryWaitShare, a.settings.Classes[q.class].LatencyObjective)
+	shaken := q.resets > 0 || q.idleReset
+	if a.lastCrash == 0 && !shaken || q.answered || q.firstSend > 0 && !shaken && a.now >= until {
+		return math.MaxInt32, until
+	}
+	room = max(1, int(canaryFleetShare*float64(len(a.replicas))))
+	if a.lastQueryOfDeath > 0 && a.now-a.lastQueryOfDeath < a.settings.Rules.WarmupTime || shaken {
+		room = 1
+	}
+	for _, p := range q.parts {
+		for _, t := range p.attempts {
+			if t.open && t.call.first == t {
+				room--
+			}
+		}
+	}
+	return room, until
+}
--- /dev/null
+++ b/aggregator/endpoints.go
@@ -0,0 +1,147 @@
+package aggregator
+
+import (
+	"math"
+	"slices"
+	"time"
+)
+
+const (
+	removedLifetime = 40.0 // longest aims for which a replica that has left the list may come back as it was
+	firstPollShare  = 0.06 // share of the rule's time between list calls over which the first one is spread
+)
+
+type replica struct {
+	member          Member
+	tag             uint16        // its name in messages between nodes
+	peerWork        float64       // work that other nodes sent, seconds
+	peerWorkAt      time.Duration // as of then
+	excluded        bool          // the list says draining or gone
+	removedAt       time.Duration // when it left the list; 0 while it is listed
+	warming         bool
+	warmupStart     time.Duration // start of its warm-up, if cold
+	inFlight        []*attempt    // in order of sending, ghosts included
+	openCalls       int           // calls with open attempts
+	currentCall     *call         // the call of the round in hand
+	recentSends     []sentWork    // while cold, within the falling window
+	drawnAt         time.Duration // when die was thrown
+	draw            float64       // the share of a call that must fit into the room while cold
+	allowance       float64       // work that this node may send while cold; below 0 what it has sent ahead
+	accruedAt       time.Duration // until when room was counted
+	excess          float64       // recent latency above the class's base, seconds
+	timePerCall     float64       // seconds a call takes for each of ours that is out
+	answers         int
+	unanswered      int           // attempts given up since the last answer
+	answeredSendAt  time.Duration // when the latest attempt that was answered had been sent
+	excessAt        time.Duration
+	lastAnswer      time.Duration // last answer
+	lastProbeAnswer time.Duration // last probe that came back
+	lastUse         time.Duration // last send or answer
+	silentIdle      time.Duration // how long its connections had idled before a call that got no answer
+	lastProbe       time.Duration // last probe sent before a part
+	suspectedAt     time.Duration // when it failed a probe or a part, or owed an answer to a probe; 0 once it answers
+	reportedLoad    float64       // what its last report said it holds
+	failures        float64
+	ejected         bool
+	backoffUntil    time.Duration // full until about then
+	lostConnRound   int           // the round that last counted a lost connection
+	failingFast     bool          // its last failure was a quick error
+	halfOpen        bool          // a trial part may be sent
+	trialAt         time.Duration // no trial before
+	ejectionTime    time.Duration
+}
+
+// requestList subscribes to the list where it must be asked for: at the start, and after each refusal with a
+// pause that doubles up to a quarter of the time after which the drain rule takes what is listed as told.
+// Pauses are drawn at random, so that nodes that start together don't ask in step.
+func (a *Aggregator) pollEndpoints() {
+	if a.pollFailed {
+		a.pollFailed = false
+		share := firstPollShare * math.Exp2(float64(a.pollFailures)) * a.rng.Float64()
+		a.pollAt = a.now + scale(share, max(a.settings.Rules.PollInterval, a.maxObjective()))
+		a.pollFailures = min(a.pollFailures+1, 2)
+	}
+	if a.now >= a.pollAt {
+		a.pollAt = math.MaxInt64
+		a.out = append(a.out, Action{Kind: PollEndpoints})
+	}
+}
+
+// updateList brings the fleet up to date. What it says of draining is binding at once, well within the grace;
+// that a replica runs is a hint only.
+func (a *Aggregator) updateList(e *Event) {
+	if e.Kind != ListChanged {
+		for _, r := range a.replicas {
+			r.excluded = true
+			r.markRemoved(a.now)
+		}
+	}
+	for _, m := range e.Members {
+		if m.ShardSet < 0 || m.ShardSet >= a.settings.ShardSets {
+			continue
+		}
+		r := a.replicaByName[m.Replica]
+		if r == nil {
+			r = &replica{member: m, tag: replicaTag(m.Replica)}
+			a.replicaByName[m.Replica], a.replicaByTag[r.tag] = r, r
+			a.replicas = append(a.replicas, r)
+			a.shardSets[m.ShardSet] = append(a.shardSets[m.ShardSet], r)
+			a.startSlowStart(r, m.Started, a.listed && m.Started == 0)
+		} else if m.Started > r.member.Started {
+			a.startSlowStart(r, m.Started, false)
+		}
+		if r.member.State == Serving && m.State == Gone {
+			a.lastCrash = a.now
+		}
+		a.moveShardSet(r, m.ShardSet)
+		if r.member, r.excluded = m, m.State != Serving; m.State == Gone {
+			r.markRemoved(a.now)
+		} else {
+			r.removedAt = 0
+		}
+	}
+	a.listed, a.pollFailures = true, 0
+}
+
+// rehouse moves a replica whose cell has changed.
+func (a *Aggregator) moveShardSet(r *replica, cell int) {
+	if cell != r.member.ShardSet {
+		old := &a.shardSets[r.member.ShardSet]
+		*old = slices.DeleteFunc(*old, func(o *replica) bool { return o == r })
+		a.shardSets[cell] = append(a.shardSets[cell], r)
+	}
+}
+
+// leave notes that a replica is listed no more.
+func (r *replica) markRemoved(now time.Duration) {
+	if r.removedAt == 0 {
+		r.removedAt = now
+	}
+}
+
+// forgets lets go of a replica that left the list long ago and has nothing out: new ones come under new names for
+// as long as the program runs. One that is back before is known by what it showed.
+func (a *Aggregator) forget(r *replica) bool {
+	if r.removedAt == 0 || a.now-r.removedAt < scale(removedLifetime, a.maxObjective()) || len(r.inFlight) > 0 {
+		return false
+	}
+	delete(a.replicaByName, r.member.Replica)
+	if a.replicaByTag[r.tag] == r {
+		delete(a.replicaByTag, r.tag)
+	}
+	cell := &a.shardSets[r.member.ShardSet]
+	*cell = slices.DeleteFunc(*cell, func(o *replica) bool { return o == r })
+	return true
+}
+
+// holders lists the replicas that hold a shard.
+func (a *Aggregator) holders(shard int) []*replica {
+	if a.settings.Reach == 1 {
+		return a.shardSets[shard%a.settings.ShardSets]
+	}
+	var all []*replica
+	for j := range a.settings.Reach {
+		all = append(all, a.shardSets[(shard+j)%a.settings.ShardSets]...)
+	}
+	return all
+}
--- a/aggregator/peers.go
+++ b/aggregator/gossip.go
@@ -9,6 +9,9 @@
 // peerBytes is the most that a message between front nodes holds.
 const maxGossipBytes = 256
 
+// newsSteps is how many steps the longest aim has.
+const gossipSteps = 127
+
 // newsKind is what one entry of a message tells of a replica.
 type gossipKind uint8
 
@@ -25,9 +28,6 @@
 	span time.Duration
 }
 
-// newsSteps is how many steps the longest aim has.
-const gossipSteps = 127
-
 // tagOf shortens a replica's name. Two replicas of a fleet seldom share a tag; where they do, they share
 // their hints.
 func replicaTag(name string) uint16 {
@@ -69,6 +69,30 @@
 	return list
 }
 
+// tellPeers tells the other nodes, where it may, what this one has sent and seen: at once after a send, else
+// now and then. A message costs its bytes for each receiver.
+func (a *Aggregator) publishGossip() {
+	if len(a.pendingGossip) > 0 && (a.pendingGossip[len(a.pendingGossip)-1].kind == gossipSent || a.now-a.gossipSentAt > 10*a.settings.Tick) {
+		a.out = append(a.out, Action{Kind: SendGossip, Data: encodeGossip(a.pendingGossip, a.maxObjective())})
+		a.pendingGossip, a.gossipSentAt = a.pendingGossip[:0], a.now
+	}
+}
+
+// takePeerNews takes in what another node sent and saw. These are hints of listed replicas, for ties and
+// the forecast; what this node has just heard of a replica itself comes first, and no hint ejects.
+func (a *Aggregator) applyGossip(e *Event) {
+	for _, n := range decodeGossip(e.Data, a.maxObjective()) {
+		r := a.replicaByTag[n.tag]
+		switch {
+		case r == nil:
+		case n.kind == gossipSent:
+			r.peerWork, r.peerWorkAt = a.decayedPeerWork(r)+n.span.Seconds(), a.now
+		case r.lastAnswer == 0 || a.now-r.lastAnswer > a.freshness():
+			r.excess, r.excessAt = a.decayedExcess(r)+excessSampleWeight/2*(n.span.Seconds()-a.decayedExcess(r)), a.now
+		}
+	}
+}
+
 // note keeps an entry for the next message, where there are any; work sent to one replica adds up.
 func (a *Aggregator) recordGossip(r *replica, kind gossipKind, span time.Duration) {
 	if !a.settings.Limits.Gossip {
@@ -82,3 +106,8 @@
 	}
 	a.pendingGossip = append(a.pendingGossip, gossipEntry{r.tag, kind, span})
 }
+
+// others is the work that other nodes were heard to have sent to r, as far as it may still be there.
+func (a *Aggregator) decayedPeerWork(r *replica) float64 {
+	return r.peerWork * math.Exp(-(a.now-r.peerWorkAt).Seconds()/a.typicalLatency())
+}
--- /dev/null
+++ b/aggregator/idleconn.go
@@ -0,0 +1,57 @@
+package aggregator
+
+import (
+	"math"
+	"time"
+)
+
+const (
+	deadConnLifetime   = 8.0  // longest aims for which idle connections found dead are closed before use
+	deadConnEvidence   = 2.0  // signs of dead idle connections, less those against, from which they are closed
+	minIdleShare       = 0.1  // share of the longest aim above which a connection counts as idle
+	idleAnswerEvidence = 0.25 // what an answer on a long idle connection counts against
+)
+
+// idleLimit is the time without use after which connections were lately found dead, 0 for none.
+func (a *Aggregator) idleTimeout() time.Duration {
+	if (a.now - a.deadConnAt).Seconds() > deadConnLifetime*a.maxObjective().Seconds() {
+		a.deadAfter, a.idleEvidence = 0, 0
+	}
+	return a.deadAfter
+}
+
+// idled tells whether an attempt was sent on a connection that had been out of use for a while.
+func (a *Aggregator) onIdleConn(t *attempt) bool {
+	return !t.newConn && t.callPosition == 1 && t.connIdle > scale(minIdleShare, a.maxObjective())
+}
+
+// deadIdle counts a sign that connections out of use for gap are dead.
+func (a *Aggregator) recordDeadConn(gap time.Duration) {
+	a.addIdleEvidence(1)
+	if a.deadConnAt = a.now; a.deadAfter == 0 || gap < a.deadAfter {
+		a.deadAfter = gap
+	}
+}
+
+// blameIdle counts signs that idle connections are dead, or against it; enough of the latter clear them.
+func (a *Aggregator) addIdleEvidence(sign float64) {
+	if a.idleEvidence = math.Min(a.idleEvidence+sign, 2*deadConnEvidence); a.idleEvidence <= -deadConnEvidence {
+		a.deadAfter, a.idleEvidence = 0, 0
+	}
+}
+
+// refresh closes the idle connections to r before a part is sent where they may be dead: a call on one
+// was lost, or they have idled as long as others that were; at the first sign already for a part that may
+// not run twice. It costs a handshake.
+func (a *Aggregator) closeIdleConns(p *part, r *replica) bool {
+	limit, enough := a.idleTimeout(), deadConnEvidence
+	if a.settings.Classes[p.query.class].Effect == Unsafe {
+		enough = 1
+	}
+	suspect := r.silentIdle > 0 || p.query.idleReset || limit > 0 && a.idleEvidence >= enough && a.now-r.lastUse >= limit
+	if len(r.inFlight) > 0 || !suspect {
+		return false
+	}
+	a.out = append(a.out, Action{Kind: CloseIdle, Replica: r.member.Replica})
+	return true
+}
--- /dev/null
+++ b/aggregator/pause.go
@@ -0,0 +1,20 @@
+package aggregator
+
+const (
+	pauseLifetime = 8.0 // longest aims for which a standstill is expected again
+)
+
+// noticeStandstill notes whether this node itself stood still: its turn comes later than the wake that it
+// asked for. What ended meanwhile is told late, and its latency counts without the delay.
+func (a *Aggregator) detectPause() {
+	if a.stepDelay = 0; a.now-a.lastPause > scale(pauseLifetime, a.maxObjective()) {
+		a.longestPause = 0
+	}
+	if a.wakeAt < 0 || a.now < a.wakeAt {
+		return
+	}
+	if lag := a.now - a.wakeAt; lag > 4*a.settings.Tick {
+		a.stepDelay, a.longestPause, a.lastPause = lag, max(lag, a.longestPause), a.now
+	}
+	a.wakeAt = -1
+}
