--- a/aggregator/admission.go
+++ b/aggregator/admission.go
@@ -152,3 +152,10 @@
 	r.seen++
 	return below, equal, n
 }
+
+// admissionState is what admission compares a new query with.
+type admissionState struct {
+	tenantQueries []slidingWindow
+	tenantRetries []slidingWindow // of the tenants' queries those that a client had sent before
+	priorities    recentValues    // of the queries seen lately
+}
--- a/aggregator/canary.go
+++ b/aggregator/canary.go
@@ -33,3 +33,17 @@
 	}
 	return room, until
 }
+
+// queryOfDeathGuard notes the signs that a query breaks the replicas that run it.
+type queryOfDeathGuard struct {
+	lastCrash        time.Duration // a replica last died without draining; 0 for never
+	lastQueryOfDeath time.Duration // a query last broke the replicas that ran it; 0 for never
+}
+
+// queryCanary is what the first parts of a query show.
+type queryCanary struct {
+	firstSend time.Duration // of any part; 0 for none
+	resets    int           // attempts that ended with the connection reset
+	idleReset bool          // an attempt on an idle connection was reset
+	answered  bool          // a part was answered
+}
--- a/aggregator/endpoints.go
+++ b/aggregator/endpoints.go
@@ -11,44 +11,19 @@
 	firstPollShare  = 0.06 // share of the rule's time between list calls over which the first one is spread
 )
 
+// replica is one data node of the endpoint list and what this aggregator knows of it.
 type replica struct {
-	member          Member
-	tag             uint16        // its name in messages between nodes
-	peerWork        float64       // work that other nodes sent, seconds
-	peerWorkAt      time.Duration // as of then
-	excluded        bool          // the list says draining or gone
-	removedAt       time.Duration // when it left the list; 0 while it is listed
-	warming         bool
-	warmupStart     time.Duration // start of its warm-up, if cold
-	inFlight        []*attempt    // in order of sending, ghosts included
-	openCalls       int           // calls with open attempts
-	currentCall     *call         // the call of the round in hand
-	recentSends     []sentWork    // while cold, within the falling window
-	drawnAt         time.Duration // when die was thrown
-	draw            float64       // the share of a call that must fit into the room while cold
-	allowance       float64       // work that this node may send while cold; below 0 what it has sent ahead
-	accruedAt       time.Duration // until when room was counted
-	excess          float64       // recent latency above the class's base, seconds
-	timePerCall     float64       // seconds a call takes for each of ours that is out
-	answers         int
-	unanswered      int           // attempts given up since the last answer
-	answeredSendAt  time.Duration // when the latest attempt that was answered had been sent
-	excessAt        time.Duration
-	lastAnswer      time.Duration // last answer
-	lastProbeAnswer time.Duration // last probe that came back
-	lastUse         time.Duration // last send or answer
-	silentIdle      time.Duration // how long its connections had idled before a call that got no answer
-	lastProbe       time.Duration // last probe sent before a part
-	suspectedAt     time.Duration // when it failed a probe or a part, or owed an answer to a probe; 0 once it answers
-	reportedLoad    float64       // what its last report said it holds
-	failures        float64
-	ejected         bool
-	backoffUntil    time.Duration // full until about then
-	lostConnRound   int           // the round that last counted a lost connection
-	failingFast     bool          // its last failure was a quick error
-	halfOpen        bool          // a trial part may be sent
-	trialAt         time.Duration // no trial before
-	ejectionTime    time.Duration
+	member    Member
+	tag       uint16        // its name in gossip
+	excluded  bool          // the endpoint list says that it is draining or gone
+	removedAt time.Duration // when it left the endpoint list; 0 while it is listed
+	replicaCalls
+	replicaLatency
+	slowStart
+	outlierState
+	replicaHealth
+	replicaConns
+	peerLoad
 }
 
 // requestList subscribes to the list where it must be asked for: at the start, and after each refusal with a
@@ -145,3 +120,20 @@
 	}
 	return all
 }
+
+// endpointList holds the replicas that discovery listed.
+type endpointList struct {
+	replicaByName map[string]*replica
+	replicaByTag  map[uint16]*replica
+	replicas      []*replica
+	shardSets     [][]*replica // replicas by the set of shards that they hold
+	listed        bool         // a list has come in
+	endpointPoller
+}
+
+// endpointPoller subscribes to the endpoint list.
+type endpointPoller struct {
+	pollFailed   bool          // the next poll is to be scheduled
+	pollAt       time.Duration // when the next poll is due; the largest value for never
+	pollFailures int           // polls that failed in a row, counted to 2
+}
--- a/aggregator/gossip.go
+++ b/aggregator/gossip.go
@@ -111,3 +111,15 @@
 func (a *Aggregator) decayedPeerWork(r *replica) float64 {
 	return r.peerWork * math.Exp(-(a.now-r.peerWorkAt).Seconds()/a.typicalLatency())
 }
+
+// peerLoad is the work that other aggregators said they sent to one replica.
+type peerLoad struct {
+	peerWork   float64 // seconds, as of peerWorkAt
+	peerWorkAt time.Duration
+}
+
+// gossipOutbox holds what the next gossip message says.
+type gossipOutbox struct {
+	pendingGossip []gossipEntry
+	gossipSentAt  time.Duration
+}
--- a/aggregator/healthcheck.go
+++ b/aggregator/healthcheck.go
@@ -85,3 +85,18 @@
 	}
 	return wait
 }
+
+// replicaHealth is what the health checks of one replica show.
+type replicaHealth struct {
+	lastProbe       time.Duration // when a probe was last sent ahead of a part
+	lastProbeAnswer time.Duration
+	suspectedAt     time.Duration // when it failed a probe or a part, or owed an answer to a probe; 0 once it answers
+	reportedLoad    float64       // requests that its last load report said it holds
+}
+
+// fleetHealth is what this aggregator knows of the fleet's health.
+type fleetHealth struct {
+	panicMode   bool    // half of the replicas are ejected, so further ejections are not believed
+	staleView   bool    // under half of the replicas have answered lately
+	probeCredit float64 // probes that may be sent ahead of parts
+}
--- a/aggregator/idleconn.go
+++ b/aggregator/idleconn.go
@@ -55,3 +55,16 @@
 	a.out = append(a.out, Action{Kind: CloseIdle, Replica: r.member.Replica})
 	return true
 }
+
+// replicaConns is the use of this aggregator's connections to one replica.
+type replicaConns struct {
+	lastUse    time.Duration // last send or answer
+	silentIdle time.Duration // how long they had idled before a call that got no answer; 0 for none
+}
+
+// idleConnEstimate is after how long idle connections are found dead, as a firewall or a proxy on the way drops them.
+type idleConnEstimate struct {
+	deadAfter    time.Duration // shortest idle time after which a connection was found dead; 0 for none
+	deadConnAt   time.Duration // when one was last found
+	idleEvidence float64       // signs that idle connections are dead, less those against it
+}
--- a/aggregator/latency.go
+++ b/aggregator/latency.go
@@ -19,6 +19,19 @@
 // latency is what has been learned of the parts of one step of a class, in seconds.
 type latencyEstimate struct{ base, median, high quantile }
 
+// stepsPerQuery is the most steps that a query has.
+const stepsPerQuery = 2
+
+func newLatencyEstimates(n int) []latencyEstimate {
+	all := make([]latencyEstimate, n)
+	for i := range all {
+		all[i] = latencyEstimate{
+			base: quantile{target: baseQuantile}, median: quantile{target: 0.5}, high: quantile{target: tailQuantile},
+		}
+	}
+	return all
+}
+
 // quantile follows one quantile of a stream by small steps in proportion to its value.
 type quantile struct {
 	value, target float64
@@ -139,3 +152,26 @@
 	r.excess, r.excessAt = over, a.now
 	a.fleetExcess, a.fleetExcessAt = a.fleetExcess+fleetSampleWeight*(over-a.fleetExcess), a.now
 }
+
+// replicaLatency is what the answers of one replica show of its speed.
+type replicaLatency struct {
+	excess         float64       // recent latency above the base of the class, in seconds
+	excessAt       time.Duration // when excess was last brought up to date
+	timePerCall    float64       // seconds that a call takes for each of this aggregator's calls that is open
+	answers        int
+	unanswered     int           // attempts given up since the last answer
+	answeredSendAt time.Duration // when the latest attempt that was answered had been sent
+	lastAnswer     time.Duration // 0 before the first
+}
+
+// fleetLatency is what all answers show, of each class and of the fleet as a whole.
+type fleetLatency struct {
+	latencies       []latencyEstimate // two for each class, one a step
+	timePerCall     float64           // upper quartile of the replicas' time per call, in seconds
+	medianExcess    float64           // of the replicas that are in use, in seconds
+	fleetExcess     float64           // excess of recent answers of any replica, in seconds
+	fleetExcessAt   time.Duration     // when fleetExcess was last brought up to date
+	lastAnswer      time.Duration     // of any replica
+	answerInterval  time.Duration     // mean time between two answers of one replica
+	answerIntervals int               // how many intervals the mean is of
+}
--- a/aggregator/outlier.go
+++ b/aggregator/outlier.go
@@ -188,3 +188,15 @@
 	a.medianExcess, a.timePerCall = quartile(all, 2), quartile(paces, 3)
 	a.replicas = slices.DeleteFunc(a.replicas, a.forget)
 }
+
+// outlierState is the outlier ejection of one replica.
+type outlierState struct {
+	failures      float64 // consecutive failures; an answer takes off a part
+	failingFast   bool    // its last failure was a quick error
+	lostConnRound int     // the round that last counted a lost connection
+	ejected       bool
+	halfOpen      bool          // while ejected: a trial part may be sent
+	trialAt       time.Duration // while ejected: no trial before
+	ejectionTime  time.Duration // how long the next ejection lasts at least
+	backoffUntil  time.Duration // it said that it is full; nothing is sent to it before
+}
--- a/aggregator/pause.go
+++ b/aggregator/pause.go
@@ -1,5 +1,7 @@
 package aggregator
 
+import "time"
+
 const (
 	pauseLifetime = 8.0 // longest aims for which a standstill is expected again
 )
@@ -18,3 +20,10 @@
 	}
 	a.wakeAt = -1
 }
+
+// pauseDetector notes when this node itself stood still.
+type pauseDetector struct {
+	stepDelay    time.Duration // how late this round came
+	longestPause time.Duration // longest pause lately
+	lastPause    time.Duration // when the last one ended
+}
--- a/aggregator/placement.go
+++ b/aggregator/placement.go
@@ -208,3 +208,10 @@
 		}
 	}
 }
+
+// replicaCalls are this aggregator's calls to one replica.
+type replicaCalls struct {
+	inFlight    []*attempt // in order of sending, those given up whose replica may still work on them included
+	openCalls   int        // calls with at least one attempt in flight
+	currentCall *call      // the call that parts of this round may join
+}
--- a/aggregator/query.go
+++ b/aggregator/query.go
@@ -4,25 +4,24 @@
 	"time"
 )
 
+// query is one open query.
 type query struct {
-	id                  string
-	class               int
-	tenant              int
-	retry               bool
-	parts               []*part
-	partCount           int
-	step                int
-	admitted            bool
-	ended               bool
-	firstStepComplete   bool // the first step was answered whole
-	arrived             time.Duration
-	firstSend           time.Duration // first send of any part
-	resets              int           // attempts that ended with the connection reset
-	idleReset           bool          // an attempt on an idle connection was
-	answered            bool          // some part was answered
-	rejection           Reason        // it was turned away at the door
-	objective, deadline time.Duration
-	priority            float64 // per work
+	id                string
+	class             int
+	tenant            int  // below 0 for none
+	retry             bool // the client has sent it before
+	parts             []*part
+	partCount         int // parts of the step
+	step              int // 0 or 1
+	admitted          bool
+	ended             bool
+	firstStepComplete bool
+	arrived           time.Duration
+	queryCanary
+	rejection Reason        // why admission rejected it
+	objective time.Duration // an answer until then earns the full priority
+	deadline  time.Duration // the client's deadline less the reserve
+	priority  float64       // per work
 }
 
 type part struct {
@@ -131,3 +130,10 @@
 		}
 	}
 }
+
+// queryTable holds the open queries and the parts that have attempts in flight.
+type queryTable struct {
+	queries map[string]*query
+	parts   map[string]*part
+	live    []*query // in order of arrival; ended ones are removed at the end of a round
+}
--- a/aggregator/retry.go
+++ b/aggregator/retry.go
@@ -151,3 +151,11 @@
 	w.times = append(w.times[:0], w.times[i:]...)
 	return len(w.times)
 }
+
+// retryBudget limits retries and hedged requests: a token bucket that first sends fill, and where the settings state one
+// the ration of a sliding window.
+type retryBudget struct {
+	retryCredit float64       // tokens
+	accepted    slidingWindow // queries and parts taken
+	retries     slidingWindow // retries and hedged requests sent
+}
--- a/aggregator/slowstart.go
+++ b/aggregator/slowstart.go
@@ -73,3 +73,14 @@
 	}
 	return math.Max(mean, p.work) + a.settings.CallCost.Seconds()
 }
+
+// slowStart is the state of one replica that has just started and is ramped up.
+type slowStart struct {
+	warming     bool
+	warmupStart time.Duration
+	recentSends []sentWork    // within the overload window
+	allowance   float64       // work in seconds that this aggregator may send; below 0 where it was sent ahead
+	accruedAt   time.Duration // until when allowance is counted
+	draw        float64       // random share of a call that must fit into the allowance, in [0, 1)
+	drawnAt     time.Duration
+}
