--- a/aggregator/aggregator.go
+++ b/aggregator/aggregator.go
@@ -15,22 +15,22 @@
 
 // Aggregator decides for one front node. It is not safe for concurrent use.
 type Aggregator struct {
-	settings Settings
-	rng      *rand.Rand
-	now      time.Duration // of the round in hand
-	round    int
-	out      []Action
-	wakeAt   time.Duration // when the wake that was asked for is due; below 0 for none
-	endpointList
-	queryTable
-	fleetLatency
-	fleetHealth
-	idleConnEstimate
-	admissionState
-	retryBudget
-	queryOfDeathGuard
-	pauseDetector
-	gossipOutbox
+	settings          Settings
+	rng               *rand.Rand
+	now               time.Duration // of the round in hand
+	round             int
+	out               []Action
+	wakeAt            time.Duration // when the wake that was asked for is due; below 0 for none
+	endpointList      endpointList
+	queryTable        queryTable
+	fleetLatency      fleetLatency
+	fleetHealth       fleetHealth
+	idleConnEstimate  idleConnEstimate
+	admissionState    admissionState
+	retryBudget       retryBudget
+	queryOfDeathGuard queryOfDeathGuard
+	pauseDetector     pauseDetector
+	gossipOutbox      gossipOutbox
 }
 
 // New returns an aggregator for the settings; the seed settles its random choices. It returns an error that names the first
--- a/aggregator/canary.go
+++ b/aggregator/canary.go
@@ -15,13 +15,13 @@
 // before, so until a part is answered it may touch a small share of the fleet, and one replica while on guard
 // or once a part was reset. It also spares a fleet that fails for other reasons; it costs a part's latency.
 func (a *Aggregator) canaryLimit(q *query) (room int, until time.Duration) {
-	until = q.firstSend + scale(canaryWaitShare, a.settings.Classes[q.class].LatencyObjective)
-	shaken := q.resets > 0 || q.idleReset
-	if a.lastCrash == 0 && !shaken || q.answered || q.firstSend > 0 && !shaken && a.now >= until {
+	until = q.queryCanary.firstSend + scale(canaryWaitShare, a.settings.Classes[q.class].LatencyObjective)
+	shaken := q.queryCanary.resets > 0 || q.queryCanary.idleReset
+	if a.queryOfDeathGuard.lastCrash == 0 && !shaken || q.queryCanary.answered || q.queryCanary.firstSend > 0 && !shaken && a.now >= until {
 		return math.MaxInt32, until
 	}
-	room = max(1, int(canaryFleetShare*float64(len(a.replicas))))
-	if a.lastQueryOfDeath > 0 && a.now-a.lastQueryOfDeath < a.settings.Rules.WarmupTime || shaken {
+	room = max(1, int(canaryFleetShare*float64(len(a.endpointList.replicas))))
+	if a.queryOfDeathGuard.lastQueryOfDeath > 0 && a.now-a.queryOfDeathGuard.lastQueryOfDeath < a.settings.Rules.WarmupTime || shaken {
 		room = 1
 	}
 	for _, p := range q.parts {
--- a/aggregator/gossip.go
+++ b/aggregator/gossip.go
@@ -72,9 +72,9 @@
 // tellPeers tells the other nodes, where it may, what this one has sent and seen: at once after a send, else
 // now and then. A message costs its bytes for each receiver.
 func (a *Aggregator) publishGossip() {
-	if len(a.pendingGossip) > 0 && (a.pendingGossip[len(a.pendingGossip)-1].kind == gossipSent || a.now-a.gossipSentAt > 10*a.settings.Tick) {
-		a.out = append(a.out, Action{Kind: SendGossip, Data: encodeGossip(a.pendingGossip, a.maxObjective())})
-		a.pendingGossip, a.gossipSentAt = a.pendingGossip[:0], a.now
+	if len(a.gossipOutbox.pendingGossip) > 0 && (a.gossipOutbox.pendingGossip[len(a.gossipOutbox.pendingGossip)-1].kind == gossipSent || a.now-a.gossipOutbox.gossipSentAt > 10*a.settings.Tick) {
+		a.out = append(a.out, Action{Kind: SendGossip, Data: encodeGossip(a.gossipOutbox.pendingGossip, a.maxObjective())})
+		a.gossipOutbox.pendingGossip, a.gossipOutbox.gossipSentAt = a.gossipOutbox.pendingGossip[:0], a.now
 	}
 }
 
@@ -82,13 +82,13 @@
 // the forecast; what this node has just heard of a replica itself comes first, and no hint ejects.
 func (a *Aggregator) applyGossip(e *Event) {
 	for _, n := range decodeGossip(e.Data, a.maxObjective()) {
-		r := a.replicaByTag[n.tag]
+		r := a.endpointList.replicaByTag[n.tag]
 		switch {
 		case r == nil:
 		case n.kind == gossipSent:
-			r.peerWork, r.peerWorkAt = a.decayedPeerWork(r)+n.span.Seconds(), a.now
-		case r.lastAnswer == 0 || a.now-r.lastAnswer > a.freshness():
-			r.excess, r.excessAt = a.decayedExcess(r)+excessSampleWeight/2*(n.span.Seconds()-a.decayedExcess(r)), a.now
+			r.peerLoad.peerWork, r.peerLoad.peerWorkAt = a.decayedPeerWork(r)+n.span.Seconds(), a.now
+		case r.replicaLatency.lastAnswer == 0 || a.now-r.replicaLatency.lastAnswer > a.freshness():
+			r.replicaLatency.excess, r.replicaLatency.excessAt = a.decayedExcess(r)+excessSampleWeight/2*(n.span.Seconds()-a.decayedExcess(r)), a.now
 		}
 	}
 }
@@ -98,18 +98,18 @@
 	if !a.settings.Limits.Gossip {
 		return
 	}
-	for i := range a.pendingGossip {
-		if n := &a.pendingGossip[i]; kind == gossipSent && n.kind == kind && n.tag == r.tag {
+	for i := range a.gossipOutbox.pendingGossip {
+		if n := &a.gossipOutbox.pendingGossip[i]; kind == gossipSent && n.kind == kind && n.tag == r.tag {
 			n.span += span
 			return
 		}
 	}
-	a.pendingGossip = append(a.pendingGossip, gossipEntry{r.tag, kind, span})
+	a.gossipOutbox.pendingGossip = append(a.gossipOutbox.pendingGossip, gossipEntry{r.tag, kind, span})
 }
 
 // others is the work that other nodes were heard to have sent to r, as far as it may still be there.
 func (a *Aggregator) decayedPeerWork(r *replica) float64 {
-	return r.peerWork * math.Exp(-(a.now-r.peerWorkAt).Seconds()/a.typicalLatency())
+	return r.peerLoad.peerWork * math.Exp(-(a.now-r.peerLoad.peerWorkAt).Seconds()/a.typicalLatency())
 }
 
 // peerLoad is the work that other aggregators said they sent to one replica.
--- a/aggregator/idleconn.go
+++ b/aggregator/idleconn.go
@@ -14,10 +14,10 @@
 
 // idleLimit is the time without use after which connections were lately found dead, 0 for none.
 func (a *Aggregator) idleTimeout() time.Duration {
-	if (a.now - a.deadConnAt).Seconds() > deadConnLifetime*a.maxObjective().Seconds() {
-		a.deadAfter, a.idleEvidence = 0, 0
+	if (a.now - a.idleConnEstimate.deadConnAt).Seconds() > deadConnLifetime*a.maxObjective().Seconds() {
+		a.idleConnEstimate.deadAfter, a.idleConnEstimate.idleEvidence = 0, 0
 	}
-	return a.deadAfter
+	return a.idleConnEstimate.deadAfter
 }
 
 // idled tells whether an attempt was sent on a connection that had been out of use for a while.
@@ -28,15 +28,15 @@
 // deadIdle counts a sign that connections out of use for gap are dead.
 func (a *Aggregator) recordDeadConn(gap time.Duration) {
 	a.addIdleEvidence(1)
-	if a.deadConnAt = a.now; a.deadAfter == 0 || gap < a.deadAfter {
-		a.deadAfter = gap
+	if a.idleConnEstimate.deadConnAt = a.now; a.idleConnEstimate.deadAfter == 0 || gap < a.idleConnEstimate.deadAfter {
+		a.idleConnEstimate.deadAfter = gap
 	}
 }
 
 // blameIdle counts signs that idle connections are dead, or against it; enough of the latter clear them.
 func (a *Aggregator) addIdleEvidence(sign float64) {
-	if a.idleEvidence = math.Min(a.idleEvidence+sign, 2*deadConnEvidence); a.idleEvidence <= -deadConnEvidence {
-		a.deadAfter, a.idleEvidence = 0, 0
+	if a.idleConnEstimate.idleEvidence = math.Min(a.idleConnEstimate.idleEvidence+sign, 2*deadConnEvidence); a.idleConnEstimate.idleEvidence <= -deadConnEvidence {
+		a.idleConnEstimate.deadAfter, a.idleConnEstimate.idleEvidence = 0, 0
 	}
 }
 
@@ -48,8 +48,8 @@
 	if a.settings.Classes[p.query.class].Effect == Unsafe {
 		enough = 1
 	}
-	suspect := r.silentIdle > 0 || p.query.idleReset || limit > 0 && a.idleEvidence >= enough && a.now-r.lastUse >= limit
-	if len(r.inFlight) > 0 || !suspect {
+	suspect := r.replicaConns.silentIdle > 0 || p.query.queryCanary.idleReset || limit > 0 && a.idleConnEstimate.idleEvidence >= enough && a.now-r.replicaConns.lastUse >= limit
+	if len(r.replicaCalls.inFlight) > 0 || !suspect {
 		return false
 	}
 	a.out = append(a.out, Action{Kind: CloseIdle, Replica: r.member.Replica})
--- a/aggregator/outlier.go
+++ b/aggregator/outlier.go
@@ -16,7 +16,7 @@
 // outcome takes in the end of an attempt. Anything not known to have kept the part from running counts as
 // may-have-run; outcomes of unknown or ended attempts are skipped.
 func (a *Aggregator) attemptEnded(e *Event) {
-	p := a.parts[e.Part]
+	p := a.queryTable.parts[e.Part]
 	var t *attempt
 	if p != nil && e.Attempt >= 0 && e.Attempt < len(p.attempts) {
 		t = p.attempts[e.Attempt]
@@ -25,50 +25,50 @@
 		return
 	}
 	t.open = false
-	r, took := t.replica, max(a.now-t.sentAt-a.stepDelay, 0).Seconds()
+	r, took := t.replica, max(a.now-t.sentAt-a.pauseDetector.stepDelay, 0).Seconds()
 	switch e.Outcome {
 	case OK:
 		a.attemptAnswered(t, took)
 	case Errored, Reset, Unknown, ConnectFailed, ConnectTimeout:
 		a.release(t)
-		if e.Outcome == Reset && p.query.resets == 0 && a.onIdleConn(t) && took < a.baseLatency(p.query)/2 {
+		if e.Outcome == Reset && p.query.queryCanary.resets == 0 && a.onIdleConn(t) && took < a.baseLatency(p.query)/2 {
 			// The connection was dead, neither the replica nor its query to blame: no strike, no cold start.
 			a.recordDeadConn(t.connIdle)
-			r.silentIdle, p.query.idleReset = t.connIdle, true
+			r.replicaConns.silentIdle, p.query.queryCanary.idleReset = t.connIdle, true
 			break
 		}
 		if e.Outcome != Errored {
-			r.suspectedAt = a.now
+			r.replicaHealth.suspectedAt = a.now
 			a.addProbeCredit(1)
 		}
 		if e.Outcome != Errored && e.Outcome != ConnectTimeout {
-			a.lastCrash = a.now
+			a.queryOfDeathGuard.lastCrash = a.now
 		}
 		if e.Outcome == Reset {
-			if p.query.resets++; p.query.idleReset {
-				p.query.resets = queryOfDeathResets // on a new connection too
+			if p.query.queryCanary.resets++; p.query.queryCanary.idleReset {
+				p.query.queryCanary.resets = queryOfDeathResets // on a new connection too
 			}
 		}
-		r.failingFast = e.Outcome == Errored
+		r.outlierState.failingFast = e.Outcome == Errored
 		a.addFailure(r)
-		if e.Outcome == Reset || e.Outcome == ConnectFailed && r.failures >= ejectionFailures {
+		if e.Outcome == Reset || e.Outcome == ConnectFailed && r.outlierState.failures >= ejectionFailures {
 			// A process that drops or refuses connections may have restarted before the list says so; one whose
 			// connections come up late has not.
-			r.warming, r.warmupStart = true, a.now
+			r.slowStart.warming, r.slowStart.warmupStart = true, a.now
 		}
 	case ConnectionLost:
 		a.release(t)
 		// Nothing has died, and whatever else was out on the connection is no further sign.
-		if r.lostConnRound != a.round {
-			r.lostConnRound, r.failingFast = a.round, true
+		if r.outlierState.lostConnRound != a.round {
+			r.outlierState.lostConnRound, r.outlierState.failingFast = a.round, true
 			a.addFailure(r)
 		}
 	case Rejected:
 		a.release(t)
 		// A full queue is a wait of its own length, though none of our calls shows it: left alone for a while.
-		r.backoffUntil = a.now + time.Duration(rejectedBackoff*a.typicalLatency()*float64(time.Second))
-		r.excess, r.excessAt = math.Max(a.currentExcess(r), a.maxObjective().Seconds()/2), a.now
-		a.fleetExcess, a.fleetExcessAt = a.fleetExcess+fleetSampleWeight*(r.excess-a.fleetExcess), a.now
+		r.outlierState.backoffUntil = a.now + time.Duration(rejectedBackoff*a.typicalLatency()*float64(time.Second))
+		r.replicaLatency.excess, r.replicaLatency.excessAt = math.Max(a.currentExcess(r), a.maxObjective().Seconds()/2), a.now
+		a.fleetLatency.fleetExcess, a.fleetLatency.fleetExcessAt = a.fleetLatency.fleetExcess+fleetSampleWeight*(r.replicaLatency.excess-a.fleetLatency.fleetExcess), a.now
 	case NotSent:
 		a.release(t)
 	case TimedOut, Cancelled:
@@ -81,38 +81,38 @@
 		p.endedQuickly = e.Outcome != TimedOut
 	}
 	if p.query.ended && p.openAttempts() == 0 {
-		delete(a.parts, p.id)
+		delete(a.queryTable.parts, p.id)
 	}
 }
 
 // answered counts an answer. An answer to a later attempt also settles the ghosts before it.
 func (a *Aggregator) attemptAnswered(t *attempt, took float64) {
 	r, p := t.replica, t.part
-	for _, g := range slices.Clone(r.inFlight) {
+	for _, g := range slices.Clone(r.replicaCalls.inFlight) {
 		if g == t || !g.open && g.sentAt <= t.sentAt {
 			a.release(g)
 		}
 	}
 	if limit := a.idleTimeout(); !t.newConn && limit > 0 && t.connIdle >= limit {
 		a.addIdleEvidence(-idleAnswerEvidence) // idling that did no harm
-	} else if t.newConn && r.silentIdle > 0 {
+	} else if t.newConn && r.replicaConns.silentIdle > 0 {
 		// A call on an idle connection was lost, one on a new connection is answered: the connection was
 		// to blame.
-		a.recordDeadConn(r.silentIdle)
+		a.recordDeadConn(r.replicaConns.silentIdle)
 	}
-	r.silentIdle, r.lastUse, r.answeredSendAt = 0, a.now, max(r.answeredSendAt, t.sentAt)
-	if r.lastAnswer > 0 && r.lastAnswer < t.sentAt {
-		a.answerIntervals++
-		a.answerInterval += scale(math.Max(intervalSampleWeight, 1/float64(a.answerIntervals)), a.now-r.lastAnswer-a.answerInterval)
+	r.replicaConns.silentIdle, r.replicaConns.lastUse, r.replicaLatency.answeredSendAt = 0, a.now, max(r.replicaLatency.answeredSendAt, t.sentAt)
+	if r.replicaLatency.lastAnswer > 0 && r.replicaLatency.lastAnswer < t.sentAt {
+		a.fleetLatency.answerIntervals++
+		a.fleetLatency.answerInterval += scale(math.Max(intervalSampleWeight, 1/float64(a.fleetLatency.answerIntervals)), a.now-r.replicaLatency.lastAnswer-a.fleetLatency.answerInterval)
 	}
-	a.lastAnswer, r.lastAnswer, r.suspectedAt = a.now, a.now, 0
-	r.failures *= failureDecay
+	a.fleetLatency.lastAnswer, r.replicaLatency.lastAnswer, r.replicaHealth.suspectedAt = a.now, a.now, 0
+	r.outlierState.failures *= failureDecay
 	a.recordLatency(t, took)
-	if r.ejected {
+	if r.outlierState.ejected {
 		// One good answer ends it, one more failure brings it back.
-		r.ejected, r.failures = false, ejectionFailures-1
+		r.outlierState.ejected, r.outlierState.failures = false, ejectionFailures-1
 	}
-	p.query.answered = true
+	p.query.queryCanary.answered = true
 	if !p.answered && !p.query.ended {
 		p.answered = true
 		a.cancelAttempts(p)
@@ -120,8 +120,8 @@
 }
 
 func (a *Aggregator) addFailure(r *replica) {
-	r.failures++
-	if r.ejected || r.failures >= ejectionFailures {
+	r.outlierState.failures++
+	if r.outlierState.ejected || r.outlierState.failures >= ejectionFailures {
 		a.eject(r)
 	}
 }
@@ -129,9 +129,9 @@
 // eject keeps a replica from first sends while others hold the shard. It comes back by trials, each
 // failure doubling the pause.
 func (a *Aggregator) eject(r *replica) {
-	r.ejected, r.halfOpen = true, false
-	r.ejectionTime = min(max(2*r.ejectionTime, a.observationLifetime()/2), 4*a.observationLifetime())
-	r.trialAt = a.now + r.ejectionTime
+	r.outlierState.ejected, r.outlierState.halfOpen = true, false
+	r.outlierState.ejectionTime = min(max(2*r.outlierState.ejectionTime, a.observationLifetime()/2), 4*a.observationLifetime())
+	r.outlierState.trialAt = a.now + r.outlierState.ejectionTime
 }
 
 // reviewReplicas looks over the fleet once a round: ghosts that have outlived any likely run are let go, and
@@ -139,54 +139,54 @@
 func (a *Aggregator) reviewReplicas() {
 	var all, paces []float64
 	present, out, heard := 0, 0, 0
-	for _, r := range a.replicas {
+	for _, r := range a.endpointList.replicas {
 		if !r.excluded {
-			if present++; r.ejected {
+			if present++; r.outlierState.ejected {
 				out++
 			}
-			if r.lastAnswer > 0 && a.now-r.lastAnswer < a.freshness() {
+			if r.replicaLatency.lastAnswer > 0 && a.now-r.replicaLatency.lastAnswer < a.freshness() {
 				heard++
 			}
 		}
 	}
 	// Where half the fleet is out by opinion it is load or the network, and the next opinion is not heard.
-	a.panicMode, a.staleView = 2*out >= present, 2*heard < present
-	for _, r := range a.replicas {
-		if r.warming && a.now-r.warmupStart >= a.settings.Rules.WarmupTime {
-			r.warming, r.recentSends = false, nil
+	a.fleetHealth.panicMode, a.fleetHealth.staleView = 2*out >= present, 2*heard < present
+	for _, r := range a.endpointList.replicas {
+		if r.slowStart.warming && a.now-r.slowStart.warmupStart >= a.settings.Rules.WarmupTime {
+			r.slowStart.warming, r.slowStart.recentSends = false, nil
 		}
-		for _, t := range slices.Clone(r.inFlight) {
+		for _, t := range slices.Clone(r.replicaCalls.inFlight) {
 			age := a.now - t.sentAt
 			if !t.open && age > a.settings.Classes[t.part.query.class].LatencyObjective {
 				a.release(t)
 			}
-			if !t.call.silenceCounted && r.lastAnswer < t.sentAt && a.lastAnswer > t.sentAt && age.Seconds() > a.hedgeDelay(t.part.query) {
-				t.call.silenceCounted, r.failingFast = true, false
+			if !t.call.silenceCounted && r.replicaLatency.lastAnswer < t.sentAt && a.fleetLatency.lastAnswer > t.sentAt && age.Seconds() > a.hedgeDelay(t.part.query) {
+				t.call.silenceCounted, r.outlierState.failingFast = true, false
 				a.addProbeCredit(silenceWeight)
-				if r.silentIdle = t.connIdle; t.newConn || t.connIdle < a.idleTimeout() {
-					r.silentIdle = 0 // silence that no idling explains
+				if r.replicaConns.silentIdle = t.connIdle; t.newConn || t.connIdle < a.idleTimeout() {
+					r.replicaConns.silentIdle = 0 // silence that no idling explains
 					a.addIdleEvidence(-1)
 				}
-				if !a.panicMode {
+				if !a.fleetHealth.panicMode {
 					a.addFailure(r)
 				}
 			}
 		}
 		// A probe asks whether it can be reached at all before a part is risked on it.
-		if r.ejected && !r.halfOpen && a.now >= r.trialAt && !r.excluded {
-			if r.trialAt, r.halfOpen = a.now+r.ejectionTime, !a.settings.Limits.Probes; !r.halfOpen {
+		if r.outlierState.ejected && !r.outlierState.halfOpen && a.now >= r.outlierState.trialAt && !r.excluded {
+			if r.outlierState.trialAt, r.outlierState.halfOpen = a.now+r.outlierState.ejectionTime, !a.settings.Limits.Probes; !r.outlierState.halfOpen {
 				a.out = append(a.out, Action{Kind: Probe, Replica: r.member.Replica})
 			}
 		}
-		if !r.excluded && !r.ejected {
+		if !r.excluded && !r.outlierState.ejected {
 			all = append(all, a.currentExcess(r))
-			if r.timePerCall > 0 {
-				paces = append(paces, r.timePerCall)
+			if r.replicaLatency.timePerCall > 0 {
+				paces = append(paces, r.replicaLatency.timePerCall)
 			}
 		}
 	}
-	a.medianExcess, a.timePerCall = quartile(all, 2), quartile(paces, 3)
-	a.replicas = slices.DeleteFunc(a.replicas, a.forget)
+	a.fleetLatency.medianExcess, a.fleetLatency.timePerCall = quartile(all, 2), quartile(paces, 3)
+	a.endpointList.replicas = slices.DeleteFunc(a.endpointList.replicas, a.forget)
 }
 
 // outlierState is the outlier ejection of one replica.
--- a/aggregator/pause.go
+++ b/aggregator/pause.go
@@ -9,14 +9,14 @@
 // noticeStandstill notes whether this node itself stood still: its turn comes later than the wake that it
 // asked for. What ended meanwhile is told late, and its latency counts without the delay.
 func (a *Aggregator) detectPause() {
-	if a.stepDelay = 0; a.now-a.lastPause > scale(pauseLifetime, a.maxObjective()) {
-		a.longestPause = 0
+	if a.pauseDetector.stepDelay = 0; a.now-a.pauseDetector.lastPause > scale(pauseLifetime, a.maxObjective()) {
+		a.pauseDetector.longestPause = 0
 	}
 	if a.wakeAt < 0 || a.now < a.wakeAt {
 		return
 	}
 	if lag := a.now - a.wakeAt; lag > 4*a.settings.Tick {
-		a.stepDelay, a.longestPause, a.lastPause = lag, max(lag, a.longestPause), a.now
+		a.pauseDetector.stepDelay, a.pauseDetector.longestPause, a.pauseDetector.lastPause = lag, max(lag, a.pauseDetector.longestPause), a.now
 	}
 	a.wakeAt = -1
 }
--- a/aggregator/placement.go
+++ b/aggregator/placement.go
@@ -71,9 +71,9 @@
 	var best *replica
 	var rank [3]float64
 	holders := a.holders(p.shard)
-	pressed := len(p.attempts) == 0 && a.retryCredit > maxRetryCredit/2 && a.settings.Classes[p.query.class].Effect == Safe &&
+	pressed := len(p.attempts) == 0 && a.retryBudget.retryCredit > maxRetryCredit/2 && a.settings.Classes[p.query.class].Effect == Safe &&
 		a.settings.Limits.MaxAttempts > 2 && !slices.ContainsFunc(holders, func(r *replica) bool {
-		return !r.ejected && a.usable(p, r) && a.expectedLatency(p.query, r) < pressedShare*(p.query.objective-a.now).Seconds()
+		return !r.outlierState.ejected && a.usable(p, r) && a.expectedLatency(p.query, r) < pressedShare*(p.query.objective-a.now).Seconds()
 	})
 	for _, r := range holders {
 		if !a.usable(p, r) {
@@ -88,11 +88,11 @@
 }
 
 func (a *Aggregator) rankReplica(p *part, r *replica, pressed bool) (rank [3]float64) {
-	trial := r.halfOpen && len(r.inFlight) == 0 && len(p.attempts) == 0 || pressed && r.failingFast
+	trial := r.outlierState.halfOpen && len(r.replicaCalls.inFlight) == 0 && len(p.attempts) == 0 || pressed && r.outlierState.failingFast
 	switch {
-	case r.ejected && !trial:
+	case r.outlierState.ejected && !trial:
 		rank[0] = 1
-	case !r.ejected && a.suspect(r):
+	case !r.outlierState.ejected && a.suspect(r):
 		rank[0] = 0.5
 	}
 	for _, t := range p.attempts {
@@ -100,7 +100,7 @@
 			rank[0] += 2
 		}
 	}
-	rank[1] = float64(r.openCalls + 1)
+	rank[1] = float64(r.replicaCalls.openCalls + 1)
 	join := a.joinsCall(p, r)
 	if join {
 		rank[1]--
@@ -109,8 +109,8 @@
 	if r.member.Zone != a.settings.Zone {
 		rank[2] *= otherZoneFactor
 	}
-	if r.lastProbeAnswer > 0 && a.now-r.lastProbeAnswer < a.freshness() {
-		rank[2] *= 1 + r.reportedLoad
+	if r.replicaHealth.lastProbeAnswer > 0 && a.now-r.replicaHealth.lastProbeAnswer < a.freshness() {
+		rank[2] *= 1 + r.replicaHealth.reportedLoad
 	}
 	if join {
 		rank[2] = 0
@@ -123,10 +123,10 @@
 
 // joins tells whether a part would share the call that this round already sends to r.
 func (a *Aggregator) joinsCall(p *part, r *replica) bool {
-	if r == nil || r.currentCall == nil {
+	if r == nil || r.replicaCalls.currentCall == nil {
 		return false
 	}
-	c := r.currentCall
+	c := r.replicaCalls.currentCall
 	return c.round == a.round && c.size < a.settings.Limits.MaxBatch && a.settings.CallCost > 0 &&
 		c.work < maxSharedCallShare*(p.query.objective-a.now).Seconds()
 }
@@ -134,7 +134,7 @@
 // usable is what the rules and the list leave: not draining or gone, no attempt of this part out, and
 // within this front node's share of what a cold replica may be sent.
 func (a *Aggregator) usable(p *part, r *replica) bool {
-	if r.excluded || a.now < r.backoffUntil {
+	if r.excluded || a.now < r.outlierState.backoffUntil {
 		return false
 	}
 	for _, t := range p.attempts {
@@ -142,7 +142,7 @@
 			return false
 		}
 	}
-	return !r.warming || a.slowStartAllows(p, r)
+	return !r.slowStart.warming || a.slowStartAllows(p, r)
 }
 
 // covers counts the parts of a query still to be placed that r could take in one call.
@@ -161,10 +161,10 @@
 	q, fresh, begin := p.query, a.closeIdleConns(p, r), a.beginWithin(p)
 	a.recordAttempt(p, r, fresh).call.work += a.baseLatency(q)
 	a.recordGossip(r, gossipSent, scale(a.expectedWork(p), time.Second))
-	if r.warming {
-		r.allowance -= a.expectedWork(p)
-		r.recentSends = append(r.recentSends, sentWork{a.now, a.expectedWork(p)})
-		r.drawnAt, r.draw = a.now, a.rng.Float64()
+	if r.slowStart.warming {
+		r.slowStart.allowance -= a.expectedWork(p)
+		r.slowStart.recentSends = append(r.slowStart.recentSends, sentWork{a.now, a.expectedWork(p)})
+		r.slowStart.drawnAt, r.slowStart.draw = a.now, a.rng.Float64()
 	}
 	end := a.usefulUntil(q) - 3*a.settings.Tick
 	a.out = append(a.out, Action{Kind: Send, Part: p.id, Replica: r.member.Replica,
@@ -173,38 +173,38 @@
 
 // book counts an attempt at r in the call that joins allows, else in a new one.
 func (a *Aggregator) recordAttempt(p *part, r *replica, fresh bool) *attempt {
-	if !a.joinsCall(p, r) && (r.currentCall == nil || r.currentCall.round != a.round || r.currentCall.size >= a.settings.Limits.MaxBatch ||
+	if !a.joinsCall(p, r) && (r.replicaCalls.currentCall == nil || r.replicaCalls.currentCall.round != a.round || r.replicaCalls.currentCall.size >= a.settings.Limits.MaxBatch ||
 		a.settings.CallCost == 0) {
-		r.currentCall = &call{round: a.round}
-		r.openCalls++
+		r.replicaCalls.currentCall = &call{round: a.round}
+		r.replicaCalls.openCalls++
 	}
-	if r.currentCall.openAttempts == 0 && r.currentCall.size > 0 {
-		r.openCalls++
+	if r.replicaCalls.currentCall.openAttempts == 0 && r.replicaCalls.currentCall.size > 0 {
+		r.replicaCalls.openCalls++
 	}
-	if r.lastUse == 0 || a.settings.Limits.ConnIdle > 0 && a.now-r.lastUse >= a.settings.Limits.ConnIdle {
+	if r.replicaConns.lastUse == 0 || a.settings.Limits.ConnIdle > 0 && a.now-r.replicaConns.lastUse >= a.settings.Limits.ConnIdle {
 		fresh = true
 	}
-	t := &attempt{part: p, replica: r, call: r.currentCall, index: len(p.attempts), sentAt: a.now, open: true, callPosition: r.openCalls, newConn: fresh,
-		connIdle: a.now - r.lastUse}
+	t := &attempt{part: p, replica: r, call: r.replicaCalls.currentCall, index: len(p.attempts), sentAt: a.now, open: true, callPosition: r.replicaCalls.openCalls, newConn: fresh,
+		connIdle: a.now - r.replicaConns.lastUse}
 	if t.call.size++; t.call.size == 1 {
 		t.call.first = t
 	}
 	t.call.openAttempts++
-	if p.query.firstSend == 0 {
-		p.query.firstSend = a.now
+	if p.query.queryCanary.firstSend == 0 {
+		p.query.queryCanary.firstSend = a.now
 	}
-	r.lastUse = a.now
+	r.replicaConns.lastUse = a.now
 	p.attempts = append(p.attempts, t)
-	r.inFlight = append(r.inFlight, t)
+	r.replicaCalls.inFlight = append(r.replicaCalls.inFlight, t)
 	return t
 }
 
 // release takes an attempt off its replica's count.
 func (a *Aggregator) release(t *attempt) {
-	if i := slices.Index(t.replica.inFlight, t); i >= 0 {
-		t.replica.inFlight = slices.Delete(t.replica.inFlight, i, i+1)
+	if i := slices.Index(t.replica.replicaCalls.inFlight, t); i >= 0 {
+		t.replica.replicaCalls.inFlight = slices.Delete(t.replica.replicaCalls.inFlight, i, i+1)
 		if t.call.openAttempts--; t.call.openAttempts == 0 {
-			t.replica.openCalls--
+			t.replica.replicaCalls.openCalls--
 		}
 	}
 }
--- a/aggregator/query.go
+++ b/aggregator/query.go
@@ -17,11 +17,11 @@
 	ended             bool
 	firstStepComplete bool
 	arrived           time.Duration
-	queryCanary
-	rejection Reason        // why admission rejected it
-	objective time.Duration // an answer until then earns the full priority
-	deadline  time.Duration // the client's deadline less the reserve
-	priority  float64       // per work
+	queryCanary       queryCanary
+	rejection         Reason        // why admission rejected it
+	objective         time.Duration // an answer until then earns the full priority
+	deadline          time.Duration // the client's deadline less the reserve
+	priority          float64       // per work
 }
 
 type part struct {
@@ -50,7 +50,7 @@
 
 // arrive takes a query; one of a class that the settings lack is refused.
 func (a *Aggregator) queryArrived(e *Event) {
-	if a.queries[e.Query] != nil {
+	if a.queryTable.queries[e.Query] != nil {
 		return
 	}
 	a.countAccepted()
@@ -63,20 +63,20 @@
 	left := max(0, e.TimeLeft)
 	q.deadline = a.now + left - a.reserve(q.class, left)
 	q.objective = min(q.deadline, a.now+a.settings.Classes[e.Class].LatencyObjective)
-	a.queries[q.id] = q
-	a.live = append(a.live, q)
+	a.queryTable.queries[q.id] = q
+	a.queryTable.live = append(a.queryTable.live, q)
 }
 
 // addPart adds a part to its query. Parts of no query, known parts and shards out of range are skipped.
 func (a *Aggregator) partArrived(e *Event) {
-	q := a.queries[e.Query]
+	q := a.queryTable.queries[e.Query]
 	a.countAccepted()
-	if q == nil || a.parts[e.Part] != nil || e.Shard < 0 || e.Shard >= a.settings.Shards {
+	if q == nil || a.queryTable.parts[e.Part] != nil || e.Shard < 0 || e.Shard >= a.settings.Shards {
 		return
 	}
 	p := &part{id: e.Part, query: q, shard: e.Shard, weight: e.Weight, work: e.Work.Seconds()}
 	q.parts = append(q.parts, p)
-	a.parts[p.id] = p
+	a.queryTable.parts[p.id] = p
 }
 
 // weights sums the weight that is in and counts the parts that may still come and those that are not in.
@@ -96,7 +96,7 @@
 
 // open counts the queries and parts held.
 func (a *Aggregator) heldItems() (n int) {
-	for _, q := range a.live {
+	for _, q := range a.queryTable.live {
 		if !q.ended {
 			n += 1 + len(q.parts)
 		}
@@ -107,7 +107,7 @@
 // close forgets a query and calls off what it has out.
 func (a *Aggregator) closeQuery(q *query) {
 	q.ended = true
-	delete(a.queries, q.id)
+	delete(a.queryTable.queries, q.id)
 	for _, p := range q.parts {
 		a.dropPart(p)
 	}
@@ -117,7 +117,7 @@
 func (a *Aggregator) dropPart(p *part) {
 	a.cancelAttempts(p)
 	if p.openAttempts() == 0 {
-		delete(a.parts, p.id)
+		delete(a.queryTable.parts, p.id)
 	}
 }
 
--- a/aggregator/retry.go
+++ b/aggregator/retry.go
@@ -40,11 +40,11 @@
 	}
 	// Where all are slow it is load, and a further attempt adds to it: another must be clearly faster.
 	r := a.pickReplica(p)
-	p.endedQuickly = last.replica.ejected || last.call.silenceCounted
+	p.endedQuickly = last.replica.outlierState.ejected || last.call.silenceCounted
 	// Answers to what was sent later are in: this one may be lost, and holds up a query that has the rest.
 	_, left, _ := p.query.weights()
-	chase := p.endedQuickly || last.replica.answeredSendAt >= last.sentAt && float64(left) <= stragglerPartShare*float64(len(p.query.parts))
-	if !chase || r == nil || r.ejected || a.currentExcess(r) > (a.now-last.sentAt).Seconds()/2 || !a.withinRetryBudget(p) {
+	chase := p.endedQuickly || last.replica.replicaLatency.answeredSendAt >= last.sentAt && float64(left) <= stragglerPartShare*float64(len(p.query.parts))
+	if !chase || r == nil || r.outlierState.ejected || a.currentExcess(r) > (a.now-last.sentAt).Seconds()/2 || !a.withinRetryBudget(p) {
 		return a.now + 4*a.settings.Tick, false
 	}
 	if a.settings.Limits.Hedging {
@@ -94,7 +94,7 @@
 func (a *Aggregator) hedgeAt(p *part) time.Duration {
 	t, q := p.attempts[len(p.attempts)-1], p.query
 	wait := a.hedgeDelay(q)
-	if t.replica.ejected {
+	if t.replica.outlierState.ejected {
 		wait = math.Min(wait, a.latencyOf(q).median.value*1.5)
 	}
 	return t.sentAt + scale(wait, time.Second)
@@ -111,27 +111,27 @@
 // withinRetryBudget tells whether a further attempt is within the rule's ration and what has been saved up.
 func (a *Aggregator) withinRetryBudget(p *part) bool {
 	if b := a.settings.Rules; b.RetryWindow > 0 {
-		taken := a.accepted.countSince(a.now - b.RetryWindow + a.settings.Tick)
-		extras := a.retries.countSince(a.now - b.RetryWindow - a.settings.Tick)
+		taken := a.retryBudget.accepted.countSince(a.now - b.RetryWindow + a.settings.Tick)
+		extras := a.retryBudget.retries.countSince(a.now - b.RetryWindow - a.settings.Tick)
 		if float64(extras+1) > b.RetryFloor+b.RetryRatio*float64(taken) {
 			return false
 		}
 	}
-	return a.retryCredit >= p.retryCost()
+	return a.retryBudget.retryCredit >= p.retryCost()
 }
 
 // spendRetryBudget books a send: first sends earn, further ones pay.
 func (a *Aggregator) spendRetryBudget(p *part) bool {
 	if len(p.attempts) == 0 {
-		a.retryCredit = math.Min(a.retryCredit+retryCreditPerSend, maxRetryCredit)
+		a.retryBudget.retryCredit = math.Min(a.retryBudget.retryCredit+retryCreditPerSend, maxRetryCredit)
 		return true
 	}
 	if !a.withinRetryBudget(p) {
 		return false
 	}
-	a.retryCredit -= p.retryCost()
+	a.retryBudget.retryCredit -= p.retryCost()
 	if a.settings.Rules.RetryWindow > 0 {
-		a.retries.times = append(a.retries.times, a.now)
+		a.retryBudget.retries.times = append(a.retryBudget.retries.times, a.now)
 	}
 	return true
 }
@@ -139,7 +139,7 @@
 // count notes a query or part taken, where further attempts are rationed by them.
 func (a *Aggregator) countAccepted() {
 	if a.settings.Rules.RetryWindow > 0 {
-		a.accepted.times = append(a.accepted.times, a.now)
+		a.retryBudget.accepted.times = append(a.retryBudget.accepted.times, a.now)
 	}
 }
 
--- a/aggregator/slowstart.go
+++ b/aggregator/slowstart.go
@@ -24,8 +24,8 @@
 		started = a.now
 	}
 	if started > 0 && a.now-started < a.settings.Rules.WarmupTime {
-		r.warming, r.warmupStart = true, max(started, r.warmupStart)
-		r.ejected, r.failures, r.excess = false, 0, 0
+		r.slowStart.warming, r.slowStart.warmupStart = true, max(started, r.slowStart.warmupStart)
+		r.outlierState.ejected, r.outlierState.failures, r.replicaLatency.excess = false, 0, 0
 	}
 }
 
@@ -39,27 +39,27 @@
 	if b.OverloadMultiple == 0 || b.OverloadWindow == 0 {
 		return true
 	}
-	grown := min(1, max(0, (a.now-r.warmupStart).Seconds()/math.Max(b.WarmupTime.Seconds(), 1e-3)))
+	grown := min(1, max(0, (a.now-r.slowStart.warmupStart).Seconds()/math.Max(b.WarmupTime.Seconds(), 1e-3)))
 	all := b.OverloadMultiple * (b.InitialCapacity + (1-b.InitialCapacity)*grown) * b.OverloadWindow.Seconds()
 	room, work := all/float64(a.settings.Aggregators), a.expectedWork(p)
-	r.recentSends = slices.DeleteFunc(r.recentSends, func(l sentWork) bool { return l.sentAt < a.now-b.OverloadWindow })
+	r.slowStart.recentSends = slices.DeleteFunc(r.slowStart.recentSends, func(l sentWork) bool { return l.sentAt < a.now-b.OverloadWindow })
 	sum := 0.0
-	for _, l := range r.recentSends {
+	for _, l := range r.slowStart.recentSends {
 		sum += l.work
 	}
-	if r.accruedAt < r.warmupStart {
-		r.accruedAt, r.allowance = r.warmupStart, 0
+	if r.slowStart.accruedAt < r.slowStart.warmupStart {
+		r.slowStart.accruedAt, r.slowStart.allowance = r.slowStart.warmupStart, 0
 	}
-	r.allowance = math.Min(r.allowance+room*(a.now-r.accruedAt).Seconds()/b.OverloadWindow.Seconds(), 2*room)
-	if r.accruedAt = a.now; a.now >= r.drawnAt+b.OverloadWindow {
-		r.drawnAt, r.draw = a.now, a.rng.Float64()
+	r.slowStart.allowance = math.Min(r.slowStart.allowance+room*(a.now-r.slowStart.accruedAt).Seconds()/b.OverloadWindow.Seconds(), 2*room)
+	if r.slowStart.accruedAt = a.now; a.now >= r.slowStart.drawnAt+b.OverloadWindow {
+		r.slowStart.drawnAt, r.slowStart.draw = a.now, a.rng.Float64()
 	}
 	if room < work {
 		most := max(1, int(all/(minWarmupCalls*work)))
-		return a.joinsCall(p, r) && r.currentCall.size < most ||
-			math.Min(r.allowance, room) >= work*float64(min(most, a.partsFor(p.query, r)))*r.draw
+		return a.joinsCall(p, r) && r.replicaCalls.currentCall.size < most ||
+			math.Min(r.slowStart.allowance, room) >= work*float64(min(most, a.partsFor(p.query, r)))*r.slowStart.draw
 	}
-	return sum+work*r.draw <= room
+	return sum+work*r.slowStart.draw <= room
 }
 
 // expectedWork is the mean work that a part is expected to bring, its call included. That of
