--- a/aggregator/admission.go
+++ b/aggregator/admission.go
@@ -75,7 +75,7 @@
 	for _, r := range a.holders(p.shard) {
 		switch {
 		case !a.usable(p, r):
-		case r.outlierState.ejected:
+		case r.outlier.ejected:
 			spare = math.Min(spare, a.expectedLatency(p.query, r))
 		default:
 			best = math.Min(best, a.expectedLatency(p.query, r))
@@ -99,8 +99,8 @@
 		}
 		worth /= math.Max(work, 1e-3)
 	}
-	if q.tenant >= 0 && q.tenant < len(a.admissionState.tenantQueries) {
-		w, again := &a.admissionState.tenantQueries[q.tenant], &a.admissionState.tenantRetries[q.tenant]
+	if q.tenant >= 0 && q.tenant < len(a.admission.tenantQueries) {
+		w, again := &a.admission.tenantQueries[q.tenant], &a.admission.tenantRetries[q.tenant]
 		if w.times = append(w.times, a.now); q.retry {
 			again.times = append(again.times, a.now)
 		}
@@ -112,7 +112,7 @@
 		}
 	}
 	q.priority = worth
-	below, equal, n := a.admissionState.priorities.compareAndAdd(worth)
+	below, equal, n := a.admission.priorities.compareAndAdd(worth)
 	if n == 0 {
 		return 1
 	}
@@ -124,7 +124,7 @@
 // goes by what the median replica shows: a few slow or pausing ones are no load that refusals would ease.
 func (a *Aggregator) stragglerWait(q *query) float64 {
 	missed := max(1-a.requiredShare(q), 1/float64(max(len(q.parts), 1)))
-	return stragglerFactor * a.fleetLatency.medianExcess * math.Max(-math.Log(missed)-1, 0)
+	return stragglerFactor * a.latency.medianExcess * math.Max(-math.Log(missed)-1, 0)
 }
 
 // recent holds the latest values of a stream.
--- a/aggregator/aggregator.go
+++ b/aggregator/aggregator.go
@@ -15,22 +15,22 @@
 
 // Aggregator decides for one front node. It is not safe for concurrent use.
 type Aggregator struct {
-	settings          Settings
-	rng               *rand.Rand
-	now               time.Duration // of the round in hand
-	round             int
-	out               []Action
-	wakeAt            time.Duration // when the wake that was asked for is due; below 0 for none
-	endpointList      endpointList
-	queryTable        queryTable
-	fleetLatency      fleetLatency
-	fleetHealth       fleetHealth
-	idleConnEstimate  idleConnEstimate
-	admissionState    admissionState
-	retryBudget       retryBudget
-	queryOfDeathGuard queryOfDeathGuard
-	pauseDetector     pauseDetector
-	gossipOutbox      gossipOutbox
+	settings     Settings
+	rng          *rand.Rand
+	now          time.Duration // of the round in hand
+	round        int
+	out          []Action
+	wakeAt       time.Duration // when the wake that was asked for is due; below 0 for none
+	endpoints    endpointList
+	queries      queryTable
+	latency      fleetLatency
+	health       fleetHealth
+	idleConns    idleConnEstimate
+	admission    admissionState
+	retryBudget  retryBudget
+	queryOfDeath queryOfDeathGuard
+	pauses       pauseDetector
+	outbox       gossipOutbox
 }
 
 // New returns an aggregator for the settings; the seed settles its random choices. It returns an error that names the first
@@ -45,16 +45,16 @@
 		settings: set,
 		rng:      rand.New(rand.NewPCG(seed, randomStream)),
 		wakeAt:   -1,
-		endpointList: endpointList{
-			replicaByName: map[string]*replica{}, replicaByTag: map[uint16]*replica{}, shardSets: make([][]*replica, set.ShardSets),
-			endpointPoller: endpointPoller{pollFailed: set.PollList, pollAt: math.MaxInt64},
+		endpoints: endpointList{
+			byName: map[string]*replica{}, byTag: map[uint16]*replica{}, shardSets: make([][]*replica, set.ShardSets),
+			poller: endpointPoller{failed: set.PollList, nextPoll: math.MaxInt64},
 		},
-		queryTable:   queryTable{queries: map[string]*query{}, parts: map[string]*part{}},
-		fleetLatency: fleetLatency{latencies: newLatencyEstimates(stepsPerQuery * len(set.Classes))},
-		admissionState: admissionState{
+		queries: queryTable{byID: map[string]*query{}, parts: map[string]*part{}},
+		latency: fleetLatency{classes: newLatencyEstimates(stepsPerQuery * len(set.Classes))},
+		admission: admissionState{
 			tenantQueries: make([]slidingWindow, len(set.Tenants)), tenantRetries: make([]slidingWindow, len(set.Tenants)),
 		},
-		retryBudget: retryBudget{retryCredit: maxRetryCredit},
+		retryBudget: retryBudget{tokens: maxRetryCredit},
 	}, nil
 }
 
--- a/aggregator/answer.go
+++ b/aggregator/answer.go
@@ -26,8 +26,8 @@
 		a.settle(q, AttemptsExhausted)
 	case a.now >= early && a.prefersPartial(q, got), a.now >= late && a.usefulUntil(q) == q.objective:
 		a.settle(q, DeadlineExceeded)
-	case q.queryCanary.resets >= queryOfDeathResets && !q.queryCanary.answered:
-		a.queryOfDeathGuard.lastQueryOfDeath = a.now
+	case q.canary.resets >= queryOfDeathResets && !q.canary.answered:
+		a.queryOfDeath.lastFound = a.now
 		a.giveUp(q, QueryOfDeath)
 	case a.now < early:
 		return a.dispatchParts(q, early)
@@ -90,7 +90,7 @@
 		}
 	}
 	if a.settings.Limits.SendRetryAfter && kind == Reject {
-		s := a.fleetLatency.medianExcess + a.typicalLatency()*(1+a.rng.Float64())
+		s := a.latency.medianExcess + a.typicalLatency()*(1+a.rng.Float64())
 		wait = min(scale(s, time.Second), a.settings.Limits.MaxRetryAfter)
 	}
 	a.out = append(a.out, Action{Kind: kind, Query: q.id, Reason: why, After: wait})
--- a/aggregator/blame_test.go
+++ b/aggregator/blame_test.go
@@ -155,7 +155,7 @@
 	for _, x := range []float64{-1, inf * 10, -inf * 10, inf*10 - inf*10, 1e300} {
 		b.step(Event{Kind: ProbeEnded, Replica: "r1", Outcome: OK, LoadReport: map[string]float64{"inflight": x, "other": x}},
 			Event{Kind: ProbeEnded, Replica: "gone", Outcome: OK})
-		if load := b.aggregator.endpointList.replicaByName["r1"].replicaHealth.reportedLoad; load != 0 {
+		if load := b.aggregator.endpoints.byName["r1"].health.reportedLoad; load != 0 {
 			t.Errorf("a report of %v was taken as a load of %v", x, load)
 		}
 	}
--- a/aggregator/canary.go
+++ b/aggregator/canary.go
@@ -15,13 +15,13 @@
 // before, so until a part is answered it may touch a small share of the fleet, and one replica while on guard
 // or once a part was reset. It also spares a fleet that fails for other reasons; it costs a part's latency.
 func (a *Aggregator) canaryLimit(q *query) (room int, until time.Duration) {
-	until = q.queryCanary.firstSend + scale(canaryWaitShare, a.settings.Classes[q.class].LatencyObjective)
-	shaken := q.queryCanary.resets > 0 || q.queryCanary.idleReset
-	if a.queryOfDeathGuard.lastCrash == 0 && !shaken || q.queryCanary.answered || q.queryCanary.firstSend > 0 && !shaken && a.now >= until {
+	until = q.canary.firstSend + scale(canaryWaitShare, a.settings.Classes[q.class].LatencyObjective)
+	shaken := q.canary.resets > 0 || q.canary.idleReset
+	if a.queryOfDeath.lastCrash == 0 && !shaken || q.canary.answered || q.canary.firstSend > 0 && !shaken && a.now >= until {
 		return math.MaxInt32, until
 	}
-	room = max(1, int(canaryFleetShare*float64(len(a.endpointList.replicas))))
-	if a.queryOfDeathGuard.lastQueryOfDeath > 0 && a.now-a.queryOfDeathGuard.lastQueryOfDeath < a.settings.Rules.WarmupTime || shaken {
+	room = max(1, int(canaryFleetShare*float64(len(a.endpoints.replicas))))
+	if a.queryOfDeath.lastFound > 0 && a.now-a.queryOfDeath.lastFound < a.settings.Rules.WarmupTime || shaken {
 		room = 1
 	}
 	for _, p := range q.parts {
@@ -36,8 +36,8 @@
 
 // queryOfDeathGuard notes the signs that a query breaks the replicas that run it.
 type queryOfDeathGuard struct {
-	lastCrash        time.Duration // a replica last died without draining; 0 for never
-	lastQueryOfDeath time.Duration // a query last broke the replicas that ran it; 0 for never
+	lastCrash time.Duration // a replica last died without draining; 0 for never
+	lastFound time.Duration // a query last broke the replicas that ran it; 0 for never
 }
 
 // queryCanary is what the first parts of a query show.
--- a/aggregator/connect_test.go
+++ b/aggregator/connect_test.go
@@ -24,8 +24,8 @@
 				b.step(ended(s.Part, 0, c.end))
 			}
 		}
-		if r := b.aggregator.endpointList.replicaByName["a"]; r.slowStart.warming != c.cold || !r.outlierState.ejected {
-			t.Errorf("outcome %d: cold %v, ejected %v; want cold %v and ejected", c.end, r.slowStart.warming, r.outlierState.ejected, c.cold)
+		if r := b.aggregator.endpoints.byName["a"]; r.slowStart.active != c.cold || !r.outlier.ejected {
+			t.Errorf("outcome %d: cold %v, ejected %v; want cold %v and ejected", c.end, r.slowStart.active, r.outlier.ejected, c.cold)
 		}
 	}
 }
--- a/aggregator/deadline.go
+++ b/aggregator/deadline.go
@@ -14,13 +14,13 @@
 // it, and the first standstill comes unannounced; after one, the next may be as long. It costs answers that
 // would come in the last moment of a short try.
 func (a *Aggregator) reserve(class int, left time.Duration) time.Duration {
-	return min(max(scale(reserveShare, a.settings.Classes[class].Deadline), a.pauseDetector.longestPause+a.pauseDetector.longestPause/8), left/2)
+	return min(max(scale(reserveShare, a.settings.Classes[class].Deadline), a.pauses.longest+a.pauses.longest/8), left/2)
 }
 
 // useful is how long an answer is worth its work. A late answer is worth little; while the whole fleet is
 // slow, what it takes is taken from queries that could still be in time, and a jam would feed on it.
 func (a *Aggregator) usefulUntil(q *query) time.Duration {
-	if c := &a.settings.Classes[q.class]; c.LateShare < minLateShare || a.fleetLatency.medianExcess > a.typicalLatency() {
+	if c := &a.settings.Classes[q.class]; c.LateShare < minLateShare || a.latency.medianExcess > a.typicalLatency() {
 		return q.objective
 	}
 	return q.deadline
@@ -33,8 +33,8 @@
 	if q.step > 0 || c.FetchParts == 0 {
 		return 0
 	}
-	if s := &a.fleetLatency.latencies[2*q.class+1]; s.high.samples > 0 {
-		return min(scale(secondStepMultiple*s.high.value, time.Second), c.LatencyObjective/2)
+	if s := &a.latency.classes[2*q.class+1]; s.tail.samples > 0 {
+		return min(scale(secondStepMultiple*s.tail.value, time.Second), c.LatencyObjective/2)
 	}
 	return c.LatencyObjective / 4
 }
--- a/aggregator/fleet_test.go
+++ b/aggregator/fleet_test.go
@@ -49,8 +49,8 @@
 		}
 	}
 	for _, b := range fleet {
-		for _, r := range b.aggregator.endpointList.replicas {
-			if r.outlierState.ejected {
+		for _, r := range b.aggregator.endpoints.replicas {
+			if r.outlier.ejected {
 				barred++
 			}
 		}
--- a/aggregator/gossip.go
+++ b/aggregator/gossip.go
@@ -72,9 +72,9 @@
 // tellPeers tells the other nodes, where it may, what this one has sent and seen: at once after a send, else
 // now and then. A message costs its bytes for each receiver.
 func (a *Aggregator) publishGossip() {
-	if len(a.gossipOutbox.pendingGossip) > 0 && (a.gossipOutbox.pendingGossip[len(a.gossipOutbox.pendingGossip)-1].kind == gossipSent || a.now-a.gossipOutbox.gossipSentAt > 10*a.settings.Tick) {
-		a.out = append(a.out, Action{Kind: SendGossip, Data: encodeGossip(a.gossipOutbox.pendingGossip, a.maxObjective())})
-		a.gossipOutbox.pendingGossip, a.gossipOutbox.gossipSentAt = a.gossipOutbox.pendingGossip[:0], a.now
+	if len(a.outbox.entries) > 0 && (a.outbox.entries[len(a.outbox.entries)-1].kind == gossipSent || a.now-a.outbox.sentAt > 10*a.settings.Tick) {
+		a.out = append(a.out, Action{Kind: SendGossip, Data: encodeGossip(a.outbox.entries, a.maxObjective())})
+		a.outbox.entries, a.outbox.sentAt = a.outbox.entries[:0], a.now
 	}
 }
 
@@ -82,13 +82,13 @@
 // the forecast; what this node has just heard of a replica itself comes first, and no hint ejects.
 func (a *Aggregator) applyGossip(e *Event) {
 	for _, n := range decodeGossip(e.Data, a.maxObjective()) {
-		r := a.endpointList.replicaByTag[n.tag]
+		r := a.endpoints.byTag[n.tag]
 		switch {
 		case r == nil:
 		case n.kind == gossipSent:
-			r.peerLoad.peerWork, r.peerLoad.peerWorkAt = a.decayedPeerWork(r)+n.span.Seconds(), a.now
-		case r.replicaLatency.lastAnswer == 0 || a.now-r.replicaLatency.lastAnswer > a.freshness():
-			r.replicaLatency.excess, r.replicaLatency.excessAt = a.decayedExcess(r)+excessSampleWeight/2*(n.span.Seconds()-a.decayedExcess(r)), a.now
+			r.peerLoad.work, r.peerLoad.at = a.decayedPeerWork(r)+n.span.Seconds(), a.now
+		case r.latency.lastAnswer == 0 || a.now-r.latency.lastAnswer > a.freshness():
+			r.latency.excess, r.latency.excessAt = a.decayedExcess(r)+excessSampleWeight/2*(n.span.Seconds()-a.decayedExcess(r)), a.now
 		}
 	}
 }
@@ -98,28 +98,28 @@
 	if !a.settings.Limits.Gossip {
 		return
 	}
-	for i := range a.gossipOutbox.pendingGossip {
-		if n := &a.gossipOutbox.pendingGossip[i]; kind == gossipSent && n.kind == kind && n.tag == r.tag {
+	for i := range a.outbox.entries {
+		if n := &a.outbox.entries[i]; kind == gossipSent && n.kind == kind && n.tag == r.tag {
 			n.span += span
 			return
 		}
 	}
-	a.gossipOutbox.pendingGossip = append(a.gossipOutbox.pendingGossip, gossipEntry{r.tag, kind, span})
+	a.outbox.entries = append(a.outbox.entries, gossipEntry{r.tag, kind, span})
 }
 
 // others is the work that other nodes were heard to have sent to r, as far as it may still be there.
 func (a *Aggregator) decayedPeerWork(r *replica) float64 {
-	return r.peerLoad.peerWork * math.Exp(-(a.now-r.peerLoad.peerWorkAt).Seconds()/a.typicalLatency())
+	return r.peerLoad.work * math.Exp(-(a.now-r.peerLoad.at).Seconds()/a.typicalLatency())
 }
 
 // peerLoad is the work that other aggregators said they sent to one replica.
 type peerLoad struct {
-	peerWork   float64 // seconds, as of peerWorkAt
-	peerWorkAt time.Duration
+	work float64 // seconds, as of peerWorkAt
+	at   time.Duration
 }
 
 // gossipOutbox holds what the next gossip message says.
 type gossipOutbox struct {
-	pendingGossip []gossipEntry
-	gossipSentAt  time.Duration
+	entries []gossipEntry
+	sentAt  time.Duration
 }
--- a/aggregator/healthcheck.go
+++ b/aggregator/healthcheck.go
@@ -14,37 +14,37 @@
 
 // probed takes in the answer to a probe. One that fails is as bad a sign as a part that fails.
 func (a *Aggregator) probeEnded(e *Event) {
-	r := a.endpointList.replicaByName[e.Replica]
+	r := a.endpoints.byName[e.Replica]
 	if r == nil {
 		return
 	}
 	if e.Outcome == Errored {
 		// It answers, and will not say more: it is probed by many. That is no sign against it.
-		r.replicaHealth.lastProbeAnswer, r.replicaHealth.suspectedAt = a.now, 0
+		r.health.lastProbeAnswer, r.health.suspectedAt = a.now, 0
 		return
 	}
 	if e.Outcome != OK {
-		r.replicaHealth.suspectedAt = a.now
+		r.health.suspectedAt = a.now
 		a.addProbeCredit(1)
-		if r.outlierState.ejected && !r.outlierState.halfOpen {
+		if r.outlier.ejected && !r.outlier.halfOpen {
 			a.eject(r)
 		} else {
 			a.addFailure(r)
 		}
 		return
 	}
-	r.replicaHealth.lastProbeAnswer, r.replicaHealth.suspectedAt, r.replicaHealth.reportedLoad = a.now, 0, 0
+	r.health.lastProbeAnswer, r.health.suspectedAt, r.health.reportedLoad = a.now, 0, 0
 	// What it says that it holds, the larger figure where one may include the other, tells ties while fresh.
 	if x := max(e.LoadReport["inflight"], e.LoadReport["queue"]); x > 0 && x < math.MaxInt32 {
-		r.replicaHealth.reportedLoad = x
+		r.health.reportedLoad = x
 	}
-	r.outlierState.halfOpen = r.outlierState.halfOpen || r.outlierState.ejected
+	r.outlier.halfOpen = r.outlier.halfOpen || r.outlier.ejected
 }
 
 // addProbeCredit notes a bad sign: a reset, a failed connect or probe, a silence. It puts the node on guard
 // by earning probes; they run out soon where all of them come back.
 func (a *Aggregator) addProbeCredit(weight float64) {
-	a.fleetHealth.probeCredit = math.Min(a.fleetHealth.probeCredit+a.visibleShare()*weight*probesPerFailure, a.visibleShare()*float64(len(a.endpointList.replicas)))
+	a.health.probeCredit = math.Min(a.health.probeCredit+a.visibleShare()*weight*probesPerFailure, a.visibleShare()*float64(len(a.endpoints.replicas)))
 }
 
 // visibleShare is how much of what there is to see this node sees itself: all where there are few nodes.
@@ -57,30 +57,30 @@
 
 // doubtful tells whether a replica failed a part or a probe, or owed an answer, a short while ago.
 func (a *Aggregator) suspect(r *replica) bool {
-	return r.replicaHealth.suspectedAt > 0 && a.now-r.replicaHealth.suspectedAt < a.maxObjective()
+	return r.health.suspectedAt > 0 && a.now-r.health.suspectedAt < a.maxObjective()
 }
 
 // probeHolders asks the holders of a part that were not heard lately whether they answer at all, and tells
 // how long to wait for that. It acts on guard only: a node that seldom sends a replica a part learns of its
 // death too late from the parts themselves. A replica that owes its answer by then is doubted, not ejected.
 func (a *Aggregator) probeHolders(p *part) (wait time.Duration) {
-	if !a.settings.Limits.Probes || !a.fleetHealth.staleView || a.fleetHealth.probeCredit < 1 || a.now-p.query.arrived > p.query.objective-a.now {
+	if !a.settings.Limits.Probes || !a.health.staleView || a.health.probeCredit < 1 || a.now-p.query.arrived > p.query.objective-a.now {
 		return 0
 	}
 	patience := scale(probeWaitShare, a.settings.Classes[p.query.class].LatencyObjective)
 	for _, r := range a.holders(p.shard) {
-		if r.excluded || r.outlierState.ejected || !a.suspect(r) && a.now-max(r.replicaHealth.lastProbeAnswer, r.replicaLatency.lastAnswer) < a.freshness() {
+		if r.excluded || r.outlier.ejected || !a.suspect(r) && a.now-max(r.health.lastProbeAnswer, r.latency.lastAnswer) < a.freshness() {
 			continue
 		}
-		if r.replicaHealth.lastProbe <= max(r.replicaHealth.lastProbeAnswer, r.replicaLatency.lastAnswer) || a.now-r.replicaHealth.lastProbe > a.freshness() {
-			r.replicaHealth.lastProbe = a.now
-			a.fleetHealth.probeCredit--
+		if r.health.lastProbe <= max(r.health.lastProbeAnswer, r.latency.lastAnswer) || a.now-r.health.lastProbe > a.freshness() {
+			r.health.lastProbe = a.now
+			a.health.probeCredit--
 			a.out = append(a.out, Action{Kind: Probe, Replica: r.member.Replica})
 		}
-		if left := r.replicaHealth.lastProbe + patience - a.now; left > 0 {
+		if left := r.health.lastProbe + patience - a.now; left > 0 {
 			wait = max(wait, left)
 		} else {
-			r.replicaHealth.suspectedAt = a.now
+			r.health.suspectedAt = a.now
 		}
 	}
 	return wait
--- a/aggregator/idleconn.go
+++ b/aggregator/idleconn.go
@@ -14,10 +14,10 @@
 
 // idleLimit is the time without use after which connections were lately found dead, 0 for none.
 func (a *Aggregator) idleTimeout() time.Duration {
-	if (a.now - a.idleConnEstimate.deadConnAt).Seconds() > deadConnLifetime*a.maxObjective().Seconds() {
-		a.idleConnEstimate.deadAfter, a.idleConnEstimate.idleEvidence = 0, 0
+	if (a.now - a.idleConns.foundAt).Seconds() > deadConnLifetime*a.maxObjective().Seconds() {
+		a.idleConns.deadAfter, a.idleConns.evidence = 0, 0
 	}
-	return a.idleConnEstimate.deadAfter
+	return a.idleConns.deadAfter
 }
 
 // idled tells whether an attempt was sent on a connection that had been out of use for a while.
@@ -28,15 +28,15 @@
 // deadIdle counts a sign that connections out of use for gap are dead.
 func (a *Aggregator) recordDeadConn(gap time.Duration) {
 	a.addIdleEvidence(1)
-	if a.idleConnEstimate.deadConnAt = a.now; a.idleConnEstimate.deadAfter == 0 || gap < a.idleConnEstimate.deadAfter {
-		a.idleConnEstimate.deadAfter = gap
+	if a.idleConns.foundAt = a.now; a.idleConns.deadAfter == 0 || gap < a.idleConns.deadAfter {
+		a.idleConns.deadAfter = gap
 	}
 }
 
 // blameIdle counts signs that idle connections are dead, or against it; enough of the latter clear them.
 func (a *Aggregator) addIdleEvidence(sign float64) {
-	if a.idleConnEstimate.idleEvidence = math.Min(a.idleConnEstimate.idleEvidence+sign, 2*deadConnEvidence); a.idleConnEstimate.idleEvidence <= -deadConnEvidence {
-		a.idleConnEstimate.deadAfter, a.idleConnEstimate.idleEvidence = 0, 0
+	if a.idleConns.evidence = math.Min(a.idleConns.evidence+sign, 2*deadConnEvidence); a.idleConns.evidence <= -deadConnEvidence {
+		a.idleConns.deadAfter, a.idleConns.evidence = 0, 0
 	}
 }
 
@@ -48,8 +48,8 @@
 	if a.settings.Classes[p.query.class].Effect == Unsafe {
 		enough = 1
 	}
-	suspect := r.replicaConns.silentIdle > 0 || p.query.queryCanary.idleReset || limit > 0 && a.idleConnEstimate.idleEvidence >= enough && a.now-r.replicaConns.lastUse >= limit
-	if len(r.replicaCalls.inFlight) > 0 || !suspect {
+	suspect := r.conns.silentIdle > 0 || p.query.canary.idleReset || limit > 0 && a.idleConns.evidence >= enough && a.now-r.conns.lastUse >= limit
+	if len(r.calls.inFlight) > 0 || !suspect {
 		return false
 	}
 	a.out = append(a.out, Action{Kind: CloseIdle, Replica: r.member.Replica})
@@ -64,7 +64,7 @@
 
 // idleConnEstimate is after how long idle connections are found dead, as a firewall or a proxy on the way drops them.
 type idleConnEstimate struct {
-	deadAfter    time.Duration // shortest idle time after which a connection was found dead; 0 for none
-	deadConnAt   time.Duration // when one was last found
-	idleEvidence float64       // signs that idle connections are dead, less those against it
+	deadAfter time.Duration // shortest idle time after which a connection was found dead; 0 for none
+	foundAt   time.Duration // when one was last found
+	evidence  float64       // signs that idle connections are dead, less those against it
 }
--- a/aggregator/latency.go
+++ b/aggregator/latency.go
@@ -17,7 +17,7 @@
 )
 
 // latency is what has been learned of the parts of one step of a class, in seconds.
-type latencyEstimate struct{ base, median, high quantile }
+type latencyEstimate struct{ base, median, tail quantile }
 
 // stepsPerQuery is the most steps that a query has.
 const stepsPerQuery = 2
@@ -26,7 +26,7 @@
 	all := make([]latencyEstimate, n)
 	for i := range all {
 		all[i] = latencyEstimate{
-			base: quantile{target: baseQuantile}, median: quantile{target: 0.5}, high: quantile{target: tailQuantile},
+			base: quantile{target: baseQuantile}, median: quantile{target: 0.5}, tail: quantile{target: tailQuantile},
 		}
 	}
 	return all
@@ -54,7 +54,7 @@
 
 // stat is what has been learned of parts like p.
 func (a *Aggregator) latencyOf(q *query) *latencyEstimate {
-	return &a.fleetLatency.latencies[2*q.class+min(q.step, 1)]
+	return &a.latency.classes[2*q.class+min(q.step, 1)]
 }
 
 // usual is the latency of a part on an unloaded replica, in seconds; a share of the aim until learned.
@@ -68,8 +68,8 @@
 // typical is the mean of the classes' median latencies.
 func (a *Aggregator) typicalLatency() float64 {
 	sum, n := 0.0, 0.0
-	for i := range a.fleetLatency.latencies {
-		if s := &a.fleetLatency.latencies[i]; s.median.samples > 0 {
+	for i := range a.latency.classes {
+		if s := &a.latency.classes[i]; s.median.samples > 0 {
 			sum, n = sum+s.median.value, n+1
 		}
 	}
@@ -83,7 +83,7 @@
 // the pace at which calls have been answered. The pace sees a wave as it is sent, the excess only as it
 // returns.
 func (a *Aggregator) expectedLatency(q *query, r *replica) float64 {
-	return math.Max(a.currentExcess(r)+a.decayedPeerWork(r)+a.baseLatency(q), math.Max(r.replicaLatency.timePerCall, a.fleetLatency.timePerCall)*float64(r.replicaCalls.openCalls+1))
+	return math.Max(a.currentExcess(r)+a.decayedPeerWork(r)+a.baseLatency(q), math.Max(r.latency.timePerCall, a.latency.timePerCall)*float64(r.calls.open+1))
 }
 
 // excess is what a part sent to r now must expect above the usual: recent answers, or the age of the
@@ -91,8 +91,8 @@
 // one that others have overtaken tells of its part, not of r.
 func (a *Aggregator) currentExcess(r *replica) float64 {
 	x := a.decayedExcess(r)
-	for _, t := range r.replicaCalls.inFlight {
-		if t.open && r.replicaLatency.lastAnswer < t.sentAt {
+	for _, t := range r.calls.inFlight {
+		if t.open && r.latency.lastAnswer < t.sentAt {
 			x = math.Max(x, (a.now-t.sentAt).Seconds()-a.baseLatency(t.part.query))
 			break
 		}
@@ -104,39 +104,39 @@
 // that of the fleet, which a node with little traffic knows sooner, and that into none where no replica
 // is heard.
 func (a *Aggregator) decayedExcess(r *replica) float64 {
-	pool := a.decayedFleetExcess(a.fleetLatency.fleetExcess)
-	return pool + (r.replicaLatency.excess-pool)*math.Exp(-(a.now-r.replicaLatency.excessAt).Seconds()/a.observationLifetime().Seconds())
+	pool := a.decayedFleetExcess(a.latency.excess)
+	return pool + (r.latency.excess-pool)*math.Exp(-(a.now-r.latency.excessAt).Seconds()/a.observationLifetime().Seconds())
 }
 
 // fade is a figure of the fleet, less the longer nothing is heard of any replica.
 func (a *Aggregator) decayedFleetExcess(x float64) float64 {
-	return x * math.Exp(-(a.now-a.fleetLatency.fleetExcessAt).Seconds()/a.maxObjective().Seconds())
+	return x * math.Exp(-(a.now-a.latency.excessAt).Seconds()/a.maxObjective().Seconds())
 }
 
 // memory is how long what was heard of a replica holds: the longest aim, or where this node's share of the traffic is
 // so small that it hears a replica more seldom, a few times the usual time between two answers.
 func (a *Aggregator) observationLifetime() time.Duration {
-	return max(a.maxObjective(), scale(answerIntervalsKept, a.fleetLatency.answerInterval))
+	return max(a.maxObjective(), scale(answerIntervalsKept, a.latency.answerInterval))
 }
 
 // learn takes a latency into the accounts of its class, its replica and the fleet.
 func (a *Aggregator) recordLatency(t *attempt, took float64) {
 	r, p := t.replica, t.part
-	r.replicaLatency.unanswered = 0
+	r.latency.unanswered = 0
 	s := a.latencyOf(p.query)
 	if t.call.size <= 1 {
 		s.base.add(took)
 	}
 	s.median.add(took)
-	s.high.add(took)
+	s.tail.add(took)
 	over := math.Max(0, took-a.baseLatency(p.query))
-	r.replicaLatency.excess, r.replicaLatency.excessAt = (1-excessSampleWeight)*a.decayedExcess(r)+excessSampleWeight*over, a.now
-	a.fleetLatency.fleetExcess, a.fleetLatency.fleetExcessAt = a.fleetLatency.fleetExcess+fleetSampleWeight*(over-a.fleetLatency.fleetExcess), a.now
+	r.latency.excess, r.latency.excessAt = (1-excessSampleWeight)*a.decayedExcess(r)+excessSampleWeight*over, a.now
+	a.latency.excess, a.latency.excessAt = a.latency.excess+fleetSampleWeight*(over-a.latency.excess), a.now
 	a.recordGossip(r, gossipExcess, scale(over, time.Second))
-	if r.replicaLatency.answers++; r.replicaLatency.answers == 1 {
-		r.replicaLatency.timePerCall = took / float64(t.callPosition)
+	if r.latency.answers++; r.latency.answers == 1 {
+		r.latency.timePerCall = took / float64(t.callPosition)
 	}
-	r.replicaLatency.timePerCall += excessSampleWeight / 2 * (took/float64(t.callPosition) - r.replicaLatency.timePerCall)
+	r.latency.timePerCall += excessSampleWeight / 2 * (took/float64(t.callPosition) - r.latency.timePerCall)
 }
 
 // learnAtLeast takes in an attempt that was given up: how long it would have taken is not known, only that it is longer than
@@ -144,13 +144,13 @@
 // between says nothing yet, nor does silence on a connection that had idled while such are found dead.
 func (a *Aggregator) recordAbandoned(t *attempt, took float64) {
 	r := t.replica
-	r.replicaLatency.unanswered++
+	r.latency.unanswered++
 	over := took - a.baseLatency(t.part.query)
-	if r.replicaLatency.unanswered < 2 || over <= a.decayedExcess(r) || a.onIdleConn(t) && (r.replicaConns.silentIdle > 0 || a.idleTimeout() > 0) {
+	if r.latency.unanswered < 2 || over <= a.decayedExcess(r) || a.onIdleConn(t) && (r.conns.silentIdle > 0 || a.idleTimeout() > 0) {
 		return
 	}
-	r.replicaLatency.excess, r.replicaLatency.excessAt = over, a.now
-	a.fleetLatency.fleetExcess, a.fleetLatency.fleetExcessAt = a.fleetLatency.fleetExcess+fleetSampleWeight*(over-a.fleetLatency.fleetExcess), a.now
+	r.latency.excess, r.latency.excessAt = over, a.now
+	a.latency.excess, a.latency.excessAt = a.latency.excess+fleetSampleWeight*(over-a.latency.excess), a.now
 }
 
 // replicaLatency is what the answers of one replica show of its speed.
@@ -166,12 +166,12 @@
 
 // fleetLatency is what all answers show, of each class and of the fleet as a whole.
 type fleetLatency struct {
-	latencies       []latencyEstimate // two for each class, one a step
-	timePerCall     float64           // upper quartile of the replicas' time per call, in seconds
-	medianExcess    float64           // of the replicas that are in use, in seconds
-	fleetExcess     float64           // excess of recent answers of any replica, in seconds
-	fleetExcessAt   time.Duration     // when fleetExcess was last brought up to date
-	lastAnswer      time.Duration     // of any replica
-	answerInterval  time.Duration     // mean time between two answers of one replica
-	answerIntervals int               // how many intervals the mean is of
+	classes        []latencyEstimate // two for each class, one a step
+	timePerCall    float64           // upper quartile of the replicas' time per call, in seconds
+	medianExcess   float64           // of the replicas that are in use, in seconds
+	excess         float64           // excess of recent answers of any replica, in seconds
+	excessAt       time.Duration     // when fleetExcess was last brought up to date
+	lastAnswer     time.Duration     // of any replica
+	answerInterval time.Duration     // mean time between two answers of one replica
+	intervals      int               // how many intervals the mean is of
 }
--- a/aggregator/node_test.go
+++ b/aggregator/node_test.go
@@ -36,7 +36,7 @@
 		}
 		start := b.now
 		b.step(asks("q", 2*time.Second, 1)...)
-		for i := 0; b.aggregator.queryTable.queries["q"] != nil && i < 1000; i++ {
+		for i := 0; b.aggregator.queries.byID["q"] != nil && i < 1000; i++ {
 			b.after(set.Tick)
 		}
 		if left := start + 2*time.Second - b.now; left < max(600*ms, seen) {
@@ -125,12 +125,12 @@
 		b.now += 50 * ms
 		acts = b.step(append(events, Event{Kind: Wakeup})...)
 	}
-	if b.aggregator.queryTable.queries["q"] != nil {
+	if b.aggregator.queries.byID["q"] != nil {
 		t.Error("the query was not answered")
 	}
-	for _, r := range b.aggregator.endpointList.replicas {
-		if r.slowStart.warming || r.outlierState.ejected || r.outlierState.failures > 0 {
-			t.Errorf("%s: cold %v, ejected %v, %v strikes", r.member.Replica, r.slowStart.warming, r.outlierState.ejected, r.outlierState.failures)
+	for _, r := range b.aggregator.endpoints.replicas {
+		if r.slowStart.active || r.outlier.ejected || r.outlier.failures > 0 {
+			t.Errorf("%s: cold %v, ejected %v, %v strikes", r.member.Replica, r.slowStart.active, r.outlier.ejected, r.outlier.failures)
 		}
 	}
 }
@@ -240,27 +240,27 @@
 	}
 	a := b.aggregator
 	held := 0
-	for _, cell := range a.endpointList.shardSets {
+	for _, cell := range a.endpoints.shardSets {
 		held += len(cell)
 	}
 	// Those of the last 40 s and the one listed, beside the three of the start.
-	if most := 4 + 5; len(a.endpointList.replicas) > most || len(a.endpointList.replicaByName) > most || len(a.endpointList.replicaByTag) > most || held > most {
-		t.Errorf("%d replicas, %d names, %d tags, %d in cells", len(a.endpointList.replicas), len(a.endpointList.replicaByName), len(a.endpointList.replicaByTag), held)
+	if most := 4 + 5; len(a.endpoints.replicas) > most || len(a.endpoints.byName) > most || len(a.endpoints.byTag) > most || held > most {
+		t.Errorf("%d replicas, %d names, %d tags, %d in cells", len(a.endpoints.replicas), len(a.endpoints.byName), len(a.endpoints.byTag), held)
 	}
-	if len(a.retryBudget.accepted.times)+len(a.retryBudget.retries.times)+len(a.queryTable.queries)+len(a.queryTable.parts)+len(a.queryTable.live) > 0 {
-		t.Errorf("%d taken, %d extras, %d queries, %d parts", len(a.retryBudget.accepted.times), len(a.retryBudget.retries.times), len(a.queryTable.queries), len(a.queryTable.parts))
+	if len(a.retryBudget.accepted.times)+len(a.retryBudget.retries.times)+len(a.queries.byID)+len(a.queries.parts)+len(a.queries.live) > 0 {
+		t.Errorf("%d taken, %d extras, %d queries, %d parts", len(a.retryBudget.accepted.times), len(a.retryBudget.retries.times), len(a.queries.byID), len(a.queries.parts))
 	}
 	sent := only(b.step(asks("last", time.Hour, 0)...), Send)[0]
 	b.step(Event{Kind: ListReplaced})
 	b.now += time.Second
 	b.step(Event{Kind: Wakeup})
-	if a.endpointList.replicaByName[sent.Replica] == nil {
+	if a.endpoints.byName[sent.Replica] == nil {
 		t.Error("a replica that owes an answer is forgotten")
 	}
 	b.step(Event{Kind: AttemptEnded, Part: sent.Part, Replica: sent.Replica, Outcome: OK})
 	b.now += time.Minute
 	b.step(Event{Kind: Wakeup})
-	if len(a.endpointList.replicas) > 0 {
-		t.Errorf("%d replicas are held of an empty list", len(a.endpointList.replicas))
+	if len(a.endpoints.replicas) > 0 {
+		t.Errorf("%d replicas are held of an empty list", len(a.endpoints.replicas))
 	}
 }
--- a/aggregator/peers_test.go
+++ b/aggregator/peers_test.go
@@ -52,7 +52,7 @@
 		if len(only(acts, SendGossip)) != 1 {
 			t.Fatalf("%d messages for one query", len(only(acts, SendGossip)))
 		}
-		if a.endpointList.replicaByName["a"].outlierState.ejected {
+		if a.endpoints.byName["a"].outlier.ejected {
 			t.Fatal("a hint ejected a replica")
 		}
 	}
@@ -77,7 +77,7 @@
 func TestNoPeersNoMessages(t *testing.T) {
 	b := newHarness(t, testSettings(), members("a", "b", "c")...)
 	for i := range 5 {
-		if acts := b.step(asks(fmt.Sprint(i), time.Second, 0)...); len(only(acts, SendGossip)) > 0 || len(b.aggregator.gossipOutbox.pendingGossip) > 0 {
+		if acts := b.step(asks(fmt.Sprint(i), time.Second, 0)...); len(only(acts, SendGossip)) > 0 || len(b.aggregator.outbox.entries) > 0 {
 			t.Fatal("a message")
 		}
 	}
--- a/aggregator/placement.go
+++ b/aggregator/placement.go
@@ -71,9 +71,9 @@
 	var best *replica
 	var rank [3]float64
 	holders := a.holders(p.shard)
-	pressed := len(p.attempts) == 0 && a.retryBudget.retryCredit > maxRetryCredit/2 && a.settings.Classes[p.query.class].Effect == Safe &&
+	pressed := len(p.attempts) == 0 && a.retryBudget.tokens > maxRetryCredit/2 && a.settings.Classes[p.query.class].Effect == Safe &&
 		a.settings.Limits.MaxAttempts > 2 && !slices.ContainsFunc(holders, func(r *replica) bool {
-		return !r.outlierState.ejected && a.usable(p, r) && a.expectedLatency(p.query, r) < pressedShare*(p.query.objective-a.now).Seconds()
+		return !r.outlier.ejected && a.usable(p, r) && a.expectedLatency(p.query, r) < pressedShare*(p.query.objective-a.now).Seconds()
 	})
 	for _, r := range holders {
 		if !a.usable(p, r) {
@@ -88,11 +88,11 @@
 }
 
 func (a *Aggregator) rankReplica(p *part, r *replica, pressed bool) (rank [3]float64) {
-	trial := r.outlierState.halfOpen && len(r.replicaCalls.inFlight) == 0 && len(p.attempts) == 0 || pressed && r.outlierState.failingFast
+	trial := r.outlier.halfOpen && len(r.calls.inFlight) == 0 && len(p.attempts) == 0 || pressed && r.outlier.failingFast
 	switch {
-	case r.outlierState.ejected && !trial:
+	case r.outlier.ejected && !trial:
 		rank[0] = 1
-	case !r.outlierState.ejected && a.suspect(r):
+	case !r.outlier.ejected && a.suspect(r):
 		rank[0] = 0.5
 	}
 	for _, t := range p.attempts {
@@ -100,7 +100,7 @@
 			rank[0] += 2
 		}
 	}
-	rank[1] = float64(r.replicaCalls.openCalls + 1)
+	rank[1] = float64(r.calls.open + 1)
 	join := a.joinsCall(p, r)
 	if join {
 		rank[1]--
@@ -109,8 +109,8 @@
 	if r.member.Zone != a.settings.Zone {
 		rank[2] *= otherZoneFactor
 	}
-	if r.replicaHealth.lastProbeAnswer > 0 && a.now-r.replicaHealth.lastProbeAnswer < a.freshness() {
-		rank[2] *= 1 + r.replicaHealth.reportedLoad
+	if r.health.lastProbeAnswer > 0 && a.now-r.health.lastProbeAnswer < a.freshness() {
+		rank[2] *= 1 + r.health.reportedLoad
 	}
 	if join {
 		rank[2] = 0
@@ -123,10 +123,10 @@
 
 // joins tells whether a part would share the call that this round already sends to r.
 func (a *Aggregator) joinsCall(p *part, r *replica) bool {
-	if r == nil || r.replicaCalls.currentCall == nil {
+	if r == nil || r.calls.current == nil {
 		return false
 	}
-	c := r.replicaCalls.currentCall
+	c := r.calls.current
 	return c.round == a.round && c.size < a.settings.Limits.MaxBatch && a.settings.CallCost > 0 &&
 		c.work < maxSharedCallShare*(p.query.objective-a.now).Seconds()
 }
@@ -134,7 +134,7 @@
 // usable is what the rules and the list leave: not draining or gone, no attempt of this part out, and
 // within this front node's share of what a cold replica may be sent.
 func (a *Aggregator) usable(p *part, r *replica) bool {
-	if r.excluded || a.now < r.outlierState.backoffUntil {
+	if r.excluded || a.now < r.outlier.backoffUntil {
 		return false
 	}
 	for _, t := range p.attempts {
@@ -142,7 +142,7 @@
 			return false
 		}
 	}
-	return !r.slowStart.warming || a.slowStartAllows(p, r)
+	return !r.slowStart.active || a.slowStartAllows(p, r)
 }
 
 // covers counts the parts of a query still to be placed that r could take in one call.
@@ -161,9 +161,9 @@
 	q, fresh, begin := p.query, a.closeIdleConns(p, r), a.beginWithin(p)
 	a.recordAttempt(p, r, fresh).call.work += a.baseLatency(q)
 	a.recordGossip(r, gossipSent, scale(a.expectedWork(p), time.Second))
-	if r.slowStart.warming {
+	if r.slowStart.active {
 		r.slowStart.allowance -= a.expectedWork(p)
-		r.slowStart.recentSends = append(r.slowStart.recentSends, sentWork{a.now, a.expectedWork(p)})
+		r.slowStart.sends = append(r.slowStart.sends, sentWork{a.now, a.expectedWork(p)})
 		r.slowStart.drawnAt, r.slowStart.draw = a.now, a.rng.Float64()
 	}
 	end := a.usefulUntil(q) - 3*a.settings.Tick
@@ -173,45 +173,45 @@
 
 // book counts an attempt at r in the call that joins allows, else in a new one.
 func (a *Aggregator) recordAttempt(p *part, r *replica, fresh bool) *attempt {
-	if !a.joinsCall(p, r) && (r.replicaCalls.currentCall == nil || r.replicaCalls.currentCall.round != a.round || r.replicaCalls.currentCall.size >= a.settings.Limits.MaxBatch ||
+	if !a.joinsCall(p, r) && (r.calls.current == nil || r.calls.current.round != a.round || r.calls.current.size >= a.settings.Limits.MaxBatch ||
 		a.settings.CallCost == 0) {
-		r.replicaCalls.currentCall = &call{round: a.round}
-		r.replicaCalls.openCalls++
+		r.calls.current = &call{round: a.round}
+		r.calls.open++
 	}
-	if r.replicaCalls.currentCall.openAttempts == 0 && r.replicaCalls.currentCall.size > 0 {
-		r.replicaCalls.openCalls++
+	if r.calls.current.openAttempts == 0 && r.calls.current.size > 0 {
+		r.calls.open++
 	}
-	if r.replicaConns.lastUse == 0 || a.settings.Limits.ConnIdle > 0 && a.now-r.replicaConns.lastUse >= a.settings.Limits.ConnIdle {
+	if r.conns.lastUse == 0 || a.settings.Limits.ConnIdle > 0 && a.now-r.conns.lastUse >= a.settings.Limits.ConnIdle {
 		fresh = true
 	}
-	t := &attempt{part: p, replica: r, call: r.replicaCalls.currentCall, index: len(p.attempts), sentAt: a.now, open: true, callPosition: r.replicaCalls.openCalls, newConn: fresh,
-		connIdle: a.now - r.replicaConns.lastUse}
+	t := &attempt{part: p, replica: r, call: r.calls.current, index: len(p.attempts), sentAt: a.now, open: true, callPosition: r.calls.open, newConn: fresh,
+		connIdle: a.now - r.conns.lastUse}
 	if t.call.size++; t.call.size == 1 {
 		t.call.first = t
 	}
 	t.call.openAttempts++
-	if p.query.queryCanary.firstSend == 0 {
-		p.query.queryCanary.firstSend = a.now
+	if p.query.canary.firstSend == 0 {
+		p.query.canary.firstSend = a.now
 	}
-	r.replicaConns.lastUse = a.now
+	r.conns.lastUse = a.now
 	p.attempts = append(p.attempts, t)
-	r.replicaCalls.inFlight = append(r.replicaCalls.inFlight, t)
+	r.calls.inFlight = append(r.calls.inFlight, t)
 	return t
 }
 
 // release takes an attempt off its replica's count.
 func (a *Aggregator) release(t *attempt) {
-	if i := slices.Index(t.replica.replicaCalls.inFlight, t); i >= 0 {
-		t.replica.replicaCalls.inFlight = slices.Delete(t.replica.replicaCalls.inFlight, i, i+1)
+	if i := slices.Index(t.replica.calls.inFlight, t); i >= 0 {
+		t.replica.calls.inFlight = slices.Delete(t.replica.calls.inFlight, i, i+1)
 		if t.call.openAttempts--; t.call.openAttempts == 0 {
-			t.replica.replicaCalls.openCalls--
+			t.replica.calls.open--
 		}
 	}
 }
 
 // replicaCalls are this aggregator's calls to one replica.
 type replicaCalls struct {
-	inFlight    []*attempt // in order of sending, those given up whose replica may still work on them included
-	openCalls   int        // calls with at least one attempt in flight
-	currentCall *call      // the call that parts of this round may join
+	inFlight []*attempt // in order of sending, those given up whose replica may still work on them included
+	open     int        // calls with at least one attempt in flight
+	current  *call      // the call that parts of this round may join
 }
--- a/aggregator/query.go
+++ b/aggregator/query.go
@@ -17,7 +17,7 @@
 	ended             bool
 	firstStepComplete bool
 	arrived           time.Duration
-	queryCanary       queryCanary
+	canary            queryCanary
 	rejection         Reason        // why admission rejected it
 	objective         time.Duration // an answer until then earns the full priority
 	deadline          time.Duration // the client's deadline less the reserve
@@ -50,7 +50,7 @@
 
 // arrive takes a query; one of a class that the settings lack is refused.
 func (a *Aggregator) queryArrived(e *Event) {
-	if a.queryTable.queries[e.Query] != nil {
+	if a.queries.byID[e.Query] != nil {
 		return
 	}
 	a.countAccepted()
@@ -63,20 +63,20 @@
 	left := max(0, e.TimeLeft)
 	q.deadline = a.now + left - a.reserve(q.class, left)
 	q.objective = min(q.deadline, a.now+a.settings.Classes[e.Class].LatencyObjective)
-	a.queryTable.queries[q.id] = q
-	a.queryTable.live = append(a.queryTable.live, q)
+	a.queries.byID[q.id] = q
+	a.queries.live = append(a.queries.live, q)
 }
 
 // addPart adds a part to its query. Parts of no query, known parts and shards out of range are skipped.
 func (a *Aggregator) partArrived(e *Event) {
-	q := a.queryTable.queries[e.Query]
+	q := a.queries.byID[e.Query]
 	a.countAccepted()
-	if q == nil || a.queryTable.parts[e.Part] != nil || e.Shard < 0 || e.Shard >= a.settings.Shards {
+	if q == nil || a.queries.parts[e.Part] != nil || e.Shard < 0 || e.Shard >= a.settings.Shards {
 		return
 	}
 	p := &part{id: e.Part, query: q, shard: e.Shard, weight: e.Weight, work: e.Work.Seconds()}
 	q.parts = append(q.parts, p)
-	a.queryTable.parts[p.id] = p
+	a.queries.parts[p.id] = p
 }
 
 // weights sums the weight that is in and counts the parts that may still come and those that are not in.
@@ -96,7 +96,7 @@
 
 // open counts the queries and parts held.
 func (a *Aggregator) heldItems() (n int) {
-	for _, q := range a.queryTable.live {
+	for _, q := range a.queries.live {
 		if !q.ended {
 			n += 1 + len(q.parts)
 		}
@@ -107,7 +107,7 @@
 // close forgets a query and calls off what it has out.
 func (a *Aggregator) closeQuery(q *query) {
 	q.ended = true
-	delete(a.queryTable.queries, q.id)
+	delete(a.queries.byID, q.id)
 	for _, p := range q.parts {
 		a.dropPart(p)
 	}
@@ -117,7 +117,7 @@
 func (a *Aggregator) dropPart(p *part) {
 	a.cancelAttempts(p)
 	if p.openAttempts() == 0 {
-		delete(a.queryTable.parts, p.id)
+		delete(a.queries.parts, p.id)
 	}
 }
 
@@ -133,7 +133,7 @@
 
 // queryTable holds the open queries and the parts that have attempts in flight.
 type queryTable struct {
-	queries map[string]*query
-	parts   map[string]*part
-	live    []*query // in order of arrival; ended ones are removed at the end of a round
+	byID  map[string]*query
+	parts map[string]*part
+	live  []*query // in order of arrival; ended ones are removed at the end of a round
 }
--- a/aggregator/retry.go
+++ b/aggregator/retry.go
@@ -40,11 +40,11 @@
 	}
 	// Where all are slow it is load, and a further attempt adds to it: another must be clearly faster.
 	r := a.pickReplica(p)
-	p.endedQuickly = last.replica.outlierState.ejected || last.call.silenceCounted
+	p.endedQuickly = last.replica.outlier.ejected || last.call.silenceCounted
 	// Answers to what was sent later are in: this one may be lost, and holds up a query that has the rest.
 	_, left, _ := p.query.weights()
-	chase := p.endedQuickly || last.replica.replicaLatency.answeredSendAt >= last.sentAt && float64(left) <= stragglerPartShare*float64(len(p.query.parts))
-	if !chase || r == nil || r.outlierState.ejected || a.currentExcess(r) > (a.now-last.sentAt).Seconds()/2 || !a.withinRetryBudget(p) {
+	chase := p.endedQuickly || last.replica.latency.answeredSendAt >= last.sentAt && float64(left) <= stragglerPartShare*float64(len(p.query.parts))
+	if !chase || r == nil || r.outlier.ejected || a.currentExcess(r) > (a.now-last.sentAt).Seconds()/2 || !a.withinRetryBudget(p) {
 		return a.now + 4*a.settings.Tick, false
 	}
 	if a.settings.Limits.Hedging {
@@ -83,10 +83,10 @@
 // patience is how long a part may take before it stands out.
 func (a *Aggregator) hedgeDelay(q *query) float64 {
 	s, aim := a.latencyOf(q), a.settings.Classes[q.class].LatencyObjective.Seconds()
-	if s.high.samples < 30 {
+	if s.tail.samples < 30 {
 		return aim / 2
 	}
-	return math.Min(math.Max(hedgeTailMultiple*s.high.value, hedgeMedianMultiple*s.median.value), aim/2)
+	return math.Min(math.Max(hedgeTailMultiple*s.tail.value, hedgeMedianMultiple*s.median.value), aim/2)
 }
 
 // overdue is when the last attempt of a part should be answered by another: once it stands out among its
@@ -94,7 +94,7 @@
 func (a *Aggregator) hedgeAt(p *part) time.Duration {
 	t, q := p.attempts[len(p.attempts)-1], p.query
 	wait := a.hedgeDelay(q)
-	if t.replica.outlierState.ejected {
+	if t.replica.outlier.ejected {
 		wait = math.Min(wait, a.latencyOf(q).median.value*1.5)
 	}
 	return t.sentAt + scale(wait, time.Second)
@@ -117,19 +117,19 @@
 			return false
 		}
 	}
-	return a.retryBudget.retryCredit >= p.retryCost()
+	return a.retryBudget.tokens >= p.retryCost()
 }
 
 // spendRetryBudget books a send: first sends earn, further ones pay.
 func (a *Aggregator) spendRetryBudget(p *part) bool {
 	if len(p.attempts) == 0 {
-		a.retryBudget.retryCredit = math.Min(a.retryBudget.retryCredit+retryCreditPerSend, maxRetryCredit)
+		a.retryBudget.tokens = math.Min(a.retryBudget.tokens+retryCreditPerSend, maxRetryCredit)
 		return true
 	}
 	if !a.withinRetryBudget(p) {
 		return false
 	}
-	a.retryBudget.retryCredit -= p.retryCost()
+	a.retryBudget.tokens -= p.retryCost()
 	if a.settings.Rules.RetryWindow > 0 {
 		a.retryBudget.retries.times = append(a.retryBudget.retries.times, a.now)
 	}
@@ -155,7 +155,7 @@
 // retryBudget limits retries and hedged requests: a token bucket that first sends fill, and where the settings state one
 // the ration of a sliding window.
 type retryBudget struct {
-	retryCredit float64       // tokens
-	accepted    slidingWindow // queries and parts taken
-	retries     slidingWindow // retries and hedged requests sent
+	tokens   float64       // tokens
+	accepted slidingWindow // queries and parts taken
+	retries  slidingWindow // retries and hedged requests sent
 }
--- a/aggregator/rules_test.go
+++ b/aggregator/rules_test.go
@@ -183,7 +183,7 @@
 	if b.attempts["q/0"] != 1 {
 		t.Fatalf("%d attempts before any outcome, want 1", b.attempts["q/0"])
 	}
-	if b.aggregator.queryTable.parts["q/0"] == nil || !b.aggregator.queryTable.parts["q/0"].attempts[0].abandoned {
+	if b.aggregator.queries.parts["q/0"] == nil || !b.aggregator.queries.parts["q/0"].attempts[0].abandoned {
 		t.Fatal("the silent attempt was not called off")
 	}
 	if s := only(b.step(ended("q/0", 0, Cancelled)), Send); len(s) != 1 || s[0].Replica == hung {
@@ -435,8 +435,8 @@
 			}
 		}
 	}
-	if len(b.aggregator.queryTable.queries) > 100 || len(b.aggregator.queryTable.parts) > 3000 || len(b.aggregator.queryTable.live) > 100 {
-		t.Errorf("seed %d: %d queries, %d parts held", seed, len(b.aggregator.queryTable.queries), len(b.aggregator.queryTable.parts))
+	if len(b.aggregator.queries.byID) > 100 || len(b.aggregator.queries.parts) > 3000 || len(b.aggregator.queries.live) > 100 {
+		t.Errorf("seed %d: %d queries, %d parts held", seed, len(b.aggregator.queries.byID), len(b.aggregator.queries.parts))
 	}
 }
 
--- a/aggregator/slowstart.go
+++ b/aggregator/slowstart.go
@@ -24,8 +24,8 @@
 		started = a.now
 	}
 	if started > 0 && a.now-started < a.settings.Rules.WarmupTime {
-		r.slowStart.warming, r.slowStart.warmupStart = true, max(started, r.slowStart.warmupStart)
-		r.outlierState.ejected, r.outlierState.failures, r.replicaLatency.excess = false, 0, 0
+		r.slowStart.active, r.slowStart.start = true, max(started, r.slowStart.start)
+		r.outlier.ejected, r.outlier.failures, r.latency.excess = false, 0, 0
 	}
 }
 
@@ -39,16 +39,16 @@
 	if b.OverloadMultiple == 0 || b.OverloadWindow == 0 {
 		return true
 	}
-	grown := min(1, max(0, (a.now-r.slowStart.warmupStart).Seconds()/math.Max(b.WarmupTime.Seconds(), 1e-3)))
+	grown := min(1, max(0, (a.now-r.slowStart.start).Seconds()/math.Max(b.WarmupTime.Seconds(), 1e-3)))
 	all := b.OverloadMultiple * (b.InitialCapacity + (1-b.InitialCapacity)*grown) * b.OverloadWindow.Seconds()
 	room, work := all/float64(a.settings.Aggregators), a.expectedWork(p)
-	r.slowStart.recentSends = slices.DeleteFunc(r.slowStart.recentSends, func(l sentWork) bool { return l.sentAt < a.now-b.OverloadWindow })
+	r.slowStart.sends = slices.DeleteFunc(r.slowStart.sends, func(l sentWork) bool { return l.sentAt < a.now-b.OverloadWindow })
 	sum := 0.0
-	for _, l := range r.slowStart.recentSends {
+	for _, l := range r.slowStart.sends {
 		sum += l.work
 	}
-	if r.slowStart.accruedAt < r.slowStart.warmupStart {
-		r.slowStart.accruedAt, r.slowStart.allowance = r.slowStart.warmupStart, 0
+	if r.slowStart.accruedAt < r.slowStart.start {
+		r.slowStart.accruedAt, r.slowStart.allowance = r.slowStart.start, 0
 	}
 	r.slowStart.allowance = math.Min(r.slowStart.allowance+room*(a.now-r.slowStart.accruedAt).Seconds()/b.OverloadWindow.Seconds(), 2*room)
 	if r.slowStart.accruedAt = a.now; a.now >= r.slowStart.drawnAt+b.OverloadWindow {
@@ -56,7 +56,7 @@
 	}
 	if room < work {
 		most := max(1, int(all/(minWarmupCalls*work)))
-		return a.joinsCall(p, r) && r.replicaCalls.currentCall.size < most ||
+		return a.joinsCall(p, r) && r.calls.current.size < most ||
 			math.Min(r.slowStart.allowance, room) >= work*float64(min(most, a.partsFor(p.query, r)))*r.slowStart.draw
 	}
 	return sum+work*r.slowStart.draw <= room
@@ -76,11 +76,11 @@
 
 // slowStart is the state of one replica that has just started and is ramped up.
 type slowStart struct {
-	warming     bool
-	warmupStart time.Duration
-	recentSends []sentWork    // within the overload window
-	allowance   float64       // work in seconds that this aggregator may send; below 0 where it was sent ahead
-	accruedAt   time.Duration // until when allowance is counted
-	draw        float64       // random share of a call that must fit into the allowance, in [0, 1)
-	drawnAt     time.Duration
+	active    bool
+	start     time.Duration
+	sends     []sentWork    // within the overload window
+	allowance float64       // work in seconds that this aggregator may send; below 0 where it was sent ahead
+	accruedAt time.Duration // until when allowance is counted
+	draw      float64       // random share of a call that must fit into the allowance, in [0, 1)
+	drawnAt   time.Duration
 }
--- a/aggregator/step.go
+++ b/aggregator/step.go
@@ -16,11 +16,11 @@
 	}
 	a.pollEndpoints()
 	a.reviewReplicas()
-	next := a.endpointList.endpointPoller.pollAt
-	for _, q := range a.queryTable.live {
+	next := a.endpoints.poller.nextPoll
+	for _, q := range a.queries.live {
 		next = min(next, a.advance(q))
 	}
-	a.queryTable.live = slices.DeleteFunc(a.queryTable.live, func(q *query) bool { return q.ended })
+	a.queries.live = slices.DeleteFunc(a.queries.live, func(q *query) bool { return q.ended })
 	a.publishGossip()
 	a.scheduleWake(next)
 	out, a.out = a.out, nil
@@ -37,7 +37,7 @@
 	case AttemptEnded:
 		a.attemptEnded(e)
 	case ClientGone:
-		if q := a.queryTable.queries[e.Query]; q != nil {
+		if q := a.queries.byID[e.Query]; q != nil {
 			a.closeQuery(q)
 		}
 	case ListChanged, ListReplaced, ListCached:
@@ -47,7 +47,7 @@
 	case GossipReceived:
 		a.applyGossip(e)
 	case ListCallFailed:
-		a.endpointList.endpointPoller.pollFailed = true
+		a.endpoints.poller.failed = true
 	}
 }
 
--- a/aggregator/symptoms_test.go
+++ b/aggregator/symptoms_test.go
@@ -221,7 +221,7 @@
 	if got := b.aggregator.hedgeDelay(q); got < 0.35 || got > 0.6 {
 		t.Errorf("parts take 0.1 s and one is chased after %.2f s, want about four times as long", got)
 	}
-	b.aggregator.latencyOf(q).high.value = 1.0
+	b.aggregator.latencyOf(q).tail.value = 1.0
 	if got := b.aggregator.hedgeDelay(q); got != 2.0 {
 		t.Errorf("one part in twenty takes 1 s and one is chased after %.2f s, want 2", got)
 	}
