--- a/aggregator/admission.go
+++ b/aggregator/admission.go
@@ -8,7 +8,7 @@
 )
 
 const (
-	recentPriorities  = 128  // recent queries that a new one is ranked among
+	maxRecentPriorities  = 128  // recent queries that a new one is ranked among
 	admitShareLowest  = 0.50 // share of the aim within which the least worthy query must be expected
 	admitShareHighest = 1.00 // and the worthiest
 	stragglerFactor   = 0.75 // excesses of the fleet for each e-fold of parts: a query's parts are slow together
@@ -21,7 +21,7 @@
 // turned away early, the least worthy first, and more of it the longer the wait has grown.
 func (a *Aggregator) admit(q *query) bool {
 	q.admitted = true
-	rank := a.rank(q)
+	rank := a.priorityRank(q)
 	for _, p := range q.parts {
 		p.forecast = a.forecast(p)
 	}
@@ -40,7 +40,7 @@
 		wait *= 1.5
 	}
 	q.rejection = OverCapacity
-	if m := float64(a.settings.Limits.MaxOpen); m > 0 && float64(a.heldItems()) > m*(uncontendedShare+(1-uncontendedShare)*rank) {
+	if m := float64(a.settings.Limits.MaxOpen); m > 0 && float64(a.heldCount()) > m*(uncontendedShare+(1-uncontendedShare)*rank) {
 		return false
 	}
 	q.rejection = ForecastTooLate
@@ -89,7 +89,7 @@
 
 // rank places a query among the recent ones by worth for work, from 0 (least) to 1. What a tenant asks
 // above its share counts for little.
-func (a *Aggregator) rank(q *query) float64 {
+func (a *Aggregator) priorityRank(q *query) float64 {
 	c := &a.settings.Classes[q.class]
 	worth := c.Priority
 	if !a.settings.PriorityPerWork {
@@ -128,13 +128,13 @@
 }
 
 // recent holds the latest values of a stream.
-type recentValues struct {
+type recentPriorities struct {
 	values []float64
 	seen   int
 }
 
 // place adds x and counts how many of the n values before it lie below it, and how many equal it.
-func (r *recentValues) compareAndAdd(x float64) (below, equal, n float64) {
+func (r *recentPriorities) compareAndAdd(x float64) (below, equal, n float64) {
 	for _, w := range r.values {
 		switch {
 		case w < x*0.99:
@@ -144,10 +144,10 @@
 		}
 	}
 	n = float64(len(r.values))
-	if len(r.values) < recentPriorities {
+	if len(r.values) < maxRecentPriorities {
 		r.values = append(r.values, x)
 	} else {
-		r.values[r.seen%recentPriorities] = x
+		r.values[r.seen%maxRecentPriorities] = x
 	}
 	r.seen++
 	return below, equal, n
@@ -157,5 +157,5 @@
 type admissionState struct {
 	tenantQueries []slidingWindow
 	tenantRetries []slidingWindow // of the tenants' queries those that a client had sent before
-	priorities    recentValues    // of the queries seen lately
+	priorities    recentPriorities    // of the queries seen lately
 }
--- a/aggregator/blame_test.go
+++ b/aggregator/blame_test.go
@@ -234,14 +234,14 @@
 			return &query{tenant: tenant, retry: retry, parts: []*part{{}}}
 		}
 		for range 4 {
-			b.aggregator.rank(ask(1, false))
+			b.aggregator.priorityRank(ask(1, false))
 		}
 		for range c.repeats {
-			b.aggregator.rank(ask(0, true))
+			b.aggregator.priorityRank(ask(0, true))
 		}
 		again, other := ask(0, true), ask(1, false)
-		b.aggregator.rank(again)
-		b.aggregator.rank(other)
+		b.aggregator.priorityRank(again)
+		b.aggregator.priorityRank(other)
 		if got := again.priority < other.priority; got != c.first {
 			t.Errorf("after %d repeats: worth %v against %v", c.repeats, again.priority, other.priority)
 		}
--- a/aggregator/endpoints.go
+++ b/aggregator/endpoints.go
@@ -44,7 +44,7 @@
 
 // updateList brings the fleet up to date. What it says of draining is binding at once, well within the grace;
 // that a replica runs is a hint only.
-func (a *Aggregator) updateList(e *Event) {
+func (a *Aggregator) updateEndpoints(e *Event) {
 	if e.Kind != ListChanged {
 		for _, r := range a.endpoints.replicas {
 			r.excluded = true
--- a/aggregator/outlier.go
+++ b/aggregator/outlier.go
@@ -28,7 +28,7 @@
 	r, took := t.replica, max(a.now-t.sentAt-a.pauses.delay, 0).Seconds()
 	switch e.Outcome {
 	case OK:
-		a.attemptAnswered(t, took)
+		a.answerReceived(t, took)
 	case Errored, Reset, Unknown, ConnectFailed, ConnectTimeout:
 		a.release(t)
 		if e.Outcome == Reset && p.query.canary.resets == 0 && a.onIdleConn(t) && took < a.baseLatency(p.query)/2 {
@@ -78,7 +78,7 @@
 		p.mayRun, p.firstRun = true, t.sentAt
 	}
 	if e.Outcome != Cancelled {
-		p.endedQuickly = e.Outcome != TimedOut
+		p.cheapRetry = e.Outcome != TimedOut
 	}
 	if p.query.ended && p.openAttempts() == 0 {
 		delete(a.queries.parts, p.id)
@@ -86,7 +86,7 @@
 }
 
 // answered counts an answer. An answer to a later attempt also settles the ghosts before it.
-func (a *Aggregator) attemptAnswered(t *attempt, took float64) {
+func (a *Aggregator) answerReceived(t *attempt, took float64) {
 	r, p := t.replica, t.part
 	for _, g := range slices.Clone(r.calls.inFlight) {
 		if g == t || !g.open && g.sentAt <= t.sentAt {
--- a/aggregator/query.go
+++ b/aggregator/query.go
@@ -36,7 +36,7 @@
 	forecast     float64 // forecast at its query's admission, seconds
 	mayRun       bool
 	firstRun     time.Duration // when the first attempt that may have run was sent
-	endedQuickly bool          // the last attempt ended by itself, or its replica was ejected
+	cheapRetry bool          // the last attempt ended by itself, or its replica was ejected
 }
 
 func (p *part) openAttempts() (n int) {
@@ -95,7 +95,7 @@
 }
 
 // open counts the queries and parts held.
-func (a *Aggregator) heldItems() (n int) {
+func (a *Aggregator) heldCount() (n int) {
 	for _, q := range a.queries.live {
 		if !q.ended {
 			n += 1 + len(q.parts)
--- a/aggregator/retry.go
+++ b/aggregator/retry.go
@@ -40,10 +40,10 @@
 	}
 	// Where all are slow it is load, and a further attempt adds to it: another must be clearly faster.
 	r := a.pickReplica(p)
-	p.endedQuickly = last.replica.outlier.ejected || last.call.silenceCounted
+	p.cheapRetry = last.replica.outlier.ejected || last.call.silenceCounted
 	// Answers to what was sent later are in: this one may be lost, and holds up a query that has the rest.
 	_, left, _ := p.query.weights()
-	chase := p.endedQuickly || last.replica.latency.answeredSendAt >= last.sentAt && float64(left) <= stragglerPartShare*float64(len(p.query.parts))
+	chase := p.cheapRetry || last.replica.latency.answeredSendAt >= last.sentAt && float64(left) <= stragglerPartShare*float64(len(p.query.parts))
 	if !chase || r == nil || r.outlier.ejected || a.currentExcess(r) > (a.now-last.sentAt).Seconds()/2 || !a.withinRetryBudget(p) {
 		return a.now + 4*a.settings.Tick, false
 	}
@@ -102,7 +102,7 @@
 
 // cost is what a further attempt takes from the store: less where the last one spent little of a replica.
 func (p *part) retryCost() float64 {
-	if p.endedQuickly {
+	if p.cheapRetry {
 		return quickRetryCost
 	}
 	return 1
--- a/aggregator/step.go
+++ b/aggregator/step.go
@@ -41,7 +41,7 @@
 			a.closeQuery(q)
 		}
 	case ListChanged, ListReplaced, ListCached:
-		a.updateList(e)
+		a.updateEndpoints(e)
 	case ProbeEnded:
 		a.probeEnded(e)
 	case GossipReceived:
