--- a/aggregator/action.go
+++ b/aggregator/action.go
@@ -7,44 +7,44 @@
 // ActionKind names what is to be done.
 type ActionKind uint8
 
-// The actions of Step.
+// The actions of Step, with the fields that each sets.
 const (
-	Send          ActionKind = iota + 1 // Part, Replica, After: the attempt's time-out, Begin
+	Send          ActionKind = iota + 1 // Part, Replica, After: the attempt's time-out, BeginWithin
 	Cancel                              // Part, Attempt
-	Answer                              // Query, Whole
-	Reject                              // Query, Why, After: when to return
-	Fail                                // Query, Why
+	Answer                              // Query, Complete, Final
+	Reject                              // Query, Reason, After: when the client may retry
+	Fail                                // Query, Reason
 	Probe                               // Replica
-	Wake                                // After
-	PollEndpoints                       // nothing else
-	CloseIdle                           // Replica: its idle connections
-	SendGossip                          // Data: a message for all other front nodes, 256 bytes at most
+	Wake                                // After: when the next round is due
+	PollEndpoints                       // none
+	CloseIdle                           // Replica, whose idle connections are closed
+	SendGossip                          // Data: a message for all other aggregators, 256 bytes at most
 )
 
-// Reason is the cause of a query that is given up.
+// Reason is why a query was rejected or failed.
 type Reason uint8
 
-// The causes.
+// The reasons.
 const (
-	NoReplica         Reason = iota + 1 // a part that is needed has no holder that may be used
-	OverCapacity                        // too much is open here
-	ForecastTooLate                     // it can't be expected in its time
-	DeadlineExceeded                    // its time is over, or what is left of it is of no use
-	AttemptsExhausted                   // a part that is needed may not be tried again
-	QueryOfDeath                        // replicas broke under it
+	NoReplica         Reason = iota + 1 // a part that it needs has no replica that may be used
+	OverCapacity                        // too much is open
+	ForecastTooLate                     // it is not expected within its latency objective
+	DeadlineExceeded                    // its time is over, or what is left is of no use
+	AttemptsExhausted                   // a part that it needs may not be sent again
+	QueryOfDeath                        // replicas crashed under it
 )
 
-// Action is one thing to be done, in order.
+// Action is one thing to be done; Kind says which of the other fields are set.
 type Action struct {
 	Kind        ActionKind
 	Query       string
 	Part        string
 	Replica     string
-	Attempt     int
+	Attempt     int    // index among the attempts of the part
 	Complete    bool   // the answer is complete
 	Final       bool   // no second step follows the answer
-	Reason      Reason // Refuse, Fail
+	Reason      Reason // of Reject and Fail
 	After       time.Duration
-	BeginWithin time.Duration // Send: within it or never, as what may run twice is then no longer dropped
+	BeginWithin time.Duration // the part runs within it or not at all, as a repeat is no longer dropped afterwards
 	Data        []byte
 }
--- a/aggregator/admission.go
+++ b/aggregator/admission.go
@@ -8,154 +8,211 @@
 )
 
 const (
-	maxRecentPriorities  = 128  // recent queries that a new one is ranked among
-	admitShareLowest  = 0.50 // share of the aim within which the least worthy query must be expected
-	admitShareHighest = 1.00 // and the worthiest
-	stragglerFactor   = 0.75 // excesses of the fleet for each e-fold of parts: a query's parts are slow together
-	shedMultiple      = 6.0  // usual latencies in the forecast above which an answer does without a part
-	uncontendedShare  = 0.8  // share of the open queries and parts above which only worthy queries enter
+	// maxRecentPriorities is how many recent queries a new one is ranked among.
+	maxRecentPriorities = 128
+	// samePriority is by which share two priorities may differ and count as equal.
+	samePriority = 0.01
+	// admitShareLowest is the share of the time to the objective within which the query of lowest rank must be expected.
+	admitShareLowest = 0.50
+	// admitShareHighest is the same for the query of highest rank.
+	admitShareHighest = 1.00
+	// secondStepForecast is how much longer a query with a second step takes than its first step.
+	secondStepForecast = 1.5
+	// stragglerFactor is how many median excesses the last part comes later for each e-fold of parts. It is below 1, as the
+	// parts of one query are slow together.
+	stragglerFactor = 0.75
+	// shedMultiple is how many base latencies a part must be expected to take for an answer to do without it.
+	shedMultiple = 6.0
+	// uncontendedShare is the share of Limits.MaxOpen that any query may fill; the rest is for those of high rank.
+	uncontendedShare = 0.8
+	// minWork is the least work, in seconds, that a priority is divided by.
+	minWork = 1e-3
+	// fetchPartWork is the work of a part of the second step, as a share of one of the first.
+	fetchPartWork = 0.5
+	// quotaWindow is over which time the queries of a tenant are counted.
+	quotaWindow = 2 * time.Second
+	// quotaBurst is how many queries within quotaWindow a tenant may send beyond its rate.
+	quotaBurst = 3
+	// maxTenantRetries is how many retries within quotaWindow are never held against a tenant.
+	maxTenantRetries = 2
 )
 
-// admit decides on a new query. It is let in if it can be expected within a share of its aim that grows
-// with its worth for the work, compared with the queries seen lately; so load that can't be served is
-// turned away early, the least worthy first, and more of it the longer the wait has grown.
+// admissionState is what admission compares a new query with.
+type admissionState struct {
+	tenantQueries []slidingWindow // by tenant
+	tenantRetries []slidingWindow // by tenant; those of the queries that a client had sent before
+	priorities    recentPriorities
+}
+
+// admit decides whether a new query is served, and sets the reason of its rejection otherwise. It sheds load early: a query
+// is admitted if it is expected within a share of its latency objective that grows with its rank, so the queries of least
+// priority for their work are rejected first, and more of them the longer the wait has grown.
 func (a *Aggregator) admit(q *query) bool {
 	q.admitted = true
 	rank := a.priorityRank(q)
+	byForecast := a.forecastParts(q)
+	wait := a.forecastQuery(q, byForecast)
+	allowed := (admitShareLowest + (admitShareHighest-admitShareLowest)*rank) * (q.objective - a.now).Seconds()
+	switch {
+	case math.IsInf(wait, 1):
+		q.rejection = NoReplica
+	case a.overCapacity(rank):
+		q.rejection = OverCapacity
+	case wait > allowed:
+		q.rejection = ForecastTooLate
+	default:
+		a.shedParts(q, byForecast)
+		return true
+	}
+	return false
+}
+
+// overCapacity tells whether too much is open for a query of the given rank.
+func (a *Aggregator) overCapacity(rank float64) bool {
+	limit := float64(a.settings.Limits.MaxOpen)
+	return limit > 0 && float64(a.heldCount()) > limit*(uncontendedShare+(1-uncontendedShare)*rank)
+}
+
+// forecastParts forecasts each part of a query and returns the parts, those expected soonest first.
+func (a *Aggregator) forecastParts(q *query) []*part {
 	for _, p := range q.parts {
 		p.forecast = a.forecast(p)
 	}
-	soonest := slices.Clone(q.parts)
-	slices.SortFunc(soonest, func(p, o *part) int { return cmp.Compare(p.forecast, o.forecast) })
+	byForecast := slices.Clone(q.parts)
+	slices.SortFunc(byForecast, func(p, o *part) int { return cmp.Compare(p.forecast, o.forecast) })
+	return byForecast
+}
+
+// forecastQuery is how long a query may take, in seconds, until the weight that it needs is in; infinite where a part that
+// it needs has no replica.
+func (a *Aggregator) forecastQuery(q *query, byForecast []*part) float64 {
 	wait, sum := 0.0, 0.0
-	for _, p := range soonest {
+	for _, p := range byForecast {
 		if sum < a.requiredShare(q) {
 			wait, sum = p.forecast, sum+p.weight
 		}
 	}
-	if q.rejection = NoReplica; math.IsInf(wait, 1) {
-		return false
-	}
-	if wait += a.stragglerWait(q); a.settings.Classes[q.class].FetchParts > 0 {
-		wait *= 1.5
+	if math.IsInf(wait, 1) {
+		return wait
 	}
-	q.rejection = OverCapacity
-	if m := float64(a.settings.Limits.MaxOpen); m > 0 && float64(a.heldCount()) > m*(uncontendedShare+(1-uncontendedShare)*rank) {
-		return false
+	wait += a.stragglerWait(q)
+	if a.settings.Classes[q.class].FetchParts > 0 {
+		wait *= secondStepForecast
 	}
-	q.rejection = ForecastTooLate
-	if wait > (admitShareLowest+(admitShareHighest-admitShareLowest)*rank)*(q.objective-a.now).Seconds() {
-		return false
-	}
-	a.shedParts(q, soonest)
-	return true
+	return wait
 }
 
-// shedParts leaves out at once the parts that an answer can do without and whose holders are all pressed, the
-// slowest first. They would come late or not at all, and take what queries need that must have all their
-// parts. Half of what may be missing is kept for parts that fail. Where few nodes share the load, each knows
-// it from its own parts, and one that is expected within the aim comes; of many, each hears of a jam late.
-func (a *Aggregator) shedParts(q *query, soonest []*part) {
-	c, rest := &a.settings.Classes[q.class], 1.0
-	if c.PartialShare == 0 || c.FetchParts > 0 {
-		return
-	}
-	pressed := math.Max(shedMultiple*a.baseLatency(q), a.visibleShare()*admitShareLowest*(q.objective-a.now).Seconds())
-	for _, p := range slices.Backward(soonest) {
-		if p.forecast < pressed || rest-p.weight < (c.MinShare+c.CompleteShare)/2 {
-			return
-		}
-		p.abandoned, rest = true, rest-p.weight
-	}
-}
-
-// forecast is how long a part may take at the best holder, an ejected one only where there is no other.
+// forecast is how long a part may take at its best holder, in seconds; an ejected one counts only where there is no other.
 func (a *Aggregator) forecast(p *part) float64 {
-	best, spare := math.Inf(1), math.Inf(1)
+	best, bestEjected := math.Inf(1), math.Inf(1)
 	for _, r := range a.holders(p.shard) {
 		switch {
 		case !a.usable(p, r):
 		case r.outlier.ejected:
-			spare = math.Min(spare, a.expectedLatency(p.query, r))
+			bestEjected = math.Min(bestEjected, a.expectedLatency(p.query, r))
 		default:
 			best = math.Min(best, a.expectedLatency(p.query, r))
 		}
 	}
 	if math.IsInf(best, 1) {
-		return spare
+		return bestEjected
 	}
 	return best
 }
 
-// rank places a query among the recent ones by worth for work, from 0 (least) to 1. What a tenant asks
-// above its share counts for little.
+// stragglerWait is by how many seconds the last part that a query needs may come after a typical one. The largest of n
+// exponential waits is ln n means on average, and the forecast of a part holds one of them. It uses the median replica: a
+// few slow ones are no load that rejections would ease.
+func (a *Aggregator) stragglerWait(q *query) float64 {
+	spareShare := max(1-a.requiredShare(q), 1/float64(max(len(q.parts), 1)))
+	return stragglerFactor * a.latency.medianExcess * math.Max(-math.Log(spareShare)-1, 0)
+}
+
+// shedParts leaves out the parts that the answer can do without and that are expected late, the slowest first: they would
+// take what queries need that must have all their parts. Half of the weight that may be missing is kept for parts that
+// fail. The fewer aggregators share the load, the better each knows it, and a part expected well within the objective is
+// then sent.
+func (a *Aggregator) shedParts(q *query, byForecast []*part) {
+	c, rest := &a.settings.Classes[q.class], 1.0
+	if c.PartialShare == 0 || c.FetchParts > 0 {
+		return
+	}
+	late := math.Max(shedMultiple*a.baseLatency(q), a.visibleShare()*admitShareLowest*(q.objective-a.now).Seconds())
+	for _, p := range slices.Backward(byForecast) {
+		if p.forecast < late || rest-p.weight < (c.MinShare+c.CompleteShare)/2 {
+			return
+		}
+		p.abandoned, rest = true, rest-p.weight
+	}
+}
+
+// priorityRank places a query among the recent ones by priority for its work, from 0 (lowest) to 1 (highest).
 func (a *Aggregator) priorityRank(q *query) float64 {
-	c := &a.settings.Classes[q.class]
-	worth := c.Priority
+	q.priority = a.settings.Classes[q.class].Priority
 	if !a.settings.PriorityPerWork {
-		work := float64(len(q.parts)) * a.baseLatency(q)
-		if c.FetchParts > 0 {
-			work *= 1 + 0.5*float64(c.FetchParts)/float64(max(len(q.parts), 1))
-		}
-		worth /= math.Max(work, 1e-3)
+		q.priority /= math.Max(a.queryWork(q), minWork)
 	}
-	if q.tenant >= 0 && q.tenant < len(a.admission.tenantQueries) {
-		w, again := &a.admission.tenantQueries[q.tenant], &a.admission.tenantRetries[q.tenant]
-		if w.times = append(w.times, a.now); q.retry {
-			again.times = append(again.times, a.now)
-		}
-		share, since := a.settings.Tenants[q.tenant].Rate/float64(a.settings.Aggregators), a.now-2*time.Second
-		// Where most of what a tenant asks is asked again, its retries count as over its share.
-		asked, repeats := float64(w.countSince(since)), float64(again.countSince(since))
-		if asked > 2*share+3 || q.retry && repeats > 2 && 2*repeats > asked {
-			worth *= a.settings.OverQuotaFactor
-		}
+	if a.overQuota(q) {
+		q.priority *= a.settings.OverQuotaFactor
 	}
-	q.priority = worth
-	below, equal, n := a.admission.priorities.compareAndAdd(worth)
-	if n == 0 {
+	position := a.admission.priorities.add(q.priority)
+	if position.total == 0 {
 		return 1
 	}
-	return (below + equal*a.rng.Float64()) / n
+	return (position.lower + position.equal*a.rng.Float64()) / position.total
 }
 
-// stragglerWait is by how much the last part that a query needs may come after a typical one. The largest of
-// n waits that fall off exponentially lies ln n means above none, and the forecast of a part holds one. It
-// goes by what the median replica shows: a few slow or pausing ones are no load that refusals would ease.
-func (a *Aggregator) stragglerWait(q *query) float64 {
-	missed := max(1-a.requiredShare(q), 1/float64(max(len(q.parts), 1)))
-	return stragglerFactor * a.latency.medianExcess * math.Max(-math.Log(missed)-1, 0)
+// queryWork is the work that a query is expected to bring over all its steps, in seconds.
+func (a *Aggregator) queryWork(q *query) float64 {
+	work := float64(len(q.parts)) * a.baseLatency(q)
+	if fetch := a.settings.Classes[q.class].FetchParts; fetch > 0 {
+		work *= 1 + fetchPartWork*float64(fetch)/float64(max(len(q.parts), 1))
+	}
+	return work
 }
 
-// recent holds the latest values of a stream.
+// overQuota counts a query of a tenant and tells whether it goes beyond the tenant's rate, or is a retry of one most of
+// whose queries are retries.
+func (a *Aggregator) overQuota(q *query) bool {
+	if q.tenant < 0 || q.tenant >= len(a.admission.tenantQueries) {
+		return false
+	}
+	queries, retries := &a.admission.tenantQueries[q.tenant], &a.admission.tenantRetries[q.tenant]
+	queries.add(a.now)
+	if q.retry {
+		retries.add(a.now)
+	}
+	rate, since := a.settings.Tenants[q.tenant].Rate/float64(a.settings.Aggregators), a.now-quotaWindow
+	queryCount, retryCount := float64(queries.countSince(since)), float64(retries.countSince(since))
+	mostlyRetries := q.retry && retryCount > maxTenantRetries && 2*retryCount > queryCount
+	return queryCount > quotaWindow.Seconds()*rate+quotaBurst || mostlyRetries
+}
+
+// recentPriorities holds the priorities of the queries seen lately.
 type recentPriorities struct {
 	values []float64
-	seen   int
+	seen   int // queries so far
 }
 
-// place adds x and counts how many of the n values before it lie below it, and how many equal it.
-func (r *recentPriorities) compareAndAdd(x float64) (below, equal, n float64) {
-	for _, w := range r.values {
+// priorityPosition is how many recent priorities lie below a new one and how many equal it, of how many.
+type priorityPosition struct{ lower, equal, total float64 }
+
+// add adds a priority and returns its position among those before it.
+func (r *recentPriorities) add(priority float64) (position priorityPosition) {
+	for _, earlier := range r.values {
 		switch {
-		case w < x*0.99:
-			below++
-		case w < x*1.01:
-			equal++
+		case earlier < priority*(1-samePriority):
+			position.lower++
+		case earlier < priority*(1+samePriority):
+			position.equal++
 		}
 	}
-	n = float64(len(r.values))
+	position.total = float64(len(r.values))
 	if len(r.values) < maxRecentPriorities {
-		r.values = append(r.values, x)
+		r.values = append(r.values, priority)
 	} else {
-		r.values[r.seen%maxRecentPriorities] = x
+		r.values[r.seen%maxRecentPriorities] = priority
 	}
 	r.seen++
-	return below, equal, n
-}
-
-// admissionState is what admission compares a new query with.
-type admissionState struct {
-	tenantQueries []slidingWindow
-	tenantRetries []slidingWindow // of the tenants' queries those that a client had sent before
-	priorities    recentPriorities    // of the queries seen lately
+	return position
 }
--- a/aggregator/answer.go
+++ b/aggregator/answer.go
@@ -5,41 +5,41 @@
 	"time"
 )
 
-const (
-	weightTolerance = 5e-5 // by which all weights may fall short of 1: half of what the rules allow
-)
+// weightTolerance is by how much the weights of all parts may fall short of 1, as the wire rounds them.
+const weightTolerance = 5e-5
 
 // advance moves one query on and returns when it next needs attention.
 func (a *Aggregator) advance(q *query) time.Duration {
-	got, open, _ := q.weights()
-	late, next := q.objective-3*a.settings.Tick, q.deadline-2*a.settings.Tick
-	early := late - a.secondStepTime(q)
+	progress, times := q.progress(), a.timesOf(q)
+	complete := q.step == 0 && progress.weight >= a.settings.Classes[q.class].CompleteShare-weightTolerance
 	switch {
 	case q.ended:
-	case a.now >= next:
+	case a.now >= times.end:
 		a.settle(q, DeadlineExceeded)
 	case len(q.parts) < q.partCount:
-		return next
+		return times.end
 	case !q.admitted && !a.admit(q):
 		a.giveUp(q, q.rejection)
-	case open == 0 || q.step == 0 && got >= a.settings.Classes[q.class].CompleteShare-weightTolerance:
+	case progress.pending == 0 || complete:
 		a.settle(q, AttemptsExhausted)
-	case a.now >= early && a.prefersPartial(q, got), a.now >= late && a.usefulUntil(q) == q.objective:
+	case a.now >= times.early && a.prefersPartial(q, progress.weight),
+		a.now >= times.late && a.usefulUntil(q) == q.objective:
 		a.settle(q, DeadlineExceeded)
 	case q.canary.resets >= queryOfDeathResets && !q.canary.answered:
 		a.queryOfDeath.lastFound = a.now
 		a.giveUp(q, QueryOfDeath)
-	case a.now < early:
-		return a.dispatchParts(q, early)
-	case a.now < late:
-		return a.dispatchParts(q, late)
+	case a.now < times.early:
+		return a.dispatchParts(q, times.early)
+	case a.now < times.late:
+		return a.dispatchParts(q, times.late)
 	default:
-		return a.dispatchParts(q, next)
+		return a.dispatchParts(q, times.end)
 	}
 	return math.MaxInt64
 }
 
-// least is the share of the weight from which a step can be answered at all; weights may be rounded.
+// requiredShare is the least share of the weight that may be answered, less the tolerance. The second step of a class
+// without partial answers needs all its parts.
 func (a *Aggregator) requiredShare(q *query) float64 {
 	c := &a.settings.Classes[q.class]
 	if q.step > 0 && c.MinShare >= c.CompleteShare {
@@ -48,56 +48,63 @@
 	return min(c.CompleteShare, c.MinShare) - weightTolerance
 }
 
-// settle ends a query with the best that is in: a whole answer, a partial one, or none.
-func (a *Aggregator) settle(q *query, why Reason) {
+// settle ends the step of a query with what is in: a complete answer, a partial one, or none for the given reason.
+func (a *Aggregator) settle(q *query, reason Reason) {
 	c := &a.settings.Classes[q.class]
-	got, _, missing := q.weights()
-	whole := got >= c.CompleteShare-weightTolerance
-	if q.step > 0 {
-		whole = missing == 0 && q.firstStepComplete
-	}
-	if got < a.requiredShare(q) || len(q.parts) < q.partCount {
-		a.giveUp(q, why)
+	progress := q.progress()
+	if progress.weight < a.requiredShare(q) || len(q.parts) < q.partCount {
+		a.giveUp(q, reason)
 		return
 	}
 	if q.step == 0 && c.FetchParts > 0 {
-		if q.deadline-a.now <= 2*a.settings.Tick {
-			a.giveUp(q, DeadlineExceeded) // an answer now would open a second step and end nothing
-			return
-		}
-		done := 0
-		for _, p := range q.parts {
-			if p.answered {
-				done++
-			}
-			a.dropPart(p)
-		}
-		q.step, q.firstStepComplete, q.parts, q.partCount = 1, whole, nil, min(c.FetchParts, done)
-		a.out = append(a.out, Action{Kind: Answer, Query: q.id, Complete: whole})
+		a.openSecondStep(q, progress.weight >= c.CompleteShare-weightTolerance)
 		return
 	}
-	a.out = append(a.out, Action{Kind: Answer, Query: q.id, Complete: whole, Final: true})
+	complete := progress.weight >= c.CompleteShare-weightTolerance
+	if q.step > 0 {
+		complete = progress.missing == 0 && q.firstStepComplete
+	}
+	a.act(Action{Kind: Answer, Query: q.id, Complete: complete, Final: true})
 	a.closeQuery(q)
 }
 
-// giveUp ends a query without an answer, at once. A refusal says that asking again is harmless and when;
-// where a part that must not be repeated freely may have run, only a failure is honest.
-func (a *Aggregator) giveUp(q *query, why Reason) {
-	kind, wait := Reject, time.Duration(0)
+// openSecondStep answers the first step of a query, which opens the second, or gives the query up where no time is left:
+// an answer would then open a step and never end the query.
+func (a *Aggregator) openSecondStep(q *query, complete bool) {
+	if q.deadline-a.now <= deadlineMarginTicks*a.settings.Tick {
+		a.giveUp(q, DeadlineExceeded)
+		return
+	}
+	answered := 0
+	for _, p := range q.parts {
+		if p.answered {
+			answered++
+		}
+		a.dropPart(p)
+	}
+	q.step, q.firstStepComplete, q.parts = 1, complete, nil
+	q.partCount = min(a.settings.Classes[q.class].FetchParts, answered)
+	a.act(Action{Kind: Answer, Query: q.id, Complete: complete})
+}
+
+// giveUp ends a query without an answer: rejected, which tells the client that it may send it again and when, or failed
+// where a part that must not run twice may have run.
+func (a *Aggregator) giveUp(q *query, reason Reason) {
+	kind, retryAfter := Reject, time.Duration(0)
 	for _, p := range q.parts {
-		if a.settings.Classes[q.class].Effect != Safe && (p.mayRun || p.openAttempts() > 0) {
+		if a.settings.Classes[q.class].Effect != Safe && (p.mayHaveRun || p.openAttempts() > 0) {
 			kind = Fail
 		}
 	}
 	if a.settings.Limits.SendRetryAfter && kind == Reject {
-		s := a.latency.medianExcess + a.typicalLatency()*(1+a.rng.Float64())
-		wait = min(scale(s, time.Second), a.settings.Limits.MaxRetryAfter)
+		seconds := a.latency.medianExcess + a.typicalLatency()*(1+a.rng.Float64())
+		retryAfter = min(scale(seconds, time.Second), a.settings.Limits.MaxRetryAfter)
 	}
-	a.out = append(a.out, Action{Kind: kind, Query: q.id, Reason: why, After: wait})
+	a.act(Action{Kind: kind, Query: q.id, Reason: reason, After: retryAfter})
 	a.closeQuery(q)
 }
 
-// reachable tells whether the parts that are in or may still come can make an answer.
+// answerable tells whether the parts that are in or may still come suffice for an answer.
 func (a *Aggregator) answerable(q *query) bool {
 	sum := 0.0
 	for _, p := range q.parts {
@@ -108,8 +115,9 @@
 	return sum >= a.requiredShare(q)
 }
 
-// partialPays tells whether a partial answer now beats a whole one after the aim.
-func (a *Aggregator) prefersPartial(q *query, got float64) bool {
+// prefersPartial tells whether a partial answer from the given weight earns more now than a complete one after the
+// latency objective.
+func (a *Aggregator) prefersPartial(q *query, weight float64) bool {
 	c := &a.settings.Classes[q.class]
-	return got >= c.MinShare && c.MinShare < c.CompleteShare && c.PartialShare*got/c.CompleteShare > c.LateShare
+	return weight >= c.MinShare && c.MinShare < c.CompleteShare && c.PartialShare*weight/c.CompleteShare > c.LateShare
 }
--- a/aggregator/canary.go
+++ b/aggregator/canary.go
@@ -6,44 +6,59 @@
 )
 
 const (
-	queryOfDeathResets = 2    // replicas that may break under a query without any answer
-	canaryFleetShare   = 0.12 // share of the fleet that a query may touch before its first answer
-	canaryWaitShare    = 0.12 // share of the aim that the rest waits for that answer
+	// queryOfDeathResets is how many resets without any answer make a query a query of death.
+	queryOfDeathResets = 2
+	// canaryFleetShare is the share of the replicas that a query may be sent to before its first answer.
+	canaryFleetShare = 0.12
+	// canaryWaitShare is for which share of the latency objective the other parts wait for that answer.
+	canaryWaitShare = 0.12
 )
 
-// canaryLimit is how many parts of a query may go out now. A query that breaks what runs it shows nothing
-// before, so until a part is answered it may touch a small share of the fleet, and one replica while on guard
-// or once a part was reset. It also spares a fleet that fails for other reasons; it costs a part's latency.
-func (a *Aggregator) canaryLimit(q *query) (room int, until time.Duration) {
-	until = q.canary.firstSend + scale(canaryWaitShare, a.settings.Classes[q.class].LatencyObjective)
-	shaken := q.canary.resets > 0 || q.canary.idleReset
-	if a.queryOfDeath.lastCrash == 0 && !shaken || q.canary.answered || q.canary.firstSend > 0 && !shaken && a.now >= until {
-		return math.MaxInt32, until
-	}
-	room = max(1, int(canaryFleetShare*float64(len(a.endpoints.replicas))))
-	if a.queryOfDeath.lastFound > 0 && a.now-a.queryOfDeath.lastFound < a.settings.Rules.WarmupTime || shaken {
-		room = 1
-	}
-	for _, p := range q.parts {
-		for _, t := range p.attempts {
-			if t.open && t.call.first == t {
-				room--
-			}
-		}
-	}
-	return room, until
-}
-
-// queryOfDeathGuard notes the signs that a query breaks the replicas that run it.
+// queryOfDeathGuard notes the signs that queries crash the replicas that run them.
 type queryOfDeathGuard struct {
 	lastCrash time.Duration // a replica last died without draining; 0 for never
-	lastFound time.Duration // a query last broke the replicas that ran it; 0 for never
+	lastFound time.Duration // a query was last given up as a query of death; 0 for never
 }
 
-// queryCanary is what the first parts of a query show.
+// queryCanary is what the first parts of a query have shown.
 type queryCanary struct {
 	firstSend time.Duration // of any part; 0 for none
 	resets    int           // attempts that ended with the connection reset
 	idleReset bool          // an attempt on an idle connection was reset
 	answered  bool          // a part was answered
 }
+
+// canaryLimit returns how many calls a query may open now, and until when that holds.
+//
+// It guards against a query of death (Beyer et al., "Site Reliability Engineering", chapter 22): a query that crashes each
+// replica that runs it takes down one replica after another as its parts are retried. The engineer on call sees replicas of
+// several shards restart within a second, and clients that send the same query again. Until a part is answered, a query
+// therefore reaches a small share of the fleet only, and one replica at a time after a reset or while a query of death was
+// seen lately; after queryOfDeathResets it is given up. The limit costs the latency of one part, and holds only while a
+// replica has crashed before.
+func (a *Aggregator) canaryLimit(q *query) (calls int, until time.Duration) {
+	canary := &q.canary
+	until = canary.firstSend + scale(canaryWaitShare, a.settings.Classes[q.class].LatencyObjective)
+	suspect := canary.resets > 0 || canary.idleReset
+	waited := canary.firstSend > 0 && a.now >= until
+	if a.queryOfDeath.lastCrash == 0 && !suspect || canary.answered || waited && !suspect {
+		return math.MaxInt32, until
+	}
+	calls = max(1, int(canaryFleetShare*float64(len(a.endpoints.replicas))))
+	if suspect || a.queryOfDeath.lastFound > 0 && a.now-a.queryOfDeath.lastFound < a.settings.Rules.WarmupTime {
+		calls = 1
+	}
+	return calls - q.openCalls(), until
+}
+
+// openCalls counts the calls of a query that are open, each by its first attempt.
+func (q *query) openCalls() (n int) {
+	for _, p := range q.parts {
+		for _, t := range p.attempts {
+			if t.open && t.call.first == t {
+				n++
+			}
+		}
+	}
+	return n
+}
--- a/aggregator/endpoints.go
+++ b/aggregator/endpoints.go
@@ -7,8 +7,12 @@
 )
 
 const (
-	removedLifetime = 40.0 // longest aims for which a replica that has left the list may come back as it was
-	firstPollShare  = 0.06 // share of the rule's time between list calls over which the first one is spread
+	// removedLifetime is for how many longest latency objectives a replica that left the list is remembered.
+	removedLifetime = 40.0
+	// firstPollShare is the share of Rules.PollInterval over which the first poll is spread. It doubles with each failure.
+	firstPollShare = 0.06
+	// maxPollDoublings bounds the growth, so that the pause stays below a quarter of the interval.
+	maxPollDoublings = 2
 )
 
 // replica is one data node of the endpoint list and what this aggregator knows of it.
@@ -26,24 +30,41 @@
 	peerLoad  peerLoad
 }
 
-// requestList subscribes to the list where it must be asked for: at the start, and after each refusal with a
-// pause that doubles up to a quarter of the time after which the drain rule takes what is listed as told.
-// Pauses are drawn at random, so that nodes that start together don't ask in step.
+// endpointList holds the replicas that discovery lists, and for a while those that it has listed.
+type endpointList struct {
+	byName    map[string]*replica
+	byTag     map[uint16]*replica
+	replicas  []*replica   // in order of their first listing
+	shardSets [][]*replica // by the set of shards that they hold
+	listed    bool         // a list has come in
+	poller    endpointPoller
+}
+
+// endpointPoller asks for the endpoint list where that is needed.
+type endpointPoller struct {
+	failed   bool          // the last poll failed, or none was made yet: the next is to be scheduled
+	nextPoll time.Duration // when the next poll is due; the largest value for never
+	failures int           // polls in a row that failed, maxPollDoublings at most
+}
+
+// pollEndpoints asks for the endpoint list at the start, and after each failure with a backoff. The pauses are random, so
+// that aggregators that start together don't poll together.
 func (a *Aggregator) pollEndpoints() {
-	if a.endpoints.poller.failed {
-		a.endpoints.poller.failed = false
-		share := firstPollShare * math.Exp2(float64(a.endpoints.poller.failures)) * a.rng.Float64()
-		a.endpoints.poller.nextPoll = a.now + scale(share, max(a.settings.Rules.PollInterval, a.maxObjective()))
-		a.endpoints.poller.failures = min(a.endpoints.poller.failures+1, 2)
+	poller := &a.endpoints.poller
+	if poller.failed {
+		poller.failed = false
+		share := firstPollShare * math.Exp2(float64(poller.failures)) * a.rng.Float64()
+		poller.nextPoll = a.now + scale(share, max(a.settings.Rules.PollInterval, a.maxObjective()))
+		poller.failures = min(poller.failures+1, maxPollDoublings)
 	}
-	if a.now >= a.endpoints.poller.nextPoll {
-		a.endpoints.poller.nextPoll = math.MaxInt64
-		a.out = append(a.out, Action{Kind: PollEndpoints})
+	if a.now >= poller.nextPoll {
+		poller.nextPoll = math.MaxInt64
+		a.act(Action{Kind: PollEndpoints})
 	}
 }
 
-// updateList brings the fleet up to date. What it says of draining is binding at once, well within the grace;
-// that a replica runs is a hint only.
+// updateEndpoints takes in a change of the endpoint list, or a complete list. That a replica drains or is gone holds at
+// once; that it serves is a hint only.
 func (a *Aggregator) updateEndpoints(e *Event) {
 	if e.Kind != ListChanged {
 		for _, r := range a.endpoints.replicas {
@@ -52,50 +73,72 @@
 		}
 	}
 	for _, m := range e.Members {
-		if m.ShardSet < 0 || m.ShardSet >= a.settings.ShardSets {
-			continue
-		}
-		r := a.endpoints.byName[m.Replica]
-		if r == nil {
-			r = &replica{member: m, tag: replicaTag(m.Replica)}
-			a.endpoints.byName[m.Replica], a.endpoints.byTag[r.tag] = r, r
-			a.endpoints.replicas = append(a.endpoints.replicas, r)
-			a.endpoints.shardSets[m.ShardSet] = append(a.endpoints.shardSets[m.ShardSet], r)
-			a.startSlowStart(r, m.Started, a.endpoints.listed && m.Started == 0)
-		} else if m.Started > r.member.Started {
-			a.startSlowStart(r, m.Started, false)
-		}
-		if r.member.State == Serving && m.State == Gone {
-			a.queryOfDeath.lastCrash = a.now
-		}
-		a.moveShardSet(r, m.ShardSet)
-		if r.member, r.excluded = m, m.State != Serving; m.State == Gone {
-			r.markRemoved(a.now)
-		} else {
-			r.removedAt = 0
+		if m.ShardSet >= 0 && m.ShardSet < a.settings.ShardSets {
+			a.updateMember(m)
 		}
 	}
 	a.endpoints.listed, a.endpoints.poller.failures = true, 0
 }
 
-// rehouse moves a replica whose cell has changed.
-func (a *Aggregator) moveShardSet(r *replica, cell int) {
-	if cell != r.member.ShardSet {
-		old := &a.endpoints.shardSets[r.member.ShardSet]
-		*old = slices.DeleteFunc(*old, func(o *replica) bool { return o == r })
-		a.endpoints.shardSets[cell] = append(a.endpoints.shardSets[cell], r)
+// updateMember takes in one entry of the endpoint list.
+func (a *Aggregator) updateMember(m Member) {
+	r := a.endpoints.byName[m.Replica]
+	if r == nil {
+		r = a.addReplica(m)
+	} else if m.Started > r.member.Started {
+		a.startSlowStart(r, m.Started)
+	}
+	if r.member.State == Serving && m.State == Gone {
+		a.queryOfDeath.lastCrash = a.now
+	}
+	a.moveShardSet(r, m.ShardSet)
+	r.member, r.excluded = m, m.State != Serving
+	if m.State == Gone {
+		r.markRemoved(a.now)
+	} else {
+		r.removedAt = 0
+	}
+}
+
+// addReplica adds a replica that was not listed before. Without a time of start it has started about now, unless it is in
+// the first list.
+func (a *Aggregator) addReplica(m Member) *replica {
+	r := &replica{member: m, tag: replicaTag(m.Replica)}
+	list := &a.endpoints
+	list.byName[m.Replica], list.byTag[r.tag] = r, r
+	list.replicas = append(list.replicas, r)
+	list.shardSets[m.ShardSet] = append(list.shardSets[m.ShardSet], r)
+	started := m.Started
+	if list.listed && started == 0 {
+		started = a.now
+	}
+	a.startSlowStart(r, started)
+	return r
+}
+
+// moveShardSet moves a replica whose set of shards has changed.
+func (a *Aggregator) moveShardSet(r *replica, set int) {
+	if set == r.member.ShardSet {
+		return
 	}
+	a.removeFromShardSet(r)
+	a.endpoints.shardSets[set] = append(a.endpoints.shardSets[set], r)
 }
 
-// leave notes that a replica is listed no more.
+func (a *Aggregator) removeFromShardSet(r *replica) {
+	set := &a.endpoints.shardSets[r.member.ShardSet]
+	*set = slices.DeleteFunc(*set, func(o *replica) bool { return o == r })
+}
+
+// markRemoved notes that a replica is no longer listed.
 func (r *replica) markRemoved(now time.Duration) {
 	if r.removedAt == 0 {
 		r.removedAt = now
 	}
 }
 
-// forgets lets go of a replica that left the list long ago and has nothing out: new ones come under new names for
-// as long as the program runs. One that is back before is known by what it showed.
+// forget removes a replica that left the list long ago and has nothing in flight, and tells whether it did. Replicas come
+// under new names for as long as the program runs; one that returns earlier is known by what it has shown.
 func (a *Aggregator) forget(r *replica) bool {
 	if r.removedAt == 0 || a.now-r.removedAt < scale(removedLifetime, a.maxObjective()) || len(r.calls.inFlight) > 0 {
 		return false
@@ -104,36 +147,18 @@
 	if a.endpoints.byTag[r.tag] == r {
 		delete(a.endpoints.byTag, r.tag)
 	}
-	cell := &a.endpoints.shardSets[r.member.ShardSet]
-	*cell = slices.DeleteFunc(*cell, func(o *replica) bool { return o == r })
+	a.removeFromShardSet(r)
 	return true
 }
 
-// holders lists the replicas that hold a shard.
+// holders returns the replicas that hold a shard.
 func (a *Aggregator) holders(shard int) []*replica {
 	if a.settings.Reach == 1 {
 		return a.endpoints.shardSets[shard%a.settings.ShardSets]
 	}
 	var all []*replica
-	for j := range a.settings.Reach {
-		all = append(all, a.endpoints.shardSets[(shard+j)%a.settings.ShardSets]...)
+	for i := range a.settings.Reach {
+		all = append(all, a.endpoints.shardSets[(shard+i)%a.settings.ShardSets]...)
 	}
 	return all
 }
-
-// endpointList holds the replicas that discovery listed.
-type endpointList struct {
-	byName    map[string]*replica
-	byTag     map[uint16]*replica
-	replicas  []*replica
-	shardSets [][]*replica // replicas by the set of shards that they hold
-	listed    bool         // a list has come in
-	poller    endpointPoller
-}
-
-// endpointPoller subscribes to the endpoint list.
-type endpointPoller struct {
-	failed   bool          // the next poll is to be scheduled
-	nextPoll time.Duration // when the next poll is due; the largest value for never
-	failures int           // polls that failed in a row, counted to 2
-}
--- a/aggregator/gossip.go
+++ b/aggregator/gossip.go
@@ -6,120 +6,132 @@
 	"time"
 )
 
-// peerBytes is the most that a message between front nodes holds.
-const maxGossipBytes = 256
-
-// newsSteps is how many steps the longest aim has.
-const gossipSteps = 127
+const (
+	// maxGossipBytes is the most bytes that a gossip message holds.
+	maxGossipBytes = 256
+	// gossipEntryBytes is the size of an entry: two bytes for the replica's tag, one for kind and duration.
+	gossipEntryBytes = 3
+	// gossipSteps is how many steps of duration the longest latency objective has. The third byte of an entry holds the step
+	// of work sent, or gossipSteps plus the step of an excess.
+	gossipSteps = 127
+	// minGossipTicks is after how many ticks without a message an excess is sent.
+	minGossipTicks = 10
+)
 
-// newsKind is what one entry of a message tells of a replica.
+// gossipKind is what an entry says of a replica.
 type gossipKind uint8
 
 const (
-	gossipSent   gossipKind = iota // work was sent to it
-	gossipExcess                   // an answer took so much longer than on an unloaded replica
+	gossipSent   gossipKind = iota // work of the given duration was sent to it
+	gossipExcess                   // an answer exceeded the base latency by the given duration
 )
 
-// news is one entry: two bytes that stand for the replica's name and one for kind and span. Spans are told
-// in steps of a share of the longest aim, which all nodes are told alike.
+// gossipEntry is one entry of a gossip message. Durations are rounded to steps of the longest latency objective, which all
+// aggregators have in common.
 type gossipEntry struct {
-	tag  uint16
-	kind gossipKind
-	span time.Duration
+	tag      uint16
+	kind     gossipKind
+	duration time.Duration
+}
+
+// gossipOutbox holds the entries of the next gossip message.
+type gossipOutbox struct {
+	entries []gossipEntry
+	sentAt  time.Duration // when the last message was sent
 }
 
-// tagOf shortens a replica's name. Two replicas of a fleet seldom share a tag; where they do, they share
-// their hints.
+// peerLoad is the work that other aggregators said they sent to one replica.
+type peerLoad struct {
+	work float64 // seconds, as of at
+	at   time.Duration
+}
+
+// replicaTag shortens a replica's name to 16 bits. Two replicas that share a tag share their hints.
 func replicaTag(name string) uint16 {
 	h := fnv.New32a()
-	h.Write([]byte(name))
+	_, _ = h.Write([]byte(name)) // a hash accepts all bytes
 	return uint16(h.Sum32()>>16 ^ h.Sum32())
 }
 
-// pack writes entries until the message is full.
-func encodeGossip(list []gossipEntry, aim time.Duration) (data []byte) {
-	for _, n := range list {
-		if len(data)+3 > maxGossipBytes {
+// encodeGossip encodes entries until the message is full; longest is the longest latency objective.
+func encodeGossip(entries []gossipEntry, longest time.Duration) (data []byte) {
+	for _, e := range entries {
+		if len(data)+gossipEntryBytes > maxGossipBytes {
 			break
 		}
-		steps := math.Round(gossipSteps * float64(n.span) / float64(aim))
-		v := byte(math.Max(1, math.Min(steps, gossipSteps-1)))
-		if n.kind == gossipExcess {
-			v += gossipSteps
+		steps := math.Round(gossipSteps * float64(e.duration) / float64(longest))
+		value := byte(math.Max(1, math.Min(steps, gossipSteps-1)))
+		if e.kind == gossipExcess {
+			value += gossipSteps
 		}
-		data = append(data, byte(n.tag>>8), byte(n.tag), v)
+		data = append(data, byte(e.tag>>8), byte(e.tag), value)
 	}
 	return data
 }
 
-// unpack reads the entries of a message. What is too long is no message; a rest is skipped.
-func decodeGossip(data []byte, aim time.Duration) (list []gossipEntry) {
+// decodeGossip decodes the entries of a message. A message that is too long has none; trailing bytes are skipped.
+func decodeGossip(data []byte, longest time.Duration) (entries []gossipEntry) {
 	if len(data) > maxGossipBytes {
 		return nil
 	}
-	for ; len(data) >= 3; data = data[3:] {
-		n := gossipEntry{tag: uint16(data[0])<<8 | uint16(data[1]), kind: gossipSent}
+	for ; len(data) >= gossipEntryBytes; data = data[gossipEntryBytes:] {
+		e := gossipEntry{tag: uint16(data[0])<<8 | uint16(data[1]), kind: gossipSent}
 		steps := data[2]
 		if steps > gossipSteps {
-			n.kind, steps = gossipExcess, steps-gossipSteps
-		}
-		n.span = time.Duration(float64(steps) / gossipSteps * float64(aim))
-		list = append(list, n)
-	}
-	return list
-}
-
-// tellPeers tells the other nodes, where it may, what this one has sent and seen: at once after a send, else
-// now and then. A message costs its bytes for each receiver.
-func (a *Aggregator) publishGossip() {
-	if len(a.outbox.entries) > 0 && (a.outbox.entries[len(a.outbox.entries)-1].kind == gossipSent || a.now-a.outbox.sentAt > 10*a.settings.Tick) {
-		a.out = append(a.out, Action{Kind: SendGossip, Data: encodeGossip(a.outbox.entries, a.maxObjective())})
-		a.outbox.entries, a.outbox.sentAt = a.outbox.entries[:0], a.now
-	}
-}
-
-// takePeerNews takes in what another node sent and saw. These are hints of listed replicas, for ties and
-// the forecast; what this node has just heard of a replica itself comes first, and no hint ejects.
-func (a *Aggregator) applyGossip(e *Event) {
-	for _, n := range decodeGossip(e.Data, a.maxObjective()) {
-		r := a.endpoints.byTag[n.tag]
-		switch {
-		case r == nil:
-		case n.kind == gossipSent:
-			r.peerLoad.work, r.peerLoad.at = a.decayedPeerWork(r)+n.span.Seconds(), a.now
-		case r.latency.lastAnswer == 0 || a.now-r.latency.lastAnswer > a.freshness():
-			r.latency.excess, r.latency.excessAt = a.decayedExcess(r)+excessSampleWeight/2*(n.span.Seconds()-a.decayedExcess(r)), a.now
+			e.kind, steps = gossipExcess, steps-gossipSteps
 		}
+		e.duration = time.Duration(float64(steps) / gossipSteps * float64(longest))
+		entries = append(entries, e)
 	}
+	return entries
 }
 
-// note keeps an entry for the next message, where there are any; work sent to one replica adds up.
-func (a *Aggregator) recordGossip(r *replica, kind gossipKind, span time.Duration) {
+// recordGossip adds an entry to the next message, where gossip is permitted. Work sent to one replica is summed.
+func (a *Aggregator) recordGossip(r *replica, kind gossipKind, duration time.Duration) {
 	if !a.settings.Limits.Gossip {
 		return
 	}
 	for i := range a.outbox.entries {
-		if n := &a.outbox.entries[i]; kind == gossipSent && n.kind == kind && n.tag == r.tag {
-			n.span += span
+		if e := &a.outbox.entries[i]; kind == gossipSent && e.kind == kind && e.tag == r.tag {
+			e.duration += duration
 			return
 		}
 	}
-	a.outbox.entries = append(a.outbox.entries, gossipEntry{r.tag, kind, span})
+	a.outbox.entries = append(a.outbox.entries, gossipEntry{r.tag, kind, duration})
 }
 
-// others is the work that other nodes were heard to have sent to r, as far as it may still be there.
-func (a *Aggregator) decayedPeerWork(r *replica) float64 {
-	return r.peerLoad.work * math.Exp(-(a.now-r.peerLoad.at).Seconds()/a.typicalLatency())
+// publishGossip sends the pending entries to the other aggregators: at once after a send, else after a while, as a message
+// costs its bytes for each receiver.
+func (a *Aggregator) publishGossip() {
+	entries := a.outbox.entries
+	if len(entries) == 0 {
+		return
+	}
+	sentWork := entries[len(entries)-1].kind == gossipSent
+	if sentWork || a.now-a.outbox.sentAt > minGossipTicks*a.settings.Tick {
+		a.act(Action{Kind: SendGossip, Data: encodeGossip(entries, a.maxObjective())})
+		a.outbox.entries, a.outbox.sentAt = entries[:0], a.now
+	}
 }
 
-// peerLoad is the work that other aggregators said they sent to one replica.
-type peerLoad struct {
-	work float64 // seconds, as of peerWorkAt
-	at   time.Duration
+// applyGossip takes in a message of another aggregator. It holds hints of listed replicas only: they count in placement and
+// forecasts, give way to what this aggregator has heard lately itself, and eject no replica.
+func (a *Aggregator) applyGossip(e *Event) {
+	for _, entry := range decodeGossip(e.Data, a.maxObjective()) {
+		r := a.endpoints.byTag[entry.tag]
+		if r == nil {
+			continue
+		}
+		if entry.kind == gossipSent {
+			r.peerLoad.work, r.peerLoad.at = a.decayedPeerWork(r)+entry.duration.Seconds(), a.now
+		} else if r.latency.lastAnswer == 0 || a.now-r.latency.lastAnswer > a.freshness() {
+			excess := a.decayedExcess(r)
+			r.latency.excess, r.latency.excessAt = excess+gossipSampleWeight*(entry.duration.Seconds()-excess), a.now
+		}
+	}
 }
 
-// gossipOutbox holds what the next gossip message says.
-type gossipOutbox struct {
-	entries []gossipEntry
-	sentAt  time.Duration
+// decayedPeerWork is the work that other aggregators sent to r and that may still be there, in seconds.
+func (a *Aggregator) decayedPeerWork(r *replica) float64 {
+	return r.peerLoad.work * math.Exp(-(a.now-r.peerLoad.at).Seconds()/a.typicalLatency())
 }
--- a/aggregator/healthcheck.go
+++ b/aggregator/healthcheck.go
@@ -6,24 +6,45 @@
 )
 
 const (
-	fullViewAggregators = 3.0  // nodes up to which each sees all that there is to see
-	probesPerFailure    = 12.0 // by each bad sign, spent by probing holders before a part
-	freshnessShare      = 0.4  // share of the longest aim after which a replica must be heard again, on guard
-	probeWaitShare      = 0.04 // share of the aim that a part waits for the probes of its holders
+	// fullViewAggregators is up to how many aggregators each one sees all that there is to see of the fleet.
+	fullViewAggregators = 3.0
+	// probesPerFailure is how many probes a failure allows.
+	probesPerFailure = 12.0
+	// freshnessShare is for which share of the longest latency objective an answer counts as recent.
+	freshnessShare = 0.4
+	// probeWaitShare is for which share of its latency objective a part waits for the probes of its holders.
+	probeWaitShare = 0.04
 )
 
-// probed takes in the answer to a probe. One that fails is as bad a sign as a part that fails.
+// replicaHealth is what the health checks of one replica show.
+type replicaHealth struct {
+	lastProbe       time.Duration // when a probe was last sent ahead of a part
+	lastProbeAnswer time.Duration
+	suspectedAt     time.Duration // when it last failed a probe or a part, or left a probe unanswered; 0 once it answers
+	reportedLoad    float64       // requests that it held by its last load report
+}
+
+// fleetHealth is what this aggregator knows of the health of all replicas.
+type fleetHealth struct {
+	panicMode   bool    // half of the replicas are ejected, so silence is no reason for further ejections
+	staleView   bool    // under half of the replicas have answered lately
+	probeCredit float64 // probes that may be sent ahead of parts
+}
+
+// probeEnded takes in the outcome of a probe. A failed probe counts like a failed part.
 func (a *Aggregator) probeEnded(e *Event) {
 	r := a.endpoints.byName[e.Replica]
 	if r == nil {
 		return
 	}
-	if e.Outcome == Errored {
-		// It answers, and will not say more: it is probed by many. That is no sign against it.
+	switch e.Outcome {
+	case OK:
+		r.health.lastProbeAnswer, r.health.suspectedAt, r.health.reportedLoad = a.now, 0, reportedLoad(e.LoadReport)
+		r.outlier.halfOpen = r.outlier.halfOpen || r.outlier.ejected
+	case Errored:
+		// It answers and rejects the probe, as many probe it: no sign against it.
 		r.health.lastProbeAnswer, r.health.suspectedAt = a.now, 0
-		return
-	}
-	if e.Outcome != OK {
+	default:
 		r.health.suspectedAt = a.now
 		a.addProbeCredit(1)
 		if r.outlier.ejected && !r.outlier.halfOpen {
@@ -31,53 +52,60 @@
 		} else {
 			a.addFailure(r)
 		}
-		return
 	}
-	r.health.lastProbeAnswer, r.health.suspectedAt, r.health.reportedLoad = a.now, 0, 0
-	// What it says that it holds, the larger figure where one may include the other, tells ties while fresh.
-	if x := max(e.LoadReport["inflight"], e.LoadReport["queue"]); x > 0 && x < math.MaxInt32 {
-		r.health.reportedLoad = x
+}
+
+// reportedLoad is how many requests a replica says it holds: the larger figure, as one may include the other. Absurd
+// reports count as none.
+func reportedLoad(report map[string]float64) float64 {
+	if load := max(report["inflight"], report["queue"]); load > 0 && load < math.MaxInt32 {
+		return load
 	}
-	r.outlier.halfOpen = r.outlier.halfOpen || r.outlier.ejected
+	return 0
 }
 
-// addProbeCredit notes a bad sign: a reset, a failed connect or probe, a silence. It puts the node on guard
-// by earning probes; they run out soon where all of them come back.
+// addProbeCredit allows further probes after a failure of the given weight. The credit is bounded, so that probes end soon
+// where all of them are answered.
 func (a *Aggregator) addProbeCredit(weight float64) {
-	a.health.probeCredit = math.Min(a.health.probeCredit+a.visibleShare()*weight*probesPerFailure, a.visibleShare()*float64(len(a.endpoints.replicas)))
+	visible := a.visibleShare()
+	a.health.probeCredit = math.Min(a.health.probeCredit+visible*weight*probesPerFailure, visible*float64(len(a.endpoints.replicas)))
 }
 
-// visibleShare is how much of what there is to see this node sees itself: all where there are few nodes.
+// visibleShare is the share of what there is to see of the fleet that this aggregator sees itself.
 func (a *Aggregator) visibleShare() float64 {
 	return math.Min(1, fullViewAggregators/float64(a.settings.Aggregators))
 }
 
-// freshness is how long what was heard of a replica holds.
+// freshness is for how long an answer of a replica counts as recent.
 func (a *Aggregator) freshness() time.Duration { return scale(freshnessShare, a.maxObjective()) }
 
-// doubtful tells whether a replica failed a part or a probe, or owed an answer, a short while ago.
+// suspect tells whether a replica has failed a part or a probe, or left a probe unanswered, within the longest objective.
 func (a *Aggregator) suspect(r *replica) bool {
 	return r.health.suspectedAt > 0 && a.now-r.health.suspectedAt < a.maxObjective()
 }
 
-// probeHolders asks the holders of a part that were not heard lately whether they answer at all, and tells
-// how long to wait for that. It acts on guard only: a node that seldom sends a replica a part learns of its
-// death too late from the parts themselves. A replica that owes its answer by then is doubted, not ejected.
+// probeHolders probes the holders of a part that have not answered lately and returns how long the part waits for that.
+//
+// It guards against parts lost on a dead replica: an aggregator that seldom sends a replica a part learns of its death from
+// the loss of parts, while the endpoint list still says that it serves; the engineer on call sees time-outs that all
+// aggregators have in turn. Probes are sent only after failures and while few replicas were heard, and early in a query. A
+// replica that leaves a probe unanswered is suspected, not ejected.
 func (a *Aggregator) probeHolders(p *part) (wait time.Duration) {
 	if !a.settings.Limits.Probes || !a.health.staleView || a.health.probeCredit < 1 || a.now-p.query.arrived > p.query.objective-a.now {
 		return 0
 	}
-	patience := scale(probeWaitShare, a.settings.Classes[p.query.class].LatencyObjective)
+	timeout := scale(probeWaitShare, a.settings.Classes[p.query.class].LatencyObjective)
 	for _, r := range a.holders(p.shard) {
-		if r.excluded || r.outlier.ejected || !a.suspect(r) && a.now-max(r.health.lastProbeAnswer, r.latency.lastAnswer) < a.freshness() {
+		lastSign := max(r.health.lastProbeAnswer, r.latency.lastAnswer)
+		if r.excluded || r.outlier.ejected || !a.suspect(r) && a.now-lastSign < a.freshness() {
 			continue
 		}
-		if r.health.lastProbe <= max(r.health.lastProbeAnswer, r.latency.lastAnswer) || a.now-r.health.lastProbe > a.freshness() {
+		if r.health.lastProbe <= lastSign || a.now-r.health.lastProbe > a.freshness() {
 			r.health.lastProbe = a.now
 			a.health.probeCredit--
-			a.out = append(a.out, Action{Kind: Probe, Replica: r.member.Replica})
+			a.act(Action{Kind: Probe, Replica: r.member.Replica})
 		}
-		if left := r.health.lastProbe + patience - a.now; left > 0 {
+		if left := r.health.lastProbe + timeout - a.now; left > 0 {
 			wait = max(wait, left)
 		} else {
 			r.health.suspectedAt = a.now
@@ -85,18 +113,3 @@
 	}
 	return wait
 }
-
-// replicaHealth is what the health checks of one replica show.
-type replicaHealth struct {
-	lastProbe       time.Duration // when a probe was last sent ahead of a part
-	lastProbeAnswer time.Duration
-	suspectedAt     time.Duration // when it failed a probe or a part, or owed an answer to a probe; 0 once it answers
-	reportedLoad    float64       // requests that its last load report said it holds
-}
-
-// fleetHealth is what this aggregator knows of the fleet's health.
-type fleetHealth struct {
-	panicMode   bool    // half of the replicas are ejected, so further ejections are not believed
-	staleView   bool    // under half of the replicas have answered lately
-	probeCredit float64 // probes that may be sent ahead of parts
-}
--- a/aggregator/idleconn.go
+++ b/aggregator/idleconn.go
@@ -6,13 +6,36 @@
 )
 
 const (
-	deadConnLifetime   = 8.0  // longest aims for which idle connections found dead are closed before use
-	deadConnEvidence   = 2.0  // signs of dead idle connections, less those against, from which they are closed
-	minIdleShare       = 0.1  // share of the longest aim above which a connection counts as idle
-	idleAnswerEvidence = 0.25 // what an answer on a long idle connection counts against
+	// deadConnLifetime is for how many longest latency objectives a dead idle connection is remembered.
+	deadConnLifetime = 8.0
+	// deadConnEvidence is how many signs of dead idle connections, less those against, have them closed before use.
+	deadConnEvidence = 2.0
+	// deadConnEvidenceUnsafe is the same before a part that must not run twice.
+	deadConnEvidenceUnsafe = 1.0
+	// minIdleShare is the share of the longest latency objective above which an unused connection counts as idle.
+	minIdleShare = 0.1
+	// idleAnswerEvidence is how much an answer on a long idle connection counts against dead ones.
+	idleAnswerEvidence = 0.25
 )
 
-// idleLimit is the time without use after which connections were lately found dead, 0 for none.
+// replicaConns is the use of this aggregator's connections to one replica.
+type replicaConns struct {
+	lastUse    time.Duration // last send or answer; 0 for none
+	silentIdle time.Duration // how long they had idled before a call that got no answer; 0 for none
+}
+
+// idleConnEstimate is after how long idle connections are found dead.
+//
+// It guards against connections that a firewall or load balancer on the way drops without notice. The engineer on call sees
+// resets and time-outs of the first part after a quiet spell, on replicas that are healthy. Idle connections are closed
+// before use once such losses were answered on new connections, so the connection was to blame.
+type idleConnEstimate struct {
+	deadAfter time.Duration // shortest idle time after which a connection was found dead; 0 for none
+	foundAt   time.Duration // when one was last found dead
+	evidence  float64       // signs of dead idle connections, less those against
+}
+
+// idleTimeout is the idle time after which connections were lately found dead, 0 for none.
 func (a *Aggregator) idleTimeout() time.Duration {
 	if (a.now - a.idleConns.foundAt).Seconds() > deadConnLifetime*a.maxObjective().Seconds() {
 		a.idleConns.deadAfter, a.idleConns.evidence = 0, 0
@@ -20,51 +43,81 @@
 	return a.idleConns.deadAfter
 }
 
-// idled tells whether an attempt was sent on a connection that had been out of use for a while.
+// connExpired tells whether the connections to r are closed by now, as idle for longer than the deployment keeps them.
+func (a *Aggregator) connExpired(r *replica) bool {
+	idleLimit := a.settings.Limits.ConnIdle
+	return r.conns.lastUse == 0 || idleLimit > 0 && a.now-r.conns.lastUse >= idleLimit
+}
+
+// onIdleConn tells whether an attempt was sent on a connection that had been idle.
 func (a *Aggregator) onIdleConn(t *attempt) bool {
 	return !t.newConn && t.callPosition == 1 && t.connIdle > scale(minIdleShare, a.maxObjective())
 }
 
-// deadIdle counts a sign that connections out of use for gap are dead.
-func (a *Aggregator) recordDeadConn(gap time.Duration) {
+// resetOfIdleConn tells whether a reset after the given seconds is the fault of an idle connection: it came at once, and the
+// query has had no other.
+func (a *Aggregator) resetOfIdleConn(t *attempt, took float64) bool {
+	q := t.part.query
+	return q.canary.resets == 0 && a.onIdleConn(t) && took < a.baseLatency(q)/2
+}
+
+// idleConnReset takes in the reset of an idle connection, for which neither the replica nor the query is to blame.
+func (a *Aggregator) idleConnReset(t *attempt) {
+	a.recordDeadConn(t.connIdle)
+	t.replica.conns.silentIdle, t.part.query.canary.idleReset = t.connIdle, true
+}
+
+// recordConnAnswer takes in what an answer says of the connections to its replica.
+func (a *Aggregator) recordConnAnswer(t *attempt) {
+	conns := &t.replica.conns
+	if timeout := a.idleTimeout(); !t.newConn && timeout > 0 && t.connIdle >= timeout {
+		a.addIdleEvidence(-idleAnswerEvidence) // idling did no harm
+	} else if t.newConn && conns.silentIdle > 0 {
+		a.recordDeadConn(conns.silentIdle) // the call before was lost on an idle connection
+	}
+	conns.silentIdle, conns.lastUse = 0, a.now
+}
+
+// recordConnSilence takes in a call without an answer, which counts against dead idle connections where no idling explains
+// it.
+func (a *Aggregator) recordConnSilence(t *attempt) {
+	t.replica.conns.silentIdle = t.connIdle
+	if t.newConn || t.connIdle < a.idleTimeout() {
+		t.replica.conns.silentIdle = 0
+		a.addIdleEvidence(-1)
+	}
+}
+
+// recordDeadConn takes in a connection that was dead after the given idle time.
+func (a *Aggregator) recordDeadConn(idle time.Duration) {
 	a.addIdleEvidence(1)
-	if a.idleConns.foundAt = a.now; a.idleConns.deadAfter == 0 || gap < a.idleConns.deadAfter {
-		a.idleConns.deadAfter = gap
+	a.idleConns.foundAt = a.now
+	if a.idleConns.deadAfter == 0 || idle < a.idleConns.deadAfter {
+		a.idleConns.deadAfter = idle
 	}
 }
 
-// blameIdle counts signs that idle connections are dead, or against it; enough of the latter clear them.
+// addIdleEvidence adds a sign that idle connections are dead, or against it where it is below 0. Enough signs against it
+// clear the estimate.
 func (a *Aggregator) addIdleEvidence(sign float64) {
-	if a.idleConns.evidence = math.Min(a.idleConns.evidence+sign, 2*deadConnEvidence); a.idleConns.evidence <= -deadConnEvidence {
+	a.idleConns.evidence = math.Min(a.idleConns.evidence+sign, 2*deadConnEvidence)
+	if a.idleConns.evidence <= -deadConnEvidence {
 		a.idleConns.deadAfter, a.idleConns.evidence = 0, 0
 	}
 }
 
-// refresh closes the idle connections to r before a part is sent where they may be dead: a call on one
-// was lost, or they have idled as long as others that were; at the first sign already for a part that may
-// not run twice. It costs a handshake.
+// closeIdleConns closes the idle connections to r before a part is sent, where they may be dead, and tells whether it did.
+// It costs a handshake.
 func (a *Aggregator) closeIdleConns(p *part, r *replica) bool {
-	limit, enough := a.idleTimeout(), deadConnEvidence
+	timeout, evidence := a.idleTimeout(), deadConnEvidence
 	if a.settings.Classes[p.query.class].Effect == Unsafe {
-		enough = 1
+		evidence = deadConnEvidenceUnsafe
 	}
-	suspect := r.conns.silentIdle > 0 || p.query.canary.idleReset || limit > 0 && a.idleConns.evidence >= enough && a.now-r.conns.lastUse >= limit
-	if len(r.calls.inFlight) > 0 || !suspect {
+	likelyDead := timeout > 0 && a.idleConns.evidence >= evidence && a.now-r.conns.lastUse >= timeout
+	lostBefore := r.conns.silentIdle > 0 || p.query.canary.idleReset
+	if len(r.calls.inFlight) > 0 || !lostBefore && !likelyDead {
 		return false
 	}
-	a.out = append(a.out, Action{Kind: CloseIdle, Replica: r.member.Replica})
+	a.act(Action{Kind: CloseIdle, Replica: r.member.Replica})
 	return true
 }
-
-// replicaConns is the use of this aggregator's connections to one replica.
-type replicaConns struct {
-	lastUse    time.Duration // last send or answer
-	silentIdle time.Duration // how long they had idled before a call that got no answer; 0 for none
-}
-
-// idleConnEstimate is after how long idle connections are found dead, as a firewall or a proxy on the way drops them.
-type idleConnEstimate struct {
-	deadAfter time.Duration // shortest idle time after which a connection was found dead; 0 for none
-	foundAt   time.Duration // when one was last found
-	evidence  float64       // signs that idle connections are dead, less those against it
-}
--- a/aggregator/latency.go
+++ b/aggregator/latency.go
@@ -6,36 +6,51 @@
 )
 
 const (
-	excessSampleWeight   = 0.3  // of a new sample in a replica's excess
-	baseQuantile         = 0.10 // of a class's latencies: what a part takes on an unloaded replica
-	tailQuantile         = 0.95 // and what few exceed
-	minQuantileStep      = 0.02 // least share by which a quantile follows a new value
-	assumedLatencyShare  = 0.1  // share of the aim that a part is taken to need before any was answered
-	fleetSampleWeight    = 0.05 // of a new sample in the fleet's excess
-	answerIntervalsKept  = 3.0  // times between two answers of a replica for which what was heard of it holds
-	intervalSampleWeight = 0.01 // of a new sample in that time
+	// stepsPerQuery is the most steps that a query has.
+	stepsPerQuery = 2
+	// baseQuantile is the quantile of latencies that stands for an unloaded replica.
+	baseQuantile = 0.10
+	// tailQuantile is the quantile of latencies that few parts exceed.
+	tailQuantile = 0.95
+	// minQuantileStep is the least share of its value by which a quantile follows a sample.
+	minQuantileStep = 0.02
+	// assumedLatencyShare is the latency of a part as a share of the latency objective, until one was answered.
+	assumedLatencyShare = 0.1
+	// excessSampleWeight is the weight of a new sample in the excess of a replica.
+	excessSampleWeight = 0.3
+	// callTimeSampleWeight is the weight of a new sample in the time per call of a replica.
+	callTimeSampleWeight = excessSampleWeight / 2
+	// gossipSampleWeight is the weight of an excess that another aggregator reports.
+	gossipSampleWeight = excessSampleWeight / 2
+	// fleetSampleWeight is the weight of a new sample in the excess of the fleet.
+	fleetSampleWeight = 0.05
+	// intervalSampleWeight is the weight of a new sample in the interval between answers.
+	intervalSampleWeight = 0.01
+	// answerIntervalsKept is for how many intervals between answers of one replica an observation of it holds.
+	answerIntervalsKept = 3.0
+	// minAbandoned is how many attempts in a row must be given up for their ages to count as latencies.
+	minAbandoned = 2
 )
 
-// latency is what has been learned of the parts of one step of a class, in seconds.
+// latencyEstimate estimates the latency of the parts of one step of a class, in seconds.
 type latencyEstimate struct{ base, median, tail quantile }
 
-// stepsPerQuery is the most steps that a query has.
-const stepsPerQuery = 2
-
 func newLatencyEstimates(n int) []latencyEstimate {
-	all := make([]latencyEstimate, n)
-	for i := range all {
-		all[i] = latencyEstimate{
+	estimates := make([]latencyEstimate, n)
+	for i := range estimates {
+		estimates[i] = latencyEstimate{
 			base: quantile{target: baseQuantile}, median: quantile{target: 0.5}, tail: quantile{target: tailQuantile},
 		}
 	}
-	return all
+	return estimates
 }
 
-// quantile follows one quantile of a stream by small steps in proportion to its value.
+// quantile estimates one quantile of a stream by stochastic approximation: each sample moves it up or down by a small share
+// of its value, up by target and down by 1-target.
 type quantile struct {
-	value, target float64
-	samples       int
+	value   float64
+	target  float64 // in (0, 1)
+	samples int
 }
 
 func (q *quantile) add(x float64) {
@@ -52,25 +67,51 @@
 	}
 }
 
-// stat is what has been learned of parts like p.
+// replicaLatency is what the answers of one replica show of its speed.
+type replicaLatency struct {
+	excess         float64       // latency above the base latency of the class, in seconds, as of excessAt
+	excessAt       time.Duration // when excess was last sampled
+	timePerCall    float64       // seconds that a call takes for each call of this aggregator that is open
+	answers        int
+	abandoned      int           // attempts given up since the last answer
+	answeredSendAt time.Duration // when the latest attempt that was answered had been sent
+	lastAnswer     time.Duration // 0 for none
+}
+
+// fleetLatency is what all answers show, for each class and for the fleet.
+type fleetLatency struct {
+	classes        []latencyEstimate // stepsPerQuery for each class
+	timePerCall    float64           // upper quartile of the replicas' time per call, in seconds
+	medianExcess   float64           // median excess of the replicas in use, in seconds
+	excess         float64           // mean excess of recent answers of any replica, in seconds, as of excessAt
+	excessAt       time.Duration     // when excess was last sampled
+	lastAnswer     time.Duration     // of any replica
+	answerInterval time.Duration     // mean interval between two answers of one replica
+	intervals      int               // how many intervals went into the mean
+}
+
 func (a *Aggregator) latencyOf(q *query) *latencyEstimate {
-	return &a.latency.classes[2*q.class+min(q.step, 1)]
+	return a.latencyOfStep(q.class, min(q.step, 1))
+}
+
+func (a *Aggregator) latencyOfStep(class, step int) *latencyEstimate {
+	return &a.latency.classes[stepsPerQuery*class+step]
 }
 
-// usual is the latency of a part on an unloaded replica, in seconds; a share of the aim until learned.
+// baseLatency is the latency of a part on an unloaded replica, in seconds; a share of the objective until one is known.
 func (a *Aggregator) baseLatency(q *query) float64 {
-	if s := a.latencyOf(q); s.base.samples > 0 {
-		return s.base.value
+	if estimate := a.latencyOf(q); estimate.base.samples > 0 {
+		return estimate.base.value
 	}
 	return assumedLatencyShare * a.settings.Classes[q.class].LatencyObjective.Seconds()
 }
 
-// typical is the mean of the classes' median latencies.
+// typicalLatency is the mean of the median latencies of all classes, in seconds.
 func (a *Aggregator) typicalLatency() float64 {
 	sum, n := 0.0, 0.0
 	for i := range a.latency.classes {
-		if s := &a.latency.classes[i]; s.median.samples > 0 {
-			sum, n = sum+s.median.value, n+1
+		if estimate := &a.latency.classes[i]; estimate.median.samples > 0 {
+			sum, n = sum+estimate.median.value, n+1
 		}
 	}
 	if n == 0 {
@@ -79,99 +120,109 @@
 	return sum / n
 }
 
-// expect is how long a part sent to r now may take: what r shows, or what its calls of ours will take at
-// the pace at which calls have been answered. The pace sees a wave as it is sent, the excess only as it
-// returns.
+// expectedLatency is how long a part sent to r now may take, in seconds: by its recent answers, or by the time that its open
+// calls will take. The second sees a burst as it is sent, the first only as its answers come.
 func (a *Aggregator) expectedLatency(q *query, r *replica) float64 {
-	return math.Max(a.currentExcess(r)+a.decayedPeerWork(r)+a.baseLatency(q), math.Max(r.latency.timePerCall, a.latency.timePerCall)*float64(r.calls.open+1))
+	byAnswers := a.currentExcess(r) + a.decayedPeerWork(r) + a.baseLatency(q)
+	byCalls := math.Max(r.latency.timePerCall, a.latency.timePerCall) * float64(r.calls.open+1)
+	return math.Max(byAnswers, byCalls)
 }
 
-// excess is what a part sent to r now must expect above the usual: recent answers, or the age of the
-// oldest attempt since the last answer, which tells of a pause or a hang before any answer does. An older
-// one that others have overtaken tells of its part, not of r.
+// currentExcess is by how many seconds a part sent to r now may exceed the base latency: by recent answers, or by the age
+// of the oldest open attempt sent since the last answer, which shows a pause before any answer does.
 func (a *Aggregator) currentExcess(r *replica) float64 {
-	x := a.decayedExcess(r)
+	excess := a.decayedExcess(r)
 	for _, t := range r.calls.inFlight {
 		if t.open && r.latency.lastAnswer < t.sentAt {
-			x = math.Max(x, (a.now-t.sentAt).Seconds()-a.baseLatency(t.part.query))
-			break
+			return math.Max(excess, (a.now-t.sentAt).Seconds()-a.baseLatency(t.part.query))
 		}
 	}
-	return x
+	return excess
 }
 
-// faded is the excess of a replica. Where nothing new is heard of it, over the longest aim it turns into
-// that of the fleet, which a node with little traffic knows sooner, and that into none where no replica
-// is heard.
+// decayedExcess is the excess of a replica by its answers, in seconds. Without new answers it decays exponentially to the
+// excess of the fleet.
 func (a *Aggregator) decayedExcess(r *replica) float64 {
-	pool := a.decayedFleetExcess(a.latency.excess)
-	return pool + (r.latency.excess-pool)*math.Exp(-(a.now-r.latency.excessAt).Seconds()/a.observationLifetime().Seconds())
+	fleet := a.decayedFleetExcess()
+	return fleet + (r.latency.excess-fleet)*math.Exp(-(a.now-r.latency.excessAt).Seconds()/a.observationLifetime().Seconds())
 }
 
-// fade is a figure of the fleet, less the longer nothing is heard of any replica.
-func (a *Aggregator) decayedFleetExcess(x float64) float64 {
-	return x * math.Exp(-(a.now-a.latency.excessAt).Seconds()/a.maxObjective().Seconds())
+// decayedFleetExcess is the excess of the fleet, in seconds. Without new answers of any replica it decays exponentially.
+func (a *Aggregator) decayedFleetExcess() float64 {
+	return a.latency.excess * math.Exp(-(a.now-a.latency.excessAt).Seconds()/a.maxObjective().Seconds())
 }
 
-// memory is how long what was heard of a replica holds: the longest aim, or where this node's share of the traffic is
-// so small that it hears a replica more seldom, a few times the usual time between two answers.
+// observationLifetime is for how long an observation of a replica holds: the longest latency objective, or longer where
+// this aggregator hears a replica more seldom.
 func (a *Aggregator) observationLifetime() time.Duration {
 	return max(a.maxObjective(), scale(answerIntervalsKept, a.latency.answerInterval))
 }
 
-// learn takes a latency into the accounts of its class, its replica and the fleet.
+// recordAnswerTime notes when a replica answered.
+func (a *Aggregator) recordAnswerTime(t *attempt) {
+	fleet, latency := &a.latency, &t.replica.latency
+	latency.answeredSendAt = max(latency.answeredSendAt, t.sentAt)
+	if latency.lastAnswer > 0 && latency.lastAnswer < t.sentAt {
+		fleet.intervals++
+		weight := math.Max(intervalSampleWeight, 1/float64(fleet.intervals))
+		fleet.answerInterval += scale(weight, a.now-latency.lastAnswer-fleet.answerInterval)
+	}
+	fleet.lastAnswer, latency.lastAnswer = a.now, a.now
+}
+
+// recordLatency takes the latency of an answer, in seconds, into the estimates of its class, its replica and the fleet.
 func (a *Aggregator) recordLatency(t *attempt, took float64) {
-	r, p := t.replica, t.part
-	r.latency.unanswered = 0
-	s := a.latencyOf(p.query)
+	r, q := t.replica, t.part.query
+	r.latency.abandoned = 0
+	estimate := a.latencyOf(q)
 	if t.call.size <= 1 {
-		s.base.add(took)
+		estimate.base.add(took)
 	}
-	s.median.add(took)
-	s.tail.add(took)
-	over := math.Max(0, took-a.baseLatency(p.query))
-	r.latency.excess, r.latency.excessAt = (1-excessSampleWeight)*a.decayedExcess(r)+excessSampleWeight*over, a.now
-	a.latency.excess, a.latency.excessAt = a.latency.excess+fleetSampleWeight*(over-a.latency.excess), a.now
-	a.recordGossip(r, gossipExcess, scale(over, time.Second))
+	estimate.median.add(took)
+	estimate.tail.add(took)
+	excess := math.Max(0, took-a.baseLatency(q))
+	r.latency.excess, r.latency.excessAt = (1-excessSampleWeight)*a.decayedExcess(r)+excessSampleWeight*excess, a.now
+	a.addFleetExcess(excess)
+	a.recordGossip(r, gossipExcess, scale(excess, time.Second))
+	timePerCall := took / float64(t.callPosition)
 	if r.latency.answers++; r.latency.answers == 1 {
-		r.latency.timePerCall = took / float64(t.callPosition)
+		r.latency.timePerCall = timePerCall
 	}
-	r.latency.timePerCall += excessSampleWeight / 2 * (took/float64(t.callPosition) - r.latency.timePerCall)
+	r.latency.timePerCall += callTimeSampleWeight * (timePerCall - r.latency.timePerCall)
 }
 
-// learnAtLeast takes in an attempt that was given up: how long it would have taken is not known, only that it is longer than
-// this. Where nothing was said of it, a jam in which all is given up was forgotten as it lasted. The first without an answer
-// between says nothing yet, nor does silence on a connection that had idled while such are found dead.
+// recordAbandoned takes in an attempt that was given up after the given seconds. Its latency is not known, only that it is
+// longer, so it counts where it raises the excess.
+//
+// It guards against admitting queries into an overload in which all attempts are given up: without answers the excess would
+// decay. The first attempt given up since an answer is no sign yet, nor is one on a connection that may have been dead.
 func (a *Aggregator) recordAbandoned(t *attempt, took float64) {
 	r := t.replica
-	r.latency.unanswered++
-	over := took - a.baseLatency(t.part.query)
-	if r.latency.unanswered < 2 || over <= a.decayedExcess(r) || a.onIdleConn(t) && (r.conns.silentIdle > 0 || a.idleTimeout() > 0) {
+	r.latency.abandoned++
+	excess := took - a.baseLatency(t.part.query)
+	if r.latency.abandoned < minAbandoned || excess <= a.decayedExcess(r) ||
+		a.onIdleConn(t) && (r.conns.silentIdle > 0 || a.idleTimeout() > 0) {
 		return
 	}
-	r.latency.excess, r.latency.excessAt = over, a.now
-	a.latency.excess, a.latency.excessAt = a.latency.excess+fleetSampleWeight*(over-a.latency.excess), a.now
+	r.latency.excess, r.latency.excessAt = excess, a.now
+	a.addFleetExcess(excess)
 }
 
-// replicaLatency is what the answers of one replica show of its speed.
-type replicaLatency struct {
-	excess         float64       // recent latency above the base of the class, in seconds
-	excessAt       time.Duration // when excess was last brought up to date
-	timePerCall    float64       // seconds that a call takes for each of this aggregator's calls that is open
-	answers        int
-	unanswered     int           // attempts given up since the last answer
-	answeredSendAt time.Duration // when the latest attempt that was answered had been sent
-	lastAnswer     time.Duration // 0 before the first
+func (a *Aggregator) addFleetExcess(excess float64) {
+	a.latency.excess, a.latency.excessAt = a.latency.excess+fleetSampleWeight*(excess-a.latency.excess), a.now
 }
 
-// fleetLatency is what all answers show, of each class and of the fleet as a whole.
-type fleetLatency struct {
-	classes        []latencyEstimate // two for each class, one a step
-	timePerCall    float64           // upper quartile of the replicas' time per call, in seconds
-	medianExcess   float64           // of the replicas that are in use, in seconds
-	excess         float64           // excess of recent answers of any replica, in seconds
-	excessAt       time.Duration     // when fleetExcess was last brought up to date
-	lastAnswer     time.Duration     // of any replica
-	answerInterval time.Duration     // mean time between two answers of one replica
-	intervals      int               // how many intervals the mean is of
+// updateFleetLatency sets the figures of the fleet from those of the replicas in use.
+func (a *Aggregator) updateFleetLatency() {
+	var excesses, callTimes []float64
+	for _, r := range a.endpoints.replicas {
+		if r.excluded || r.outlier.ejected {
+			continue
+		}
+		excesses = append(excesses, a.currentExcess(r))
+		if r.latency.timePerCall > 0 {
+			callTimes = append(callTimes, r.latency.timePerCall)
+		}
+	}
+	a.latency.medianExcess, a.latency.timePerCall = quartile(excesses, 2), quartile(callTimes, 3)
 }
--- /dev/null
+++ b/aggregator/outcome.go
@@ -0,0 +1,124 @@
+package aggregator
+
+import (
+	"math"
+	"time"
+)
+
+// neverRan are the outcomes of attempts that their replica has not begun to run.
+var neverRan = map[Outcome]bool{Rejected: true, ConnectFailed: true, ConnectTimeout: true, NotSent: true}
+
+// attemptEnded takes in the outcome of an attempt. Outcomes of unknown or ended attempts are skipped.
+func (a *Aggregator) attemptEnded(e *Event) {
+	t := a.findAttempt(e)
+	if t == nil || !t.open {
+		return
+	}
+	t.open = false
+	took := max(a.now-t.sentAt-a.pauses.delay, 0).Seconds()
+	a.applyOutcome(t, e.Outcome, took)
+
+	p := t.part
+	if !neverRan[e.Outcome] && !p.mayHaveRun {
+		p.mayHaveRun, p.firstRun = true, t.sentAt
+	}
+	if e.Outcome != Cancelled {
+		p.cheapRetry = e.Outcome != TimedOut
+	}
+	if p.query.ended && p.openAttempts() == 0 {
+		delete(a.queries.parts, p.id)
+	}
+}
+
+func (a *Aggregator) findAttempt(e *Event) *attempt {
+	p := a.queries.parts[e.Part]
+	if p == nil || e.Attempt < 0 || e.Attempt >= len(p.attempts) {
+		return nil
+	}
+	return p.attempts[e.Attempt]
+}
+
+// applyOutcome applies an outcome to what is known of the replica; took is how long the attempt was open, in seconds.
+func (a *Aggregator) applyOutcome(t *attempt, outcome Outcome, took float64) {
+	switch outcome {
+	case OK:
+		a.answerReceived(t, took)
+	case Errored, Reset, Unknown, ConnectFailed, ConnectTimeout:
+		a.release(t)
+		if outcome == Reset && a.resetOfIdleConn(t, took) {
+			a.idleConnReset(t)
+		} else {
+			a.attemptFailed(t, outcome)
+		}
+	case ConnectionLost:
+		a.release(t)
+		a.connectionLost(t.replica)
+	case Rejected:
+		a.release(t)
+		a.replicaFull(t.replica)
+	case NotSent:
+		a.release(t)
+	case TimedOut, Cancelled:
+		a.recordAbandoned(t, took)
+	}
+}
+
+// answerReceived takes in an answer.
+func (a *Aggregator) answerReceived(t *attempt, took float64) {
+	r, p := t.replica, t.part
+	a.releaseAnswered(t)
+	a.recordConnAnswer(t)
+	a.recordAnswerTime(t)
+	r.health.suspectedAt = 0
+	r.outlier.failures *= failureDecay
+	a.recordLatency(t, took)
+	if r.outlier.ejected {
+		// One good answer ends the ejection, one more failure brings it back.
+		r.outlier.ejected, r.outlier.failures = false, ejectionFailures-1
+	}
+	p.query.canary.answered = true
+	if !p.answered && !p.query.ended {
+		p.answered = true
+		a.cancelAttempts(p)
+	}
+}
+
+// attemptFailed takes in a failure that is the replica's, or its query's.
+func (a *Aggregator) attemptFailed(t *attempt, outcome Outcome) {
+	r, canary := t.replica, &t.part.query.canary
+	if outcome != Errored {
+		r.health.suspectedAt = a.now
+		a.addProbeCredit(1)
+	}
+	if outcome != Errored && outcome != ConnectTimeout {
+		a.queryOfDeath.lastCrash = a.now
+	}
+	if outcome == Reset {
+		canary.resets++
+		if canary.idleReset {
+			canary.resets = queryOfDeathResets // on a new connection too, so the idle one was not to blame
+		}
+	}
+	r.outlier.failingFast = outcome == Errored
+	a.addFailure(r)
+	if outcome == Reset || outcome == ConnectFailed && r.outlier.failures >= ejectionFailures {
+		a.suspectRestart(r)
+	}
+}
+
+// connectionLost takes in the loss of a connection to a replica that lives: one failure, however many attempts were open
+// on the connection.
+func (a *Aggregator) connectionLost(r *replica) {
+	if r.outlier.lostConnRound != a.round {
+		r.outlier.lostConnRound, r.outlier.failingFast = a.round, true
+		a.addFailure(r)
+	}
+}
+
+// replicaFull takes in a rejection. The queue of a full replica is a long wait that no open call shows, so the replica is
+// left alone for a while and counts as slow.
+func (a *Aggregator) replicaFull(r *replica) {
+	r.outlier.backoffUntil = a.now + scale(rejectedBackoff*a.typicalLatency(), time.Second)
+	r.latency.excess, r.latency.excessAt = math.Max(a.currentExcess(r), a.maxObjective().Seconds()/2), a.now
+	a.addFleetExcess(r.latency.excess)
+}
--- a/aggregator/peers_test.go
+++ b/aggregator/peers_test.go
@@ -14,8 +14,8 @@
 	list := []gossipEntry{{1, gossipSent, 500 * ms}, {65535, gossipExcess, 1900 * ms}, {7, gossipExcess, 9 * time.Second}}
 	got := decodeGossip(encodeGossip(list, aim), aim)
 	for i, n := range got {
-		want := min(list[i].span, aim)
-		if n.tag != list[i].tag || n.kind != list[i].kind || n.span < want-20*ms || n.span > want+20*ms {
+		want := min(list[i].duration, aim)
+		if n.tag != list[i].tag || n.kind != list[i].kind || n.duration < want-20*ms || n.duration > want+20*ms {
 			t.Errorf("entry %d: %+v became %+v", i, list[i], n)
 		}
 	}
@@ -24,7 +24,7 @@
 	}
 	for _, bad := range [][]byte{nil, {1}, bytes.Repeat([]byte{255}, 256), bytes.Repeat([]byte{9}, 999)} {
 		for _, n := range decodeGossip(bad, aim) {
-			if n.span < 0 || n.span > 3*aim {
+			if n.duration < 0 || n.duration > 3*aim {
 				t.Errorf("%v: %+v", bad[:3], n)
 			}
 		}
--- a/aggregator/query.go
+++ b/aggregator/query.go
@@ -4,39 +4,47 @@
 	"time"
 )
 
-// query is one open query.
+// queryTable holds the open queries, and the parts of open queries or with attempts in flight.
+type queryTable struct {
+	byID  map[string]*query
+	parts map[string]*part
+	live  []*query // in order of arrival; ended ones are removed at the end of a round
+}
+
+// query is one query that a client has sent.
 type query struct {
 	id                string
-	class             int
-	tenant            int  // below 0 for none
+	class             int  // index into Settings.Classes
+	tenant            int  // index into Settings.Tenants; below 0 for none
 	retry             bool // the client has sent it before
 	parts             []*part
-	partCount         int // parts of the step
+	partCount         int // parts of the current step, of which some may not have arrived
 	step              int // 0 or 1
 	admitted          bool
 	ended             bool
-	firstStepComplete bool
+	firstStepComplete bool // the first step was answered in full
 	arrived           time.Duration
 	canary            queryCanary
 	rejection         Reason        // why admission rejected it
 	objective         time.Duration // an answer until then earns the full priority
 	deadline          time.Duration // the client's deadline less the reserve
-	priority          float64       // per work
+	priority          float64       // of its class, for its work and its tenant's quota
 }
 
+// part is the part of a query that one shard answers.
 type part struct {
-	id           string
-	query        *query
-	shard        int
-	weight       float64
-	work         float64
-	attempts     []*attempt
-	answered     bool
-	abandoned    bool    // no further attempt is allowed
-	forecast     float64 // forecast at its query's admission, seconds
-	mayRun       bool
-	firstRun     time.Duration // when the first attempt that may have run was sent
-	cheapRetry bool          // the last attempt ended by itself, or its replica was ejected
+	id         string
+	query      *query
+	shard      int
+	weight     float64 // share of the query's answer
+	work       float64 // expected work in seconds; 0 where not known
+	attempts   []*attempt
+	answered   bool
+	abandoned  bool          // no further attempt is made
+	forecast   float64       // how long it was expected to take as its query was admitted, in seconds
+	mayHaveRun bool          // an attempt ended that may have run
+	firstRun   time.Duration // when the first such attempt was sent
+	cheapRetry bool          // its last attempt ended by itself, or its replica was ejected, so a retry brings little work
 }
 
 func (p *part) openAttempts() (n int) {
@@ -48,7 +56,28 @@
 	return n
 }
 
-// arrive takes a query; one of a class that the settings lack is refused.
+// queryProgress is how far the current step of a query is.
+type queryProgress struct {
+	weight  float64 // of the parts that are answered
+	pending int     // parts that may still be answered
+	missing int     // parts that are not answered, abandoned ones included
+}
+
+func (q *query) progress() (progress queryProgress) {
+	for _, p := range q.parts {
+		if p.answered {
+			progress.weight += p.weight
+			continue
+		}
+		if !p.abandoned {
+			progress.pending++
+		}
+		progress.missing++
+	}
+	return progress
+}
+
+// queryArrived opens a query; one of a class that the settings lack is rejected.
 func (a *Aggregator) queryArrived(e *Event) {
 	if a.queries.byID[e.Query] != nil {
 		return
@@ -57,7 +86,7 @@
 	q := &query{id: e.Query, class: e.Class, tenant: e.Tenant, partCount: e.Count, retry: e.Retry, arrived: a.now}
 	if e.Class < 0 || e.Class >= len(a.settings.Classes) {
 		q.ended = true
-		a.out = append(a.out, Action{Kind: Reject, Query: q.id})
+		a.act(Action{Kind: Reject, Query: q.id})
 		return
 	}
 	left := max(0, e.TimeLeft)
@@ -67,7 +96,7 @@
 	a.queries.live = append(a.queries.live, q)
 }
 
-// addPart adds a part to its query. Parts of no query, known parts and shards out of range are skipped.
+// partArrived adds a part to its query. Parts of no query, known parts and shards out of range are skipped.
 func (a *Aggregator) partArrived(e *Event) {
 	q := a.queries.byID[e.Query]
 	a.countAccepted()
@@ -79,22 +108,7 @@
 	a.queries.parts[p.id] = p
 }
 
-// weights sums the weight that is in and counts the parts that may still come and those that are not in.
-func (q *query) weights() (got float64, open, missing int) {
-	for _, p := range q.parts {
-		switch {
-		case p.answered:
-			got += p.weight
-			continue
-		case !p.abandoned:
-			open++
-		}
-		missing++
-	}
-	return got, open, missing
-}
-
-// open counts the queries and parts held.
+// heldCount is how many queries and parts are open; Limits.MaxOpen bounds it.
 func (a *Aggregator) heldCount() (n int) {
 	for _, q := range a.queries.live {
 		if !q.ended {
@@ -104,7 +118,7 @@
 	return n
 }
 
-// close forgets a query and calls off what it has out.
+// closeQuery removes a query and cancels its open attempts.
 func (a *Aggregator) closeQuery(q *query) {
 	q.ended = true
 	delete(a.queries.byID, q.id)
@@ -113,7 +127,7 @@
 	}
 }
 
-// drop forgets a part once nothing of it is out.
+// dropPart cancels the open attempts of a part and removes it; a part with open attempts stays until the last has ended.
 func (a *Aggregator) dropPart(p *part) {
 	a.cancelAttempts(p)
 	if p.openAttempts() == 0 {
@@ -121,19 +135,16 @@
 	}
 }
 
-// cancelRest calls off what a part has out.
+// cancelAttempts cancels the open attempts of a part, where the deployment permits it.
 func (a *Aggregator) cancelAttempts(p *part) {
 	for _, t := range p.attempts {
-		if t.open && !t.abandoned && a.settings.Limits.CanCancel {
-			t.abandoned = true
-			a.out = append(a.out, Action{Kind: Cancel, Part: p.id, Attempt: t.index})
+		if t.open && !t.cancelled && a.settings.Limits.CanCancel {
+			a.cancel(t)
 		}
 	}
 }
 
-// queryTable holds the open queries and the parts that have attempts in flight.
-type queryTable struct {
-	byID  map[string]*query
-	parts map[string]*part
-	live  []*query // in order of arrival; ended ones are removed at the end of a round
+func (a *Aggregator) cancel(t *attempt) {
+	t.cancelled = true
+	a.act(Action{Kind: Cancel, Part: t.part.id, Attempt: t.index})
 }
--- a/aggregator/retry.go
+++ b/aggregator/retry.go
@@ -7,123 +7,146 @@
 )
 
 const (
-	retryCreditPerSend  = 0.10  // further attempts earned by each first send, beside the rule's ration
-	maxRetryCredit      = 8.0   // and saved up at most
-	quickRetryCost      = 0.3   // of one further attempt, for a retry after an attempt that ended quickly
-	hedgeTailMultiple   = 2.0   // high latencies after which a part stands out
-	hedgeMedianMultiple = 4.0   // and median latencies, whichever is later
-	stragglerPartShare  = 0.125 // share of a query's parts: so few are worth a second copy on suspicion
+	// retryTokensPerSend is how many tokens the first send of a part adds to the retry budget.
+	retryTokensPerSend = 0.10
+	// maxRetryTokens is how many tokens the retry budget holds at most.
+	maxRetryTokens = 8.0
+	// cheapRetryCost is how many tokens a retry costs whose last attempt brought little work; any other costs one.
+	cheapRetryCost = 0.3
+	// hedgeTailMultiple is after how many tail latencies of its class a part is hedged,
+	hedgeTailMultiple = 2.0
+	// hedgeMedianMultiple after how many median latencies, whichever is later,
+	hedgeMedianMultiple = 4.0
+	// ejectedHedgeMultiple after how many median latencies where its replica is ejected.
+	ejectedHedgeMultiple = 1.5
+	// minTailSamples is from how many samples on the tail latency is used.
+	minTailSamples = 30
+	// stragglerPartShare is the share of a query's parts that may be missing for a part to be hedged as a straggler.
+	stragglerPartShare = 0.125
+	// dedupMarginTicks is by how many ticks a repeat must begin before its deduplication ends.
+	dedupMarginTicks = 4
 )
 
-// sendOrRetry sends a part that has nothing out, or chases one whose attempt is overdue.
-func (a *Aggregator) sendOrRetry(p *part, hold time.Duration) (next time.Duration, hopeless bool) {
-	if p.openAttempts() == 0 {
-		if !a.mayRetry(p) {
-			return 0, true
-		}
-		if hold > a.now {
-			return hold, false
-		}
-		if r := a.pickReplica(p); r != nil && a.spendRetryBudget(p) {
-			a.send(p, r)
-			return a.hedgeAt(p), false
-		}
-		return a.now + 2*a.settings.Tick, false
-	}
-	when := a.hedgeAt(p)
-	if a.now < when {
-		return when, false
-	}
-	last := p.attempts[len(p.attempts)-1]
-	if last.abandoned || p.openAttempts() > 1 || !a.mayRetry(p) || !a.settings.Limits.Hedging && !a.settings.Limits.CanCancel {
-		return math.MaxInt64, false
-	}
-	// Where all are slow it is load, and a further attempt adds to it: another must be clearly faster.
-	r := a.pickReplica(p)
-	p.cheapRetry = last.replica.outlier.ejected || last.call.silenceCounted
-	// Answers to what was sent later are in: this one may be lost, and holds up a query that has the rest.
-	_, left, _ := p.query.weights()
-	chase := p.cheapRetry || last.replica.latency.answeredSendAt >= last.sentAt && float64(left) <= stragglerPartShare*float64(len(p.query.parts))
-	if !chase || r == nil || r.outlier.ejected || a.currentExcess(r) > (a.now-last.sentAt).Seconds()/2 || !a.withinRetryBudget(p) {
-		return a.now + 4*a.settings.Tick, false
-	}
-	if a.settings.Limits.Hedging {
-		a.spendRetryBudget(p)
-		a.send(p, r)
-		return a.hedgeAt(p), false
-	}
-	last.abandoned = true
-	a.out = append(a.out, Action{Kind: Cancel, Part: p.id, Attempt: last.index})
-	return a.now + 2*a.settings.Tick, false
-}
-
-// repeatable tells whether the rules allow p another attempt at all: the cap, and the class's effect.
+// mayRetry tells whether the limits allow a part another attempt: fewer than Limits.MaxAttempts, the first included, and
+// only where running twice does no harm.
 func (a *Aggregator) mayRetry(p *part) bool {
 	return len(p.attempts) == 0 || len(p.attempts) < a.settings.Limits.MaxAttempts && a.beginWithin(p) > 0
 }
 
-// begin is how long a further attempt may still begin: in a keyed class, for as long as a repeat is dropped.
+// beginWithin is within which time a further attempt must begin to run: any for a class that may be repeated freely, and
+// until the deduplication ends for one whose repeats are dropped. It is 0 or less where no further attempt is safe.
 func (a *Aggregator) beginWithin(p *part) time.Duration {
 	c := &a.settings.Classes[p.query.class]
-	since, may := p.firstRun, p.mayRun
+	firstRun, mayHaveRun := p.firstRun, p.mayHaveRun
 	for _, t := range p.attempts {
-		if t.open && (!may || t.sentAt < since) {
-			since, may = t.sentAt, true
+		if t.open && (!mayHaveRun || t.sentAt < firstRun) {
+			firstRun, mayHaveRun = t.sentAt, true
 		}
 	}
 	switch {
-	case !may || c.Effect == Safe:
+	case !mayHaveRun || c.Effect == Safe:
 		return math.MaxInt64
 	case c.Effect == Keyed:
-		return since + c.DedupWindow - 4*a.settings.Tick - a.now
+		return firstRun + c.DedupWindow - dedupMarginTicks*a.settings.Tick - a.now
 	}
 	return 0
 }
 
-// patience is how long a part may take before it stands out.
-func (a *Aggregator) hedgeDelay(q *query) float64 {
-	s, aim := a.latencyOf(q), a.settings.Classes[q.class].LatencyObjective.Seconds()
-	if s.tail.samples < 30 {
-		return aim / 2
+// hedge looks at a part with an open attempt. Where the attempt is overdue and another replica is clearly faster, it sends
+// a hedged request, or cancels the attempt where hedging is not permitted, so that a retry follows. It returns when the
+// part next needs attention.
+func (a *Aggregator) hedge(p *part) time.Duration {
+	if at := a.hedgeAt(p); a.now < at {
+		return at
+	}
+	limits, last := &a.settings.Limits, p.lastAttempt()
+	if last.cancelled || p.openAttempts() > 1 || !a.mayRetry(p) || !limits.Hedging && !limits.CanCancel {
+		return math.MaxInt64
+	}
+	r := a.pickReplica(p)
+	p.cheapRetry = last.replica.outlier.ejected || last.call.silenceCounted
+	if !a.hedgePays(p, r) || !a.withinRetryBudget(p) {
+		return a.now + hedgeCheckTicks*a.settings.Tick
+	}
+	if !limits.Hedging {
+		a.cancel(last)
+		return a.now + cancelTicks*a.settings.Tick
 	}
-	return math.Min(math.Max(hedgeTailMultiple*s.tail.value, hedgeMedianMultiple*s.median.value), aim/2)
+	a.spendRetryBudget(p)
+	a.send(p, r)
+	return a.hedgeAt(p)
 }
 
-// overdue is when the last attempt of a part should be answered by another: once it stands out among its
-// class, early enough that another fits in before the aim.
+// hedgePays tells whether an overdue part should go to r as well. Its replica must be failing, or must have answered what
+// was sent later while nearly all other parts are in: the answer may then be lost. And r must be clearly faster, as where
+// all replicas are slow they are loaded, and a further attempt adds to the load.
+func (a *Aggregator) hedgePays(p *part, r *replica) bool {
+	last := p.lastAttempt()
+	pending := float64(p.query.progress().pending)
+	overtaken := last.replica.latency.answeredSendAt >= last.sentAt && pending <= stragglerPartShare*float64(len(p.query.parts))
+	if !p.cheapRetry && !overtaken {
+		return false
+	}
+	return r != nil && !r.outlier.ejected && a.currentExcess(r) <= (a.now-last.sentAt).Seconds()/2
+}
+
+// hedgeAt is when the last attempt of a part is overdue.
 func (a *Aggregator) hedgeAt(p *part) time.Duration {
-	t, q := p.attempts[len(p.attempts)-1], p.query
-	wait := a.hedgeDelay(q)
-	if t.replica.outlier.ejected {
-		wait = math.Min(wait, a.latencyOf(q).median.value*1.5)
+	last := p.lastAttempt()
+	wait := a.hedgeDelay(p.query)
+	if last.replica.outlier.ejected {
+		wait = math.Min(wait, a.latencyOf(p.query).median.value*ejectedHedgeMultiple)
 	}
-	return t.sentAt + scale(wait, time.Second)
+	return last.sentAt + scale(wait, time.Second)
+}
+
+// hedgeDelay is after how many seconds a part stands out among its class, half the latency objective at most, so that
+// another attempt fits in before the objective.
+func (a *Aggregator) hedgeDelay(q *query) float64 {
+	estimate, objective := a.latencyOf(q), a.settings.Classes[q.class].LatencyObjective.Seconds()
+	if estimate.tail.samples < minTailSamples {
+		return objective / 2
+	}
+	return math.Min(math.Max(hedgeTailMultiple*estimate.tail.value, hedgeMedianMultiple*estimate.median.value), objective/2)
+}
+
+// retryBudget limits retries and hedged requests by a token bucket that first sends fill and further attempts empty, and
+// where Rules.RetryWindow is set by the ratio of further attempts to accepted work in a sliding window.
+//
+// It guards against retry storms: without it, replicas that fail under load get up to Limits.MaxAttempts times the load.
+// The engineer on call sees attempts grow while queries don't.
+type retryBudget struct {
+	tokens   float64
+	accepted slidingWindow // queries and parts taken in
+	retries  slidingWindow // retries and hedged requests sent
 }
 
-// cost is what a further attempt takes from the store: less where the last one spent little of a replica.
+// retryCost is how many tokens the next attempt of a part costs.
 func (p *part) retryCost() float64 {
 	if p.cheapRetry {
-		return quickRetryCost
+		return cheapRetryCost
 	}
 	return 1
 }
 
-// withinRetryBudget tells whether a further attempt is within the rule's ration and what has been saved up.
+// withinRetryBudget tells whether the retry budget allows a further attempt of a part.
 func (a *Aggregator) withinRetryBudget(p *part) bool {
-	if b := a.settings.Rules; b.RetryWindow > 0 {
-		taken := a.retryBudget.accepted.countSince(a.now - b.RetryWindow + a.settings.Tick)
-		extras := a.retryBudget.retries.countSince(a.now - b.RetryWindow - a.settings.Tick)
-		if float64(extras+1) > b.RetryFloor+b.RetryRatio*float64(taken) {
+	if rules := &a.settings.Rules; rules.RetryWindow > 0 {
+		// The windows differ by two ticks, so that the ratio also holds in a window that begins within a tick.
+		accepted := a.retryBudget.accepted.countSince(a.now - rules.RetryWindow + a.settings.Tick)
+		retries := a.retryBudget.retries.countSince(a.now - rules.RetryWindow - a.settings.Tick)
+		if float64(retries+1) > rules.RetryFloor+rules.RetryRatio*float64(accepted) {
 			return false
 		}
 	}
 	return a.retryBudget.tokens >= p.retryCost()
 }
 
-// spendRetryBudget books a send: first sends earn, further ones pay.
+// spendRetryBudget counts a send: a first one fills the budget, a further one is paid for. It returns false where the
+// budget does not allow it.
 func (a *Aggregator) spendRetryBudget(p *part) bool {
 	if len(p.attempts) == 0 {
-		a.retryBudget.tokens = math.Min(a.retryBudget.tokens+retryCreditPerSend, maxRetryCredit)
+		a.retryBudget.tokens = math.Min(a.retryBudget.tokens+retryTokensPerSend, maxRetryTokens)
 		return true
 	}
 	if !a.withinRetryBudget(p) {
@@ -131,31 +154,28 @@
 	}
 	a.retryBudget.tokens -= p.retryCost()
 	if a.settings.Rules.RetryWindow > 0 {
-		a.retryBudget.retries.times = append(a.retryBudget.retries.times, a.now)
+		a.retryBudget.retries.add(a.now)
 	}
 	return true
 }
 
-// count notes a query or part taken, where further attempts are rationed by them.
+// countAccepted counts a query or part taken in, where the ratio of retries depends on it.
 func (a *Aggregator) countAccepted() {
 	if a.settings.Rules.RetryWindow > 0 {
-		a.retryBudget.accepted.times = append(a.retryBudget.accepted.times, a.now)
+		a.retryBudget.accepted.add(a.now)
 	}
 }
 
-// window counts stamps within a sliding span.
+// slidingWindow holds the times of events, in order.
 type slidingWindow struct{ times []time.Duration }
 
+func (w *slidingWindow) add(now time.Duration) {
+	w.times = append(w.times, now)
+}
+
+// countSince counts the events from t on and forgets the earlier ones.
 func (w *slidingWindow) countSince(t time.Duration) int {
 	i, _ := slices.BinarySearch(w.times, t)
 	w.times = append(w.times[:0], w.times[i:]...)
 	return len(w.times)
 }
-
-// retryBudget limits retries and hedged requests: a token bucket that first sends fill, and where the settings state one
-// the ration of a sliding window.
-type retryBudget struct {
-	tokens   float64       // tokens
-	accepted slidingWindow // queries and parts taken
-	retries  slidingWindow // retries and hedged requests sent
-}
--- a/aggregator/rules_test.go
+++ b/aggregator/rules_test.go
@@ -183,7 +183,7 @@
 	if b.attempts["q/0"] != 1 {
 		t.Fatalf("%d attempts before any outcome, want 1", b.attempts["q/0"])
 	}
-	if b.aggregator.queries.parts["q/0"] == nil || !b.aggregator.queries.parts["q/0"].attempts[0].abandoned {
+	if b.aggregator.queries.parts["q/0"] == nil || !b.aggregator.queries.parts["q/0"].attempts[0].cancelled {
 		t.Fatal("the silent attempt was not called off")
 	}
 	if s := only(b.step(ended("q/0", 0, Cancelled)), Send); len(s) != 1 || s[0].Replica == hung {
--- a/aggregator/settings.go
+++ b/aggregator/settings.go
@@ -1,128 +1,137 @@
 package aggregator
 
 import (
-	"errors"
 	"fmt"
 	"math"
 	"slices"
 	"time"
 )
 
-// Effect says what repeating a part does.
+// Effect says what harm repeating a part of a class does.
 type Effect uint8
 
-// The effects a class can have.
+// The effects.
 const (
-	Safe   Effect = iota // may be repeated freely
-	Keyed                // holders drop a repeat for Class.Memory
-	Unsafe               // must never run twice
+	Safe   Effect = iota // idempotent: may be repeated freely
+	Keyed                // data nodes drop a repeat for Class.DedupWindow
+	Unsafe               // must not run twice
 )
 
-// Class is one class of query.
+// Class is one class of query. Shares are of 1.
 type Class struct {
 	Name             string
-	LatencyObjective time.Duration // an answer inside it earns the full worth
-	Deadline         time.Duration // the client's patience over all its tries
+	LatencyObjective time.Duration // an answer within it earns the full priority
+	Deadline         time.Duration // how long the client waits, over all its retries
 	DedupWindow      time.Duration // Keyed only: how long a repeat is dropped, from the first send that may have run
 	Effect           Effect
-	Priority         float64
-	LateShare        float64 // share of the worth after the aim
-	CompleteShare    float64 // share of the weight that makes a whole answer
-	MinShare         float64 // smallest share that may be answered
-	PartialShare     float64 // share of the worth that a partial answer earns, times its share of the need
+	Priority         float64 // weight of an answer
+	LateShare        float64 // share of the priority that an answer after the objective earns
+	CompleteShare    float64 // share of the parts' weight that makes an answer complete
+	MinShare         float64 // smallest share of the weight that may be answered
+	PartialShare     float64 // share of the priority that a partial answer earns, times its share of CompleteShare
 	FetchParts       int     // parts of the second step; 0 means one step
 }
 
-// Tenant is a customer and the rate within its share, over all aggregators.
+// Tenant is a customer with a quota.
 type Tenant struct {
 	Name string
-	Rate float64
+	Rate float64 // queries a second within its quota, over all aggregators
 }
 
-// Limits is what the deployment permits.
+// Limits is what the deployment permits. The zero value of a permission means that it is not given.
 type Limits struct {
-	MaxAttempts    int  // most attempts of a part
-	MaxOpen        int  // queries and parts held at once; 0 means no limit
-	MaxBatch       int  // most parts in a call
-	CanCancel      bool // attempts may be cancelled
-	Hedging        bool // a part may have two attempts out
-	Probes         bool // replicas may be probed
-	Gossip         bool // front nodes may send each other messages
-	SendRetryAfter bool // clients hear a return time
-	MaxRetryAfter  time.Duration
-	ConnectTimeout time.Duration
-	ConnIdle       time.Duration // idle connections close after this; 0 where not known
+	MaxAttempts    int           // most attempts of a part, the first included; below 1 means 1
+	MaxOpen        int           // queries and parts open at once; 0 means no limit
+	MaxBatch       int           // most parts in a call; below 1 means 1
+	CanCancel      bool          // attempts may be cancelled
+	Hedging        bool          // a part may have two attempts open
+	Probes         bool          // replicas may be probed
+	Gossip         bool          // aggregators may send each other messages
+	SendRetryAfter bool          // a rejection tells the client when to retry
+	MaxRetryAfter  time.Duration // the latest time that a rejection tells
+	ConnectTimeout time.Duration // after which a connection that is not up counts as failed
+	ConnIdle       time.Duration // idle connections are closed after it; 0 where not known
 }
 
-// Rules holds the figures of the rules.
+// Rules holds the figures of the rules that the operators set. The zero value of a figure means that its rule is off.
 type Rules struct {
-	DrainGrace       time.Duration
-	OverloadMultiple float64 // a cold replica falls above this multiple of its capacity
-	OverloadWindow   time.Duration
-	InitialCapacity  float64 // capacity of a replica as it starts, as a share
-	WarmupTime       time.Duration
-	RetryWindow      time.Duration // 0 means further attempts are not rationed
-	RetryFloor       float64
-	RetryRatio       float64
-	PollInterval     time.Duration
+	DrainGrace       time.Duration // how soon after a replica was listed as draining nothing more may be sent to it
+	OverloadMultiple float64       // a replica in slow start is overloaded above this multiple of its capacity,
+	OverloadWindow   time.Duration // over this time
+	InitialCapacity  float64       // capacity of a replica as it starts, as a share of 1
+	WarmupTime       time.Duration // how long slow start lasts
+	RetryWindow      time.Duration // over which time the ratio of retries holds; 0 means no ratio
+	RetryFloor       float64       // retries in RetryWindow that are always allowed
+	RetryRatio       float64       // further retries for each query or part taken in
+	PollInterval     time.Duration // within it the endpoint list must be polled
 }
 
-// Settings is all that an aggregator is told at start. The zero value of a feature means it is off.
+// Settings is the configuration of an aggregator. The zero value of a feature means that it is off.
 type Settings struct {
-	Zone            string
-	Aggregators     int // how many front nodes share the fleet
-	Tick            time.Duration
+	Zone            string        // of this aggregator
+	Aggregators     int           // how many aggregators share the fleet; below 1 means 1
+	Tick            time.Duration // shortest time between rounds; below 1 ms means 1 ms
 	Classes         []Class
 	Tenants         []Tenant
-	OverQuotaFactor float64
-	PriorityPerWork bool
-	ShardSets       int // shard s is held by cells s, s+1, ... s+Reach-1, modulo Cells
+	OverQuotaFactor float64 // what the priority of a query over its tenant's quota is multiplied by
+	PriorityPerWork bool    // priorities are stated per work, else for a whole query
+	ShardSets       int     // shard s is held by the shard sets s to s+Reach-1, modulo ShardSets
 	Shards          int
 	Reach           int
-	CallCost        time.Duration
-	KeyCaches       bool // a replica serves a key it has just served with less work
+	CallCost        time.Duration // work of a call beside that of its parts; 0 means that calls are not shared
+	KeyCaches       bool          // a replica serves a key that it has just served with less work
 	LateFailPrice   float64
-	PollList        bool // the list must be asked for
+	PollList        bool // the endpoint list must be polled
 	Limits          Limits
 	Rules           Rules
 }
 
-// check names the first figure that can't be served.
-func (set Settings) validate() error {
+// SettingsError reports settings that can't be served.
+type SettingsError struct {
+	Settings string // the names of the settings, in the operators' words
+	Problem  string
+}
+
+func (e *SettingsError) Error() string { return e.Settings + ": " + e.Problem }
+
+// validate returns a *SettingsError for the first settings that can't be served.
+func (set *Settings) validate() error {
 	if set.ShardSets < 1 || set.Shards < 1 {
-		//lint:ignore ST1005 the message begins with the name of the key
-		return fmt.Errorf("Cells, Shards: %d, %d: both must be above 0", set.ShardSets, set.Shards)
+		return &SettingsError{"Cells, Shards", fmt.Sprintf("%d, %d: both must be above 0", set.ShardSets, set.Shards)}
 	}
 	if set.Reach < 1 || set.Reach > set.ShardSets {
-		//lint:ignore ST1005 the message begins with the name of the key
-		return fmt.Errorf("Reach: %d is not within 1 and Cells (%d)", set.Reach, set.ShardSets)
+		return &SettingsError{"Reach", fmt.Sprintf("%d is not within 1 and Cells (%d)", set.Reach, set.ShardSets)}
 	}
 	if len(set.Classes) == 0 {
-		//lint:ignore ST1005 the message begins with the name of the key
-		return errors.New("Classes: none")
-	}
-	bad := func(xs ...float64) bool {
-		return slices.ContainsFunc(xs, func(x float64) bool { return !(x >= 0) || math.IsInf(x, 0) })
+		return &SettingsError{"Classes", "none"}
 	}
-	for i, c := range set.Classes {
-		if c.LatencyObjective <= 0 || c.Deadline <= 0 || c.DedupWindow < 0 || c.FetchParts < 0 ||
-			bad(c.Priority, c.LateShare, c.CompleteShare, c.MinShare, c.PartialShare) {
-			//lint:ignore ST1005 the message begins with the name of the key
-			return fmt.Errorf("Classes[%d]: a figure is negative, not finite or missing", i)
+	for i := range set.Classes {
+		if !set.Classes[i].valid() {
+			return &SettingsError{fmt.Sprintf("Classes[%d]", i), "a figure is negative, not finite or missing"}
 		}
 	}
-	r, l := set.Rules, set.Limits
-	if min(r.DrainGrace, r.OverloadWindow, r.WarmupTime, r.RetryWindow, r.PollInterval, l.MaxRetryAfter, set.Tick,
-		set.CallCost) < 0 || bad(r.OverloadMultiple, r.InitialCapacity, r.RetryFloor, r.RetryRatio, set.OverQuotaFactor) {
-		return errors.New("Rules, Limits: a figure is negative or not finite")
+	r, l := &set.Rules, &set.Limits
+	durations := min(r.DrainGrace, r.OverloadWindow, r.WarmupTime, r.RetryWindow, r.PollInterval, l.MaxRetryAfter, set.Tick, set.CallCost)
+	if durations < 0 || !finite(r.OverloadMultiple, r.InitialCapacity, r.RetryFloor, r.RetryRatio, set.OverQuotaFactor) {
+		return &SettingsError{"Rules, Limits", "a figure is negative or not finite"}
 	}
 	return nil
 }
 
-// longAim is the longest aim of any class.
-func (a *Aggregator) maxObjective() (aim time.Duration) {
-	for _, c := range a.settings.Classes {
-		aim = max(aim, c.LatencyObjective)
+func (c *Class) valid() bool {
+	return c.LatencyObjective > 0 && c.Deadline > 0 && c.DedupWindow >= 0 && c.FetchParts >= 0 &&
+		finite(c.Priority, c.LateShare, c.CompleteShare, c.MinShare, c.PartialShare)
+}
+
+// finite tells whether all figures are 0 or above and finite.
+func finite(figures ...float64) bool {
+	return !slices.ContainsFunc(figures, func(x float64) bool { return !(x >= 0) || math.IsInf(x, 0) })
+}
+
+// maxObjective is the longest latency objective of any class.
+func (a *Aggregator) maxObjective() (longest time.Duration) {
+	for i := range a.settings.Classes {
+		longest = max(longest, a.settings.Classes[i].LatencyObjective)
 	}
-	return aim
+	return longest
 }
--- a/aggregator/slowstart.go
+++ b/aggregator/slowstart.go
@@ -7,80 +7,132 @@
 )
 
 const (
-	maxMeanOverBase  = 1.8 // latencies of light parts that the mean work of parts is taken for at most
-	assumedWorkShare = 0.2 // and the share of the aim before any was answered
-	minWarmupCalls   = 8.0 // calls of all nodes in a falling window among which chance evens out
+	// maxMeanOverBase is how many base latencies the mean work of a part is taken for at most, as the median latency holds
+	// the wait under load too.
+	maxMeanOverBase = 1.8
+	// assumedWorkShare is the work of a part as a share of the latency objective, until a part of its class was answered.
+	assumedWorkShare = 0.2
+	// minWarmupCalls is how many calls of all aggregators an overload window must hold for a call to have several parts:
+	// with fewer, the random draws don't even out.
+	minWarmupCalls = 8.0
+	// minWarmupSeconds is the least warm-up time that the ramp is divided by.
+	minWarmupSeconds = 1e-3
+	// savedWindows is how many overload windows' shares an aggregator may save up.
+	savedWindows = 2
 )
 
-// load is work sent to a cold replica.
+// slowStart is the warm-up of one replica that has just started.
+type slowStart struct {
+	active    bool
+	start     time.Duration
+	sends     []sentWork // within the overload window
+	allowance float64    // seconds of work that this aggregator may send; below 0 where work was sent ahead
+	accruedAt time.Duration
+	draw      float64 // share of a call that the allowance must hold, drawn from [0, 1)
+	drawnAt   time.Duration
+}
+
+// sentWork is work sent to a replica in slow start.
 type sentWork struct {
 	sentAt time.Duration
-	work   float64
+	work   float64 // seconds
 }
 
-// startSlowStart notes a start. A replica that appears without a time of start has started about now.
-func (a *Aggregator) startSlowStart(r *replica, started time.Duration, unknown bool) {
-	if unknown {
-		started = a.now
-	}
+// startSlowStart begins the slow start of a replica whose process started at the given time, and forgets its faults. A
+// time of 0 means long ago.
+func (a *Aggregator) startSlowStart(r *replica, started time.Duration) {
 	if started > 0 && a.now-started < a.settings.Rules.WarmupTime {
 		r.slowStart.active, r.slowStart.start = true, max(started, r.slowStart.start)
 		r.outlier.ejected, r.outlier.failures, r.latency.excess = false, 0, 0
 	}
 }
 
-// slowStartRoom presumes one unit of work at a time, the slowest ramp and the other front nodes sending as
-// much. Where a node's share is less than a part, it accrues and may be saved up for two falling windows.
-// Calls are then rationed by chance: a die thrown anew with each one, and each window, says how much of it
-// must have accrued, so that nodes don't send in step, and what is sent ahead is paid later. The die counts
-// one window's share at most, as all may have saved. A call holds more parts while all nodes' room is large.
+// suspectRestart begins a slow start where a replica drops or refuses connections: its process may have restarted before
+// the endpoint list says so.
+func (a *Aggregator) suspectRestart(r *replica) {
+	r.slowStart.active, r.slowStart.start = true, a.now
+}
+
+// endSlowStart ends the slow start of a replica that has warmed up.
+func (a *Aggregator) endSlowStart(r *replica) {
+	if r.slowStart.active && a.now-r.slowStart.start >= a.settings.Rules.WarmupTime {
+		r.slowStart.active, r.slowStart.sends = false, nil
+	}
+}
+
+// slowStartAllows tells whether a part may be sent to a replica in slow start.
+//
+// It guards against overload of a replica with cold caches, which falls over and starts again. All aggregators together
+// send it no more work in an overload window than its capacity on the ramp times Rules.OverloadMultiple; each presumes that
+// the others send as much as it does. Where the share of one aggregator is less than a part, the share accrues, and a
+// random draw says how much of a call must have accrued: the aggregators then don't send in the same moment, on average
+// they send their shares, and what was sent ahead is paid later. The draw counts one window's share at most, as all
+// aggregators may have saved. Slow start is the term of Envoy and nginx; the ration over several senders is not theirs.
 func (a *Aggregator) slowStartAllows(p *part, r *replica) bool {
-	b := a.settings.Rules
-	if b.OverloadMultiple == 0 || b.OverloadWindow == 0 {
+	rules, s := &a.settings.Rules, &r.slowStart
+	if rules.OverloadMultiple == 0 || rules.OverloadWindow == 0 {
 		return true
 	}
-	grown := min(1, max(0, (a.now-r.slowStart.start).Seconds()/math.Max(b.WarmupTime.Seconds(), 1e-3)))
-	all := b.OverloadMultiple * (b.InitialCapacity + (1-b.InitialCapacity)*grown) * b.OverloadWindow.Seconds()
-	room, work := all/float64(a.settings.Aggregators), a.expectedWork(p)
-	r.slowStart.sends = slices.DeleteFunc(r.slowStart.sends, func(l sentWork) bool { return l.sentAt < a.now-b.OverloadWindow })
-	sum := 0.0
-	for _, l := range r.slowStart.sends {
-		sum += l.work
+	capacity := a.slowStartCapacity(s)
+	share, work := capacity/float64(a.settings.Aggregators), a.expectedWork(p)
+	sent := s.sentSince(a.now - rules.OverloadWindow)
+	s.accrue(a.now, share, rules.OverloadWindow)
+	if a.now >= s.drawnAt+rules.OverloadWindow {
+		s.drawnAt, s.draw = a.now, a.rng.Float64()
+	}
+	if share >= work {
+		return sent+work*s.draw <= share
 	}
-	if r.slowStart.accruedAt < r.slowStart.start {
-		r.slowStart.accruedAt, r.slowStart.allowance = r.slowStart.start, 0
+	maxParts := max(1, int(capacity/(minWarmupCalls*work)))
+	if a.joinsCall(p, r) && r.calls.current.size < maxParts {
+		return true
 	}
-	r.slowStart.allowance = math.Min(r.slowStart.allowance+room*(a.now-r.slowStart.accruedAt).Seconds()/b.OverloadWindow.Seconds(), 2*room)
-	if r.slowStart.accruedAt = a.now; a.now >= r.slowStart.drawnAt+b.OverloadWindow {
-		r.slowStart.drawnAt, r.slowStart.draw = a.now, a.rng.Float64()
+	parts := min(maxParts, a.partsFor(p.query, r))
+	return math.Min(s.allowance, share) >= work*float64(parts)*s.draw
+}
+
+// slowStartCapacity is the work, in seconds, that all aggregators together may send in one overload window. The capacity
+// grows linearly over the warm-up time.
+func (a *Aggregator) slowStartCapacity(s *slowStart) float64 {
+	rules := &a.settings.Rules
+	warmed := min(1, max(0, (a.now-s.start).Seconds()/math.Max(rules.WarmupTime.Seconds(), minWarmupSeconds)))
+	return rules.OverloadMultiple * (rules.InitialCapacity + (1-rules.InitialCapacity)*warmed) * rules.OverloadWindow.Seconds()
+}
+
+// sentSince sums the work sent from t on and forgets the earlier sends.
+func (s *slowStart) sentSince(t time.Duration) float64 {
+	s.sends = slices.DeleteFunc(s.sends, func(sent sentWork) bool { return sent.sentAt < t })
+	sum := 0.0
+	for _, sent := range s.sends {
+		sum += sent.work
 	}
-	if room < work {
-		most := max(1, int(all/(minWarmupCalls*work)))
-		return a.joinsCall(p, r) && r.calls.current.size < most ||
-			math.Min(r.slowStart.allowance, room) >= work*float64(min(most, a.partsFor(p.query, r)))*r.slowStart.draw
+	return sum
+}
+
+// accrue adds to the allowance what has accrued since the last call; share is the work that accrues in a window.
+func (s *slowStart) accrue(now time.Duration, share float64, window time.Duration) {
+	if s.accruedAt < s.start {
+		s.accruedAt, s.allowance = s.start, 0
 	}
-	return sum+work*r.slowStart.draw <= room
+	s.allowance = math.Min(s.allowance+share*(now-s.accruedAt).Seconds()/window.Seconds(), savedWindows*share)
+	s.accruedAt = now
 }
 
-// expectedWork is the mean work that a part is expected to bring, its call included. That of
-// light parts is known from an unloaded replica; the median holds the wait under load too, and is bounded.
+// spendSlowStartAllowance counts work sent to a replica in slow start, and draws for the next call.
+func (a *Aggregator) spendSlowStartAllowance(r *replica, work float64) {
+	s := &r.slowStart
+	s.allowance -= work
+	s.sends = append(s.sends, sentWork{a.now, work})
+	s.drawnAt, s.draw = a.now, a.rng.Float64()
+}
+
+// expectedWork is the mean work of a part, in seconds, with the cost of its call.
 func (a *Aggregator) expectedWork(p *part) float64 {
 	mean := a.baseLatency(p.query)
-	if s := a.latencyOf(p.query); s.median.samples > 0 {
-		mean = min(max(mean, s.median.value), maxMeanOverBase*mean)
+	if estimate := a.latencyOf(p.query); estimate.median.samples > 0 {
+		mean = min(max(mean, estimate.median.value), maxMeanOverBase*mean)
 	} else {
 		mean = max(mean, assumedWorkShare*a.settings.Classes[p.query.class].LatencyObjective.Seconds())
 	}
 	return math.Max(mean, p.work) + a.settings.CallCost.Seconds()
 }
-
-// slowStart is the state of one replica that has just started and is ramped up.
-type slowStart struct {
-	active    bool
-	start     time.Duration
-	sends     []sentWork    // within the overload window
-	allowance float64       // work in seconds that this aggregator may send; below 0 where it was sent ahead
-	accruedAt time.Duration // until when allowance is counted
-	draw      float64       // random share of a call that must fit into the allowance, in [0, 1)
-	drawnAt   time.Duration
-}
--- a/aggregator/step.go
+++ b/aggregator/step.go
@@ -6,28 +6,27 @@
 	"time"
 )
 
-// Step takes in the events of a round, in order, and appends the actions to out.
+// Step plays one round at the time now: it takes in the events in order, decides, and appends what is to be done to out, in
+// order. now is a duration on any steady clock; one that goes back counts as no time passed.
 func (a *Aggregator) Step(now time.Duration, events []Event, out []Action) []Action {
 	a.now, a.out = max(now, a.now), out
 	a.round++
+
 	a.detectPause()
 	for i := range events {
 		a.handle(&events[i])
 	}
 	a.pollEndpoints()
 	a.reviewReplicas()
-	next := a.endpoints.poller.nextPoll
-	for _, q := range a.queries.live {
-		next = min(next, a.advance(q))
-	}
-	a.queries.live = slices.DeleteFunc(a.queries.live, func(q *query) bool { return q.ended })
+	next := a.advanceQueries()
 	a.publishGossip()
 	a.scheduleWake(next)
+
 	out, a.out = a.out, nil
 	return out
 }
 
-// take hands an event to what it concerns.
+// handle gives an event to the rule that it concerns.
 func (a *Aggregator) handle(e *Event) {
 	switch e.Kind {
 	case QueryArrived:
@@ -51,11 +50,21 @@
 	}
 }
 
-// sleep asks to be woken at the earliest time that matters, unless that is arranged already.
+// advanceQueries moves each open query on and returns when the next round is due at the latest.
+func (a *Aggregator) advanceQueries() time.Duration {
+	next := a.endpoints.poller.nextPoll
+	for _, q := range a.queries.live {
+		next = min(next, a.advance(q))
+	}
+	a.queries.live = slices.DeleteFunc(a.queries.live, func(q *query) bool { return q.ended })
+	return next
+}
+
+// scheduleWake asks for a wake at the time next, unless an earlier one is due anyway.
 func (a *Aggregator) scheduleWake(next time.Duration) {
 	if next == math.MaxInt64 || a.wakeAt > a.now && a.wakeAt <= next {
 		return
 	}
 	a.wakeAt = max(next, a.now+a.settings.Tick)
-	a.out = append(a.out, Action{Kind: Wake, After: a.wakeAt - a.now})
+	a.act(Action{Kind: Wake, After: a.wakeAt - a.now})
 }
