--- /dev/null
+++ b/aggregator/admission_test.go
@@ -0,0 +1,140 @@
+package aggregator
+
+import (
+	"fmt"
+	"testing"
+	"time"
+)
+
+// TestNoVainWait: a query that needs a replica which may not be used is refused at once.
+func TestNoVainWait(t *testing.T) {
+	set, all := fleetSettings(3, 1, 1000)
+	all[0].Started = 100*time.Second - ms
+	refused := 0
+	for i := range 20 {
+		set.Rules.OverloadMultiple = 0.1
+		b := newHarness(t, set, all...)
+		refused += len(only(b.step(asks(fmt.Sprint(i), time.Second, 0)...), Reject))
+	}
+	if refused < 18 {
+		t.Errorf("%d of 20 queries refused at once", refused)
+	}
+}
+
+// TestTenantThatRepeats: where most of what a tenant asks is asked again, its retries give way to the
+// first tries of others; a single retry does not.
+func TestTenantThatRepeats(t *testing.T) {
+	for _, c := range []struct {
+		repeats int
+		first   bool // the other tenant is served first
+	}{{1, false}, {6, true}} {
+		set := testSettings()
+		set.Tenants, set.OverQuotaFactor = []Tenant{{Name: "x", Rate: 100}, {Name: "y", Rate: 100}}, 0.05
+		b := newHarness(t, set, members("a", "b", "c")...)
+		ask := func(tenant int, retry bool) *query {
+			return &query{tenant: tenant, retry: retry, parts: []*part{{}}}
+		}
+		for range 4 {
+			b.aggregator.priorityRank(ask(1, false))
+		}
+		for range c.repeats {
+			b.aggregator.priorityRank(ask(0, true))
+		}
+		again, other := ask(0, true), ask(1, false)
+		b.aggregator.priorityRank(again)
+		b.aggregator.priorityRank(other)
+		if got := again.priority < other.priority; got != c.first {
+			t.Errorf("after %d repeats: worth %v against %v", c.repeats, again.priority, other.priority)
+		}
+	}
+}
+
+// TestSlowestPartDecides: where the whole fleet has a queue, a query of many parts is refused that can't be
+// expected to have all of them in time, and one of a single part is let in; where only a few replicas are
+// late, both are let in.
+func TestSlowestPartDecides(t *testing.T) {
+	for _, busy := range []bool{true, false} {
+		set, all := fleetSettings(30, 3, 1)
+		b := newHarness(t, set, all...)
+		for i := range 300 {
+			id := fmt.Sprint(i)
+			b.step(asks(id, time.Second, i%30)...)
+			took := 30 * ms
+			if late := only(b.last, Send); i > 60 && len(late) > 0 && (busy || late[0].Replica == "r1") {
+				took = 150 * ms
+			}
+			b.after(took)
+			b.step(ended(id+"/0", 0, OK))
+		}
+		many := make([]int, 100)
+		for i := range many {
+			many[i] = i % 30
+		}
+		refused := len(only(b.step(asks("many", time.Second, many...)...), Reject)) == 1
+		if refused != busy {
+			t.Errorf("busy %v: the query of many parts refused %v", busy, refused)
+		}
+		if len(only(b.step(asks("one", time.Second, 1)...), Reject)) > 0 {
+			t.Errorf("busy %v: the query of one part was refused", busy)
+		}
+	}
+}
+
+// TestPressedPartIsSpared: where all holders of a shard are slow, a query that can be answered in part does without its
+// part and is answered as soon as the rest is in. One that needs all its parts sends it, and so do both where none is slow, or
+// where three nodes know the load and expect the part within the aim.
+func TestPressedPartIsSpared(t *testing.T) {
+	for _, c := range []struct {
+		floor float64
+		slow  bool
+		nodes int
+		parts int
+		whole bool
+	}{{0.5, true, 80, 3, false}, {0.5, false, 80, 4, true}, {1, true, 80, 4, true}, {0.5, true, 3, 4, true}} {
+		set, all := fleetSettings(4, 1, c.nodes)
+		set.Limits.Probes = false
+		set.Classes[0].MinShare, set.Classes[0].PartialShare = c.floor, 0.9
+		b := newHarness(t, set, all...)
+		for i := range 20 { // one shard each, the last of which is slow
+			b.step(asks(fmt.Sprint(i), 3*time.Second, i%4)...)
+			if b.now += 20 * ms; i%4 == 3 && c.slow {
+				b.now += 400 * ms
+			}
+			b.step(ended(fmt.Sprint(i, "/0"), 0, OK))
+		}
+		sent := only(b.step(asks("q", 3*time.Second, 0, 1, 2, 3)...), Send)
+		b.now += 20 * ms
+		var in []Event
+		for _, s := range sent {
+			in = append(in, ended(s.Part, 0, OK))
+		}
+		answers := only(b.step(in...), Answer)
+		if len(sent) != c.parts || len(answers) != 1 || answers[0].Complete != c.whole {
+			t.Errorf("floor %.1f, slow %v, %d nodes: %d parts sent, want %d; answers %+v", c.floor, c.slow, c.nodes, len(sent), c.parts, answers)
+		}
+	}
+}
+
+// TestOverloadEnds: under more load than can be served, queries are refused at once with a return time,
+// and when the load goes all are answered again.
+func TestOverloadEnds(t *testing.T) {
+	load := 0
+	f := newFleet(t, testSettings(), nil)
+	f.react = func(string) (Outcome, time.Duration) { return OK, time.Duration(50+load) * ms }
+	f.run(3*time.Second, 20*ms)
+	load = 900
+	refused := only(f.run(4*time.Second, 20*ms), Reject)
+	if len(refused) < 50 {
+		t.Errorf("%d of 200 queries refused under overload", len(refused))
+	}
+	for _, r := range refused {
+		if r.After <= 0 {
+			t.Fatalf("query %s refused without a return time", r.Query)
+		}
+	}
+	load = 0
+	f.run(5*time.Second, 20*ms)
+	if answers := only(f.run(2*time.Second, 20*ms), Answer); len(answers) < 90 {
+		t.Errorf("%d of 100 queries answered after the load has gone", len(answers))
+	}
+}
--- a/aggregator/bench_test.go
+++ b/aggregator/bench_test.go
@@ -72,3 +72,40 @@
 		})
 	}
 }
+
+// BenchmarkWideStep reports a Step at 120 replicas with hundreds of parts open.
+func BenchmarkWideStep(b *testing.B) {
+	set, all := fleetSettings(120, 3, 40)
+	a, err := New(set, 1)
+	if err != nil {
+		b.Fatal(err)
+	}
+	now := 100 * time.Second
+	a.Step(now, []Event{{Kind: ListCached, Members: all}}, nil)
+	var out []Action
+	for i := range 40 {
+		out = a.Step(now, asks(fmt.Sprint("open", i), time.Hour, i, i+1, i+2, i+3, i+4, i+5, i+6, i+7), out[:0])
+	}
+	b.ReportAllocs()
+	for b.Loop() {
+		out = a.Step(now, []Event{{Kind: Wakeup}}, out[:0])
+	}
+}
+
+// BenchmarkPart reports the time and allocations of a part from its arrival to its answer.
+func BenchmarkPart(b *testing.B) {
+	a, err := New(testSettings(), 1)
+	if err != nil {
+		b.Fatal(err)
+	}
+	now := time.Second
+	a.Step(now, []Event{{Kind: ListCached, Members: members("a", "b", "c")}}, nil)
+	var out []Action
+	b.ReportAllocs()
+	for i := range b.N {
+		id := fmt.Sprint(i)
+		out = a.Step(now, asks(id, time.Second, i%3), out[:0])
+		now += 10 * ms
+		out = a.Step(now, []Event{ended(id+"/0", 0, OK)}, out[:0])
+	}
+}
--- /dev/null
+++ b/aggregator/endpoints_test.go
@@ -0,0 +1,116 @@
+package aggregator
+
+import (
+	"fmt"
+	"slices"
+	"testing"
+	"time"
+)
+
+// TestDrain: nothing goes to a replica once the list has said draining or gone, or has dropped it.
+func TestDrain(t *testing.T) {
+	for name, e := range map[string]Event{
+		"draining": {Kind: ListChanged, Members: []Member{{Replica: "a", State: Draining}}},
+		"gone":     {Kind: ListChanged, Members: []Member{{Replica: "a", State: Gone}}},
+		"absent":   {Kind: ListReplaced, Members: []Member{{Replica: "b", ShardSet: 1}, {Replica: "c", ShardSet: 2}}},
+	} {
+		b := newHarness(t, testSettings(), members("a", "b", "c")...)
+		b.step(e)
+		for i := range 20 {
+			for _, s := range only(b.step(asks(fmt.Sprint(i), 3*time.Second, 0)...), Send) {
+				if s.Replica == "a" {
+					t.Errorf("%s: a part went to it", name)
+				}
+			}
+		}
+	}
+}
+
+// TestListIsAskedAgain: an idle node asks for the list soon after its start and after each refusal, woken
+// for it, well within the time after which the drain rule takes the list as told; nodes don't ask in step.
+func TestListIsAskedAgain(t *testing.T) {
+	var times [][]time.Duration
+	for seed := range uint64(20) {
+		set := testSettings()
+		set.PollList, set.Rules.PollInterval = true, 10*time.Second
+		a, err := New(set, seed)
+		if err != nil {
+			t.Fatal(err)
+		}
+		now := 50 * time.Second
+		events := []Event{{Kind: ListCached, Members: members("a", "b", "c")}}
+		var asked []time.Duration
+		for len(asked) < 6 {
+			acts := a.Step(now, events, nil)
+			events = []Event{{Kind: Wakeup}}
+			if len(only(acts, PollEndpoints)) > 0 {
+				asked = append(asked, now)
+				now += 300 * ms
+				events = []Event{{Kind: ListCallFailed}}
+				continue
+			}
+			wakes := only(acts, Wake)
+			if len(wakes) == 0 {
+				t.Fatalf("seed %d: no wake after %d calls", seed, len(asked))
+			}
+			now += wakes[0].After
+			if last := append([]time.Duration{50 * time.Second}, asked...); now-last[len(last)-1] > 3*time.Second {
+				t.Fatalf("seed %d: %v without a call", seed, now-last[len(last)-1])
+			}
+		}
+		times = append(times, asked)
+	}
+	for i := range 6 {
+		var at []time.Duration
+		for _, asked := range times {
+			at = append(at, asked[i])
+		}
+		if slices.Sort(at); at[len(at)-1]-at[0] < 300*ms {
+			t.Errorf("call %d of 20 nodes comes within %v", i, at[len(at)-1]-at[0])
+		}
+	}
+}
+
+// TestWhatIsGoneIsForgotten: replicas come under new names for as long as a node runs, and queries without end;
+// what the node holds must not grow with them.
+// One that was there a short while ago, or owes an answer, is kept.
+func TestWhatIsGoneIsForgotten(t *testing.T) {
+	b := newHarness(t, testSettings(), members("a", "b", "c")...)
+	for i := range 500 {
+		was, is := fmt.Sprint("r", i), fmt.Sprint("r", i+1)
+		fresh := members(is)[0]
+		fresh.ShardSet = i % b.aggregator.settings.ShardSets
+		old := Member{Replica: was, ShardSet: (i + b.aggregator.settings.ShardSets - 1) % b.aggregator.settings.ShardSets, State: Gone}
+		b.step(Event{Kind: ListChanged, Members: []Member{old, fresh}})
+		b.now += 10 * time.Second
+		q := fmt.Sprint("q", i)
+		for _, s := range only(b.step(asks(q, time.Second, i%b.aggregator.settings.Shards)...), Send) {
+			b.step(Event{Kind: AttemptEnded, Part: s.Part, Replica: s.Replica, Outcome: OK})
+		}
+	}
+	a := b.aggregator
+	held := 0
+	for _, cell := range a.endpoints.shardSets {
+		held += len(cell)
+	}
+	// Those of the last 40 s and the one listed, beside the three of the start.
+	if most := 4 + 5; len(a.endpoints.replicas) > most || len(a.endpoints.byName) > most || len(a.endpoints.byTag) > most || held > most {
+		t.Errorf("%d replicas, %d names, %d tags, %d in cells", len(a.endpoints.replicas), len(a.endpoints.byName), len(a.endpoints.byTag), held)
+	}
+	if len(a.retryBudget.accepted.times)+len(a.retryBudget.retries.times)+len(a.queries.byID)+len(a.queries.parts)+len(a.queries.live) > 0 {
+		t.Errorf("%d taken, %d extras, %d queries, %d parts", len(a.retryBudget.accepted.times), len(a.retryBudget.retries.times), len(a.queries.byID), len(a.queries.parts))
+	}
+	sent := only(b.step(asks("last", time.Hour, 0)...), Send)[0]
+	b.step(Event{Kind: ListReplaced})
+	b.now += time.Second
+	b.step(Event{Kind: Wakeup})
+	if a.endpoints.byName[sent.Replica] == nil {
+		t.Error("a replica that owes an answer is forgotten")
+	}
+	b.step(Event{Kind: AttemptEnded, Part: sent.Part, Replica: sent.Replica, Outcome: OK})
+	b.now += time.Minute
+	b.step(Event{Kind: Wakeup})
+	if len(a.endpoints.replicas) > 0 {
+		t.Errorf("%d replicas are held of an empty list", len(a.endpoints.replicas))
+	}
+}
--- /dev/null
+++ b/aggregator/harness_test.go
@@ -0,0 +1,161 @@
+package aggregator
+
+import (
+	"fmt"
+	"testing"
+	"time"
+)
+
+const ms = time.Millisecond
+
+// testSettings is a small fleet: three cells of one replica, each shard held by all.
+func testSettings() Settings {
+	return Settings{
+		Aggregators: 1, Tick: 5 * time.Millisecond, ShardSets: 3, Shards: 3, Reach: 3,
+		Classes: []Class{{Name: "c", LatencyObjective: time.Second, Deadline: 3 * time.Second, Priority: 1, CompleteShare: 1, MinShare: 1}},
+		Limits:  Limits{MaxAttempts: 3, MaxBatch: 1, CanCancel: true, SendRetryAfter: true, MaxRetryAfter: time.Second},
+		Rules: Rules{DrainGrace: 250 * time.Millisecond, OverloadMultiple: 3, OverloadWindow: time.Second, InitialCapacity: 0.2,
+			WarmupTime: 10 * time.Second},
+	}
+}
+
+// wide returns settings and members for n replicas, each in a cell of its own, every shard held by reach
+// of them.
+func fleetSettings(n, reach, aggregators int) (Settings, []Member) {
+	set := testSettings()
+	set.ShardSets, set.Shards, set.Reach, set.Aggregators = n, n, reach, aggregators
+	set.Limits.Probes = true
+	var all []Member
+	for i := range n {
+		all = append(all, Member{Replica: fmt.Sprint("r", i), ShardSet: i})
+	}
+	return set, all
+}
+
+func members(names ...string) (list []Member) {
+	for i, n := range names {
+		list = append(list, Member{Replica: n, ShardSet: i})
+	}
+	return list
+}
+
+// bench drives one aggregator by hand and keeps its own, simple account of what was sent.
+type harness struct {
+	t          *testing.T
+	settings   Settings
+	aggregator *Aggregator
+	now        time.Duration
+	attempts   map[string]int // attempts by part
+	last       []Action
+}
+
+func newHarness(t *testing.T, set Settings, members ...Member) *harness {
+	t.Helper()
+	a, err := New(set, 7)
+	if err != nil {
+		t.Fatal(err)
+	}
+	b := &harness{t: t, settings: set, aggregator: a, now: 100 * time.Second, attempts: map[string]int{}}
+	b.step(Event{Kind: ListCached, Members: members})
+	return b
+}
+
+func (b *harness) step(events ...Event) []Action {
+	b.last = b.aggregator.Step(b.now, events, nil)
+	for _, act := range b.last {
+		if act.Kind == Send {
+			b.attempts[act.Part]++
+		}
+	}
+	return b.last
+}
+
+// after steps at intervals of a tick until d has passed and returns all actions.
+func (b *harness) after(d time.Duration) (all []Action) {
+	for end := b.now + d; b.now < end; {
+		b.now += b.settings.Tick
+		all = append(all, b.step(Event{Kind: Wakeup})...)
+	}
+	return all
+}
+
+// asks returns the events of a query with one part on each of the given shards.
+func asks(id string, left time.Duration, shards ...int) []Event {
+	events := []Event{{Kind: QueryArrived, Query: id, Tenant: -1, Count: len(shards), TimeLeft: left}}
+	for i, s := range shards {
+		events = append(events, Event{Kind: PartArrived, Query: id, Part: fmt.Sprintf("%s/%d", id, i), Shard: s,
+			Weight: 1 / float64(len(shards))})
+	}
+	return events
+}
+
+func ended(part string, attempt int, o Outcome) Event {
+	return Event{Kind: AttemptEnded, Part: part, Attempt: attempt, Outcome: o}
+}
+
+func only(actions []Action, kind ActionKind) (found []Action) {
+	for _, a := range actions {
+		if a.Kind == kind {
+			found = append(found, a)
+		}
+	}
+	return found
+}
+
+// fleet is a hand-driven fleet whose replicas answer as told by react.
+type fleet struct {
+	*harness
+	asked int
+	got   map[string]int // first sends by replica
+	react func(replica string) (Outcome, time.Duration)
+	due   []dueOutcome
+}
+
+type dueOutcome struct {
+	at time.Duration
+	e  Event
+}
+
+func newFleet(t *testing.T, set Settings, react func(string) (Outcome, time.Duration)) *fleet {
+	return &fleet{harness: newHarness(t, set, members("a", "b", "c")...), got: map[string]int{}, react: react}
+}
+
+// run plays d with a query of one part at each interval and returns all actions.
+func (f *fleet) run(d, interval time.Duration) (all []Action) {
+	f.got = map[string]int{}
+	ask := f.now
+	for end := f.now + d; f.now < end; f.now += f.settings.Tick {
+		var events []Event
+		var later []dueOutcome
+		for _, o := range f.due {
+			if o.at <= f.now {
+				events = append(events, o.e)
+			} else {
+				later = append(later, o)
+			}
+		}
+		f.due = later
+		if f.now >= ask {
+			ask += interval
+			f.asked++
+			events = append(events, asks(fmt.Sprint(f.asked), time.Second, f.asked%3)...)
+		}
+		for _, act := range f.step(append(events, Event{Kind: Wakeup})...) {
+			all = append(all, act)
+			if act.Kind == Cancel {
+				f.due = append(f.due, dueOutcome{f.now + f.settings.Tick, ended(act.Part, act.Attempt, Cancelled)})
+			}
+			if act.Kind == Probe {
+				back := Event{Kind: ProbeEnded, Replica: act.Replica, Outcome: OK}
+				f.due = append(f.due, dueOutcome{f.now + f.settings.Tick, back})
+			}
+			if act.Kind == Send {
+				f.got[act.Replica]++
+				if outcome, took := f.react(act.Replica); outcome != NotSent {
+					f.due = append(f.due, dueOutcome{f.now + took, ended(act.Part, f.attempts[act.Part]-1, outcome)})
+				}
+			}
+		}
+	}
+	return all
+}
--- /dev/null
+++ b/aggregator/healthcheck_test.go
@@ -0,0 +1,108 @@
+package aggregator
+
+import (
+	"fmt"
+	"testing"
+	"time"
+)
+
+// TestProbesGoBeforeParts: on guard, a part waits for the probes of holders that were not heard lately
+// and avoids one that does not answer; without a bad sign no probe is sent.
+func TestProbesGoBeforeParts(t *testing.T) {
+	set, all := fleetSettings(6, 2, 3)
+	b := newHarness(t, set, all...)
+	if acts := b.step(asks("calm", 3*time.Second, 0)...); len(only(acts, Probe)) > 0 || len(only(acts, Send)) != 1 {
+		t.Fatalf("without a sign: %v", acts)
+	}
+	b.step(ended("calm/0", 0, Reset))
+	b.after(2 * time.Second)
+	avoided := 0
+	for i := range 10 {
+		id := fmt.Sprint("q", i)
+		acts := b.step(asks(id, 3*time.Second, 3)...)
+		var events []Event
+		for _, p := range only(acts, Probe) {
+			if p.Replica != "r3" { // r3 is dead, and the list has not said so
+				events = append(events, Event{Kind: ProbeEnded, Replica: p.Replica, Outcome: OK})
+			} else {
+				events = append(events, Event{Kind: ProbeEnded, Replica: p.Replica, Outcome: TimedOut})
+			}
+		}
+		acts = append(acts, b.step(events...)...)
+		for _, s := range only(append(acts, b.after(100*ms)...), Send) {
+			if s.Replica == "r4" {
+				avoided++
+			}
+			b.step(ended(s.Part, b.attempts[s.Part]-1, OK))
+		}
+		b.now += time.Second
+	}
+	if avoided != 10 {
+		t.Errorf("%d of 10 parts went to the holder that answers", avoided)
+	}
+}
+
+// TestBadReports: absurd reports and probes of unknown replicas are hints that do no harm.
+func TestBadReports(t *testing.T) {
+	set, all := fleetSettings(6, 2, 40)
+	b := newHarness(t, set, all...)
+	inf := 1e308
+	for _, x := range []float64{-1, inf * 10, -inf * 10, inf*10 - inf*10, 1e300} {
+		b.step(Event{Kind: ProbeEnded, Replica: "r1", Outcome: OK, LoadReport: map[string]float64{"inflight": x, "other": x}},
+			Event{Kind: ProbeEnded, Replica: "gone", Outcome: OK})
+		if load := b.aggregator.endpoints.byName["r1"].health.reportedLoad; load != 0 {
+			t.Errorf("a report of %v was taken as a load of %v", x, load)
+		}
+	}
+}
+
+// TestProbesOfAFleet: a data node answers so many probes a second and says no to more. Eighty nodes that each lost a
+// part must not ask on and on, each no taken for a sign that calls for more; nor may a no cost a replica its parts.
+func TestProbesOfAFleet(t *testing.T) {
+	const nodes, answered = 80, 12
+	set, all := fleetSettings(60, 3, nodes)
+	var fleet []*harness
+	for seed := range uint64(nodes) {
+		b := newHarness(t, set, all...)
+		b.aggregator, _ = New(set, seed)
+		b.step(Event{Kind: ListCached, Members: all})
+		b.step(asks("first", 3*time.Second, int(seed)%60)...)
+		b.step(ended("first/0", 0, Reset))
+		fleet = append(fleet, b)
+	}
+	probes, barred := 0, 0
+	for second := range 5 {
+		asked := map[string]int{}
+		for i, b := range fleet {
+			for j := range 2 {
+				b.now += time.Second / 2
+				id := fmt.Sprint("q", second, "-", j)
+				shard := (7*i + 13*second + 29*j) % 60
+				acts := b.step(asks(id, 3*time.Second, shard)...)
+				var events []Event
+				for _, p := range only(acts, Probe) {
+					probes++
+					e := Event{Kind: ProbeEnded, Replica: p.Replica, Outcome: OK}
+					if asked[p.Replica]++; asked[p.Replica] > answered {
+						e.Outcome = Errored
+					}
+					events = append(events, e)
+				}
+				b.step(events...)
+				for _, s := range only(append(acts, b.after(100*ms)...), Send) {
+					b.step(ended(s.Part, b.attempts[s.Part]-1, OK))
+				}
+			}
+		}
+	}
+	for _, b := range fleet {
+		for _, r := range b.aggregator.endpoints.replicas {
+			if r.outlier.ejected {
+				barred++
+			}
+		}
+	}
+	if probes > 2*nodes || barred > 0 {
+		t.Errorf("%d probes after %d lost parts; %d replicas ejected though all answer", probes, nodes, barred)
+	}
+}
--- /dev/null
+++ b/aggregator/idleconn_test.go
@@ -0,0 +1,123 @@
+package aggregator
+
+import (
+	"fmt"
+	"slices"
+	"testing"
+	"time"
+)
+
+// TestIdleConnectionsFoundDead: parts lost on connections that had idled, answered on new ones, teach the
+// node to close idle connections before use; answers on idle connections teach it nothing.
+func TestIdleConnectionsFoundDead(t *testing.T) {
+	for _, dead := range []bool{true, false} {
+		set, all := fleetSettings(4, 2, 10)
+		set.Limits.Probes = false
+		b := newHarness(t, set, all...)
+		used, fresh := map[string]time.Duration{}, map[string]bool{}
+		closes := 0
+		for i := range 400 {
+			acts := b.step(asks(fmt.Sprint(i), time.Second, i%4, 0, 2)...)
+			for range 100 {
+				var events []Event
+				for _, act := range acts {
+					switch act.Kind {
+					case CloseIdle:
+						fresh[act.Replica] = true
+						if i >= 200 {
+							closes++
+						}
+					case Cancel:
+						events = append(events, ended(act.Part, act.Attempt, Cancelled))
+					case Send:
+						lost := dead && !fresh[act.Replica] && b.now-used[act.Replica] > 800*ms
+						used[act.Replica], fresh[act.Replica] = b.now, false
+						if !lost {
+							events = append(events, ended(act.Part, b.attempts[act.Part]-1, OK))
+						}
+					}
+				}
+				b.now += b.settings.Tick
+				acts = b.step(append(events, Event{Kind: Wakeup})...)
+			}
+		}
+		if dead && closes < 20 || !dead && closes > 0 {
+			t.Errorf("dead connections %v: %d closed over 200 parts", dead, closes)
+		}
+	}
+}
+
+// TestResetOnIdleConnection: a reset at once on a connection out of use is the connection's fault. The
+// replica is not struck nor taken for cold, the query is not ended, and the part goes on a new connection.
+func TestResetOnIdleConnection(t *testing.T) {
+	set, all := fleetSettings(12, 3, 10)
+	b := newHarness(t, set, all...)
+	shards := []int{0, 3, 6, 9}
+	b.step(asks("warm", time.Second, 0, 1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11)...)
+	b.now += 50 * ms
+	for i := range 12 {
+		b.step(ended(fmt.Sprint("warm/", i), 0, OK))
+	}
+	b.now += 2 * time.Second
+	b.step(asks("q", time.Second, shards...)...)
+	var events []Event
+	for i := range shards {
+		events = append(events, ended(fmt.Sprint("q/", i), 0, Reset))
+	}
+	b.now += 2 * ms
+	acts := b.step(events...)
+	for range 10 {
+		if len(only(acts, Reject)) > 0 {
+			t.Fatal("the query was refused")
+		}
+		events = events[:0]
+		for _, s := range only(acts, Send) {
+			if b.attempts[s.Part] == 2 && !slices.ContainsFunc(acts, func(c Action) bool {
+				return c.Kind == CloseIdle && c.Replica == s.Replica
+			}) {
+				t.Errorf("%s was sent again on an idle connection", s.Part)
+			}
+			events = append(events, ended(s.Part, b.attempts[s.Part]-1, OK))
+		}
+		b.now += 50 * ms
+		acts = b.step(append(events, Event{Kind: Wakeup})...)
+	}
+	if b.aggregator.queries.byID["q"] != nil {
+		t.Error("the query was not answered")
+	}
+	for _, r := range b.aggregator.endpoints.replicas {
+		if r.slowStart.active || r.outlier.ejected || r.outlier.failures > 0 {
+			t.Errorf("%s: cold %v, ejected %v, %v strikes", r.member.Replica, r.slowStart.active, r.outlier.ejected, r.outlier.failures)
+		}
+	}
+}
+
+// TestUnsafePartsUseSoundConnections: one sign of dead connections is enough to close idle ones before a
+// part that may not run twice; others wait for a second sign.
+func TestUnsafePartsUseSoundConnections(t *testing.T) {
+	for _, c := range []struct {
+		effect Effect
+		closes int
+	}{{Safe, 0}, {Unsafe, 1}} {
+		set := testSettings()
+		set.Classes = append(set.Classes, set.Classes[0])
+		set.Classes[1].Effect = c.effect
+		b := newHarness(t, set, members("a", "b", "c")...)
+		b.step(asks("warm", time.Second, 0, 1, 2)...)
+		b.now += 50 * ms
+		for i := range 3 {
+			b.step(ended(fmt.Sprint("warm/", i), 0, OK))
+		}
+		b.now += time.Second
+		b.step(asks("q", time.Second, 0)...)
+		b.now += 2 * ms
+		b.step(ended("q/0", 0, Reset)) // goes on, on a new connection
+		b.step(ended("q/0", 1, OK))
+		b.now += 1500 * ms
+		events := asks("u", time.Second, 1)
+		events[0].Class = 1
+		if got := len(only(b.step(events...), CloseIdle)); got != c.closes {
+			t.Errorf("effect %d: %d connections closed, want %d", c.effect, got, c.closes)
+		}
+	}
+}
--- a/aggregator/timeout_test.go
+++ b/aggregator/latency_test.go
@@ -6,6 +6,23 @@
 	"time"
 )
 
+// TestSeldomHeard: a node with a small share of the traffic hears a replica every few aims only. What it has seen of a
+// slow one must hold until then.
+func TestSeldomHeard(t *testing.T) {
+	set := testSettings()
+	f := newFleet(t, set, func(r string) (Outcome, time.Duration) {
+		if r == "a" {
+			return OK, 300 * ms
+		}
+		return OK, 20 * ms
+	})
+	f.run(20*time.Second, 2*time.Second) // each is heard every 6 s
+	f.run(180*time.Second, 2*time.Second)
+	if got := f.got["a"]; got > 15 {
+		t.Errorf("the slow replica of three got %d of 90 parts", got)
+	}
+}
+
 // TestTimeoutsAreRemembered: where what is sent is given up unanswered, most queries that follow are turned away as long as
 // that counts, not let in because nothing is out any more. One is let in again later, to see.
 func TestTimeoutsAreRemembered(t *testing.T) {
--- /dev/null
+++ b/aggregator/outlier_test.go
@@ -0,0 +1,111 @@
+package aggregator
+
+import (
+	"fmt"
+	"testing"
+	"time"
+)
+
+// TestSymptoms: a replica that shows a symptom loses its traffic while it lasts and regains it
+// afterwards. A reaction of Moot stands for silence.
+func TestSymptoms(t *testing.T) {
+	for name, bad := range map[string]struct {
+		outcome Outcome
+		took    time.Duration
+	}{
+		"quick errors":    {Errored, 5 * ms},
+		"silence":         {NotSent, 0},
+		"failed connects": {ConnectFailed, 20 * ms},
+		"resets":          {Reset, 20 * ms},
+		"slow":            {OK, 600 * ms},
+	} {
+		for _, probes := range []bool{false, true} {
+			t.Run(fmt.Sprint(name, ", probes ", probes), func(t *testing.T) {
+				sick := false
+				set := testSettings()
+				set.Limits.Probes = probes
+				f := newFleet(t, set, func(r string) (Outcome, time.Duration) {
+					if sick && r == "a" {
+						return bad.outcome, bad.took
+					}
+					return OK, 50 * ms
+				})
+				f.run(3*time.Second, 20*ms)
+				if f.got["a"] < 30 {
+					t.Fatalf("healthy replica got %d of 150 parts", f.got["a"])
+				}
+				sick = true
+				f.run(2*time.Second, 20*ms)
+				f.run(4*time.Second, 20*ms)
+				if f.got["a"] > 20 {
+					t.Errorf("the sick replica got %d of 200 parts", f.got["a"])
+				}
+				sick = false
+				f.run(16*time.Second, 20*ms)
+				f.run(3*time.Second, 20*ms)
+				if f.got["a"] < 25 {
+					t.Errorf("the healed replica got %d of 150 parts", f.got["a"])
+				}
+			})
+		}
+	}
+}
+
+// TestFullReplicaIsLeftAlone: a replica that turns work away holds nothing of ours and must not draw the
+// retries.
+func TestFullReplicaIsLeftAlone(t *testing.T) {
+	full := false
+	f := newFleet(t, testSettings(), func(r string) (Outcome, time.Duration) {
+		if full && r == "a" {
+			return Rejected, 2 * ms
+		}
+		return OK, 50 * ms
+	})
+	f.run(3*time.Second, 20*ms)
+	full = true
+	f.run(3*time.Second, 20*ms)
+	if f.got["a"] > 40 {
+		t.Errorf("the full replica got %d of 150 parts", f.got["a"])
+	}
+}
+
+// TestShardKeepsAHolder: where every holder errs, parts still go out; opinion never empties a shard.
+func TestShardKeepsAHolder(t *testing.T) {
+	bad := true
+	f := newFleet(t, testSettings(), func(string) (Outcome, time.Duration) {
+		if bad {
+			return Errored, 5 * ms
+		}
+		return OK, 50 * ms
+	})
+	f.run(3*time.Second, 50*ms)
+	bad = false
+	f.run(12*time.Second, 50*ms)
+	if answers := only(f.run(2*time.Second, 50*ms), Answer); len(answers) < 35 {
+		t.Errorf("%d of 40 queries answered after all have healed", len(answers))
+	}
+}
+
+// TestConnectsThatTimeOut: a replica whose connections come up late is left for others, and is not held for one that has
+// just started: where nobody else holds the shard it goes on getting all its parts. One that refuses connections may have
+// started anew.
+func TestConnectsThatTimeOut(t *testing.T) {
+	for _, c := range []struct {
+		end  Outcome
+		cold bool
+	}{{ConnectTimeout, false}, {ConnectFailed, true}} {
+		set := testSettings()
+		set.ShardSets, set.Shards, set.Reach = 1, 1, 1
+		b := newHarness(t, set, Member{Replica: "a"})
+		for i := range 3 {
+			sent := only(b.step(asks(fmt.Sprint("q", i), 3*time.Second, 0)...), Send)
+			b.now += 20 * ms
+			for _, s := range sent {
+				b.step(ended(s.Part, 0, c.end))
+			}
+		}
+		if r := b.aggregator.endpoints.byName["a"]; r.slowStart.active != c.cold || !r.outlier.ejected {
+			t.Errorf("outcome %d: cold %v, ejected %v; want cold %v and ejected", c.end, r.slowStart.active, r.outlier.ejected, c.cold)
+		}
+	}
+}
--- a/aggregator/policy_test.go
+++ b/aggregator/placement_test.go
@@ -5,17 +5,6 @@
 	"time"
 )
 
-// testSettings is a small fleet: three cells of one replica, each shard held by all.
-func testSettings() Settings {
-	return Settings{
-		Aggregators: 1, Tick: 5 * time.Millisecond, ShardSets: 3, Shards: 3, Reach: 3,
-		Classes: []Class{{Name: "c", LatencyObjective: time.Second, Deadline: 3 * time.Second, Priority: 1, CompleteShare: 1, MinShare: 1}},
-		Limits:  Limits{MaxAttempts: 3, MaxBatch: 1, CanCancel: true, SendRetryAfter: true, MaxRetryAfter: time.Second},
-		Rules: Rules{DrainGrace: 250 * time.Millisecond, OverloadMultiple: 3, OverloadWindow: time.Second, InitialCapacity: 0.2,
-			WarmupTime: 10 * time.Second},
-	}
-}
-
 // TestSpreadsParts guards the mechanism: parts of one query go to the replicas with the fewest of ours.
 func TestSpreadsParts(t *testing.T) {
 	a, err := New(testSettings(), 1)
--- /dev/null
+++ b/aggregator/random_test.go
@@ -0,0 +1,137 @@
+package aggregator
+
+import (
+	"fmt"
+	"math/rand/v2"
+	"testing"
+	"time"
+)
+
+// TestLongRandomRun drives random events and asserts the rules with accounts of its own; memory stays
+// bounded.
+func TestLongRandomRun(t *testing.T) {
+	for seed := range uint64(6) {
+		set := testSettings()
+		set.Limits.Hedging, set.Limits.Probes, set.Limits.Gossip = seed%2 == 0, seed%3 == 0, seed%2 == 1
+		set.Classes[0].Effect, set.Classes[0].DedupWindow = Effect(seed%3), 300*ms
+		randomRun(t, set, members("a", "b", "c"), seed)
+	}
+}
+
+// TestLongRandomRunWide does the same as one of eighty nodes over 120 replicas in two and three zones, with shared
+// calls and every effect a class can have.
+func TestLongRandomRunWide(t *testing.T) {
+	for seed := range uint64(4) {
+		set, all := fleetSettings(120, 2+int(seed%2), 80)
+		for i := range all {
+			all[i].Zone = fmt.Sprint("z", i%(2+int(seed%2)))
+		}
+		set.Zone = "z0"
+		set.Limits.Hedging = seed%2 == 0
+		set.Limits.MaxBatch, set.CallCost = 1+int(seed%3)*8, time.Duration(seed%3)*20*ms
+		set.Classes[0].Effect, set.Classes[0].DedupWindow = Effect(seed%3), 300*ms
+		randomRun(t, set, all, seed)
+	}
+}
+
+func randomRun(t *testing.T, set Settings, all []Member, seed uint64) {
+	b := newHarness(t, set, all...)
+	rng := rand.New(rand.NewPCG(seed, 1))
+	type attempt struct {
+		part string
+		n    int
+	}
+	var out []attempt
+	due := map[string]time.Duration{}
+	ran, flying := map[string]bool{}, map[string]int{} // of parts: may have run, attempts out
+	told := map[attempt]bool{}
+	unsafe := set.Classes[0].Effect == Unsafe
+	barred := map[string]bool{}
+	var probed []Event
+	stray := []EventKind{0, PartArrived, AttemptEnded, ClientGone, Wakeup, ListCallFailed, ProbeEnded, 77}
+	for i := range 6000 {
+		b.now += time.Duration(rng.IntN(30)) * ms
+		if rng.IntN(300) == 0 {
+			b.now += 2 * time.Second // the node stood still
+		}
+		events := probed
+		probed = nil
+		if rng.IntN(3) == 0 {
+			id := fmt.Sprint(i)
+			due[id] = b.now + time.Second
+			events = append(events, asks(id, time.Second, rng.IntN(set.Shards), rng.IntN(set.Shards))...)
+		}
+		if len(out) > 0 && rng.IntN(4) > 0 {
+			k := rng.IntN(len(out))
+			o := Outcome(rng.IntN(12))
+			if events = append(events, ended(out[k].part, out[k].n, o)); !told[out[k]] {
+				told[out[k]] = true
+				flying[out[k].part]--
+				ran[out[k].part] = ran[out[k].part] || o != Rejected && o != ConnectFailed && o != ConnectTimeout && o != NotSent
+			}
+			if rng.IntN(10) > 0 { // else it is told twice
+				out = append(out[:k], out[k+1:]...)
+			}
+		}
+		if rng.IntN(50) == 0 {
+			m := all[rng.IntN(len(all))]
+			m.State, m.Started = State(rng.IntN(3)), b.now*time.Duration(rng.IntN(2))
+			barred[m.Replica] = m.State != Serving
+			events = append(events, Event{Kind: ListChanged, Members: []Member{m}})
+		}
+		events = append(events, Event{Kind: stray[rng.IntN(len(stray))], Query: "none", Part: "none",
+			Replica: "none", Attempt: -1, Class: -1, Shard: -5, Tenant: 77})
+		if rng.IntN(20) == 0 {
+			junk := make([]byte, rng.IntN(300))
+			for k := range junk {
+				junk[k] = byte(rng.IntN(256))
+			}
+			events = append(events, Event{Kind: GossipReceived, Data: junk})
+		}
+		for _, act := range b.step(events...) {
+			switch act.Kind {
+			case SendGossip:
+				if !set.Limits.Gossip || len(act.Data) == 0 || len(act.Data) > 256 {
+					t.Fatalf("seed %d: a message of %d bytes", seed, len(act.Data))
+				}
+			case Send:
+				if unsafe && (ran[act.Part] || flying[act.Part] > 0) {
+					t.Fatalf("seed %d: %s may run twice", seed, act.Part)
+				}
+				flying[act.Part]++
+				out = append(out, attempt{act.Part, b.attempts[act.Part] - 1})
+				if b.attempts[act.Part] > set.Limits.MaxAttempts {
+					t.Fatalf("seed %d: %d attempts of %s", seed, b.attempts[act.Part], act.Part)
+				}
+				if barred[act.Replica] {
+					t.Fatalf("seed %d: sent to %s, which drains", seed, act.Replica)
+				}
+				if _, open := due[act.Part[:len(act.Part)-2]]; !open {
+					t.Fatalf("seed %d: %s sent after its query ended", seed, act.Part)
+				}
+			case Probe:
+				if rng.IntN(2) == 0 {
+					probed = append(probed, Event{Kind: ProbeEnded, Replica: act.Replica, Outcome: Outcome(rng.IntN(5))})
+				}
+			case Answer, Reject, Fail:
+				if _, open := due[act.Query]; !open && act.Query != "none" {
+					t.Fatalf("seed %d: %s ended twice", seed, act.Query)
+				}
+				delete(due, act.Query)
+				for _, part := range []string{act.Query + "/0", act.Query + "/1"} {
+					if unsafe && act.Kind == Reject && (ran[part] || flying[part] > 0) {
+						t.Fatalf("seed %d: %s refused though %s may have run", seed, act.Query, part)
+					}
+				}
+			}
+		}
+		for id, end := range due {
+			if end+30*ms < b.now {
+				t.Fatalf("seed %d: %s was lost", seed, id)
+			}
+		}
+	}
+	if len(b.aggregator.queries.byID) > 100 || len(b.aggregator.queries.parts) > 3000 || len(b.aggregator.queries.live) > 100 {
+		t.Errorf("seed %d: %d queries, %d parts held", seed, len(b.aggregator.queries.byID), len(b.aggregator.queries.parts))
+	}
+}
--- /dev/null
+++ b/aggregator/settings_test.go
@@ -0,0 +1,24 @@
+package aggregator
+
+import (
+	"strings"
+	"testing"
+)
+
+// TestNewNamesTheField: settings that can't be served are refused by the field's name.
+func TestNewNamesTheField(t *testing.T) {
+	for want, spoil := range map[string]func(*Settings){
+		"Cells":      func(s *Settings) { s.ShardSets = 0 },
+		"Shards":     func(s *Settings) { s.Shards = 0 },
+		"Reach":      func(s *Settings) { s.Reach = 9 },
+		"Classes":    func(s *Settings) { s.Classes = nil },
+		"Classes[0]": func(s *Settings) { s.Classes[0].LatencyObjective = -1 },
+		"Rules":      func(s *Settings) { s.Rules.OverloadMultiple = -1 },
+	} {
+		set := testSettings()
+		spoil(&set)
+		if _, err := New(set, 1); err == nil || !strings.Contains(err.Error(), want) {
+			t.Errorf("%s: error %v", want, err)
+		}
+	}
+}
--- a/aggregator/slowstart_test.go
+++ b/aggregator/slowstart_test.go
@@ -167,3 +167,136 @@
 		}
 	}
 }
+
+// TestColdReplica: a replica that has just started gets no more than this front node's share of what it
+// can take, however many parts wait for it.
+func TestColdReplica(t *testing.T) {
+	set := testSettings()
+	set.ShardSets, set.Reach, set.Aggregators = 1, 1, 2
+	b := newHarness(t, set, Member{Replica: "a", Started: 99900 * ms})
+	sent := 0
+	for i := range 50 {
+		sent += len(only(b.step(asks(fmt.Sprint(i), 3*time.Second, 0)...), Send))
+	}
+	// Work is presumed a tenth of the aim; a front node's half of 3 x (0.2 + a little) x 1 s is under 4
+	// parts.
+	if sent == 0 || sent > 4 {
+		t.Errorf("%d parts in the first moment, want 1 to 4", sent)
+	}
+}
+
+// TestManyNodesShareAColdReplica: dozens of nodes, each with a share of under one part, use a cold
+// replica from its start and on average stay within the room that all of them have together.
+func TestManyNodesShareAColdReplica(t *testing.T) {
+	const nodes, windows = 80, 8
+	sent := 0
+	for seed := range uint64(nodes) {
+		set := testSettings()
+		set.ShardSets, set.Reach, set.Aggregators = 1, 1, nodes
+		a, err := New(set, seed)
+		if err != nil {
+			t.Fatal(err)
+		}
+		start := 100 * time.Second
+		list := Event{Kind: ListCached, Members: []Member{{Replica: "a", Started: start - ms}}}
+		a.Step(start, []Event{list}, nil)
+		for i := range windows * 5 {
+			now := start + time.Duration(i)*200*ms
+			sent += len(only(a.Step(now, asks(fmt.Sprint(i), time.Second, 0), nil), Send))
+		}
+	}
+	// The room grows evenly from 3 x 0.2 to 3 x 0.84 over the eight windows of 1 s; a part is a tenth of
+	// a second.
+	if room := windows * 3 * 0.52 * 10; sent == 0 || float64(sent) > room || float64(sent) < room/3 {
+		t.Errorf("%d parts from %d nodes in %d windows, want a third of %.0f to %.0f", sent, nodes, windows, room, room)
+	}
+}
+
+// coldFleet steps eighty nodes that share three replicas of a shard, one of them just started, for ten falling windows.
+// Each asks now and then, or all at once as together says; if idle, after so many windows without a query, and with no
+// other holder left. It returns the work sent to the cold replica in each window,
+// as a share of what it may be sent, and the parts of a call there.
+func coldFleet(t *testing.T, together bool, idle int) (shares []float64, perCall float64) {
+	const nodes, part = 80, 20 * ms
+	set := testSettings()
+	set.ShardSets, set.Shards, set.Reach, set.Aggregators = 1, 2, 1, nodes
+	set.Limits.MaxBatch, set.CallCost = 8, 4*ms
+	set.Rules.WarmupTime = 20 * time.Second
+	var fleet []*harness
+	for seed := range uint64(nodes) {
+		b := newHarness(t, set)
+		b.aggregator, _ = New(set, seed)
+		b.step(Event{Kind: ListCached, Members: []Member{{Replica: "a"}, {Replica: "b"}}})
+		for i := range 5 { // it learns how long a part takes
+			b.step(asks(fmt.Sprint("first", i), 3*time.Second, 0)...)
+			b.now += part
+			b.step(ended(fmt.Sprint("first", i, "/0"), 0, OK))
+		}
+		b.step(Event{Kind: ListChanged, Members: []Member{{Replica: "cold", Started: b.now}}})
+		if idle > 0 {
+			b.step(Event{Kind: ListChanged, Members: []Member{{Replica: "a", State: Gone}, {Replica: "b", State: Gone}}})
+		}
+		fleet = append(fleet, b)
+	}
+	start := fleet[0].now
+	parts, calls := 0, 0
+	sent := make([]float64, 10)
+	for step := range int(10*set.Rules.OverloadWindow/ms) / 100 {
+		for i, b := range fleet {
+			b.now = start + time.Duration(step)*100*ms
+			if asks := (step+i)%10 == 0; step < 10*idle || !together && !asks || together && step%5 != 0 {
+				continue
+			}
+			acts := b.step(asks(fmt.Sprint("q", step), 3*time.Second, 0, 1)...)
+			called := false
+			b.now += part
+			for _, s := range only(acts, Send) {
+				if s.Replica == "cold" {
+					sent[time.Duration(step)*100*ms/set.Rules.OverloadWindow] += part.Seconds()
+					parts, called = parts+1, true
+				}
+				b.step(ended(s.Part, b.attempts[s.Part]-1, OK))
+			}
+			if called {
+				calls++
+			}
+		}
+	}
+	for i, work := range sent {
+		from := float64(i) * set.Rules.OverloadWindow.Seconds() / set.Rules.WarmupTime.Seconds()
+		capacity := set.Rules.InitialCapacity + (1-set.Rules.InitialCapacity)*from
+		shares = append(shares, work/(set.Rules.OverloadMultiple*capacity*set.Rules.OverloadWindow.Seconds()))
+	}
+	return shares, float64(parts) / float64(max(calls, 1))
+}
+
+// TestColdReplicaOfAFleet: a replica that has just started gets its share of the traffic from the start, though each of
+// eighty nodes may send it a part in some windows only, and whole calls where these are few enough. It is never pushed
+// over, also where all nodes are asked in the same moment.
+func TestColdReplicaOfAFleet(t *testing.T) {
+	for _, together := range []bool{false, true} {
+		shares, perCall := coldFleet(t, together, 0)
+		sum := 0.0
+		for i, s := range shares {
+			if s > 1 {
+				t.Errorf("together %v: window %d: %.2f of what it stands", together, i, s)
+			}
+			sum += s
+		}
+		if mean := sum / float64(len(shares)); mean < 0.33 || perCall < 1.5 {
+			t.Errorf("together %v: on average %.2f of what it may be sent, in calls of %.1f parts", together, mean, perCall)
+		}
+		t.Logf("together %v: %.2f, %.2f parts a call", together, shares, perCall)
+	}
+}
+
+// TestColdReplicaAfterAPause: nodes that have saved up their shares and are then all asked at once, with no other holder
+// left, still don't push a replica over that can do one unit of work at a time.
+func TestColdReplicaAfterAPause(t *testing.T) {
+	for idle := 1; idle < 8; idle++ {
+		shares, _ := coldFleet(t, true, idle)
+		if most := slices.Max(shares); most > 1 || shares[idle] == 0 {
+			t.Errorf("idle for %d windows: then %.2f of what it stands, want some and no more than 1", idle, shares[idle:])
+		}
+	}
+}
