--- a/aggregator/admission_test.go
+++ b/aggregator/admission_test.go
@@ -6,24 +6,24 @@
 	"time"
 )
 
-// TestNoVainWait: a query that needs a replica which may not be used is refused at once.
-func TestNoVainWait(t *testing.T) {
+// TestQueryWithoutUsableReplicaIsRejectedAtOnce: a query that needs a replica which may not be used is refused at once.
+func TestQueryWithoutUsableReplicaIsRejectedAtOnce(t *testing.T) {
 	set, all := fleetSettings(3, 1, 1000)
 	all[0].Started = 100*time.Second - ms
 	refused := 0
 	for i := range 20 {
 		set.Rules.OverloadMultiple = 0.1
 		b := newHarness(t, set, all...)
-		refused += len(only(b.step(asks(fmt.Sprint(i), time.Second, 0)...), Reject))
+		refused += len(actionsOf(b.step(queryEvents(fmt.Sprint(i), time.Second, 0)...), Reject))
 	}
 	if refused < 18 {
 		t.Errorf("%d of 20 queries refused at once", refused)
 	}
 }
 
-// TestTenantThatRepeats: where most of what a tenant asks is asked again, its retries give way to the
+// TestRetriesOfATenantThatMostlyRetriesRankLower: where most of what a tenant asks is asked again, its retries give way to the
 // first tries of others; a single retry does not.
-func TestTenantThatRepeats(t *testing.T) {
+func TestRetriesOfATenantThatMostlyRetriesRankLower(t *testing.T) {
 	for _, c := range []struct {
 		repeats int
 		first   bool // the other tenant is served first
@@ -49,41 +49,41 @@
 	}
 }
 
-// TestSlowestPartDecides: where the whole fleet has a queue, a query of many parts is refused that can't be
+// TestQueryOfManyPartsIsRejectedUnderLoad: where the whole fleet has a queue, a query of many parts is refused that can't be
 // expected to have all of them in time, and one of a single part is let in; where only a few replicas are
 // late, both are let in.
-func TestSlowestPartDecides(t *testing.T) {
+func TestQueryOfManyPartsIsRejectedUnderLoad(t *testing.T) {
 	for _, busy := range []bool{true, false} {
 		set, all := fleetSettings(30, 3, 1)
 		b := newHarness(t, set, all...)
 		for i := range 300 {
 			id := fmt.Sprint(i)
-			b.step(asks(id, time.Second, i%30)...)
+			b.step(queryEvents(id, time.Second, i%30)...)
 			took := 30 * ms
-			if late := only(b.last, Send); i > 60 && len(late) > 0 && (busy || late[0].Replica == "r1") {
+			if late := actionsOf(b.last, Send); i > 60 && len(late) > 0 && (busy || late[0].Replica == "r1") {
 				took = 150 * ms
 			}
 			b.after(took)
-			b.step(ended(id+"/0", 0, OK))
+			b.step(attemptEnded(id+"/0", 0, OK))
 		}
 		many := make([]int, 100)
 		for i := range many {
 			many[i] = i % 30
 		}
-		refused := len(only(b.step(asks("many", time.Second, many...)...), Reject)) == 1
+		refused := len(actionsOf(b.step(queryEvents("many", time.Second, many...)...), Reject)) == 1
 		if refused != busy {
 			t.Errorf("busy %v: the query of many parts refused %v", busy, refused)
 		}
-		if len(only(b.step(asks("one", time.Second, 1)...), Reject)) > 0 {
+		if len(actionsOf(b.step(queryEvents("one", time.Second, 1)...), Reject)) > 0 {
 			t.Errorf("busy %v: the query of one part was refused", busy)
 		}
 	}
 }
 
-// TestPressedPartIsSpared: where all holders of a shard are slow, a query that can be answered in part does without its
+// TestLatePartIsShed: where all holders of a shard are slow, a query that can be answered in part does without its
 // part and is answered as soon as the rest is in. One that needs all its parts sends it, and so do both where none is slow, or
 // where three nodes know the load and expect the part within the aim.
-func TestPressedPartIsSpared(t *testing.T) {
+func TestLatePartIsShed(t *testing.T) {
 	for _, c := range []struct {
 		floor float64
 		slow  bool
@@ -96,34 +96,34 @@
 		set.Classes[0].MinShare, set.Classes[0].PartialShare = c.floor, 0.9
 		b := newHarness(t, set, all...)
 		for i := range 20 { // one shard each, the last of which is slow
-			b.step(asks(fmt.Sprint(i), 3*time.Second, i%4)...)
+			b.step(queryEvents(fmt.Sprint(i), 3*time.Second, i%4)...)
 			if b.now += 20 * ms; i%4 == 3 && c.slow {
 				b.now += 400 * ms
 			}
-			b.step(ended(fmt.Sprint(i, "/0"), 0, OK))
+			b.step(attemptEnded(fmt.Sprint(i, "/0"), 0, OK))
 		}
-		sent := only(b.step(asks("q", 3*time.Second, 0, 1, 2, 3)...), Send)
+		sent := actionsOf(b.step(queryEvents("q", 3*time.Second, 0, 1, 2, 3)...), Send)
 		b.now += 20 * ms
 		var in []Event
 		for _, s := range sent {
-			in = append(in, ended(s.Part, 0, OK))
+			in = append(in, attemptEnded(s.Part, 0, OK))
 		}
-		answers := only(b.step(in...), Answer)
+		answers := actionsOf(b.step(in...), Answer)
 		if len(sent) != c.parts || len(answers) != 1 || answers[0].Complete != c.whole {
 			t.Errorf("floor %.1f, slow %v, %d nodes: %d parts sent, want %d; answers %+v", c.floor, c.slow, c.nodes, len(sent), c.parts, answers)
 		}
 	}
 }
 
-// TestOverloadEnds: under more load than can be served, queries are refused at once with a return time,
+// TestOverloadIsShedAndEnds: under more load than can be served, queries are refused at once with a return time,
 // and when the load goes all are answered again.
-func TestOverloadEnds(t *testing.T) {
+func TestOverloadIsShedAndEnds(t *testing.T) {
 	load := 0
-	f := newFleet(t, testSettings(), nil)
+	f := newReactingFleet(t, testSettings(), nil)
 	f.react = func(string) (Outcome, time.Duration) { return OK, time.Duration(50+load) * ms }
 	f.run(3*time.Second, 20*ms)
 	load = 900
-	refused := only(f.run(4*time.Second, 20*ms), Reject)
+	refused := actionsOf(f.run(4*time.Second, 20*ms), Reject)
 	if len(refused) < 50 {
 		t.Errorf("%d of 200 queries refused under overload", len(refused))
 	}
@@ -134,7 +134,7 @@
 	}
 	load = 0
 	f.run(5*time.Second, 20*ms)
-	if answers := only(f.run(2*time.Second, 20*ms), Answer); len(answers) < 90 {
+	if answers := actionsOf(f.run(2*time.Second, 20*ms), Answer); len(answers) < 90 {
 		t.Errorf("%d of 100 queries answered after the load has gone", len(answers))
 	}
 }
--- a/aggregator/answer_test.go
+++ b/aggregator/answer_test.go
@@ -6,14 +6,14 @@
 	"time"
 )
 
-// TestLostQuery: every query gets its one final answer in time, even where nothing ever comes back and a
+// TestEveryQueryGetsOneFinalAnswerInTime: every query gets its one final answer in time, even where nothing ever comes back and a
 // late answer is worth as much as one in time.
-func TestLostQuery(t *testing.T) {
+func TestEveryQueryGetsOneFinalAnswerInTime(t *testing.T) {
 	set := testSettings()
 	set.Classes[0].LateShare = 1
 	b := newHarness(t, set, members("a", "b", "c")...)
 	start, left := b.now, 1700*ms
-	b.step(asks("q", left, 0)...)
+	b.step(queryEvents("q", left, 0)...)
 	finals := 0
 	for b.now < start+3*time.Second {
 		for _, act := range b.after(b.settings.Tick) {
@@ -34,34 +34,34 @@
 	}
 }
 
-// TestRefusalIsHarmless: once an unsafe part may have run, the query is failed and not refused.
-func TestRefusalIsHarmless(t *testing.T) {
+// TestQueryIsFailedOnceAnUnsafePartMayHaveRun: once an unsafe part may have run, the query is failed and not refused.
+func TestQueryIsFailedOnceAnUnsafePartMayHaveRun(t *testing.T) {
 	for outcome, want := range map[Outcome]ActionKind{Errored: Fail, Rejected: Reject} {
 		set := testSettings()
 		set.Classes[0].Effect, set.Limits.MaxAttempts = Unsafe, 1
 		b := newHarness(t, set, members("a", "b", "c")...)
-		b.step(asks("q", 3*time.Second, 0)...)
-		if got := only(b.step(ended("q/0", 0, outcome)), want); len(got) != 1 {
+		b.step(queryEvents("q", 3*time.Second, 0)...)
+		if got := actionsOf(b.step(attemptEnded("q/0", 0, outcome)), want); len(got) != 1 {
 			t.Errorf("outcome %d: no action of kind %d in %v", outcome, want, b.last)
 		}
 	}
 }
 
-// TestFailureWhileOut: a query whose unsafe part is still out is failed, not refused, when its time is
+// TestQueryIsFailedWhileAnUnsafePartIsOpen: a query whose unsafe part is still out is failed, not refused, when its time is
 // up.
-func TestFailureWhileOut(t *testing.T) {
+func TestQueryIsFailedWhileAnUnsafePartIsOpen(t *testing.T) {
 	set := testSettings()
 	set.Classes[0].Effect = Unsafe
 	b := newHarness(t, set, members("a", "b", "c")...)
-	b.step(asks("q", time.Second, 0)...)
+	b.step(queryEvents("q", time.Second, 0)...)
 	all := b.after(2 * time.Second)
-	if len(only(all, Fail)) != 1 || len(only(all, Reject)) != 0 {
-		t.Errorf("got %v and %v, want one failure", only(all, Fail), only(all, Reject))
+	if len(actionsOf(all, Fail)) != 1 || len(actionsOf(all, Reject)) != 0 {
+		t.Errorf("got %v and %v, want one failure", actionsOf(all, Fail), actionsOf(all, Reject))
 	}
 }
 
-// TestHonestAnswers: no answer from less than the floor, none marked whole that is not, over both steps.
-func TestHonestAnswers(t *testing.T) {
+// TestAnswerStatesWhetherItIsComplete: no answer from less than the floor, none marked whole that is not, over both steps.
+func TestAnswerStatesWhetherItIsComplete(t *testing.T) {
 	for _, c := range []struct {
 		name  string
 		floor float64
@@ -79,13 +79,13 @@
 			set.Limits.MaxAttempts = 1
 			set.Classes[0].MinShare, set.Classes[0].PartialShare = c.floor, 1
 			b := newHarness(t, set, members("a", "b", "c")...)
-			b.step(asks("q", 900*ms, 0, 1, 2, 0)...)
+			b.step(queryEvents("q", 900*ms, 0, 1, 2, 0)...)
 			for i := range c.ok {
-				b.step(ended(fmt.Sprint("q/", i), 0, OK))
+				b.step(attemptEnded(fmt.Sprint("q/", i), 0, OK))
 			}
 			all := b.last
 			all = append(all, b.after(time.Second)...)
-			got := append(only(all, Answer), only(all, Reject)...)
+			got := append(actionsOf(all, Answer), actionsOf(all, Reject)...)
 			if len(got) != 1 || got[0].Kind != c.kind || got[0].Complete != c.whole {
 				t.Errorf("got %+v, want kind %d whole %v", got, c.kind, c.whole)
 			}
@@ -93,69 +93,69 @@
 	}
 }
 
-// TestSecondStep: the first answer opens the second step, the second one ends the query.
-func TestSecondStep(t *testing.T) {
+// TestFirstAnswerOpensTheSecondStep: the first answer opens the second step, the second one ends the query.
+func TestFirstAnswerOpensTheSecondStep(t *testing.T) {
 	set := testSettings()
 	set.Classes[0].FetchParts = 1
 	b := newHarness(t, set, members("a", "b", "c")...)
-	b.step(asks("q", 3*time.Second, 0)...)
-	first := only(b.step(ended("q/0", 0, OK)), Answer)
+	b.step(queryEvents("q", 3*time.Second, 0)...)
+	first := actionsOf(b.step(attemptEnded("q/0", 0, OK)), Answer)
 	b.step(Event{Kind: PartArrived, Query: "q", Part: "s", Shard: 0, Weight: 1})
-	second := only(b.step(ended("s", 0, OK)), Answer)
+	second := actionsOf(b.step(attemptEnded("s", 0, OK)), Answer)
 	if len(first) != 1 || first[0].Final || len(second) != 1 || !second[0].Final || !second[0].Complete {
 		t.Errorf("answers %+v and %+v, want one that opens the second step and one final and whole", first, second)
 	}
 }
 
-// TestSecondStepWithALostPart: a second step that lacks a part is not marked whole, though nothing more of
+// TestSecondStepWithoutAPartIsNotComplete: a second step that lacks a part is not marked whole, though nothing more of
 // it may come.
-func TestSecondStepWithALostPart(t *testing.T) {
+func TestSecondStepWithoutAPartIsNotComplete(t *testing.T) {
 	set := testSettings()
 	set.Classes[0].MinShare, set.Classes[0].PartialShare, set.Classes[0].FetchParts = 0.5, 0.9, 2
 	set.Limits.MaxAttempts = 1
 	b := newHarness(t, set, members("a", "b", "c")...)
-	b.step(asks("q", 3*time.Second, 0, 1)...)
-	b.step(ended("q/0", 0, OK), ended("q/1", 0, OK))
+	b.step(queryEvents("q", 3*time.Second, 0, 1)...)
+	b.step(attemptEnded("q/0", 0, OK), attemptEnded("q/1", 0, OK))
 	second := []Event{{Kind: PartArrived, Query: "q", Part: "s0", Shard: 0, Weight: 0.5},
 		{Kind: PartArrived, Query: "q", Part: "s1", Shard: 1, Weight: 0.5}}
 	b.step(second...)
-	all := b.step(ended("s0", 0, OK), ended("s1", 0, Errored))
+	all := b.step(attemptEnded("s0", 0, OK), attemptEnded("s1", 0, Errored))
 	all = append(all, b.after(2*time.Second)...)
-	answers := only(all, Answer)
+	answers := actionsOf(all, Answer)
 	if len(answers) != 1 || answers[0].Complete {
 		t.Errorf("got %+v, want one answer in part", answers)
 	}
 }
 
-// TestPartialAnswersSurviveAHole: a query that may be answered in part is not refused for a shard without
+// TestPartialAnswerDespiteAShardWithoutReplicas: a query that may be answered in part is not refused for a shard without
 // holders, nor ended for a part that may not be tried again, and a second step gets its time.
-func TestPartialAnswersSurviveAHole(t *testing.T) {
+func TestPartialAnswerDespiteAShardWithoutReplicas(t *testing.T) {
 	set := testSettings()
 	set.Shards, set.ShardSets, set.Reach = 4, 4, 1
 	set.Classes[0].MinShare, set.Classes[0].PartialShare, set.Classes[0].FetchParts = 0.7, 0.9, 2
 	set.Limits.MaxAttempts = 1
 	b := newHarness(t, set, members("a", "b", "c")...) // the fourth cell is empty
-	b.step(asks("hole", 3*time.Second, 0, 1, 2, 3)...)
-	if len(only(b.last, Send)) != 3 {
-		t.Fatalf("%d parts sent, want 3", len(only(b.last, Send)))
+	b.step(queryEvents("hole", 3*time.Second, 0, 1, 2, 3)...)
+	if len(actionsOf(b.last, Send)) != 3 {
+		t.Fatalf("%d parts sent, want 3", len(actionsOf(b.last, Send)))
 	}
 	start := b.now
 	b.after(20 * ms)
 	var answers []Action
-	b.step(ended("hole/0", 0, OK), ended("hole/1", 0, OK), ended("hole/2", 0, OK))
+	b.step(attemptEnded("hole/0", 0, OK), attemptEnded("hole/1", 0, OK), attemptEnded("hole/2", 0, OK))
 	for i := 0; len(answers) == 0 && i < 300; i++ {
-		answers = only(b.after(set.Tick), Answer)
+		answers = actionsOf(b.after(set.Tick), Answer)
 	}
 	if len(answers) != 1 || answers[0].Complete || answers[0].Final || b.now-start > 800*ms {
 		t.Errorf("after %v: %+v, want a first answer in part with time for the second step", b.now-start, answers)
 	}
-	b.step(asks("lost", 3*time.Second, 0, 1, 2, 0)...)
-	b.step(ended("lost/0", 0, Errored))
-	if len(only(b.last, Reject)) > 0 {
+	b.step(queryEvents("lost", 3*time.Second, 0, 1, 2, 0)...)
+	b.step(attemptEnded("lost/0", 0, Errored))
+	if len(actionsOf(b.last, Reject)) > 0 {
 		t.Error("ended for one part though the rest can make an answer")
 	}
-	b.step(ended("lost/1", 0, Errored))
-	if len(only(b.last, Reject)) != 1 {
+	b.step(attemptEnded("lost/1", 0, Errored))
+	if len(actionsOf(b.last, Reject)) != 1 {
 		t.Error("not ended though the rest can't make an answer")
 	}
 }
@@ -166,33 +166,33 @@
 	set := testSettings()
 	set.Classes[0].FetchParts, set.Classes[0].MinShare, set.Classes[0].PartialShare = 2, 0.5, 0.9
 	b := newHarness(t, set, members("a", "b", "c")...)
-	b.step(asks("q", 900*ms, 0, 1)...)
-	b.step(ended("q/0", 0, OK))
+	b.step(queryEvents("q", 900*ms, 0, 1)...)
+	b.step(attemptEnded("q/0", 0, OK))
 	b.now += 890 * ms
 	acts := b.step(Event{Kind: Wakeup})
-	if len(only(acts, Answer)) > 0 || len(only(acts, Reject)) != 1 {
+	if len(actionsOf(acts, Answer)) > 0 || len(actionsOf(acts, Reject)) != 1 {
 		t.Errorf("got %+v, want one refusal", acts)
 	}
 }
 
-// TestRoundedWeights: a wire that carries weights of six decimals makes twelve parts weigh 0.999996 together;
+// TestRoundedWeightsMakeACompleteAnswer: a wire that carries weights of six decimals makes twelve parts weigh 0.999996 together;
 // the answer from all of them is whole, and one from eleven is not.
-func TestRoundedWeights(t *testing.T) {
+func TestRoundedWeightsMakeACompleteAnswer(t *testing.T) {
 	set := testSettings()
 	set.Shards = 12
 	set.Classes[0].MinShare, set.Classes[0].PartialShare = 0.5, 0.9
 	for _, missing := range []int{0, 1} {
 		b := newHarness(t, set, members("a", "b", "c")...)
-		events := asks("q", 900*ms, 0, 1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11)
+		events := queryEvents("q", 900*ms, 0, 1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11)
 		for i := range events {
 			events[i].Weight = 0.083333
 		}
 		b.step(events...)
 		var in []Event
 		for i := range 12 - missing {
-			in = append(in, ended(fmt.Sprintf("q/%d", i), 0, OK))
+			in = append(in, attemptEnded(fmt.Sprintf("q/%d", i), 0, OK))
 		}
-		answers := only(append(b.step(in...), b.after(900*ms)...), Answer)
+		answers := actionsOf(append(b.step(in...), b.after(900*ms)...), Answer)
 		if len(answers) != 1 || answers[0].Complete != (missing == 0) {
 			t.Errorf("%d parts missing: got %+v", missing, answers)
 		}
--- a/aggregator/bench_test.go
+++ b/aggregator/bench_test.go
@@ -25,8 +25,8 @@
 	a.Step(now, []Event{{Kind: ListCached, Members: all}}, nil)
 	for i := range n {
 		now += 10 * ms
-		a.Step(now, asks(fmt.Sprint("first", i), 3*time.Second, i%set.Shards), nil)
-		a.Step(now+20*ms, []Event{ended(fmt.Sprint("first", i, "/0"), 0, OK)}, nil)
+		a.Step(now, queryEvents(fmt.Sprint("first", i), 3*time.Second, i%set.Shards), nil)
+		a.Step(now+20*ms, []Event{attemptEnded(fmt.Sprint("first", i, "/0"), 0, OK)}, nil)
 	}
 	return a, now
 }
@@ -44,11 +44,11 @@
 				for j := range shards {
 					shards[j] = (i + j) % a.settings.Shards
 				}
-				out = a.Step(now, asks(id, 3*time.Second, shards...), out[:0])
+				out = a.Step(now, queryEvents(id, 3*time.Second, shards...), out[:0])
 				var in []Event
 				for _, s := range out {
 					if s.Kind == Send {
-						in = append(in, ended(s.Part, 0, OK))
+						in = append(in, attemptEnded(s.Part, 0, OK))
 					}
 				}
 				now += 20 * ms
@@ -84,7 +84,7 @@
 	a.Step(now, []Event{{Kind: ListCached, Members: all}}, nil)
 	var out []Action
 	for i := range 40 {
-		out = a.Step(now, asks(fmt.Sprint("open", i), time.Hour, i, i+1, i+2, i+3, i+4, i+5, i+6, i+7), out[:0])
+		out = a.Step(now, queryEvents(fmt.Sprint("open", i), time.Hour, i, i+1, i+2, i+3, i+4, i+5, i+6, i+7), out[:0])
 	}
 	b.ReportAllocs()
 	for b.Loop() {
@@ -104,8 +104,8 @@
 	b.ReportAllocs()
 	for i := range b.N {
 		id := fmt.Sprint(i)
-		out = a.Step(now, asks(id, time.Second, i%3), out[:0])
+		out = a.Step(now, queryEvents(id, time.Second, i%3), out[:0])
 		now += 10 * ms
-		out = a.Step(now, []Event{ended(id+"/0", 0, OK)}, out[:0])
+		out = a.Step(now, []Event{attemptEnded(id+"/0", 0, OK)}, out[:0])
 	}
 }
--- a/aggregator/canary_test.go
+++ b/aggregator/canary_test.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// TestKillingQuery: after replicas have died, a query whose parts reset what runs them breaks few
+// TestQueryOfDeathReachesFewReplicas: after replicas have died, a query whose parts reset what runs them breaks few
 // replicas and is ended, while a query with an answer keeps going after a reset.
-func TestKillingQuery(t *testing.T) {
+func TestQueryOfDeathReachesFewReplicas(t *testing.T) {
 	set, all := fleetSettings(30, 3, 40)
 	set.Rules.OverloadMultiple = 0
 	b := newHarness(t, set, all...)
@@ -18,18 +18,18 @@
 	}
 	broken := map[string]bool{}
 	for try := range 3 {
-		acts := b.step(asks(fmt.Sprint("k", try), 3*time.Second, shards...)...)
+		acts := b.step(queryEvents(fmt.Sprint("k", try), 3*time.Second, shards...)...)
 		refused := 0
 		for range 20 {
 			var events []Event
-			refused += len(only(acts, Reject))
-			for _, s := range only(acts, Send) {
+			refused += len(actionsOf(acts, Reject))
+			for _, s := range actionsOf(acts, Send) {
 				if broken[s.Replica] = true; b.attempts[s.Part] > 2 {
 					t.Errorf("try %d: part %s was sent %d times", try, s.Part, b.attempts[s.Part])
 				}
-				events = append(events, ended(s.Part, b.attempts[s.Part]-1, Reset))
+				events = append(events, attemptEnded(s.Part, b.attempts[s.Part]-1, Reset))
 			}
-			for _, s := range only(acts, Probe) {
+			for _, s := range actionsOf(acts, Probe) {
 				events = append(events, Event{Kind: ProbeEnded, Replica: s.Replica, Outcome: OK})
 			}
 			b.now += b.settings.Tick
@@ -47,9 +47,9 @@
 	}
 	// A sound query: one part answered, one reset, which is sent again.
 	b = newHarness(t, set, all...)
-	b.step(asks("s", 3*time.Second, 0, 15)...)
-	b.step(ended("s/0", 0, OK))
-	b.step(ended("s/1", 0, Reset))
+	b.step(queryEvents("s", 3*time.Second, 0, 15)...)
+	b.step(attemptEnded("s/0", 0, OK))
+	b.step(attemptEnded("s/1", 0, Reset))
 	b.after(300 * ms)
 	if b.attempts["s/1"] != 2 {
 		t.Errorf("%d attempts of a part that was reset once, want 2", b.attempts["s/1"])
--- a/aggregator/deadline_test.go
+++ b/aggregator/deadline_test.go
@@ -5,20 +5,20 @@
 	"time"
 )
 
-// TestStandstill: a query ends so early that a standstill of the node up to a fifth of the deadline, or as
+// TestQueryEndsEarlyEnoughForAPause: a query ends so early that a standstill of the node up to a fifth of the deadline, or as
 // long as one seen, does not lose it.
-func TestStandstill(t *testing.T) {
+func TestQueryEndsEarlyEnoughForAPause(t *testing.T) {
 	for _, seen := range []time.Duration{0, 800 * ms} {
 		set := testSettings()
 		set.Classes[0].LateShare = 0.9
 		b := newHarness(t, set, members("a", "b", "c")...)
 		if seen > 0 {
-			b.step(asks("first", 3*time.Second, 0)...)
-			b.now += only(b.last, Wake)[0].After + seen
+			b.step(queryEvents("first", 3*time.Second, 0)...)
+			b.now += actionsOf(b.last, Wake)[0].After + seen
 			b.step(Event{Kind: Wakeup})
 		}
 		start := b.now
-		b.step(asks("q", 2*time.Second, 1)...)
+		b.step(queryEvents("q", 2*time.Second, 1)...)
 		for i := 0; b.aggregator.queries.byID["q"] != nil && i < 1000; i++ {
 			b.after(set.Tick)
 		}
--- a/aggregator/endpoints_test.go
+++ b/aggregator/endpoints_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// TestDrain: nothing goes to a replica once the list has said draining or gone, or has dropped it.
-func TestDrain(t *testing.T) {
+// TestNothingIsSentToADrainingReplica: nothing goes to a replica once the list has said draining or gone, or has dropped it.
+func TestNothingIsSentToADrainingReplica(t *testing.T) {
 	for name, e := range map[string]Event{
 		"draining": {Kind: ListChanged, Members: []Member{{Replica: "a", State: Draining}}},
 		"gone":     {Kind: ListChanged, Members: []Member{{Replica: "a", State: Gone}}},
@@ -17,7 +17,7 @@
 		b := newHarness(t, testSettings(), members("a", "b", "c")...)
 		b.step(e)
 		for i := range 20 {
-			for _, s := range only(b.step(asks(fmt.Sprint(i), 3*time.Second, 0)...), Send) {
+			for _, s := range actionsOf(b.step(queryEvents(fmt.Sprint(i), 3*time.Second, 0)...), Send) {
 				if s.Replica == "a" {
 					t.Errorf("%s: a part went to it", name)
 				}
@@ -26,9 +26,9 @@
 	}
 }
 
-// TestListIsAskedAgain: an idle node asks for the list soon after its start and after each refusal, woken
+// TestFailedPollIsRepeated: an idle node asks for the list soon after its start and after each refusal, woken
 // for it, well within the time after which the drain rule takes the list as told; nodes don't ask in step.
-func TestListIsAskedAgain(t *testing.T) {
+func TestFailedPollIsRepeated(t *testing.T) {
 	var times [][]time.Duration
 	for seed := range uint64(20) {
 		set := testSettings()
@@ -43,13 +43,13 @@
 		for len(asked) < 6 {
 			acts := a.Step(now, events, nil)
 			events = []Event{{Kind: Wakeup}}
-			if len(only(acts, PollEndpoints)) > 0 {
+			if len(actionsOf(acts, PollEndpoints)) > 0 {
 				asked = append(asked, now)
 				now += 300 * ms
 				events = []Event{{Kind: ListCallFailed}}
 				continue
 			}
-			wakes := only(acts, Wake)
+			wakes := actionsOf(acts, Wake)
 			if len(wakes) == 0 {
 				t.Fatalf("seed %d: no wake after %d calls", seed, len(asked))
 			}
@@ -71,10 +71,10 @@
 	}
 }
 
-// TestWhatIsGoneIsForgotten: replicas come under new names for as long as a node runs, and queries without end;
+// TestRemovedReplicasAreForgotten: replicas come under new names for as long as a node runs, and queries without end;
 // what the node holds must not grow with them.
 // One that was there a short while ago, or owes an answer, is kept.
-func TestWhatIsGoneIsForgotten(t *testing.T) {
+func TestRemovedReplicasAreForgotten(t *testing.T) {
 	b := newHarness(t, testSettings(), members("a", "b", "c")...)
 	for i := range 500 {
 		was, is := fmt.Sprint("r", i), fmt.Sprint("r", i+1)
@@ -84,7 +84,7 @@
 		b.step(Event{Kind: ListChanged, Members: []Member{old, fresh}})
 		b.now += 10 * time.Second
 		q := fmt.Sprint("q", i)
-		for _, s := range only(b.step(asks(q, time.Second, i%b.aggregator.settings.Shards)...), Send) {
+		for _, s := range actionsOf(b.step(queryEvents(q, time.Second, i%b.aggregator.settings.Shards)...), Send) {
 			b.step(Event{Kind: AttemptEnded, Part: s.Part, Replica: s.Replica, Outcome: OK})
 		}
 	}
@@ -100,7 +100,7 @@
 	if len(a.retryBudget.accepted.times)+len(a.retryBudget.retries.times)+len(a.queries.byID)+len(a.queries.parts)+len(a.queries.live) > 0 {
 		t.Errorf("%d taken, %d extras, %d queries, %d parts", len(a.retryBudget.accepted.times), len(a.retryBudget.retries.times), len(a.queries.byID), len(a.queries.parts))
 	}
-	sent := only(b.step(asks("last", time.Hour, 0)...), Send)[0]
+	sent := actionsOf(b.step(queryEvents("last", time.Hour, 0)...), Send)[0]
 	b.step(Event{Kind: ListReplaced})
 	b.now += time.Second
 	b.step(Event{Kind: Wakeup})
--- a/aggregator/gossip_test.go
+++ b/aggregator/gossip_test.go
@@ -7,9 +7,9 @@
 	"time"
 )
 
-// TestPackedNews: entries survive a message to within a step; messages stay within their size, and bytes
+// TestGossipRoundTrip: entries survive a message to within a step; messages stay within their size, and bytes
 // that are none do no harm.
-func TestPackedNews(t *testing.T) {
+func TestGossipRoundTrip(t *testing.T) {
 	aim := 2 * time.Second
 	list := []gossipEntry{{1, gossipSent, 500 * ms}, {65535, gossipExcess, 1900 * ms}, {7, gossipExcess, 9 * time.Second}}
 	got := decodeGossip(encodeGossip(list, aim), aim)
@@ -31,9 +31,9 @@
 	}
 }
 
-// TestPeersTellTies: of replicas that hold equally many calls of this node, the one to which others were
+// TestGossipBreaksTies: of replicas that hold equally many calls of this node, the one to which others were
 // heard to have sent work is avoided; this node's own calls come first, and hints eject nobody.
-func TestPeersTellTies(t *testing.T) {
+func TestGossipBreaksTies(t *testing.T) {
 	set := testSettings()
 	set.Limits.Gossip = true
 	busy := encodeGossip([]gossipEntry{{replicaTag("a"), gossipSent, 900 * ms}, {replicaTag("none"), gossipSent, 900 * ms}}, time.Second)
@@ -44,13 +44,13 @@
 			t.Fatal(err)
 		}
 		a.Step(time.Second, []Event{{Kind: ListCached, Members: members("a", "b", "c")}}, nil)
-		events := append([]Event{{Kind: GossipReceived, Data: busy}}, asks("q", time.Second, 0, 1, 2)...)
+		events := append([]Event{{Kind: GossipReceived, Data: busy}}, queryEvents("q", time.Second, 0, 1, 2)...)
 		acts := a.Step(2*time.Second, events, nil)
-		for _, s := range only(acts, Send) {
+		for _, s := range actionsOf(acts, Send) {
 			got[s.Replica]++
 		}
-		if len(only(acts, SendGossip)) != 1 {
-			t.Fatalf("%d messages for one query", len(only(acts, SendGossip)))
+		if len(actionsOf(acts, SendGossip)) != 1 {
+			t.Fatalf("%d messages for one query", len(actionsOf(acts, SendGossip)))
 		}
 		if a.endpoints.byName["a"].outlier.ejected {
 			t.Fatal("a hint ejected a replica")
@@ -63,8 +63,8 @@
 	for seed := range uint64(40) {
 		a, _ := New(set, seed)
 		a.Step(time.Second, []Event{{Kind: ListCached, Members: members("a", "b", "c")}}, nil)
-		events := append([]Event{{Kind: GossipReceived, Data: busy}}, asks("q", time.Second, 0)...)
-		for _, s := range only(a.Step(2*time.Second, events, nil), Send) {
+		events := append([]Event{{Kind: GossipReceived, Data: busy}}, queryEvents("q", time.Second, 0)...)
+		for _, s := range actionsOf(a.Step(2*time.Second, events, nil), Send) {
 			got[s.Replica]++
 		}
 	}
@@ -73,11 +73,11 @@
 	}
 }
 
-// TestNoPeersNoMessages: where messages are not permitted none is sent and none is kept.
-func TestNoPeersNoMessages(t *testing.T) {
+// TestNoGossipWithoutPermission: where messages are not permitted none is sent and none is kept.
+func TestNoGossipWithoutPermission(t *testing.T) {
 	b := newHarness(t, testSettings(), members("a", "b", "c")...)
 	for i := range 5 {
-		if acts := b.step(asks(fmt.Sprint(i), time.Second, 0)...); len(only(acts, SendGossip)) > 0 || len(b.aggregator.outbox.entries) > 0 {
+		if acts := b.step(queryEvents(fmt.Sprint(i), time.Second, 0)...); len(actionsOf(acts, SendGossip)) > 0 || len(b.aggregator.outbox.entries) > 0 {
 			t.Fatal("a message")
 		}
 	}
--- a/aggregator/harness_test.go
+++ b/aggregator/harness_test.go
@@ -80,7 +80,7 @@
 }
 
 // asks returns the events of a query with one part on each of the given shards.
-func asks(id string, left time.Duration, shards ...int) []Event {
+func queryEvents(id string, left time.Duration, shards ...int) []Event {
 	events := []Event{{Kind: QueryArrived, Query: id, Tenant: -1, Count: len(shards), TimeLeft: left}}
 	for i, s := range shards {
 		events = append(events, Event{Kind: PartArrived, Query: id, Part: fmt.Sprintf("%s/%d", id, i), Shard: s,
@@ -89,11 +89,11 @@
 	return events
 }
 
-func ended(part string, attempt int, o Outcome) Event {
+func attemptEnded(part string, attempt int, o Outcome) Event {
 	return Event{Kind: AttemptEnded, Part: part, Attempt: attempt, Outcome: o}
 }
 
-func only(actions []Action, kind ActionKind) (found []Action) {
+func actionsOf(actions []Action, kind ActionKind) (found []Action) {
 	for _, a := range actions {
 		if a.Kind == kind {
 			found = append(found, a)
@@ -103,12 +103,12 @@
 }
 
 // fleet is a hand-driven fleet whose replicas answer as told by react.
-type fleet struct {
+type reactingFleet struct {
 	*harness
-	asked int
-	got   map[string]int // first sends by replica
-	react func(replica string) (Outcome, time.Duration)
-	due   []dueOutcome
+	queries int
+	sends   map[string]int // first sends by replica
+	react   func(replica string) (Outcome, time.Duration)
+	due     []dueOutcome
 }
 
 type dueOutcome struct {
@@ -116,13 +116,13 @@
 	e  Event
 }
 
-func newFleet(t *testing.T, set Settings, react func(string) (Outcome, time.Duration)) *fleet {
-	return &fleet{harness: newHarness(t, set, members("a", "b", "c")...), got: map[string]int{}, react: react}
+func newReactingFleet(t *testing.T, set Settings, react func(string) (Outcome, time.Duration)) *reactingFleet {
+	return &reactingFleet{harness: newHarness(t, set, members("a", "b", "c")...), sends: map[string]int{}, react: react}
 }
 
 // run plays d with a query of one part at each interval and returns all actions.
-func (f *fleet) run(d, interval time.Duration) (all []Action) {
-	f.got = map[string]int{}
+func (f *reactingFleet) run(d, interval time.Duration) (all []Action) {
+	f.sends = map[string]int{}
 	ask := f.now
 	for end := f.now + d; f.now < end; f.now += f.settings.Tick {
 		var events []Event
@@ -137,22 +137,22 @@
 		f.due = later
 		if f.now >= ask {
 			ask += interval
-			f.asked++
-			events = append(events, asks(fmt.Sprint(f.asked), time.Second, f.asked%3)...)
+			f.queries++
+			events = append(events, queryEvents(fmt.Sprint(f.queries), time.Second, f.queries%3)...)
 		}
 		for _, act := range f.step(append(events, Event{Kind: Wakeup})...) {
 			all = append(all, act)
 			if act.Kind == Cancel {
-				f.due = append(f.due, dueOutcome{f.now + f.settings.Tick, ended(act.Part, act.Attempt, Cancelled)})
+				f.due = append(f.due, dueOutcome{f.now + f.settings.Tick, attemptEnded(act.Part, act.Attempt, Cancelled)})
 			}
 			if act.Kind == Probe {
 				back := Event{Kind: ProbeEnded, Replica: act.Replica, Outcome: OK}
 				f.due = append(f.due, dueOutcome{f.now + f.settings.Tick, back})
 			}
 			if act.Kind == Send {
-				f.got[act.Replica]++
+				f.sends[act.Replica]++
 				if outcome, took := f.react(act.Replica); outcome != NotSent {
-					f.due = append(f.due, dueOutcome{f.now + took, ended(act.Part, f.attempts[act.Part]-1, outcome)})
+					f.due = append(f.due, dueOutcome{f.now + took, attemptEnded(act.Part, f.attempts[act.Part]-1, outcome)})
 				}
 			}
 		}
--- a/aggregator/healthcheck_test.go
+++ b/aggregator/healthcheck_test.go
@@ -6,22 +6,22 @@
 	"time"
 )
 
-// TestProbesGoBeforeParts: on guard, a part waits for the probes of holders that were not heard lately
+// TestPartWaitsForProbesAfterAFailure: on guard, a part waits for the probes of holders that were not heard lately
 // and avoids one that does not answer; without a bad sign no probe is sent.
-func TestProbesGoBeforeParts(t *testing.T) {
+func TestPartWaitsForProbesAfterAFailure(t *testing.T) {
 	set, all := fleetSettings(6, 2, 3)
 	b := newHarness(t, set, all...)
-	if acts := b.step(asks("calm", 3*time.Second, 0)...); len(only(acts, Probe)) > 0 || len(only(acts, Send)) != 1 {
+	if acts := b.step(queryEvents("calm", 3*time.Second, 0)...); len(actionsOf(acts, Probe)) > 0 || len(actionsOf(acts, Send)) != 1 {
 		t.Fatalf("without a sign: %v", acts)
 	}
-	b.step(ended("calm/0", 0, Reset))
+	b.step(attemptEnded("calm/0", 0, Reset))
 	b.after(2 * time.Second)
 	avoided := 0
 	for i := range 10 {
 		id := fmt.Sprint("q", i)
-		acts := b.step(asks(id, 3*time.Second, 3)...)
+		acts := b.step(queryEvents(id, 3*time.Second, 3)...)
 		var events []Event
-		for _, p := range only(acts, Probe) {
+		for _, p := range actionsOf(acts, Probe) {
 			if p.Replica != "r3" { // r3 is dead, and the list has not said so
 				events = append(events, Event{Kind: ProbeEnded, Replica: p.Replica, Outcome: OK})
 			} else {
@@ -29,11 +29,11 @@
 			}
 		}
 		acts = append(acts, b.step(events...)...)
-		for _, s := range only(append(acts, b.after(100*ms)...), Send) {
+		for _, s := range actionsOf(append(acts, b.after(100*ms)...), Send) {
 			if s.Replica == "r4" {
 				avoided++
 			}
-			b.step(ended(s.Part, b.attempts[s.Part]-1, OK))
+			b.step(attemptEnded(s.Part, b.attempts[s.Part]-1, OK))
 		}
 		b.now += time.Second
 	}
@@ -42,8 +42,8 @@
 	}
 }
 
-// TestBadReports: absurd reports and probes of unknown replicas are hints that do no harm.
-func TestBadReports(t *testing.T) {
+// TestAbsurdLoadReportsAreIgnored: absurd reports and probes of unknown replicas are hints that do no harm.
+func TestAbsurdLoadReportsAreIgnored(t *testing.T) {
 	set, all := fleetSettings(6, 2, 40)
 	b := newHarness(t, set, all...)
 	inf := 1e308
@@ -56,9 +56,9 @@
 	}
 }
 
-// TestProbesOfAFleet: a data node answers so many probes a second and says no to more. Eighty nodes that each lost a
+// TestProbesOfManyAggregatorsEnd: a data node answers so many probes a second and says no to more. Eighty nodes that each lost a
 // part must not ask on and on, each no taken for a sign that calls for more; nor may a no cost a replica its parts.
-func TestProbesOfAFleet(t *testing.T) {
+func TestProbesOfManyAggregatorsEnd(t *testing.T) {
 	const nodes, answered = 80, 12
 	set, all := fleetSettings(60, 3, nodes)
 	var fleet []*harness
@@ -66,8 +66,8 @@
 		b := newHarness(t, set, all...)
 		b.aggregator, _ = New(set, seed)
 		b.step(Event{Kind: ListCached, Members: all})
-		b.step(asks("first", 3*time.Second, int(seed)%60)...)
-		b.step(ended("first/0", 0, Reset))
+		b.step(queryEvents("first", 3*time.Second, int(seed)%60)...)
+		b.step(attemptEnded("first/0", 0, Reset))
 		fleet = append(fleet, b)
 	}
 	probes, barred := 0, 0
@@ -78,9 +78,9 @@
 				b.now += time.Second / 2
 				id := fmt.Sprint("q", second, "-", j)
 				shard := (7*i + 13*second + 29*j) % 60
-				acts := b.step(asks(id, 3*time.Second, shard)...)
+				acts := b.step(queryEvents(id, 3*time.Second, shard)...)
 				var events []Event
-				for _, p := range only(acts, Probe) {
+				for _, p := range actionsOf(acts, Probe) {
 					probes++
 					e := Event{Kind: ProbeEnded, Replica: p.Replica, Outcome: OK}
 					if asked[p.Replica]++; asked[p.Replica] > answered {
@@ -89,8 +89,8 @@
 					events = append(events, e)
 				}
 				b.step(events...)
-				for _, s := range only(append(acts, b.after(100*ms)...), Send) {
-					b.step(ended(s.Part, b.attempts[s.Part]-1, OK))
+				for _, s := range actionsOf(append(acts, b.after(100*ms)...), Send) {
+					b.step(attemptEnded(s.Part, b.attempts[s.Part]-1, OK))
 				}
 			}
 		}
--- a/aggregator/idleconn_test.go
+++ b/aggregator/idleconn_test.go
@@ -7,9 +7,9 @@
 	"time"
 )
 
-// TestIdleConnectionsFoundDead: parts lost on connections that had idled, answered on new ones, teach the
+// TestIdleConnectionsAreClosedOnceSomeWereDead: parts lost on connections that had idled, answered on new ones, teach the
 // node to close idle connections before use; answers on idle connections teach it nothing.
-func TestIdleConnectionsFoundDead(t *testing.T) {
+func TestIdleConnectionsAreClosedOnceSomeWereDead(t *testing.T) {
 	for _, dead := range []bool{true, false} {
 		set, all := fleetSettings(4, 2, 10)
 		set.Limits.Probes = false
@@ -17,7 +17,7 @@
 		used, fresh := map[string]time.Duration{}, map[string]bool{}
 		closes := 0
 		for i := range 400 {
-			acts := b.step(asks(fmt.Sprint(i), time.Second, i%4, 0, 2)...)
+			acts := b.step(queryEvents(fmt.Sprint(i), time.Second, i%4, 0, 2)...)
 			for range 100 {
 				var events []Event
 				for _, act := range acts {
@@ -28,12 +28,12 @@
 							closes++
 						}
 					case Cancel:
-						events = append(events, ended(act.Part, act.Attempt, Cancelled))
+						events = append(events, attemptEnded(act.Part, act.Attempt, Cancelled))
 					case Send:
 						lost := dead && !fresh[act.Replica] && b.now-used[act.Replica] > 800*ms
 						used[act.Replica], fresh[act.Replica] = b.now, false
 						if !lost {
-							events = append(events, ended(act.Part, b.attempts[act.Part]-1, OK))
+							events = append(events, attemptEnded(act.Part, b.attempts[act.Part]-1, OK))
 						}
 					}
 				}
@@ -47,37 +47,37 @@
 	}
 }
 
-// TestResetOnIdleConnection: a reset at once on a connection out of use is the connection's fault. The
+// TestResetOnIdleConnectionIsNoFailure: a reset at once on a connection out of use is the connection's fault. The
 // replica is not struck nor taken for cold, the query is not ended, and the part goes on a new connection.
-func TestResetOnIdleConnection(t *testing.T) {
+func TestResetOnIdleConnectionIsNoFailure(t *testing.T) {
 	set, all := fleetSettings(12, 3, 10)
 	b := newHarness(t, set, all...)
 	shards := []int{0, 3, 6, 9}
-	b.step(asks("warm", time.Second, 0, 1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11)...)
+	b.step(queryEvents("warm", time.Second, 0, 1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11)...)
 	b.now += 50 * ms
 	for i := range 12 {
-		b.step(ended(fmt.Sprint("warm/", i), 0, OK))
+		b.step(attemptEnded(fmt.Sprint("warm/", i), 0, OK))
 	}
 	b.now += 2 * time.Second
-	b.step(asks("q", time.Second, shards...)...)
+	b.step(queryEvents("q", time.Second, shards...)...)
 	var events []Event
 	for i := range shards {
-		events = append(events, ended(fmt.Sprint("q/", i), 0, Reset))
+		events = append(events, attemptEnded(fmt.Sprint("q/", i), 0, Reset))
 	}
 	b.now += 2 * ms
 	acts := b.step(events...)
 	for range 10 {
-		if len(only(acts, Reject)) > 0 {
+		if len(actionsOf(acts, Reject)) > 0 {
 			t.Fatal("the query was refused")
 		}
 		events = events[:0]
-		for _, s := range only(acts, Send) {
+		for _, s := range actionsOf(acts, Send) {
 			if b.attempts[s.Part] == 2 && !slices.ContainsFunc(acts, func(c Action) bool {
 				return c.Kind == CloseIdle && c.Replica == s.Replica
 			}) {
 				t.Errorf("%s was sent again on an idle connection", s.Part)
 			}
-			events = append(events, ended(s.Part, b.attempts[s.Part]-1, OK))
+			events = append(events, attemptEnded(s.Part, b.attempts[s.Part]-1, OK))
 		}
 		b.now += 50 * ms
 		acts = b.step(append(events, Event{Kind: Wakeup})...)
@@ -92,9 +92,9 @@
 	}
 }
 
-// TestUnsafePartsUseSoundConnections: one sign of dead connections is enough to close idle ones before a
+// TestUnsafePartClosesIdleConnectionsAtTheFirstSign: one sign of dead connections is enough to close idle ones before a
 // part that may not run twice; others wait for a second sign.
-func TestUnsafePartsUseSoundConnections(t *testing.T) {
+func TestUnsafePartClosesIdleConnectionsAtTheFirstSign(t *testing.T) {
 	for _, c := range []struct {
 		effect Effect
 		closes int
@@ -103,20 +103,20 @@
 		set.Classes = append(set.Classes, set.Classes[0])
 		set.Classes[1].Effect = c.effect
 		b := newHarness(t, set, members("a", "b", "c")...)
-		b.step(asks("warm", time.Second, 0, 1, 2)...)
+		b.step(queryEvents("warm", time.Second, 0, 1, 2)...)
 		b.now += 50 * ms
 		for i := range 3 {
-			b.step(ended(fmt.Sprint("warm/", i), 0, OK))
+			b.step(attemptEnded(fmt.Sprint("warm/", i), 0, OK))
 		}
 		b.now += time.Second
-		b.step(asks("q", time.Second, 0)...)
+		b.step(queryEvents("q", time.Second, 0)...)
 		b.now += 2 * ms
-		b.step(ended("q/0", 0, Reset)) // goes on, on a new connection
-		b.step(ended("q/0", 1, OK))
+		b.step(attemptEnded("q/0", 0, Reset)) // goes on, on a new connection
+		b.step(attemptEnded("q/0", 1, OK))
 		b.now += 1500 * ms
-		events := asks("u", time.Second, 1)
+		events := queryEvents("u", time.Second, 1)
 		events[0].Class = 1
-		if got := len(only(b.step(events...), CloseIdle)); got != c.closes {
+		if got := len(actionsOf(b.step(events...), CloseIdle)); got != c.closes {
 			t.Errorf("effect %d: %d connections closed, want %d", c.effect, got, c.closes)
 		}
 	}
--- a/aggregator/latency_test.go
+++ b/aggregator/latency_test.go
@@ -6,11 +6,11 @@
 	"time"
 )
 
-// TestSeldomHeard: a node with a small share of the traffic hears a replica every few aims only. What it has seen of a
+// TestObservationHoldsUntilTheNextAnswer: a node with a small share of the traffic hears a replica every few aims only. What it has seen of a
 // slow one must hold until then.
-func TestSeldomHeard(t *testing.T) {
+func TestObservationHoldsUntilTheNextAnswer(t *testing.T) {
 	set := testSettings()
-	f := newFleet(t, set, func(r string) (Outcome, time.Duration) {
+	f := newReactingFleet(t, set, func(r string) (Outcome, time.Duration) {
 		if r == "a" {
 			return OK, 300 * ms
 		}
@@ -18,45 +18,45 @@
 	})
 	f.run(20*time.Second, 2*time.Second) // each is heard every 6 s
 	f.run(180*time.Second, 2*time.Second)
-	if got := f.got["a"]; got > 15 {
+	if got := f.sends["a"]; got > 15 {
 		t.Errorf("the slow replica of three got %d of 90 parts", got)
 	}
 }
 
-// TestTimeoutsAreRemembered: where what is sent is given up unanswered, most queries that follow are turned away as long as
+// TestAbandonedAttemptsKeepQueriesOut: where what is sent is given up unanswered, most queries that follow are turned away as long as
 // that counts, not let in because nothing is out any more. One is let in again later, to see.
-func TestTimeoutsAreRemembered(t *testing.T) {
+func TestAbandonedAttemptsKeepQueriesOut(t *testing.T) {
 	set := testSettings()
 	set.ShardSets, set.Shards, set.Reach = 1, 1, 1
 	b := newHarness(t, set, Member{Replica: "a"})
 	for i := range 40 { // it learns how long a part takes
-		for _, s := range only(b.step(asks(fmt.Sprint("first", i), 3*time.Second, 0)...), Send) {
+		for _, s := range actionsOf(b.step(queryEvents(fmt.Sprint("first", i), 3*time.Second, 0)...), Send) {
 			b.now += 20 * ms
-			b.step(ended(s.Part, 0, OK))
+			b.step(attemptEnded(s.Part, 0, OK))
 		}
 	}
 	for i := range 2 { // the first is no sign yet
-		acts := b.step(asks(fmt.Sprint("lost", i), 3*time.Second, 0)...)
-		if len(only(acts, Send)) != 1 {
+		acts := b.step(queryEvents(fmt.Sprint("lost", i), 3*time.Second, 0)...)
+		if len(actionsOf(acts, Send)) != 1 {
 			t.Fatalf("query %d was not let in: %+v", i, acts)
 		}
 		acts = b.after(time.Second)
-		for _, c := range only(acts, Cancel) {
-			b.step(ended(c.Part, c.Attempt, TimedOut))
+		for _, c := range actionsOf(acts, Cancel) {
+			b.step(attemptEnded(c.Part, c.Attempt, TimedOut))
 		}
-		if len(only(acts, Reject)) != 1 {
+		if len(actionsOf(acts, Reject)) != 1 {
 			t.Fatalf("query %d, never answered, ended by %+v", i, acts)
 		}
 	}
 	sent := 0
 	for i := range 10 {
-		sent += len(only(b.step(asks(fmt.Sprint("soon", i), 3*time.Second, 0)...), Send))
+		sent += len(actionsOf(b.step(queryEvents(fmt.Sprint("soon", i), 3*time.Second, 0)...), Send))
 	}
 	if sent > 3 {
 		t.Errorf("right after it %d of 10 queries were let in", sent)
 	}
 	b.after(5 * time.Second)
-	if acts := b.step(asks("later", 3*time.Second, 0)...); len(only(acts, Send)) != 1 {
+	if acts := b.step(queryEvents("later", 3*time.Second, 0)...); len(actionsOf(acts, Send)) != 1 {
 		t.Errorf("long after it a query was not let in: %+v", acts)
 	}
 }
--- a/aggregator/outlier_test.go
+++ b/aggregator/outlier_test.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// TestSymptoms: a replica that shows a symptom loses its traffic while it lasts and regains it
+// TestFaultyReplicaLosesItsTrafficAndRegainsIt: a replica that shows a symptom loses its traffic while it lasts and regains it
 // afterwards. A reaction of Moot stands for silence.
-func TestSymptoms(t *testing.T) {
+func TestFaultyReplicaLosesItsTrafficAndRegainsIt(t *testing.T) {
 	for name, bad := range map[string]struct {
 		outcome Outcome
 		took    time.Duration
@@ -24,38 +24,38 @@
 				sick := false
 				set := testSettings()
 				set.Limits.Probes = probes
-				f := newFleet(t, set, func(r string) (Outcome, time.Duration) {
+				f := newReactingFleet(t, set, func(r string) (Outcome, time.Duration) {
 					if sick && r == "a" {
 						return bad.outcome, bad.took
 					}
 					return OK, 50 * ms
 				})
 				f.run(3*time.Second, 20*ms)
-				if f.got["a"] < 30 {
-					t.Fatalf("healthy replica got %d of 150 parts", f.got["a"])
+				if f.sends["a"] < 30 {
+					t.Fatalf("healthy replica got %d of 150 parts", f.sends["a"])
 				}
 				sick = true
 				f.run(2*time.Second, 20*ms)
 				f.run(4*time.Second, 20*ms)
-				if f.got["a"] > 20 {
-					t.Errorf("the sick replica got %d of 200 parts", f.got["a"])
+				if f.sends["a"] > 20 {
+					t.Errorf("the sick replica got %d of 200 parts", f.sends["a"])
 				}
 				sick = false
 				f.run(16*time.Second, 20*ms)
 				f.run(3*time.Second, 20*ms)
-				if f.got["a"] < 25 {
-					t.Errorf("the healed replica got %d of 150 parts", f.got["a"])
+				if f.sends["a"] < 25 {
+					t.Errorf("the healed replica got %d of 150 parts", f.sends["a"])
 				}
 			})
 		}
 	}
 }
 
-// TestFullReplicaIsLeftAlone: a replica that turns work away holds nothing of ours and must not draw the
+// TestFullReplicaGetsNoRetries: a replica that turns work away holds nothing of ours and must not draw the
 // retries.
-func TestFullReplicaIsLeftAlone(t *testing.T) {
+func TestFullReplicaGetsNoRetries(t *testing.T) {
 	full := false
-	f := newFleet(t, testSettings(), func(r string) (Outcome, time.Duration) {
+	f := newReactingFleet(t, testSettings(), func(r string) (Outcome, time.Duration) {
 		if full && r == "a" {
 			return Rejected, 2 * ms
 		}
@@ -64,15 +64,15 @@
 	f.run(3*time.Second, 20*ms)
 	full = true
 	f.run(3*time.Second, 20*ms)
-	if f.got["a"] > 40 {
-		t.Errorf("the full replica got %d of 150 parts", f.got["a"])
+	if f.sends["a"] > 40 {
+		t.Errorf("the full replica got %d of 150 parts", f.sends["a"])
 	}
 }
 
-// TestShardKeepsAHolder: where every holder errs, parts still go out; opinion never empties a shard.
-func TestShardKeepsAHolder(t *testing.T) {
+// TestEjectionNeverEmptiesAShard: where every holder errs, parts still go out; opinion never empties a shard.
+func TestEjectionNeverEmptiesAShard(t *testing.T) {
 	bad := true
-	f := newFleet(t, testSettings(), func(string) (Outcome, time.Duration) {
+	f := newReactingFleet(t, testSettings(), func(string) (Outcome, time.Duration) {
 		if bad {
 			return Errored, 5 * ms
 		}
@@ -81,15 +81,15 @@
 	f.run(3*time.Second, 50*ms)
 	bad = false
 	f.run(12*time.Second, 50*ms)
-	if answers := only(f.run(2*time.Second, 50*ms), Answer); len(answers) < 35 {
+	if answers := actionsOf(f.run(2*time.Second, 50*ms), Answer); len(answers) < 35 {
 		t.Errorf("%d of 40 queries answered after all have healed", len(answers))
 	}
 }
 
-// TestConnectsThatTimeOut: a replica whose connections come up late is left for others, and is not held for one that has
+// TestConnectTimeoutIsNoRestart: a replica whose connections come up late is left for others, and is not held for one that has
 // just started: where nobody else holds the shard it goes on getting all its parts. One that refuses connections may have
 // started anew.
-func TestConnectsThatTimeOut(t *testing.T) {
+func TestConnectTimeoutIsNoRestart(t *testing.T) {
 	for _, c := range []struct {
 		end  Outcome
 		cold bool
@@ -98,10 +98,10 @@
 		set.ShardSets, set.Shards, set.Reach = 1, 1, 1
 		b := newHarness(t, set, Member{Replica: "a"})
 		for i := range 3 {
-			sent := only(b.step(asks(fmt.Sprint("q", i), 3*time.Second, 0)...), Send)
+			sent := actionsOf(b.step(queryEvents(fmt.Sprint("q", i), 3*time.Second, 0)...), Send)
 			b.now += 20 * ms
 			for _, s := range sent {
-				b.step(ended(s.Part, 0, c.end))
+				b.step(attemptEnded(s.Part, 0, c.end))
 			}
 		}
 		if r := b.aggregator.endpoints.byName["a"]; r.slowStart.active != c.cold || !r.outlier.ejected {
--- a/aggregator/placement_test.go
+++ b/aggregator/placement_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// TestSpreadsParts guards the mechanism: parts of one query go to the replicas with the fewest of ours.
-func TestSpreadsParts(t *testing.T) {
+// TestPartsOfAQueryAreSpread guards the mechanism: parts of one query go to the replicas with the fewest of ours.
+func TestPartsOfAQueryAreSpread(t *testing.T) {
 	a, err := New(testSettings(), 1)
 	if err != nil {
 		t.Fatal(err)
--- a/aggregator/random_test.go
+++ b/aggregator/random_test.go
@@ -7,9 +7,9 @@
 	"time"
 )
 
-// TestLongRandomRun drives random events and asserts the rules with accounts of its own; memory stays
+// TestRulesHoldForRandomEvents drives random events and asserts the rules with accounts of its own; memory stays
 // bounded.
-func TestLongRandomRun(t *testing.T) {
+func TestRulesHoldForRandomEvents(t *testing.T) {
 	for seed := range uint64(6) {
 		set := testSettings()
 		set.Limits.Hedging, set.Limits.Probes, set.Limits.Gossip = seed%2 == 0, seed%3 == 0, seed%2 == 1
@@ -18,9 +18,9 @@
 	}
 }
 
-// TestLongRandomRunWide does the same as one of eighty nodes over 120 replicas in two and three zones, with shared
+// TestRulesHoldForRandomEventsInALargeFleet does the same as one of eighty nodes over 120 replicas in two and three zones, with shared
 // calls and every effect a class can have.
-func TestLongRandomRunWide(t *testing.T) {
+func TestRulesHoldForRandomEventsInALargeFleet(t *testing.T) {
 	for seed := range uint64(4) {
 		set, all := fleetSettings(120, 2+int(seed%2), 80)
 		for i := range all {
@@ -59,12 +59,12 @@
 		if rng.IntN(3) == 0 {
 			id := fmt.Sprint(i)
 			due[id] = b.now + time.Second
-			events = append(events, asks(id, time.Second, rng.IntN(set.Shards), rng.IntN(set.Shards))...)
+			events = append(events, queryEvents(id, time.Second, rng.IntN(set.Shards), rng.IntN(set.Shards))...)
 		}
 		if len(out) > 0 && rng.IntN(4) > 0 {
 			k := rng.IntN(len(out))
 			o := Outcome(rng.IntN(12))
-			if events = append(events, ended(out[k].part, out[k].n, o)); !told[out[k]] {
+			if events = append(events, attemptEnded(out[k].part, out[k].n, o)); !told[out[k]] {
 				told[out[k]] = true
 				flying[out[k].part]--
 				ran[out[k].part] = ran[out[k].part] || o != Rejected && o != ConnectFailed && o != ConnectTimeout && o != NotSent
--- a/aggregator/retry_test.go
+++ b/aggregator/retry_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// TestRepeat: what may be sent again, by effect, by how the first attempt ended, and by the window.
-func TestRepeat(t *testing.T) {
+// TestRetryDependsOnEffectAndOutcome: what may be sent again, by effect, by how the first attempt ended, and by the window.
+func TestRetryDependsOnEffectAndOutcome(t *testing.T) {
 	for _, c := range []struct {
 		name    string
 		effect  Effect
@@ -28,9 +28,9 @@
 			set.Limits.CanCancel = false
 			set.Classes[0].Effect, set.Classes[0].DedupWindow = c.effect, 400*ms
 			b := newHarness(t, set, members("a", "b", "c")...)
-			b.step(asks("q", 3*time.Second, 0)...)
+			b.step(queryEvents("q", 3*time.Second, 0)...)
 			b.now += c.late
-			b.step(ended("q/0", 0, c.outcome))
+			b.step(attemptEnded("q/0", 0, c.outcome))
 			b.after(20 * ms)
 			if b.attempts["q/0"] != c.want {
 				t.Errorf("%d attempts, want %d", b.attempts["q/0"], c.want)
@@ -39,18 +39,18 @@
 	}
 }
 
-// TestOneAttemptAtATime: without copies, an overdue attempt is cancelled first and only then answered by
+// TestOverdueAttemptIsCancelledBeforeTheRetry: without copies, an overdue attempt is cancelled first and only then answered by
 // another.
-func TestOneAttemptAtATime(t *testing.T) {
+func TestOverdueAttemptIsCancelledBeforeTheRetry(t *testing.T) {
 	b := newHarness(t, testSettings(), members("a", "b", "c")...)
-	b.step(asks("q", 3*time.Second, 0)...)
+	b.step(queryEvents("q", 3*time.Second, 0)...)
 	hung := b.last[0].Replica
 	for i := range 6 { // peers answer, the hung one does not
 		id := fmt.Sprint("x", i)
-		b.step(asks(id, 3*time.Second, 0)...)
+		b.step(queryEvents(id, 3*time.Second, 0)...)
 		b.now += 100 * ms
-		if s := only(b.last, Send); len(s) == 1 && s[0].Replica != hung {
-			b.step(ended(id+"/0", 0, OK))
+		if s := actionsOf(b.last, Send); len(s) == 1 && s[0].Replica != hung {
+			b.step(attemptEnded(id+"/0", 0, OK))
 		}
 	}
 	if b.attempts["q/0"] != 1 {
@@ -59,13 +59,13 @@
 	if b.aggregator.queries.parts["q/0"] == nil || !b.aggregator.queries.parts["q/0"].attempts[0].cancelled {
 		t.Fatal("the silent attempt was not called off")
 	}
-	if s := only(b.step(ended("q/0", 0, Cancelled)), Send); len(s) != 1 || s[0].Replica == hung {
+	if s := actionsOf(b.step(attemptEnded("q/0", 0, Cancelled)), Send); len(s) != 1 || s[0].Replica == hung {
 		t.Errorf("after the cancel: %v, want one send to another replica than %s", s, hung)
 	}
 }
 
-// TestBudget: further attempts stay within the ration of any window, at its edge too.
-func TestBudget(t *testing.T) {
+// TestRetriesStayWithinTheirRatio: further attempts stay within the ration of any window, at its edge too.
+func TestRetriesStayWithinTheirRatio(t *testing.T) {
 	set := testSettings()
 	set.Rules.RetryWindow, set.Rules.RetryFloor, set.Rules.RetryRatio = time.Second, 2, 0.1
 	set.Limits.MaxAttempts = 10
@@ -81,14 +81,14 @@
 	}
 	for i := range 600 {
 		id := fmt.Sprint(i)
-		acts := b.step(asks(id, 3*time.Second, i%3)...)
+		acts := b.step(queryEvents(id, 3*time.Second, i%3)...)
 		taken = append(taken, b.now, b.now)
 		b.now += 7 * ms
 		var events []Event
-		for _, s := range only(acts, Send) {
-			events = append(events, ended(s.Part, b.attempts[s.Part]-1, Errored))
+		for _, s := range actionsOf(acts, Send) {
+			events = append(events, attemptEnded(s.Part, b.attempts[s.Part]-1, Errored))
 		}
-		for _, s := range only(b.step(events...), Send) {
+		for _, s := range actionsOf(b.step(events...), Send) {
 			if b.attempts[s.Part] > 1 {
 				if extras = append(extras, b.now); float64(within(extras)) > 2+0.1*float64(within(taken)) {
 					t.Fatalf("step %d: %d further attempts for %d taken", i, within(extras), within(taken))
@@ -101,22 +101,22 @@
 	}
 }
 
-// TestOvertakenPartIsChased: a part whose replica answers what was sent later has lost its answer. Where
+// TestOvertakenPartIsHedged: a part whose replica answers what was sent later has lost its answer. Where
 // nearly all others of its query are in, it goes to another holder once it stands out, though its replica is
 // neither silent nor ejected; where it is one of two, it may just be costly.
-func TestOvertakenPartIsChased(t *testing.T) {
+func TestOvertakenPartIsHedged(t *testing.T) {
 	for parts, want := range map[int]int{9: 2, 2: 1} {
 		set := testSettings()
 		set.Limits.Hedging = true
-		f := newFleet(t, set, func(string) (Outcome, time.Duration) { return OK, 50 * ms })
+		f := newReactingFleet(t, set, func(string) (Outcome, time.Duration) { return OK, 50 * ms })
 		f.run(3*time.Second, 5*ms)
 		shards := make([]int, parts)
 		for i := range shards {
 			shards[i] = i % 3
 		}
-		for i, s := range only(f.step(asks("q", time.Second, shards...)...), Send) {
+		for i, s := range actionsOf(f.step(queryEvents("q", time.Second, shards...)...), Send) {
 			if i > 0 { // the first answer never comes
-				f.due = append(f.due, dueOutcome{f.now + 50*ms, ended(s.Part, 0, OK)})
+				f.due = append(f.due, dueOutcome{f.now + 50*ms, attemptEnded(s.Part, 0, OK)})
 			}
 		}
 		f.run(600*ms, 5*ms)
@@ -126,17 +126,17 @@
 	}
 }
 
-// TestPatience: a part is left alone until it stands out among its class, well past the latency that one in
+// TestHedgeDelayFollowsLatencies: a part is left alone until it stands out among its class, well past the latency that one in
 // twenty exceeds; chased sooner, parts that are only slow lose the work done on them and use up their tries.
-func TestPatience(t *testing.T) {
+func TestHedgeDelayFollowsLatencies(t *testing.T) {
 	set := testSettings()
 	set.Classes[0].LatencyObjective, set.Classes[0].Deadline = 4*time.Second, 8*time.Second
 	b := newHarness(t, set, members("a", "b", "c")...)
 	for i := range 60 {
 		id := fmt.Sprintf("warm%d", i)
-		b.step(asks(id, 6*time.Second, i%3)...)
+		b.step(queryEvents(id, 6*time.Second, i%3)...)
 		b.now += 100 * ms
-		b.step(ended(id+"/0", 0, OK))
+		b.step(attemptEnded(id+"/0", 0, OK))
 	}
 	q := &query{}
 	if got := b.aggregator.hedgeDelay(q); got < 0.35 || got > 0.6 {
--- a/aggregator/settings_test.go
+++ b/aggregator/settings_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// TestNewNamesTheField: settings that can't be served are refused by the field's name.
-func TestNewNamesTheField(t *testing.T) {
+// TestNewNamesTheFaultySetting: settings that can't be served are refused by the field's name.
+func TestNewNamesTheFaultySetting(t *testing.T) {
 	for want, spoil := range map[string]func(*Settings){
 		"Cells":      func(s *Settings) { s.ShardSets = 0 },
 		"Shards":     func(s *Settings) { s.Shards = 0 },
--- a/aggregator/slowstart_test.go
+++ b/aggregator/slowstart_test.go
@@ -10,16 +10,16 @@
 )
 
 // slowStartDay is a fleet of aggregators before one data node that has just started.
-type slowStartDay struct {
-	nodes    int
-	bundle   int           // parts of a call
-	callCost time.Duration // of each call
-	alone    bool          // no other replica holds the shards
-	burst    bool          // all are asked at once, twice a second; else each by chance
-	skew     float64       // exponent of how unequal their traffic is
-	ignorant bool          // they start with the data node and have seen no answer
-	work     time.Duration // of a part on average
-	spread   float64       // of the logarithms of parts' works
+type slowStartScenario struct {
+	aggregators    int
+	maxBatch       int           // parts of a call
+	callCost       time.Duration // of each call
+	alone          bool          // no other replica holds the shards
+	burst          bool          // all are asked at once, twice a second; else each by chance
+	skew           float64       // exponent of how unequal their traffic is
+	withoutHistory bool          // they start with the data node and have seen no answer
+	work           time.Duration // of a part on average
+	spread         float64       // of the logarithms of parts' works
 }
 
 // slowStart is when the data node starts, on the benches' clock.
@@ -27,18 +27,18 @@
 
 // runSlowStart plays ten falling windows and returns, over all sliding windows, by how many calls the worst goes beyond what
 // the settings allow it, and how many calls were sent in all.
-func runSlowStart(t *testing.T, day slowStartDay, seed uint64) (excess float64, calls int) {
+func runSlowStart(t *testing.T, day slowStartScenario, seed uint64) (excess float64, calls int) {
 	rng := rand.New(rand.NewPCG(seed, 1))
 	set := testSettings()
-	set.ShardSets, set.Shards, set.Reach, set.Aggregators = 1, 4, 1, day.nodes
-	set.Limits.MaxBatch, set.CallCost = day.bundle, day.callCost
+	set.ShardSets, set.Shards, set.Reach, set.Aggregators = 1, 4, 1, day.aggregators
+	set.Limits.MaxBatch, set.CallCost = day.maxBatch, day.callCost
 	set.Rules.WarmupTime = 20 * time.Second
 	rules := set.Rules
 	work := func() time.Duration {
 		mu := -day.spread * day.spread / 2
 		return time.Duration(float64(day.work) * math.Exp(mu+day.spread*rng.NormFloat64()))
 	}
-	fleet, weights, sum := make([]*harness, day.nodes), make([]float64, day.nodes), 0.0
+	fleet, weights, sum := make([]*harness, day.aggregators), make([]float64, day.aggregators), 0.0
 	warm := []Member{{Replica: "a"}, {Replica: "b"}}
 	for i := range fleet {
 		b := newHarness(t, set)
@@ -46,9 +46,9 @@
 		b.step(Event{Kind: ListCached, Members: warm})
 		for j := range 8 {
 			id := fmt.Sprint("first", j)
-			for _, s := range only(b.step(asks(id, 3*time.Second, 0)...), Send) {
-				if b.now += work(); !day.ignorant {
-					b.step(ended(s.Part, 0, OK))
+			for _, s := range actionsOf(b.step(queryEvents(id, 3*time.Second, 0)...), Send) {
+				if b.now += work(); !day.withoutHistory {
+					b.step(attemptEnded(s.Part, 0, OK))
 				}
 			}
 		}
@@ -83,7 +83,7 @@
 				if a.node != i || a.at > now {
 					return false
 				}
-				events = append(events, ended(a.part, a.n, OK))
+				events = append(events, attemptEnded(a.part, a.n, OK))
 				return true
 			})
 			asked := rng.Float64() < perStep*weights[i]/sum
@@ -91,18 +91,18 @@
 				asked = (now-start)%(500*ms) == 0
 			}
 			if asked {
-				events = append(events, asks(fmt.Sprint(now, i), 3*time.Second, 0, 1, 2, 3)...)
+				events = append(events, queryEvents(fmt.Sprint(now, i), 3*time.Second, 0, 1, 2, 3)...)
 			}
 			if len(events) == 0 && (b.aggregator.wakeAt < 0 || now < b.aggregator.wakeAt) {
 				continue
 			}
 			inCall := 0
-			for _, s := range only(b.step(events...), Send) {
+			for _, s := range actionsOf(b.step(events...), Send) {
 				due = append(due, answer{now + work(), i, s.Part, b.attempts[s.Part] - 1})
 				if s.Replica != "cold" {
 					continue
 				}
-				if inCall%max(1, day.bundle) == 0 {
+				if inCall%max(1, day.maxBatch) == 0 {
 					sent = append(sent, now)
 				}
 				inCall++
@@ -129,26 +129,26 @@
 	return excess, len(sent)
 }
 
-// TestSlowStartOfAFleet: whatever the number of aggregators and however unequal their traffic, all together send a data node
+// TestFleetStaysWithinSlowStartLimit: whatever the number of aggregators and however unequal their traffic, all together send a data node
 // in slow start no more than the settings allow and the chance of their draws.
-func TestSlowStartOfAFleet(t *testing.T) {
+func TestFleetStaysWithinSlowStartLimit(t *testing.T) {
 	for _, nodes := range []int{3, 10, 30, 100, 300} {
-		for _, day := range []slowStartDay{
-			{bundle: 1},
-			{bundle: 1, alone: true},
-			{bundle: 1, alone: true, skew: 1.2},
-			{bundle: 1, alone: true, burst: true},
-			{bundle: 8, callCost: 10 * ms, alone: true, skew: 1.2},
-			{bundle: 8, callCost: 10 * ms, alone: true, burst: true},
-			{bundle: 1, alone: true, skew: 1.2, ignorant: true},
-			{bundle: 1, alone: true, burst: true, ignorant: true},
-			{bundle: 8, callCost: 10 * ms, alone: true, burst: true, ignorant: true},
+		for _, day := range []slowStartScenario{
+			{maxBatch: 1},
+			{maxBatch: 1, alone: true},
+			{maxBatch: 1, alone: true, skew: 1.2},
+			{maxBatch: 1, alone: true, burst: true},
+			{maxBatch: 8, callCost: 10 * ms, alone: true, skew: 1.2},
+			{maxBatch: 8, callCost: 10 * ms, alone: true, burst: true},
+			{maxBatch: 1, alone: true, skew: 1.2, withoutHistory: true},
+			{maxBatch: 1, alone: true, burst: true, withoutHistory: true},
+			{maxBatch: 8, callCost: 10 * ms, alone: true, burst: true, withoutHistory: true},
 		} {
-			day.nodes, day.work = nodes, 40*ms
+			day.aggregators, day.work = nodes, 40*ms
 			if !day.burst && day.skew > 0 {
 				day.work = 10 * ms // many small ones
 			}
-			if day.ignorant {
+			if day.withoutHistory {
 				day.work = 200 * ms // a large share of the aim
 			}
 			all := 0
@@ -168,15 +168,15 @@
 	}
 }
 
-// TestColdReplica: a replica that has just started gets no more than this front node's share of what it
+// TestSlowStartLimitsOneAggregator: a replica that has just started gets no more than this front node's share of what it
 // can take, however many parts wait for it.
-func TestColdReplica(t *testing.T) {
+func TestSlowStartLimitsOneAggregator(t *testing.T) {
 	set := testSettings()
 	set.ShardSets, set.Reach, set.Aggregators = 1, 1, 2
 	b := newHarness(t, set, Member{Replica: "a", Started: 99900 * ms})
 	sent := 0
 	for i := range 50 {
-		sent += len(only(b.step(asks(fmt.Sprint(i), 3*time.Second, 0)...), Send))
+		sent += len(actionsOf(b.step(queryEvents(fmt.Sprint(i), 3*time.Second, 0)...), Send))
 	}
 	// Work is presumed a tenth of the aim; a front node's half of 3 x (0.2 + a little) x 1 s is under 4
 	// parts.
@@ -185,9 +185,9 @@
 	}
 }
 
-// TestManyNodesShareAColdReplica: dozens of nodes, each with a share of under one part, use a cold
+// TestAggregatorsShareAReplicaInSlowStart: dozens of nodes, each with a share of under one part, use a cold
 // replica from its start and on average stay within the room that all of them have together.
-func TestManyNodesShareAColdReplica(t *testing.T) {
+func TestAggregatorsShareAReplicaInSlowStart(t *testing.T) {
 	const nodes, windows = 80, 8
 	sent := 0
 	for seed := range uint64(nodes) {
@@ -202,7 +202,7 @@
 		a.Step(start, []Event{list}, nil)
 		for i := range windows * 5 {
 			now := start + time.Duration(i)*200*ms
-			sent += len(only(a.Step(now, asks(fmt.Sprint(i), time.Second, 0), nil), Send))
+			sent += len(actionsOf(a.Step(now, queryEvents(fmt.Sprint(i), time.Second, 0), nil), Send))
 		}
 	}
 	// The room grows evenly from 3 x 0.2 to 3 x 0.84 over the eight windows of 1 s; a part is a tenth of
@@ -216,7 +216,7 @@
 // Each asks now and then, or all at once as together says; if idle, after so many windows without a query, and with no
 // other holder left. It returns the work sent to the cold replica in each window,
 // as a share of what it may be sent, and the parts of a call there.
-func coldFleet(t *testing.T, together bool, idle int) (shares []float64, perCall float64) {
+func runWarmingFleet(t *testing.T, together bool, idle int) (shares []float64, perCall float64) {
 	const nodes, part = 80, 20 * ms
 	set := testSettings()
 	set.ShardSets, set.Shards, set.Reach, set.Aggregators = 1, 2, 1, nodes
@@ -228,9 +228,9 @@
 		b.aggregator, _ = New(set, seed)
 		b.step(Event{Kind: ListCached, Members: []Member{{Replica: "a"}, {Replica: "b"}}})
 		for i := range 5 { // it learns how long a part takes
-			b.step(asks(fmt.Sprint("first", i), 3*time.Second, 0)...)
+			b.step(queryEvents(fmt.Sprint("first", i), 3*time.Second, 0)...)
 			b.now += part
-			b.step(ended(fmt.Sprint("first", i, "/0"), 0, OK))
+			b.step(attemptEnded(fmt.Sprint("first", i, "/0"), 0, OK))
 		}
 		b.step(Event{Kind: ListChanged, Members: []Member{{Replica: "cold", Started: b.now}}})
 		if idle > 0 {
@@ -247,15 +247,15 @@
 			if asks := (step+i)%10 == 0; step < 10*idle || !together && !asks || together && step%5 != 0 {
 				continue
 			}
-			acts := b.step(asks(fmt.Sprint("q", step), 3*time.Second, 0, 1)...)
+			acts := b.step(queryEvents(fmt.Sprint("q", step), 3*time.Second, 0, 1)...)
 			called := false
 			b.now += part
-			for _, s := range only(acts, Send) {
+			for _, s := range actionsOf(acts, Send) {
 				if s.Replica == "cold" {
 					sent[time.Duration(step)*100*ms/set.Rules.OverloadWindow] += part.Seconds()
 					parts, called = parts+1, true
 				}
-				b.step(ended(s.Part, b.attempts[s.Part]-1, OK))
+				b.step(attemptEnded(s.Part, b.attempts[s.Part]-1, OK))
 			}
 			if called {
 				calls++
@@ -270,12 +270,12 @@
 	return shares, float64(parts) / float64(max(calls, 1))
 }
 
-// TestColdReplicaOfAFleet: a replica that has just started gets its share of the traffic from the start, though each of
+// TestReplicaInSlowStartGetsItsShareOfAFleet: a replica that has just started gets its share of the traffic from the start, though each of
 // eighty nodes may send it a part in some windows only, and whole calls where these are few enough. It is never pushed
 // over, also where all nodes are asked in the same moment.
-func TestColdReplicaOfAFleet(t *testing.T) {
+func TestReplicaInSlowStartGetsItsShareOfAFleet(t *testing.T) {
 	for _, together := range []bool{false, true} {
-		shares, perCall := coldFleet(t, together, 0)
+		shares, perCall := runWarmingFleet(t, together, 0)
 		sum := 0.0
 		for i, s := range shares {
 			if s > 1 {
@@ -290,11 +290,11 @@
 	}
 }
 
-// TestColdReplicaAfterAPause: nodes that have saved up their shares and are then all asked at once, with no other holder
+// TestSavedAllowancesDoNotOverloadAReplica: nodes that have saved up their shares and are then all asked at once, with no other holder
 // left, still don't push a replica over that can do one unit of work at a time.
-func TestColdReplicaAfterAPause(t *testing.T) {
+func TestSavedAllowancesDoNotOverloadAReplica(t *testing.T) {
 	for idle := 1; idle < 8; idle++ {
-		shares, _ := coldFleet(t, true, idle)
+		shares, _ := runWarmingFleet(t, true, idle)
 		if most := slices.Max(shares); most > 1 || shares[idle] == 0 {
 			t.Errorf("idle for %d windows: then %.2f of what it stands, want some and no more than 1", idle, shares[idle:])
 		}
