--- a/aggregator/admission_test.go
+++ b/aggregator/admission_test.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// TestQueryWithoutUsableReplicaIsRejectedAtOnce: a query that needs a replica which may not be used is refused at once.
+// TestQueryWithoutUsableReplicaIsRejectedAtOnce checks that a query is rejected in its first round where a replica that it
+// needs may not be used.
 func TestQueryWithoutUsableReplicaIsRejectedAtOnce(t *testing.T) {
 	set, all := fleetSettings(3, 1, 1000)
 	all[0].Started = 100*time.Second - ms
@@ -21,8 +22,8 @@
 	}
 }
 
-// TestRetriesOfATenantThatMostlyRetriesRankLower: where most of what a tenant asks is asked again, its retries give way to the
-// first tries of others; a single retry does not.
+// TestRetriesOfATenantThatMostlyRetriesRankLower checks that the retries of a tenant most of whose queries are retries rank
+// below the first attempts of others, and that a single retry does not.
 func TestRetriesOfATenantThatMostlyRetriesRankLower(t *testing.T) {
 	for _, c := range []struct {
 		repeats int
@@ -49,9 +50,9 @@
 	}
 }
 
-// TestQueryOfManyPartsIsRejectedUnderLoad: where the whole fleet has a queue, a query of many parts is refused that can't be
-// expected to have all of them in time, and one of a single part is let in; where only a few replicas are
-// late, both are let in.
+// TestQueryOfManyPartsIsRejectedUnderLoad checks that, where the whole fleet has a queue, a query of many parts is rejected
+// that is not expected to have all of them in time, while one of a single part is admitted. Where only a few replicas are
+// slow, both are admitted.
 func TestQueryOfManyPartsIsRejectedUnderLoad(t *testing.T) {
 	for _, busy := range []bool{true, false} {
 		set, all := fleetSettings(30, 3, 1)
@@ -80,9 +81,9 @@
 	}
 }
 
-// TestLatePartIsShed: where all holders of a shard are slow, a query that can be answered in part does without its
-// part and is answered as soon as the rest is in. One that needs all its parts sends it, and so do both where none is slow, or
-// where three nodes know the load and expect the part within the aim.
+// TestLatePartIsShed checks that, where all holders of a shard are slow, a query that may be answered in part does without
+// its part there and is answered as soon as the others are in. A query that needs all its parts sends it; so do both where
+// no replica is slow, and where three aggregators know the load and expect the part within the objective.
 func TestLatePartIsShed(t *testing.T) {
 	for _, c := range []struct {
 		floor float64
@@ -115,8 +116,8 @@
 	}
 }
 
-// TestOverloadIsShedAndEnds: under more load than can be served, queries are refused at once with a return time,
-// and when the load goes all are answered again.
+// TestOverloadIsShedAndEnds checks that queries are rejected at once with a retry time under more load than can be served,
+// and that all are answered again when the load ends.
 func TestOverloadIsShedAndEnds(t *testing.T) {
 	load := 0
 	f := newReactingFleet(t, testSettings(), nil)
--- a/aggregator/answer_test.go
+++ b/aggregator/answer_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// TestEveryQueryGetsOneFinalAnswerInTime: every query gets its one final answer in time, even where nothing ever comes back and a
-// late answer is worth as much as one in time.
+// TestEveryQueryGetsOneFinalAnswerInTime checks that a query gets one final answer in time even where no attempt ever ends
+// and a late answer earns as much as one in time.
 func TestEveryQueryGetsOneFinalAnswerInTime(t *testing.T) {
 	set := testSettings()
 	set.Classes[0].LateShare = 1
@@ -34,7 +34,8 @@
 	}
 }
 
-// TestQueryIsFailedOnceAnUnsafePartMayHaveRun: once an unsafe part may have run, the query is failed and not refused.
+// TestQueryIsFailedOnceAnUnsafePartMayHaveRun checks that a query is failed and not rejected once an unsafe part may have
+// run.
 func TestQueryIsFailedOnceAnUnsafePartMayHaveRun(t *testing.T) {
 	for outcome, want := range map[Outcome]ActionKind{Errored: Fail, Rejected: Reject} {
 		set := testSettings()
@@ -47,8 +48,8 @@
 	}
 }
 
-// TestQueryIsFailedWhileAnUnsafePartIsOpen: a query whose unsafe part is still out is failed, not refused, when its time is
-// up.
+// TestQueryIsFailedWhileAnUnsafePartIsOpen checks that a query whose unsafe part is still open is failed and not rejected
+// when its time is over.
 func TestQueryIsFailedWhileAnUnsafePartIsOpen(t *testing.T) {
 	set := testSettings()
 	set.Classes[0].Effect = Unsafe
@@ -60,7 +61,8 @@
 	}
 }
 
-// TestAnswerStatesWhetherItIsComplete: no answer from less than the floor, none marked whole that is not, over both steps.
+// TestAnswerStatesWhetherItIsComplete checks that no answer is given from less than the smallest share, and that only a
+// complete one is marked so.
 func TestAnswerStatesWhetherItIsComplete(t *testing.T) {
 	for _, c := range []struct {
 		name  string
@@ -93,7 +95,7 @@
 	}
 }
 
-// TestFirstAnswerOpensTheSecondStep: the first answer opens the second step, the second one ends the query.
+// TestFirstAnswerOpensTheSecondStep checks that the first answer opens the second step and the second one ends the query.
 func TestFirstAnswerOpensTheSecondStep(t *testing.T) {
 	set := testSettings()
 	set.Classes[0].FetchParts = 1
@@ -107,8 +109,8 @@
 	}
 }
 
-// TestSecondStepWithoutAPartIsNotComplete: a second step that lacks a part is not marked whole, though nothing more of
-// it may come.
+// TestSecondStepWithoutAPartIsNotComplete checks that the answer of a second step that lacks a part is not marked complete,
+// though no more of its parts may come.
 func TestSecondStepWithoutAPartIsNotComplete(t *testing.T) {
 	set := testSettings()
 	set.Classes[0].MinShare, set.Classes[0].PartialShare, set.Classes[0].FetchParts = 0.5, 0.9, 2
@@ -127,8 +129,8 @@
 	}
 }
 
-// TestPartialAnswerDespiteAShardWithoutReplicas: a query that may be answered in part is not refused for a shard without
-// holders, nor ended for a part that may not be tried again, and a second step gets its time.
+// TestPartialAnswerDespiteAShardWithoutReplicas checks that a query that may be answered in part is neither rejected for a
+// shard without replicas nor ended for a part that may not be retried, and that its second step gets its time.
 func TestPartialAnswerDespiteAShardWithoutReplicas(t *testing.T) {
 	set := testSettings()
 	set.Shards, set.ShardSets, set.Reach = 4, 4, 1
@@ -160,8 +162,8 @@
 	}
 }
 
-// TestAnswerOpensNoStepAtTheEnd: a class with a second step is not answered where no time is left for it;
-// such an answer would end nothing, and the query would be lost.
+// TestAnswerOpensNoStepAtTheEnd checks that a class with a second step is not answered where no time is left for it: such
+// an answer would end nothing, and the query would be lost.
 func TestAnswerOpensNoStepAtTheEnd(t *testing.T) {
 	set := testSettings()
 	set.Classes[0].FetchParts, set.Classes[0].MinShare, set.Classes[0].PartialShare = 2, 0.5, 0.9
@@ -175,8 +177,8 @@
 	}
 }
 
-// TestRoundedWeightsMakeACompleteAnswer: a wire that carries weights of six decimals makes twelve parts weigh 0.999996 together;
-// the answer from all of them is whole, and one from eleven is not.
+// TestRoundedWeightsMakeACompleteAnswer checks that the answer from all of twelve parts is complete though a wire with six
+// decimals makes them weigh 0.999996 together, and that one from eleven is not.
 func TestRoundedWeightsMakeACompleteAnswer(t *testing.T) {
 	set := testSettings()
 	set.Shards = 12
--- a/aggregator/bench_test.go
+++ b/aggregator/bench_test.go
@@ -8,7 +8,7 @@
 
 var sizes = []int{16, 60, 1000}
 
-// loaded is an aggregator of a fleet of n replicas, three for each shard, that has heard each of them.
+// loadedAggregator returns an aggregator of a fleet of n replicas, three for each shard, each of which has answered once.
 func loadedAggregator(b *testing.B, n int) (*Aggregator, time.Duration) {
 	set := testSettings()
 	set.ShardSets, set.Shards, set.Reach, set.Aggregators = max(n/3, 1), 4*max(n/3, 1), 1, 80
@@ -31,7 +31,7 @@
 	return a, now
 }
 
-// BenchmarkStep: a query of twelve parts, from its arrival to its answer, in two steps.
+// BenchmarkStep plays a query of twelve parts from its arrival to its answer, in two rounds.
 func BenchmarkStep(b *testing.B) {
 	for _, n := range sizes {
 		b.Run(fmt.Sprint(n, " replicas"), func(b *testing.B) {
@@ -58,7 +58,7 @@
 	}
 }
 
-// BenchmarkList: one entry of the list changes.
+// BenchmarkList plays the change of one entry of the endpoint list.
 func BenchmarkList(b *testing.B) {
 	for _, n := range sizes {
 		b.Run(fmt.Sprint(n, " replicas"), func(b *testing.B) {
@@ -73,7 +73,7 @@
 	}
 }
 
-// BenchmarkWideStep reports a Step at 120 replicas with hundreds of parts open.
+// BenchmarkWideStep plays an idle round with 120 replicas and hundreds of open parts.
 func BenchmarkWideStep(b *testing.B) {
 	set, all := fleetSettings(120, 3, 40)
 	a, err := New(set, 1)
@@ -92,7 +92,7 @@
 	}
 }
 
-// BenchmarkPart reports the time and allocations of a part from its arrival to its answer.
+// BenchmarkPart plays a part from its arrival to its answer.
 func BenchmarkPart(b *testing.B) {
 	a, err := New(testSettings(), 1)
 	if err != nil {
--- a/aggregator/canary_test.go
+++ b/aggregator/canary_test.go
@@ -6,8 +6,9 @@
 	"time"
 )
 
-// TestQueryOfDeathReachesFewReplicas: after replicas have died, a query whose parts reset what runs them breaks few
-// replicas and is ended, while a query with an answer keeps going after a reset.
+// TestQueryOfDeathReachesFewReplicas tells of a query that crashes each replica that runs it: once replicas have died, it
+// reaches few more before it is given up, also when the client sends it again. A query that had an answer goes on after a
+// reset.
 func TestQueryOfDeathReachesFewReplicas(t *testing.T) {
 	set, all := fleetSettings(30, 3, 40)
 	set.Rules.OverloadMultiple = 0
--- a/aggregator/deadline_test.go
+++ b/aggregator/deadline_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// TestQueryEndsEarlyEnoughForAPause: a query ends so early that a standstill of the node up to a fifth of the deadline, or as
-// long as one seen, does not lose it.
+// TestQueryEndsEarlyEnoughForAPause checks that a query ends so early that a pause of the node of up to a fifth of the
+// deadline, or as long as one before, does not lose it.
 func TestQueryEndsEarlyEnoughForAPause(t *testing.T) {
 	for _, seen := range []time.Duration{0, 800 * ms} {
 		set := testSettings()
--- a/aggregator/endpoints_test.go
+++ b/aggregator/endpoints_test.go
@@ -7,7 +7,8 @@
 	"time"
 )
 
-// TestNothingIsSentToADrainingReplica: nothing goes to a replica once the list has said draining or gone, or has dropped it.
+// TestNothingIsSentToADrainingReplica checks that nothing is sent to a replica once the endpoint list says that it is
+// draining or gone, or no longer has it.
 func TestNothingIsSentToADrainingReplica(t *testing.T) {
 	for name, e := range map[string]Event{
 		"draining": {Kind: ListChanged, Members: []Member{{Replica: "a", State: Draining}}},
@@ -26,8 +27,9 @@
 	}
 }
 
-// TestFailedPollIsRepeated: an idle node asks for the list soon after its start and after each refusal, woken
-// for it, well within the time after which the drain rule takes the list as told; nodes don't ask in step.
+// TestFailedPollIsRepeated checks that an idle aggregator polls the endpoint list soon after its start and after each
+// failure, with a wake for it, well within the time in which the operators' rules require it, and that aggregators don't
+// poll together.
 func TestFailedPollIsRepeated(t *testing.T) {
 	var times [][]time.Duration
 	for seed := range uint64(20) {
@@ -71,9 +73,8 @@
 	}
 }
 
-// TestRemovedReplicasAreForgotten: replicas come under new names for as long as a node runs, and queries without end;
-// what the node holds must not grow with them.
-// One that was there a short while ago, or owes an answer, is kept.
+// TestRemovedReplicasAreForgotten checks that memory does not grow with the replicas, which come under new names for as
+// long as a node runs, and the queries. A replica that was listed a short while ago, or has an attempt in flight, is kept.
 func TestRemovedReplicasAreForgotten(t *testing.T) {
 	b := newHarness(t, testSettings(), members("a", "b", "c")...)
 	for i := range 500 {
--- a/aggregator/gossip_test.go
+++ b/aggregator/gossip_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// TestGossipRoundTrip: entries survive a message to within a step; messages stay within their size, and bytes
-// that are none do no harm.
+// TestGossipRoundTrip checks that entries survive a message to within a step, that messages stay within their size, and
+// that arbitrary bytes do no harm.
 func TestGossipRoundTrip(t *testing.T) {
 	aim := 2 * time.Second
 	list := []gossipEntry{{1, gossipSent, 500 * ms}, {65535, gossipExcess, 1900 * ms}, {7, gossipExcess, 9 * time.Second}}
@@ -31,8 +31,8 @@
 	}
 }
 
-// TestGossipBreaksTies: of replicas that hold equally many calls of this node, the one to which others were
-// heard to have sent work is avoided; this node's own calls come first, and hints eject nobody.
+// TestGossipBreaksTies checks that, of replicas with equally many calls of this aggregator, the one to which others have
+// sent work is avoided; that the aggregator's own calls come first; and that gossip ejects no replica.
 func TestGossipBreaksTies(t *testing.T) {
 	set := testSettings()
 	set.Limits.Gossip = true
@@ -73,7 +73,7 @@
 	}
 }
 
-// TestNoGossipWithoutPermission: where messages are not permitted none is sent and none is kept.
+// TestNoGossipWithoutPermission checks that no message is sent and no entry collected where gossip is not permitted.
 func TestNoGossipWithoutPermission(t *testing.T) {
 	b := newHarness(t, testSettings(), members("a", "b", "c")...)
 	for i := range 5 {
--- a/aggregator/harness_test.go
+++ b/aggregator/harness_test.go
@@ -8,7 +8,7 @@
 
 const ms = time.Millisecond
 
-// testSettings is a small fleet: three cells of one replica, each shard held by all.
+// testSettings returns a small fleet: three shard sets of one replica, each shard held by all.
 func testSettings() Settings {
 	return Settings{
 		Aggregators: 1, Tick: 5 * time.Millisecond, ShardSets: 3, Shards: 3, Reach: 3,
@@ -19,8 +19,8 @@
 	}
 }
 
-// wide returns settings and members for n replicas, each in a cell of its own, every shard held by reach
-// of them.
+// fleetSettings returns settings and members for n replicas, each in a shard set of its own, every shard held by reach of
+// them.
 func fleetSettings(n, reach, aggregators int) (Settings, []Member) {
 	set := testSettings()
 	set.ShardSets, set.Shards, set.Reach, set.Aggregators = n, n, reach, aggregators
@@ -39,7 +39,7 @@
 	return list
 }
 
-// bench drives one aggregator by hand and keeps its own, simple account of what was sent.
+// harness drives one aggregator by hand and counts the attempts itself.
 type harness struct {
 	t          *testing.T
 	settings   Settings
@@ -79,7 +79,7 @@
 	return all
 }
 
-// asks returns the events of a query with one part on each of the given shards.
+// queryEvents returns the events of a query with one part on each of the given shards.
 func queryEvents(id string, left time.Duration, shards ...int) []Event {
 	events := []Event{{Kind: QueryArrived, Query: id, Tenant: -1, Count: len(shards), TimeLeft: left}}
 	for i, s := range shards {
@@ -102,7 +102,7 @@
 	return found
 }
 
-// fleet is a hand-driven fleet whose replicas answer as told by react.
+// reactingFleet drives one aggregator whose replicas answer as react says.
 type reactingFleet struct {
 	*harness
 	queries int
--- a/aggregator/healthcheck_test.go
+++ b/aggregator/healthcheck_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// TestPartWaitsForProbesAfterAFailure: on guard, a part waits for the probes of holders that were not heard lately
-// and avoids one that does not answer; without a bad sign no probe is sent.
+// TestPartWaitsForProbesAfterAFailure checks that after a failure a part waits for the probes of holders that have not
+// answered lately and avoids one that does not answer, and that no probe is sent without a failure.
 func TestPartWaitsForProbesAfterAFailure(t *testing.T) {
 	set, all := fleetSettings(6, 2, 3)
 	b := newHarness(t, set, all...)
@@ -42,7 +42,7 @@
 	}
 }
 
-// TestAbsurdLoadReportsAreIgnored: absurd reports and probes of unknown replicas are hints that do no harm.
+// TestAbsurdLoadReportsAreIgnored checks that absurd load reports and probes of unknown replicas do no harm.
 func TestAbsurdLoadReportsAreIgnored(t *testing.T) {
 	set, all := fleetSettings(6, 2, 40)
 	b := newHarness(t, set, all...)
@@ -56,8 +56,8 @@
 	}
 }
 
-// TestProbesOfManyAggregatorsEnd: a data node answers so many probes a second and says no to more. Eighty nodes that each lost a
-// part must not ask on and on, each no taken for a sign that calls for more; nor may a no cost a replica its parts.
+// TestProbesOfManyAggregatorsEnd tells of eighty aggregators that each lose a part. A data node answers some probes a
+// second and rejects the rest. The rejections must not lead to further probes, nor cost a replica its parts.
 func TestProbesOfManyAggregatorsEnd(t *testing.T) {
 	const nodes, answered = 80, 12
 	set, all := fleetSettings(60, 3, nodes)
--- a/aggregator/idleconn_test.go
+++ b/aggregator/idleconn_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// TestIdleConnectionsAreClosedOnceSomeWereDead: parts lost on connections that had idled, answered on new ones, teach the
-// node to close idle connections before use; answers on idle connections teach it nothing.
+// TestIdleConnectionsAreClosedOnceSomeWereDead checks that idle connections are closed before use after parts were lost on
+// idle connections and answered on new ones, and that they stay where parts on idle connections are answered.
 func TestIdleConnectionsAreClosedOnceSomeWereDead(t *testing.T) {
 	for _, dead := range []bool{true, false} {
 		set, all := fleetSettings(4, 2, 10)
@@ -47,8 +47,8 @@
 	}
 }
 
-// TestResetOnIdleConnectionIsNoFailure: a reset at once on a connection out of use is the connection's fault. The
-// replica is not struck nor taken for cold, the query is not ended, and the part goes on a new connection.
+// TestResetOnIdleConnectionIsNoFailure checks that an immediate reset on an idle connection is held against the connection:
+// the replica has no failure and no slow start, the query is not ended, and the part is sent on a new connection.
 func TestResetOnIdleConnectionIsNoFailure(t *testing.T) {
 	set, all := fleetSettings(12, 3, 10)
 	b := newHarness(t, set, all...)
@@ -92,8 +92,8 @@
 	}
 }
 
-// TestUnsafePartClosesIdleConnectionsAtTheFirstSign: one sign of dead connections is enough to close idle ones before a
-// part that may not run twice; others wait for a second sign.
+// TestUnsafePartClosesIdleConnectionsAtTheFirstSign checks that one sign of dead connections is enough to close idle ones
+// before a part that must not run twice; others wait for a second sign.
 func TestUnsafePartClosesIdleConnectionsAtTheFirstSign(t *testing.T) {
 	for _, c := range []struct {
 		effect Effect
--- a/aggregator/latency_test.go
+++ b/aggregator/latency_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// TestObservationHoldsUntilTheNextAnswer: a node with a small share of the traffic hears a replica every few aims only. What it has seen of a
-// slow one must hold until then.
+// TestObservationHoldsUntilTheNextAnswer checks that an aggregator with a small share of the traffic, which a replica
+// answers only every few objectives, remembers a slow one until then.
 func TestObservationHoldsUntilTheNextAnswer(t *testing.T) {
 	set := testSettings()
 	f := newReactingFleet(t, set, func(r string) (Outcome, time.Duration) {
@@ -23,8 +23,8 @@
 	}
 }
 
-// TestAbandonedAttemptsKeepQueriesOut: where what is sent is given up unanswered, most queries that follow are turned away as long as
-// that counts, not let in because nothing is out any more. One is let in again later, to see.
+// TestAbandonedAttemptsKeepQueriesOut tells of a replica that leaves all parts unanswered. Most queries that follow are
+// rejected as long as that counts, rather than admitted because nothing is open any more. Later one is admitted again.
 func TestAbandonedAttemptsKeepQueriesOut(t *testing.T) {
 	set := testSettings()
 	set.ShardSets, set.Shards, set.Reach = 1, 1, 1
--- a/aggregator/outlier_test.go
+++ b/aggregator/outlier_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// TestFaultyReplicaLosesItsTrafficAndRegainsIt: a replica that shows a symptom loses its traffic while it lasts and regains it
-// afterwards. A reaction of Moot stands for silence.
+// TestFaultyReplicaLosesItsTrafficAndRegainsIt checks, for each fault, that a replica loses its traffic while it lasts and
+// regains it afterwards. The outcome NotSent stands for silence.
 func TestFaultyReplicaLosesItsTrafficAndRegainsIt(t *testing.T) {
 	for name, bad := range map[string]struct {
 		outcome Outcome
@@ -51,7 +51,7 @@
 	}
 }
 
-// TestFullReplicaGetsNoRetries: a replica that turns work away holds nothing of ours and must not draw the
+// TestFullReplicaGetsNoRetries checks that a replica that rejects parts, and so has no open calls, does not attract the
 // retries.
 func TestFullReplicaGetsNoRetries(t *testing.T) {
 	full := false
@@ -69,7 +69,7 @@
 	}
 }
 
-// TestEjectionNeverEmptiesAShard: where every holder errs, parts still go out; opinion never empties a shard.
+// TestEjectionNeverEmptiesAShard checks that parts are still sent where every holder of a shard fails.
 func TestEjectionNeverEmptiesAShard(t *testing.T) {
 	bad := true
 	f := newReactingFleet(t, testSettings(), func(string) (Outcome, time.Duration) {
@@ -86,9 +86,9 @@
 	}
 }
 
-// TestConnectTimeoutIsNoRestart: a replica whose connections come up late is left for others, and is not held for one that has
-// just started: where nobody else holds the shard it goes on getting all its parts. One that refuses connections may have
-// started anew.
+// TestConnectTimeoutIsNoRestart checks that a replica whose connections come up late is ejected but not taken for one that
+// has just started, as it would then get few parts where no other holds the shard. One that refuses connections may have
+// restarted.
 func TestConnectTimeoutIsNoRestart(t *testing.T) {
 	for _, c := range []struct {
 		end  Outcome
--- a/aggregator/placement_test.go
+++ b/aggregator/placement_test.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// TestPartsOfAQueryAreSpread guards the mechanism: parts of one query go to the replicas with the fewest of ours.
+// TestPartsOfAQueryAreSpread checks that the parts of a query go to the replicas with the fewest open calls of this
+// aggregator.
 func TestPartsOfAQueryAreSpread(t *testing.T) {
 	a, err := New(testSettings(), 1)
 	if err != nil {
--- a/aggregator/random_test.go
+++ b/aggregator/random_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// TestRulesHoldForRandomEvents drives random events and asserts the rules with accounts of its own; memory stays
-// bounded.
+// TestRulesHoldForRandomEvents plays random events and checks the operators' rules by records of its own, and that memory
+// stays bounded.
 func TestRulesHoldForRandomEvents(t *testing.T) {
 	for seed := range uint64(6) {
 		set := testSettings()
@@ -18,8 +18,8 @@
 	}
 }
 
-// TestRulesHoldForRandomEventsInALargeFleet does the same as one of eighty nodes over 120 replicas in two and three zones, with shared
-// calls and every effect a class can have.
+// TestRulesHoldForRandomEventsInALargeFleet does the same for one of eighty aggregators over 120 replicas in two and three
+// zones, with shared calls and every effect of a class.
 func TestRulesHoldForRandomEventsInALargeFleet(t *testing.T) {
 	for seed := range uint64(4) {
 		set, all := fleetSettings(120, 2+int(seed%2), 80)
--- a/aggregator/retry_test.go
+++ b/aggregator/retry_test.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// TestRetryDependsOnEffectAndOutcome: what may be sent again, by effect, by how the first attempt ended, and by the window.
+// TestRetryDependsOnEffectAndOutcome checks what may be sent again, by effect, by how the first attempt ended, and by the
+// deduplication window.
 func TestRetryDependsOnEffectAndOutcome(t *testing.T) {
 	for _, c := range []struct {
 		name    string
@@ -39,8 +40,8 @@
 	}
 }
 
-// TestOverdueAttemptIsCancelledBeforeTheRetry: without copies, an overdue attempt is cancelled first and only then answered by
-// another.
+// TestOverdueAttemptIsCancelledBeforeTheRetry checks that, without hedging, an overdue attempt is cancelled and only then
+// followed by another.
 func TestOverdueAttemptIsCancelledBeforeTheRetry(t *testing.T) {
 	b := newHarness(t, testSettings(), members("a", "b", "c")...)
 	b.step(queryEvents("q", 3*time.Second, 0)...)
@@ -64,7 +65,7 @@
 	}
 }
 
-// TestRetriesStayWithinTheirRatio: further attempts stay within the ration of any window, at its edge too.
+// TestRetriesStayWithinTheirRatio checks that retries stay within their ratio in every window, at its edges too.
 func TestRetriesStayWithinTheirRatio(t *testing.T) {
 	set := testSettings()
 	set.Rules.RetryWindow, set.Rules.RetryFloor, set.Rules.RetryRatio = time.Second, 2, 0.1
@@ -101,9 +102,9 @@
 	}
 }
 
-// TestOvertakenPartIsHedged: a part whose replica answers what was sent later has lost its answer. Where
-// nearly all others of its query are in, it goes to another holder once it stands out, though its replica is
-// neither silent nor ejected; where it is one of two, it may just be costly.
+// TestOvertakenPartIsHedged checks that a part whose replica has answered what was sent later, so that its answer may be
+// lost, is hedged once it is overdue where nearly all other parts of its query are in, though its replica is neither silent
+// nor ejected. Where it is one of two, it may just be slow.
 func TestOvertakenPartIsHedged(t *testing.T) {
 	for parts, want := range map[int]int{9: 2, 2: 1} {
 		set := testSettings()
@@ -126,8 +127,8 @@
 	}
 }
 
-// TestHedgeDelayFollowsLatencies: a part is left alone until it stands out among its class, well past the latency that one in
-// twenty exceeds; chased sooner, parts that are only slow lose the work done on them and use up their tries.
+// TestHedgeDelayFollowsLatencies checks that a part is hedged well past the latency that one part in twenty exceeds. Hedged
+// sooner, parts that are only slow lose the work done on them and use up their attempts.
 func TestHedgeDelayFollowsLatencies(t *testing.T) {
 	set := testSettings()
 	set.Classes[0].LatencyObjective, set.Classes[0].Deadline = 4*time.Second, 8*time.Second
--- a/aggregator/settings_test.go
+++ b/aggregator/settings_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// TestNewNamesTheFaultySetting: settings that can't be served are refused by the field's name.
+// TestNewNamesTheFaultySetting checks that settings that can't be served give an error that names them.
 func TestNewNamesTheFaultySetting(t *testing.T) {
 	for want, spoil := range map[string]func(*Settings){
 		"Cells":      func(s *Settings) { s.ShardSets = 0 },
--- a/aggregator/slowstart_test.go
+++ b/aggregator/slowstart_test.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// slowStartDay is a fleet of aggregators before one data node that has just started.
+// slowStartScenario is a fleet of aggregators and one data node that has just started.
 type slowStartScenario struct {
 	aggregators    int
 	maxBatch       int           // parts of a call
@@ -22,11 +22,11 @@
 	spread         float64       // of the logarithms of parts' works
 }
 
-// slowStart is when the data node starts, on the benches' clock.
+// slowStartAt is when the data node starts, on the harness's clock.
 const slowStartAt = 200 * time.Second
 
-// runSlowStart plays ten falling windows and returns, over all sliding windows, by how many calls the worst goes beyond what
-// the settings allow it, and how many calls were sent in all.
+// runSlowStart plays ten overload windows and returns by how many calls the worst sliding window exceeds what the settings
+// allow, and how many calls were sent in all.
 func runSlowStart(t *testing.T, day slowStartScenario, seed uint64) (excess float64, calls int) {
 	rng := rand.New(rand.NewPCG(seed, 1))
 	set := testSettings()
@@ -129,8 +129,8 @@
 	return excess, len(sent)
 }
 
-// TestFleetStaysWithinSlowStartLimit: whatever the number of aggregators and however unequal their traffic, all together send a data node
-// in slow start no more than the settings allow and the chance of their draws.
+// TestFleetStaysWithinSlowStartLimit checks that, whatever the number of aggregators and however unequal their traffic, all
+// together send a data node in slow start no more than the settings allow, within the chance of their draws.
 func TestFleetStaysWithinSlowStartLimit(t *testing.T) {
 	for _, nodes := range []int{3, 10, 30, 100, 300} {
 		for _, day := range []slowStartScenario{
@@ -168,8 +168,8 @@
 	}
 }
 
-// TestSlowStartLimitsOneAggregator: a replica that has just started gets no more than this front node's share of what it
-// can take, however many parts wait for it.
+// TestSlowStartLimitsOneAggregator checks that a replica in slow start gets no more than this aggregator's share of its
+// capacity, however many parts wait for it.
 func TestSlowStartLimitsOneAggregator(t *testing.T) {
 	set := testSettings()
 	set.ShardSets, set.Reach, set.Aggregators = 1, 1, 2
@@ -185,8 +185,8 @@
 	}
 }
 
-// TestAggregatorsShareAReplicaInSlowStart: dozens of nodes, each with a share of under one part, use a cold
-// replica from its start and on average stay within the room that all of them have together.
+// TestAggregatorsShareAReplicaInSlowStart checks that dozens of aggregators, each with a share of less than one part, use a
+// replica in slow start and on average stay within its capacity.
 func TestAggregatorsShareAReplicaInSlowStart(t *testing.T) {
 	const nodes, windows = 80, 8
 	sent := 0
@@ -212,10 +212,9 @@
 	}
 }
 
-// coldFleet steps eighty nodes that share three replicas of a shard, one of them just started, for ten falling windows.
-// Each asks now and then, or all at once as together says; if idle, after so many windows without a query, and with no
-// other holder left. It returns the work sent to the cold replica in each window,
-// as a share of what it may be sent, and the parts of a call there.
+// runWarmingFleet plays eighty aggregators that share three replicas of a shard, one of them just started, for ten overload
+// windows. It returns the work sent to that one in each window, as a share of what it may be sent, and the parts of a call
+// there.
 func runWarmingFleet(t *testing.T, together bool, idle int) (shares []float64, perCall float64) {
 	const nodes, part = 80, 20 * ms
 	set := testSettings()
@@ -270,9 +269,9 @@
 	return shares, float64(parts) / float64(max(calls, 1))
 }
 
-// TestReplicaInSlowStartGetsItsShareOfAFleet: a replica that has just started gets its share of the traffic from the start, though each of
-// eighty nodes may send it a part in some windows only, and whole calls where these are few enough. It is never pushed
-// over, also where all nodes are asked in the same moment.
+// TestReplicaInSlowStartGetsItsShareOfAFleet checks that a replica in slow start gets its share of the traffic from the
+// start, though each of eighty aggregators may send it a part in some windows only, in calls of several parts where few
+// aggregators send; and that it is never overloaded, also where all are asked in the same moment.
 func TestReplicaInSlowStartGetsItsShareOfAFleet(t *testing.T) {
 	for _, together := range []bool{false, true} {
 		shares, perCall := runWarmingFleet(t, together, 0)
@@ -290,8 +289,8 @@
 	}
 }
 
-// TestSavedAllowancesDoNotOverloadAReplica: nodes that have saved up their shares and are then all asked at once, with no other holder
-// left, still don't push a replica over that can do one unit of work at a time.
+// TestSavedAllowancesDoNotOverloadAReplica checks that aggregators that have saved their allowances and are then all asked
+// at once, with no other holder left, don't overload a replica that does one unit of work at a time.
 func TestSavedAllowancesDoNotOverloadAReplica(t *testing.T) {
 	for idle := 1; idle < 8; idle++ {
 		shares, _ := runWarmingFleet(t, true, idle)
