--- a/aggregator/admission_test.go
+++ b/aggregator/admission_test.go
@@ -14,8 +14,8 @@
 	refused := 0
 	for i := range 20 {
 		set.Rules.OverloadMultiple = 0.1
-		b := newHarness(t, set, all...)
-		refused += len(actionsOf(b.step(queryEvents(fmt.Sprint(i), time.Second, 0)...), Reject))
+		h := newHarness(t, set, all...)
+		refused += len(actionsOf(h.step(queryEvents(fmt.Sprint(i), time.Second, 0)...), Reject))
 	}
 	if refused < 18 {
 		t.Errorf("%d of 20 queries refused at once", refused)
@@ -31,19 +31,19 @@
 	}{{1, false}, {6, true}} {
 		set := testSettings()
 		set.Tenants, set.OverQuotaFactor = []Tenant{{Name: "x", Rate: 100}, {Name: "y", Rate: 100}}, 0.05
-		b := newHarness(t, set, members("a", "b", "c")...)
-		ask := func(tenant int, retry bool) *query {
+		h := newHarness(t, set, members("a", "b", "c")...)
+		newQuery := func(tenant int, retry bool) *query {
 			return &query{tenant: tenant, retry: retry, parts: []*part{{}}}
 		}
 		for range 4 {
-			b.aggregator.priorityRank(ask(1, false))
+			h.aggregator.priorityRank(newQuery(1, false))
 		}
 		for range c.repeats {
-			b.aggregator.priorityRank(ask(0, true))
+			h.aggregator.priorityRank(newQuery(0, true))
 		}
-		again, other := ask(0, true), ask(1, false)
-		b.aggregator.priorityRank(again)
-		b.aggregator.priorityRank(other)
+		again, other := newQuery(0, true), newQuery(1, false)
+		h.aggregator.priorityRank(again)
+		h.aggregator.priorityRank(other)
 		if got := again.priority < other.priority; got != c.first {
 			t.Errorf("after %d repeats: worth %v against %v", c.repeats, again.priority, other.priority)
 		}
@@ -56,26 +56,26 @@
 func TestQueryOfManyPartsIsRejectedUnderLoad(t *testing.T) {
 	for _, busy := range []bool{true, false} {
 		set, all := fleetSettings(30, 3, 1)
-		b := newHarness(t, set, all...)
+		h := newHarness(t, set, all...)
 		for i := range 300 {
 			id := fmt.Sprint(i)
-			b.step(queryEvents(id, time.Second, i%30)...)
+			h.step(queryEvents(id, time.Second, i%30)...)
 			took := 30 * ms
-			if late := actionsOf(b.last, Send); i > 60 && len(late) > 0 && (busy || late[0].Replica == "r1") {
+			if late := actionsOf(h.last, Send); i > 60 && len(late) > 0 && (busy || late[0].Replica == "r1") {
 				took = 150 * ms
 			}
-			b.after(took)
-			b.step(attemptEnded(id+"/0", 0, OK))
+			h.after(took)
+			h.step(attemptEnded(id+"/0", 0, OK))
 		}
 		many := make([]int, 100)
 		for i := range many {
 			many[i] = i % 30
 		}
-		refused := len(actionsOf(b.step(queryEvents("many", time.Second, many...)...), Reject)) == 1
+		refused := len(actionsOf(h.step(queryEvents("many", time.Second, many...)...), Reject)) == 1
 		if refused != busy {
 			t.Errorf("busy %v: the query of many parts refused %v", busy, refused)
 		}
-		if len(actionsOf(b.step(queryEvents("one", time.Second, 1)...), Reject)) > 0 {
+		if len(actionsOf(h.step(queryEvents("one", time.Second, 1)...), Reject)) > 0 {
 			t.Errorf("busy %v: the query of one part was refused", busy)
 		}
 	}
@@ -95,21 +95,21 @@
 		set, all := fleetSettings(4, 1, c.nodes)
 		set.Limits.Probes = false
 		set.Classes[0].MinShare, set.Classes[0].PartialShare = c.floor, 0.9
-		b := newHarness(t, set, all...)
+		h := newHarness(t, set, all...)
 		for i := range 20 { // one shard each, the last of which is slow
-			b.step(queryEvents(fmt.Sprint(i), 3*time.Second, i%4)...)
-			if b.now += 20 * ms; i%4 == 3 && c.slow {
-				b.now += 400 * ms
+			h.step(queryEvents(fmt.Sprint(i), 3*time.Second, i%4)...)
+			if h.now += 20 * ms; i%4 == 3 && c.slow {
+				h.now += 400 * ms
 			}
-			b.step(attemptEnded(fmt.Sprint(i, "/0"), 0, OK))
+			h.step(attemptEnded(fmt.Sprint(i, "/0"), 0, OK))
 		}
-		sent := actionsOf(b.step(queryEvents("q", 3*time.Second, 0, 1, 2, 3)...), Send)
-		b.now += 20 * ms
+		sent := actionsOf(h.step(queryEvents("q", 3*time.Second, 0, 1, 2, 3)...), Send)
+		h.now += 20 * ms
 		var in []Event
 		for _, s := range sent {
 			in = append(in, attemptEnded(s.Part, 0, OK))
 		}
-		answers := actionsOf(b.step(in...), Answer)
+		answers := actionsOf(h.step(in...), Answer)
 		if len(sent) != c.parts || len(answers) != 1 || answers[0].Complete != c.whole {
 			t.Errorf("floor %.1f, slow %v, %d nodes: %d parts sent, want %d; answers %+v", c.floor, c.slow, c.nodes, len(sent), c.parts, answers)
 		}
--- a/aggregator/answer_test.go
+++ b/aggregator/answer_test.go
@@ -11,16 +11,16 @@
 func TestEveryQueryGetsOneFinalAnswerInTime(t *testing.T) {
 	set := testSettings()
 	set.Classes[0].LateShare = 1
-	b := newHarness(t, set, members("a", "b", "c")...)
-	start, left := b.now, 1700*ms
-	b.step(queryEvents("q", left, 0)...)
+	h := newHarness(t, set, members("a", "b", "c")...)
+	start, left := h.now, 1700*ms
+	h.step(queryEvents("q", left, 0)...)
 	finals := 0
-	for b.now < start+3*time.Second {
-		for _, act := range b.after(b.settings.Tick) {
+	for h.now < start+3*time.Second {
+		for _, act := range h.after(h.settings.Tick) {
 			switch act.Kind {
 			case Answer, Reject, Fail:
-				if finals++; b.now > start+left {
-					t.Errorf("final answer %v after the start", b.now-start)
+				if finals++; h.now > start+left {
+					t.Errorf("final answer %v after the start", h.now-start)
 				}
 			case Send:
 				if finals > 0 {
@@ -40,10 +40,10 @@
 	for outcome, want := range map[Outcome]ActionKind{Errored: Fail, Rejected: Reject} {
 		set := testSettings()
 		set.Classes[0].Effect, set.Limits.MaxAttempts = Unsafe, 1
-		b := newHarness(t, set, members("a", "b", "c")...)
-		b.step(queryEvents("q", 3*time.Second, 0)...)
-		if got := actionsOf(b.step(attemptEnded("q/0", 0, outcome)), want); len(got) != 1 {
-			t.Errorf("outcome %d: no action of kind %d in %v", outcome, want, b.last)
+		h := newHarness(t, set, members("a", "b", "c")...)
+		h.step(queryEvents("q", 3*time.Second, 0)...)
+		if got := actionsOf(h.step(attemptEnded("q/0", 0, outcome)), want); len(got) != 1 {
+			t.Errorf("outcome %d: no action of kind %d in %v", outcome, want, h.last)
 		}
 	}
 }
@@ -53,9 +53,9 @@
 func TestQueryIsFailedWhileAnUnsafePartIsOpen(t *testing.T) {
 	set := testSettings()
 	set.Classes[0].Effect = Unsafe
-	b := newHarness(t, set, members("a", "b", "c")...)
-	b.step(queryEvents("q", time.Second, 0)...)
-	all := b.after(2 * time.Second)
+	h := newHarness(t, set, members("a", "b", "c")...)
+	h.step(queryEvents("q", time.Second, 0)...)
+	all := h.after(2 * time.Second)
 	if len(actionsOf(all, Fail)) != 1 || len(actionsOf(all, Reject)) != 0 {
 		t.Errorf("got %v and %v, want one failure", actionsOf(all, Fail), actionsOf(all, Reject))
 	}
@@ -80,13 +80,13 @@
 			set := testSettings()
 			set.Limits.MaxAttempts = 1
 			set.Classes[0].MinShare, set.Classes[0].PartialShare = c.floor, 1
-			b := newHarness(t, set, members("a", "b", "c")...)
-			b.step(queryEvents("q", 900*ms, 0, 1, 2, 0)...)
+			h := newHarness(t, set, members("a", "b", "c")...)
+			h.step(queryEvents("q", 900*ms, 0, 1, 2, 0)...)
 			for i := range c.ok {
-				b.step(attemptEnded(fmt.Sprint("q/", i), 0, OK))
+				h.step(attemptEnded(fmt.Sprint("q/", i), 0, OK))
 			}
-			all := b.last
-			all = append(all, b.after(time.Second)...)
+			all := h.last
+			all = append(all, h.after(time.Second)...)
 			got := append(actionsOf(all, Answer), actionsOf(all, Reject)...)
 			if len(got) != 1 || got[0].Kind != c.kind || got[0].Complete != c.whole {
 				t.Errorf("got %+v, want kind %d whole %v", got, c.kind, c.whole)
@@ -99,11 +99,11 @@
 func TestFirstAnswerOpensTheSecondStep(t *testing.T) {
 	set := testSettings()
 	set.Classes[0].FetchParts = 1
-	b := newHarness(t, set, members("a", "b", "c")...)
-	b.step(queryEvents("q", 3*time.Second, 0)...)
-	first := actionsOf(b.step(attemptEnded("q/0", 0, OK)), Answer)
-	b.step(Event{Kind: PartArrived, Query: "q", Part: "s", Shard: 0, Weight: 1})
-	second := actionsOf(b.step(attemptEnded("s", 0, OK)), Answer)
+	h := newHarness(t, set, members("a", "b", "c")...)
+	h.step(queryEvents("q", 3*time.Second, 0)...)
+	first := actionsOf(h.step(attemptEnded("q/0", 0, OK)), Answer)
+	h.step(Event{Kind: PartArrived, Query: "q", Part: "s", Shard: 0, Weight: 1})
+	second := actionsOf(h.step(attemptEnded("s", 0, OK)), Answer)
 	if len(first) != 1 || first[0].Final || len(second) != 1 || !second[0].Final || !second[0].Complete {
 		t.Errorf("answers %+v and %+v, want one that opens the second step and one final and whole", first, second)
 	}
@@ -115,14 +115,14 @@
 	set := testSettings()
 	set.Classes[0].MinShare, set.Classes[0].PartialShare, set.Classes[0].FetchParts = 0.5, 0.9, 2
 	set.Limits.MaxAttempts = 1
-	b := newHarness(t, set, members("a", "b", "c")...)
-	b.step(queryEvents("q", 3*time.Second, 0, 1)...)
-	b.step(attemptEnded("q/0", 0, OK), attemptEnded("q/1", 0, OK))
+	h := newHarness(t, set, members("a", "b", "c")...)
+	h.step(queryEvents("q", 3*time.Second, 0, 1)...)
+	h.step(attemptEnded("q/0", 0, OK), attemptEnded("q/1", 0, OK))
 	second := []Event{{Kind: PartArrived, Query: "q", Part: "s0", Shard: 0, Weight: 0.5},
 		{Kind: PartArrived, Query: "q", Part: "s1", Shard: 1, Weight: 0.5}}
-	b.step(second...)
-	all := b.step(attemptEnded("s0", 0, OK), attemptEnded("s1", 0, Errored))
-	all = append(all, b.after(2*time.Second)...)
+	h.step(second...)
+	all := h.step(attemptEnded("s0", 0, OK), attemptEnded("s1", 0, Errored))
+	all = append(all, h.after(2*time.Second)...)
 	answers := actionsOf(all, Answer)
 	if len(answers) != 1 || answers[0].Complete {
 		t.Errorf("got %+v, want one answer in part", answers)
@@ -136,28 +136,28 @@
 	set.Shards, set.ShardSets, set.Reach = 4, 4, 1
 	set.Classes[0].MinShare, set.Classes[0].PartialShare, set.Classes[0].FetchParts = 0.7, 0.9, 2
 	set.Limits.MaxAttempts = 1
-	b := newHarness(t, set, members("a", "b", "c")...) // the fourth cell is empty
-	b.step(queryEvents("hole", 3*time.Second, 0, 1, 2, 3)...)
-	if len(actionsOf(b.last, Send)) != 3 {
-		t.Fatalf("%d parts sent, want 3", len(actionsOf(b.last, Send)))
+	h := newHarness(t, set, members("a", "b", "c")...) // the fourth cell is empty
+	h.step(queryEvents("hole", 3*time.Second, 0, 1, 2, 3)...)
+	if len(actionsOf(h.last, Send)) != 3 {
+		t.Fatalf("%d parts sent, want 3", len(actionsOf(h.last, Send)))
 	}
-	start := b.now
-	b.after(20 * ms)
+	start := h.now
+	h.after(20 * ms)
 	var answers []Action
-	b.step(attemptEnded("hole/0", 0, OK), attemptEnded("hole/1", 0, OK), attemptEnded("hole/2", 0, OK))
+	h.step(attemptEnded("hole/0", 0, OK), attemptEnded("hole/1", 0, OK), attemptEnded("hole/2", 0, OK))
 	for i := 0; len(answers) == 0 && i < 300; i++ {
-		answers = actionsOf(b.after(set.Tick), Answer)
+		answers = actionsOf(h.after(set.Tick), Answer)
 	}
-	if len(answers) != 1 || answers[0].Complete || answers[0].Final || b.now-start > 800*ms {
-		t.Errorf("after %v: %+v, want a first answer in part with time for the second step", b.now-start, answers)
+	if len(answers) != 1 || answers[0].Complete || answers[0].Final || h.now-start > 800*ms {
+		t.Errorf("after %v: %+v, want a first answer in part with time for the second step", h.now-start, answers)
 	}
-	b.step(queryEvents("lost", 3*time.Second, 0, 1, 2, 0)...)
-	b.step(attemptEnded("lost/0", 0, Errored))
-	if len(actionsOf(b.last, Reject)) > 0 {
+	h.step(queryEvents("lost", 3*time.Second, 0, 1, 2, 0)...)
+	h.step(attemptEnded("lost/0", 0, Errored))
+	if len(actionsOf(h.last, Reject)) > 0 {
 		t.Error("ended for one part though the rest can make an answer")
 	}
-	b.step(attemptEnded("lost/1", 0, Errored))
-	if len(actionsOf(b.last, Reject)) != 1 {
+	h.step(attemptEnded("lost/1", 0, Errored))
+	if len(actionsOf(h.last, Reject)) != 1 {
 		t.Error("not ended though the rest can't make an answer")
 	}
 }
@@ -167,11 +167,11 @@
 func TestAnswerOpensNoStepAtTheEnd(t *testing.T) {
 	set := testSettings()
 	set.Classes[0].FetchParts, set.Classes[0].MinShare, set.Classes[0].PartialShare = 2, 0.5, 0.9
-	b := newHarness(t, set, members("a", "b", "c")...)
-	b.step(queryEvents("q", 900*ms, 0, 1)...)
-	b.step(attemptEnded("q/0", 0, OK))
-	b.now += 890 * ms
-	acts := b.step(Event{Kind: Wakeup})
+	h := newHarness(t, set, members("a", "b", "c")...)
+	h.step(queryEvents("q", 900*ms, 0, 1)...)
+	h.step(attemptEnded("q/0", 0, OK))
+	h.now += 890 * ms
+	acts := h.step(Event{Kind: Wakeup})
 	if len(actionsOf(acts, Answer)) > 0 || len(actionsOf(acts, Reject)) != 1 {
 		t.Errorf("got %+v, want one refusal", acts)
 	}
@@ -184,17 +184,17 @@
 	set.Shards = 12
 	set.Classes[0].MinShare, set.Classes[0].PartialShare = 0.5, 0.9
 	for _, missing := range []int{0, 1} {
-		b := newHarness(t, set, members("a", "b", "c")...)
+		h := newHarness(t, set, members("a", "b", "c")...)
 		events := queryEvents("q", 900*ms, 0, 1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11)
 		for i := range events {
 			events[i].Weight = 0.083333
 		}
-		b.step(events...)
+		h.step(events...)
 		var in []Event
 		for i := range 12 - missing {
 			in = append(in, attemptEnded(fmt.Sprintf("q/%d", i), 0, OK))
 		}
-		answers := actionsOf(append(b.step(in...), b.after(900*ms)...), Answer)
+		answers := actionsOf(append(h.step(in...), h.after(900*ms)...), Answer)
 		if len(answers) != 1 || answers[0].Complete != (missing == 0) {
 			t.Errorf("%d parts missing: got %+v", missing, answers)
 		}
--- a/aggregator/canary_test.go
+++ b/aggregator/canary_test.go
@@ -12,34 +12,34 @@
 func TestQueryOfDeathReachesFewReplicas(t *testing.T) {
 	set, all := fleetSettings(30, 3, 40)
 	set.Rules.OverloadMultiple = 0
-	b := newHarness(t, set, all...)
+	h := newHarness(t, set, all...)
 	shards := make([]int, 20)
 	for i := range shards {
 		shards[i] = i
 	}
 	broken := map[string]bool{}
 	for try := range 3 {
-		acts := b.step(queryEvents(fmt.Sprint("k", try), 3*time.Second, shards...)...)
+		acts := h.step(queryEvents(fmt.Sprint("k", try), 3*time.Second, shards...)...)
 		refused := 0
 		for range 20 {
 			var events []Event
 			refused += len(actionsOf(acts, Reject))
 			for _, s := range actionsOf(acts, Send) {
-				if broken[s.Replica] = true; b.attempts[s.Part] > 2 {
-					t.Errorf("try %d: part %s was sent %d times", try, s.Part, b.attempts[s.Part])
+				if broken[s.Replica] = true; h.attempts[s.Part] > 2 {
+					t.Errorf("try %d: part %s was sent %d times", try, s.Part, h.attempts[s.Part])
 				}
-				events = append(events, attemptEnded(s.Part, b.attempts[s.Part]-1, Reset))
+				events = append(events, attemptEnded(s.Part, h.attempts[s.Part]-1, Reset))
 			}
 			for _, s := range actionsOf(acts, Probe) {
 				events = append(events, Event{Kind: ProbeEnded, Replica: s.Replica, Outcome: OK})
 			}
-			b.now += b.settings.Tick
-			acts = b.step(append(events, Event{Kind: Wakeup})...)
+			h.now += h.settings.Tick
+			acts = h.step(append(events, Event{Kind: Wakeup})...)
 		}
 		if refused != 1 {
 			t.Errorf("try %d: %d refusals within a tenth of a second, want 1", try, refused)
 		}
-		if b.now += 2 * time.Second; try == 0 {
+		if h.now += 2 * time.Second; try == 0 {
 			clear(broken) // the first one comes without any sign
 		}
 	}
@@ -47,12 +47,12 @@
 		t.Errorf("the repeated query broke %d replicas", len(broken))
 	}
 	// A sound query: one part answered, one reset, which is sent again.
-	b = newHarness(t, set, all...)
-	b.step(queryEvents("s", 3*time.Second, 0, 15)...)
-	b.step(attemptEnded("s/0", 0, OK))
-	b.step(attemptEnded("s/1", 0, Reset))
-	b.after(300 * ms)
-	if b.attempts["s/1"] != 2 {
-		t.Errorf("%d attempts of a part that was reset once, want 2", b.attempts["s/1"])
+	h = newHarness(t, set, all...)
+	h.step(queryEvents("s", 3*time.Second, 0, 15)...)
+	h.step(attemptEnded("s/0", 0, OK))
+	h.step(attemptEnded("s/1", 0, Reset))
+	h.after(300 * ms)
+	if h.attempts["s/1"] != 2 {
+		t.Errorf("%d attempts of a part that was reset once, want 2", h.attempts["s/1"])
 	}
 }
--- a/aggregator/deadline_test.go
+++ b/aggregator/deadline_test.go
@@ -11,18 +11,18 @@
 	for _, seen := range []time.Duration{0, 800 * ms} {
 		set := testSettings()
 		set.Classes[0].LateShare = 0.9
-		b := newHarness(t, set, members("a", "b", "c")...)
+		h := newHarness(t, set, members("a", "b", "c")...)
 		if seen > 0 {
-			b.step(queryEvents("first", 3*time.Second, 0)...)
-			b.now += actionsOf(b.last, Wake)[0].After + seen
-			b.step(Event{Kind: Wakeup})
+			h.step(queryEvents("first", 3*time.Second, 0)...)
+			h.now += actionsOf(h.last, Wake)[0].After + seen
+			h.step(Event{Kind: Wakeup})
 		}
-		start := b.now
-		b.step(queryEvents("q", 2*time.Second, 1)...)
-		for i := 0; b.aggregator.queries.byID["q"] != nil && i < 1000; i++ {
-			b.after(set.Tick)
+		start := h.now
+		h.step(queryEvents("q", 2*time.Second, 1)...)
+		for i := 0; h.aggregator.queries.byID["q"] != nil && i < 1000; i++ {
+			h.after(set.Tick)
 		}
-		if left := start + 2*time.Second - b.now; left < max(600*ms, seen) {
+		if left := start + 2*time.Second - h.now; left < max(600*ms, seen) {
 			t.Errorf("seen %v: the query ended %v before its end", seen, left)
 		}
 	}
--- a/aggregator/endpoints_test.go
+++ b/aggregator/endpoints_test.go
@@ -15,10 +15,10 @@
 		"gone":     {Kind: ListChanged, Members: []Member{{Replica: "a", State: Gone}}},
 		"absent":   {Kind: ListReplaced, Members: []Member{{Replica: "b", ShardSet: 1}, {Replica: "c", ShardSet: 2}}},
 	} {
-		b := newHarness(t, testSettings(), members("a", "b", "c")...)
-		b.step(e)
+		h := newHarness(t, testSettings(), members("a", "b", "c")...)
+		h.step(e)
 		for i := range 20 {
-			for _, s := range actionsOf(b.step(queryEvents(fmt.Sprint(i), 3*time.Second, 0)...), Send) {
+			for _, s := range actionsOf(h.step(queryEvents(fmt.Sprint(i), 3*time.Second, 0)...), Send) {
 				if s.Replica == "a" {
 					t.Errorf("%s: a part went to it", name)
 				}
@@ -41,31 +41,31 @@
 		}
 		now := 50 * time.Second
 		events := []Event{{Kind: ListCached, Members: members("a", "b", "c")}}
-		var asked []time.Duration
-		for len(asked) < 6 {
+		var polled []time.Duration
+		for len(polled) < 6 {
 			acts := a.Step(now, events, nil)
 			events = []Event{{Kind: Wakeup}}
 			if len(actionsOf(acts, PollEndpoints)) > 0 {
-				asked = append(asked, now)
+				polled = append(polled, now)
 				now += 300 * ms
 				events = []Event{{Kind: ListCallFailed}}
 				continue
 			}
 			wakes := actionsOf(acts, Wake)
 			if len(wakes) == 0 {
-				t.Fatalf("seed %d: no wake after %d calls", seed, len(asked))
+				t.Fatalf("seed %d: no wake after %d calls", seed, len(polled))
 			}
 			now += wakes[0].After
-			if last := append([]time.Duration{50 * time.Second}, asked...); now-last[len(last)-1] > 3*time.Second {
+			if last := append([]time.Duration{50 * time.Second}, polled...); now-last[len(last)-1] > 3*time.Second {
 				t.Fatalf("seed %d: %v without a call", seed, now-last[len(last)-1])
 			}
 		}
-		times = append(times, asked)
+		times = append(times, polled)
 	}
 	for i := range 6 {
 		var at []time.Duration
-		for _, asked := range times {
-			at = append(at, asked[i])
+		for _, polled := range times {
+			at = append(at, polled[i])
 		}
 		if slices.Sort(at); at[len(at)-1]-at[0] < 300*ms {
 			t.Errorf("call %d of 20 nodes comes within %v", i, at[len(at)-1]-at[0])
@@ -76,20 +76,20 @@
 // TestRemovedReplicasAreForgotten checks that memory does not grow with the replicas, which come under new names for as
 // long as a node runs, and the queries. A replica that was listed a short while ago, or has an attempt in flight, is kept.
 func TestRemovedReplicasAreForgotten(t *testing.T) {
-	b := newHarness(t, testSettings(), members("a", "b", "c")...)
+	h := newHarness(t, testSettings(), members("a", "b", "c")...)
 	for i := range 500 {
 		was, is := fmt.Sprint("r", i), fmt.Sprint("r", i+1)
 		fresh := members(is)[0]
-		fresh.ShardSet = i % b.aggregator.settings.ShardSets
-		old := Member{Replica: was, ShardSet: (i + b.aggregator.settings.ShardSets - 1) % b.aggregator.settings.ShardSets, State: Gone}
-		b.step(Event{Kind: ListChanged, Members: []Member{old, fresh}})
-		b.now += 10 * time.Second
+		fresh.ShardSet = i % h.aggregator.settings.ShardSets
+		old := Member{Replica: was, ShardSet: (i + h.aggregator.settings.ShardSets - 1) % h.aggregator.settings.ShardSets, State: Gone}
+		h.step(Event{Kind: ListChanged, Members: []Member{old, fresh}})
+		h.now += 10 * time.Second
 		q := fmt.Sprint("q", i)
-		for _, s := range actionsOf(b.step(queryEvents(q, time.Second, i%b.aggregator.settings.Shards)...), Send) {
-			b.step(Event{Kind: AttemptEnded, Part: s.Part, Replica: s.Replica, Outcome: OK})
+		for _, s := range actionsOf(h.step(queryEvents(q, time.Second, i%h.aggregator.settings.Shards)...), Send) {
+			h.step(Event{Kind: AttemptEnded, Part: s.Part, Replica: s.Replica, Outcome: OK})
 		}
 	}
-	a := b.aggregator
+	a := h.aggregator
 	held := 0
 	for _, cell := range a.endpoints.shardSets {
 		held += len(cell)
@@ -101,16 +101,16 @@
 	if len(a.retryBudget.accepted.times)+len(a.retryBudget.retries.times)+len(a.queries.byID)+len(a.queries.parts)+len(a.queries.live) > 0 {
 		t.Errorf("%d taken, %d extras, %d queries, %d parts", len(a.retryBudget.accepted.times), len(a.retryBudget.retries.times), len(a.queries.byID), len(a.queries.parts))
 	}
-	sent := actionsOf(b.step(queryEvents("last", time.Hour, 0)...), Send)[0]
-	b.step(Event{Kind: ListReplaced})
-	b.now += time.Second
-	b.step(Event{Kind: Wakeup})
+	sent := actionsOf(h.step(queryEvents("last", time.Hour, 0)...), Send)[0]
+	h.step(Event{Kind: ListReplaced})
+	h.now += time.Second
+	h.step(Event{Kind: Wakeup})
 	if a.endpoints.byName[sent.Replica] == nil {
 		t.Error("a replica that owes an answer is forgotten")
 	}
-	b.step(Event{Kind: AttemptEnded, Part: sent.Part, Replica: sent.Replica, Outcome: OK})
-	b.now += time.Minute
-	b.step(Event{Kind: Wakeup})
+	h.step(Event{Kind: AttemptEnded, Part: sent.Part, Replica: sent.Replica, Outcome: OK})
+	h.now += time.Minute
+	h.step(Event{Kind: Wakeup})
 	if len(a.endpoints.replicas) > 0 {
 		t.Errorf("%d replicas are held of an empty list", len(a.endpoints.replicas))
 	}
--- a/aggregator/gossip_test.go
+++ b/aggregator/gossip_test.go
@@ -75,9 +75,9 @@
 
 // TestNoGossipWithoutPermission checks that no message is sent and no entry collected where gossip is not permitted.
 func TestNoGossipWithoutPermission(t *testing.T) {
-	b := newHarness(t, testSettings(), members("a", "b", "c")...)
+	h := newHarness(t, testSettings(), members("a", "b", "c")...)
 	for i := range 5 {
-		if acts := b.step(queryEvents(fmt.Sprint(i), time.Second, 0)...); len(actionsOf(acts, SendGossip)) > 0 || len(b.aggregator.outbox.entries) > 0 {
+		if acts := h.step(queryEvents(fmt.Sprint(i), time.Second, 0)...); len(actionsOf(acts, SendGossip)) > 0 || len(h.aggregator.outbox.entries) > 0 {
 			t.Fatal("a message")
 		}
 	}
--- a/aggregator/harness_test.go
+++ b/aggregator/harness_test.go
@@ -55,26 +55,26 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	b := &harness{t: t, settings: set, aggregator: a, now: 100 * time.Second, attempts: map[string]int{}}
-	b.step(Event{Kind: ListCached, Members: members})
-	return b
+	h := &harness{t: t, settings: set, aggregator: a, now: 100 * time.Second, attempts: map[string]int{}}
+	h.step(Event{Kind: ListCached, Members: members})
+	return h
 }
 
-func (b *harness) step(events ...Event) []Action {
-	b.last = b.aggregator.Step(b.now, events, nil)
-	for _, act := range b.last {
+func (h *harness) step(events ...Event) []Action {
+	h.last = h.aggregator.Step(h.now, events, nil)
+	for _, act := range h.last {
 		if act.Kind == Send {
-			b.attempts[act.Part]++
+			h.attempts[act.Part]++
 		}
 	}
-	return b.last
+	return h.last
 }
 
 // after steps at intervals of a tick until d has passed and returns all actions.
-func (b *harness) after(d time.Duration) (all []Action) {
-	for end := b.now + d; b.now < end; {
-		b.now += b.settings.Tick
-		all = append(all, b.step(Event{Kind: Wakeup})...)
+func (h *harness) after(d time.Duration) (all []Action) {
+	for end := h.now + d; h.now < end; {
+		h.now += h.settings.Tick
+		all = append(all, h.step(Event{Kind: Wakeup})...)
 	}
 	return all
 }
--- a/aggregator/healthcheck_test.go
+++ b/aggregator/healthcheck_test.go
@@ -10,16 +10,16 @@
 // answered lately and avoids one that does not answer, and that no probe is sent without a failure.
 func TestPartWaitsForProbesAfterAFailure(t *testing.T) {
 	set, all := fleetSettings(6, 2, 3)
-	b := newHarness(t, set, all...)
-	if acts := b.step(queryEvents("calm", 3*time.Second, 0)...); len(actionsOf(acts, Probe)) > 0 || len(actionsOf(acts, Send)) != 1 {
+	h := newHarness(t, set, all...)
+	if acts := h.step(queryEvents("calm", 3*time.Second, 0)...); len(actionsOf(acts, Probe)) > 0 || len(actionsOf(acts, Send)) != 1 {
 		t.Fatalf("without a sign: %v", acts)
 	}
-	b.step(attemptEnded("calm/0", 0, Reset))
-	b.after(2 * time.Second)
+	h.step(attemptEnded("calm/0", 0, Reset))
+	h.after(2 * time.Second)
 	avoided := 0
 	for i := range 10 {
 		id := fmt.Sprint("q", i)
-		acts := b.step(queryEvents(id, 3*time.Second, 3)...)
+		acts := h.step(queryEvents(id, 3*time.Second, 3)...)
 		var events []Event
 		for _, p := range actionsOf(acts, Probe) {
 			if p.Replica != "r3" { // r3 is dead, and the list has not said so
@@ -28,14 +28,14 @@
 				events = append(events, Event{Kind: ProbeEnded, Replica: p.Replica, Outcome: TimedOut})
 			}
 		}
-		acts = append(acts, b.step(events...)...)
-		for _, s := range actionsOf(append(acts, b.after(100*ms)...), Send) {
+		acts = append(acts, h.step(events...)...)
+		for _, s := range actionsOf(append(acts, h.after(100*ms)...), Send) {
 			if s.Replica == "r4" {
 				avoided++
 			}
-			b.step(attemptEnded(s.Part, b.attempts[s.Part]-1, OK))
+			h.step(attemptEnded(s.Part, h.attempts[s.Part]-1, OK))
 		}
-		b.now += time.Second
+		h.now += time.Second
 	}
 	if avoided != 10 {
 		t.Errorf("%d of 10 parts went to the holder that answers", avoided)
@@ -45,12 +45,12 @@
 // TestAbsurdLoadReportsAreIgnored checks that absurd load reports and probes of unknown replicas do no harm.
 func TestAbsurdLoadReportsAreIgnored(t *testing.T) {
 	set, all := fleetSettings(6, 2, 40)
-	b := newHarness(t, set, all...)
+	h := newHarness(t, set, all...)
 	inf := 1e308
 	for _, x := range []float64{-1, inf * 10, -inf * 10, inf*10 - inf*10, 1e300} {
-		b.step(Event{Kind: ProbeEnded, Replica: "r1", Outcome: OK, LoadReport: map[string]float64{"inflight": x, "other": x}},
+		h.step(Event{Kind: ProbeEnded, Replica: "r1", Outcome: OK, LoadReport: map[string]float64{"inflight": x, "other": x}},
 			Event{Kind: ProbeEnded, Replica: "gone", Outcome: OK})
-		if load := b.aggregator.endpoints.byName["r1"].health.reportedLoad; load != 0 {
+		if load := h.aggregator.endpoints.byName["r1"].health.reportedLoad; load != 0 {
 			t.Errorf("a report of %v was taken as a load of %v", x, load)
 		}
 	}
@@ -63,46 +63,46 @@
 	set, all := fleetSettings(60, 3, nodes)
 	var fleet []*harness
 	for seed := range uint64(nodes) {
-		b := newHarness(t, set, all...)
-		b.aggregator, _ = New(set, seed)
-		b.step(Event{Kind: ListCached, Members: all})
-		b.step(queryEvents("first", 3*time.Second, int(seed)%60)...)
-		b.step(attemptEnded("first/0", 0, Reset))
-		fleet = append(fleet, b)
+		h := newHarness(t, set, all...)
+		h.aggregator, _ = New(set, seed)
+		h.step(Event{Kind: ListCached, Members: all})
+		h.step(queryEvents("first", 3*time.Second, int(seed)%60)...)
+		h.step(attemptEnded("first/0", 0, Reset))
+		fleet = append(fleet, h)
 	}
-	probes, barred := 0, 0
+	probes, ejected := 0, 0
 	for second := range 5 {
-		asked := map[string]int{}
-		for i, b := range fleet {
+		probed := map[string]int{}
+		for i, h := range fleet {
 			for j := range 2 {
-				b.now += time.Second / 2
+				h.now += time.Second / 2
 				id := fmt.Sprint("q", second, "-", j)
 				shard := (7*i + 13*second + 29*j) % 60
-				acts := b.step(queryEvents(id, 3*time.Second, shard)...)
+				acts := h.step(queryEvents(id, 3*time.Second, shard)...)
 				var events []Event
 				for _, p := range actionsOf(acts, Probe) {
 					probes++
 					e := Event{Kind: ProbeEnded, Replica: p.Replica, Outcome: OK}
-					if asked[p.Replica]++; asked[p.Replica] > answered {
+					if probed[p.Replica]++; probed[p.Replica] > answered {
 						e.Outcome = Errored
 					}
 					events = append(events, e)
 				}
-				b.step(events...)
-				for _, s := range actionsOf(append(acts, b.after(100*ms)...), Send) {
-					b.step(attemptEnded(s.Part, b.attempts[s.Part]-1, OK))
+				h.step(events...)
+				for _, s := range actionsOf(append(acts, h.after(100*ms)...), Send) {
+					h.step(attemptEnded(s.Part, h.attempts[s.Part]-1, OK))
 				}
 			}
 		}
 	}
-	for _, b := range fleet {
-		for _, r := range b.aggregator.endpoints.replicas {
+	for _, h := range fleet {
+		for _, r := range h.aggregator.endpoints.replicas {
 			if r.outlier.ejected {
-				barred++
+				ejected++
 			}
 		}
 	}
-	if probes > 2*nodes || barred > 0 {
-		t.Errorf("%d probes after %d lost parts; %d replicas ejected though all answer", probes, nodes, barred)
+	if probes > 2*nodes || ejected > 0 {
+		t.Errorf("%d probes after %d lost parts; %d replicas ejected though all answer", probes, nodes, ejected)
 	}
 }
--- a/aggregator/idleconn_test.go
+++ b/aggregator/idleconn_test.go
@@ -13,11 +13,11 @@
 	for _, dead := range []bool{true, false} {
 		set, all := fleetSettings(4, 2, 10)
 		set.Limits.Probes = false
-		b := newHarness(t, set, all...)
+		h := newHarness(t, set, all...)
 		used, fresh := map[string]time.Duration{}, map[string]bool{}
 		closes := 0
 		for i := range 400 {
-			acts := b.step(queryEvents(fmt.Sprint(i), time.Second, i%4, 0, 2)...)
+			acts := h.step(queryEvents(fmt.Sprint(i), time.Second, i%4, 0, 2)...)
 			for range 100 {
 				var events []Event
 				for _, act := range acts {
@@ -30,15 +30,15 @@
 					case Cancel:
 						events = append(events, attemptEnded(act.Part, act.Attempt, Cancelled))
 					case Send:
-						lost := dead && !fresh[act.Replica] && b.now-used[act.Replica] > 800*ms
-						used[act.Replica], fresh[act.Replica] = b.now, false
+						lost := dead && !fresh[act.Replica] && h.now-used[act.Replica] > 800*ms
+						used[act.Replica], fresh[act.Replica] = h.now, false
 						if !lost {
-							events = append(events, attemptEnded(act.Part, b.attempts[act.Part]-1, OK))
+							events = append(events, attemptEnded(act.Part, h.attempts[act.Part]-1, OK))
 						}
 					}
 				}
-				b.now += b.settings.Tick
-				acts = b.step(append(events, Event{Kind: Wakeup})...)
+				h.now += h.settings.Tick
+				acts = h.step(append(events, Event{Kind: Wakeup})...)
 			}
 		}
 		if dead && closes < 20 || !dead && closes > 0 {
@@ -51,41 +51,41 @@
 // the replica has no failure and no slow start, the query is not ended, and the part is sent on a new connection.
 func TestResetOnIdleConnectionIsNoFailure(t *testing.T) {
 	set, all := fleetSettings(12, 3, 10)
-	b := newHarness(t, set, all...)
+	h := newHarness(t, set, all...)
 	shards := []int{0, 3, 6, 9}
-	b.step(queryEvents("warm", time.Second, 0, 1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11)...)
-	b.now += 50 * ms
+	h.step(queryEvents("warm", time.Second, 0, 1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11)...)
+	h.now += 50 * ms
 	for i := range 12 {
-		b.step(attemptEnded(fmt.Sprint("warm/", i), 0, OK))
+		h.step(attemptEnded(fmt.Sprint("warm/", i), 0, OK))
 	}
-	b.now += 2 * time.Second
-	b.step(queryEvents("q", time.Second, shards...)...)
+	h.now += 2 * time.Second
+	h.step(queryEvents("q", time.Second, shards...)...)
 	var events []Event
 	for i := range shards {
 		events = append(events, attemptEnded(fmt.Sprint("q/", i), 0, Reset))
 	}
-	b.now += 2 * ms
-	acts := b.step(events...)
+	h.now += 2 * ms
+	acts := h.step(events...)
 	for range 10 {
 		if len(actionsOf(acts, Reject)) > 0 {
 			t.Fatal("the query was refused")
 		}
 		events = events[:0]
 		for _, s := range actionsOf(acts, Send) {
-			if b.attempts[s.Part] == 2 && !slices.ContainsFunc(acts, func(c Action) bool {
+			if h.attempts[s.Part] == 2 && !slices.ContainsFunc(acts, func(c Action) bool {
 				return c.Kind == CloseIdle && c.Replica == s.Replica
 			}) {
 				t.Errorf("%s was sent again on an idle connection", s.Part)
 			}
-			events = append(events, attemptEnded(s.Part, b.attempts[s.Part]-1, OK))
+			events = append(events, attemptEnded(s.Part, h.attempts[s.Part]-1, OK))
 		}
-		b.now += 50 * ms
-		acts = b.step(append(events, Event{Kind: Wakeup})...)
+		h.now += 50 * ms
+		acts = h.step(append(events, Event{Kind: Wakeup})...)
 	}
-	if b.aggregator.queries.byID["q"] != nil {
+	if h.aggregator.queries.byID["q"] != nil {
 		t.Error("the query was not answered")
 	}
-	for _, r := range b.aggregator.endpoints.replicas {
+	for _, r := range h.aggregator.endpoints.replicas {
 		if r.slowStart.active || r.outlier.ejected || r.outlier.failures > 0 {
 			t.Errorf("%s: cold %v, ejected %v, %v strikes", r.member.Replica, r.slowStart.active, r.outlier.ejected, r.outlier.failures)
 		}
@@ -102,21 +102,21 @@
 		set := testSettings()
 		set.Classes = append(set.Classes, set.Classes[0])
 		set.Classes[1].Effect = c.effect
-		b := newHarness(t, set, members("a", "b", "c")...)
-		b.step(queryEvents("warm", time.Second, 0, 1, 2)...)
-		b.now += 50 * ms
+		h := newHarness(t, set, members("a", "b", "c")...)
+		h.step(queryEvents("warm", time.Second, 0, 1, 2)...)
+		h.now += 50 * ms
 		for i := range 3 {
-			b.step(attemptEnded(fmt.Sprint("warm/", i), 0, OK))
+			h.step(attemptEnded(fmt.Sprint("warm/", i), 0, OK))
 		}
-		b.now += time.Second
-		b.step(queryEvents("q", time.Second, 0)...)
-		b.now += 2 * ms
-		b.step(attemptEnded("q/0", 0, Reset)) // goes on, on a new connection
-		b.step(attemptEnded("q/0", 1, OK))
-		b.now += 1500 * ms
+		h.now += time.Second
+		h.step(queryEvents("q", time.Second, 0)...)
+		h.now += 2 * ms
+		h.step(attemptEnded("q/0", 0, Reset)) // goes on, on a new connection
+		h.step(attemptEnded("q/0", 1, OK))
+		h.now += 1500 * ms
 		events := queryEvents("u", time.Second, 1)
 		events[0].Class = 1
-		if got := len(actionsOf(b.step(events...), CloseIdle)); got != c.closes {
+		if got := len(actionsOf(h.step(events...), CloseIdle)); got != c.closes {
 			t.Errorf("effect %d: %d connections closed, want %d", c.effect, got, c.closes)
 		}
 	}
--- a/aggregator/latency_test.go
+++ b/aggregator/latency_test.go
@@ -28,21 +28,21 @@
 func TestAbandonedAttemptsKeepQueriesOut(t *testing.T) {
 	set := testSettings()
 	set.ShardSets, set.Shards, set.Reach = 1, 1, 1
-	b := newHarness(t, set, Member{Replica: "a"})
+	h := newHarness(t, set, Member{Replica: "a"})
 	for i := range 40 { // it learns how long a part takes
-		for _, s := range actionsOf(b.step(queryEvents(fmt.Sprint("first", i), 3*time.Second, 0)...), Send) {
-			b.now += 20 * ms
-			b.step(attemptEnded(s.Part, 0, OK))
+		for _, s := range actionsOf(h.step(queryEvents(fmt.Sprint("first", i), 3*time.Second, 0)...), Send) {
+			h.now += 20 * ms
+			h.step(attemptEnded(s.Part, 0, OK))
 		}
 	}
 	for i := range 2 { // the first is no sign yet
-		acts := b.step(queryEvents(fmt.Sprint("lost", i), 3*time.Second, 0)...)
+		acts := h.step(queryEvents(fmt.Sprint("lost", i), 3*time.Second, 0)...)
 		if len(actionsOf(acts, Send)) != 1 {
 			t.Fatalf("query %d was not let in: %+v", i, acts)
 		}
-		acts = b.after(time.Second)
+		acts = h.after(time.Second)
 		for _, c := range actionsOf(acts, Cancel) {
-			b.step(attemptEnded(c.Part, c.Attempt, TimedOut))
+			h.step(attemptEnded(c.Part, c.Attempt, TimedOut))
 		}
 		if len(actionsOf(acts, Reject)) != 1 {
 			t.Fatalf("query %d, never answered, ended by %+v", i, acts)
@@ -50,13 +50,13 @@
 	}
 	sent := 0
 	for i := range 10 {
-		sent += len(actionsOf(b.step(queryEvents(fmt.Sprint("soon", i), 3*time.Second, 0)...), Send))
+		sent += len(actionsOf(h.step(queryEvents(fmt.Sprint("soon", i), 3*time.Second, 0)...), Send))
 	}
 	if sent > 3 {
 		t.Errorf("right after it %d of 10 queries were let in", sent)
 	}
-	b.after(5 * time.Second)
-	if acts := b.step(queryEvents("later", 3*time.Second, 0)...); len(actionsOf(acts, Send)) != 1 {
+	h.after(5 * time.Second)
+	if acts := h.step(queryEvents("later", 3*time.Second, 0)...); len(actionsOf(acts, Send)) != 1 {
 		t.Errorf("long after it a query was not let in: %+v", acts)
 	}
 }
--- a/aggregator/outlier_test.go
+++ b/aggregator/outlier_test.go
@@ -21,11 +21,11 @@
 	} {
 		for _, probes := range []bool{false, true} {
 			t.Run(fmt.Sprint(name, ", probes ", probes), func(t *testing.T) {
-				sick := false
+				faulty := false
 				set := testSettings()
 				set.Limits.Probes = probes
 				f := newReactingFleet(t, set, func(r string) (Outcome, time.Duration) {
-					if sick && r == "a" {
+					if faulty && r == "a" {
 						return bad.outcome, bad.took
 					}
 					return OK, 50 * ms
@@ -34,13 +34,13 @@
 				if f.sends["a"] < 30 {
 					t.Fatalf("healthy replica got %d of 150 parts", f.sends["a"])
 				}
-				sick = true
+				faulty = true
 				f.run(2*time.Second, 20*ms)
 				f.run(4*time.Second, 20*ms)
 				if f.sends["a"] > 20 {
 					t.Errorf("the sick replica got %d of 200 parts", f.sends["a"])
 				}
-				sick = false
+				faulty = false
 				f.run(16*time.Second, 20*ms)
 				f.run(3*time.Second, 20*ms)
 				if f.sends["a"] < 25 {
@@ -96,15 +96,15 @@
 	}{{ConnectTimeout, false}, {ConnectFailed, true}} {
 		set := testSettings()
 		set.ShardSets, set.Shards, set.Reach = 1, 1, 1
-		b := newHarness(t, set, Member{Replica: "a"})
+		h := newHarness(t, set, Member{Replica: "a"})
 		for i := range 3 {
-			sent := actionsOf(b.step(queryEvents(fmt.Sprint("q", i), 3*time.Second, 0)...), Send)
-			b.now += 20 * ms
+			sent := actionsOf(h.step(queryEvents(fmt.Sprint("q", i), 3*time.Second, 0)...), Send)
+			h.now += 20 * ms
 			for _, s := range sent {
-				b.step(attemptEnded(s.Part, 0, c.end))
+				h.step(attemptEnded(s.Part, 0, c.end))
 			}
 		}
-		if r := b.aggregator.endpoints.byName["a"]; r.slowStart.active != c.cold || !r.outlier.ejected {
+		if r := h.aggregator.endpoints.byName["a"]; r.slowStart.active != c.cold || !r.outlier.ejected {
 			t.Errorf("outcome %d: cold %v, ejected %v; want cold %v and ejected", c.end, r.slowStart.active, r.outlier.ejected, c.cold)
 		}
 	}
--- a/aggregator/random_test.go
+++ b/aggregator/random_test.go
@@ -35,7 +35,7 @@
 }
 
 func randomRun(t *testing.T, set Settings, all []Member, seed uint64) {
-	b := newHarness(t, set, all...)
+	h := newHarness(t, set, all...)
 	rng := rand.New(rand.NewPCG(seed, 1))
 	type attempt struct {
 		part string
@@ -43,30 +43,30 @@
 	}
 	var out []attempt
 	due := map[string]time.Duration{}
-	ran, flying := map[string]bool{}, map[string]int{} // of parts: may have run, attempts out
-	told := map[attempt]bool{}
+	ran, open := map[string]bool{}, map[string]int{} // of parts: may have run, attempts out
+	reported := map[attempt]bool{}
 	unsafe := set.Classes[0].Effect == Unsafe
-	barred := map[string]bool{}
+	excluded := map[string]bool{}
 	var probed []Event
-	stray := []EventKind{0, PartArrived, AttemptEnded, ClientGone, Wakeup, ListCallFailed, ProbeEnded, 77}
+	strayKinds := []EventKind{0, PartArrived, AttemptEnded, ClientGone, Wakeup, ListCallFailed, ProbeEnded, 77}
 	for i := range 6000 {
-		b.now += time.Duration(rng.IntN(30)) * ms
+		h.now += time.Duration(rng.IntN(30)) * ms
 		if rng.IntN(300) == 0 {
-			b.now += 2 * time.Second // the node stood still
+			h.now += 2 * time.Second // the node stood still
 		}
 		events := probed
 		probed = nil
 		if rng.IntN(3) == 0 {
 			id := fmt.Sprint(i)
-			due[id] = b.now + time.Second
+			due[id] = h.now + time.Second
 			events = append(events, queryEvents(id, time.Second, rng.IntN(set.Shards), rng.IntN(set.Shards))...)
 		}
 		if len(out) > 0 && rng.IntN(4) > 0 {
 			k := rng.IntN(len(out))
 			o := Outcome(rng.IntN(12))
-			if events = append(events, attemptEnded(out[k].part, out[k].n, o)); !told[out[k]] {
-				told[out[k]] = true
-				flying[out[k].part]--
+			if events = append(events, attemptEnded(out[k].part, out[k].n, o)); !reported[out[k]] {
+				reported[out[k]] = true
+				open[out[k].part]--
 				ran[out[k].part] = ran[out[k].part] || o != Rejected && o != ConnectFailed && o != ConnectTimeout && o != NotSent
 			}
 			if rng.IntN(10) > 0 { // else it is told twice
@@ -75,11 +75,11 @@
 		}
 		if rng.IntN(50) == 0 {
 			m := all[rng.IntN(len(all))]
-			m.State, m.Started = State(rng.IntN(3)), b.now*time.Duration(rng.IntN(2))
-			barred[m.Replica] = m.State != Serving
+			m.State, m.Started = State(rng.IntN(3)), h.now*time.Duration(rng.IntN(2))
+			excluded[m.Replica] = m.State != Serving
 			events = append(events, Event{Kind: ListChanged, Members: []Member{m}})
 		}
-		events = append(events, Event{Kind: stray[rng.IntN(len(stray))], Query: "none", Part: "none",
+		events = append(events, Event{Kind: strayKinds[rng.IntN(len(strayKinds))], Query: "none", Part: "none",
 			Replica: "none", Attempt: -1, Class: -1, Shard: -5, Tenant: 77})
 		if rng.IntN(20) == 0 {
 			junk := make([]byte, rng.IntN(300))
@@ -88,22 +88,22 @@
 			}
 			events = append(events, Event{Kind: GossipReceived, Data: junk})
 		}
-		for _, act := range b.step(events...) {
+		for _, act := range h.step(events...) {
 			switch act.Kind {
 			case SendGossip:
 				if !set.Limits.Gossip || len(act.Data) == 0 || len(act.Data) > 256 {
 					t.Fatalf("seed %d: a message of %d bytes", seed, len(act.Data))
 				}
 			case Send:
-				if unsafe && (ran[act.Part] || flying[act.Part] > 0) {
+				if unsafe && (ran[act.Part] || open[act.Part] > 0) {
 					t.Fatalf("seed %d: %s may run twice", seed, act.Part)
 				}
-				flying[act.Part]++
-				out = append(out, attempt{act.Part, b.attempts[act.Part] - 1})
-				if b.attempts[act.Part] > set.Limits.MaxAttempts {
-					t.Fatalf("seed %d: %d attempts of %s", seed, b.attempts[act.Part], act.Part)
+				open[act.Part]++
+				out = append(out, attempt{act.Part, h.attempts[act.Part] - 1})
+				if h.attempts[act.Part] > set.Limits.MaxAttempts {
+					t.Fatalf("seed %d: %d attempts of %s", seed, h.attempts[act.Part], act.Part)
 				}
-				if barred[act.Replica] {
+				if excluded[act.Replica] {
 					t.Fatalf("seed %d: sent to %s, which drains", seed, act.Replica)
 				}
 				if _, open := due[act.Part[:len(act.Part)-2]]; !open {
@@ -119,19 +119,19 @@
 				}
 				delete(due, act.Query)
 				for _, part := range []string{act.Query + "/0", act.Query + "/1"} {
-					if unsafe && act.Kind == Reject && (ran[part] || flying[part] > 0) {
+					if unsafe && act.Kind == Reject && (ran[part] || open[part] > 0) {
 						t.Fatalf("seed %d: %s refused though %s may have run", seed, act.Query, part)
 					}
 				}
 			}
 		}
 		for id, end := range due {
-			if end+30*ms < b.now {
+			if end+30*ms < h.now {
 				t.Fatalf("seed %d: %s was lost", seed, id)
 			}
 		}
 	}
-	if len(b.aggregator.queries.byID) > 100 || len(b.aggregator.queries.parts) > 3000 || len(b.aggregator.queries.live) > 100 {
-		t.Errorf("seed %d: %d queries, %d parts held", seed, len(b.aggregator.queries.byID), len(b.aggregator.queries.parts))
+	if len(h.aggregator.queries.byID) > 100 || len(h.aggregator.queries.parts) > 3000 || len(h.aggregator.queries.live) > 100 {
+		t.Errorf("seed %d: %d queries, %d parts held", seed, len(h.aggregator.queries.byID), len(h.aggregator.queries.parts))
 	}
 }
--- a/aggregator/retry_test.go
+++ b/aggregator/retry_test.go
@@ -28,13 +28,13 @@
 			set := testSettings()
 			set.Limits.CanCancel = false
 			set.Classes[0].Effect, set.Classes[0].DedupWindow = c.effect, 400*ms
-			b := newHarness(t, set, members("a", "b", "c")...)
-			b.step(queryEvents("q", 3*time.Second, 0)...)
-			b.now += c.late
-			b.step(attemptEnded("q/0", 0, c.outcome))
-			b.after(20 * ms)
-			if b.attempts["q/0"] != c.want {
-				t.Errorf("%d attempts, want %d", b.attempts["q/0"], c.want)
+			h := newHarness(t, set, members("a", "b", "c")...)
+			h.step(queryEvents("q", 3*time.Second, 0)...)
+			h.now += c.late
+			h.step(attemptEnded("q/0", 0, c.outcome))
+			h.after(20 * ms)
+			if h.attempts["q/0"] != c.want {
+				t.Errorf("%d attempts, want %d", h.attempts["q/0"], c.want)
 			}
 		})
 	}
@@ -43,24 +43,24 @@
 // TestOverdueAttemptIsCancelledBeforeTheRetry checks that, without hedging, an overdue attempt is cancelled and only then
 // followed by another.
 func TestOverdueAttemptIsCancelledBeforeTheRetry(t *testing.T) {
-	b := newHarness(t, testSettings(), members("a", "b", "c")...)
-	b.step(queryEvents("q", 3*time.Second, 0)...)
-	hung := b.last[0].Replica
+	h := newHarness(t, testSettings(), members("a", "b", "c")...)
+	h.step(queryEvents("q", 3*time.Second, 0)...)
+	hung := h.last[0].Replica
 	for i := range 6 { // peers answer, the hung one does not
 		id := fmt.Sprint("x", i)
-		b.step(queryEvents(id, 3*time.Second, 0)...)
-		b.now += 100 * ms
-		if s := actionsOf(b.last, Send); len(s) == 1 && s[0].Replica != hung {
-			b.step(attemptEnded(id+"/0", 0, OK))
+		h.step(queryEvents(id, 3*time.Second, 0)...)
+		h.now += 100 * ms
+		if s := actionsOf(h.last, Send); len(s) == 1 && s[0].Replica != hung {
+			h.step(attemptEnded(id+"/0", 0, OK))
 		}
 	}
-	if b.attempts["q/0"] != 1 {
-		t.Fatalf("%d attempts before any outcome, want 1", b.attempts["q/0"])
+	if h.attempts["q/0"] != 1 {
+		t.Fatalf("%d attempts before any outcome, want 1", h.attempts["q/0"])
 	}
-	if b.aggregator.queries.parts["q/0"] == nil || !b.aggregator.queries.parts["q/0"].attempts[0].cancelled {
+	if h.aggregator.queries.parts["q/0"] == nil || !h.aggregator.queries.parts["q/0"].attempts[0].cancelled {
 		t.Fatal("the silent attempt was not called off")
 	}
-	if s := actionsOf(b.step(attemptEnded("q/0", 0, Cancelled)), Send); len(s) != 1 || s[0].Replica == hung {
+	if s := actionsOf(h.step(attemptEnded("q/0", 0, Cancelled)), Send); len(s) != 1 || s[0].Replica == hung {
 		t.Errorf("after the cancel: %v, want one send to another replica than %s", s, hung)
 	}
 }
@@ -70,11 +70,11 @@
 	set := testSettings()
 	set.Rules.RetryWindow, set.Rules.RetryFloor, set.Rules.RetryRatio = time.Second, 2, 0.1
 	set.Limits.MaxAttempts = 10
-	b := newHarness(t, set, members("a", "b", "c")...)
+	h := newHarness(t, set, members("a", "b", "c")...)
 	var taken, extras []time.Duration
 	within := func(at []time.Duration) (n int) {
 		for _, t := range at {
-			if t > b.now-time.Second {
+			if t > h.now-time.Second {
 				n++
 			}
 		}
@@ -82,16 +82,16 @@
 	}
 	for i := range 600 {
 		id := fmt.Sprint(i)
-		acts := b.step(queryEvents(id, 3*time.Second, i%3)...)
-		taken = append(taken, b.now, b.now)
-		b.now += 7 * ms
+		acts := h.step(queryEvents(id, 3*time.Second, i%3)...)
+		taken = append(taken, h.now, h.now)
+		h.now += 7 * ms
 		var events []Event
 		for _, s := range actionsOf(acts, Send) {
-			events = append(events, attemptEnded(s.Part, b.attempts[s.Part]-1, Errored))
+			events = append(events, attemptEnded(s.Part, h.attempts[s.Part]-1, Errored))
 		}
-		for _, s := range actionsOf(b.step(events...), Send) {
-			if b.attempts[s.Part] > 1 {
-				if extras = append(extras, b.now); float64(within(extras)) > 2+0.1*float64(within(taken)) {
+		for _, s := range actionsOf(h.step(events...), Send) {
+			if h.attempts[s.Part] > 1 {
+				if extras = append(extras, h.now); float64(within(extras)) > 2+0.1*float64(within(taken)) {
 					t.Fatalf("step %d: %d further attempts for %d taken", i, within(extras), within(taken))
 				}
 			}
@@ -132,19 +132,19 @@
 func TestHedgeDelayFollowsLatencies(t *testing.T) {
 	set := testSettings()
 	set.Classes[0].LatencyObjective, set.Classes[0].Deadline = 4*time.Second, 8*time.Second
-	b := newHarness(t, set, members("a", "b", "c")...)
+	h := newHarness(t, set, members("a", "b", "c")...)
 	for i := range 60 {
 		id := fmt.Sprintf("warm%d", i)
-		b.step(queryEvents(id, 6*time.Second, i%3)...)
-		b.now += 100 * ms
-		b.step(attemptEnded(id+"/0", 0, OK))
+		h.step(queryEvents(id, 6*time.Second, i%3)...)
+		h.now += 100 * ms
+		h.step(attemptEnded(id+"/0", 0, OK))
 	}
 	q := &query{}
-	if got := b.aggregator.hedgeDelay(q); got < 0.35 || got > 0.6 {
+	if got := h.aggregator.hedgeDelay(q); got < 0.35 || got > 0.6 {
 		t.Errorf("parts take 0.1 s and one is chased after %.2f s, want about four times as long", got)
 	}
-	b.aggregator.latencyOf(q).tail.value = 1.0
-	if got := b.aggregator.hedgeDelay(q); got != 2.0 {
+	h.aggregator.latencyOf(q).tail.value = 1.0
+	if got := h.aggregator.hedgeDelay(q); got != 2.0 {
 		t.Errorf("one part in twenty takes 1 s and one is chased after %.2f s, want 2", got)
 	}
 }
--- a/aggregator/slowstart_test.go
+++ b/aggregator/slowstart_test.go
@@ -41,29 +41,29 @@
 	fleet, weights, sum := make([]*harness, day.aggregators), make([]float64, day.aggregators), 0.0
 	warm := []Member{{Replica: "a"}, {Replica: "b"}}
 	for i := range fleet {
-		b := newHarness(t, set)
-		b.aggregator, _ = New(set, seed*1000+uint64(i))
-		b.step(Event{Kind: ListCached, Members: warm})
+		h := newHarness(t, set)
+		h.aggregator, _ = New(set, seed*1000+uint64(i))
+		h.step(Event{Kind: ListCached, Members: warm})
 		for j := range 8 {
 			id := fmt.Sprint("first", j)
-			for _, s := range actionsOf(b.step(queryEvents(id, 3*time.Second, 0)...), Send) {
-				if b.now += work(); !day.withoutHistory {
-					b.step(attemptEnded(s.Part, 0, OK))
+			for _, s := range actionsOf(h.step(queryEvents(id, 3*time.Second, 0)...), Send) {
+				if h.now += work(); !day.withoutHistory {
+					h.step(attemptEnded(s.Part, 0, OK))
 				}
 			}
 		}
-		b.now = slowStartAt
-		fleet[i] = b
+		h.now = slowStartAt
+		fleet[i] = h
 		weights[i] = math.Pow(float64(i+1), -day.skew)
 		sum += weights[i]
 	}
 	start := slowStartAt
-	for _, b := range fleet {
+	for _, h := range fleet {
 		changes := []Member{{Replica: "cold", Started: start}}
 		if day.alone {
 			changes = append(changes, Member{Replica: "a", State: Gone}, Member{Replica: "b", State: Gone})
 		}
-		b.step(Event{Kind: ListChanged, Members: changes})
+		h.step(Event{Kind: ListChanged, Members: changes})
 	}
 	type answer struct {
 		at   time.Duration
@@ -76,8 +76,8 @@
 	const step = 10 * ms
 	perStep := 4 * float64(step) / float64(day.work) // queries of four parts, several times what a cold one stands
 	for now := start; now < start+10*rules.OverloadWindow; now += step {
-		for i, b := range fleet {
-			b.now = now
+		for i, h := range fleet {
+			h.now = now
 			var events []Event
 			due = slices.DeleteFunc(due, func(a answer) bool {
 				if a.node != i || a.at > now {
@@ -93,12 +93,12 @@
 			if asked {
 				events = append(events, queryEvents(fmt.Sprint(now, i), 3*time.Second, 0, 1, 2, 3)...)
 			}
-			if len(events) == 0 && (b.aggregator.wakeAt < 0 || now < b.aggregator.wakeAt) {
+			if len(events) == 0 && (h.aggregator.wakeAt < 0 || now < h.aggregator.wakeAt) {
 				continue
 			}
 			inCall := 0
-			for _, s := range actionsOf(b.step(events...), Send) {
-				due = append(due, answer{now + work(), i, s.Part, b.attempts[s.Part] - 1})
+			for _, s := range actionsOf(h.step(events...), Send) {
+				due = append(due, answer{now + work(), i, s.Part, h.attempts[s.Part] - 1})
 				if s.Replica != "cold" {
 					continue
 				}
@@ -173,10 +173,10 @@
 func TestSlowStartLimitsOneAggregator(t *testing.T) {
 	set := testSettings()
 	set.ShardSets, set.Reach, set.Aggregators = 1, 1, 2
-	b := newHarness(t, set, Member{Replica: "a", Started: 99900 * ms})
+	h := newHarness(t, set, Member{Replica: "a", Started: 99900 * ms})
 	sent := 0
 	for i := range 50 {
-		sent += len(actionsOf(b.step(queryEvents(fmt.Sprint(i), 3*time.Second, 0)...), Send))
+		sent += len(actionsOf(h.step(queryEvents(fmt.Sprint(i), 3*time.Second, 0)...), Send))
 	}
 	// Work is presumed a tenth of the aim; a front node's half of 3 x (0.2 + a little) x 1 s is under 4
 	// parts.
@@ -212,10 +212,28 @@
 	}
 }
 
+// fleetArrivals is when the aggregators of a fleet are sent queries, in steps of 100 ms.
+type fleetArrivals struct {
+	together    bool // all at once, twice a second; else each once a second, in turn
+	idleWindows int  // windows of a second at the start without a query; then no other holder is left
+}
+
+// at tells whether an aggregator gets a query in a step.
+func (f fleetArrivals) at(step, aggregator int) bool {
+	if step < 10*f.idleWindows {
+		return false
+	}
+	if f.together {
+		return step%5 == 0
+	}
+	return (step+aggregator)%10 == 0
+}
+
 // runWarmingFleet plays eighty aggregators that share three replicas of a shard, one of them just started, for ten overload
 // windows. It returns the work sent to that one in each window, as a share of what it may be sent, and the parts of a call
 // there.
-func runWarmingFleet(t *testing.T, together bool, idle int) (shares []float64, perCall float64) {
+func runWarmingFleet(t *testing.T, arrivals fleetArrivals) (shares []float64, perCall float64) {
+	t.Helper()
 	const nodes, part = 80, 20 * ms
 	set := testSettings()
 	set.ShardSets, set.Shards, set.Reach, set.Aggregators = 1, 2, 1, nodes
@@ -223,38 +241,38 @@
 	set.Rules.WarmupTime = 20 * time.Second
 	var fleet []*harness
 	for seed := range uint64(nodes) {
-		b := newHarness(t, set)
-		b.aggregator, _ = New(set, seed)
-		b.step(Event{Kind: ListCached, Members: []Member{{Replica: "a"}, {Replica: "b"}}})
+		h := newHarness(t, set)
+		h.aggregator, _ = New(set, seed)
+		h.step(Event{Kind: ListCached, Members: []Member{{Replica: "a"}, {Replica: "b"}}})
 		for i := range 5 { // it learns how long a part takes
-			b.step(queryEvents(fmt.Sprint("first", i), 3*time.Second, 0)...)
-			b.now += part
-			b.step(attemptEnded(fmt.Sprint("first", i, "/0"), 0, OK))
+			h.step(queryEvents(fmt.Sprint("first", i), 3*time.Second, 0)...)
+			h.now += part
+			h.step(attemptEnded(fmt.Sprint("first", i, "/0"), 0, OK))
 		}
-		b.step(Event{Kind: ListChanged, Members: []Member{{Replica: "cold", Started: b.now}}})
-		if idle > 0 {
-			b.step(Event{Kind: ListChanged, Members: []Member{{Replica: "a", State: Gone}, {Replica: "b", State: Gone}}})
+		h.step(Event{Kind: ListChanged, Members: []Member{{Replica: "cold", Started: h.now}}})
+		if arrivals.idleWindows > 0 {
+			h.step(Event{Kind: ListChanged, Members: []Member{{Replica: "a", State: Gone}, {Replica: "b", State: Gone}}})
 		}
-		fleet = append(fleet, b)
+		fleet = append(fleet, h)
 	}
 	start := fleet[0].now
 	parts, calls := 0, 0
 	sent := make([]float64, 10)
 	for step := range int(10*set.Rules.OverloadWindow/ms) / 100 {
-		for i, b := range fleet {
-			b.now = start + time.Duration(step)*100*ms
-			if asks := (step+i)%10 == 0; step < 10*idle || !together && !asks || together && step%5 != 0 {
+		for i, h := range fleet {
+			h.now = start + time.Duration(step)*100*ms
+			if !arrivals.at(step, i) {
 				continue
 			}
-			acts := b.step(queryEvents(fmt.Sprint("q", step), 3*time.Second, 0, 1)...)
+			acts := h.step(queryEvents(fmt.Sprint("q", step), 3*time.Second, 0, 1)...)
 			called := false
-			b.now += part
+			h.now += part
 			for _, s := range actionsOf(acts, Send) {
 				if s.Replica == "cold" {
 					sent[time.Duration(step)*100*ms/set.Rules.OverloadWindow] += part.Seconds()
 					parts, called = parts+1, true
 				}
-				b.step(attemptEnded(s.Part, b.attempts[s.Part]-1, OK))
+				h.step(attemptEnded(s.Part, h.attempts[s.Part]-1, OK))
 			}
 			if called {
 				calls++
@@ -274,7 +292,7 @@
 // aggregators send; and that it is never overloaded, also where all are asked in the same moment.
 func TestReplicaInSlowStartGetsItsShareOfAFleet(t *testing.T) {
 	for _, together := range []bool{false, true} {
-		shares, perCall := runWarmingFleet(t, together, 0)
+		shares, perCall := runWarmingFleet(t, fleetArrivals{together: together})
 		sum := 0.0
 		for i, s := range shares {
 			if s > 1 {
@@ -293,7 +311,7 @@
 // at once, with no other holder left, don't overload a replica that does one unit of work at a time.
 func TestSavedAllowancesDoNotOverloadAReplica(t *testing.T) {
 	for idle := 1; idle < 8; idle++ {
-		shares, _ := runWarmingFleet(t, true, idle)
+		shares, _ := runWarmingFleet(t, fleetArrivals{together: true, idleWindows: idle})
 		if most := slices.Max(shares); most > 1 || shares[idle] == 0 {
 			t.Errorf("idle for %d windows: then %.2f of what it stands, want some and no more than 1", idle, shares[idle:])
 		}
