--- a/aggregator/admission.go
+++ b/aggregator/admission.go
@@ -70,7 +70,7 @@
 // overCapacity tells whether too much is open for a query of the given rank.
 func (a *Aggregator) overCapacity(rank float64) bool {
 	limit := float64(a.settings.Limits.MaxOpen)
-	return limit > 0 && float64(a.heldCount()) > limit*(uncontendedShare+(1-uncontendedShare)*rank)
+	return limit > 0 && float64(a.openCount()) > limit*(uncontendedShare+(1-uncontendedShare)*rank)
 }
 
 // forecastParts forecasts each part of a query and returns the parts, those expected soonest first.
@@ -124,8 +124,8 @@
 // exponential waits is ln n means on average, and the forecast of a part holds one of them. It uses the median replica: a
 // few slow ones are no load that rejections would ease.
 func (a *Aggregator) stragglerWait(q *query) float64 {
-	spareShare := max(1-a.requiredShare(q), 1/float64(max(len(q.parts), 1)))
-	return stragglerFactor * a.latency.medianExcess * math.Max(-math.Log(spareShare)-1, 0)
+	missableShare := max(1-a.requiredShare(q), 1/float64(max(len(q.parts), 1)))
+	return stragglerFactor * a.latency.medianExcess * math.Max(-math.Log(missableShare)-1, 0)
 }
 
 // shedParts leaves out the parts that the answer can do without and that are expected late, the slowest first: they would
--- a/aggregator/admission_test.go
+++ b/aggregator/admission_test.go
@@ -11,14 +11,14 @@
 func TestQueryWithoutUsableReplicaIsRejectedAtOnce(t *testing.T) {
 	set, all := fleetSettings(3, 1, 1000)
 	all[0].Started = 100*time.Second - ms
-	refused := 0
+	rejected := 0
 	for i := range 20 {
 		set.Rules.OverloadMultiple = 0.1
 		h := newHarness(t, set, all...)
-		refused += len(actionsOf(h.step(queryEvents(fmt.Sprint(i), time.Second, 0)...), Reject))
+		rejected += len(actionsOf(h.step(queryEvents(fmt.Sprint(i), time.Second, 0)...), Reject))
 	}
-	if refused < 18 {
-		t.Errorf("%d of 20 queries refused at once", refused)
+	if rejected < 18 {
+		t.Errorf("%d of 20 queries rejected at once", rejected)
 	}
 }
 
@@ -45,7 +45,7 @@
 		h.aggregator.priorityRank(again)
 		h.aggregator.priorityRank(other)
 		if got := again.priority < other.priority; got != c.first {
-			t.Errorf("after %d repeats: worth %v against %v", c.repeats, again.priority, other.priority)
+			t.Errorf("after %d repeats: priority %v against %v", c.repeats, again.priority, other.priority)
 		}
 	}
 }
@@ -71,12 +71,12 @@
 		for i := range many {
 			many[i] = i % 30
 		}
-		refused := len(actionsOf(h.step(queryEvents("many", time.Second, many...)...), Reject)) == 1
-		if refused != busy {
-			t.Errorf("busy %v: the query of many parts refused %v", busy, refused)
+		rejected := len(actionsOf(h.step(queryEvents("many", time.Second, many...)...), Reject)) == 1
+		if rejected != busy {
+			t.Errorf("busy %v: the query of many parts rejected %v", busy, rejected)
 		}
 		if len(actionsOf(h.step(queryEvents("one", time.Second, 1)...), Reject)) > 0 {
-			t.Errorf("busy %v: the query of one part was refused", busy)
+			t.Errorf("busy %v: the query of one part was rejected", busy)
 		}
 	}
 }
@@ -86,15 +86,15 @@
 // no replica is slow, and where three aggregators know the load and expect the part within the objective.
 func TestLatePartIsShed(t *testing.T) {
 	for _, c := range []struct {
-		floor float64
-		slow  bool
-		nodes int
-		parts int
-		whole bool
+		minShare float64
+		slow     bool
+		nodes    int
+		parts    int
+		complete bool
 	}{{0.5, true, 80, 3, false}, {0.5, false, 80, 4, true}, {1, true, 80, 4, true}, {0.5, true, 3, 4, true}} {
 		set, all := fleetSettings(4, 1, c.nodes)
 		set.Limits.Probes = false
-		set.Classes[0].MinShare, set.Classes[0].PartialShare = c.floor, 0.9
+		set.Classes[0].MinShare, set.Classes[0].PartialShare = c.minShare, 0.9
 		h := newHarness(t, set, all...)
 		for i := range 20 { // one shard each, the last of which is slow
 			h.step(queryEvents(fmt.Sprint(i), 3*time.Second, i%4)...)
@@ -110,8 +110,8 @@
 			in = append(in, attemptEnded(s.Part, 0, OK))
 		}
 		answers := actionsOf(h.step(in...), Answer)
-		if len(sent) != c.parts || len(answers) != 1 || answers[0].Complete != c.whole {
-			t.Errorf("floor %.1f, slow %v, %d nodes: %d parts sent, want %d; answers %+v", c.floor, c.slow, c.nodes, len(sent), c.parts, answers)
+		if len(sent) != c.parts || len(answers) != 1 || answers[0].Complete != c.complete {
+			t.Errorf("minShare %.1f, slow %v, %d nodes: %d parts sent, want %d; answers %+v", c.minShare, c.slow, c.nodes, len(sent), c.parts, answers)
 		}
 	}
 }
@@ -124,13 +124,13 @@
 	f.react = func(string) (Outcome, time.Duration) { return OK, time.Duration(50+load) * ms }
 	f.run(3*time.Second, 20*ms)
 	load = 900
-	refused := actionsOf(f.run(4*time.Second, 20*ms), Reject)
-	if len(refused) < 50 {
-		t.Errorf("%d of 200 queries refused under overload", len(refused))
+	rejected := actionsOf(f.run(4*time.Second, 20*ms), Reject)
+	if len(rejected) < 50 {
+		t.Errorf("%d of 200 queries rejected under overload", len(rejected))
 	}
-	for _, r := range refused {
+	for _, r := range rejected {
 		if r.After <= 0 {
-			t.Fatalf("query %s refused without a return time", r.Query)
+			t.Fatalf("query %s rejected without a retry time", r.Query)
 		}
 	}
 	load = 0
--- a/aggregator/answer_test.go
+++ b/aggregator/answer_test.go
@@ -65,21 +65,21 @@
 // complete one is marked so.
 func TestAnswerStatesWhetherItIsComplete(t *testing.T) {
 	for _, c := range []struct {
-		name  string
-		floor float64
-		ok    int
-		kind  ActionKind
-		whole bool
+		name     string
+		minShare float64
+		ok       int
+		kind     ActionKind
+		complete bool
 	}{
 		{"all in", 0.5, 4, Answer, true},
-		{"above the floor", 0.5, 3, Answer, false},
-		{"under the floor", 0.5, 1, Reject, false},
+		{"above the smallest share", 0.5, 3, Answer, false},
+		{"under the smallest share", 0.5, 1, Reject, false},
 		{"no partial answers", 1, 3, Reject, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			set := testSettings()
 			set.Limits.MaxAttempts = 1
-			set.Classes[0].MinShare, set.Classes[0].PartialShare = c.floor, 1
+			set.Classes[0].MinShare, set.Classes[0].PartialShare = c.minShare, 1
 			h := newHarness(t, set, members("a", "b", "c")...)
 			h.step(queryEvents("q", 900*ms, 0, 1, 2, 0)...)
 			for i := range c.ok {
@@ -88,8 +88,8 @@
 			all := h.last
 			all = append(all, h.after(time.Second)...)
 			got := append(actionsOf(all, Answer), actionsOf(all, Reject)...)
-			if len(got) != 1 || got[0].Kind != c.kind || got[0].Complete != c.whole {
-				t.Errorf("got %+v, want kind %d whole %v", got, c.kind, c.whole)
+			if len(got) != 1 || got[0].Kind != c.kind || got[0].Complete != c.complete {
+				t.Errorf("got %+v, want kind %d, complete %v", got, c.kind, c.complete)
 			}
 		})
 	}
@@ -105,7 +105,7 @@
 	h.step(Event{Kind: PartArrived, Query: "q", Part: "s", Shard: 0, Weight: 1})
 	second := actionsOf(h.step(attemptEnded("s", 0, OK)), Answer)
 	if len(first) != 1 || first[0].Final || len(second) != 1 || !second[0].Final || !second[0].Complete {
-		t.Errorf("answers %+v and %+v, want one that opens the second step and one final and whole", first, second)
+		t.Errorf("answers %+v and %+v, want one that opens the second step and one final and complete", first, second)
 	}
 }
 
@@ -136,7 +136,7 @@
 	set.Shards, set.ShardSets, set.Reach = 4, 4, 1
 	set.Classes[0].MinShare, set.Classes[0].PartialShare, set.Classes[0].FetchParts = 0.7, 0.9, 2
 	set.Limits.MaxAttempts = 1
-	h := newHarness(t, set, members("a", "b", "c")...) // the fourth cell is empty
+	h := newHarness(t, set, members("a", "b", "c")...) // the fourth shard set is empty
 	h.step(queryEvents("hole", 3*time.Second, 0, 1, 2, 3)...)
 	if len(actionsOf(h.last, Send)) != 3 {
 		t.Fatalf("%d parts sent, want 3", len(actionsOf(h.last, Send)))
@@ -173,7 +173,7 @@
 	h.now += 890 * ms
 	acts := h.step(Event{Kind: Wakeup})
 	if len(actionsOf(acts, Answer)) > 0 || len(actionsOf(acts, Reject)) != 1 {
-		t.Errorf("got %+v, want one refusal", acts)
+		t.Errorf("got %+v, want one rejection", acts)
 	}
 }
 
--- a/aggregator/canary_test.go
+++ b/aggregator/canary_test.go
@@ -20,13 +20,13 @@
 	broken := map[string]bool{}
 	for try := range 3 {
 		acts := h.step(queryEvents(fmt.Sprint("k", try), 3*time.Second, shards...)...)
-		refused := 0
+		rejected := 0
 		for range 20 {
 			var events []Event
-			refused += len(actionsOf(acts, Reject))
+			rejected += len(actionsOf(acts, Reject))
 			for _, s := range actionsOf(acts, Send) {
 				if broken[s.Replica] = true; h.attempts[s.Part] > 2 {
-					t.Errorf("try %d: part %s was sent %d times", try, s.Part, h.attempts[s.Part])
+					t.Errorf("round %d: part %s was sent %d times", try, s.Part, h.attempts[s.Part])
 				}
 				events = append(events, attemptEnded(s.Part, h.attempts[s.Part]-1, Reset))
 			}
@@ -36,8 +36,8 @@
 			h.now += h.settings.Tick
 			acts = h.step(append(events, Event{Kind: Wakeup})...)
 		}
-		if refused != 1 {
-			t.Errorf("try %d: %d refusals within a tenth of a second, want 1", try, refused)
+		if rejected != 1 {
+			t.Errorf("round %d: %d rejections within a tenth of a second, want 1", try, rejected)
 		}
 		if h.now += 2 * time.Second; try == 0 {
 			clear(broken) // the first one comes without any sign
--- a/aggregator/endpoints_test.go
+++ b/aggregator/endpoints_test.go
@@ -91,12 +91,12 @@
 	}
 	a := h.aggregator
 	held := 0
-	for _, cell := range a.endpoints.shardSets {
-		held += len(cell)
+	for _, set := range a.endpoints.shardSets {
+		held += len(set)
 	}
 	// Those of the last 40 s and the one listed, beside the three of the start.
 	if most := 4 + 5; len(a.endpoints.replicas) > most || len(a.endpoints.byName) > most || len(a.endpoints.byTag) > most || held > most {
-		t.Errorf("%d replicas, %d names, %d tags, %d in cells", len(a.endpoints.replicas), len(a.endpoints.byName), len(a.endpoints.byTag), held)
+		t.Errorf("%d replicas, %d names, %d tags, %d in shard sets", len(a.endpoints.replicas), len(a.endpoints.byName), len(a.endpoints.byTag), held)
 	}
 	if len(a.retryBudget.accepted.times)+len(a.retryBudget.retries.times)+len(a.queries.byID)+len(a.queries.parts)+len(a.queries.live) > 0 {
 		t.Errorf("%d taken, %d extras, %d queries, %d parts", len(a.retryBudget.accepted.times), len(a.retryBudget.retries.times), len(a.queries.byID), len(a.queries.parts))
--- a/aggregator/example_test.go
+++ b/aggregator/example_test.go
@@ -7,7 +7,7 @@
 	"gullfall/aggregator"
 )
 
-// A front node passes what has happened to Step and carries out the actions it gets back.
+// A coordinator passes what has happened to Step and carries out the actions it gets back.
 func Example() {
 	agg, err := aggregator.New(aggregator.Settings{
 		Aggregators: 1, Tick: 5 * time.Millisecond, ShardSets: 1, Shards: 1, Reach: 1,
@@ -37,10 +37,10 @@
 	}, actions[:0])
 	for _, a := range actions {
 		if a.Kind == aggregator.Answer {
-			fmt.Println("answer", a.Query, "whole:", a.Complete)
+			fmt.Println("answer", a.Query, "complete:", a.Complete)
 		}
 	}
 	// Output:
 	// send q1/0 to replica-1
-	// answer q1 whole: true
+	// answer q1 complete: true
 }
--- a/aggregator/gossip_test.go
+++ b/aggregator/gossip_test.go
@@ -10,21 +10,21 @@
 // TestGossipRoundTrip checks that entries survive a message to within a step, that messages stay within their size, and
 // that arbitrary bytes do no harm.
 func TestGossipRoundTrip(t *testing.T) {
-	aim := 2 * time.Second
+	objective := 2 * time.Second
 	list := []gossipEntry{{1, gossipSent, 500 * ms}, {65535, gossipExcess, 1900 * ms}, {7, gossipExcess, 9 * time.Second}}
-	got := decodeGossip(encodeGossip(list, aim), aim)
+	got := decodeGossip(encodeGossip(list, objective), objective)
 	for i, n := range got {
-		want := min(list[i].duration, aim)
+		want := min(list[i].duration, objective)
 		if n.tag != list[i].tag || n.kind != list[i].kind || n.duration < want-20*ms || n.duration > want+20*ms {
-			t.Errorf("entry %d: %+v became %+v", i, list[i], n)
+			t.Errorf("enround %d: %+v became %+v", i, list[i], n)
 		}
 	}
-	if n := len(encodeGossip(make([]gossipEntry, 200), aim)); n > maxGossipBytes || len(got) != len(list) {
+	if n := len(encodeGossip(make([]gossipEntry, 200), objective)); n > maxGossipBytes || len(got) != len(list) {
 		t.Errorf("%d bytes, %d entries", n, len(got))
 	}
 	for _, bad := range [][]byte{nil, {1}, bytes.Repeat([]byte{255}, 256), bytes.Repeat([]byte{9}, 999)} {
-		for _, n := range decodeGossip(bad, aim) {
-			if n.duration < 0 || n.duration > 3*aim {
+		for _, n := range decodeGossip(bad, objective) {
+			if n.duration < 0 || n.duration > 3*objective {
 				t.Errorf("%v: %+v", bad[:3], n)
 			}
 		}
--- a/aggregator/idleconn.go
+++ b/aggregator/idleconn.go
@@ -114,8 +114,8 @@
 		evidence = deadConnEvidenceUnsafe
 	}
 	likelyDead := timeout > 0 && a.idleConns.evidence >= evidence && a.now-r.conns.lastUse >= timeout
-	lostBefore := r.conns.silentIdle > 0 || p.query.canary.idleReset
-	if len(r.calls.inFlight) > 0 || !lostBefore && !likelyDead {
+	failedBefore := r.conns.silentIdle > 0 || p.query.canary.idleReset
+	if len(r.calls.inFlight) > 0 || !failedBefore && !likelyDead {
 		return false
 	}
 	a.act(Action{Kind: CloseIdle, Replica: r.member.Replica})
--- a/aggregator/idleconn_test.go
+++ b/aggregator/idleconn_test.go
@@ -68,7 +68,7 @@
 	acts := h.step(events...)
 	for range 10 {
 		if len(actionsOf(acts, Reject)) > 0 {
-			t.Fatal("the query was refused")
+			t.Fatal("the query was rejected")
 		}
 		events = events[:0]
 		for _, s := range actionsOf(acts, Send) {
@@ -87,7 +87,7 @@
 	}
 	for _, r := range h.aggregator.endpoints.replicas {
 		if r.slowStart.active || r.outlier.ejected || r.outlier.failures > 0 {
-			t.Errorf("%s: cold %v, ejected %v, %v strikes", r.member.Replica, r.slowStart.active, r.outlier.ejected, r.outlier.failures)
+			t.Errorf("%s: slow start %v, ejected %v, %v failures", r.member.Replica, r.slowStart.active, r.outlier.ejected, r.outlier.failures)
 		}
 	}
 }
--- a/aggregator/latency.go
+++ b/aggregator/latency.go
@@ -26,8 +26,8 @@
 	fleetSampleWeight = 0.05
 	// intervalSampleWeight is the weight of a new sample in the interval between answers.
 	intervalSampleWeight = 0.01
-	// answerIntervalsKept is for how many intervals between answers of one replica an observation of it holds.
-	answerIntervalsKept = 3.0
+	// observationIntervals is for how many intervals between answers of one replica an observation of it holds.
+	observationIntervals = 3.0
 	// minAbandoned is how many attempts in a row must be given up for their ages to count as latencies.
 	minAbandoned = 2
 )
@@ -155,7 +155,7 @@
 // observationLifetime is for how long an observation of a replica holds: the longest latency objective, or longer where
 // this aggregator hears a replica more seldom.
 func (a *Aggregator) observationLifetime() time.Duration {
-	return max(a.maxObjective(), scale(answerIntervalsKept, a.latency.answerInterval))
+	return max(a.maxObjective(), scale(observationIntervals, a.latency.answerInterval))
 }
 
 // recordAnswerTime notes when a replica answered.
--- a/aggregator/latency_test.go
+++ b/aggregator/latency_test.go
@@ -16,7 +16,7 @@
 		}
 		return OK, 20 * ms
 	})
-	f.run(20*time.Second, 2*time.Second) // each is heard every 6 s
+	f.run(20*time.Second, 2*time.Second) // each answers every 6 s
 	f.run(180*time.Second, 2*time.Second)
 	if got := f.sends["a"]; got > 15 {
 		t.Errorf("the slow replica of three got %d of 90 parts", got)
@@ -38,7 +38,7 @@
 	for i := range 2 { // the first is no sign yet
 		acts := h.step(queryEvents(fmt.Sprint("lost", i), 3*time.Second, 0)...)
 		if len(actionsOf(acts, Send)) != 1 {
-			t.Fatalf("query %d was not let in: %+v", i, acts)
+			t.Fatalf("query %d was not admitted: %+v", i, acts)
 		}
 		acts = h.after(time.Second)
 		for _, c := range actionsOf(acts, Cancel) {
@@ -53,10 +53,10 @@
 		sent += len(actionsOf(h.step(queryEvents(fmt.Sprint("soon", i), 3*time.Second, 0)...), Send))
 	}
 	if sent > 3 {
-		t.Errorf("right after it %d of 10 queries were let in", sent)
+		t.Errorf("right after it %d of 10 queries were admitted", sent)
 	}
 	h.after(5 * time.Second)
 	if acts := h.step(queryEvents("later", 3*time.Second, 0)...); len(actionsOf(acts, Send)) != 1 {
-		t.Errorf("long after it a query was not let in: %+v", acts)
+		t.Errorf("long after it a query was not admitted: %+v", acts)
 	}
 }
--- a/aggregator/outlier_test.go
+++ b/aggregator/outlier_test.go
@@ -38,13 +38,13 @@
 				f.run(2*time.Second, 20*ms)
 				f.run(4*time.Second, 20*ms)
 				if f.sends["a"] > 20 {
-					t.Errorf("the sick replica got %d of 200 parts", f.sends["a"])
+					t.Errorf("the faulty replica got %d of 200 parts", f.sends["a"])
 				}
 				faulty = false
 				f.run(16*time.Second, 20*ms)
 				f.run(3*time.Second, 20*ms)
 				if f.sends["a"] < 25 {
-					t.Errorf("the healed replica got %d of 150 parts", f.sends["a"])
+					t.Errorf("the recovered replica got %d of 150 parts", f.sends["a"])
 				}
 			})
 		}
@@ -82,7 +82,7 @@
 	bad = false
 	f.run(12*time.Second, 50*ms)
 	if answers := actionsOf(f.run(2*time.Second, 50*ms), Answer); len(answers) < 35 {
-		t.Errorf("%d of 40 queries answered after all have healed", len(answers))
+		t.Errorf("%d of 40 queries answered after all have recovered", len(answers))
 	}
 }
 
@@ -91,8 +91,8 @@
 // restarted.
 func TestConnectTimeoutIsNoRestart(t *testing.T) {
 	for _, c := range []struct {
-		end  Outcome
-		cold bool
+		end       Outcome
+		slowStart bool
 	}{{ConnectTimeout, false}, {ConnectFailed, true}} {
 		set := testSettings()
 		set.ShardSets, set.Shards, set.Reach = 1, 1, 1
@@ -104,8 +104,8 @@
 				h.step(attemptEnded(s.Part, 0, c.end))
 			}
 		}
-		if r := h.aggregator.endpoints.byName["a"]; r.slowStart.active != c.cold || !r.outlier.ejected {
-			t.Errorf("outcome %d: cold %v, ejected %v; want cold %v and ejected", c.end, r.slowStart.active, r.outlier.ejected, c.cold)
+		if r := h.aggregator.endpoints.byName["a"]; r.slowStart.active != c.slowStart || !r.outlier.ejected {
+			t.Errorf("outcome %d: slow start %v, ejected %v; want slow start %v and ejected", c.end, r.slowStart.active, r.outlier.ejected, c.slowStart)
 		}
 	}
 }
--- a/aggregator/query.go
+++ b/aggregator/query.go
@@ -108,8 +108,8 @@
 	a.queries.parts[p.id] = p
 }
 
-// heldCount is how many queries and parts are open; Limits.MaxOpen bounds it.
-func (a *Aggregator) heldCount() (n int) {
+// openCount is how many queries and parts are open; Limits.MaxOpen bounds it.
+func (a *Aggregator) openCount() (n int) {
 	for _, q := range a.queries.live {
 		if !q.ended {
 			n += 1 + len(q.parts)
--- a/aggregator/random_test.go
+++ b/aggregator/random_test.go
@@ -69,7 +69,7 @@
 				open[out[k].part]--
 				ran[out[k].part] = ran[out[k].part] || o != Rejected && o != ConnectFailed && o != ConnectTimeout && o != NotSent
 			}
-			if rng.IntN(10) > 0 { // else it is told twice
+			if rng.IntN(10) > 0 { // else it is reported twice
 				out = append(out[:k], out[k+1:]...)
 			}
 		}
@@ -120,7 +120,7 @@
 				delete(due, act.Query)
 				for _, part := range []string{act.Query + "/0", act.Query + "/1"} {
 					if unsafe && act.Kind == Reject && (ran[part] || open[part] > 0) {
-						t.Fatalf("seed %d: %s refused though %s may have run", seed, act.Query, part)
+						t.Fatalf("seed %d: %s rejected though %s may have run", seed, act.Query, part)
 					}
 				}
 			}
--- a/aggregator/retry_test.go
+++ b/aggregator/retry_test.go
@@ -141,10 +141,10 @@
 	}
 	q := &query{}
 	if got := h.aggregator.hedgeDelay(q); got < 0.35 || got > 0.6 {
-		t.Errorf("parts take 0.1 s and one is chased after %.2f s, want about four times as long", got)
+		t.Errorf("parts take 0.1 s and one is hedged after %.2f s, want about four times as long", got)
 	}
 	h.aggregator.latencyOf(q).tail.value = 1.0
 	if got := h.aggregator.hedgeDelay(q); got != 2.0 {
-		t.Errorf("one part in twenty takes 1 s and one is chased after %.2f s, want 2", got)
+		t.Errorf("one part in twenty takes 1 s and one is hedged after %.2f s, want 2", got)
 	}
 }
--- a/aggregator/slowstart_test.go
+++ b/aggregator/slowstart_test.go
@@ -15,7 +15,7 @@
 	maxBatch       int           // parts of a call
 	callCost       time.Duration // of each call
 	alone          bool          // no other replica holds the shards
-	burst          bool          // all are asked at once, twice a second; else each by chance
+	burst          bool          // all get a query at once, twice a second; else each by chance
 	skew           float64       // exponent of how unequal their traffic is
 	withoutHistory bool          // they start with the data node and have seen no answer
 	work           time.Duration // of a part on average
@@ -74,7 +74,7 @@
 	var due []answer
 	var sent []time.Duration
 	const step = 10 * ms
-	perStep := 4 * float64(step) / float64(day.work) // queries of four parts, several times what a cold one stands
+	perStep := 4 * float64(step) / float64(day.work) // queries of four parts, several times the capacity of one in slow start
 	for now := start; now < start+10*rules.OverloadWindow; now += step {
 		for i, h := range fleet {
 			h.now = now
@@ -86,11 +86,11 @@
 				events = append(events, attemptEnded(a.part, a.n, OK))
 				return true
 			})
-			asked := rng.Float64() < perStep*weights[i]/sum
+			arrives := rng.Float64() < perStep*weights[i]/sum
 			if day.burst {
-				asked = (now-start)%(500*ms) == 0
+				arrives = (now-start)%(500*ms) == 0
 			}
-			if asked {
+			if arrives {
 				events = append(events, queryEvents(fmt.Sprint(now, i), 3*time.Second, 0, 1, 2, 3)...)
 			}
 			if len(events) == 0 && (h.aggregator.wakeAt < 0 || now < h.aggregator.wakeAt) {
@@ -149,7 +149,7 @@
 				day.work = 10 * ms // many small ones
 			}
 			if day.withoutHistory {
-				day.work = 200 * ms // a large share of the aim
+				day.work = 200 * ms // a large share of the objective
 			}
 			all := 0
 			for seed := range uint64(4) {
@@ -178,7 +178,7 @@
 	for i := range 50 {
 		sent += len(actionsOf(h.step(queryEvents(fmt.Sprint(i), 3*time.Second, 0)...), Send))
 	}
-	// Work is presumed a tenth of the aim; a front node's half of 3 x (0.2 + a little) x 1 s is under 4
+	// Work is presumed a tenth of the objective; an aggregator's half of 3 x (0.2 + a little) x 1 s is under 4
 	// parts.
 	if sent == 0 || sent > 4 {
 		t.Errorf("%d parts in the first moment, want 1 to 4", sent)
@@ -205,10 +205,10 @@
 			sent += len(actionsOf(a.Step(now, queryEvents(fmt.Sprint(i), time.Second, 0), nil), Send))
 		}
 	}
-	// The room grows evenly from 3 x 0.2 to 3 x 0.84 over the eight windows of 1 s; a part is a tenth of
+	// The capacity grows evenly from 3 x 0.2 to 3 x 0.84 over the eight windows of 1 s; a part is a tenth of
 	// a second.
-	if room := windows * 3 * 0.52 * 10; sent == 0 || float64(sent) > room || float64(sent) < room/3 {
-		t.Errorf("%d parts from %d nodes in %d windows, want a third of %.0f to %.0f", sent, nodes, windows, room, room)
+	if capacity := windows * 3 * 0.52 * 10; sent == 0 || float64(sent) > capacity || float64(sent) < capacity/3 {
+		t.Errorf("%d parts from %d nodes in %d windows, want a third of %.0f to %.0f", sent, nodes, windows, capacity, capacity)
 	}
 }
 
@@ -289,14 +289,14 @@
 
 // TestReplicaInSlowStartGetsItsShareOfAFleet checks that a replica in slow start gets its share of the traffic from the
 // start, though each of eighty aggregators may send it a part in some windows only, in calls of several parts where few
-// aggregators send; and that it is never overloaded, also where all are asked in the same moment.
+// aggregators send; and that it is never overloaded, also where all are arrives in the same moment.
 func TestReplicaInSlowStartGetsItsShareOfAFleet(t *testing.T) {
 	for _, together := range []bool{false, true} {
 		shares, perCall := runWarmingFleet(t, fleetArrivals{together: together})
 		sum := 0.0
 		for i, s := range shares {
 			if s > 1 {
-				t.Errorf("together %v: window %d: %.2f of what it stands", together, i, s)
+				t.Errorf("together %v: window %d: %.2f of its capacity", together, i, s)
 			}
 			sum += s
 		}
@@ -307,13 +307,13 @@
 	}
 }
 
-// TestSavedAllowancesDoNotOverloadAReplica checks that aggregators that have saved their allowances and are then all asked
+// TestSavedAllowancesDoNotOverloadAReplica checks that aggregators that have saved their allowances and are then all arrives
 // at once, with no other holder left, don't overload a replica that does one unit of work at a time.
 func TestSavedAllowancesDoNotOverloadAReplica(t *testing.T) {
 	for idle := 1; idle < 8; idle++ {
 		shares, _ := runWarmingFleet(t, fleetArrivals{together: true, idleWindows: idle})
 		if most := slices.Max(shares); most > 1 || shares[idle] == 0 {
-			t.Errorf("idle for %d windows: then %.2f of what it stands, want some and no more than 1", idle, shares[idle:])
+			t.Errorf("idle for %d windows: then %.2f of its capacity, want some and no more than 1", idle, shares[idle:])
 		}
 	}
 }
