--- a/aggregator/slowstart_test.go
+++ b/aggregator/slowstart_test.go
@@ -289,7 +289,7 @@
 
 // TestReplicaInSlowStartGetsItsShareOfAFleet checks that a replica in slow start gets its share of the traffic from the
 // start, though each of eighty aggregators may send it a part in some windows only, in calls of several parts where few
-// aggregators send; and that it is never overloaded, also where all are arrives in the same moment.
+// aggregators send; and that it is never overloaded, also where all get a query in the same moment.
 func TestReplicaInSlowStartGetsItsShareOfAFleet(t *testing.T) {
 	for _, together := range []bool{false, true} {
 		shares, perCall := runWarmingFleet(t, fleetArrivals{together: together})
@@ -307,7 +307,7 @@
 	}
 }
 
-// TestSavedAllowancesDoNotOverloadAReplica checks that aggregators that have saved their allowances and are then all arrives
+// TestSavedAllowancesDoNotOverloadAReplica checks that aggregators that have saved their allowances and then all get a query
 // at once, with no other holder left, don't overload a replica that does one unit of work at a time.
 func TestSavedAllowancesDoNotOverloadAReplica(t *testing.T) {
 	for idle := 1; idle < 8; idle++ {
