--- a/aggregator/action.go
+++ b/aggregator/action.go
@@ -21,6 +21,21 @@
 	SendGossip                          // Data: a message for all other aggregators, 256 bytes at most
 )
 
+var actionNames = [...]string{
+	Send:          "send",
+	Cancel:        "cancel",
+	Answer:        "answer",
+	Reject:        "reject",
+	Fail:          "fail",
+	Probe:         "probe",
+	Wake:          "wake",
+	PollEndpoints: "poll endpoints",
+	CloseIdle:     "close idle",
+	SendGossip:    "send gossip",
+}
+
+func (a ActionKind) String() string { return valueName("ActionKind", actionNames[:], int(a)) }
+
 // Reason is why a query was rejected or failed.
 type Reason uint8
 
@@ -34,6 +49,17 @@
 	QueryOfDeath                        // replicas crashed under it
 )
 
+var reasonNames = [...]string{
+	NoReplica:         "no replica",
+	OverCapacity:      "over capacity",
+	ForecastTooLate:   "forecast too late",
+	DeadlineExceeded:  "deadline exceeded",
+	AttemptsExhausted: "attempts exhausted",
+	QueryOfDeath:      "query of death",
+}
+
+func (r Reason) String() string { return valueName("Reason", reasonNames[:], int(r)) }
+
 // Action is one thing to be done; Kind says which of the other fields are set.
 type Action struct {
 	Kind        ActionKind
--- a/aggregator/aggregator.go
+++ b/aggregator/aggregator.go
@@ -5,6 +5,7 @@
 package aggregator
 
 import (
+	"fmt"
 	"math"
 	"math/rand/v2"
 	"slices"
@@ -80,3 +81,11 @@
 	slices.Sort(list)
 	return list[len(list)*quarters/4]
 }
+
+// valueName is the name of a value of an enumeration, or the type with the number where the value has no name.
+func valueName(typeName string, names []string, value int) string {
+	if value >= len(names) || names[value] == "" {
+		return fmt.Sprintf("%s(%d)", typeName, value)
+	}
+	return names[value]
+}
--- a/aggregator/event.go
+++ b/aggregator/event.go
@@ -14,6 +14,14 @@
 	Gone
 )
 
+var stateNames = [...]string{
+	Serving:  "serving",
+	Draining: "draining",
+	Gone:     "gone",
+}
+
+func (s State) String() string { return valueName("State", stateNames[:], int(s)) }
+
 // Member is one entry of the endpoint list.
 type Member struct {
 	Replica  string // name
@@ -43,6 +51,22 @@
 	ConnectTimeout // the connection did not come up in time, as a live replica's may not; the part never ran
 )
 
+var outcomeNames = [...]string{
+	Unknown:        "unknown",
+	OK:             "ok",
+	Errored:        "error",
+	TimedOut:       "timed out",
+	Reset:          "reset",
+	Cancelled:      "cancelled",
+	Rejected:       "rejected",
+	ConnectFailed:  "connect failed",
+	NotSent:        "not sent",
+	ConnectionLost: "connection lost",
+	ConnectTimeout: "connect timeout",
+}
+
+func (o Outcome) String() string { return valueName("Outcome", outcomeNames[:], int(o)) }
+
 // EventKind names what happened.
 type EventKind uint8
 
@@ -61,6 +85,22 @@
 	GossipReceived                      // Data
 )
 
+var eventNames = [...]string{
+	QueryArrived:   "query arrived",
+	PartArrived:    "part arrived",
+	AttemptEnded:   "attempt ended",
+	ClientGone:     "client gone",
+	Wakeup:         "wakeup",
+	ListChanged:    "list changed",
+	ListReplaced:   "list replaced",
+	ListCached:     "list cached",
+	ListCallFailed: "list call failed",
+	ProbeEnded:     "probe ended",
+	GossipReceived: "gossip received",
+}
+
+func (e EventKind) String() string { return valueName("EventKind", eventNames[:], int(e)) }
+
 // Event is one thing that happened; Kind says which of the fields are set. It is one struct with the fields of all kinds, as
 // an interface would allocate each event.
 type Event struct {
--- a/aggregator/settings.go
+++ b/aggregator/settings.go
@@ -17,6 +17,14 @@
 	Unsafe               // must not run twice
 )
 
+var effectNames = [...]string{
+	Safe:   "safe",
+	Keyed:  "keyed",
+	Unsafe: "unsafe",
+}
+
+func (e Effect) String() string { return valueName("Effect", effectNames[:], int(e)) }
+
 // Class is one class of query. Shares are of 1.
 type Class struct {
 	Name             string
@@ -88,7 +96,7 @@
 
 // SettingsError reports settings that can't be served.
 type SettingsError struct {
-	Settings string // the names of the settings, in the operators' words
+	Settings string // the names of the settings; Cells is Settings.ShardSets, as the simulator's replies have it
 	Problem  string
 }
 
