--- a/aggregator/canary.go
+++ b/aggregator/canary.go
@@ -34,8 +34,8 @@
 // replica that runs it takes down one replica after another as its parts are retried. The engineer on call sees replicas of
 // several shards restart within a second, and clients that send the same query again. Until a part is answered, a query
 // therefore reaches a small share of the fleet only, and one replica at a time after a reset or while a query of death was
-// seen lately; after queryOfDeathResets it is given up. The limit costs the latency of one part, and holds only while a
-// replica has crashed before.
+// seen lately; after queryOfDeathResets it is given up. The limit costs the latency of one part, so it applies only
+// once a replica has crashed or the query has had a reset.
 func (a *Aggregator) canaryLimit(q *query) (calls int, until time.Duration) {
 	canary := &q.canary
 	until = canary.firstSend + scale(canaryWaitShare, a.settings.Classes[q.class].LatencyObjective)
--- a/aggregator/endpoints_test.go
+++ b/aggregator/endpoints_test.go
@@ -99,7 +99,7 @@
 		t.Errorf("%d replicas, %d names, %d tags, %d in shard sets", len(a.endpoints.replicas), len(a.endpoints.byName), len(a.endpoints.byTag), held)
 	}
 	if len(a.retryBudget.accepted.times)+len(a.retryBudget.retries.times)+len(a.queries.byID)+len(a.queries.parts)+len(a.queries.live) > 0 {
-		t.Errorf("%d taken, %d extras, %d queries, %d parts", len(a.retryBudget.accepted.times), len(a.retryBudget.retries.times), len(a.queries.byID), len(a.queries.parts))
+		t.Errorf("%d accepted, %d retries, %d queries, %d parts", len(a.retryBudget.accepted.times), len(a.retryBudget.retries.times), len(a.queries.byID), len(a.queries.parts))
 	}
 	sent := actionsOf(h.step(queryEvents("last", time.Hour, 0)...), Send)[0]
 	h.step(Event{Kind: ListReplaced})
--- a/aggregator/idleconn.go
+++ b/aggregator/idleconn.go
@@ -27,8 +27,9 @@
 // idleConnEstimate is after how long idle connections are found dead.
 //
 // It guards against connections that a firewall or load balancer on the way drops without notice. The engineer on call sees
-// resets and time-outs of the first part after a quiet spell, on replicas that are healthy. Idle connections are closed
-// before use once such losses were answered on new connections, so the connection was to blame.
+// resets and time-outs of the first part after a quiet spell, on replicas that are healthy. The part after a loss goes on a
+// new connection; if that is answered, the idle one was to blame, and after enough such signs idle connections are closed
+// before use.
 type idleConnEstimate struct {
 	deadAfter time.Duration // shortest idle time after which a connection was found dead; 0 for none
 	foundAt   time.Duration // when one was last found dead
--- a/aggregator/outlier.go
+++ b/aggregator/outlier.go
@@ -14,8 +14,8 @@
 	rejectedBackoff = 2.0
 	// silenceWeight is how much a silent call counts toward probes, where a failed one counts 1: most silent ones are slow.
 	silenceWeight = 0.15
-	// minEjectionDivisor is which part of the lifetime of observations an ejection lasts at least.
-	minEjectionDivisor = 2
+	// ejectionsPerLifetime is how many of the shortest ejections the lifetime of observations holds.
+	ejectionsPerLifetime = 2
 	// maxEjectionMultiple is the longest ejection as a multiple of the lifetime of observations.
 	maxEjectionMultiple = 4
 )
@@ -48,7 +48,7 @@
 func (a *Aggregator) eject(r *replica) {
 	lifetime := a.observationLifetime()
 	r.outlier.ejected, r.outlier.halfOpen = true, false
-	r.outlier.ejectionTime = min(max(2*r.outlier.ejectionTime, lifetime/minEjectionDivisor), maxEjectionMultiple*lifetime)
+	r.outlier.ejectionTime = min(max(2*r.outlier.ejectionTime, lifetime/ejectionsPerLifetime), maxEjectionMultiple*lifetime)
 	r.outlier.trialAt = a.now + r.outlier.ejectionTime
 }
 
--- a/aggregator/retry.go
+++ b/aggregator/retry.go
@@ -13,11 +13,11 @@
 	maxRetryTokens = 8.0
 	// cheapRetryCost is how many tokens a retry costs whose last attempt brought little work; any other costs one.
 	cheapRetryCost = 0.3
-	// hedgeTailMultiple is after how many tail latencies of its class a part is hedged,
+	// hedgeTailMultiple is how many tail latencies of its class a part may take before it is hedged.
 	hedgeTailMultiple = 2.0
-	// hedgeMedianMultiple after how many median latencies, whichever is later,
+	// hedgeMedianMultiple is how many median latencies it may take; the later of the two counts.
 	hedgeMedianMultiple = 4.0
-	// ejectedHedgeMultiple after how many median latencies where its replica is ejected.
+	// ejectedHedgeMultiple is how many median latencies it may take at an ejected replica.
 	ejectedHedgeMultiple = 1.5
 	// minTailSamples is from how many samples on the tail latency is used.
 	minTailSamples = 30
@@ -132,7 +132,8 @@
 // withinRetryBudget tells whether the retry budget allows a further attempt of a part.
 func (a *Aggregator) withinRetryBudget(p *part) bool {
 	if rules := &a.settings.Rules; rules.RetryWindow > 0 {
-		// The windows differ by two ticks, so that the ratio also holds in a window that begins within a tick.
+		// A shorter window for what was accepted and a longer one for retries keep the ratio also in windows whose edges lie
+		// within a tick of this one.
 		accepted := a.retryBudget.accepted.countSince(a.now - rules.RetryWindow + a.settings.Tick)
 		retries := a.retryBudget.retries.countSince(a.now - rules.RetryWindow - a.settings.Tick)
 		if float64(retries+1) > rules.RetryFloor+rules.RetryRatio*float64(accepted) {
--- a/aggregator/settings.go
+++ b/aggregator/settings.go
@@ -64,8 +64,8 @@
 // Rules holds the figures of the rules that the operators set. The zero value of a figure means that its rule is off.
 type Rules struct {
 	DrainGrace       time.Duration // how soon after a replica was listed as draining nothing more may be sent to it
-	OverloadMultiple float64       // a replica in slow start is overloaded above this multiple of its capacity,
-	OverloadWindow   time.Duration // over this time
+	OverloadMultiple float64       // work beyond this multiple of its capacity overloads a replica in slow start
+	OverloadWindow   time.Duration // over which time OverloadMultiple counts
 	InitialCapacity  float64       // capacity of a replica as it starts, as a share of 1
 	WarmupTime       time.Duration // how long slow start lasts
 	RetryWindow      time.Duration // over which time the ratio of retries holds; 0 means no ratio
@@ -119,8 +119,8 @@
 		}
 	}
 	r, l := &set.Rules, &set.Limits
-	durations := min(r.DrainGrace, r.OverloadWindow, r.WarmupTime, r.RetryWindow, r.PollInterval, l.MaxRetryAfter, set.Tick, set.CallCost)
-	if durations < 0 || !finite(r.OverloadMultiple, r.InitialCapacity, r.RetryFloor, r.RetryRatio, set.OverQuotaFactor) {
+	shortest := min(r.DrainGrace, r.OverloadWindow, r.WarmupTime, r.RetryWindow, r.PollInterval, l.MaxRetryAfter, set.Tick, set.CallCost)
+	if shortest < 0 || !finite(r.OverloadMultiple, r.InitialCapacity, r.RetryFloor, r.RetryRatio, set.OverQuotaFactor) {
 		return &SettingsError{"Rules, Limits", "a figure is negative or not finite"}
 	}
 	return nil
