--- a/aggregator/bench_test.go
+++ b/aggregator/bench_test.go
@@ -10,6 +10,7 @@
 
 // loadedAggregator returns an aggregator of a fleet of n replicas, three for each shard, each of which has answered once.
 func loadedAggregator(b *testing.B, n int) (*Aggregator, time.Duration) {
+	b.Helper()
 	set := testSettings()
 	set.ShardSets, set.Shards, set.Reach, set.Aggregators = max(n/3, 1), 4*max(n/3, 1), 1, 80
 	set.Limits.MaxBatch, set.CallCost = 8, 4*ms
--- a/aggregator/harness_test.go
+++ b/aggregator/harness_test.go
@@ -117,6 +117,7 @@
 }
 
 func newReactingFleet(t *testing.T, set Settings, react func(string) (Outcome, time.Duration)) *reactingFleet {
+	t.Helper()
 	return &reactingFleet{harness: newHarness(t, set, members("a", "b", "c")...), sends: map[string]int{}, react: react}
 }
 
--- a/aggregator/random_test.go
+++ b/aggregator/random_test.go
@@ -14,7 +14,7 @@
 		set := testSettings()
 		set.Limits.Hedging, set.Limits.Probes, set.Limits.Gossip = seed%2 == 0, seed%3 == 0, seed%2 == 1
 		set.Classes[0].Effect, set.Classes[0].DedupWindow = Effect(seed%3), 300*ms
-		randomRun(t, set, members("a", "b", "c"), seed)
+		playRandomEvents(t, set, members("a", "b", "c"), seed)
 	}
 }
 
@@ -30,20 +30,22 @@
 		set.Limits.Hedging = seed%2 == 0
 		set.Limits.MaxBatch, set.CallCost = 1+int(seed%3)*8, time.Duration(seed%3)*20*ms
 		set.Classes[0].Effect, set.Classes[0].DedupWindow = Effect(seed%3), 300*ms
-		randomRun(t, set, all, seed)
+		playRandomEvents(t, set, all, seed)
 	}
 }
 
-func randomRun(t *testing.T, set Settings, all []Member, seed uint64) {
+// playRandomEvents plays 6000 rounds of random events, stray ones among them, and checks each action.
+func playRandomEvents(t *testing.T, set Settings, all []Member, seed uint64) {
+	t.Helper()
 	h := newHarness(t, set, all...)
 	rng := rand.New(rand.NewPCG(seed, 1))
 	type attempt struct {
 		part string
 		n    int
 	}
-	var out []attempt
+	var sent []attempt
 	due := map[string]time.Duration{}
-	ran, open := map[string]bool{}, map[string]int{} // of parts: may have run, attempts out
+	ran, openAttempts := map[string]bool{}, map[string]int{} // by part: may have run, attempts without an outcome
 	reported := map[attempt]bool{}
 	unsafe := set.Classes[0].Effect == Unsafe
 	excluded := map[string]bool{}
@@ -52,7 +54,7 @@
 	for i := range 6000 {
 		h.now += time.Duration(rng.IntN(30)) * ms
 		if rng.IntN(300) == 0 {
-			h.now += 2 * time.Second // the node stood still
+			h.now += 2 * time.Second // the node pauses
 		}
 		events := probed
 		probed = nil
@@ -61,16 +63,16 @@
 			due[id] = h.now + time.Second
 			events = append(events, queryEvents(id, time.Second, rng.IntN(set.Shards), rng.IntN(set.Shards))...)
 		}
-		if len(out) > 0 && rng.IntN(4) > 0 {
-			k := rng.IntN(len(out))
+		if len(sent) > 0 && rng.IntN(4) > 0 {
+			k := rng.IntN(len(sent))
 			o := Outcome(rng.IntN(12))
-			if events = append(events, attemptEnded(out[k].part, out[k].n, o)); !reported[out[k]] {
-				reported[out[k]] = true
-				open[out[k].part]--
-				ran[out[k].part] = ran[out[k].part] || o != Rejected && o != ConnectFailed && o != ConnectTimeout && o != NotSent
+			if events = append(events, attemptEnded(sent[k].part, sent[k].n, o)); !reported[sent[k]] {
+				reported[sent[k]] = true
+				openAttempts[sent[k].part]--
+				ran[sent[k].part] = ran[sent[k].part] || o != Rejected && o != ConnectFailed && o != ConnectTimeout && o != NotSent
 			}
 			if rng.IntN(10) > 0 { // else it is reported twice
-				out = append(out[:k], out[k+1:]...)
+				sent = append(sent[:k], sent[k+1:]...)
 			}
 		}
 		if rng.IntN(50) == 0 {
@@ -95,11 +97,11 @@
 					t.Fatalf("seed %d: a message of %d bytes", seed, len(act.Data))
 				}
 			case Send:
-				if unsafe && (ran[act.Part] || open[act.Part] > 0) {
+				if unsafe && (ran[act.Part] || openAttempts[act.Part] > 0) {
 					t.Fatalf("seed %d: %s may run twice", seed, act.Part)
 				}
-				open[act.Part]++
-				out = append(out, attempt{act.Part, h.attempts[act.Part] - 1})
+				openAttempts[act.Part]++
+				sent = append(sent, attempt{act.Part, h.attempts[act.Part] - 1})
 				if h.attempts[act.Part] > set.Limits.MaxAttempts {
 					t.Fatalf("seed %d: %d attempts of %s", seed, h.attempts[act.Part], act.Part)
 				}
@@ -119,7 +121,7 @@
 				}
 				delete(due, act.Query)
 				for _, part := range []string{act.Query + "/0", act.Query + "/1"} {
-					if unsafe && act.Kind == Reject && (ran[part] || open[part] > 0) {
+					if unsafe && act.Kind == Reject && (ran[part] || openAttempts[part] > 0) {
 						t.Fatalf("seed %d: %s rejected though %s may have run", seed, act.Query, part)
 					}
 				}
--- a/aggregator/slowstart_test.go
+++ b/aggregator/slowstart_test.go
@@ -25,20 +25,21 @@
 // slowStartAt is when the data node starts, on the harness's clock.
 const slowStartAt = 200 * time.Second
 
-// runSlowStart plays ten overload windows and returns by how many calls the worst sliding window exceeds what the settings
+// playSlowStart plays ten overload windows and returns by how many calls the worst sliding window exceeds what the settings
 // allow, and how many calls were sent in all.
-func runSlowStart(t *testing.T, day slowStartScenario, seed uint64) (excess float64, calls int) {
+func playSlowStart(t *testing.T, scenario slowStartScenario, seed uint64) (excess float64, calls int) {
+	t.Helper()
 	rng := rand.New(rand.NewPCG(seed, 1))
 	set := testSettings()
-	set.ShardSets, set.Shards, set.Reach, set.Aggregators = 1, 4, 1, day.aggregators
-	set.Limits.MaxBatch, set.CallCost = day.maxBatch, day.callCost
+	set.ShardSets, set.Shards, set.Reach, set.Aggregators = 1, 4, 1, scenario.aggregators
+	set.Limits.MaxBatch, set.CallCost = scenario.maxBatch, scenario.callCost
 	set.Rules.WarmupTime = 20 * time.Second
 	rules := set.Rules
 	work := func() time.Duration {
-		mu := -day.spread * day.spread / 2
-		return time.Duration(float64(day.work) * math.Exp(mu+day.spread*rng.NormFloat64()))
+		mu := -scenario.spread * scenario.spread / 2
+		return time.Duration(float64(scenario.work) * math.Exp(mu+scenario.spread*rng.NormFloat64()))
 	}
-	fleet, weights, sum := make([]*harness, day.aggregators), make([]float64, day.aggregators), 0.0
+	fleet, weights, sum := make([]*harness, scenario.aggregators), make([]float64, scenario.aggregators), 0.0
 	warm := []Member{{Replica: "a"}, {Replica: "b"}}
 	for i := range fleet {
 		h := newHarness(t, set)
@@ -47,20 +48,20 @@
 		for j := range 8 {
 			id := fmt.Sprint("first", j)
 			for _, s := range actionsOf(h.step(queryEvents(id, 3*time.Second, 0)...), Send) {
-				if h.now += work(); !day.withoutHistory {
+				if h.now += work(); !scenario.withoutHistory {
 					h.step(attemptEnded(s.Part, 0, OK))
 				}
 			}
 		}
 		h.now = slowStartAt
 		fleet[i] = h
-		weights[i] = math.Pow(float64(i+1), -day.skew)
+		weights[i] = math.Pow(float64(i+1), -scenario.skew)
 		sum += weights[i]
 	}
 	start := slowStartAt
 	for _, h := range fleet {
 		changes := []Member{{Replica: "cold", Started: start}}
-		if day.alone {
+		if scenario.alone {
 			changes = append(changes, Member{Replica: "a", State: Gone}, Member{Replica: "b", State: Gone})
 		}
 		h.step(Event{Kind: ListChanged, Members: changes})
@@ -74,7 +75,7 @@
 	var due []answer
 	var sent []time.Duration
 	const step = 10 * ms
-	perStep := 4 * float64(step) / float64(day.work) // queries of four parts, several times the capacity of one in slow start
+	perStep := 4 * float64(step) / float64(scenario.work) // queries of four parts, several times the capacity of one in slow start
 	for now := start; now < start+10*rules.OverloadWindow; now += step {
 		for i, h := range fleet {
 			h.now = now
@@ -87,7 +88,7 @@
 				return true
 			})
 			arrives := rng.Float64() < perStep*weights[i]/sum
-			if day.burst {
+			if scenario.burst {
 				arrives = (now-start)%(500*ms) == 0
 			}
 			if arrives {
@@ -102,7 +103,7 @@
 				if s.Replica != "cold" {
 					continue
 				}
-				if inCall%max(1, day.maxBatch) == 0 {
+				if inCall%max(1, scenario.maxBatch) == 0 {
 					sent = append(sent, now)
 				}
 				inCall++
@@ -110,7 +111,7 @@
 		}
 	}
 	excess = math.Inf(-1)
-	perCall := (day.work + day.callCost).Seconds()
+	perCall := (scenario.work + scenario.callCost).Seconds()
 	for i, from := range sent {
 		n := 0
 		for _, at := range sent[i:] {
@@ -133,7 +134,7 @@
 // together send a data node in slow start no more than the settings allow, within the chance of their draws.
 func TestFleetStaysWithinSlowStartLimit(t *testing.T) {
 	for _, nodes := range []int{3, 10, 30, 100, 300} {
-		for _, day := range []slowStartScenario{
+		for _, scenario := range []slowStartScenario{
 			{maxBatch: 1},
 			{maxBatch: 1, alone: true},
 			{maxBatch: 1, alone: true, skew: 1.2},
@@ -144,25 +145,25 @@
 			{maxBatch: 1, alone: true, burst: true, withoutHistory: true},
 			{maxBatch: 8, callCost: 10 * ms, alone: true, burst: true, withoutHistory: true},
 		} {
-			day.aggregators, day.work = nodes, 40*ms
-			if !day.burst && day.skew > 0 {
-				day.work = 10 * ms // many small ones
+			scenario.aggregators, scenario.work = nodes, 40*ms
+			if !scenario.burst && scenario.skew > 0 {
+				scenario.work = 10 * ms // many small ones
 			}
-			if day.withoutHistory {
-				day.work = 200 * ms // a large share of the objective
+			if scenario.withoutHistory {
+				scenario.work = 200 * ms // a large share of the objective
 			}
 			all := 0
 			for seed := range uint64(4) {
-				day.spread = []float64{0.05, 0.5}[seed%2]
-				excess, calls := runSlowStart(t, day, seed+1)
+				scenario.spread = []float64{0.05, 0.5}[seed%2]
+				excess, calls := playSlowStart(t, scenario, seed+1)
 				all += calls
 				if excess > 0 {
-					t.Errorf("%+v, seed %d: %.1f calls too many in a window, %d in all", day, seed+1, excess, calls)
+					t.Errorf("%+v, seed %d: %.1f calls too many in a window, %d in all", scenario, seed+1, excess, calls)
 				}
-				t.Logf("%+v, seed %d: %.1f calls below the bound, %d in all", day, seed+1, -excess, calls)
+				t.Logf("%+v, seed %d: %.1f calls below the bound, %d in all", scenario, seed+1, -excess, calls)
 			}
 			if all == 0 {
-				t.Errorf("%+v: it gets nothing", day)
+				t.Errorf("%+v: it gets nothing", scenario)
 			}
 		}
 	}
@@ -229,10 +230,10 @@
 	return (step+aggregator)%10 == 0
 }
 
-// runWarmingFleet plays eighty aggregators that share three replicas of a shard, one of them just started, for ten overload
+// playWarmingFleet plays eighty aggregators that share three replicas of a shard, one of them just started, for ten overload
 // windows. It returns the work sent to that one in each window, as a share of what it may be sent, and the parts of a call
 // there.
-func runWarmingFleet(t *testing.T, arrivals fleetArrivals) (shares []float64, perCall float64) {
+func playWarmingFleet(t *testing.T, arrivals fleetArrivals) (shares []float64, perCall float64) {
 	t.Helper()
 	const nodes, part = 80, 20 * ms
 	set := testSettings()
@@ -292,7 +293,7 @@
 // aggregators send; and that it is never overloaded, also where all get a query in the same moment.
 func TestReplicaInSlowStartGetsItsShareOfAFleet(t *testing.T) {
 	for _, together := range []bool{false, true} {
-		shares, perCall := runWarmingFleet(t, fleetArrivals{together: together})
+		shares, perCall := playWarmingFleet(t, fleetArrivals{together: together})
 		sum := 0.0
 		for i, s := range shares {
 			if s > 1 {
@@ -311,7 +312,7 @@
 // at once, with no other holder left, don't overload a replica that does one unit of work at a time.
 func TestSavedAllowancesDoNotOverloadAReplica(t *testing.T) {
 	for idle := 1; idle < 8; idle++ {
-		shares, _ := runWarmingFleet(t, fleetArrivals{together: true, idleWindows: idle})
+		shares, _ := playWarmingFleet(t, fleetArrivals{together: true, idleWindows: idle})
 		if most := slices.Max(shares); most > 1 || shares[idle] == 0 {
 			t.Errorf("idle for %d windows: then %.2f of its capacity, want some and no more than 1", idle, shares[idle:])
 		}
