--- a/aggregator/gossip.go
+++ b/aggregator/gossip.go
@@ -115,7 +115,7 @@
 }
 
 // applyGossip takes in a message of another aggregator. It holds hints of listed replicas only: they count in placement and
-// forecasts, give way to what this aggregator has heard lately itself, and eject no replica.
+// forecasts, give way to what this aggregator has lately seen itself, and eject no replica.
 func (a *Aggregator) applyGossip(e *Event) {
 	for _, entry := range decodeGossip(e.Data, a.maxObjective()) {
 		r := a.endpoints.byTag[entry.tag]
