--- a/aggregator/aggregator.go
+++ b/aggregator/aggregator.go
@@ -1,7 +1,7 @@
 // Package aggregator decides what a coordinator of sharded queries does with them: which replica gets each part, when to
-// retry, when to answer, and what to reject. It does no I/O, reads no clock, starts no goroutine and logs nothing: Step takes
-// in what happened and returns what is to be done, and the same events with the same seed give the same actions. step.go
-// lists the steps of a round; each rule stands in the file named for it, beside the state that it needs.
+// retry, when to answer, and what to reject. It does no I/O, reads no clock, starts no goroutine and logs nothing: Step
+// takes in what happened and returns what is to be done, and the same events with the same seed give the same actions.
+// step.go lists the steps of a round; each rule stands in the file named for it, beside the state that it needs.
 package aggregator
 
 import (
--- a/aggregator/healthcheck.go
+++ b/aggregator/healthcheck.go
@@ -88,8 +88,8 @@
 //
 // It guards against parts lost on a dead replica: an aggregator that seldom sends a replica a part learns of its death from
 // the loss of parts, while the endpoint list still says that it serves; the engineer on call sees time-outs that all
-// aggregators have in turn. Probes are sent only after failures and while few replicas have answered lately, and early in a query. A
-// replica that leaves a probe unanswered is suspected, not ejected.
+// aggregators have in turn. Probes are sent only after failures and while few replicas have answered lately, and early in a
+// query. A replica that leaves a probe unanswered is suspected, not ejected.
 func (a *Aggregator) probeHolders(p *part) (wait time.Duration) {
 	if !a.settings.Limits.Probes || !a.health.staleView || a.health.probeCredit < 1 || a.now-p.query.arrived > p.query.objective-a.now {
 		return 0
