--- /dev/null
+++ b/aggregator/admission.go
@@ -0,0 +1,218 @@
+package aggregator
+
+import (
+	"cmp"
+	"math"
+	"slices"
+	"time"
+)
+
+const (
+	// maxRecentPriorities is how many recent queries a new one is ranked among.
+	maxRecentPriorities = 128
+	// samePriority is by which share two priorities may differ and count as equal.
+	samePriority = 0.01
+	// admitShareLowest is the share of the time to the objective within which the query of lowest rank must be expected.
+	admitShareLowest = 0.50
+	// admitShareHighest is the same for the query of highest rank.
+	admitShareHighest = 1.00
+	// secondStepForecast is how much longer a query with a second step takes than its first step.
+	secondStepForecast = 1.5
+	// stragglerFactor is how many median excesses the last part comes later for each e-fold of parts. It is below 1, as the
+	// parts of one query are slow together.
+	stragglerFactor = 0.75
+	// shedMultiple is how many base latencies a part must be expected to take for an answer to do without it.
+	shedMultiple = 6.0
+	// uncontendedShare is the share of Limits.MaxOpen that any query may fill; the rest is for those of high rank.
+	uncontendedShare = 0.8
+	// minWork is the least work, in seconds, that a priority is divided by.
+	minWork = 1e-3
+	// fetchPartWork is the work of a part of the second step, as a share of one of the first.
+	fetchPartWork = 0.5
+	// quotaWindow is over which time the queries of a tenant are counted.
+	quotaWindow = 2 * time.Second
+	// quotaBurst is how many queries within quotaWindow a tenant may send beyond its rate.
+	quotaBurst = 3
+	// maxTenantRetries is how many retries within quotaWindow are never held against a tenant.
+	maxTenantRetries = 2
+)
+
+// admissionState is what admission compares a new query with.
+type admissionState struct {
+	tenantQueries []slidingWindow // by tenant
+	tenantRetries []slidingWindow // by tenant; those of the queries that a client had sent before
+	priorities    recentPriorities
+}
+
+// admit decides whether a new query is served, and sets the reason of its rejection otherwise. It sheds load early: a query
+// is admitted if it is expected within a share of its latency objective that grows with its rank, so the queries of least
+// priority for their work are rejected first, and more of them the longer the wait has grown.
+func (a *Aggregator) admit(q *query) bool {
+	q.admitted = true
+	rank := a.priorityRank(q)
+	byForecast := a.forecastParts(q)
+	wait := a.forecastQuery(q, byForecast)
+	allowed := (admitShareLowest + (admitShareHighest-admitShareLowest)*rank) * (q.objective - a.now).Seconds()
+	switch {
+	case math.IsInf(wait, 1):
+		q.rejection = NoReplica
+	case a.overCapacity(rank):
+		q.rejection = OverCapacity
+	case wait > allowed:
+		q.rejection = ForecastTooLate
+	default:
+		a.shedParts(q, byForecast)
+		return true
+	}
+	return false
+}
+
+// overCapacity tells whether too much is open for a query of the given rank.
+func (a *Aggregator) overCapacity(rank float64) bool {
+	limit := float64(a.settings.Limits.MaxOpen)
+	return limit > 0 && float64(a.openCount()) > limit*(uncontendedShare+(1-uncontendedShare)*rank)
+}
+
+// forecastParts forecasts each part of a query and returns the parts, those expected soonest first.
+func (a *Aggregator) forecastParts(q *query) []*part {
+	for _, p := range q.parts {
+		p.forecast = a.forecast(p)
+	}
+	byForecast := slices.Clone(q.parts)
+	slices.SortFunc(byForecast, func(p, o *part) int { return cmp.Compare(p.forecast, o.forecast) })
+	return byForecast
+}
+
+// forecastQuery is how long a query may take, in seconds, until the weight that it needs is in; infinite where a part that
+// it needs has no replica.
+func (a *Aggregator) forecastQuery(q *query, byForecast []*part) float64 {
+	wait, sum := 0.0, 0.0
+	for _, p := range byForecast {
+		if sum < a.requiredShare(q) {
+			wait, sum = p.forecast, sum+p.weight
+		}
+	}
+	if math.IsInf(wait, 1) {
+		return wait
+	}
+	wait += a.stragglerWait(q)
+	if a.settings.Classes[q.class].FetchParts > 0 {
+		wait *= secondStepForecast
+	}
+	return wait
+}
+
+// forecast is how long a part may take at its best holder, in seconds; an ejected one counts only where there is no other.
+func (a *Aggregator) forecast(p *part) float64 {
+	best, bestEjected := math.Inf(1), math.Inf(1)
+	for _, r := range a.holders(p.shard) {
+		switch {
+		case !a.usable(p, r):
+		case r.outlier.ejected:
+			bestEjected = math.Min(bestEjected, a.expectedLatency(p.query, r))
+		default:
+			best = math.Min(best, a.expectedLatency(p.query, r))
+		}
+	}
+	if math.IsInf(best, 1) {
+		return bestEjected
+	}
+	return best
+}
+
+// stragglerWait is by how many seconds the last part that a query needs may come after a typical one. The largest of n
+// exponential waits is ln n means on average, and the forecast of a part holds one of them. It uses the median replica: a
+// few slow ones are no load that rejections would ease.
+func (a *Aggregator) stragglerWait(q *query) float64 {
+	missableShare := max(1-a.requiredShare(q), 1/float64(max(len(q.parts), 1)))
+	return stragglerFactor * a.latency.medianExcess * math.Max(-math.Log(missableShare)-1, 0)
+}
+
+// shedParts leaves out the parts that the answer can do without and that are expected late, the slowest first: they would
+// take what queries need that must have all their parts. Half of the weight that may be missing is kept for parts that
+// fail. The fewer aggregators share the load, the better each knows it, and a part expected well within the objective is
+// then sent.
+func (a *Aggregator) shedParts(q *query, byForecast []*part) {
+	c, rest := &a.settings.Classes[q.class], 1.0
+	if c.PartialShare == 0 || c.FetchParts > 0 {
+		return
+	}
+	late := math.Max(shedMultiple*a.baseLatency(q), a.visibleShare()*admitShareLowest*(q.objective-a.now).Seconds())
+	for _, p := range slices.Backward(byForecast) {
+		if p.forecast < late || rest-p.weight < (c.MinShare+c.CompleteShare)/2 {
+			return
+		}
+		p.abandoned, rest = true, rest-p.weight
+	}
+}
+
+// priorityRank places a query among the recent ones by priority for its work, from 0 (lowest) to 1 (highest).
+func (a *Aggregator) priorityRank(q *query) float64 {
+	q.priority = a.settings.Classes[q.class].Priority
+	if !a.settings.PriorityPerWork {
+		q.priority /= math.Max(a.queryWork(q), minWork)
+	}
+	if a.overQuota(q) {
+		q.priority *= a.settings.OverQuotaFactor
+	}
+	position := a.admission.priorities.add(q.priority)
+	if position.total == 0 {
+		return 1
+	}
+	return (position.lower + position.equal*a.rng.Float64()) / position.total
+}
+
+// queryWork is the work that a query is expected to bring over all its steps, in seconds.
+func (a *Aggregator) queryWork(q *query) float64 {
+	work := float64(len(q.parts)) * a.baseLatency(q)
+	if fetch := a.settings.Classes[q.class].FetchParts; fetch > 0 {
+		work *= 1 + fetchPartWork*float64(fetch)/float64(max(len(q.parts), 1))
+	}
+	return work
+}
+
+// overQuota counts a query of a tenant and tells whether it goes beyond the tenant's rate, or is a retry of one most of
+// whose queries are retries.
+func (a *Aggregator) overQuota(q *query) bool {
+	if q.tenant < 0 || q.tenant >= len(a.admission.tenantQueries) {
+		return false
+	}
+	queries, retries := &a.admission.tenantQueries[q.tenant], &a.admission.tenantRetries[q.tenant]
+	queries.add(a.now)
+	if q.retry {
+		retries.add(a.now)
+	}
+	rate, since := a.settings.Tenants[q.tenant].Rate/float64(a.settings.Aggregators), a.now-quotaWindow
+	queryCount, retryCount := float64(queries.countSince(since)), float64(retries.countSince(since))
+	mostlyRetries := q.retry && retryCount > maxTenantRetries && 2*retryCount > queryCount
+	return queryCount > quotaWindow.Seconds()*rate+quotaBurst || mostlyRetries
+}
+
+// recentPriorities holds the priorities of the queries seen lately.
+type recentPriorities struct {
+	values []float64
+	seen   int // queries so far
+}
+
+// priorityPosition is how many recent priorities lie below a new one and how many equal it, of how many.
+type priorityPosition struct{ lower, equal, total float64 }
+
+// add adds a priority and returns its position among those before it.
+func (r *recentPriorities) add(priority float64) (position priorityPosition) {
+	for _, earlier := range r.values {
+		switch {
+		case earlier < priority*(1-samePriority):
+			position.lower++
+		case earlier < priority*(1+samePriority):
+			position.equal++
+		}
+	}
+	position.total = float64(len(r.values))
+	if len(r.values) < maxRecentPriorities {
+		r.values = append(r.values, priority)
+	} else {
+		r.values[r.seen%maxRecentPriorities] = priority
+	}
+	r.seen++
+	return position
+}
--- /dev/null
+++ b/aggregator/gossip.go
@@ -0,0 +1,137 @@
+package aggregator
+
+import (
+	"hash/fnv"
+	"math"
+	"time"
+)
+
+const (
+	// maxGossipBytes is the most bytes that a gossip message holds.
+	maxGossipBytes = 256
+	// gossipEntryBytes is the size of an entry: two bytes for the replica's tag, one for kind and duration.
+	gossipEntryBytes = 3
+	// gossipSteps is how many steps of duration the longest latency objective has. The third byte of an entry holds the step
+	// of work sent, or gossipSteps plus the step of an excess.
+	gossipSteps = 127
+	// minGossipTicks is after how many ticks without a message an excess is sent.
+	minGossipTicks = 10
+)
+
+// gossipKind is what an entry says of a replica.
+type gossipKind uint8
+
+const (
+	gossipSent   gossipKind = iota // work of the given duration was sent to it
+	gossipExcess                   // an answer exceeded the base latency by the given duration
+)
+
+// gossipEntry is one entry of a gossip message. Durations are rounded to steps of the longest latency objective, which all
+// aggregators have in common.
+type gossipEntry struct {
+	tag      uint16
+	kind     gossipKind
+	duration time.Duration
+}
+
+// gossipOutbox holds the entries of the next gossip message.
+type gossipOutbox struct {
+	entries []gossipEntry
+	sentAt  time.Duration // when the last message was sent
+}
+
+// peerLoad is the work that other aggregators said they sent to one replica.
+type peerLoad struct {
+	work float64 // seconds, as of at
+	at   time.Duration
+}
+
+// replicaTag shortens a replica's name to 16 bits. Two replicas that share a tag share their hints.
+func replicaTag(name string) uint16 {
+	h := fnv.New32a()
+	_, _ = h.Write([]byte(name)) // a hash accepts all bytes
+	return uint16(h.Sum32()>>16 ^ h.Sum32())
+}
+
+// encodeGossip encodes entries until the message is full; longest is the longest latency objective.
+func encodeGossip(entries []gossipEntry, longest time.Duration) (data []byte) {
+	for _, e := range entries {
+		if len(data)+gossipEntryBytes > maxGossipBytes {
+			break
+		}
+		steps := math.Round(gossipSteps * float64(e.duration) / float64(longest))
+		value := byte(math.Max(1, math.Min(steps, gossipSteps-1)))
+		if e.kind == gossipExcess {
+			value += gossipSteps
+		}
+		data = append(data, byte(e.tag>>8), byte(e.tag), value)
+	}
+	return data
+}
+
+// decodeGossip decodes the entries of a message. A message that is too long has none; trailing bytes are skipped.
+func decodeGossip(data []byte, longest time.Duration) (entries []gossipEntry) {
+	if len(data) > maxGossipBytes {
+		return nil
+	}
+	for ; len(data) >= gossipEntryBytes; data = data[gossipEntryBytes:] {
+		e := gossipEntry{tag: uint16(data[0])<<8 | uint16(data[1]), kind: gossipSent}
+		steps := data[2]
+		if steps > gossipSteps {
+			e.kind, steps = gossipExcess, steps-gossipSteps
+		}
+		e.duration = time.Duration(float64(steps) / gossipSteps * float64(longest))
+		entries = append(entries, e)
+	}
+	return entries
+}
+
+// recordGossip adds an entry to the next message, where gossip is permitted. Work sent to one replica is summed.
+func (a *Aggregator) recordGossip(r *replica, kind gossipKind, duration time.Duration) {
+	if !a.settings.Limits.Gossip {
+		return
+	}
+	for i := range a.outbox.entries {
+		if e := &a.outbox.entries[i]; kind == gossipSent && e.kind == kind && e.tag == r.tag {
+			e.duration += duration
+			return
+		}
+	}
+	a.outbox.entries = append(a.outbox.entries, gossipEntry{r.tag, kind, duration})
+}
+
+// publishGossip sends the pending entries to the other aggregators: at once after a send, else after a while, as a message
+// costs its bytes for each receiver.
+func (a *Aggregator) publishGossip() {
+	entries := a.outbox.entries
+	if len(entries) == 0 {
+		return
+	}
+	sentWork := entries[len(entries)-1].kind == gossipSent
+	if sentWork || a.now-a.outbox.sentAt > minGossipTicks*a.settings.Tick {
+		a.act(Action{Kind: SendGossip, Data: encodeGossip(entries, a.maxObjective())})
+		a.outbox.entries, a.outbox.sentAt = entries[:0], a.now
+	}
+}
+
+// applyGossip takes in a message of another aggregator. It holds hints of listed replicas only: they count in placement and
+// forecasts, give way to what this aggregator has lately seen itself, and eject no replica.
+func (a *Aggregator) applyGossip(e *Event) {
+	for _, entry := range decodeGossip(e.Data, a.maxObjective()) {
+		r := a.endpoints.byTag[entry.tag]
+		if r == nil {
+			continue
+		}
+		if entry.kind == gossipSent {
+			r.peerLoad.work, r.peerLoad.at = a.decayedPeerWork(r)+entry.duration.Seconds(), a.now
+		} else if r.latency.lastAnswer == 0 || a.now-r.latency.lastAnswer > a.freshness() {
+			excess := a.decayedExcess(r)
+			r.latency.excess, r.latency.excessAt = excess+gossipSampleWeight*(entry.duration.Seconds()-excess), a.now
+		}
+	}
+}
+
+// decayedPeerWork is the work that other aggregators sent to r and that may still be there, in seconds.
+func (a *Aggregator) decayedPeerWork(r *replica) float64 {
+	return r.peerLoad.work * math.Exp(-(a.now-r.peerLoad.at).Seconds()/a.typicalLatency())
+}
--- /dev/null
+++ b/aggregator/retry_test.go
@@ -0,0 +1,150 @@
+package aggregator
+
+import (
+	"fmt"
+	"testing"
+	"time"
+)
+
+// TestRetryDependsOnEffectAndOutcome checks what may be sent again, by effect, by how the first attempt ended, and by the
+// deduplication window.
+func TestRetryDependsOnEffectAndOutcome(t *testing.T) {
+	for _, c := range []struct {
+		name    string
+		effect  Effect
+		outcome Outcome
+		late    time.Duration
+		want    int
+	}{
+		{"safe after an error", Safe, Errored, 0, 2},
+		{"keyed in its window", Keyed, Errored, 0, 2},
+		{"keyed after its window", Keyed, Errored, 500 * ms, 1},
+		{"keyed after its window, never ran", Keyed, Rejected, 500 * ms, 2},
+		{"unsafe after an error", Unsafe, Errored, 0, 1},
+		{"unsafe after an unknown outcome", Unsafe, Outcome(99), 0, 1},
+		{"unsafe, never ran", Unsafe, ConnectFailed, 0, 2},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			set := testSettings()
+			set.Limits.CanCancel = false
+			set.Classes[0].Effect, set.Classes[0].DedupWindow = c.effect, 400*ms
+			h := newHarness(t, set, members("a", "b", "c")...)
+			h.step(queryEvents("q", 3*time.Second, 0)...)
+			h.now += c.late
+			h.step(attemptEnded("q/0", 0, c.outcome))
+			h.after(20 * ms)
+			if h.attempts["q/0"] != c.want {
+				t.Errorf("%d attempts, want %d", h.attempts["q/0"], c.want)
+			}
+		})
+	}
+}
+
+// TestOverdueAttemptIsCancelledBeforeTheRetry checks that, without hedging, an overdue attempt is cancelled and only then
+// followed by another.
+func TestOverdueAttemptIsCancelledBeforeTheRetry(t *testing.T) {
+	h := newHarness(t, testSettings(), members("a", "b", "c")...)
+	h.step(queryEvents("q", 3*time.Second, 0)...)
+	hung := h.last[0].Replica
+	for i := range 6 { // peers answer, the hung one does not
+		id := fmt.Sprint("x", i)
+		h.step(queryEvents(id, 3*time.Second, 0)...)
+		h.now += 100 * ms
+		if s := actionsOf(h.last, Send); len(s) == 1 && s[0].Replica != hung {
+			h.step(attemptEnded(id+"/0", 0, OK))
+		}
+	}
+	if h.attempts["q/0"] != 1 {
+		t.Fatalf("%d attempts before any outcome, want 1", h.attempts["q/0"])
+	}
+	if h.aggregator.queries.parts["q/0"] == nil || !h.aggregator.queries.parts["q/0"].attempts[0].cancelled {
+		t.Fatal("the silent attempt was not called off")
+	}
+	if s := actionsOf(h.step(attemptEnded("q/0", 0, Cancelled)), Send); len(s) != 1 || s[0].Replica == hung {
+		t.Errorf("after the cancel: %v, want one send to another replica than %s", s, hung)
+	}
+}
+
+// TestRetriesStayWithinTheirRatio checks that retries stay within their ratio in every window, at its edges too.
+func TestRetriesStayWithinTheirRatio(t *testing.T) {
+	set := testSettings()
+	set.Rules.RetryWindow, set.Rules.RetryFloor, set.Rules.RetryRatio = time.Second, 2, 0.1
+	set.Limits.MaxAttempts = 10
+	h := newHarness(t, set, members("a", "b", "c")...)
+	var taken, extras []time.Duration
+	within := func(at []time.Duration) (n int) {
+		for _, t := range at {
+			if t > h.now-time.Second {
+				n++
+			}
+		}
+		return n
+	}
+	for i := range 600 {
+		id := fmt.Sprint(i)
+		acts := h.step(queryEvents(id, 3*time.Second, i%3)...)
+		taken = append(taken, h.now, h.now)
+		h.now += 7 * ms
+		var events []Event
+		for _, s := range actionsOf(acts, Send) {
+			events = append(events, attemptEnded(s.Part, h.attempts[s.Part]-1, Errored))
+		}
+		for _, s := range actionsOf(h.step(events...), Send) {
+			if h.attempts[s.Part] > 1 {
+				if extras = append(extras, h.now); float64(within(extras)) > 2+0.1*float64(within(taken)) {
+					t.Fatalf("step %d: %d further attempts for %d taken", i, within(extras), within(taken))
+				}
+			}
+		}
+	}
+	if len(extras) == 0 {
+		t.Error("no further attempt at all")
+	}
+}
+
+// TestOvertakenPartIsHedged checks that a part whose replica has answered what was sent later, so that its answer may be
+// lost, is hedged once it is overdue where nearly all other parts of its query are in, though its replica is neither silent
+// nor ejected. Where it is one of two, it may just be slow.
+func TestOvertakenPartIsHedged(t *testing.T) {
+	for parts, want := range map[int]int{9: 2, 2: 1} {
+		set := testSettings()
+		set.Limits.Hedging = true
+		f := newReactingFleet(t, set, func(string) (Outcome, time.Duration) { return OK, 50 * ms })
+		f.run(3*time.Second, 5*ms)
+		shards := make([]int, parts)
+		for i := range shards {
+			shards[i] = i % 3
+		}
+		for i, s := range actionsOf(f.step(queryEvents("q", time.Second, shards...)...), Send) {
+			if i > 0 { // the first answer never comes
+				f.due = append(f.due, dueOutcome{f.now + 50*ms, attemptEnded(s.Part, 0, OK)})
+			}
+		}
+		f.run(600*ms, 5*ms)
+		if n := f.attempts["q/0"]; n != want {
+			t.Errorf("%d parts: %d attempts of the one whose answer was lost, want %d", parts, n, want)
+		}
+	}
+}
+
+// TestHedgeDelayFollowsLatencies checks that a part is hedged well past the latency that one part in twenty exceeds. Hedged
+// sooner, parts that are only slow lose the work done on them and use up their attempts.
+func TestHedgeDelayFollowsLatencies(t *testing.T) {
+	set := testSettings()
+	set.Classes[0].LatencyObjective, set.Classes[0].Deadline = 4*time.Second, 8*time.Second
+	h := newHarness(t, set, members("a", "b", "c")...)
+	for i := range 60 {
+		id := fmt.Sprintf("warm%d", i)
+		h.step(queryEvents(id, 6*time.Second, i%3)...)
+		h.now += 100 * ms
+		h.step(attemptEnded(id+"/0", 0, OK))
+	}
+	q := &query{}
+	if got := h.aggregator.hedgeDelay(q); got < 0.35 || got > 0.6 {
+		t.Errorf("parts take 0.1 s and one is hedged after %.2f s, want about four times as long", got)
+	}
+	h.aggregator.latencyOf(q).tail.value = 1.0
+	if got := h.aggregator.hedgeDelay(q); got != 2.0 {
+		t.Errorf("one part in twenty takes 1 s and one is hedged after %.2f s, want 2", got)
+	}
+}
--- a/aggregator/slowstart_test.go
+++ b/aggregator/slowstart_test.go
@@ -9,61 +9,62 @@
 	"time"
 )
 
-// slowStartDay is a fleet of aggregators before one data node that has just started.
-type slowStartDay struct {
-	nodes    int
-	bundle   int           // parts of a call
-	callCost time.Duration // of each call
-	alone    bool          // no other replica holds the shards
-	burst    bool          // all are asked at once, twice a second; else each by chance
-	skew     float64       // exponent of how unequal their traffic is
-	ignorant bool          // they start with the data node and have seen no answer
-	work     time.Duration // of a part on average
-	spread   float64       // of the logarithms of parts' works
+// slowStartScenario is a fleet of aggregators and one data node that has just started.
+type slowStartScenario struct {
+	aggregators    int
+	maxBatch       int           // parts of a call
+	callCost       time.Duration // of each call
+	alone          bool          // no other replica holds the shards
+	burst          bool          // all get a query at once, twice a second; else each by chance
+	skew           float64       // exponent of how unequal their traffic is
+	withoutHistory bool          // they start with the data node and have seen no answer
+	work           time.Duration // of a part on average
+	spread         float64       // of the logarithms of parts' works
 }
 
-// slowStart is when the data node starts, on the benches' clock.
-const slowStart = 200 * time.Second
+// slowStartAt is when the data node starts, on the harness's clock.
+const slowStartAt = 200 * time.Second
 
-// runSlowStart plays ten falling windows and returns, over all sliding windows, by how many calls the worst goes beyond what
-// the settings allow it, and how many calls were sent in all.
-func runSlowStart(t *testing.T, day slowStartDay, seed uint64) (excess float64, calls int) {
+// playSlowStart plays ten overload windows and returns by how many calls the worst sliding window exceeds what the settings
+// allow, and how many calls were sent in all.
+func playSlowStart(t *testing.T, scenario slowStartScenario, seed uint64) (excess float64, calls int) {
+	t.Helper()
 	rng := rand.New(rand.NewPCG(seed, 1))
 	set := testSettings()
-	set.ShardSets, set.Shards, set.Reach, set.Aggregators = 1, 4, 1, day.nodes
-	set.Limits.MaxBatch, set.CallCost = day.bundle, day.callCost
+	set.ShardSets, set.Shards, set.Reach, set.Aggregators = 1, 4, 1, scenario.aggregators
+	set.Limits.MaxBatch, set.CallCost = scenario.maxBatch, scenario.callCost
 	set.Rules.WarmupTime = 20 * time.Second
 	rules := set.Rules
 	work := func() time.Duration {
-		mu := -day.spread * day.spread / 2
-		return time.Duration(float64(day.work) * math.Exp(mu+day.spread*rng.NormFloat64()))
+		mu := -scenario.spread * scenario.spread / 2
+		return time.Duration(float64(scenario.work) * math.Exp(mu+scenario.spread*rng.NormFloat64()))
 	}
-	fleet, weights, sum := make([]*bench, day.nodes), make([]float64, day.nodes), 0.0
+	fleet, weights, sum := make([]*harness, scenario.aggregators), make([]float64, scenario.aggregators), 0.0
 	warm := []Member{{Replica: "a"}, {Replica: "b"}}
 	for i := range fleet {
-		b := newBench(t, set)
-		b.agg, _ = New(set, seed*1000+uint64(i))
-		b.step(Event{Kind: ListCached, Members: warm})
+		h := newHarness(t, set)
+		h.aggregator, _ = New(set, seed*1000+uint64(i))
+		h.step(Event{Kind: ListCached, Members: warm})
 		for j := range 8 {
 			id := fmt.Sprint("first", j)
-			for _, s := range only(b.step(asks(id, 3*time.Second, 0)...), Send) {
-				if b.now += work(); !day.ignorant {
-					b.step(ended(s.Part, 0, OK))
+			for _, s := range actionsOf(h.step(queryEvents(id, 3*time.Second, 0)...), Send) {
+				if h.now += work(); !scenario.withoutHistory {
+					h.step(attemptEnded(s.Part, 0, OK))
 				}
 			}
 		}
-		b.now = slowStart
-		fleet[i] = b
-		weights[i] = math.Pow(float64(i+1), -day.skew)
+		h.now = slowStartAt
+		fleet[i] = h
+		weights[i] = math.Pow(float64(i+1), -scenario.skew)
 		sum += weights[i]
 	}
-	start := slowStart
-	for _, b := range fleet {
+	start := slowStartAt
+	for _, h := range fleet {
 		changes := []Member{{Replica: "cold", Started: start}}
-		if day.alone {
+		if scenario.alone {
 			changes = append(changes, Member{Replica: "a", State: Gone}, Member{Replica: "b", State: Gone})
 		}
-		b.step(Event{Kind: ListChanged, Members: changes})
+		h.step(Event{Kind: ListChanged, Members: changes})
 	}
 	type answer struct {
 		at   time.Duration
@@ -74,35 +75,35 @@
 	var due []answer
 	var sent []time.Duration
 	const step = 10 * ms
-	perStep := 4 * float64(step) / float64(day.work) // queries of four parts, several times what a cold one stands
+	perStep := 4 * float64(step) / float64(scenario.work) // queries of four parts, several times the capacity of one in slow start
 	for now := start; now < start+10*rules.OverloadWindow; now += step {
-		for i, b := range fleet {
-			b.now = now
+		for i, h := range fleet {
+			h.now = now
 			var events []Event
 			due = slices.DeleteFunc(due, func(a answer) bool {
 				if a.node != i || a.at > now {
 					return false
 				}
-				events = append(events, ended(a.part, a.n, OK))
+				events = append(events, attemptEnded(a.part, a.n, OK))
 				return true
 			})
-			asked := rng.Float64() < perStep*weights[i]/sum
-			if day.burst {
-				asked = (now-start)%(500*ms) == 0
+			arrives := rng.Float64() < perStep*weights[i]/sum
+			if scenario.burst {
+				arrives = (now-start)%(500*ms) == 0
 			}
-			if asked {
-				events = append(events, asks(fmt.Sprint(now, i), 3*time.Second, 0, 1, 2, 3)...)
+			if arrives {
+				events = append(events, queryEvents(fmt.Sprint(now, i), 3*time.Second, 0, 1, 2, 3)...)
 			}
-			if len(events) == 0 && (b.agg.wake < 0 || now < b.agg.wake) {
+			if len(events) == 0 && (h.aggregator.wakeAt < 0 || now < h.aggregator.wakeAt) {
 				continue
 			}
 			inCall := 0
-			for _, s := range only(b.step(events...), Send) {
-				due = append(due, answer{now + work(), i, s.Part, b.n[s.Part] - 1})
+			for _, s := range actionsOf(h.step(events...), Send) {
+				due = append(due, answer{now + work(), i, s.Part, h.attempts[s.Part] - 1})
 				if s.Replica != "cold" {
 					continue
 				}
-				if inCall%max(1, day.bundle) == 0 {
+				if inCall%max(1, scenario.maxBatch) == 0 {
 					sent = append(sent, now)
 				}
 				inCall++
@@ -110,7 +111,7 @@
 		}
 	}
 	excess = math.Inf(-1)
-	perCall := (day.work + day.callCost).Seconds()
+	perCall := (scenario.work + scenario.callCost).Seconds()
 	for i, from := range sent {
 		n := 0
 		for _, at := range sent[i:] {
@@ -129,41 +130,191 @@
 	return excess, len(sent)
 }
 
-// TestSlowStartOfAFleet: whatever the number of aggregators and however unequal their traffic, all together send a data node
-// in slow start no more than the settings allow and the chance of their draws.
-func TestSlowStartOfAFleet(t *testing.T) {
+// TestFleetStaysWithinSlowStartLimit checks that, whatever the number of aggregators and however unequal their traffic, all
+// together send a data node in slow start no more than the settings allow, within the chance of their draws.
+func TestFleetStaysWithinSlowStartLimit(t *testing.T) {
 	for _, nodes := range []int{3, 10, 30, 100, 300} {
-		for _, day := range []slowStartDay{
-			{bundle: 1},
-			{bundle: 1, alone: true},
-			{bundle: 1, alone: true, skew: 1.2},
-			{bundle: 1, alone: true, burst: true},
-			{bundle: 8, callCost: 10 * ms, alone: true, skew: 1.2},
-			{bundle: 8, callCost: 10 * ms, alone: true, burst: true},
-			{bundle: 1, alone: true, skew: 1.2, ignorant: true},
-			{bundle: 1, alone: true, burst: true, ignorant: true},
-			{bundle: 8, callCost: 10 * ms, alone: true, burst: true, ignorant: true},
+		for _, scenario := range []slowStartScenario{
+			{maxBatch: 1},
+			{maxBatch: 1, alone: true},
+			{maxBatch: 1, alone: true, skew: 1.2},
+			{maxBatch: 1, alone: true, burst: true},
+			{maxBatch: 8, callCost: 10 * ms, alone: true, skew: 1.2},
+			{maxBatch: 8, callCost: 10 * ms, alone: true, burst: true},
+			{maxBatch: 1, alone: true, skew: 1.2, withoutHistory: true},
+			{maxBatch: 1, alone: true, burst: true, withoutHistory: true},
+			{maxBatch: 8, callCost: 10 * ms, alone: true, burst: true, withoutHistory: true},
 		} {
-			day.nodes, day.work = nodes, 40*ms
-			if !day.burst && day.skew > 0 {
-				day.work = 10 * ms // many small ones
+			scenario.aggregators, scenario.work = nodes, 40*ms
+			if !scenario.burst && scenario.skew > 0 {
+				scenario.work = 10 * ms // many small ones
 			}
-			if day.ignorant {
-				day.work = 200 * ms // a large share of the aim
+			if scenario.withoutHistory {
+				scenario.work = 200 * ms // a large share of the objective
 			}
 			all := 0
 			for seed := range uint64(4) {
-				day.spread = []float64{0.05, 0.5}[seed%2]
-				excess, calls := runSlowStart(t, day, seed+1)
+				scenario.spread = []float64{0.05, 0.5}[seed%2]
+				excess, calls := playSlowStart(t, scenario, seed+1)
 				all += calls
 				if excess > 0 {
-					t.Errorf("%+v, seed %d: %.1f calls too many in a window, %d in all", day, seed+1, excess, calls)
+					t.Errorf("%+v, seed %d: %.1f calls too many in a window, %d in all", scenario, seed+1, excess, calls)
 				}
-				t.Logf("%+v, seed %d: %.1f calls below the bound, %d in all", day, seed+1, -excess, calls)
+				t.Logf("%+v, seed %d: %.1f calls below the bound, %d in all", scenario, seed+1, -excess, calls)
 			}
 			if all == 0 {
-				t.Errorf("%+v: it gets nothing", day)
+				t.Errorf("%+v: it gets nothing", scenario)
 			}
 		}
 	}
 }
+
+// TestSlowStartLimitsOneAggregator checks that a replica in slow start gets no more than this aggregator's share of its
+// capacity, however many parts wait for it.
+func TestSlowStartLimitsOneAggregator(t *testing.T) {
+	set := testSettings()
+	set.ShardSets, set.Reach, set.Aggregators = 1, 1, 2
+	h := newHarness(t, set, Member{Replica: "a", Started: 99900 * ms})
+	sent := 0
+	for i := range 50 {
+		sent += len(actionsOf(h.step(queryEvents(fmt.Sprint(i), 3*time.Second, 0)...), Send))
+	}
+	// Work is presumed a tenth of the objective; an aggregator's half of 3 x (0.2 + a little) x 1 s is under 4
+	// parts.
+	if sent == 0 || sent > 4 {
+		t.Errorf("%d parts in the first moment, want 1 to 4", sent)
+	}
+}
+
+// TestAggregatorsShareAReplicaInSlowStart checks that dozens of aggregators, each with a share of less than one part, use a
+// replica in slow start and on average stay within its capacity.
+func TestAggregatorsShareAReplicaInSlowStart(t *testing.T) {
+	const nodes, windows = 80, 8
+	sent := 0
+	for seed := range uint64(nodes) {
+		set := testSettings()
+		set.ShardSets, set.Reach, set.Aggregators = 1, 1, nodes
+		a, err := New(set, seed)
+		if err != nil {
+			t.Fatal(err)
+		}
+		start := 100 * time.Second
+		list := Event{Kind: ListCached, Members: []Member{{Replica: "a", Started: start - ms}}}
+		a.Step(start, []Event{list}, nil)
+		for i := range windows * 5 {
+			now := start + time.Duration(i)*200*ms
+			sent += len(actionsOf(a.Step(now, queryEvents(fmt.Sprint(i), time.Second, 0), nil), Send))
+		}
+	}
+	// The capacity grows evenly from 3 x 0.2 to 3 x 0.84 over the eight windows of 1 s; a part is a tenth of
+	// a second.
+	if capacity := windows * 3 * 0.52 * 10; sent == 0 || float64(sent) > capacity || float64(sent) < capacity/3 {
+		t.Errorf("%d parts from %d nodes in %d windows, want a third of %.0f to %.0f", sent, nodes, windows, capacity, capacity)
+	}
+}
+
+// fleetArrivals is when the aggregators of a fleet are sent queries, in steps of 100 ms.
+type fleetArrivals struct {
+	together    bool // all at once, twice a second; else each once a second, in turn
+	idleWindows int  // windows of a second at the start without a query; then no other holder is left
+}
+
+// at tells whether an aggregator gets a query in a step.
+func (f fleetArrivals) at(step, aggregator int) bool {
+	if step < 10*f.idleWindows {
+		return false
+	}
+	if f.together {
+		return step%5 == 0
+	}
+	return (step+aggregator)%10 == 0
+}
+
+// playWarmingFleet plays eighty aggregators that share three replicas of a shard, one of them just started, for ten overload
+// windows. It returns the work sent to that one in each window, as a share of what it may be sent, and the parts of a call
+// there.
+func playWarmingFleet(t *testing.T, arrivals fleetArrivals) (shares []float64, perCall float64) {
+	t.Helper()
+	const nodes, part = 80, 20 * ms
+	set := testSettings()
+	set.ShardSets, set.Shards, set.Reach, set.Aggregators = 1, 2, 1, nodes
+	set.Limits.MaxBatch, set.CallCost = 8, 4*ms
+	set.Rules.WarmupTime = 20 * time.Second
+	var fleet []*harness
+	for seed := range uint64(nodes) {
+		h := newHarness(t, set)
+		h.aggregator, _ = New(set, seed)
+		h.step(Event{Kind: ListCached, Members: []Member{{Replica: "a"}, {Replica: "b"}}})
+		for i := range 5 { // it learns how long a part takes
+			h.step(queryEvents(fmt.Sprint("first", i), 3*time.Second, 0)...)
+			h.now += part
+			h.step(attemptEnded(fmt.Sprint("first", i, "/0"), 0, OK))
+		}
+		h.step(Event{Kind: ListChanged, Members: []Member{{Replica: "cold", Started: h.now}}})
+		if arrivals.idleWindows > 0 {
+			h.step(Event{Kind: ListChanged, Members: []Member{{Replica: "a", State: Gone}, {Replica: "b", State: Gone}}})
+		}
+		fleet = append(fleet, h)
+	}
+	start := fleet[0].now
+	parts, calls := 0, 0
+	sent := make([]float64, 10)
+	for step := range int(10*set.Rules.OverloadWindow/ms) / 100 {
+		for i, h := range fleet {
+			h.now = start + time.Duration(step)*100*ms
+			if !arrivals.at(step, i) {
+				continue
+			}
+			acts := h.step(queryEvents(fmt.Sprint("q", step), 3*time.Second, 0, 1)...)
+			called := false
+			h.now += part
+			for _, s := range actionsOf(acts, Send) {
+				if s.Replica == "cold" {
+					sent[time.Duration(step)*100*ms/set.Rules.OverloadWindow] += part.Seconds()
+					parts, called = parts+1, true
+				}
+				h.step(attemptEnded(s.Part, h.attempts[s.Part]-1, OK))
+			}
+			if called {
+				calls++
+			}
+		}
+	}
+	for i, work := range sent {
+		from := float64(i) * set.Rules.OverloadWindow.Seconds() / set.Rules.WarmupTime.Seconds()
+		capacity := set.Rules.InitialCapacity + (1-set.Rules.InitialCapacity)*from
+		shares = append(shares, work/(set.Rules.OverloadMultiple*capacity*set.Rules.OverloadWindow.Seconds()))
+	}
+	return shares, float64(parts) / float64(max(calls, 1))
+}
+
+// TestReplicaInSlowStartGetsItsShareOfAFleet checks that a replica in slow start gets its share of the traffic from the
+// start, though each of eighty aggregators may send it a part in some windows only, in calls of several parts where few
+// aggregators send; and that it is never overloaded, also where all get a query in the same moment.
+func TestReplicaInSlowStartGetsItsShareOfAFleet(t *testing.T) {
+	for _, together := range []bool{false, true} {
+		shares, perCall := playWarmingFleet(t, fleetArrivals{together: together})
+		sum := 0.0
+		for i, s := range shares {
+			if s > 1 {
+				t.Errorf("together %v: window %d: %.2f of its capacity", together, i, s)
+			}
+			sum += s
+		}
+		if mean := sum / float64(len(shares)); mean < 0.33 || perCall < 1.5 {
+			t.Errorf("together %v: on average %.2f of what it may be sent, in calls of %.1f parts", together, mean, perCall)
+		}
+		t.Logf("together %v: %.2f, %.2f parts a call", together, shares, perCall)
+	}
+}
+
+// TestSavedAllowancesDoNotOverloadAReplica checks that aggregators that have saved their allowances and then all get a query
+// at once, with no other holder left, don't overload a replica that does one unit of work at a time.
+func TestSavedAllowancesDoNotOverloadAReplica(t *testing.T) {
+	for idle := 1; idle < 8; idle++ {
+		shares, _ := playWarmingFleet(t, fleetArrivals{together: true, idleWindows: idle})
+		if most := slices.Max(shares); most > 1 || shares[idle] == 0 {
+			t.Errorf("idle for %d windows: then %.2f of its capacity, want some and no more than 1", idle, shares[idle:])
+		}
+	}
+}
