--- /dev/null
+++ b/internal/membership/address.go
@@ -0,0 +1,80 @@
+package membership
+
+import (
+	"slices"
+	"time"
+)
+
+// address is who claims to be at an address.
+type address struct {
+	claimants []*node
+	holder    *node // the one that stands there; the others are aliases
+}
+
+// claimAddress notes at which address a node claims to be; "" for none.
+func (t *Table) claimAddress(now time.Time, n *node, addr string) {
+	if a := t.addrs[n.addr]; a != nil && n.addr != addr {
+		a.claimants = slices.DeleteFunc(a.claimants, func(o *node) bool { return o == n })
+		t.chooseHolder(n.addr, a)
+	}
+	if addr != n.addr {
+		n.arrived = now
+	}
+	if n.addr = addr; addr == "" {
+		return
+	}
+	a := t.addrs[addr]
+	if a == nil {
+		a = &address{}
+		t.addrs[addr] = a
+	}
+	if !slices.Contains(a.claimants, n) {
+		a.claimants = append(a.claimants, n)
+	}
+	t.chooseHolder(addr, a)
+}
+
+// chooseHolder settles which of those that claim an address stands there.
+func (t *Table) chooseHolder(addr string, a *address) {
+	var best *node
+	for _, n := range a.claimants {
+		if best == nil || n.outranks(best) {
+			best = n
+		}
+	}
+	if former := a.holder; former != best {
+		a.holder = best
+		if former != nil {
+			t.toEvaluate.add(former)
+		}
+		if former != nil && best != nil {
+			t.note(Replaced, best.owner.src, best.id, "takes the place of "+former.id+" at "+addr)
+		}
+		if best != nil {
+			t.toEvaluate.add(best)
+		}
+	}
+	if len(a.claimants) == 0 {
+		delete(t.addrs, addr)
+	}
+}
+
+// outranks tells whether n stands rather than o where both claim an address.
+func (n *node) outranks(o *node) bool {
+	if a, b := n.owner.freshness(), o.owner.freshness(); a != b {
+		return a > b
+	}
+	if n.owner.src.Rank != o.owner.src.Rank {
+		return n.owner.src.Rank > o.owner.src.Rank
+	}
+	if !n.arrived.Equal(o.arrived) {
+		return n.arrived.After(o.arrived)
+	}
+	return n.id < o.id
+}
+
+// alias tells whether another node stands at the address of n.
+func (t *Table) alias(n *node) bool {
+	a := t.addrs[n.addr]
+	return n.owner != nil && a != nil && a.holder != n
+}
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -1,16 +1,16 @@
-// Package membership decides who is there. It joins what any number of sources tell of data nodes with what the
-// coordinator sees of them into the one list that the decision module works on. It does no I/O, reads no clock,
-// starts no goroutine and logs nothing: time comes in with each call, and what was decided goes out as changes of
-// the list and as notes that say why. The same calls in the same order give the same results.
+// Package membership joins what any number of sources tell of data nodes with what the coordinator sees of them into the
+// one list that the decision module works on. It does no I/O, reads no clock, starts no goroutine and logs nothing: time
+// comes in with each call, and what was decided goes out as changes of the list and as notes that say why. The same
+// calls in the same order give the same results.
 //
-// # The table
+// # Claims
 //
 // What a source last told of a data node is its claim. Claims are fresh (told, and within the lease), stale (the
-// lease has run out) or remembered (from a list kept over a restart). Of the claims of one id the owner's is the
+// lease has run out) or remembered (from a list cached over a restart). Of the claims on one id the owner's is the
 // one of the freshest kind, then of the highest rank, then of the source that was added first.
 //
 //	owner says    others say                              result
-//	serving       nothing, serving, or no more there      serving, as the owner describes it
+//	serving       nothing, serving, or gone               serving, as the owner describes it
 //	serving       draining, fresh                         draining
 //	serving       draining and then gone, fresh           draining, until the owner's claim changes
 //	serving       draining, of an earlier start           serving
@@ -20,8 +20,8 @@
 //	gone          remembered or stale                     gone
 //
 // A source that does not answer is not one that says gone: its claims turn stale after their lease, and lapse only
-// after its MaxStale (RFC 8767). A whole list that is refused, cut, lame or older by its serial (RFC 1982) removes
-// nothing; an empty one that is authoritative does.
+// after its MaxStale (RFC 8767). A whole list that is rejected, truncated, lame or older by its serial (RFC 1982)
+// removes nothing; an empty one that is authoritative does.
 //
 // # Identity
 //
@@ -29,26 +29,23 @@
 //	same address, new id    replaced: the old id leaves the list, the new one is cold unless its start is stated
 //	another start           restarted: cold since the start stated, or since now where that went back
 //	vanished, came back     the same one where its start is the same; where none is stated it is cold after an
-//	                        absence of Brief or signs of its death
+//	                        absence of over Config.ShortAbsence or lost connections
 //
 // Where two sources name one address under two ids at once, the id of the higher rank stands, then the one that
 // was told last; the other is an alias and is not listed.
 //
 // # Order of use
 //
-// A data node is sound where it serves, is no alias, not suppressed and not doubtful. One with a higher SRV priority
+// A data node is sound where it serves, is no alias, not suppressed and not suspect. One with a higher SRV priority
 // figure than others is used only while a shard that it holds has no sound data node of a lower figure. Removal and
 // draining are at once. Where a damped data node goes or drains again and again, its return is held back: the idea
 // and the names are from RFC 2439. It is never held back while a shard that it holds has no sound one.
 //
-// Memory is bounded by the data nodes that are listed, by Spec.Most for each source, and by Config.MaxPast of those
-// that were.
+// Memory is bounded by the data nodes that are listed, by Spec.MaxNodes for each source, and by Config.MaxForgotten of
+// those that were.
 package membership
 
-import (
-	"fmt"
-	"time"
-)
+import "time"
 
 // State is what a source says of a data node.
 type State uint8
@@ -65,7 +62,7 @@
 // Record is what a source tells of one data node, and what the joined list says of it.
 type Record struct {
 	ID, Addr, Zone string
-	Proto          string // which carrier serves it; empty for the first
+	Proto          string // the protocol of its dispatcher; empty for the first one
 	ShardSet       int    `json:"Cell"`
 	State          State
 	Weight         float64   // for comparing data nodes; 1 is an ordinary one
@@ -80,30 +77,30 @@
 	Rank     int           // the higher one owns a data node that several name
 	Damped   bool          // returns of its data nodes are damped
 	MaxStale time.Duration // how long its claims hold past their lease; 0 means for good
-	MaxNodes int           // most data nodes that it may name; 0 means DefaultMost
+	MaxNodes int           // most data nodes that it may name; 0 means DefaultMaxNodes
 }
 
 // DefaultMaxNodes is how many data nodes a source may name unless its Spec says otherwise.
 const DefaultMaxNodes = 16384
 
-// Basis is how far an answer of a source can be trusted.
+// Basis is how far an answer of a source can be relied on.
 type Basis uint8
 
 // The bases.
 const (
 	Authoritative Basis = iota
-	Relayed             // by a server that has no authority: an empty list says nothing
+	Relayed             // by a server without authority for the zone: an empty list says nothing
 	Truncated           // not all of it has come
 	Failed              // no list: no answer, or one that tells an error
 )
 
-// Update is what a source has told.
+// Update is one answer of a source.
 type Update struct {
 	Basis     Basis
 	Cause     string // Failed: in words
 	Serial    uint32 // of the zone, where Serialled
 	Serialled bool
-	Full      bool // Records is the whole list; what it lacks is gone
+	Full      bool // Records is the complete list; a data node that it lacks is gone
 	Cached    bool // the list is of an earlier run
 	Records   []Record
 	Lease     time.Duration // how long it holds without being heard again; 0 means for good
@@ -115,71 +112,12 @@
 // The kinds of evidence.
 const (
 	Answered           Evidence = iota // a part or a probe, well or not
-	Rejected                           // it was there, and turned a part away
+	Rejected                           // it was there, and rejected a part
 	ConnectionRefused                  // no connection could be opened
 	ConnectionReset                    // its connections ended, and none could be opened anew
 	ConnectionReopened                 // they ended and could be opened anew
 )
 
-// Config holds the figures of a Table. The zero value of a field stands for its default.
-type Config struct {
-	ShardSets, Shards, Reach int           // shard s is held by cells s, s+1, ... s+Reach-1, modulo Cells
-	HalfLife                 time.Duration // of a penalty; 15 s
-	Suppress, Reuse          float64       // penalties from which, and down to which, a return is held; 2500 and 800
-	MaxSuppress              time.Duration // longest time that a return is held; 60 s
-	ShortAbsence             time.Duration // an absence after which one may be another process; 10 s
-	SuspectFor               time.Duration // after which doubt ends without news; 10 s
-	SuspectAfter             int           // signs of death in a row that make doubtful; 2
-	RejectsToSuspect         int           // parts turned away in a row that make doubtful; 16
-	SerialHold               time.Duration // after which a zone that went back in serial is believed; 30 s
-	MaxForgotten             int           // most data nodes remembered that are listed no more; 1024
-}
-
-// Penalties, in the units of RFC 2439: one withdrawal is 1000, one change of an attribute half of it.
-const (
-	withdrawn = 1000
-	drained   = 500
-)
-
-func (c Config) withDefaults() Config {
-	for _, d := range []struct {
-		to *time.Duration
-		by time.Duration
-	}{{&c.HalfLife, 15 * time.Second}, {&c.MaxSuppress, time.Minute}, {&c.ShortAbsence, 10 * time.Second},
-		{&c.SuspectFor, 10 * time.Second}, {&c.SerialHold, 30 * time.Second}} {
-		if *d.to <= 0 {
-			*d.to = d.by
-		}
-	}
-	for _, d := range []struct {
-		to *int
-		by int
-	}{{&c.ShardSets, 1}, {&c.Shards, 1}, {&c.Reach, 1}, {&c.SuspectAfter, 2}, {&c.RejectsToSuspect, 16}, {&c.MaxForgotten, 1024}} {
-		if *d.to <= 0 {
-			*d.to = d.by
-		}
-	}
-	if c.Suppress <= 0 {
-		c.Suppress = 2500
-	}
-	if c.Reuse <= 0 {
-		c.Reuse = 800
-	}
-	return c
-}
-
-// Check names the first figure that can't be worked with.
-func (c Config) Check() error {
-	c = c.withDefaults()
-	switch {
-	case c.Reach > c.ShardSets:
-		return fmt.Errorf("membership: Reach %d is above Cells %d", c.Reach, c.ShardSets)
-	case c.Reuse >= c.Suppress:
-		return fmt.Errorf("membership: reuse %g must be below suppress %g", c.Reuse, c.Suppress)
-	}
-	return nil
-}
-
 // Cause names what a note tells of.
 type Cause string
 
--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -399,14 +399,14 @@
 	s := newStand(t, Config{MaxForgotten: 50})
 	for i := range 5000 {
 		s.add(s.dns.Update(at(float64(i)/100), Update{Full: true, Records: []Record{{ID: fmt.Sprint("n", i), Addr: fmt.Sprint("a", i)}}}))
-		if n := len(s.t.nodes); n > 52 || len(s.t.alarms) > 52 || s.t.past.Len() > 51 {
-			t.Fatalf("%d nodes, %d alarms after %d ids", n, len(s.t.alarms), i)
+		if n := len(s.t.nodes); n > 52 || len(s.t.timers) > 52 || s.t.past.Len() > 51 {
+			t.Fatalf("%d nodes, %d timers after %d ids", n, len(s.t.timers), i)
 		}
 		s.notes = nil
 	}
 	s.add(s.t.Tick(at(1e6)))
-	if len(s.t.nodes) != 1 || len(s.t.addrs) != 1 || len(s.t.watch) != 0 || len(s.t.cover.levels) != 1 {
-		t.Errorf("left: %d nodes, %d addresses, %d watches, %d levels", len(s.t.nodes), len(s.t.addrs), len(s.t.watch), len(s.t.cover.levels))
+	if len(s.t.nodes) != 1 || len(s.t.addrs) != 1 || len(s.t.dependents) != 0 || len(s.t.coverage.levels) != 1 {
+		t.Errorf("left: %d nodes, %d addresses, %d dependents, %d levels", len(s.t.nodes), len(s.t.addrs), len(s.t.dependents), len(s.t.coverage.levels))
 	}
 	few := s.t.Source(Spec{Name: "few", MaxNodes: 3})
 	var many []Record
--- a/internal/membership/calls_test.go
+++ b/internal/membership/pollschedule_test.go
@@ -60,7 +60,7 @@
 				t.Fatalf("an agent is called again without a pause")
 			case !c.Pushed && i == 0 && SilenceTimeout+2*pause > NotifiedAfter+c.Grace:
 				t.Fatalf("asked: silence is noticed after %v and the call follows after %v; what is missed counts as told after %v, the grace is %v", SilenceTimeout, pause, NotifiedAfter, c.Grace)
-			case pause > usualAsk:
+			case pause > defaultInterval:
 				t.Fatalf("a pause of %v", pause)
 			}
 		}
