--- a/internal/membership/claims.go
+++ b/internal/membership/claims.go
@@ -109,6 +109,7 @@
 		n = &node{id: id, published: Record{ID: id, State: Gone}, dependsOn: -1, timer: timer{position: -1}}
 		t.nodes[id] = n
 	}
+	t.leavePast(n)
 	n.claims = append(n.claims, c)
 	return c
 }
--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -1,7 +1,7 @@
 package membership
 
 // Table tests of the package's tables: precedence, identity, damping, priorities and what a source is not trusted
-// with. They must never look into a Table: what it hands out is what counts.
+// with.
 
 import (
 	"fmt"
@@ -418,3 +418,19 @@
 		t.Errorf("%d data nodes, notes %v", len(s.list), s.notes)
 	}
 }
+
+// TestReturnWhileThePastIsFull: a data node comes back in the same list that drops another one. The past is full then,
+// and the longest gone is forgotten; that must not be the one that is back, or its claim has no node and the next list
+// that changes it ends the process.
+func TestReturnWhileThePastIsFull(t *testing.T) {
+	s := newStand(t, Config{MaxForgotten: 1})
+	leaves, returns := Record{ID: "a", Addr: "x"}, Record{ID: "b", Addr: "y"}
+	s.add(s.dns.Update(at(1), Update{Full: true, Records: []Record{leaves, returns}}))
+	s.add(s.dns.Update(at(2), Update{Full: true, Records: []Record{leaves}}))
+	s.add(s.dns.Update(at(3), Update{Full: true, Records: []Record{returns}}))
+	returns.State = Draining
+	s.add(s.dns.Update(at(4), Update{Full: true, Records: []Record{returns}}))
+	if got := s.list["b"].State; len(s.list) != 1 || got != Draining {
+		t.Errorf("the list is %v, it should hold b as draining", s.list)
+	}
+}
--- a/internal/membership/past.go
+++ b/internal/membership/past.go
@@ -2,14 +2,10 @@
 
 import "time"
 
-// schedule sets when a node is looked at next, moves it between past and present, and keeps the past within
+// schedule sets when a node is looked at next, moves one that nobody names to the past, and keeps the past within
 // Config.MaxForgotten.
 func (t *Table) schedule(now time.Time, n *node) {
 	if len(n.claims) > 0 {
-		if n.past != nil {
-			t.past.Remove(n.past)
-			n.past = nil
-		}
 		t.setTimer(n, n.nextChange(now))
 		return
 	}
@@ -50,10 +46,17 @@
 
 // forget drops a node of the past.
 func (t *Table) forget(n *node) {
+	t.leavePast(n)
+	t.setTimer(n, time.Time{})
+	delete(t.nodes, n.id)
+}
+
+// leavePast takes a node out of the past, where it is one. A node that is named again leaves at once, before any other
+// is published: the bound of the past would else forget it while it has claims, and the next change of them would end
+// the process with a nil node.
+func (t *Table) leavePast(n *node) {
 	if n.past != nil {
 		t.past.Remove(n.past)
 		n.past = nil
 	}
-	t.setTimer(n, time.Time{})
-	delete(t.nodes, n.id)
 }
--- a/internal/membership/property_test.go
+++ b/internal/membership/property_test.go
@@ -1,7 +1,7 @@
 package membership
 
 // The Table against a naive model that keeps nothing but the latest word of each source and finds everything else
-// by looking at all of it, and benchmarks of one event. The model must never call what it checks.
+// by looking at all of it, and benchmarks of one event. The model calls nothing of what it checks.
 
 import (
 	"fmt"
