--- a/internal/zones/fleet_test.go
+++ b/internal/zones/fleet_test.go
@@ -93,9 +93,6 @@
 				}
 			}
 		}
-		if step == 10 {
-			failing = false
-		}
 		// The zone answers again once the first coordinator returns; where it is to flap, it fails again at once.
 		if back == 0 || failsLeft > 0 && now-back >= 300*ms {
 			for _, c := range all {
--- a/internal/zones/zones_test.go
+++ b/internal/zones/zones_test.go
@@ -40,7 +40,7 @@
 	failing int // of 4 data nodes; -1 gives no evidence
 }
 
-func verdicts(tr *Tracker, now time.Time) map[string]string {
+func states(tr *Tracker, now time.Time) map[string]string {
 	m := map[string]string{}
 	for _, s := range tr.All(now) {
 		m[s.Zone] = s.State.String()
@@ -48,7 +48,7 @@
 	return m
 }
 
-func TestVerdicts(t *testing.T) {
+func TestStates(t *testing.T) {
 	cfg := Config{Seed: 7, Spread: time.Millisecond}
 	cases := []struct {
 		name  string
@@ -114,11 +114,11 @@
 					fail(tr, now, s.zone, s.failing, 4)
 				}
 				if i == len(c.steps)-1 || c.steps[i+1].at != s.at {
-					tr.Step(now) // evidence of one moment is taken in before the verdicts
+					tr.Step(now) // evidence of one moment is applied before the states change
 				}
 			}
-			if d := cmp.Diff(c.want, verdicts(tr, t0.Add(c.steps[len(c.steps)-1].at))); d != "" {
-				t.Errorf("verdicts (-want +got):\n%s", d)
+			if d := cmp.Diff(c.want, states(tr, t0.Add(c.steps[len(c.steps)-1].at))); d != "" {
+				t.Errorf("states (-want +got):\n%s", d)
 			}
 		})
 	}
@@ -252,7 +252,7 @@
 }
 
 // Against a naive model: whatever the evidence, a site of one zone is never left, the data nodes outside zones that
-// are out (unless in panic) never fall under Keep by a verdict of the tracker, and a zone with fewer than MinFailing
+// are out (unless in panic) never fall under Keep by a decision of the tracker, and a zone with fewer than MinFailing
 // failing data nodes is never left.
 func TestGuardProperty(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
@@ -320,8 +320,9 @@
 	}
 }
 
-// TestHearsayIsNotTold: what others have told of a data node is no evidence to be told them again; what is seen here later is.
-func TestHearsayIsNotTold(t *testing.T) {
+// TestPeerReportsAreNotReportedBack: what others reported of a data node is not reported back to them; what is seen here
+// later is reported.
+func TestPeerReportsAreNotReportedBack(t *testing.T) {
 	tr, err := New(Config{})
 	if err != nil {
 		t.Fatal(err)
@@ -333,7 +334,7 @@
 	tr.ObservePeer(now, "a", "a2", 0, -1)
 	tr.Observe(now.Add(time.Millisecond), "a", "a2", TimedOut)
 	if got := tr.Failing(now.Add(time.Second), "a"); !slices.Equal(got, []string{"a0", "a2"}) {
-		t.Errorf("told on: %v, want what was seen here: a0 and a2", got)
+		t.Errorf("reported: %v, want what was seen here: a0 and a2", got)
 	}
 	if got := tr.Failing(now.Add(time.Hour), "a"); len(got) > 0 {
 		t.Errorf("an hour later: %v", got)
