--- a/cmd/gullfall/peers.go
+++ b/cmd/gullfall/peers.go
@@ -176,7 +176,7 @@
 		}
 		err := fmt.Errorf("no coordinator %q is known", name)
 		talk.View(func(s *swim.Swim) {
-			if state, known := s.Holds(name); known && state == swim.Dead {
+			if state, known := s.State(name); known && state == swim.Dead {
 				err = nil
 			} else if known {
 				err = fmt.Errorf("%q is %v; only one that is dead can be gone for good", name, state)
@@ -196,7 +196,7 @@
 func viewOf(s *swim.Swim, now time.Duration) peersView {
 	verdict := s.Quorum()
 	v := peersView{Verdict: verdict.Kind.String(), Here: verdict.Here, Known: verdict.Known, Majority: verdict.Majority,
-		Refused: s.Refused(), Health: s.Health(), Counts: s.Counts(), Self: s.Self()}
+		Refused: s.Rejection(), Health: s.Health(), Counts: s.Counts(), Self: s.Self()}
 	ago := func(t time.Duration) float64 {
 		if t == 0 {
 			return -1
--- a/cmd/gullfall/store.go
+++ b/cmd/gullfall/store.go
@@ -104,7 +104,7 @@
 		if talk != nil && c.What == store.Remove {
 			alive := false
 			talk.View(func(s *swim.Swim) {
-				state, known := s.Holds(c.Name)
+				state, known := s.State(c.Name)
 				alive = known && state < swim.Dead
 			})
 			if alive {
--- a/internal/config/peers.go
+++ b/internal/config/peers.go
@@ -85,7 +85,7 @@
 
 // Swim is the talk's figures for one process.
 func (p *Peers) Swim(name string, process, seed uint64) swim.Config {
-	return swim.Config{Self: name, Addr: p.Listen, Process: process, Seed: seed, Seeds: p.Seeds, Period: time.Duration(p.Period),
+	return swim.Config{Self: name, Addr: p.Listen, Process: process, RandomSeed: seed, Seeds: p.Seeds, Period: time.Duration(p.Period),
 		Timeout: time.Duration(p.Timeout), MaxPause: time.Duration(p.Bear)}
 }
 
--- a/internal/gossip/gossip.go
+++ b/internal/gossip/gossip.go
@@ -94,7 +94,7 @@
 	if g.ring, err = newRing(o.Fleet, o.Swim.Process, o.Keys); err != nil {
 		return nil, fmt.Errorf("peers: %w", err)
 	}
-	o.Swim.Packet = mostPacket - overhead - 300 // beside the head of a message
+	o.Swim.MaxUpdateBytes = mostPacket - overhead - 300 // beside the head of a message
 	if g.s, err = swim.New(o.Swim, 0); err != nil {
 		return nil, err
 	}
@@ -226,7 +226,7 @@
 			g.tell(*a.Change)
 		}
 	}
-	if why := g.s.Refused(); why != g.refused {
+	if why := g.s.Rejection(); why != g.refused {
 		if g.refused = why; why != "" {
 			g.o.Log.Error("refused by the other coordinators", "why", why)
 		} else {
@@ -257,10 +257,10 @@
 	args := []any{}
 	switch {
 	case c.Name == "":
-		if msg = "coordinators are " + c.Verdict.Kind.String(); c.Verdict.Kind != swim.Connected {
+		if msg = "coordinators are " + c.Quorum.Kind.String(); c.Quorum.Kind != swim.Connected {
 			level = slog.LevelWarn
 		}
-		args = append(args, "here", c.Verdict.Here, "known", c.Verdict.Known, "majority", c.Verdict.Majority)
+		args = append(args, "here", c.Quorum.Here, "known", c.Quorum.Known, "majority", c.Quorum.Majority)
 	case c.LinkFrom != "":
 		if msg = "coordinators reach each other again"; c.Cut {
 			msg, level = "coordinators do not reach each other", slog.LevelWarn
@@ -362,7 +362,7 @@
 	default:
 		return
 	}
-	end := time.Now().Add(max(4*g.s.Patience(), time.Second))
+	end := time.Now().Add(max(4*g.s.ProbeTimeout(), time.Second))
 	g.wg.Go(func() {
 		defer func() { <-g.places }()
 		ctx, cancel := context.WithDeadline(g.ctx, end)
--- a/internal/gossip/gossip_test.go
+++ b/internal/gossip/gossip_test.go
@@ -26,7 +26,7 @@
 		{Kind: swim.Ack, From: sample, Via: "n4", Updates: []swim.Update{sample, {Name: "x", Addr: "y", State: swim.Left}},
 			Links: []swim.Link{{From: "a", To: "b", By: "a", Version: 1<<32 - 1, Cut: true}, {From: "b", To: "a", By: "a"}}},
 		{Kind: swim.Nack, From: sample},
-		{Kind: swim.Refuse, From: sample, Reason: strings.Repeat("r", 255)},
+		{Kind: swim.Reject, From: sample, Reason: strings.Repeat("r", 255)},
 	}
 }
 
@@ -228,7 +228,7 @@
 	defer a.Close()
 	state := func(g *Gossip, name string) (s string) {
 		g.View(func(v *swim.Swim) {
-			if held, known := v.Holds(name); known {
+			if held, known := v.State(name); known {
 				s = held.String()
 			}
 		})
--- a/internal/lab/swimsim/swimsim.go
+++ b/internal/lab/swimsim/swimsim.go
@@ -102,10 +102,10 @@
 		n.d = newHeartbeat(i, f.c.Members, f.watchers(), f.c.Swim.Period, f.c.Fixed, f.now+n.skew, f.rng)
 	} else {
 		s := f.c.Swim
-		s.Self, s.Addr, s.Process, s.Seed = Name(i), fmt.Sprint(i), process*100_000+uint64(i)+1, f.c.Seed*7919+uint64(i)+process
+		s.Self, s.Addr, s.Process, s.RandomSeed = Name(i), fmt.Sprint(i), process*100_000+uint64(i)+1, f.c.Seed*7919+uint64(i)+process
 		s.Seeds = []string{"0", fmt.Sprint(min(1, f.c.Members-1))}
 		if f.c.Detect == "plain" {
-			s.Health, s.Phi, s.MaxPause = -1, -1, time.Nanosecond
+			s.MaxHealth, s.MinPhi, s.MaxPause = -1, -1, time.Nanosecond
 		}
 		d, err := swim.New(s, f.now+n.skew)
 		if err != nil {
@@ -342,12 +342,12 @@
 func (m *member) next() time.Duration { return m.s.Next() }
 
 func (m *member) dead(i int) bool {
-	state, known := m.s.Holds(Name(i))
+	state, known := m.s.State(Name(i))
 	return known && state == swim.Dead
 }
 
 func (m *member) alive(i int) bool {
-	state, known := m.s.Holds(Name(i))
+	state, known := m.s.State(Name(i))
 	return known && state <= swim.Suspect
 }
 
--- a/internal/swim/fleet_test.go
+++ b/internal/swim/fleet_test.go
@@ -51,7 +51,7 @@
 		t.Run(fmt.Sprint(n), func(t *testing.T) {
 			f := fleet(t, swimsim.Config{Members: n, Seed: uint64(n)})
 			settled(t, f, 30*time.Second, "start")
-			bound := time.Duration(n)*time.Second + 4*f.View(0).Least()
+			bound := time.Duration(n)*time.Second + 4*f.View(0).MinSuspicion()
 			_, all, ok := f.Detection(n-1, bound)
 			if !ok || f.FalseDead > 0 {
 				t.Errorf("known to all after %v (bound %v): %v; %d false deaths", all, bound, ok, f.FalseDead)
--- a/internal/swim/links.go
+++ b/internal/swim/links.go
@@ -18,25 +18,25 @@
 
 // Quorum is what is held of the fleet as a whole.
 type Quorum struct {
-	Kind     QuorumState
+	Kind     QuorumKind
 	Here     int  // members that are there and that we reach, by others where need be, ourselves included
 	Known    int  // members that have not left
 	Majority bool // Here is more than half of Known
 }
 
 // QuorumState is the whole in a word.
-type QuorumState uint8
+type QuorumKind uint8
 
 // The verdicts.
 const (
-	Connected QuorumState = iota
+	Connected QuorumKind = iota
 	Split                 // several were lost together, or live ones are out of reach: there is another side
 	Alone                 // nobody else is there
 )
 
 var verdictNames = [...]string{"connected", "split", "alone"}
 
-func (k QuorumState) String() string { return verdictNames[k] }
+func (k QuorumKind) String() string { return verdictNames[k] }
 
 // key orders a pair of members and the reporter.
 func (l *Link) key() [3]string { return [3]string{l.From, l.To, l.By} }
@@ -46,7 +46,7 @@
 
 // cutOff reports a link whose direct acks were missed several times in a row, though the member is there.
 func (s *Swim) cutOff(m *member) {
-	if m.missed < s.c.CutMisses || m.State > Suspect {
+	if m.missed < s.c.CutAfter || m.State > Suspect {
 		return
 	}
 	l := Link{From: m.Name, To: s.c.Self, By: s.c.Self, Cut: true}
@@ -189,7 +189,7 @@
 }
 
 // Holds is what is held of a member; not known where it never was, or has been forgotten.
-func (s *Swim) Holds(name string) (state State, known bool) {
+func (s *Swim) State(name string) (state State, known bool) {
 	m := s.members[name]
 	if m == nil {
 		return 0, false
@@ -248,7 +248,7 @@
 	slices.Sort(lost)
 	together := false
 	for i := 1; i < len(lost); i++ {
-		together = together || lost[i]-lost[i-1] < time.Duration(s.c.Beta*float64(s.Least()))
+		together = together || lost[i]-lost[i-1] < time.Duration(s.c.MaxSuspicionMult*float64(s.MinSuspicion()))
 	}
 	switch {
 	case v.Here == 1 && v.Known > 1:
@@ -267,7 +267,7 @@
 	s.stale = false
 	if v := s.Quorum(); v.Kind != s.verdict.Kind || v.Majority != s.verdict.Majority {
 		s.verdict = v
-		s.changed(Change{Verdict: v})
+		s.changed(Change{Quorum: v})
 	}
 }
 
--- a/internal/swim/probe.go
+++ b/internal/swim/probe.go
@@ -95,7 +95,7 @@
 
 // laden adds news to a message for a member.
 func (s *Swim) laden(msg Message, to *member) Message {
-	room := s.c.Packet
+	room := s.c.MaxUpdateBytes
 	if to != nil && to.State != Alive {
 		msg.Updates = append(msg.Updates, to.Update)
 		room -= to.Update.size()
@@ -148,7 +148,7 @@
 	if 2*p.nacks < p.asked || p.asked == 0 {
 		s.worse(1) // most of those asked did not answer either: it may be us
 	}
-	if m.vain++; m.vain < 2 && s.c.Phi > 0 && m.phi(s.now) < s.c.Phi {
+	if m.vain++; m.vain < 2 && s.c.MinPhi > 0 && m.phi(s.now) < s.c.MinPhi {
 		s.doubt(m)
 		return
 	}
@@ -171,7 +171,7 @@
 // packet takes in one packet.
 func (s *Swim) packet(msg *Message) {
 	from := s.known(&msg.From)
-	if msg.Kind == Refuse {
+	if msg.Kind == Reject {
 		s.refused = msg.Reason
 		return
 	}
@@ -249,11 +249,11 @@
 	if s.now < s.fullAt || s.leaving {
 		return
 	}
-	s.fullAt = s.now + s.c.Exchange/2 + s.share(s.c.Exchange)
+	s.fullAt = s.now + s.c.SyncInterval/2 + s.share(s.c.SyncInterval)
 	to := ""
 	if unseen := s.unseen(); len(unseen) > 0 {
 		to = unseen[s.rng.IntN(len(unseen))]
-		s.seedWait = min(max(2*s.seedWait, s.c.Period/2), s.c.Exchange)
+		s.seedWait = min(max(2*s.seedWait, s.c.Period/2), s.c.SyncInterval)
 		s.fullAt = s.now + s.seedWait/2 + s.share(s.seedWait/2)
 	} else if m := s.pick(func(m *member) bool { return m.State <= Dead && (m.State <= Suspect || s.rng.IntN(4) == 0) }); m != nil {
 		to, s.seedWait = m.Addr, 0
@@ -315,4 +315,4 @@
 }
 
 // Patience is how long a probe may take before others are asked, as it is widened now.
-func (s *Swim) Patience() time.Duration { return s.wide(s.c.Timeout) }
+func (s *Swim) ProbeTimeout() time.Duration { return s.wide(s.c.Timeout) }
--- a/internal/swim/state.go
+++ b/internal/swim/state.go
@@ -24,13 +24,13 @@
 	if from.Name == s.c.Self {
 		if from.Process != s.c.Process {
 			s.counts.Dropped++
-			s.send(from.Addr, Message{Kind: Refuse, Reason: s.clash(from)})
+			s.send(from.Addr, Message{Kind: Reject, Reason: s.clash(from)})
 		}
 		return nil
 	}
 	if why := s.clash(from); why != "" {
 		s.counts.Dropped++
-		s.send(from.Addr, Message{Kind: Refuse, Reason: why})
+		s.send(from.Addr, Message{Kind: Reject, Reason: why})
 		return nil
 	}
 	s.apply(*from, true, "it says so itself")
@@ -196,9 +196,9 @@
 
 // Least is how long a suspicion lasts at least: what a member may be paused for, and the time in which the news of it
 // reaches everybody and its refutation comes back.
-func (s *Swim) Least() time.Duration {
+func (s *Swim) MinSuspicion() time.Duration {
 	rounds := 1 + int(math.Ceil(math.Log(float64(s.size()+1))/math.Log(3))) // news goes from one to two others in a period
-	least := time.Duration(s.c.Alpha * s.logN() * float64(s.c.Period))
+	least := time.Duration(s.c.MinSuspicionMult * s.logN() * float64(s.c.Period))
 	return max(least, s.c.MaxPause+time.Duration(rounds)*s.c.Period)
 }
 
@@ -212,8 +212,8 @@
 			s.spread(u) // each confirmation is news, so that all come to the same time
 		}
 	}
-	least := float64(s.Least())
-	longest := s.c.Beta * least
+	least := float64(s.MinSuspicion())
+	longest := s.c.MaxSuspicionMult * least
 	left := longest - (longest-least)*math.Log(float64(len(m.backers)))/math.Log(float64(most+1))
 	if most == 0 {
 		left = least
@@ -341,7 +341,7 @@
 	if len(s.news) == 0 {
 		return
 	}
-	most := s.c.Repeat * int(math.Ceil(s.logN()))
+	most := s.c.RetransmitMult * int(math.Ceil(s.logN()))
 	loaded := 0
 	for _, i := range s.news {
 		n := 0
--- a/internal/swim/swim.go
+++ b/internal/swim/swim.go
@@ -81,7 +81,7 @@
 	Ack                     // of Seq; Via is set where another was asked to probe
 	PingReq                 // probe Target on my behalf
 	Nack                    // Target has not answered me either, but I am there
-	Refuse                  // you can't be a member, for Reason
+	Reject                  // you can't be a member, for Reason
 	Updates                 // nothing but news
 )
 
@@ -130,7 +130,7 @@
 	Was      State
 	New      bool // the member was not known before
 	Why      string
-	Verdict  Quorum // set, with Name empty, where the verdict on the whole has changed
+	Quorum  Quorum // set, with Name empty, where the verdict on the whole has changed
 	LinkFrom string // set, with Name as To, where a link has
 	Cut      bool
 }
@@ -140,21 +140,21 @@
 	Self        string
 	Addr        string
 	Process     uint64
-	Seed        uint64
+	RandomSeed        uint64
 	Seeds       []string      // addresses to join by
 	Period      time.Duration // of probes; 1 s
 	Timeout     time.Duration // for a direct ack; a quarter of Period
 	Indirect    int           // members asked to probe in vain's place; 3
 	MaxPause    time.Duration // the longest pause of a member that must not make it dead; 3 s
-	Alpha       float64       // least suspicion time, in periods times log10 of the members; 4
-	Beta        float64       // and how many times of that it may be without confirmations; 4
-	Repeat      int           // how often a word is passed on, times log10 of the members; 4
-	Health      int           // the most that own times are widened by, beside 1; 4. Below 0: never
-	Phi         float64       // a silence below this figure needs a second missed probe; 1. Below 0: never
-	Exchange    time.Duration // between full exchanges; 15 periods
+	MinSuspicionMult       float64       // least suspicion time, in periods times log10 of the members; 4
+	MaxSuspicionMult        float64       // and how many times of that it may be without confirmations; 4
+	RetransmitMult      int           // how often a word is passed on, times log10 of the members; 4
+	MaxHealth      int           // the most that own times are widened by, beside 1; 4. Below 0: never
+	MinPhi         float64       // a silence below this figure needs a second missed probe; 1. Below 0: never
+	SyncInterval    time.Duration // between full exchanges; 15 periods
 	ForgetAfter time.Duration // how long one that has left is remembered; 10 min
-	Packet      int           // bytes that the news of one packet may take; 1,100
-	CutMisses   int           // direct acks in a row that a cut link has missed; 4
+	MaxUpdateBytes      int           // bytes that the news of one packet may take; 1,100
+	CutAfter   int           // direct acks in a row that a cut link has missed; 4
 }
 
 const (
@@ -175,12 +175,12 @@
 	set(&c.Period, time.Second)
 	set(&c.Timeout, c.Period/4)
 	set(&c.MaxPause, 3*time.Second)
-	set(&c.Exchange, 15*c.Period)
+	set(&c.SyncInterval, 15*c.Period)
 	set(&c.ForgetAfter, 10*time.Minute)
 	for _, x := range []struct {
 		n *int
 		v int
-	}{{&c.Indirect, 3}, {&c.Repeat, 4}, {&c.Health, 4}, {&c.Packet, 1100}, {&c.CutMisses, 4}} {
+	}{{&c.Indirect, 3}, {&c.RetransmitMult, 4}, {&c.MaxHealth, 4}, {&c.MaxUpdateBytes, 1100}, {&c.CutAfter, 4}} {
 		if *x.n == 0 {
 			*x.n = x.v
 		}
@@ -188,13 +188,13 @@
 	for _, x := range []struct {
 		f *float64
 		v float64
-	}{{&c.Alpha, 4}, {&c.Beta, 4}, {&c.Phi, 1}} {
+	}{{&c.MinSuspicionMult, 4}, {&c.MaxSuspicionMult, 4}, {&c.MinPhi, 1}} {
 		if *x.f == 0 {
 			*x.f = x.v
 		}
 	}
-	if c.Period <= 0 || c.Timeout <= 0 || c.Timeout > c.Period/2 || c.MaxPause < 0 || c.Beta < 1 || c.Alpha < 0 {
-		return fmt.Errorf("swim: Period %v, Timeout %v, Bear %v, Alpha %v, Beta %v: Timeout is above 0 and at most half of Period, Beta 1 at least, none below 0", c.Period, c.Timeout, c.MaxPause, c.Alpha, c.Beta)
+	if c.Period <= 0 || c.Timeout <= 0 || c.Timeout > c.Period/2 || c.MaxPause < 0 || c.MaxSuspicionMult < 1 || c.MinSuspicionMult < 0 {
+		return fmt.Errorf("swim: Period %v, Timeout %v, Bear %v, Alpha %v, Beta %v: Timeout is above 0 and at most half of Period, Beta 1 at least, none below 0", c.Period, c.Timeout, c.MaxPause, c.MinSuspicionMult, c.MaxSuspicionMult)
 	}
 	return nil
 }
@@ -284,7 +284,7 @@
 	if err := c.defaults(); err != nil {
 		return nil, err
 	}
-	s := &Swim{c: c, rng: rand.New(rand.NewPCG(c.Seed, 0x5317)), now: now, members: map[string]*member{}, links: map[[3]string]*link{}, queued: map[string]int{}, wake: now}
+	s := &Swim{c: c, rng: rand.New(rand.NewPCG(c.RandomSeed, 0x5317)), now: now, members: map[string]*member{}, links: map[[3]string]*link{}, queued: map[string]int{}, wake: now}
 	s.self = &member{Update: Update{Name: c.Self, Addr: c.Addr, Process: c.Process, Incarnation: 1}, since: now}
 	s.members[c.Self] = s.self
 	// Coordinators that start together do not probe in step.
@@ -313,7 +313,7 @@
 func (s *Swim) Health() int { return s.health }
 
 // Refused tells why we can't be a member, empty where we can.
-func (s *Swim) Refused() string { return s.refused }
+func (s *Swim) Rejection() string { return s.refused }
 
 // Step takes in what has happened and returns what is to be done.
 func (s *Swim) Step(now time.Duration, events ...Event) []Action {
@@ -358,11 +358,11 @@
 // was not heard meanwhile, so no time of that counts against anybody.
 func (s *Swim) pause() {
 	lag := s.now - s.wake
-	if lag < s.c.Period/2 || s.c.Health < 0 {
+	if lag < s.c.Period/2 || s.c.MaxHealth < 0 {
 		return
 	}
 	s.counts.Pauses++
-	s.worse(1 + int(min(lag/s.c.Period, time.Duration(max(s.c.Health, 1)))))
+	s.worse(1 + int(min(lag/s.c.Period, time.Duration(max(s.c.MaxHealth, 1)))))
 	s.probes, s.relays = nil, nil
 	s.probeAt, s.newsAt = s.now, s.now
 	names := s.names()
@@ -387,7 +387,7 @@
 }
 
 // worse and better move our own health.
-func (s *Swim) worse(by int) { s.health = min(s.health+by, max(s.c.Health, 0)) }
+func (s *Swim) worse(by int) { s.health = min(s.health+by, max(s.c.MaxHealth, 0)) }
 func (s *Swim) better()      { s.health = max(s.health-1, 0) }
 
 // wide is a time of ours, widened by our health.
