--- a/internal/swim/links.go
+++ b/internal/swim/links.go
@@ -11,9 +11,9 @@
 )
 
 // link is a report as it is held.
-type link struct {
+type heldLink struct {
 	Link
-	at time.Duration // when it came in
+	receivedAt time.Duration // when it came in
 }
 
 // Quorum is what is held of the fleet as a whole.
@@ -34,80 +34,80 @@
 	Alone                 // nobody else is there
 )
 
-var verdictNames = [...]string{"connected", "split", "alone"}
+var quorumNames = [...]string{"connected", "split", "alone"}
 
-func (k QuorumKind) String() string { return verdictNames[k] }
+func (k QuorumKind) String() string { return quorumNames[k] }
 
 // key orders a pair of members and the reporter.
 func (l *Link) key() [3]string { return [3]string{l.From, l.To, l.By} }
 
 // life is how long a report holds that nobody renews: some rounds of probes.
-func (s *Swim) life() time.Duration { return 10*time.Duration(s.size())*s.c.Period + 20*s.c.Period }
+func (s *Swim) linkLifetime() time.Duration { return 10*time.Duration(s.size())*s.cfg.Period + 20*s.cfg.Period }
 
 // cutOff reports a link whose direct acks were missed several times in a row, though the member is there.
-func (s *Swim) cutOff(m *member) {
-	if m.missed < s.c.CutAfter || m.State > Suspect {
+func (s *Swim) reportCut(m *member) {
+	if m.missed < s.cfg.CutAfter || m.State > Suspect {
 		return
 	}
-	l := Link{From: m.Name, To: s.c.Self, By: s.c.Self, Cut: true}
+	l := Link{From: m.Name, To: s.cfg.Self, By: s.cfg.Self, Cut: true}
 	if m.heard > m.missedAt {
-		l.From, l.To = s.c.Self, m.Name // we still hear it: what we send is lost
+		l.From, l.To = s.cfg.Self, m.Name // we still hear it: what we send is lost
 	}
-	if m.reported != "" && m.reported != l.From {
-		s.mend(m)
+	if m.reportedCut != "" && m.reportedCut != l.From {
+		s.retractCut(m)
 	}
-	if held := s.links[l.key()]; held != nil && held.Cut && s.now-held.at < s.life()/2 {
+	if held := s.links[l.key()]; held != nil && held.Cut && s.now-held.receivedAt < s.linkLifetime()/2 {
 		return
 	}
-	m.reported = l.From
-	s.version++
-	l.Version = s.version
-	s.linkWord(l)
+	m.reportedCut = l.From
+	s.linkVersion++
+	l.Version = s.linkVersion
+	s.applyLink(l)
 }
 
 // ackedLink and heardLink take back what a direct ack, or a packet heard, speaks against.
-func (s *Swim) ackedLink(m *member) {
-	if m.reported != "" {
-		s.mend(m)
+func (s *Swim) linkAcked(m *member) {
+	if m.reportedCut != "" {
+		s.retractCut(m)
 	}
 }
 
-func (s *Swim) heardLink(m *member) {
-	if m.reported == m.Name {
-		s.mend(m)
+func (s *Swim) linkHeard(m *member) {
+	if m.reportedCut == m.Name {
+		s.retractCut(m)
 	}
 }
 
-func (s *Swim) mend(m *member) {
-	l := Link{From: m.reported, To: s.c.Self, By: s.c.Self}
-	if m.reported == s.c.Self {
+func (s *Swim) retractCut(m *member) {
+	l := Link{From: m.reportedCut, To: s.cfg.Self, By: s.cfg.Self}
+	if m.reportedCut == s.cfg.Self {
 		l.To = m.Name
 	}
-	m.reported = ""
-	s.version++
-	l.Version = s.version
-	s.linkWord(l)
+	m.reportedCut = ""
+	s.linkVersion++
+	l.Version = s.linkVersion
+	s.applyLink(l)
 }
 
 // linkWord takes in a report, and passes it on where it is newer.
-func (s *Swim) linkWord(l Link) {
+func (s *Swim) applyLink(l Link) {
 	if l.By != l.From && l.By != l.To || l.From == l.To || s.members[l.From] == nil || s.members[l.To] == nil {
 		return
 	}
 	held := s.links[l.key()]
-	if held == nil && len(s.links) >= mostLinks || held != nil && int32(l.Version-held.Version) <= 0 {
+	if held == nil && len(s.links) >= maxLinks || held != nil && int32(l.Version-held.Version) <= 0 {
 		return
 	}
-	if l.By == s.c.Self && int32(l.Version-s.version) > 0 {
-		s.version = l.Version // our own words of before a restart
+	if l.By == s.cfg.Self && int32(l.Version-s.linkVersion) > 0 {
+		s.linkVersion = l.Version // our own words of before a restart
 	}
-	s.stale = true
+	s.quorumStale = true
 	was := s.Reachable(l.From, l.To)
-	s.links[l.key()] = &link{l, s.now}
-	s.news = slices.DeleteFunc(s.news, func(i *item) bool { return i.link != nil && i.link.key() == l.key() })
-	s.queue(&item{link: &l})
+	s.links[l.key()] = &heldLink{l, s.now}
+	s.broadcasts = slices.DeleteFunc(s.broadcasts, func(i *queuedUpdate) bool { return i.link != nil && i.link.key() == l.key() })
+	s.enqueue(&queuedUpdate{link: &l})
 	if is := s.Reachable(l.From, l.To); is != was {
-		s.changed(Change{Name: l.To, LinkFrom: l.From, Cut: !is, Why: "so says " + l.By})
+		s.emitChange(Change{Name: l.To, LinkFrom: l.From, Cut: !is, Why: "so says " + l.By})
 	}
 }
 
@@ -119,12 +119,12 @@
 		}
 	}
 	if m := s.members[name]; m != nil {
-		m.reported, m.missed = "", 0
+		m.reportedCut, m.missed = "", 0
 	}
 }
 
 // reports are all reports held, in order.
-func (s *Swim) reports() []Link {
+func (s *Swim) sortedLinks() []Link {
 	var list []Link
 	for _, l := range s.links {
 		list = append(list, l.Link)
@@ -136,7 +136,7 @@
 // Reachable tells whether what one member sends reaches the other by itself, as far as anybody has said.
 func (s *Swim) Reachable(from, to string) bool {
 	for _, by := range []string{from, to} {
-		if l := s.links[[3]string{from, to, by}]; l != nil && l.Cut && s.now-l.at < s.life() {
+		if l := s.links[[3]string{from, to, by}]; l != nil && l.Cut && s.now-l.receivedAt < s.linkLifetime() {
 			return false
 		}
 	}
@@ -164,7 +164,7 @@
 	var list []Member
 	for _, m := range s.members {
 		v := Member{Name: m.Name, Addr: m.Addr, State: m.State, Incarnation: m.Incarnation, Since: m.since,
-			Suspectors: slices.Clone(m.backers), Phi: m.phi(s.now), Heard: m.heard, Reached: m.reached, RTT: m.rtt}
+			Suspectors: slices.Clone(m.suspectors), Phi: m.phi(s.now), Heard: m.heard, Reached: m.reached, RTT: m.rtt}
 		if m == s.self {
 			v.Phi = 0
 		}
@@ -175,7 +175,7 @@
 	for i := range list {
 		at[list[i].Name] = i
 	}
-	for _, l := range s.reports() {
+	for _, l := range s.sortedLinks() {
 		if s.Reachable(l.From, l.To) || s.members[l.From].State > Suspect || s.members[l.To].State > Suspect {
 			continue
 		}
@@ -202,12 +202,12 @@
 	v := Quorum{Known: s.size(), Here: 1}
 	cut := map[string]int{}
 	for k, l := range s.links {
-		if l.Cut && s.now-l.at < s.life() {
+		if l.Cut && s.now-l.receivedAt < s.linkLifetime() {
 			cut[k[0]]++
 			cut[k[1]]++
 		}
 	}
-	if len(cut) == 0 && s.states[Dead] == 0 { // as it is nearly always
+	if len(cut) == 0 && s.stateCounts[Dead] == 0 { // as it is nearly always
 		v.Here, v.Majority = v.Known, true
 		return v
 	}
@@ -228,8 +228,8 @@
 		}
 	}
 	both := func(a, b string) bool { return s.Reachable(a, b) && s.Reachable(b, a) }
-	seen := map[string]bool{s.c.Self: true}
-	for todo := []string{s.c.Self}; len(todo) > 0; {
+	seen := map[string]bool{s.cfg.Self: true}
+	for todo := []string{s.cfg.Self}; len(todo) > 0; {
 		at := todo[0]
 		todo = todo[1:]
 		if len(plain) > 0 && (cut[at] == 0 || both(at, plain[0])) {
@@ -248,7 +248,7 @@
 	slices.Sort(lost)
 	together := false
 	for i := 1; i < len(lost); i++ {
-		together = together || lost[i]-lost[i-1] < time.Duration(s.c.MaxSuspicionMult*float64(s.MinSuspicion()))
+		together = together || lost[i]-lost[i-1] < time.Duration(s.cfg.MaxSuspicionMult*float64(s.MinSuspicion()))
 	}
 	switch {
 	case v.Here == 1 && v.Known > 1:
@@ -260,42 +260,42 @@
 }
 
 // judge tells of a verdict that has changed.
-func (s *Swim) judge() {
-	if !s.stale {
+func (s *Swim) updateQuorum() {
+	if !s.quorumStale {
 		return
 	}
-	s.stale = false
-	if v := s.Quorum(); v.Kind != s.verdict.Kind || v.Majority != s.verdict.Majority {
-		s.verdict = v
-		s.changed(Change{Quorum: v})
+	s.quorumStale = false
+	if v := s.Quorum(); v.Kind != s.quorum.Kind || v.Majority != s.quorum.Majority {
+		s.quorum = v
+		s.emitChange(Change{Quorum: v})
 	}
 }
 
 // gaps are the usual silences between two packets of a member, in seconds.
-type gaps struct {
-	n             int
-	mean, squares float64
+type intervalStats struct {
+	count             int
+	mean, variance float64
 }
 
-func (g *gaps) add(x float64) {
-	g.n++
-	w := math.Max(1/float64(g.n), 0.05)
+func (g *intervalStats) add(x float64) {
+	g.count++
+	w := math.Max(1/float64(g.count), 0.05)
 	d := x - g.mean
 	g.mean += w * d
-	g.squares = (1 - w) * (g.squares + w*d*d)
+	g.variance = (1 - w) * (g.variance + w*d*d)
 }
 
 // phi is how unusual the silence of a member is now: minus the logarithm of the chance that a longer one was to be
 // expected, after the accrual detector of Hayashibara (2004). 0 where too little was heard of it.
 func (m *member) phi(now time.Duration) float64 {
-	if m.gaps.n < 3 || m.heard == 0 {
+	if m.intervals.count < 3 || m.heard == 0 {
 		if m.heard == 0 {
 			return math.Inf(1) // nothing speaks for it
 		}
 		return 0
 	}
-	dev := math.Max(math.Sqrt(m.gaps.squares), m.gaps.mean/4)
-	y := ((now - m.heard).Seconds() - m.gaps.mean) / math.Max(dev, 1e-6)
+	dev := math.Max(math.Sqrt(m.intervals.variance), m.intervals.mean/4)
+	y := ((now - m.heard).Seconds() - m.intervals.mean) / math.Max(dev, 1e-6)
 	e := math.Exp(-y * (1.5976 + 0.070566*y*y)) // the normal tail, approximated
 	if y > 0 {
 		return math.Min(-math.Log10(e/(1+e)), 99)
--- a/internal/swim/swim.go
+++ b/internal/swim/swim.go
@@ -158,12 +158,12 @@
 }
 
 const (
-	mostMembers = 10_000
-	mostLinks   = 8192
-	mostJump    = 1 << 16 // by how much a word may raise an incarnation: who lies can't use them up
+	maxMembers = 10_000
+	maxLinks   = 8192
+	maxIncarnationJump    = 1 << 16 // by how much a word may raise an incarnation: who lies can't use them up
 )
 
-func (c *Config) defaults() error {
+func (c *Config) setDefaults() error {
 	if c.Self == "" || c.Addr == "" {
 		return fmt.Errorf("swim: Self, Addr: both must be given")
 	}
@@ -203,75 +203,75 @@
 type member struct {
 	Update
 	since    time.Duration // of its state
-	until    time.Duration // Suspect: when it is dead
-	begun    time.Duration // Suspect: when that began
-	backers  []string      // Suspect: who says so
+	deadAt    time.Duration // Suspect: when it is dead
+	suspectedAt    time.Duration // Suspect: when that began
+	suspectors  []string      // Suspect: who says so
 	heard    time.Duration // last packet of its own; 0 for never
 	reached  time.Duration // last direct ack
 	rtt      time.Duration
-	gaps     gaps
-	ordered  bool          // it is in the order of probes
+	intervals     intervalStats
+	enrolled  bool          // it is in the order of probes
 	missed   int           // direct acks in a row
 	missedAt time.Duration // the first of them
-	vain     int           // probes in a row that nobody answered
-	retired  []uint64      // processes that it had before: what still goes round of them, or is sent anew, is old
-	reported string        // the direction that is reported as cut: its From; empty for none
+	unanswered     int           // probes in a row that nobody answered
+	formerProcesses  []uint64      // processes that it had before: what still goes round of them, or is sent anew, is old
+	reportedCut string        // the direction that is reported as cut: its From; empty for none
 }
 
 // probe is one that is out.
 type probe struct {
 	seq      uint32
-	name     string
-	at       time.Duration
-	indirect time.Duration // when others are asked; 0 once they were
-	end      time.Duration
-	asked    int  // others
+	target     string
+	sentAt       time.Duration
+	indirectAt time.Duration // when others are asked; 0 once they were
+	endAt      time.Duration
+	requested    int  // others
 	nacks    int  // of them that answered
 	relayed  bool // an ack came by another
-	direct   bool // or by itself
+	acked   bool // or by itself
 }
 
 // relay is a probe on another's behalf.
 type relay struct {
 	seq    uint32 // ours
-	theirs uint32 // theirs
-	to     string // their address
-	nack   time.Duration
-	end    time.Duration
+	requesterSeq uint32 // theirs
+	requester     string // their address
+	nackAt   time.Duration
+	endAt    time.Duration
 }
 
 // Swim is one member's view. It is not safe for concurrent use.
 type Swim struct {
-	c        Config
+	cfg        Config
 	rng      *rand.Rand
 	now      time.Duration
 	self     *member
 	members  map[string]*member // self included
 	order    []string           // of probes, self and the left not included
 	next     int
-	doubted  []string // probed again between others
+	recheck  []string // probed again between others
 	probes   []*probe
 	relays   []relay
 	seq      uint32
 	health   int
-	news     []*item        // by how often each was sent, then the newest first
-	queued   map[string]int // updates among them, by member
-	links    map[[3]string]*link
-	version  uint32 // of our words on links
+	broadcasts     []*queuedUpdate        // by how often each was sent, then the newest first
+	queuedByMember   map[string]int // updates among them, by member
+	links    map[[3]string]*heldLink
+	linkVersion  uint32 // of our words on links
 	probeAt  time.Duration
-	newsAt   time.Duration
-	fullAt   time.Duration
-	wake     time.Duration
+	gossipAt   time.Duration
+	syncAt   time.Duration
+	wakeAt     time.Duration
 	leaving  bool
-	refused  string
-	verdict  Quorum
-	stale    bool          // the verdict may have changed
-	soonest  time.Duration // when a suspicion ends, or one that has left is forgotten; 0 for never
-	states   [4]int        // how many others are in each state
-	seedWait time.Duration // the last pause between calls of seeds that are no members
-	again    bool          // the next turn is that of a doubted one
+	rejection  string
+	quorum  Quorum
+	quorumStale    bool          // the verdict may have changed
+	suspicionCheckAt  time.Duration // when a suspicion ends, or one that has left is forgotten; 0 for never
+	stateCounts   [4]int        // how many others are in each state
+	seedBackoff time.Duration // the last pause between calls of seeds that are no members
+	recheckTurn    bool          // the next turn is that of a doubted one
 	counts   Counts
-	out      []Action
+	actions      []Action
 }
 
 // Counts are what a member has done and seen, for metrics.
@@ -281,30 +281,30 @@
 
 // New returns a view that holds nobody but itself. Joining begins with the first Step.
 func New(c Config, now time.Duration) (*Swim, error) {
-	if err := c.defaults(); err != nil {
+	if err := c.setDefaults(); err != nil {
 		return nil, err
 	}
-	s := &Swim{c: c, rng: rand.New(rand.NewPCG(c.RandomSeed, 0x5317)), now: now, members: map[string]*member{}, links: map[[3]string]*link{}, queued: map[string]int{}, wake: now}
+	s := &Swim{cfg: c, rng: rand.New(rand.NewPCG(c.RandomSeed, 0x5317)), now: now, members: map[string]*member{}, links: map[[3]string]*heldLink{}, queuedByMember: map[string]int{}, wakeAt: now}
 	s.self = &member{Update: Update{Name: c.Self, Addr: c.Addr, Process: c.Process, Incarnation: 1}, since: now}
 	s.members[c.Self] = s.self
 	// Coordinators that start together do not probe in step.
-	s.probeAt, s.newsAt, s.fullAt = now+s.share(c.Period), now+s.share(c.Period), now
-	s.spread(s.self.Update)
+	s.probeAt, s.gossipAt, s.syncAt = now+s.randomUpTo(c.Period), now+s.randomUpTo(c.Period), now
+	s.broadcast(s.self.Update)
 	return s, nil
 }
 
-func (s *Swim) share(d time.Duration) time.Duration {
+func (s *Swim) randomUpTo(d time.Duration) time.Duration {
 	return time.Duration(s.rng.Float64() * float64(d))
 }
 
 // Next is when Step must be called again if nothing happens before.
-func (s *Swim) Next() time.Duration { return s.wake }
+func (s *Swim) Next() time.Duration { return s.wakeAt }
 
 // Counts tells what was done so far.
 func (s *Swim) Counts() Counts { return s.counts }
 
 // Self is our own name.
-func (s *Swim) Self() string { return s.c.Self }
+func (s *Swim) Self() string { return s.cfg.Self }
 
 // Incarnation is our own.
 func (s *Swim) Incarnation() uint64 { return s.self.Incarnation }
@@ -313,73 +313,73 @@
 func (s *Swim) Health() int { return s.health }
 
 // Refused tells why we can't be a member, empty where we can.
-func (s *Swim) Rejection() string { return s.refused }
+func (s *Swim) Rejection() string { return s.rejection }
 
 // Step takes in what has happened and returns what is to be done.
 func (s *Swim) Step(now time.Duration, events ...Event) []Action {
-	s.now, s.out = max(now, s.now), nil
-	s.pause()
+	s.now, s.actions = max(now, s.now), nil
+	s.checkPause()
 	for _, e := range events {
 		switch {
 		case e.Packet != nil:
-			s.packet(e.Packet)
+			s.receive(e.Packet)
 		case e.Full != nil:
-			s.full(e.Full)
+			s.receiveFull(e.Full)
 		case e.Forget != "":
-			s.forget(e.Forget)
+			s.markGone(e.Forget)
 		case e.Leave:
 			s.leave()
 		}
 	}
-	s.probing()
-	s.suspicions()
-	s.exchanges()
-	s.judge()
-	s.wake = min(s.probeAt, s.fullAt, s.newsAt)
-	if s.soonest > 0 {
-		s.wake = min(s.wake, s.soonest)
+	s.runProbes()
+	s.runSuspicions()
+	s.runSync()
+	s.updateQuorum()
+	s.wakeAt = min(s.probeAt, s.syncAt, s.gossipAt)
+	if s.suspicionCheckAt > 0 {
+		s.wakeAt = min(s.wakeAt, s.suspicionCheckAt)
 	}
 	for _, p := range s.probes {
-		if p.indirect > 0 {
-			s.wake = min(s.wake, p.indirect)
+		if p.indirectAt > 0 {
+			s.wakeAt = min(s.wakeAt, p.indirectAt)
 		}
-		s.wake = min(s.wake, p.end)
+		s.wakeAt = min(s.wakeAt, p.endAt)
 	}
 	for _, r := range s.relays {
-		if r.nack > 0 {
-			s.wake = min(s.wake, r.nack)
+		if r.nackAt > 0 {
+			s.wakeAt = min(s.wakeAt, r.nackAt)
 		}
 	}
-	s.wake = max(s.wake, s.now+time.Millisecond)
-	return s.out
+	s.wakeAt = max(s.wakeAt, s.now+time.Millisecond)
+	return s.actions
 }
 
 // pause notes that this turn comes late: the process stood still, or is starved. Nobody else is to blame for what
 // was not heard meanwhile, so no time of that counts against anybody.
-func (s *Swim) pause() {
-	lag := s.now - s.wake
-	if lag < s.c.Period/2 || s.c.MaxHealth < 0 {
+func (s *Swim) checkPause() {
+	lag := s.now - s.wakeAt
+	if lag < s.cfg.Period/2 || s.cfg.MaxHealth < 0 {
 		return
 	}
 	s.counts.Pauses++
-	s.worse(1 + int(min(lag/s.c.Period, time.Duration(max(s.c.MaxHealth, 1)))))
+	s.degrade(1 + int(min(lag/s.cfg.Period, time.Duration(max(s.cfg.MaxHealth, 1)))))
 	s.probes, s.relays = nil, nil
-	s.probeAt, s.newsAt = s.now, s.now
+	s.probeAt, s.gossipAt = s.now, s.now
 	names := s.names()
 	for _, name := range names {
 		m := s.members[name]
 		if m.heard > 0 {
 			m.heard += lag
 		}
-		m.missed, m.vain = 0, 0
+		m.missed, m.unanswered = 0, 0
 		if m.State == Suspect {
-			m.until += lag
-			m.begun += lag
+			m.deadAt += lag
+			m.suspectedAt += lag
 		}
 	}
-	s.soonest = s.now + time.Millisecond // looked for anew
+	s.suspicionCheckAt = s.now + time.Millisecond // looked for anew
 	// Who was away is the first to be suspected: it asks around at once, and hears so with the acks.
-	for range s.c.Indirect {
+	for range s.cfg.Indirect {
 		if m := s.pick(func(m *member) bool { return m.State <= Suspect }); m != nil {
 			s.ping(m)
 		}
@@ -387,17 +387,17 @@
 }
 
 // worse and better move our own health.
-func (s *Swim) worse(by int) { s.health = min(s.health+by, max(s.c.MaxHealth, 0)) }
-func (s *Swim) better()      { s.health = max(s.health-1, 0) }
+func (s *Swim) degrade(by int) { s.health = min(s.health+by, max(s.cfg.MaxHealth, 0)) }
+func (s *Swim) improve()      { s.health = max(s.health-1, 0) }
 
 // wide is a time of ours, widened by our health.
-func (s *Swim) wide(d time.Duration) time.Duration { return d * time.Duration(1+s.health) }
+func (s *Swim) scaled(d time.Duration) time.Duration { return d * time.Duration(1+s.health) }
 
 // names are those of all other members, sorted, where the order shows in the result.
 func (s *Swim) names() []string {
 	list := make([]string, 0, len(s.members))
 	for name := range s.members {
-		if name != s.c.Self {
+		if name != s.cfg.Self {
 			list = append(list, name)
 		}
 	}
@@ -433,16 +433,16 @@
 
 func (s *Swim) send(to string, m Message) {
 	m.From = s.self.Update
-	s.out = append(s.out, Action{To: to, Packet: &m})
+	s.actions = append(s.actions, Action{To: to, Packet: &m})
 }
 
-func (s *Swim) changed(c Change) { s.out = append(s.out, Action{Change: &c}) }
+func (s *Swim) emitChange(c Change) { s.actions = append(s.actions, Action{Change: &c}) }
 
 // leave says goodbye to some, who pass it on.
 func (s *Swim) leave() {
 	s.leaving = true
 	s.self.State = Left
-	for range 2 * s.c.Indirect {
+	for range 2 * s.cfg.Indirect {
 		if m := s.pick(func(m *member) bool { return m.State <= Suspect }); m != nil {
 			s.ping(m)
 		}
@@ -450,10 +450,10 @@
 }
 
 // forget takes an operator's word that a member is gone for good.
-func (s *Swim) forget(name string) {
+func (s *Swim) markGone(name string) {
 	if m := s.members[name]; m != nil && m != s.self && m.State == Dead {
 		u := m.Update
-		u.State, u.By = Left, s.c.Self
+		u.State, u.By = Left, s.cfg.Self
 		s.apply(u, false, "an operator says that it is gone for good")
 	}
 }
