--- a/internal/lab/swimsim/swimsim.go
+++ b/internal/lab/swimsim/swimsim.go
@@ -105,7 +105,7 @@
 		s.Self, s.Addr, s.Process, s.RandomSeed = Name(i), fmt.Sprint(i), process*100_000+uint64(i)+1, f.c.Seed*7919+uint64(i)+process
 		s.Seeds = []string{"0", fmt.Sprint(min(1, f.c.Members-1))}
 		if f.c.Detect == "plain" {
-			s.MaxHealth, s.MinPhi, s.MaxPause = -1, -1, time.Nanosecond
+			s.MaxHealth, s.Suspicion.MinPhi, s.MaxPause = -1, -1, time.Nanosecond
 		}
 		d, err := swim.New(s, f.now+n.skew)
 		if err != nil {
--- a/internal/swim/fleet_test.go
+++ b/internal/swim/fleet_test.go
@@ -28,17 +28,16 @@
 }
 
 // settled runs until all views are equal and true, or fails.
-func settled(t testing.TB, f *swimsim.Fleet, within time.Duration, what string) time.Duration {
+func settled(t testing.TB, f *swimsim.Fleet, within time.Duration, what string) {
 	t.Helper()
 	from := f.Now()
 	for f.Now() < from+within {
 		if f.Agreed() {
-			return f.Now() - from
+			return
 		}
 		f.Run(f.Now() + 100*time.Millisecond)
 	}
 	t.Errorf("%s: views still differ after %v", what, within)
-	return within
 }
 
 // bear is the longest pause that must do no harm by the defaults.
@@ -62,7 +61,7 @@
 			settled(t, f, 40*time.Second, "return under a new process")
 			if n > 2 {
 				if v := f.View(0).Quorum(); v.Kind != swim.Connected || v.Here != n || !v.Majority {
-					t.Errorf("verdict %+v", v)
+					t.Errorf("quorum %+v", v)
 				}
 			}
 		})
@@ -152,7 +151,7 @@
 				}
 			}
 			if got := v.Quorum(); got.Kind != swim.Connected || got.Here != 8 {
-				t.Errorf("seed %d: member %d: verdict %+v: the others reach both", seed, i, got)
+				t.Errorf("seed %d: member %d: quorum %+v: the others reach both", seed, i, got)
 			}
 		}
 		f.Cut(1, 2, false)
@@ -189,7 +188,7 @@
 				here = 3
 			}
 			if v.Kind != swim.Split || v.Here != here || v.Known != 8 || v.Majority != (here == 5) {
-				t.Errorf("seed %d: member %d: verdict %+v, want split, %d of 8", seed, i, v, here)
+				t.Errorf("seed %d: member %d: quorum %+v, want split, %d of 8", seed, i, v, here)
 			}
 		}
 		split(false)
@@ -197,17 +196,17 @@
 	}
 }
 
-// TestWordsOnAnotherProcess: a restarted process's own word counts from its start; what others still say of the one before
-// does not bring that one back, and what they say of a later one does count.
-func TestWordsOnAnotherProcess(t *testing.T) {
+// TestUpdatesOnAnotherProcess: a restarted process's own update counts from its start; what others still say of the one
+// before does not bring that one back, and what they say of a later one does count.
+func TestUpdatesOnAnotherProcess(t *testing.T) {
 	const before, after, later = 1, 2, 3
-	word := func(process, incarnation uint64) swim.Update {
+	update := func(process, incarnation uint64) swim.Update {
 		return swim.Update{Name: "a", Addr: "1", Process: process, Incarnation: incarnation}
 	}
 	own := func(u swim.Update) swim.Event {
 		return swim.Event{Packet: &swim.Message{Kind: swim.Updates, From: u}}
 	}
-	hearsay := func(u swim.Update) swim.Event {
+	others := func(u swim.Update) swim.Event {
 		return swim.Event{Packet: &swim.Message{Kind: swim.Updates, From: swim.Update{Name: "b", Addr: "2", Process: 9, Incarnation: 1}, Updates: []swim.Update{u}}}
 	}
 	for _, c := range []struct {
@@ -215,12 +214,12 @@
 		events []swim.Event
 		want   uint64 // the incarnation that is held in the end
 	}{
-		{"its own word goes on to count after hearsay on the one before", []swim.Event{own(word(after, 1)), hearsay(word(before, 1)), own(word(after, 3))}, 3},
-		{"also after newer hearsay on the one before", []swim.Event{own(word(after, 1)), hearsay(word(before, 5)), own(word(after, 7))}, 7},
-		{"its own word counts though it has less behind it", []swim.Event{hearsay(word(before, 5)), own(word(after, 1))}, 6},
-		{"the one before says no more by a packet sent anew", []swim.Event{own(word(before, 5)), own(word(after, 1)), own(word(before, 5))}, 6},
-		{"hearsay on a later one", []swim.Event{own(word(after, 1)), hearsay(word(later, 2))}, 2},
-		{"an incarnation that is no more than a lie", []swim.Event{own(word(after, 1)), hearsay(word(after, 1<<40))}, 1},
+		{"its own word goes on to count after hearsay on the one before", []swim.Event{own(update(after, 1)), others(update(before, 1)), own(update(after, 3))}, 3},
+		{"also after newer hearsay on the one before", []swim.Event{own(update(after, 1)), others(update(before, 5)), own(update(after, 7))}, 7},
+		{"its own word counts though it has less behind it", []swim.Event{others(update(before, 5)), own(update(after, 1))}, 6},
+		{"the one before says no more by a packet sent anew", []swim.Event{own(update(before, 5)), own(update(after, 1)), own(update(before, 5))}, 6},
+		{"hearsay on a later one", []swim.Event{own(update(after, 1)), others(update(later, 2))}, 2},
+		{"an incarnation that is no more than a lie", []swim.Event{own(update(after, 1)), others(update(after, 1<<40))}, 1},
 	} {
 		s, err := swim.New(swim.Config{Self: "x", Addr: "0", Process: 7}, 0)
 		if err != nil {
@@ -315,3 +314,29 @@
 		t.Errorf("packets a second and member: %.2f of 10, %.2f of 100", rates[0], rates[1])
 	}
 }
+
+// TestLateLinkReport: a member has left, and a report on a link to it comes late. Once the member is forgotten the report
+// is on nobody, and the list of members must leave it out.
+func TestLateLinkReport(t *testing.T) {
+	s, err := swim.New(swim.Config{Self: "x", Addr: "0", Process: 7, ForgetAfter: time.Second}, 0)
+	if err != nil {
+		t.Fatal(err)
+	}
+	from := swim.Update{Name: "a", Addr: "1", Process: 1, Incarnation: 1}
+	left := swim.Update{Name: "b", Addr: "2", Process: 2, Incarnation: 1}
+	s.Step(10*time.Millisecond, swim.Event{Packet: &swim.Message{Kind: swim.Updates, From: from, Updates: []swim.Update{left}}})
+	left.State = swim.Left
+	s.Step(20*time.Millisecond, swim.Event{Packet: &swim.Message{Kind: swim.Updates, From: from, Updates: []swim.Update{left},
+		Links: []swim.Link{{From: "a", To: "b", By: "a", Version: 1, Cut: true}}}})
+	for now := 30 * time.Millisecond; now < 2*time.Second; now += 10 * time.Millisecond {
+		s.Step(now)
+	}
+	if _, known := s.State("b"); known {
+		t.Fatal("b is still known")
+	}
+	for _, m := range s.Members() {
+		if m.Partly || len(m.CutTo)+len(m.CutFrom) > 0 {
+			t.Errorf("%s is held for partly reachable: %+v", m.Name, m)
+		}
+	}
+}
--- /dev/null
+++ b/internal/swim/sync.go
@@ -0,0 +1,99 @@
+package swim
+
+import (
+	"slices"
+	"time"
+)
+
+// syncSchedule is when the full state is exchanged with another member.
+type syncSchedule struct {
+	nextAt      time.Duration
+	seedBackoff time.Duration // last delay between exchanges with seeds that are no members
+}
+
+// startSync begins an exchange of the full state: with a seed that is no known member, as there may be a side of the fleet
+// that is not known, with a backoff; else now and then with any member, the dead included.
+func (s *Swim) startSync() {
+	if s.now < s.sync.nextAt || s.leaving {
+		return
+	}
+	s.sync.nextAt = s.now + s.cfg.SyncInterval/2 + s.randomUpTo(s.cfg.SyncInterval)
+	to := ""
+	if seeds := s.unknownSeeds(); len(seeds) > 0 {
+		to = seeds[s.rng.IntN(len(seeds))]
+		backoff := min(max(2*s.sync.seedBackoff, s.cfg.Period/2), s.cfg.SyncInterval)
+		s.sync.seedBackoff = backoff
+		s.sync.nextAt = s.now + backoff/2 + s.randomUpTo(backoff/2)
+	} else if m := s.members.pick(s.rng, s.syncPartner); m != nil {
+		to, s.sync.seedBackoff = m.Addr, 0
+	}
+	if to == "" {
+		return
+	}
+	f := s.fullState()
+	s.actions = append(s.actions, Action{To: to, Full: &f})
+}
+
+// syncPartner tells whether a member is to be exchanged with: each that is reachable, and one in four of the dead.
+func (s *Swim) syncPartner(m *member) bool {
+	return reachable(m) || dead(m) && s.rng.IntN(4) == 0
+}
+
+// unknownSeeds are the seeds at whose address no reachable member is known.
+func (s *Swim) unknownSeeds() (addrs []string) {
+	for _, addr := range s.cfg.Seeds {
+		if addr == s.cfg.Addr {
+			continue
+		}
+		known := false
+		for _, m := range s.members.byName {
+			known = known || m.Addr == addr && reachable(m)
+		}
+		if !known {
+			addrs = append(addrs, addr)
+		}
+	}
+	return addrs
+}
+
+// fullState is all that this member knows.
+func (s *Swim) fullState() Full {
+	f := Full{From: s.self.Update, Links: s.links.sorted()}
+	names := make([]string, 0, len(s.members.byName))
+	for name := range s.members.byName {
+		if name != s.cfg.Self {
+			names = append(names, name)
+		}
+	}
+	slices.Sort(names)
+	for _, name := range names {
+		f.Members = append(f.Members, s.members.byName[name].Update)
+	}
+	return f
+}
+
+// receiveFull applies another's full state, and answers with this member's where it is no reply.
+func (s *Swim) receiveFull(f *Full) {
+	if f.Refused != "" {
+		s.rejection = f.Refused
+		return
+	}
+	from := s.sender(&f.From)
+	if from == nil {
+		if reason := s.nameConflict(&f.From); reason != "" && !f.Reply {
+			s.reply(f, Full{From: s.self.Update, Refused: reason})
+		}
+		return
+	}
+	s.rejection = ""
+	s.applyAll(f.Members, f.Links)
+	if !f.Reply {
+		s.reply(f, s.fullState())
+	}
+}
+
+// reply answers another's full state.
+func (s *Swim) reply(to *Full, answer Full) {
+	answer.Reply = true
+	s.actions = append(s.actions, Action{To: to.From.Addr, Full: &answer})
+}
