--- a/internal/gossip/facts.go
+++ b/internal/gossip/facts.go
@@ -15,16 +15,16 @@
 )
 
 const (
-	factsKind = 0x40 // beside the kinds of swim
-	mostFacts = 1100 // bytes of them in a packet
-	tellTo    = 2    // others in a period
+	kindFacts = 0x40 // beside the kinds of swim
+	maxFactBytes = 1100 // bytes of them in a packet
+	factFanout    = 2    // others in a period
 )
 
 func appendFact(b []byte, f *observations.Fact) []byte {
-	b = text(append(b, byte(f.Field)), f.Node)
+	b = appendText(append(b, byte(f.Field)), f.Node)
 	b = binary.AppendUvarint(b, uint64(f.Stamp.At))
 	b = binary.AppendUvarint(b, uint64(f.Stamp.N))
-	b = text(b, f.Stamp.By)
+	b = appendText(b, f.Stamp.By)
 	b = binary.AppendUvarint(b, uint64((f.Age+time.Millisecond-1)/time.Millisecond)) // never younger than it is
 	return binary.BigEndian.AppendUint32(b, math.Float32bits(float32(f.Value)))
 }
@@ -35,35 +35,35 @@
 	n := 0
 	for i := range facts {
 		next := appendFact(body, &facts[i])
-		if len(next) > mostFacts {
+		if len(next) > maxFactBytes {
 			break
 		}
 		body, n = next, n+1
 	}
-	b = binary.AppendUvarint(append(b, factsKind), uint64(n))
+	b = binary.AppendUvarint(append(b, kindFacts), uint64(n))
 	return append(b, body...), n
 }
 
 // DecodeFacts reads an opened packet of facts. Whether each can be one is internal/observations's to say.
 func DecodeFacts(b []byte) (facts []observations.Fact, err error) {
-	r := &reader{b: b}
-	if r.byte() != factsKind {
-		return nil, errForm
+	r := &decoder{rest: b}
+	if r.readByte() != kindFacts {
+		return nil, errMalformed
 	}
 	for range r.count(10) {
-		f := observations.Fact{Field: observations.Field(r.byte()), Node: r.text()}
+		f := observations.Fact{Field: observations.Field(r.readByte()), Node: r.text()}
 		at, n := r.uvarint(), r.uvarint()
 		f.Stamp = observations.Stamp{At: int64(at), N: uint32(n), By: r.text()}
 		age := r.uvarint()
 		f.Age = time.Duration(age) * time.Millisecond
-		if raw := r.bytes(4); raw != nil {
+		if raw := r.readBytes(4); raw != nil {
 			f.Value = float64(math.Float32frombits(binary.BigEndian.Uint32(raw)))
 		}
-		r.bad = r.bad || at > math.MaxInt64 || n > math.MaxUint32 || age > math.MaxInt32
+		r.failed = r.failed || at > math.MaxInt64 || n > math.MaxUint32 || age > math.MaxInt32
 		facts = append(facts, f)
 	}
-	if r.bad || len(r.b) > 0 {
-		return nil, errForm
+	if r.failed || len(r.rest) > 0 {
+		return nil, errMalformed
 	}
 	return facts, nil
 }
@@ -97,7 +97,7 @@
 }
 
 // tellFacts passes facts on, once a period.
-func (g *Gossip) tellFacts(period time.Duration) {
+func (g *Gossip) gossipFacts(period time.Duration) {
 	tick := time.NewTicker(period)
 	defer tick.Stop()
 	for {
@@ -109,7 +109,7 @@
 		var to []string
 		g.View(func(s *swim.Swim) {
 			for _, m := range s.Members() {
-				if m.State <= swim.Suspect && m.Name != g.o.Swim.Self {
+				if m.State <= swim.Suspect && m.Name != g.opts.Swim.Self {
 					to = append(to, m.Addr)
 				}
 			}
@@ -120,20 +120,20 @@
 		rand.Shuffle(len(to), func(i, j int) { to[i], to[j] = to[j], to[i] })
 		g.facts.Lock()
 		g.learned.Step(g.Since())
-		facts := g.learned.Facts(g.Since(), mostFacts/20)
+		facts := g.learned.Facts(g.Since(), maxFactBytes/20)
 		g.facts.Unlock()
 		if len(facts) == 0 {
 			continue
 		}
 		body, _ := AppendFacts(nil, facts) // what does not fit is told a period later, by how often it was told
-		for _, addr := range to[:min(len(to), tellTo)] {
+		for _, addr := range to[:min(len(to), factFanout)] {
 			g.sendRaw(addr, body)
 		}
 	}
 }
 
 // takeFacts hands over what came.
-func (g *Gossip) takeFacts(plain []byte) error {
+func (g *Gossip) receiveFacts(plain []byte) error {
 	facts, err := DecodeFacts(plain)
 	if err != nil {
 		return err
--- a/internal/gossip/gossip.go
+++ b/internal/gossip/gossip.go
@@ -23,10 +23,10 @@
 )
 
 const (
-	mostPacket    = 1400    // bytes of a packet, its seal included
-	mostExchange  = 4 << 20 // and of an exchange
-	mostExchanges = 8       // that are open at once, each way
-	queued        = 1024    // packets that wait for their turn
+	maxPacketBytes    = 1400    // bytes of a packet, its seal included
+	maxExchangeBytes  = 4 << 20 // and of an exchange
+	maxExchanges = 8       // that are open at once, each way
+	maxQueuedInputs        = 1024    // packets that wait for their turn
 )
 
 // Options are what the talk is started with.
@@ -46,13 +46,13 @@
 
 // Gossip is one coordinator's part in the talk.
 type Gossip struct {
-	o       Options
-	ring    *ring
-	s       *swim.Swim
-	start   time.Time
-	pc      net.PacketConn
-	ln      net.Listener
-	in      chan input
+	opts       Options
+	keys    *keyring
+	swim       *swim.Swim
+	started   time.Time
+	packetConn      net.PacketConn
+	listener      net.Listener
+	inputs      chan input
 	places  chan struct{} // exchanges that we have begun
 	served  chan struct{} // and that others have
 	ctx     context.Context
@@ -82,45 +82,45 @@
 type input struct {
 	event swim.Event
 	reply chan *swim.Full // the answer to an exchange that another has begun
-	look  func(*swim.Swim)
+	view  func(*swim.Swim)
 	done  chan struct{}
 }
 
 // Start listens and begins to join. The listener is given back by Close.
 func Start(o Options) (*Gossip, error) {
-	g := &Gossip{o: o, start: time.Now(), in: make(chan input, queued), places: make(chan struct{}, mostExchanges),
-		served: make(chan struct{}, mostExchanges), limit: rate.NewLimiter(10, 40)}
+	g := &Gossip{opts: o, started: time.Now(), inputs: make(chan input, maxQueuedInputs), places: make(chan struct{}, maxExchanges),
+		served: make(chan struct{}, maxExchanges), limit: rate.NewLimiter(10, 40)}
 	var err error
-	if g.ring, err = newRing(o.Fleet, o.Swim.Process, o.Keys); err != nil {
+	if g.keys, err = newKeyring(o.Fleet, o.Swim.Process, o.Keys); err != nil {
 		return nil, fmt.Errorf("peers: %w", err)
 	}
-	o.Swim.MaxUpdateBytes = mostPacket - overhead - 300 // beside the head of a message
-	if g.s, err = swim.New(o.Swim, 0); err != nil {
+	o.Swim.MaxUpdateBytes = maxPacketBytes - sealOverhead - 300 // beside the head of a message
+	if g.swim, err = swim.New(o.Swim, 0); err != nil {
 		return nil, err
 	}
 	if g.learned, err = observations.New(observations.Config{Self: o.Swim.Self, Warm: o.WarmupTime}); err != nil {
 		return nil, err
 	}
-	if g.pc, err = net.ListenPacket("udp", o.Swim.Addr); err != nil {
+	if g.packetConn, err = net.ListenPacket("udp", o.Swim.Addr); err != nil {
 		return nil, fmt.Errorf("peers.listen: %w", err)
 	}
-	if g.ln, err = net.Listen("tcp", o.Swim.Addr); err != nil {
-		g.pc.Close()
+	if g.listener, err = net.Listen("tcp", o.Swim.Addr); err != nil {
+		g.packetConn.Close()
 		return nil, fmt.Errorf("peers.listen: %w", err)
 	}
 	g.ctx, g.stop = context.WithCancel(context.Background())
 	g.wg.Go(g.run)
-	g.wg.Go(g.packets)
-	g.wg.Go(g.accept)
-	g.wg.Go(func() { g.tellFacts(max(o.Swim.Period, 50*time.Millisecond)) })
+	g.wg.Go(g.readPackets)
+	g.wg.Go(g.serveExchanges)
+	g.wg.Go(func() { g.gossipFacts(max(o.Swim.Period, 50*time.Millisecond)) })
 	return g, nil
 }
 
 // Close ends the talk without a goodbye; see Leave.
 func (g *Gossip) Close() {
 	g.stop()
-	g.pc.Close()
-	g.ln.Close()
+	g.packetConn.Close()
+	g.listener.Close()
 	g.wg.Wait()
 }
 
@@ -133,13 +133,13 @@
 func (g *Gossip) Forget(name string) { g.put(input{event: swim.Event{Forget: name}}) }
 
 // SetKeys replaces the keys: the first seals, all open.
-func (g *Gossip) SetKeys(keys []Key) error { return g.ring.set(keys) }
+func (g *Gossip) SetKeys(keys []Key) error { return g.keys.set(keys) }
 
 // View lets f read the view, between two steps. It returns false where the talk has ended.
 func (g *Gossip) View(f func(*swim.Swim)) bool {
 	done := make(chan struct{})
 	select {
-	case g.in <- input{look: f, done: done}:
+	case g.inputs <- input{view: f, done: done}:
 	case <-g.ctx.Done():
 		return false
 	}
@@ -152,11 +152,11 @@
 }
 
 // Since is how long the talk runs: the clock of what Look shows.
-func (g *Gossip) Since() time.Duration { return time.Since(g.start) }
+func (g *Gossip) Since() time.Duration { return time.Since(g.started) }
 
 func (g *Gossip) put(in input) {
 	select {
-	case g.in <- in:
+	case g.inputs <- in:
 	case <-g.ctx.Done():
 	}
 }
@@ -171,12 +171,12 @@
 		case <-g.ctx.Done():
 			return
 		case <-timer.C:
-		case in := <-g.in:
+		case in := <-g.inputs:
 			ins = append(ins, in)
 		}
 		for more := true; more && len(ins) < 64; {
 			select {
-			case in := <-g.in:
+			case in := <-g.inputs:
 				ins = append(ins, in)
 			default:
 				more = false
@@ -184,29 +184,29 @@
 		}
 		var events []swim.Event
 		step := func() {
-			g.do(g.s.Step(g.Since(), events...), nil)
+			g.perform(g.swim.Step(g.Since(), events...), nil)
 			events = nil
 		}
 		for _, in := range ins {
 			switch {
-			case in.look != nil:
+			case in.view != nil:
 				step()
-				in.look(g.s)
+				in.view(g.swim)
 				close(in.done)
 			case in.reply != nil:
 				step()
-				g.do(g.s.Step(g.Since(), in.event), in.reply)
+				g.perform(g.swim.Step(g.Since(), in.event), in.reply)
 			default:
 				events = append(events, in.event)
 			}
 		}
 		step()
-		timer.Reset(g.s.Next() - g.Since())
+		timer.Reset(g.swim.Next() - g.Since())
 	}
 }
 
 // do carries out what was decided.
-func (g *Gossip) do(actions []swim.Action, reply chan *swim.Full) {
+func (g *Gossip) perform(actions []swim.Action, reply chan *swim.Full) {
 	moved := false
 	for _, a := range actions {
 		switch {
@@ -220,34 +220,34 @@
 				}
 			}
 		case a.Full != nil:
-			g.begin(a.To, a.Full)
+			g.exchangeWith(a.To, a.Full)
 		case a.Change != nil:
 			moved = moved || a.Change.Name != "" && a.Change.LinkFrom == ""
-			g.tell(*a.Change)
+			g.logChange(*a.Change)
 		}
 	}
-	if why := g.s.Rejection(); why != g.refused {
+	if why := g.swim.Rejection(); why != g.refused {
 		if g.refused = why; why != "" {
-			g.o.Log.Error("refused by the other coordinators", "why", why)
+			g.opts.Log.Error("refused by the other coordinators", "why", why)
 		} else {
-			g.o.Log.Info("no longer refused by the other coordinators")
+			g.opts.Log.Info("no longer refused by the other coordinators")
 		}
 	}
-	if moved && g.o.SaveAddrs != nil {
+	if moved && g.opts.SaveAddrs != nil {
 		var addrs []string
-		for _, m := range g.s.Members() {
-			if m.State <= swim.Suspect && m.Name != g.o.Swim.Self {
+		for _, m := range g.swim.Members() {
+			if m.State <= swim.Suspect && m.Name != g.opts.Swim.Self {
 				addrs = append(addrs, m.Addr)
 			}
 		}
-		g.o.SaveAddrs(addrs)
+		g.opts.SaveAddrs(addrs)
 	}
 }
 
 // tell logs a change, limited in rate, and passes it on.
-func (g *Gossip) tell(c swim.Change) {
-	if g.o.Changed != nil {
-		g.o.Changed(c)
+func (g *Gossip) logChange(c swim.Change) {
+	if g.opts.Changed != nil {
+		g.opts.Changed(c)
 	}
 	if !g.limit.Allow() {
 		g.untold++
@@ -279,12 +279,12 @@
 		args = append(args, "untold", g.untold)
 		g.untold = 0
 	}
-	g.o.Log.Log(g.ctx, level, msg, args...)
+	g.opts.Log.Log(g.ctx, level, msg, args...)
 }
 
 // route is the address by which a member's is reached from here.
 func (g *Gossip) route(addr string) string {
-	if via, ok := g.o.Routes[addr]; ok {
+	if via, ok := g.opts.Routes[addr]; ok {
 		return via
 	}
 	return addr
@@ -294,26 +294,26 @@
 
 // sendRaw seals and sends a packet.
 func (g *Gossip) sendRaw(to string, plain []byte) {
-	raw := g.ring.seal(plain)
+	raw := g.keys.seal(plain)
 	addr, err := net.ResolveUDPAddr("udp", g.route(to))
-	if err != nil || !addr.IP.IsLoopback() || len(raw) > mostPacket {
+	if err != nil || !addr.IP.IsLoopback() || len(raw) > maxPacketBytes {
 		g.Drops.Form.Add(1)
 		return
 	}
-	if _, err := g.pc.WriteTo(raw, addr); err == nil { // what can't be sent is lost, as packets are
+	if _, err := g.packetConn.WriteTo(raw, addr); err == nil { // what can't be sent is lost, as packets are
 		g.Traffic.PacketsOut.Add(1)
 		g.Traffic.BytesOut.Add(int64(len(raw)))
 	}
 }
 
 // packets reads what comes by UDP.
-func (g *Gossip) packets() {
-	buf := make([]byte, mostPacket+1)
+func (g *Gossip) readPackets() {
+	buf := make([]byte, maxPacketBytes+1)
 	for {
-		n, _, err := g.pc.ReadFrom(buf)
+		n, _, err := g.packetConn.ReadFrom(buf)
 		if errors.Is(err, net.ErrClosed) {
 			return
-		} else if err != nil || n > mostPacket {
+		} else if err != nil || n > maxPacketBytes {
 			g.Drops.Form.Add(1)
 			continue
 		}
@@ -324,7 +324,7 @@
 			continue
 		}
 		select {
-		case g.in <- input{event: swim.Event{Packet: m}}:
+		case g.inputs <- input{event: swim.Event{Packet: m}}:
 		default:
 			g.Drops.Full.Add(1) // as a socket's buffer drops
 		}
@@ -333,17 +333,17 @@
 
 // decode opens what came in, and counts what is of no use.
 func (g *Gossip) decode(raw []byte) (m *swim.Message, f *swim.Full) {
-	plain, err := g.ring.open(raw)
+	plain, err := g.keys.open(raw)
 	switch {
 	case err != nil:
-	case len(plain) > 0 && plain[0] == factsKind:
-		err = g.takeFacts(plain)
+	case len(plain) > 0 && plain[0] == kindFacts:
+		err = g.receiveFacts(plain)
 	default:
 		m, f, err = Decode(plain)
 	}
 	switch {
 	case err == nil:
-	case errors.Is(err, errOther):
+	case errors.Is(err, errVersion):
 		g.Drops.Version.Add(1)
 	case errors.Is(err, errReplay):
 		g.Drops.Replay.Add(1)
@@ -356,13 +356,13 @@
 }
 
 // begin exchanges all that is known with another; where as many are open as may be, a later one does.
-func (g *Gossip) begin(to string, f *swim.Full) {
+func (g *Gossip) exchangeWith(to string, f *swim.Full) {
 	select {
 	case g.places <- struct{}{}:
 	default:
 		return
 	}
-	end := time.Now().Add(max(4*g.s.ProbeTimeout(), time.Second))
+	end := time.Now().Add(max(4*g.swim.ProbeTimeout(), time.Second))
 	g.wg.Go(func() {
 		defer func() { <-g.places }()
 		ctx, cancel := context.WithDeadline(g.ctx, end)
@@ -375,7 +375,7 @@
 		defer nc.Close()
 		defer context.AfterFunc(ctx, func() { nc.Close() })()
 		nc.SetDeadline(end)
-		if g.write(nc, f) != nil {
+		if g.writeFull(nc, f) != nil {
 			return
 		}
 		if answer := g.readFull(nc); answer != nil {
@@ -385,9 +385,9 @@
 }
 
 // accept serves the exchanges that others begin.
-func (g *Gossip) accept() {
+func (g *Gossip) serveExchanges() {
 	for {
-		nc, err := g.ln.Accept()
+		nc, err := g.listener.Accept()
 		if err != nil {
 			if errors.Is(err, net.ErrClosed) {
 				return
@@ -415,7 +415,7 @@
 			g.put(input{event: swim.Event{Full: f}, reply: reply})
 			select {
 			case answer := <-reply:
-				g.write(nc, answer)
+				g.writeFull(nc, answer)
 			case <-time.After(time.Until(end)):
 			case <-g.ctx.Done():
 			}
@@ -423,8 +423,8 @@
 	}
 }
 
-func (g *Gossip) write(nc net.Conn, f *swim.Full) error {
-	raw := g.ring.seal(AppendFull(nil, f))
+func (g *Gossip) writeFull(nc net.Conn, f *swim.Full) error {
+	raw := g.keys.seal(AppendFull(nil, f))
 	frame := binary.BigEndian.AppendUint32(nil, uint32(len(raw)))
 	_, err := nc.Write(append(frame, raw...))
 	g.Traffic.BytesOut.Add(int64(len(raw) + 4))
@@ -435,7 +435,7 @@
 func (g *Gossip) readFull(nc net.Conn) *swim.Full {
 	in := bufio.NewReader(nc)
 	var size uint32
-	if binary.Read(in, binary.BigEndian, &size) != nil || size > mostExchange {
+	if binary.Read(in, binary.BigEndian, &size) != nil || size > maxExchangeBytes {
 		return nil
 	}
 	raw, err := io.ReadAll(io.LimitReader(in, int64(size))) // grows with what comes
--- a/internal/gossip/gossip_test.go
+++ b/internal/gossip/gossip_test.go
@@ -42,11 +42,11 @@
 			t.Errorf("%d bytes; %d were reckoned with", len(raw), m.Size())
 		}
 		for n := range raw {
-			if _, _, err := Decode(raw[:n]); !errors.Is(err, errForm) {
+			if _, _, err := Decode(raw[:n]); !errors.Is(err, errMalformed) {
 				t.Errorf("cut at %d of %d: error %v", n, len(raw), err)
 			}
 		}
-		if _, _, err := Decode(append(raw, 0)); !errors.Is(err, errForm) {
+		if _, _, err := Decode(append(raw, 0)); !errors.Is(err, errMalformed) {
 			t.Errorf("a byte too many: error %v", err)
 		}
 	}
@@ -71,15 +71,15 @@
 	facts := someFacts(100)
 	raw, n := AppendFacts(nil, facts)
 	got, err := DecodeFacts(raw)
-	if diff := cmp.Diff(facts[:n], got); err != nil || diff != "" || n < 20 || len(raw)+overhead > mostPacket {
+	if diff := cmp.Diff(facts[:n], got); err != nil || diff != "" || n < 20 || len(raw)+sealOverhead > maxPacketBytes {
 		t.Errorf("error %v, %d facts in %d bytes (-want +got)\n%s", err, n, len(raw), diff)
 	}
 	for i := range raw {
-		if _, err := DecodeFacts(raw[:i]); !errors.Is(err, errForm) {
+		if _, err := DecodeFacts(raw[:i]); !errors.Is(err, errMalformed) {
 			t.Fatalf("cut at %d of %d: %v", i, len(raw), err)
 		}
 	}
-	if _, err := DecodeFacts(append(raw, 0)); !errors.Is(err, errForm) {
+	if _, err := DecodeFacts(append(raw, 0)); !errors.Is(err, errMalformed) {
 		t.Errorf("a byte too many: %v", err)
 	}
 	short := facts[:1]
@@ -94,7 +94,7 @@
 func FuzzDecodeFacts(f *testing.F) {
 	raw, _ := AppendFacts(nil, someFacts(3))
 	f.Add(raw)
-	f.Add([]byte{factsKind, 0xff, 0xff, 3})
+	f.Add([]byte{kindFacts, 0xff, 0xff, 3})
 	f.Fuzz(func(t *testing.T, raw []byte) {
 		facts, err := DecodeFacts(raw)
 		if err != nil || len(facts) == 0 {
@@ -118,7 +118,7 @@
 		f.Add(AppendMessage(nil, m))
 	}
 	f.Add(AppendFull(nil, &swim.Full{From: sample, Members: []swim.Update{sample}}))
-	f.Add([]byte{fullKind, 0})
+	f.Add([]byte{kindFull, 0})
 	f.Fuzz(func(t *testing.T, raw []byte) {
 		m, full, err := Decode(raw)
 		switch {
@@ -140,9 +140,9 @@
 
 func key(id byte, c string) Key { return Key{ID: id, Secret: []byte(strings.Repeat(c, 16))} }
 
-func newTestRing(t *testing.T, fleet string, process uint64, keys ...Key) *ring {
+func newTestRing(t *testing.T, fleet string, process uint64, keys ...Key) *keyring {
 	t.Helper()
-	r, err := newRing(fleet, process, keys)
+	r, err := newKeyring(fleet, process, keys)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -166,7 +166,7 @@
 		{"the old key is gone", "f", []Key{key(2, "b")}, nil, errSeal},
 		{"another secret under the id", "f", []Key{key(1, "c")}, nil, errSeal},
 		{"another fleet", "g", []Key{key(1, "a")}, nil, errSeal},
-		{"another version", "f", []Key{key(1, "a")}, func(b []byte) { b[0]++ }, errOther},
+		{"another version", "f", []Key{key(1, "a")}, func(b []byte) { b[0]++ }, errVersion},
 		{"a spoilt byte", "f", []Key{key(1, "a")}, func(b []byte) { b[len(b)-1]++ }, errSeal},
 	} {
 		b := append([]byte(nil), raw...)
@@ -182,7 +182,7 @@
 			t.Errorf("%s: taken twice", c.name)
 		}
 	}
-	if _, err := newRing("f", 1, []Key{{ID: 1, Secret: []byte("short")}}); err == nil || strings.Contains(err.Error(), "short") {
+	if _, err := newKeyring("f", 1, []Key{{ID: 1, Secret: []byte("short")}}); err == nil || strings.Contains(err.Error(), "short") {
 		t.Errorf("a short key: %v", err)
 	}
 }
--- a/internal/gossip/seal.go
+++ b/internal/gossip/seal.go
@@ -27,50 +27,50 @@
 	nonceSize = 12
 	headSize  = 2 + nonceSize
 	tagSize   = 16
-	overhead  = headSize + 16 + tagSize
+	sealOverhead  = headSize + 16 + tagSize
 )
 
 // Why something that came in is not used.
 var (
 	errSeal   = errors.New("sealed by no key of ours, or for another fleet")
-	errOther  = errors.New("of another version")
+	errVersion  = errors.New("of another version")
 	errReplay = errors.New("came before, or far too late")
 )
 
-type opener struct {
+type sealKey struct {
 	id   byte
 	aead cipher.AEAD
 }
 
 // ring holds the keys; they can be replaced while others use it.
-type ring struct {
+type keyring struct {
 	fleet   string
 	process uint64
-	keys    atomic.Pointer[[]opener]
+	keys    atomic.Pointer[[]sealKey]
 	counter atomic.Uint64
 	nonces  atomic.Uint64
 	salt    [4]byte
 
 	mu      sync.Mutex
-	windows map[uint64]*window // by the sender's process
+	windows map[uint64]*replayWindow // by the sender's process
 	oldest  []uint64
 }
 
 // window tells which of a process's counters have come: the highest, and the 64 below it.
-type window struct{ high, seen uint64 }
+type replayWindow struct{ highest, seen uint64 }
 
-const mostWindows = 20_000
+const maxWindows = 20_000
 
-func newRing(fleet string, process uint64, keys []Key) (*ring, error) {
-	r := &ring{fleet: fleet, process: process, windows: map[uint64]*window{}}
+func newKeyring(fleet string, process uint64, keys []Key) (*keyring, error) {
+	r := &keyring{fleet: fleet, process: process, windows: map[uint64]*replayWindow{}}
 	if _, err := rand.Read(r.salt[:]); err != nil {
 		return nil, err
 	}
 	return r, r.set(keys)
 }
 
-func (r *ring) set(keys []Key) error {
-	var list []opener
+func (r *keyring) set(keys []Key) error {
+	var list []sealKey
 	for _, k := range keys {
 		if len(k.Secret) < 16 {
 			return fmt.Errorf("key %d: 16 bytes or more are needed", k.ID)
@@ -84,7 +84,7 @@
 		if err != nil {
 			return err
 		}
-		list = append(list, opener{k.ID, aead})
+		list = append(list, sealKey{k.ID, aead})
 	}
 	if len(list) == 0 {
 		return errors.New("no key: packets can't be sealed")
@@ -93,12 +93,12 @@
 	return nil
 }
 
-func (r *ring) aad(head []byte) []byte { return append(append([]byte{}, head[:2]...), r.fleet...) }
+func (r *keyring) aad(head []byte) []byte { return append(append([]byte{}, head[:2]...), r.fleet...) }
 
 // seal makes a packet of a message. A nonce is never used twice under a key: four random bytes of this process, and a count.
-func (r *ring) seal(plain []byte) []byte {
+func (r *keyring) seal(plain []byte) []byte {
 	key := (*r.keys.Load())[0]
-	out := make([]byte, headSize, overhead+len(plain))
+	out := make([]byte, headSize, sealOverhead+len(plain))
 	out[0], out[1] = Version, key.id
 	copy(out[2:6], r.salt[:])
 	binary.BigEndian.PutUint64(out[6:], r.nonces.Add(1)^r.process<<40)
@@ -108,12 +108,12 @@
 }
 
 // open reads a packet that has not come before.
-func (r *ring) open(raw []byte) ([]byte, error) {
+func (r *keyring) open(raw []byte) ([]byte, error) {
 	switch {
-	case len(raw) < overhead:
+	case len(raw) < sealOverhead:
 		return nil, errSeal
 	case raw[0] != Version:
-		return nil, errOther
+		return nil, errVersion
 	}
 	for _, k := range *r.keys.Load() {
 		if k.id != raw[1] {
@@ -132,31 +132,31 @@
 }
 
 // fresh notes a counter, and tells whether it is new.
-func (r *ring) fresh(process, n uint64) bool {
+func (r *keyring) fresh(process, n uint64) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	w := r.windows[process]
 	if w == nil {
-		if len(r.oldest) >= mostWindows {
+		if len(r.oldest) >= maxWindows {
 			delete(r.windows, r.oldest[0])
 			r.oldest = r.oldest[1:]
 		}
-		w = &window{}
+		w = &replayWindow{}
 		r.windows[process] = w
 		r.oldest = append(r.oldest, process)
 	}
 	switch {
-	case n > w.high:
-		if by := n - w.high; by < 64 {
+	case n > w.highest:
+		if by := n - w.highest; by < 64 {
 			w.seen = w.seen<<by | 1
 		} else {
 			w.seen = 1
 		}
-		w.high = n
+		w.highest = n
 		return true
-	case w.high-n >= 64 || w.seen&(1<<(w.high-n)) != 0:
+	case w.highest-n >= 64 || w.seen&(1<<(w.highest-n)) != 0:
 		return false
 	}
-	w.seen |= 1 << (w.high - n)
+	w.seen |= 1 << (w.highest - n)
 	return true
 }
