--- /dev/null
+++ b/internal/gossip/actions.go
@@ -0,0 +1,136 @@
+package gossip
+
+import (
+	"context"
+	"log/slog"
+
+	"golang.org/x/time/rate"
+
+	"gullfall/internal/swim"
+)
+
+// At most so many lines of changes are logged: in a second, and at once.
+const (
+	changeLinesPerSecond = 10
+	changeLinesBurst     = 40
+)
+
+// changeLog logs changes, limited in rate.
+type changeLog struct {
+	log       *slog.Logger
+	limit     *rate.Limiter
+	skipped   int    // changes since the last line
+	rejection string // why the others reject this process, as last logged
+}
+
+func newChangeLog(log *slog.Logger) changeLog {
+	return changeLog{log: log, limit: rate.NewLimiter(changeLinesPerSecond, changeLinesBurst)}
+}
+
+// perform carries out what was decided; reply gets the answer to an exchange that another has begun.
+func (g *Gossip) perform(actions []swim.Action, reply chan *swim.Full) {
+	membersChanged := false
+	for _, a := range actions {
+		switch {
+		case a.Packet != nil:
+			g.sendPlain(a.To, AppendMessage(nil, a.Packet))
+		case a.Full != nil && a.Full.Reply:
+			answer(reply, a.Full)
+		case a.Full != nil:
+			g.exchangeWith(a.To, a.Full)
+		case a.Change != nil:
+			membersChanged = membersChanged || a.Change.Name != "" && a.Change.LinkFrom == ""
+			if g.opts.Changed != nil {
+				g.opts.Changed(*a.Change)
+			}
+			g.changes.logChange(g.ctx, a.Change)
+		}
+	}
+	g.changes.logRejection(g.swim.Rejection())
+	if membersChanged && g.opts.SaveAddrs != nil {
+		g.opts.SaveAddrs(otherAddrs(g.swim))
+	}
+}
+
+// answer hands over a full state where somebody waits for it.
+func answer(reply chan *swim.Full, f *swim.Full) {
+	if reply == nil {
+		return
+	}
+	select {
+	case reply <- f:
+	default:
+	}
+}
+
+// logRejection logs a change of why the others reject this process; empty where they don't.
+func (l *changeLog) logRejection(reason string) {
+	if reason == l.rejection {
+		return
+	}
+	if l.rejection = reason; reason != "" {
+		l.log.Error("refused by the other coordinators", "why", reason)
+	} else {
+		l.log.Info("no longer refused by the other coordinators")
+	}
+}
+
+// logChange logs a change of a member, of a link or of the quorum.
+func (l *changeLog) logChange(ctx context.Context, c *swim.Change) {
+	if !l.limit.Allow() {
+		l.skipped++
+		return
+	}
+	var line changeLine
+	switch {
+	case c.Name == "":
+		line = quorumLine(c)
+	case c.LinkFrom != "":
+		line = linkLine(c)
+	default:
+		line = memberLine(c)
+	}
+	if l.skipped > 0 {
+		line.fields = append(line.fields, "untold", l.skipped)
+		l.skipped = 0
+	}
+	l.log.Log(ctx, line.level, line.msg, line.fields...)
+}
+
+// changeLine is one line of the log.
+type changeLine struct {
+	level  slog.Level
+	msg    string
+	fields []any
+}
+
+func quorumLine(c *swim.Change) changeLine {
+	line := changeLine{level: slog.LevelInfo, msg: "coordinators are " + c.Quorum.Kind.String(),
+		fields: []any{"here", c.Quorum.Here, "known", c.Quorum.Known, "majority", c.Quorum.Majority}}
+	if c.Quorum.Kind != swim.Connected {
+		line.level = slog.LevelWarn
+	}
+	return line
+}
+
+func linkLine(c *swim.Change) changeLine {
+	line := changeLine{level: slog.LevelInfo, msg: "coordinators reach each other again",
+		fields: []any{"from", c.LinkFrom, "to", c.Name, "why", c.Why}}
+	if c.Cut {
+		line.level, line.msg = slog.LevelWarn, "coordinators do not reach each other"
+	}
+	return line
+}
+
+func memberLine(c *swim.Change) changeLine {
+	was := c.Was.String()
+	if c.New {
+		was = "new"
+	}
+	line := changeLine{level: slog.LevelInfo, msg: "coordinator " + c.State.String(),
+		fields: []any{"name", c.Name, "was", was, "why", c.Why}}
+	if c.State == swim.Dead {
+		line.level = slog.LevelWarn
+	}
+	return line
+}
--- a/internal/gossip/codec.go
+++ b/internal/gossip/codec.go
@@ -1,6 +1,3 @@
-// Package gossip is the coordinators' own talk: sealed packets for internal/swim over UDP, and full exchanges over TCP, on
-// one loopback address. This file owns the encoding; docs/formats/gossip.md describes it byte by byte. It must never decide
-// who is there, allocate for a length before it was checked, or let what comes in end the process.
 package gossip
 
 import (
@@ -14,13 +11,25 @@
 // Version is the first byte of every packet and exchange.
 const Version = 1
 
+// The kinds of messages beside those of swim.
 const (
-	kindFull = 0x80 // beside the kinds of swim
-	maxTextBytes = 255
+	kindFacts = 0x40
+	kindFull  = 0x80
+)
+
+const (
+	maxTextBytes  = 255
 	maxListLength = 20_000 // entries of one list in an exchange
 )
 
-// errForm marks bytes that are no message.
+// The least bytes that an entry of a list takes.
+const (
+	minUpdateBytes = 13
+	minLinkBytes   = 5
+	minFactBytes   = 10
+)
+
+// errMalformed marks bytes that are no message.
 var errMalformed = errors.New("not a message of this version")
 
 func appendText(b []byte, s string) []byte {
@@ -46,7 +55,7 @@
 	return appendText(appendText(appendText(b, l.From), l.To), l.By)
 }
 
-// AppendMessage encodes a packet's message.
+// AppendMessage encodes a message.
 func AppendMessage(b []byte, m *swim.Message) []byte {
 	b = binary.BigEndian.AppendUint32(append(b, byte(m.Kind)), m.Seq)
 	b = appendUpdate(b, &m.From)
@@ -62,7 +71,7 @@
 	return b
 }
 
-// AppendFull encodes an exchange.
+// AppendFull encodes a full state.
 func AppendFull(b []byte, f *swim.Full) []byte {
 	flag := byte(0)
 	if f.Reply {
@@ -81,106 +90,107 @@
 	return b
 }
 
-// reader takes an encoding apart; after the first fault it yields zeros.
+// decoder reads an encoding; after the first fault it yields zeros.
 type decoder struct {
 	rest   []byte
 	failed bool
 }
 
-func (r *decoder) readBytes(n int) []byte {
-	if r.failed || n > len(r.rest) {
-		r.failed = true
+func (d *decoder) readBytes(n int) []byte {
+	if d.failed || n > len(d.rest) {
+		d.failed = true
 		return nil
 	}
-	out := r.rest[:n]
-	r.rest = r.rest[n:]
+	out := d.rest[:n]
+	d.rest = d.rest[n:]
 	return out
 }
 
-func (r *decoder) readByte() byte {
-	if b := r.readBytes(1); b != nil {
+func (d *decoder) readByte() byte {
+	if b := d.readBytes(1); b != nil {
 		return b[0]
 	}
 	return 0
 }
 
-func (r *decoder) uvarint() uint64 {
-	v, n := binary.Uvarint(r.rest)
-	if n <= 0 || r.failed {
-		r.failed = true
+func (d *decoder) uvarint() uint64 {
+	v, n := binary.Uvarint(d.rest)
+	if n <= 0 || d.failed {
+		d.failed = true
 		return 0
 	}
-	r.rest = r.rest[n:]
+	d.rest = d.rest[n:]
 	return v
 }
 
-func (r *decoder) text() string { return string(r.readBytes(int(r.readByte()))) }
+func (d *decoder) text() string { return string(d.readBytes(int(d.readByte()))) }
 
-// count reads a list's length. Each entry takes at least so many bytes: a longer list can't be there.
-func (r *decoder) count(least int) int {
-	n := r.uvarint()
-	if n > maxListLength || n > uint64(len(r.rest)/least) {
-		r.failed = true
+// count reads a list's length. Each entry takes at least minBytes, so that a length that the rest can't hold is a fault
+// before anything is allocated for it.
+func (d *decoder) count(minBytes int) int {
+	n := d.uvarint()
+	if n > maxListLength || n > uint64(len(d.rest)/minBytes) {
+		d.failed = true
 		return 0
 	}
 	return int(n)
 }
 
-func (r *decoder) update() (u swim.Update) {
-	u.State = swim.State(r.readByte())
-	u.Incarnation = r.uvarint()
-	if b := r.readBytes(8); b != nil {
+func (d *decoder) update() (u swim.Update) {
+	u.State = swim.State(d.readByte())
+	u.Incarnation = d.uvarint()
+	if b := d.readBytes(8); b != nil {
 		u.Process = binary.BigEndian.Uint64(b)
 	}
-	u.Name, u.Addr, u.By = r.text(), r.text(), r.text()
-	r.failed = r.failed || u.State > swim.Left || u.Name == "" || u.Addr == ""
+	u.Name, u.Addr, u.By = d.text(), d.text(), d.text()
+	d.failed = d.failed || u.State > swim.Left || u.Name == "" || u.Addr == ""
 	return u
 }
 
-func (r *decoder) link() (l swim.Link) {
-	flag := r.readByte()
-	v := r.uvarint()
+func (d *decoder) link() (l swim.Link) {
+	flag := d.readByte()
+	v := d.uvarint()
 	l.Cut, l.Version = flag == 1, uint32(v)
-	l.From, l.To, l.By = r.text(), r.text(), r.text()
-	r.failed = r.failed || flag > 1 || v > 1<<32-1
+	l.From, l.To, l.By = d.text(), d.text(), d.text()
+	d.failed = d.failed || flag > 1 || v > 1<<32-1
 	return l
 }
 
-func (r *decoder) updates() (list []swim.Update) {
-	for range r.count(13) {
-		list = append(list, r.update())
+func (d *decoder) updates() (list []swim.Update) {
+	for range d.count(minUpdateBytes) {
+		list = append(list, d.update())
 	}
 	return list
 }
 
-func (r *decoder) links() (list []swim.Link) {
-	for range r.count(5) {
-		list = append(list, r.link())
+func (d *decoder) links() (list []swim.Link) {
+	for range d.count(minLinkBytes) {
+		list = append(list, d.link())
 	}
 	return list
 }
 
-// Decode reads an opened packet or exchange: one of the two is set.
+// Decode reads an opened packet or exchange: one of the two is set. The error wraps errMalformed.
 func Decode(b []byte) (*swim.Message, *swim.Full, error) {
-	r := &decoder{rest: b}
-	kind := r.readByte()
+	d := &decoder{rest: b}
+	kind := d.readByte()
 	if kind == kindFull {
-		flag := r.readByte()
-		f := &swim.Full{Reply: flag == 1, From: r.update(), Refused: r.text()}
-		f.Members, f.Links = r.updates(), r.links()
-		if r.failed || flag > 1 || len(r.rest) > 0 {
+		flag := d.readByte()
+		f := &swim.Full{Reply: flag == 1, From: d.update(), Refused: d.text()}
+		f.Members, f.Links = d.updates(), d.links()
+		if d.failed || flag > 1 || len(d.rest) > 0 {
 			return nil, nil, errMalformed
 		}
 		return nil, f, nil
 	}
 	m := &swim.Message{Kind: swim.Kind(kind)}
-	if b := r.readBytes(4); b != nil {
+	if b := d.readBytes(4); b != nil {
 		m.Seq = binary.BigEndian.Uint32(b)
 	}
-	m.From = r.update()
-	m.Target, m.Addr, m.Via, m.Reason = r.text(), r.text(), r.text(), r.text()
-	m.Updates, m.Links = r.updates(), r.links()
-	if r.failed || len(r.rest) > 0 || m.Kind < swim.Ping || m.Kind > swim.Updates {
+	m.From = d.update()
+	m.Target, m.Addr, m.Via, m.Reason = d.text(), d.text(), d.text(), d.text()
+	m.Updates, m.Links = d.updates(), d.links()
+	if d.failed || len(d.rest) > 0 || m.Kind < swim.Ping || m.Kind > swim.Updates {
 		return nil, nil, fmt.Errorf("%w: kind %d, %d bytes", errMalformed, kind, len(b))
 	}
 	return m, nil, nil
--- /dev/null
+++ b/internal/gossip/factcodec.go
@@ -0,0 +1,61 @@
+package gossip
+
+import (
+	"encoding/binary"
+	"math"
+	"time"
+
+	"gullfall/internal/observations"
+)
+
+// maxFactBytes bounds the facts of a packet.
+const maxFactBytes = 1100
+
+func appendFact(b []byte, f *observations.Fact) []byte {
+	b = appendText(append(b, byte(f.Field)), f.Node)
+	b = binary.AppendUvarint(b, uint64(f.Stamp.At))
+	b = binary.AppendUvarint(b, uint64(f.Stamp.N))
+	b = appendText(b, f.Stamp.By)
+	b = binary.AppendUvarint(b, uint64((f.Age+time.Millisecond-1)/time.Millisecond)) // never younger than it is
+	return binary.BigEndian.AppendUint32(b, math.Float32bits(float32(f.Value)))
+}
+
+// AppendFacts encodes as many facts as a packet holds, and returns how many.
+func AppendFacts(b []byte, facts []observations.Fact) ([]byte, int) {
+	var body []byte
+	n := 0
+	for i := range facts {
+		next := appendFact(body, &facts[i])
+		if len(next) > maxFactBytes {
+			break
+		}
+		body, n = next, n+1
+	}
+	b = binary.AppendUvarint(append(b, kindFacts), uint64(n))
+	return append(b, body...), n
+}
+
+// DecodeFacts reads an opened packet of facts. Whether each counts is for internal/observations to say. The error is
+// errMalformed.
+func DecodeFacts(b []byte) (facts []observations.Fact, err error) {
+	d := &decoder{rest: b}
+	if d.readByte() != kindFacts {
+		return nil, errMalformed
+	}
+	for range d.count(minFactBytes) {
+		f := observations.Fact{Field: observations.Field(d.readByte()), Node: d.text()}
+		at, n := d.uvarint(), d.uvarint()
+		f.Stamp = observations.Stamp{At: int64(at), N: uint32(n), By: d.text()}
+		age := d.uvarint()
+		f.Age = time.Duration(age) * time.Millisecond
+		if raw := d.readBytes(4); raw != nil {
+			f.Value = float64(math.Float32frombits(binary.BigEndian.Uint32(raw)))
+		}
+		d.failed = d.failed || at > math.MaxInt64 || n > math.MaxUint32 || age > math.MaxInt32
+		facts = append(facts, f)
+	}
+	if d.failed || len(d.rest) > 0 {
+		return nil, errMalformed
+	}
+	return facts, nil
+}
--- a/internal/gossip/facts.go
+++ b/internal/gossip/facts.go
@@ -1,13 +1,10 @@
 package gossip
 
-// This file owns what the talk carries of learned state: facts go to a few others each period, beside the probes, and what comes is
-// handed to internal/observations, which decides. It must never hold the table's lock while it sends, nor believe a length before it was
-// checked.
-
 import (
-	"encoding/binary"
-	"math"
+	"errors"
 	"math/rand/v2"
+	"sync"
+	"sync/atomic"
 	"time"
 
 	"gullfall/internal/observations"
@@ -15,88 +12,51 @@
 )
 
 const (
-	kindFacts = 0x40 // beside the kinds of swim
-	maxFactBytes = 1100 // bytes of them in a packet
-	factFanout    = 2    // others in a period
+	factFanout     = 2                     // members that are sent facts in a period
+	factBatch      = maxFactBytes / 20     // facts that are looked up for a packet
+	minFactsPeriod = 50 * time.Millisecond // between two rounds
 )
 
-func appendFact(b []byte, f *observations.Fact) []byte {
-	b = appendText(append(b, byte(f.Field)), f.Node)
-	b = binary.AppendUvarint(b, uint64(f.Stamp.At))
-	b = binary.AppendUvarint(b, uint64(f.Stamp.N))
-	b = appendText(b, f.Stamp.By)
-	b = binary.AppendUvarint(b, uint64((f.Age+time.Millisecond-1)/time.Millisecond)) // never younger than it is
-	return binary.BigEndian.AppendUint32(b, math.Float32bits(float32(f.Value)))
-}
-
-// AppendFacts encodes as many facts as a packet holds, and tells how many.
-func AppendFacts(b []byte, facts []observations.Fact) ([]byte, int) {
-	var body []byte
-	n := 0
-	for i := range facts {
-		next := appendFact(body, &facts[i])
-		if len(next) > maxFactBytes {
-			break
-		}
-		body, n = next, n+1
-	}
-	b = binary.AppendUvarint(append(b, kindFacts), uint64(n))
-	return append(b, body...), n
+// sharedFacts is this coordinator's copy of what all have observed of the data nodes.
+type sharedFacts struct {
+	mu    sync.Mutex // guards table; it is not held while packets are sent
+	table *observations.Table
 }
 
-// DecodeFacts reads an opened packet of facts. Whether each can be one is internal/observations's to say.
-func DecodeFacts(b []byte) (facts []observations.Fact, err error) {
-	r := &decoder{rest: b}
-	if r.readByte() != kindFacts {
-		return nil, errMalformed
-	}
-	for range r.count(10) {
-		f := observations.Fact{Field: observations.Field(r.readByte()), Node: r.text()}
-		at, n := r.uvarint(), r.uvarint()
-		f.Stamp = observations.Stamp{At: int64(at), N: uint32(n), By: r.text()}
-		age := r.uvarint()
-		f.Age = time.Duration(age) * time.Millisecond
-		if raw := r.readBytes(4); raw != nil {
-			f.Value = float64(math.Float32frombits(binary.BigEndian.Uint32(raw)))
-		}
-		r.failed = r.failed || at > math.MaxInt64 || n > math.MaxUint32 || age > math.MaxInt32
-		facts = append(facts, f)
-	}
-	if r.failed || len(r.rest) > 0 {
-		return nil, errMalformed
-	}
-	return facts, nil
-}
+// FactCounts counts the facts that others sent: taken, known already, and refused.
+type FactCounts struct{ Taken, Known, Refused atomic.Int64 }
 
-// Observe takes in what this coordinator has seen of a data node.
+// Observe shares what this coordinator has observed of a data node.
 func (g *Gossip) Observe(node string, f observations.Field, value float64) {
-	g.facts.Lock()
-	defer g.facts.Unlock()
-	g.learned.Observe(g.Since(), time.Now(), node, f, value)
+	g.facts.mu.Lock()
+	defer g.facts.mu.Unlock()
+	// What can't be a fact, such as a negative latency, is not shared.
+	_ = g.facts.table.Observe(g.Since(), time.Now(), node, f, value)
 }
 
-// ObserveStart takes in that a data node started some time ago.
+// ObserveStart shares that a data node started some time ago.
 func (g *Gossip) ObserveStart(node string, ago time.Duration) {
-	g.facts.Lock()
-	defer g.facts.Unlock()
-	g.learned.ObserveStart(g.Since(), time.Now(), node, ago)
+	g.facts.mu.Lock()
+	defer g.facts.mu.Unlock()
+	// A start too long ago to count is not shared.
+	_ = g.facts.table.ObserveStart(g.Since(), time.Now(), node, ago)
 }
 
-// Observations is what is held of a data node by all that was told.
+// Observations is what all coordinators together have observed of a data node.
 func (g *Gossip) Observations(node string) observations.View {
-	g.facts.Lock()
-	defer g.facts.Unlock()
-	return g.learned.Of(g.Since(), node)
+	g.facts.mu.Lock()
+	defer g.facts.mu.Unlock()
+	return g.facts.table.Of(g.Since(), node)
 }
 
-// AllObservations is what is held of each data node.
+// AllObservations is the same of each data node, by id.
 func (g *Gossip) AllObservations() map[string]observations.View {
-	g.facts.Lock()
-	defer g.facts.Unlock()
-	return g.learned.All(g.Since())
+	g.facts.mu.Lock()
+	defer g.facts.mu.Unlock()
+	return g.facts.table.All(g.Since())
 }
 
-// tellFacts passes facts on, once a period.
+// gossipFacts sends facts to a few members, once a period.
 func (g *Gossip) gossipFacts(period time.Duration) {
 	tick := time.NewTicker(period)
 	defer tick.Stop()
@@ -106,45 +66,58 @@
 			return
 		case <-tick.C:
 		}
-		var to []string
-		g.View(func(s *swim.Swim) {
-			for _, m := range s.Members() {
-				if m.State <= swim.Suspect && m.Name != g.opts.Swim.Self {
-					to = append(to, m.Addr)
-				}
-			}
-		})
+		to := g.reachableAddrs()
 		if len(to) == 0 {
 			continue
 		}
 		rand.Shuffle(len(to), func(i, j int) { to[i], to[j] = to[j], to[i] })
-		g.facts.Lock()
-		g.learned.Step(g.Since())
-		facts := g.learned.Facts(g.Since(), maxFactBytes/20)
-		g.facts.Unlock()
+		facts := g.nextFacts()
 		if len(facts) == 0 {
 			continue
 		}
-		body, _ := AppendFacts(nil, facts) // what does not fit is told a period later, by how often it was told
+		packet, _ := AppendFacts(nil, facts) // what does not fit goes a period later
 		for _, addr := range to[:min(len(to), factFanout)] {
-			g.sendRaw(addr, body)
+			g.sendPlain(addr, packet)
 		}
 	}
 }
 
-// takeFacts hands over what came.
+// reachableAddrs are the addresses of the other members that are alive or suspect.
+func (g *Gossip) reachableAddrs() (addrs []string) {
+	g.View(func(s *swim.Swim) { addrs = otherAddrs(s) })
+	return addrs
+}
+
+func otherAddrs(s *swim.Swim) (addrs []string) {
+	for _, m := range s.Members() {
+		if m.State <= swim.Suspect && m.Name != s.Self() {
+			addrs = append(addrs, m.Addr)
+		}
+	}
+	return addrs
+}
+
+// nextFacts forgets old facts and returns those to be sent next.
+func (g *Gossip) nextFacts() []observations.Fact {
+	g.facts.mu.Lock()
+	defer g.facts.mu.Unlock()
+	g.facts.table.Step(g.Since())
+	return g.facts.table.Facts(g.Since(), factBatch)
+}
+
+// receiveFacts merges the facts of a packet.
 func (g *Gossip) receiveFacts(plain []byte) error {
 	facts, err := DecodeFacts(plain)
 	if err != nil {
 		return err
 	}
-	g.facts.Lock()
-	defer g.facts.Unlock()
+	g.facts.mu.Lock()
+	defer g.facts.mu.Unlock()
 	for _, f := range facts {
-		switch err := g.learned.Merge(g.Since(), time.Now(), f); err {
-		case nil:
+		switch err := g.facts.table.Merge(g.Since(), time.Now(), f); {
+		case err == nil:
 			g.Facts.Taken.Add(1)
-		case observations.ErrKnown:
+		case errors.Is(err, observations.ErrKnown):
 			g.Facts.Known.Add(1)
 		default:
 			g.Facts.Refused.Add(1)
