--- a/internal/gossip/factcodec.go
+++ b/internal/gossip/factcodec.go
@@ -13,9 +13,9 @@
 
 func appendFact(b []byte, f *observations.Fact) []byte {
 	b = appendText(append(b, byte(f.Field)), f.Node)
-	b = binary.AppendUvarint(b, uint64(f.Stamp.At))
-	b = binary.AppendUvarint(b, uint64(f.Stamp.N))
-	b = appendText(b, f.Stamp.By)
+	b = binary.AppendUvarint(b, uint64(f.Stamp.Physical))
+	b = binary.AppendUvarint(b, uint64(f.Stamp.Logical))
+	b = appendText(b, f.Stamp.Coordinator)
 	b = binary.AppendUvarint(b, uint64((f.Age+time.Millisecond-1)/time.Millisecond)) // never younger than it is
 	return binary.BigEndian.AppendUint32(b, math.Float32bits(float32(f.Value)))
 }
@@ -45,7 +45,7 @@
 	for range d.count(minFactBytes) {
 		f := observations.Fact{Field: observations.Field(d.readByte()), Node: d.text()}
 		at, n := d.uvarint(), d.uvarint()
-		f.Stamp = observations.Stamp{At: int64(at), N: uint32(n), By: d.text()}
+		f.Stamp = observations.Stamp{Physical: int64(at), Logical: uint32(n), Coordinator: d.text()}
 		age := d.uvarint()
 		f.Age = time.Duration(age) * time.Millisecond
 		if raw := d.readBytes(4); raw != nil {
--- a/internal/gossip/gossip.go
+++ b/internal/gossip/gossip.go
@@ -96,7 +96,7 @@
 	if g.swim, err = swim.New(o.Swim, 0); err != nil {
 		return nil, err
 	}
-	if g.facts.table, err = observations.New(observations.Config{Self: o.Swim.Self, Warm: o.WarmupTime}); err != nil {
+	if g.facts.table, err = observations.New(observations.Config{Self: o.Swim.Self, WarmupTime: o.WarmupTime}); err != nil {
 		return nil, err
 	}
 	if err := g.listen(o.Swim.Addr); err != nil {
--- a/internal/gossip/gossip_test.go
+++ b/internal/gossip/gossip_test.go
@@ -60,7 +60,7 @@
 
 func someFacts(n int) (facts []observations.Fact) {
 	for i := range n {
-		facts = append(facts, observations.Fact{Node: fmt.Sprint("node-", i), Field: observations.Field(i % 5), Stamp: observations.Stamp{At: 1_700_000_000_000, N: uint32(i), By: "n0"},
+		facts = append(facts, observations.Fact{Node: fmt.Sprint("node-", i), Field: observations.Field(i % 5), Stamp: observations.Stamp{Physical: 1_700_000_000_000, Logical: uint32(i), Coordinator: "n0"},
 			Age: time.Duration(i) * time.Millisecond, Value: 0.25})
 	}
 	return facts
--- a/internal/lab/model/coordinator.go
+++ b/internal/lab/model/coordinator.go
@@ -30,7 +30,7 @@
 		k.zones.List(k.wall(), m.serving())
 	}
 	if m.c.Share {
-		if k.learned, err = observations.New(observations.Config{Self: fmt.Sprint("c", k.index), Warm: warm}); err != nil {
+		if k.learned, err = observations.New(observations.Config{Self: fmt.Sprint("c", k.index), WarmupTime: warm}); err != nil {
 			return err
 		}
 	}
--- a/internal/observations/observations.go
+++ b/internal/observations/observations.go
@@ -41,13 +41,13 @@
 	Latency                  // seconds that a part takes
 	Utilization              // share of its cores, by its own report
 	Started                  // it started, or came back: cold since then
-	fields
+	fieldCount
 )
 
-var fieldNames = [fields]string{"failed", "answered", "latency", "busy", "started"}
+var fieldNames = [fieldCount]string{"failed", "answered", "latency", "busy", "started"}
 
 func (f Field) String() string {
-	if f >= fields {
+	if f >= fieldCount {
 		return fmt.Sprintf("field %d", uint8(f))
 	}
 	return fieldNames[f]
@@ -55,14 +55,14 @@
 
 // Stamp orders facts over all coordinators.
 type Stamp struct {
-	At int64  // milliseconds, of the clock on the wall or of what was heard beyond it
-	N  uint32 // of equal At
-	By string // coordinator
+	Physical int64  // milliseconds, of the clock on the wall or of what was heard beyond it
+	Logical  uint32 // of equal At
+	Coordinator string // coordinator
 }
 
 // Compare orders stamps.
 func (s Stamp) Compare(o Stamp) int {
-	return cmp.Or(cmp.Compare(s.At, o.At), cmp.Compare(s.N, o.N), cmp.Compare(s.By, o.By))
+	return cmp.Or(cmp.Compare(s.Physical, o.Physical), cmp.Compare(s.Logical, o.Logical), cmp.Compare(s.Coordinator, o.Coordinator))
 }
 
 // Fact is one thing that was seen of a data node.
@@ -77,34 +77,34 @@
 // Config are the bounds.
 type Config struct {
 	Self      string
-	Skew      time.Duration // by which the coordinators' clocks differ at most; 500 ms
-	Ahead     time.Duration // a stamp further ahead of our clock is of one that has jumped, and not taken; 1 min
-	Hold      time.Duration // for which a failure makes doubtful; 5 s
-	Keep      time.Duration // for which a fact counts; 1 min
-	Warm      time.Duration // for which a data node is cold; 10 s
-	Every     time.Duration // what a coordinator sees itself of one field is a new fact no sooner; 500 ms
-	MostNodes int           // 10,000
+	MaxSkew      time.Duration // by which the coordinators' clocks differ at most; 500 ms
+	MaxAhead     time.Duration // a stamp further ahead of our clock is of one that has jumped, and not taken; 1 min
+	SuspectFor      time.Duration // for which a failure makes doubtful; 5 s
+	MaxAge      time.Duration // for which a fact counts; 1 min
+	WarmupTime      time.Duration // for which a data node is cold; 10 s
+	MinInterval     time.Duration // what a coordinator sees itself of one field is a new fact no sooner; 500 ms
+	MaxNodes int           // 10,000
 }
 
-func (c Config) defaults() Config {
+func (c Config) withDefaults() Config {
 	for _, d := range []struct {
 		to *time.Duration
 		by time.Duration
-	}{{&c.Skew, 500 * time.Millisecond}, {&c.Ahead, time.Minute}, {&c.Hold, 5 * time.Second}, {&c.Keep, time.Minute}, {&c.Warm, 10 * time.Second}, {&c.Every, 500 * time.Millisecond}} {
+	}{{&c.MaxSkew, 500 * time.Millisecond}, {&c.MaxAhead, time.Minute}, {&c.SuspectFor, 5 * time.Second}, {&c.MaxAge, time.Minute}, {&c.WarmupTime, 10 * time.Second}, {&c.MinInterval, 500 * time.Millisecond}} {
 		if *d.to == 0 {
 			*d.to = d.by
 		}
 	}
-	if c.MostNodes == 0 {
-		c.MostNodes = 10_000
+	if c.MaxNodes == 0 {
+		c.MaxNodes = 10_000
 	}
 	return c
 }
 
 // Check names the first figure that can't be kept.
 func (c Config) Check() error {
-	c = c.defaults()
-	if c.Self == "" || c.Skew < 0 || c.Ahead <= c.Skew || c.Hold <= 0 || c.Keep < c.Hold || c.Keep < c.Warm || c.MostNodes < 1 {
+	c = c.withDefaults()
+	if c.Self == "" || c.MaxSkew < 0 || c.MaxAhead <= c.MaxSkew || c.SuspectFor <= 0 || c.MaxAge < c.SuspectFor || c.MaxAge < c.WarmupTime || c.MaxNodes < 1 {
 		return fmt.Errorf("learned: %+v: Self is named, Ahead is above Skew, Keep is not under Hold and Warm, MostNodes is 1 at least", c)
 	}
 	return nil
@@ -119,7 +119,7 @@
 )
 
 // held is one fact as it is kept: seen is when it was, by our own clock.
-type held struct {
+type register struct {
 	stamp Stamp
 	seen  time.Duration
 	value float64
@@ -127,28 +127,28 @@
 }
 
 type node struct {
-	facts [fields]held
+	registers [fieldCount]register
 	heard time.Duration // of it last
 }
 
 // Table is one coordinator's copy. It is not safe for concurrent use.
 type Table struct {
-	c     Config
+	cfg     Config
 	last  Stamp
 	nodes map[string]*node
 }
 
 // New returns an empty copy.
 func New(c Config) (*Table, error) {
-	c = c.defaults()
-	return &Table{c: c, nodes: map[string]*node{}}, c.Check()
+	c = c.withDefaults()
+	return &Table{cfg: c, nodes: map[string]*node{}}, c.Check()
 }
 
 // stamp is the next of our own.
 func (t *Table) stamp(wall time.Time) Stamp {
-	s := Stamp{wall.UnixMilli(), 0, t.c.Self}
-	if s.At <= t.last.At {
-		s.At, s.N = t.last.At, t.last.N+1
+	s := Stamp{wall.UnixMilli(), 0, t.cfg.Self}
+	if s.Physical <= t.last.Physical {
+		s.Physical, s.Logical = t.last.Physical, t.last.Logical+1
 	}
 	t.last = s
 	return s
@@ -156,11 +156,11 @@
 
 // Observe takes in what this coordinator has seen itself just now, by its own clock and that on the wall.
 func (t *Table) Observe(now time.Duration, wall time.Time, id string, f Field, value float64) error {
-	if !t.worth(now, id, f) {
+	if !t.worthSharing(now, id, f) {
 		return nil
 	}
 	fact := Fact{Node: id, Field: f, Stamp: t.stamp(wall), Value: value}
-	if !fact.sound() {
+	if !fact.valid() {
 		return ErrMalformed
 	}
 	t.put(now, fact)
@@ -169,36 +169,36 @@
 
 // worth tells whether what was seen just now is a fact of its own: each field once in Every, and at once where a failure follows an
 // answer or an answer a failure.
-func (t *Table) worth(now time.Duration, id string, f Field) bool {
+func (t *Table) worthSharing(now time.Duration, id string, f Field) bool {
 	n := t.nodes[id]
-	if n == nil || f >= fields {
+	if n == nil || f >= fieldCount {
 		return true
 	}
-	h := &n.facts[f]
-	if h.stamp.By != t.c.Self || now-h.seen >= t.c.Every {
+	h := &n.registers[f]
+	if h.stamp.Coordinator != t.cfg.Self || now-h.seen >= t.cfg.MinInterval {
 		return true
 	}
 	other := map[Field]Field{Failed: Answered, Answered: Failed}
 	o, turns := other[f]
-	return turns && n.facts[o].stamp.By != "" && n.facts[o].stamp.Compare(h.stamp) > 0
+	return turns && n.registers[o].stamp.Coordinator != "" && n.registers[o].stamp.Compare(h.stamp) > 0
 }
 
-func (f *Fact) sound() bool {
-	return f.Node != "" && len(f.Node) <= 255 && f.Field < fields && f.Age >= 0 && f.Stamp.By != "" && len(f.Stamp.By) <= 255 &&
+func (f *Fact) valid() bool {
+	return f.Node != "" && len(f.Node) <= 255 && f.Field < fieldCount && f.Age >= 0 && f.Stamp.Coordinator != "" && len(f.Stamp.Coordinator) <= 255 &&
 		f.Value >= 0 && !math.IsInf(f.Value, 0)
 }
 
 // ObserveStart takes in that a data node started, or came back, some time ago.
 func (t *Table) ObserveStart(now time.Duration, wall time.Time, id string, ago time.Duration) error {
 	f := Fact{Node: id, Field: Started, Age: max(ago, 0)}
-	if n := t.nodes[id]; n != nil && n.facts[Started].stamp.By != "" && now-f.Age-n.facts[Started].seen < t.c.Skew {
+	if n := t.nodes[id]; n != nil && n.registers[Started].stamp.Coordinator != "" && now-f.Age-n.registers[Started].seen < t.cfg.MaxSkew {
 		return nil // the same start, or an earlier one
 	}
-	if f.Age >= t.c.Keep {
+	if f.Age >= t.cfg.MaxAge {
 		return ErrOld
 	}
 	f.Stamp = t.stamp(wall)
-	if !f.sound() {
+	if !f.valid() {
 		return ErrMalformed
 	}
 	t.put(now, f)
@@ -208,15 +208,15 @@
 // Merge takes in what another coordinator tells.
 func (t *Table) Merge(now time.Duration, wall time.Time, f Fact) error {
 	switch {
-	case !f.sound():
+	case !f.valid():
 		return ErrMalformed
-	case f.Stamp.At > wall.UnixMilli()+t.c.Ahead.Milliseconds():
+	case f.Stamp.Physical > wall.UnixMilli()+t.cfg.MaxAhead.Milliseconds():
 		return ErrAhead
-	case f.Age >= t.c.Keep:
+	case f.Age >= t.cfg.MaxAge:
 		return ErrOld
 	}
-	if f.Stamp.At > t.last.At || f.Stamp.At == t.last.At && f.Stamp.N > t.last.N {
-		t.last = Stamp{f.Stamp.At, f.Stamp.N, t.c.Self}
+	if f.Stamp.Physical > t.last.Physical || f.Stamp.Physical == t.last.Physical && f.Stamp.Logical > t.last.Logical {
+		t.last = Stamp{f.Stamp.Physical, f.Stamp.Logical, t.cfg.Self}
 	}
 	if !t.put(now, f) {
 		return ErrKnown
@@ -228,13 +228,13 @@
 func (t *Table) put(now time.Duration, f Fact) bool {
 	n := t.nodes[f.Node]
 	if n == nil {
-		t.room()
+		t.makeRoom()
 		n = &node{}
 		t.nodes[f.Node] = n
 	}
 	n.heard = now
-	old, seen := &n.facts[f.Field], now-f.Age
-	if old.stamp.By != "" {
+	old, seen := &n.registers[f.Field], now-f.Age
+	if old.stamp.Coordinator != "" {
 		if f.Field == Started {
 			// The same word told by a slower way seems younger: it is the same.
 			if c := f.Stamp.Compare(old.stamp); c == 0 || seen < old.seen || seen == old.seen && c < 0 {
@@ -244,13 +244,13 @@
 			return false
 		}
 	}
-	*old = held{f.Stamp, seen, f.Value, 0}
+	*old = register{f.Stamp, seen, f.Value, 0}
 	return true
 }
 
 // room lets go of the data node heard of longest ago, where there are as many as may be.
-func (t *Table) room() {
-	if len(t.nodes) < t.c.MostNodes {
+func (t *Table) makeRoom() {
+	if len(t.nodes) < t.cfg.MaxNodes {
 		return
 	}
 	oldest, at := "", time.Duration(math.MaxInt64)
@@ -266,11 +266,11 @@
 func (t *Table) Step(now time.Duration) {
 	for id, n := range t.nodes {
 		empty := true
-		for f := range n.facts {
-			if h := &n.facts[f]; h.stamp.By != "" && now-h.seen >= t.c.Keep {
-				*h = held{}
+		for f := range n.registers {
+			if h := &n.registers[f]; h.stamp.Coordinator != "" && now-h.seen >= t.cfg.MaxAge {
+				*h = register{}
 			}
-			empty = empty && n.facts[f].stamp.By == ""
+			empty = empty && n.registers[f].stamp.Coordinator == ""
 		}
 		if empty {
 			delete(t.nodes, id)
@@ -282,12 +282,12 @@
 func (t *Table) Facts(now time.Duration, most int) []Fact {
 	type entry struct {
 		Fact
-		h *held
+		h *register
 	}
 	var list []entry
 	for id, n := range t.nodes {
-		for f := range n.facts {
-			if h := &n.facts[f]; h.stamp.By != "" && now-h.seen < t.c.Keep {
+		for f := range n.registers {
+			if h := &n.registers[f]; h.stamp.Coordinator != "" && now-h.seen < t.cfg.MaxAge {
 				list = append(list, entry{Fact{id, Field(f), h.stamp, max(now-h.seen, 0), h.value}, h})
 			}
 		}
@@ -323,29 +323,29 @@
 	if n == nil {
 		return v
 	}
-	fresh := func(f Field, within time.Duration) (*held, bool) {
-		h := &n.facts[f]
-		return h, h.stamp.By != "" && now-h.seen < min(within, t.c.Keep)
+	fresh := func(f Field, within time.Duration) (*register, bool) {
+		h := &n.registers[f]
+		return h, h.stamp.Coordinator != "" && now-h.seen < min(within, t.cfg.MaxAge)
 	}
-	good, answered := fresh(Answered, t.c.Keep)
+	good, answered := fresh(Answered, t.cfg.MaxAge)
 	if answered {
 		v.Answered = now - good.seen
 	}
-	if bad, ok := fresh(Failed, t.c.Hold); ok {
+	if bad, ok := fresh(Failed, t.cfg.SuspectFor); ok {
 		clears := answered && good.stamp.Compare(bad.stamp) > 0 &&
-			(good.stamp.By == bad.stamp.By || good.stamp.At > bad.stamp.At+t.c.Skew.Milliseconds())
+			(good.stamp.Coordinator == bad.stamp.Coordinator || good.stamp.Physical > bad.stamp.Physical+t.cfg.MaxSkew.Milliseconds())
 		if v.Suspect = !clears; v.Suspect {
-			v.FailedBy, v.Failed = bad.stamp.By, now-bad.seen
+			v.FailedBy, v.Failed = bad.stamp.Coordinator, now-bad.seen
 		}
 	}
-	if h, ok := fresh(Started, t.c.Warm); ok {
-		v.Started, v.WarmingSeenBy = now-h.seen, h.stamp.By
-		v.WarmingFor = t.c.Warm - v.Started
+	if h, ok := fresh(Started, t.cfg.WarmupTime); ok {
+		v.Started, v.WarmingSeenBy = now-h.seen, h.stamp.Coordinator
+		v.WarmingFor = t.cfg.WarmupTime - v.Started
 	}
-	if h, ok := fresh(Latency, t.c.Keep); ok {
+	if h, ok := fresh(Latency, t.cfg.MaxAge); ok {
 		v.Latency = h.value
 	}
-	if h, ok := fresh(Utilization, t.c.Keep); ok {
+	if h, ok := fresh(Utilization, t.cfg.MaxAge); ok {
 		v.Utilization = h.value
 	}
 	return v
--- a/internal/observations/observations_test.go
+++ b/internal/observations/observations_test.go
@@ -29,7 +29,7 @@
 }
 
 func fact(f Field, by string, at int64, age time.Duration, value float64) Fact {
-	return Fact{Node: "n", Field: f, Stamp: Stamp{At: wall.UnixMilli() + at, By: by}, Age: age, Value: value}
+	return Fact{Node: "n", Field: f, Stamp: Stamp{Physical: wall.UnixMilli() + at, Coordinator: by}, Age: age, Value: value}
 }
 
 // TestOf: what is held of a data node, by what was told, where copies differ and as time goes on.
@@ -89,7 +89,7 @@
 		{"an earlier one", fact(Failed, "a", -5, 0, 0), ErrKnown},
 		{"no data node", Fact{Field: Failed, Stamp: Stamp{1, 0, "a"}}, ErrMalformed},
 		{"no coordinator", Fact{Node: "n", Stamp: Stamp{1, 0, ""}}, ErrMalformed},
-		{"no field", Fact{Node: "n", Field: fields, Stamp: Stamp{1, 0, "a"}}, ErrMalformed},
+		{"no field", Fact{Node: "n", Field: fieldCount, Stamp: Stamp{1, 0, "a"}}, ErrMalformed},
 		{"from the future", fact(Failed, "a", 0, -s, 0), ErrMalformed},
 		{"no number", fact(Latency, "a", 0, 0, math.NaN()), ErrMalformed},
 		{"without end", fact(Latency, "a", 0, 0, math.Inf(1)), ErrMalformed},
@@ -105,20 +105,20 @@
 			t.Errorf("%s: %v, want %v", c.name, err, c.want)
 		}
 	}
-	if _, err := New(Config{Self: "me", Keep: s}); err == nil {
+	if _, err := New(Config{Self: "me", MaxAge: s}); err == nil {
 		t.Error("Keep under Hold was taken")
 	}
 }
 
 // TestStamps: our own stamps only grow, whatever our clock does, and go beyond what was heard.
 func TestStamps(t *testing.T) {
-	tab := table(t, Config{Every: time.Nanosecond})
+	tab := table(t, Config{MinInterval: time.Nanosecond})
 	var last Stamp
 	for i, at := range []time.Duration{0, 0, -time.Hour, 5 * s, 4 * s} {
 		if err := tab.Observe(time.Duration(i), wall.Add(at), "n", Failed, 0); err != nil {
 			t.Fatal(err)
 		}
-		got := tab.nodes["n"].facts[Failed].stamp
+		got := tab.nodes["n"].registers[Failed].stamp
 		if got.Compare(last) <= 0 {
 			t.Errorf("step %d: %+v is not after %+v", i, got, last)
 		}
@@ -127,7 +127,7 @@
 	heard := fact(Failed, "other", 30_000, 0, 0)
 	tab.Merge(0, wall, heard)
 	tab.Observe(0, wall, "n", Answered, 0)
-	if got := tab.nodes["n"].facts[Answered].stamp; got.Compare(heard.Stamp) <= 0 {
+	if got := tab.nodes["n"].registers[Answered].stamp; got.Compare(heard.Stamp) <= 0 {
 		t.Errorf("%+v is not after what was heard, %+v", got, heard.Stamp)
 	}
 }
@@ -140,7 +140,7 @@
 		n := rapid.IntRange(2, 5).Draw(r, "coordinators")
 		var tabs []*Table
 		for i := range n {
-			tabs = append(tabs, table(t, Config{Self: fmt.Sprint("c", i), Every: time.Nanosecond}))
+			tabs = append(tabs, table(t, Config{Self: fmt.Sprint("c", i), MinInterval: time.Nanosecond}))
 		}
 		type told struct {
 			Fact
@@ -161,11 +161,11 @@
 			i := chance.IntN(n)
 			if chance.IntN(2) == 0 {
 				now++ // two sights at one moment are one
-				id, f := fmt.Sprint("n", chance.IntN(3)), Field(chance.IntN(int(fields)))
+				id, f := fmt.Sprint("n", chance.IntN(3)), Field(chance.IntN(int(fieldCount)))
 				if err := tabs[i].Observe(now, skew(i), id, f, float64(chance.IntN(9))); err != nil {
 					r.Fatal(err)
 				}
-				h := tabs[i].nodes[id].facts[f]
+				h := tabs[i].nodes[id].registers[f]
 				all = append(all, told{Fact{id, f, h.stamp, 0, h.value}, now})
 			} else {
 				tell(i, chance.IntN(n))
@@ -180,7 +180,7 @@
 		}
 		for k := range 3 {
 			id := fmt.Sprint("n", k)
-			var best [fields]*told
+			var best [fieldCount]*told
 			for i := range all {
 				f := &all[i]
 				if f.Node != id {
@@ -193,13 +193,13 @@
 				}
 			}
 			for i, tab := range tabs {
-				for f := range fields {
-					var h held
+				for f := range fieldCount {
+					var h register
 					if tab.nodes[id] != nil {
-						h = tab.nodes[id].facts[f]
+						h = tab.nodes[id].registers[f]
 					}
 					switch b := best[f]; {
-					case b == nil && h.stamp.By != "":
+					case b == nil && h.stamp.Coordinator != "":
 						r.Fatalf("c%d holds %s of %s, which nobody saw", i, f, id)
 					case b != nil && (h.stamp != b.Stamp || h.seen != b.seen || h.value != b.Value):
 						r.Fatalf("c%d holds %+v for %s of %s; %+v seen at %v is right", i, h, f, id, b.Fact, b.seen)
@@ -232,7 +232,7 @@
 		if err := tab.Observe(c.at, wall, "n", c.f, 1); err != nil {
 			t.Fatal(err)
 		}
-		held := tab.nodes["n"].facts[c.f].stamp == tab.last && tab.last != before
+		held := tab.nodes["n"].registers[c.f].stamp == tab.last && tab.last != before
 		if held != c.want {
 			t.Errorf("sight %d, %s after %v: a fact %v, want %v", i, c.f, c.at, held, c.want)
 		}
@@ -241,7 +241,7 @@
 
 // TestBounds: no more data nodes than may be, the one heard of longest ago goes; what was told least is told first.
 func TestBounds(t *testing.T) {
-	tab := table(t, Config{MostNodes: 3})
+	tab := table(t, Config{MaxNodes: 3})
 	for i := range 5 {
 		tab.Observe(time.Duration(i)*s, wall, fmt.Sprint("n", i), Failed, 0)
 	}
