--- a/internal/observations/observations_test.go
+++ b/internal/observations/observations_test.go
@@ -32,7 +32,7 @@
 	return Fact{Node: "n", Field: f, Stamp: Stamp{Physical: wall.UnixMilli() + at, Coordinator: by}, Age: age, Value: value}
 }
 
-// TestOf: what is held of a data node, by what was told, where copies differ and as time goes on.
+// TestOf: the view of a data node, where facts differ and as time goes on.
 func TestOf(t *testing.T) {
 	none := View{Answered: -1, Latency: -1, Utilization: -1}
 	with := func(change func(*View)) View { v := none; change(&v); return v }
@@ -98,7 +98,7 @@
 		{"too old", fact(Utilization, "b", 59_500, time.Minute, 0), ErrOld},
 	} {
 		tab := table(t, Config{})
-		if c.want == ErrKnown {
+		if errors.Is(c.want, ErrKnown) {
 			tab.Merge(0, wall, fact(Failed, "a", 0, 0, 0))
 		}
 		if err := tab.Merge(0, wall, c.f); !errors.Is(err, c.want) {
@@ -106,7 +106,7 @@
 		}
 	}
 	if _, err := New(Config{Self: "me", MaxAge: s}); err == nil {
-		t.Error("Keep under Hold was taken")
+		t.Error("MaxAge under SuspectFor was taken")
 	}
 }
 
@@ -218,8 +218,8 @@
 	})
 }
 
-// TestWorth: what is seen again and again is one fact in Every; a failure after an answer, or an answer after a failure, at once.
-func TestWorth(t *testing.T) {
+// TestObservationsAreThinnedOut: what is seen again and again is one fact in MinInterval; a failure after an answer, or an answer after a failure, at once.
+func TestObservationsAreThinnedOut(t *testing.T) {
 	tab := table(t, Config{})
 	ms := time.Millisecond
 	for i, c := range []struct {
@@ -228,11 +228,11 @@
 		want bool
 	}{{0, Answered, true}, {10 * ms, Answered, false}, {20 * ms, Failed, true}, {30 * ms, Failed, false}, {40 * ms, Answered, true}, {50 * ms, Latency, true},
 		{60 * ms, Latency, false}, {550 * ms, Latency, true}, {560 * ms, Answered, true}} {
-		before := tab.last
+		before := tab.clock.last
 		if err := tab.Observe(c.at, wall, "n", c.f, 1); err != nil {
 			t.Fatal(err)
 		}
-		held := tab.nodes["n"].registers[c.f].stamp == tab.last && tab.last != before
+		held := tab.nodes["n"].registers[c.f].stamp == tab.clock.last && tab.clock.last != before
 		if held != c.want {
 			t.Errorf("sight %d, %s after %v: a fact %v, want %v", i, c.f, c.at, held, c.want)
 		}
@@ -285,8 +285,8 @@
 	}
 }
 
-// TestSawStart: a start that the list tells is told on once, with its age, and another one later.
-func TestSawStart(t *testing.T) {
+// TestObserveStart: a start that the list states is one fact, with its age, and another one later.
+func TestObserveStart(t *testing.T) {
 	tab := table(t, Config{})
 	for _, c := range []struct {
 		now, ago time.Duration
