--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -140,7 +140,7 @@
 	Needed     Cause = "needed" // suppressed, but a shard has no other
 	Standby    Cause = "standby"
 	Active     Cause = "active"
-	Suspected  Cause = "doubted"
+	Suspected  Cause = "suspected"
 	Cleared    Cause = "cleared"
 	Aliased    Cause = "alias" // another id stands at its address
 	Excess     Cause = "too many"
