--- a/internal/gossip/gossip_test.go
+++ b/internal/gossip/gossip_test.go
@@ -1,6 +1,6 @@
 package gossip
 
-// The encoding, the seal, and two of us on loopback.
+// The encoding, the keyring, and two coordinators on loopback.
 
 import (
 	"errors"
@@ -149,17 +149,17 @@
 	return r
 }
 
-// TestSeal: who opens what: keys are rotated by adding, sealing with the new one, and removing; another fleet's, another
-// version's, spoilt and repeated packets are not taken.
+// TestSeal: which packets are opened: keys are rotated by adding, sealing with the new one, and removing; packets of another
+// fleet or version, corrupt and repeated ones are not opened.
 func TestSeal(t *testing.T) {
 	from := newTestRing(t, "f", 1, key(1, "a"))
 	raw := from.seal([]byte("hello"))
 	for _, c := range []struct {
-		name  string
-		fleet string
-		keys  []Key
-		spoil func([]byte)
-		want  error
+		name    string
+		fleet   string
+		keys    []Key
+		corrupt func([]byte)
+		want    error
 	}{
 		{"the same key", "f", []Key{key(1, "a")}, nil, nil},
 		{"a new key seals, the old one opens", "f", []Key{key(2, "b"), key(1, "a")}, nil, nil},
@@ -167,11 +167,11 @@
 		{"another secret under the id", "f", []Key{key(1, "c")}, nil, errSeal},
 		{"another fleet", "g", []Key{key(1, "a")}, nil, errSeal},
 		{"another version", "f", []Key{key(1, "a")}, func(b []byte) { b[0]++ }, errVersion},
-		{"a spoilt byte", "f", []Key{key(1, "a")}, func(b []byte) { b[len(b)-1]++ }, errSeal},
+		{"a corrupt byte", "f", []Key{key(1, "a")}, func(b []byte) { b[len(b)-1]++ }, errSeal},
 	} {
 		b := append([]byte(nil), raw...)
-		if c.spoil != nil {
-			c.spoil(b)
+		if c.corrupt != nil {
+			c.corrupt(b)
 		}
 		to := newTestRing(t, c.fleet, 2, c.keys...)
 		got, err := to.open(b)
@@ -187,7 +187,7 @@
 	}
 }
 
-// TestReplay: packets may come in any order within 64, each once; what is older is not taken.
+// TestReplay: packets may come in any order within 64, each once; what is older is rejected.
 func TestReplay(t *testing.T) {
 	from, to := newTestRing(t, "f", 1, key(1, "a")), newTestRing(t, "f", 2, key(1, "a"))
 	var sent [][]byte
@@ -204,8 +204,8 @@
 	}
 }
 
-// TestTwo: two of us meet by a seed; a foreign packet is counted and dropped; a key is rotated without a gap; a goodbye is
-// heard; and all is given back.
+// TestTwo: two coordinators meet by a seed; a foreign packet is counted and dropped; a key is rotated without a gap; a
+// goodbye arrives; and Close gives everything back.
 func TestTwo(t *testing.T) {
 	free := func() string {
 		ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -246,7 +246,7 @@
 	// What one sees of a data node the other learns, until an answer that is clearly later clears it.
 	a.Observe("n", observations.Failed, 0)
 	a.Observe("n", observations.Utilization, 0.5)
-	until("a failure is told", func() bool { v := b.Observations("n"); return v.Suspect && v.Utilization == 0.5 })
+	until("a failure is shared", func() bool { v := b.Observations("n"); return v.Suspect && v.Utilization == 0.5 })
 	time.Sleep(600 * time.Millisecond)
 	b.Observe("n", observations.Answered, 0)
 	until("and an answer", func() bool { return !a.Observations("n").Suspect && !b.Observations("n").Suspect })
@@ -271,6 +271,6 @@
 		t.Errorf("after the keys were rotated: %s, %s", state(a, "b"), state(b, "a"))
 	}
 	b.Leave()
-	until("the goodbye is heard", func() bool { return state(a, "b") == "left" })
+	until("the goodbye has arrived", func() bool { return state(a, "b") == "left" })
 	b.Close()
 }
--- a/internal/membership/claims.go
+++ b/internal/membership/claims.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// claim is what one source last told of a data node.
+// claim is what one source last reported of a data node.
 type claim struct {
 	src     *source
 	rec     Record
@@ -22,7 +22,7 @@
 const (
 	remembered freshness = iota // from the cached list of an earlier run
 	stale                       // the lease of its source has run out
-	fresh                       // told, and within the lease
+	fresh                       // reported, and within the lease
 )
 
 func (c *claim) freshness() freshness {
--- a/internal/membership/config.go
+++ b/internal/membership/config.go
@@ -26,7 +26,7 @@
 	SuspectAfter     int
 	RejectsToSuspect int
 
-	// SerialHold is how long only older serials must be told until one is believed; 30 s by default.
+	// SerialHold is how long only older serials must be reported until one is believed; 30 s by default.
 	SerialHold time.Duration
 
 	// MaxForgotten is how many data nodes that nobody names any more are remembered at most; 1024 by default.
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -1,11 +1,11 @@
-// Package membership joins what any number of sources tell of data nodes with what the coordinator sees of them into the
+// Package membership joins what any number of sources report of data nodes with what the coordinator sees of them into the
 // one list that the decision module works on. It does no I/O, reads no clock, starts no goroutine and logs nothing: time
 // comes in with each call, and what was decided goes out as changes of the list and as notes that say why. The same
 // calls in the same order give the same results.
 //
 // # Claims
 //
-// What a source last told of a data node is its claim. Claims are fresh (told, and within the lease), stale (the
+// What a source last reported of a data node is its claim. Claims are fresh (reported, and within the lease), stale (the
 // lease has run out) or remembered (from a list cached over a restart). Of the claims on one id the owner's is the
 // one of the freshest kind, then of the highest rank, then of the source that was added first.
 //
@@ -15,7 +15,7 @@
 //	serving       draining and then gone, fresh           draining, until the owner's claim changes
 //	serving       draining, of an earlier start           serving
 //	draining      anything                                draining
-//	gone          serving, told before that               gone
+//	gone          serving, reported before               gone
 //	gone          serving, fresh, and changed after that  serving, as that one describes it
 //	gone          remembered or stale                     gone
 //
@@ -32,7 +32,7 @@
 //	                        absence of over Config.ShortAbsence or lost connections
 //
 // Where two sources name one address under two ids at once, the id of the higher rank stands, then the one that
-// was told last; the other is an alias and is not listed.
+// was reported last; the other is an alias and is not listed.
 //
 // # Order of use
 //
@@ -59,7 +59,7 @@
 
 func (s State) String() string { return [...]string{"serving", "draining", "gone"}[s] }
 
-// Record is what a source tells of one data node, and what the joined list says of it.
+// Record is what a source reports of one data node, and what the joined list says of it.
 type Record struct {
 	ID, Addr, Zone string
 	Proto          string // the protocol of its dispatcher; empty for the first one
--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -17,8 +17,8 @@
 
 func at(s float64) time.Time { return epoch.Add(time.Duration(s * float64(time.Second))) }
 
-// stand is a table with two sources, of which "dns" owns, and what its results have added up to.
-type stand struct {
+// harness is a table with two sources, of which "dns" has the higher rank, and the list that its results add up to.
+type harness struct {
 	*testing.T
 	t        *Table
 	dns, dir *Source
@@ -26,17 +26,20 @@
 	notes    []string
 }
 
-func newStand(t *testing.T, cfg Config) *stand {
+func newHarness(t *testing.T, cfg Config) *harness {
+	t.Helper()
 	table, err := New(cfg)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return &stand{T: t, t: table, list: map[string]Record{},
+	return &harness{T: t, t: table, list: map[string]Record{},
 		dns: table.Source(Spec{Name: "dns", Rank: 2, Damped: true, MaxStale: time.Hour}),
 		dir: table.Source(Spec{Name: "dir", Rank: 1})}
 }
 
-func (s *stand) add(r Result) {
+// add applies a result, and checks that all results together make up the list.
+func (s *harness) add(r Result) {
+	s.Helper()
 	for _, c := range r.Changes {
 		if s.list[c.ID] = c; c.State == Gone {
 			delete(s.list, c.ID)
@@ -58,7 +61,8 @@
 }
 
 // say runs words such as "dns serving", "dir gone" or "dir draining@5" (of a start at 5 s) on one data node.
-func (s *stand) say(now float64, words string) {
+func (s *harness) say(now float64, words string) {
+	s.Helper()
 	name, rest, _ := strings.Cut(words, " ")
 	src := map[string]*Source{"dns": s.dns, "dir": s.dir}[name]
 	word, started, stated := strings.Cut(rest, "@")
@@ -130,7 +134,7 @@
 		{"refused x9, dns serving, dns gone, answered", "gone"}, // and puts nothing on it
 	} {
 		t.Run(c.told, func(t *testing.T) {
-			s := newStand(t, Config{Suppress: 1e9})
+			s := newHarness(t, Config{Suppress: 1e9})
 			now := 10.0
 			for _, words := range strings.Split(c.told, ", ") {
 				switch now++; words {
@@ -205,7 +209,7 @@
 		"two ids, the alias goes":            {[]step{list("dns", 1, node("b", "x", 5)), list("dir", 2, node("a", "x", 5)), list("dir", 3)}, "b x 5s"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			s := newStand(t, Config{})
+			s := newHarness(t, Config{})
 			for _, st := range c.steps {
 				switch st.src {
 				case "dns":
@@ -257,7 +261,7 @@
 		"a cell that there is none": {[]Update{{Records: []Record{{ID: "a", Addr: "x", ShardSet: 7}}}}, 2, "unfit a"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			s := newStand(t, Config{Suppress: 1e9})
+			s := newHarness(t, Config{Suppress: 1e9})
 			s.add(s.dns.Update(at(0), Update{Full: true, Records: two, Serial: 10, Serialled: true}))
 			for i, u := range c.then {
 				s.add(s.dns.Update(at(float64(i+1)), u))
@@ -273,7 +277,7 @@
 // back, for a bounded time, but not where its shard has no other.
 func TestFlaps(t *testing.T) {
 	for _, alone := range []bool{false, true} {
-		s := newStand(t, Config{})
+		s := newHarness(t, Config{})
 		records := []Record{{ID: "flaps", Addr: "x"}}
 		if !alone {
 			records = append(records, Record{ID: "stays", Addr: "y"})
@@ -326,7 +330,7 @@
 
 // TestPriorities: records of a higher figure are used only while a shard has no sound data node of a lower one.
 func TestPriorities(t *testing.T) {
-	s := newStand(t, Config{ShardSets: 4, Shards: 8, Reach: 2})
+	s := newHarness(t, Config{ShardSets: 4, Shards: 8, Reach: 2})
 	var records []Record
 	for cell := range 4 {
 		records = append(records, Record{ID: fmt.Sprint("first", cell), Addr: fmt.Sprint("a", cell), ShardSet: cell},
@@ -370,10 +374,10 @@
 	expect("a draining one is none", "second0", "second1")
 }
 
-// TestBusy: a data node that turns everything away, as one that drains does before its record says so, is doubted; what
-// is turned away now and then is not a sign.
-func TestBusy(t *testing.T) {
-	s := newStand(t, Config{})
+// TestRejectionsMakeSuspect: a data node that rejects everything, as one that drains does before its record says so, is
+// suspect; one that rejects now and then is not.
+func TestRejectionsMakeSuspect(t *testing.T) {
+	s := newHarness(t, Config{})
 	s.add(s.dns.Update(at(0), Update{Full: true, Records: []Record{{ID: "a", Addr: "x"}, {ID: "b", Addr: "y", Priority: 10}}}))
 	for i := range 100 {
 		e := Rejected
@@ -383,20 +387,20 @@
 		s.add(s.t.Observe(at(float64(i)/100), "a", e))
 	}
 	if s.list["b"].State != Draining {
-		t.Error("a data node that is full now and then is doubted")
+		t.Error("a data node that is full now and then is suspect")
 	}
 	for i := range 16 {
 		s.add(s.t.Observe(at(2+float64(i)/100), "a", Rejected))
 	}
 	if s.list["b"].State != Serving || s.list["a"].State != Serving {
-		t.Errorf("one that turns all away: %v", s.list)
+		t.Errorf("one that rejects everything: %v", s.list)
 	}
 }
 
 // TestBounds: months of ever new ids leave no more than the past that Config allows, and a source names no more
 // than it may.
 func TestBounds(t *testing.T) {
-	s := newStand(t, Config{MaxForgotten: 50})
+	s := newHarness(t, Config{MaxForgotten: 50})
 	for i := range 5000 {
 		s.add(s.dns.Update(at(float64(i)/100), Update{Full: true, Records: []Record{{ID: fmt.Sprint("n", i), Addr: fmt.Sprint("a", i)}}}))
 		if n := len(s.t.nodes); n > 52 || len(s.t.timers) > 52 || s.t.past.Len() > 51 {
@@ -423,7 +427,7 @@
 // and the longest gone is forgotten; that must not be the one that is back, or its claim has no node and the next list
 // that changes it ends the process.
 func TestReturnWhileThePastIsFull(t *testing.T) {
-	s := newStand(t, Config{MaxForgotten: 1})
+	s := newHarness(t, Config{MaxForgotten: 1})
 	leaves, returns := Record{ID: "a", Addr: "x"}, Record{ID: "b", Addr: "y"}
 	s.add(s.dns.Update(at(1), Update{Full: true, Records: []Record{leaves, returns}}))
 	s.add(s.dns.Update(at(2), Update{Full: true, Records: []Record{leaves}}))
--- a/internal/membership/property_test.go
+++ b/internal/membership/property_test.go
@@ -1,7 +1,7 @@
 package membership
 
-// The Table against a naive model that keeps nothing but the latest word of each source and finds everything else
-// by looking at all of it, and benchmarks of one event. The model calls nothing of what it checks.
+// The Table against a naive model that holds nothing but the latest claim of each source and derives everything else
+// from all of them, and benchmarks of one event. The model calls nothing of what it checks.
 
 import (
 	"fmt"
@@ -14,40 +14,40 @@
 	"pgregory.net/rapid"
 )
 
-// word is the latest that a source of the model said of an id.
-type word struct {
+// modelClaim is the latest that a source of the model reported of an id.
+type modelClaim struct {
 	rec        Record
 	since      time.Time
 	remembered bool
 	drained    bool
 }
 
-// naive is the model.
-type naive struct {
-	cells, reach int
-	ranks        []int
-	damped       []bool
-	lease        []time.Duration
-	stale        []time.Duration
-	heard        []time.Time
-	told         []bool
-	words        []map[string]*word
-	came         map[string]time.Time // to its present address
-	where        map[string]string
-	was          map[string]State
-	by           map[string]int
-	penalty      map[string]float64
-	asOf         map[string]time.Time
-	until        map[string]time.Time
-	doubt        map[string]time.Time
-	signs        map[string]int
-	start        map[string]time.Time
-	stated       map[string]time.Time
-	from         map[string]int
-	forget       map[string]time.Time // when what is known of its start is forgotten
+// model is a naive Table: it derives everything anew from the claims.
+type model struct {
+	shardSets, reach int
+	ranks            []int
+	damped           []bool
+	lease            []time.Duration
+	stale            []time.Duration
+	heard            []time.Time
+	complete         []bool
+	claims           []map[string]*modelClaim
+	came             map[string]time.Time // to its present address
+	where            map[string]string
+	was              map[string]State
+	by               map[string]int
+	penalty          map[string]float64
+	asOf             map[string]time.Time
+	until            map[string]time.Time
+	suspectUntil     map[string]time.Time
+	failures         map[string]int
+	start            map[string]time.Time
+	stated           map[string]time.Time
+	from             map[string]int
+	forget           map[string]time.Time // when what is known of its start is forgotten
 }
 
-func (m *naive) kind(now time.Time, i int, w *word) int {
+func (m *model) freshness(now time.Time, i int, w *modelClaim) int {
 	if w.remembered {
 		return 0
 	}
@@ -57,13 +57,13 @@
 	return 2
 }
 
-// verdict reads the first table of the package's comment row by row.
-func (m *naive) verdict(now time.Time, id string) (by int, state State) {
+// resolve reads the first table of the package's comment row by row.
+func (m *model) resolve(now time.Time, id string) (by int, state State) {
 	type said struct{ src, kind, rank int }
 	var all []said
-	for i := range m.words {
-		if w := m.words[i][id]; w != nil {
-			all = append(all, said{i, m.kind(now, i, w), m.ranks[i]})
+	for i := range m.claims {
+		if w := m.claims[i][id]; w != nil {
+			all = append(all, said{i, m.freshness(now, i, w), m.ranks[i]})
 		}
 	}
 	slices.SortStableFunc(all, func(a, b said) int {
@@ -76,11 +76,11 @@
 		return -1, Gone
 	}
 	by = all[0].src
-	own := m.words[by][id]
+	own := m.claims[by][id]
 	if own.rec.State == Gone {
 		by = -1
 		for _, s := range all[1:] {
-			if w := m.words[s.src][id]; s.kind == 2 && w.rec.State != Gone && w.since.After(own.since) {
+			if w := m.claims[s.src][id]; s.kind == 2 && w.rec.State != Gone && w.since.After(own.since) {
 				by = s.src
 				break
 			}
@@ -88,11 +88,11 @@
 		if by < 0 {
 			return -1, Gone
 		}
-		own = m.words[by][id]
+		own = m.claims[by][id]
 	}
 	state = own.rec.State
 	for _, s := range all {
-		w := m.words[s.src][id]
+		w := m.claims[s.src][id]
 		if s.src == by || s.kind < 2 || w.rec.Started.Before(own.rec.Started) {
 			continue
 		}
@@ -103,9 +103,9 @@
 	return by, state
 }
 
-func (m *naive) ids() (list []string) {
+func (m *model) ids() (list []string) {
 	seen := map[string]bool{}
-	for _, ws := range m.words {
+	for _, ws := range m.claims {
 		for id := range ws {
 			if !seen[id] {
 				seen[id], list = true, append(list, id)
@@ -123,15 +123,15 @@
 )
 
 // settle brings penalties and addresses up to date, and drops what nobody names.
-func (m *naive) settle(now time.Time) {
-	for i := range m.words {
+func (m *model) settle(now time.Time) {
+	for i := range m.claims {
 		if m.lease[i] > 0 && m.stale[i] > 0 && !now.Before(m.heard[i].Add(m.lease[i]+m.stale[i])) {
-			m.words[i] = map[string]*word{}
+			m.claims[i] = map[string]*modelClaim{}
 		}
 	}
 	for _, id := range append(m.ids(), keys(m.was)...) {
 		old, had := m.was[id]
-		by, state := m.verdict(now, id)
+		by, state := m.resolve(now, id)
 		add := 0.0
 		switch {
 		case !had || old == Gone:
@@ -159,32 +159,32 @@
 					}
 				}
 			}
-			delete(m.doubt, id)
+			delete(m.suspectUntil, id)
 			delete(m.where, id)
-			m.signs[id] = 0
+			m.failures[id] = 0
 			gone := true
-			for i := range m.words {
-				if w := m.words[i][id]; w != nil && w.rec.State != Gone {
+			for i := range m.claims {
+				if w := m.claims[i][id]; w != nil && w.rec.State != Gone {
 					gone = false
 				}
 			}
-			for i := range m.words {
+			for i := range m.claims {
 				if gone {
-					delete(m.words[i], id)
+					delete(m.claims[i], id)
 				}
 			}
-		} else if addr := m.words[by][id].rec.Addr; m.where[id] != addr {
+		} else if addr := m.claims[by][id].rec.Addr; m.where[id] != addr {
 			m.where[id], m.came[id] = addr, now
 		}
 		if state != Gone {
-			m.restart(now, id, m.words[by][id], by)
+			m.restart(now, id, m.claims[by][id], by)
 		}
 		m.was[id], m.by[id] = state, by
 	}
 }
 
 // restart clears what was seen of a data node once it runs anew.
-func (m *naive) restart(now time.Time, id string, w *word, by int) {
+func (m *model) restart(now time.Time, id string, w *modelClaim, by int) {
 	if f, gone := m.forget[id]; gone {
 		if delete(m.forget, id); !now.Before(f) {
 			delete(m.start, id)
@@ -203,8 +203,8 @@
 	}
 	m.stated[id], m.from[id] = w.rec.Started, by
 	if seen && m.start[id].After(before) {
-		m.signs[id] = 0
-		delete(m.doubt, id)
+		m.failures[id] = 0
+		delete(m.suspectUntil, id)
 	}
 }
 
@@ -217,7 +217,7 @@
 }
 
 // list is what the joined list should say, as "id address state".
-func (m *naive) list(now time.Time) []string {
+func (m *model) list(now time.Time) []string {
 	type cand struct {
 		id           string
 		rec          Record
@@ -227,12 +227,12 @@
 	}
 	var all []*cand
 	for _, id := range m.ids() {
-		by, state := m.verdict(now, id)
+		by, state := m.resolve(now, id)
 		if state == Gone {
 			continue
 		}
-		w := m.words[by][id]
-		c := &cand{id: id, rec: w.rec, kind: m.kind(now, by, w), rank: m.ranks[by], came: m.came[id]}
+		w := m.claims[by][id]
+		c := &cand{id: id, rec: w.rec, kind: m.freshness(now, by, w), rank: m.ranks[by], came: m.came[id]}
 		c.rec.State = state
 		all = append(all, c)
 	}
@@ -254,15 +254,15 @@
 		}
 	}
 	for _, c := range all {
-		_, doubted := m.doubt[c.id]
+		_, doubted := m.suspectUntil[c.id]
 		c.sound = c.rec.State == Serving && !c.alias && !now.Before(m.until[c.id]) && !doubted
 	}
 	// lacks: some shard that the cell holds has no sound one of a priority below the bound.
 	lacks := func(cell, bound int) bool {
-		for shard := range m.cells {
+		for shard := range m.shardSets {
 			holds, covered := false, false
 			for i := range m.reach {
-				h := (shard + i) % m.cells
+				h := (shard + i) % m.shardSets
 				holds = holds || h == cell
 				for _, o := range all {
 					covered = covered || o.sound && o.rec.ShardSet == h && int(o.rec.Priority) < bound
@@ -299,16 +299,16 @@
 			t.Fatal(err)
 		}
 		specs := []Spec{{Name: "a", Rank: 3, Damped: true, MaxStale: 30 * time.Second}, {Name: "b", Rank: 2, Damped: true, MaxStale: 30 * time.Second}, {Name: "c", Rank: 2}}
-		m := &naive{cells: cells, reach: reach, came: map[string]time.Time{}, where: map[string]string{},
+		m := &model{shardSets: cells, reach: reach, came: map[string]time.Time{}, where: map[string]string{},
 			was: map[string]State{}, by: map[string]int{}, penalty: map[string]float64{}, asOf: map[string]time.Time{},
-			until: map[string]time.Time{}, doubt: map[string]time.Time{}, signs: map[string]int{}, start: map[string]time.Time{}, stated: map[string]time.Time{}, from: map[string]int{}, forget: map[string]time.Time{}}
+			until: map[string]time.Time{}, suspectUntil: map[string]time.Time{}, failures: map[string]int{}, start: map[string]time.Time{}, stated: map[string]time.Time{}, from: map[string]int{}, forget: map[string]time.Time{}}
 		var sources []*Source
 		for _, spec := range specs {
 			sources = append(sources, table.Source(spec))
 			m.stale = append(m.stale, spec.MaxStale)
 			m.ranks, m.damped = append(m.ranks, spec.Rank), append(m.damped, spec.Damped)
-			m.lease, m.heard, m.told = append(m.lease, 0), append(m.heard, time.Time{}), append(m.told, false)
-			m.words = append(m.words, map[string]*word{})
+			m.lease, m.heard, m.complete = append(m.lease, 0), append(m.heard, time.Time{}), append(m.complete, false)
+			m.claims = append(m.claims, map[string]*modelClaim{})
 		}
 		list := map[string]Record{}
 		add := func(r Result) {
@@ -326,13 +326,13 @@
 		})
 		now := at(10)
 		say := func(i int, rec Record, remembered bool) {
-			w := m.words[i][rec.ID]
+			w := m.claims[i][rec.ID]
 			if w == nil {
 				if rec.State == Gone {
 					return
 				}
-				w = &word{since: now, rec: rec}
-				m.words[i][rec.ID] = w
+				w = &modelClaim{since: now, rec: rec}
+				m.claims[i][rec.ID] = w
 			} else if w.rec.State != rec.State || rec.State != Gone && (w.rec.Addr != rec.Addr || w.rec.Started != rec.Started) {
 				w.since = now
 			}
@@ -347,10 +347,10 @@
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			now = now.Add(time.Duration(rapid.SampledFrom([]int{0, 1, 200, 1000, 9000}).Draw(t, "ms")) * time.Millisecond)
 			add(table.Tick(now))
-			for id, end := range m.doubt {
+			for id, end := range m.suspectUntil {
 				if !now.Before(end) {
-					delete(m.doubt, id)
-					m.signs[id] = 0
+					delete(m.suspectUntil, id)
+					m.failures[id] = 0
 				}
 			}
 			m.settle(now)
@@ -380,9 +380,9 @@
 					break
 				}
 				if !remembered {
-					m.heard[i], m.lease[i], m.told[i] = now, 0, true
+					m.heard[i], m.lease[i], m.complete[i] = now, 0, true
 				}
-				for id, w := range m.words[i] {
+				for id, w := range m.claims[i] {
 					if !seen[id] && w.rec.State != Gone {
 						say(i, Record{ID: id, State: Gone}, remembered)
 					}
@@ -398,14 +398,14 @@
 				if rapid.Bool().Draw(t, "good") {
 					add(table.Observe(now, id, Answered))
 					if listed {
-						m.signs[id] = 0
-						delete(m.doubt, id)
+						m.failures[id] = 0
+						delete(m.suspectUntil, id)
 					}
 				} else {
 					add(table.Observe(now, id, ConnectionRefused))
 					if listed {
-						if m.signs[id]++; m.signs[id] >= 2 {
-							m.doubt[id] = now.Add(10 * time.Second)
+						if m.failures[id]++; m.failures[id] >= 2 {
+							m.suspectUntil[id] = now.Add(10 * time.Second)
 						}
 					}
 				}
--- a/internal/membership/source.go
+++ b/internal/membership/source.go
@@ -18,7 +18,7 @@
 	Spec
 	index    int // in the order in which sources were added
 	claims   map[string]*claim
-	complete bool      // it has told a whole list that was not a cached one
+	complete bool      // it has reported a whole list that was not cached
 	heard    time.Time // when it last answered
 	lease    time.Duration
 	stale    bool   // the lease has run out
@@ -26,17 +26,17 @@
 	serial   zoneSerial
 }
 
-// zoneSerial is the serial of a zone as a source last told it.
+// zoneSerial is the serial of a zone as a source last reported it.
 type zoneSerial struct {
 	value     uint32
 	known     bool
-	olderFrom time.Time // since when only older serials were told; zero while that is not so
+	olderFrom time.Time // since when only older serials were reported; zero while that is not so
 }
 
 // newer compares serials after RFC 1982; a pair that it leaves undefined counts as not newer.
 func newer(a, b uint32) bool { return a != b && int32(a-b) > 0 }
 
-// Source adds a source; it has told nothing yet.
+// Source adds a source; it has reported nothing yet.
 func (t *Table) Source(spec Spec) *Source {
 	if spec.MaxNodes <= 0 {
 		spec.MaxNodes = DefaultMaxNodes
@@ -46,12 +46,12 @@
 	return &Source{table: t, source: s}
 }
 
-// Serial is the zone's serial as the source last told it.
+// Serial is the zone's serial as the source last reported it.
 func (s *Source) Serial() (serial uint32, known bool) {
 	return s.source.serial.value, s.source.serial.known
 }
 
-// Update applies what the source has told.
+// Update applies an answer of the source.
 func (s *Source) Update(now time.Time, u Update) Result {
 	t, src := s.table, s.source
 	t.advance(now)
@@ -147,7 +147,7 @@
 	return false
 }
 
-// Renew renews the lease of what a source has told: it has said that nothing changed.
+// Renew renews the lease of a source, which has answered that nothing changed.
 func (s *Source) Renew(now time.Time) Result {
 	t, src := s.table, s.source
 	t.advance(now)
--- a/internal/observations/observations_test.go
+++ b/internal/observations/observations_test.go
@@ -36,7 +36,7 @@
 func TestOf(t *testing.T) {
 	none := View{Answered: -1, Latency: -1, Utilization: -1}
 	with := func(change func(*View)) View { v := none; change(&v); return v }
-	doubtful := func(ago time.Duration) View {
+	suspect := func(ago time.Duration) View {
 		return View{Suspect: true, FailedBy: "a", Failed: ago, Answered: -1, Latency: -1, Utilization: -1}
 	}
 	answered := func(v View) View { v.Answered = s; return v }
@@ -47,16 +47,16 @@
 		want  View
 	}{
 		{"nothing", nil, 0, none},
-		{"a failure", []Fact{fact(Failed, "a", 0, 0, 0)}, 0, doubtful(0)},
-		{"a failure that was told late", []Fact{fact(Failed, "a", 0, 6*s, 0)}, 0, none},
+		{"a failure", []Fact{fact(Failed, "a", 0, 0, 0)}, 0, suspect(0)},
+		{"a failure that came late", []Fact{fact(Failed, "a", 0, 6*s, 0)}, 0, none},
 		{"a failure, and time", []Fact{fact(Failed, "a", 0, 2*s, 0)}, 3 * s, none},
 		{"answered later to the same", []Fact{fact(Failed, "a", 0, s, 0), fact(Answered, "a", 1, s, 0)}, 0, answered(none)},
-		{"answered before", []Fact{fact(Answered, "a", -1, s, 0), fact(Failed, "a", 0, s, 0)}, 0, answered(doubtful(s))},
-		{"answered to another within the skew: the more cautious counts", []Fact{fact(Answered, "b", 400, s, 0), fact(Failed, "a", 0, s, 0)}, 0, answered(doubtful(s))},
+		{"answered before", []Fact{fact(Answered, "a", -1, s, 0), fact(Failed, "a", 0, s, 0)}, 0, answered(suspect(s))},
+		{"answered to another within the skew: the more cautious counts", []Fact{fact(Answered, "b", 400, s, 0), fact(Failed, "a", 0, s, 0)}, 0, answered(suspect(s))},
 		{"answered to another, clearly later", []Fact{fact(Answered, "b", 600, s, 0), fact(Failed, "a", 0, s, 0)}, 0, answered(none)},
 		{"of two latencies the later", []Fact{fact(Latency, "a", 5, 0, 0.2), fact(Latency, "b", 3, 0, 0.7)}, 0, with(func(v *View) { v.Latency = 0.2 })},
 		{"too old to count", []Fact{fact(Utilization, "a", 0, 59*s, 0.5)}, 2 * s, none},
-		{"of two starts the younger, though it was told of earlier", []Fact{fact(Started, "a", 9, 8*s, 0), fact(Started, "b", 1, 3*s, 0)}, s,
+		{"of two starts the younger, though its stamp is earlier", []Fact{fact(Started, "a", 9, 8*s, 0), fact(Started, "b", 1, 3*s, 0)}, s,
 			with(func(v *View) { v.WarmingFor, v.WarmingSeenBy, v.Started = 6*s, "b", 4*s })},
 		{"warm", []Fact{fact(Started, "a", 0, 8*s, 0)}, 2 * s, none},
 	} {
@@ -142,11 +142,11 @@
 		for i := range n {
 			tabs = append(tabs, table(t, Config{Self: fmt.Sprint("c", i), MinInterval: time.Nanosecond}))
 		}
-		type told struct {
+		type observed struct {
 			Fact
 			seen time.Duration
 		}
-		var all []told
+		var all []observed
 		now := time.Duration(0)
 		skew := func(i int) time.Time { return wall.Add(now + time.Duration(i)*50*time.Millisecond) } // clocks differ by 200 ms at most
 		tell := func(from, to int) {
@@ -166,7 +166,7 @@
 					r.Fatal(err)
 				}
 				h := tabs[i].nodes[id].registers[f]
-				all = append(all, told{Fact{id, f, h.stamp, 0, h.value}, now})
+				all = append(all, observed{Fact{id, f, h.stamp, 0, h.value}, now})
 			} else {
 				tell(i, chance.IntN(n))
 			}
@@ -180,7 +180,7 @@
 		}
 		for k := range 3 {
 			id := fmt.Sprint("n", k)
-			var best [fieldCount]*told
+			var best [fieldCount]*observed
 			for i := range all {
 				f := &all[i]
 				if f.Node != id {
@@ -239,7 +239,7 @@
 	}
 }
 
-// TestBounds: no more data nodes than may be, the one heard of longest ago goes; what was told least is told first.
+// TestBounds: no more data nodes than may be, the one updated longest ago goes; what was sent least is sent first.
 func TestBounds(t *testing.T) {
 	tab := table(t, Config{MaxNodes: 3})
 	for i := range 5 {
@@ -248,13 +248,13 @@
 	if tab.Size() != 3 || tab.nodes["n0"] != nil || tab.nodes["n1"] != nil {
 		t.Errorf("%d data nodes held", tab.Size())
 	}
-	var told []string
+	var sent []string
 	for range 3 {
 		for _, f := range tab.Facts(5*s, 2) {
-			told = append(told, f.Node)
+			sent = append(sent, f.Node)
 		}
 	}
-	if d := cmp.Diff([]string{"n4", "n3", "n2", "n4", "n3", "n2"}, told); d != "" {
+	if d := cmp.Diff([]string{"n4", "n3", "n2", "n4", "n3", "n2"}, sent); d != "" {
 		t.Errorf("(-want +got)\n%s", d)
 	}
 }
--- a/internal/swim/fleet_test.go
+++ b/internal/swim/fleet_test.go
@@ -40,8 +40,8 @@
 	t.Errorf("%s: views still differ after %v", what, within)
 }
 
-// bear is the longest pause that must do no harm by the defaults.
-const bear = 3 * time.Second
+// maxPause is the longest pause that must do no harm by the defaults.
+const maxPause = 3 * time.Second
 
 // TestCrashIsKnownToAll: all start at once, a member dies, and all know it within the bound: a round of probes in which
 // it must have its turn, and a suspicion without confirmations.
@@ -68,24 +68,24 @@
 	}
 }
 
-// TestPausesAreBorne: a pause within the bound makes nobody dead, of one, of a fifth, and of all at once; one beyond it
+// TestPausesMakeNobodyDead: a pause within the bound makes nobody dead, of one, of a fifth, and of all at once; one beyond it
 // does, and the member is back soon after it wakes.
-func TestPausesAreBorne(t *testing.T) {
+func TestPausesMakeNobodyDead(t *testing.T) {
 	for seed := range uint64(8) {
 		f := fleet(t, swimsim.Config{Members: 20, Seed: seed, Loss: 0.05})
 		settled(t, f, 40*time.Second, "start")
-		f.Pause(3, bear)
+		f.Pause(3, maxPause)
 		f.Run(f.Now() + 20*time.Second)
 		for i := range 4 {
-			f.Pause(5*i, bear)
+			f.Pause(5*i, maxPause)
 		}
 		f.Run(f.Now() + 20*time.Second)
 		for i := range 20 {
-			f.Pause(i, bear+time.Duration(i)*50*time.Millisecond)
+			f.Pause(i, maxPause+time.Duration(i)*50*time.Millisecond)
 		}
 		f.Run(f.Now() + 20*time.Second)
 		if f.FalseDead > 0 {
-			t.Errorf("seed %d: %d false deaths by pauses of %v", seed, f.FalseDead, bear)
+			t.Errorf("seed %d: %d false deaths by pauses of %v", seed, f.FalseDead, maxPause)
 		}
 		f.Pause(7, time.Minute)
 		f.Run(f.Now() + 55*time.Second)
@@ -103,10 +103,10 @@
 	for seed := range uint64(4) {
 		f := fleet(t, swimsim.Config{Members: 20, Seed: seed, Loss: 0.05})
 		settled(t, f, 40*time.Second, "start")
-		for _, by := range []time.Duration{5 * time.Minute, -bear, time.Hour} {
+		for _, by := range []time.Duration{5 * time.Minute, -maxPause, time.Hour} {
 			for _, who := range []int{1, 20} {
-				f.Pause(19, bear)
-				f.Run(f.Now() + bear - 100*time.Millisecond)
+				f.Pause(19, maxPause)
+				f.Run(f.Now() + maxPause - 100*time.Millisecond)
 				for i := range who {
 					f.Jump(i, by)
 				}
@@ -300,7 +300,7 @@
 	})
 }
 
-// TestLoadIsFlat: what a member sends in a period does not grow with the fleet beyond what news and acks take.
+// TestLoadIsFlat: what a member sends in a period does not grow with the fleet beyond what updates and acks take.
 func TestLoadIsFlat(t *testing.T) {
 	var rates []float64
 	for _, n := range []int{10, 100} {
--- a/internal/swim/members.go
+++ b/internal/swim/members.go
@@ -10,7 +10,7 @@
 // member is what is known of one member. Times are of this member's clock.
 type member struct {
 	Update
-	announced bool          // a Change has told of it
+	announced bool          // a Change was emitted for it
 	since     time.Duration // of its state
 	enrolled  bool          // it is in the order of probes
 
@@ -106,7 +106,8 @@
 	fromItself        // the member that it is about
 )
 
-// sender finds the sender of a message and adds it where it is new; nil where it can't be a member, which it is told.
+// sender finds the sender of a message and adds it where it is new; nil where it can't be a member: it
+// gets a Reject then.
 func (s *Swim) sender(from *Update) *member {
 	reason := s.nameConflict(from)
 	if from.Name == s.cfg.Self && from.Process == s.cfg.Process {
