--- a/internal/membership/config.go
+++ b/internal/membership/config.go
@@ -34,32 +34,30 @@
 }
 
 func (c Config) withDefaults() Config {
-	for _, d := range []struct {
-		field    *time.Duration
-		fallback time.Duration
-	}{{&c.HalfLife, 15 * time.Second}, {&c.MaxSuppress, time.Minute}, {&c.ShortAbsence, 10 * time.Second},
-		{&c.SuspectFor, 10 * time.Second}, {&c.SerialHold, 30 * time.Second}} {
-		if *d.field <= 0 {
-			*d.field = d.fallback
-		}
-	}
-	for _, d := range []struct {
-		field    *int
-		fallback int
-	}{{&c.ShardSets, 1}, {&c.Shards, 1}, {&c.Reach, 1}, {&c.SuspectAfter, 2}, {&c.RejectsToSuspect, 16}, {&c.MaxForgotten, 1024}} {
-		if *d.field <= 0 {
-			*d.field = d.fallback
-		}
-	}
-	if c.Suppress <= 0 {
-		c.Suppress = 2500
-	}
-	if c.Reuse <= 0 {
-		c.Reuse = 800
-	}
+	c.ShardSets = orDefault(c.ShardSets, 1)
+	c.Shards = orDefault(c.Shards, 1)
+	c.Reach = orDefault(c.Reach, 1)
+	c.HalfLife = orDefault(c.HalfLife, 15*time.Second)
+	c.Suppress = orDefault(c.Suppress, 2500)
+	c.Reuse = orDefault(c.Reuse, 800)
+	c.MaxSuppress = orDefault(c.MaxSuppress, time.Minute)
+	c.ShortAbsence = orDefault(c.ShortAbsence, 10*time.Second)
+	c.SuspectFor = orDefault(c.SuspectFor, 10*time.Second)
+	c.SuspectAfter = orDefault(c.SuspectAfter, 2)
+	c.RejectsToSuspect = orDefault(c.RejectsToSuspect, 16)
+	c.SerialHold = orDefault(c.SerialHold, 30*time.Second)
+	c.MaxForgotten = orDefault(c.MaxForgotten, 1024)
 	return c
 }
 
+// orDefault is the value, or its default where the value is not above 0.
+func orDefault[T int | float64 | time.Duration](value, fallback T) T {
+	if value <= 0 {
+		return fallback
+	}
+	return value
+}
+
 // Check returns an error that names the first field that is out of range, after defaults.
 func (c Config) Check() error {
 	c = c.withDefaults()
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -103,7 +103,7 @@
 	Full      bool // Records is the complete list; a data node that it lacks is gone
 	Cached    bool // the list is of an earlier run
 	Records   []Record
-	Lease     time.Duration // how long it holds without being heard again; 0 means for good
+	Lease     time.Duration // how long it holds without being confirmed; 0 means for good
 }
 
 // Evidence is what the coordinator sees of a data node itself.
@@ -118,33 +118,42 @@
 	ConnectionReopened                 // they ended and could be opened anew
 )
 
-// Cause names what a note tells of.
+// Cause is what a note is about.
 type Cause string
 
-// What was decided.
+// The causes. The words are in log lines, as in `data node listed`, and in the output of `gullfall dnssd`.
 const (
-	Listed     Cause = "listed"
-	Removed    Cause = "removed"
-	Drained    Cause = "draining"
-	Moved      Cause = "moved"
-	Replaced   Cause = "replaced"
-	Restarted  Cause = "restarted"
-	Held       Cause = "list held"     // an answer of a source that changes nothing, or removes nothing
-	Emptied    Cause = "list emptied"  // an authoritative empty list
-	WentBack   Cause = "serial back"   // an older serial is believed after all
-	Stale      Cause = "source stale"  // its lease has run out
-	Fresh      Cause = "source fresh"  // it was heard again
-	Lapsed     Cause = "source lapsed" // its MaxStale is over; its claims are dropped
-	Suppressed Cause = "suppressed"
-	Reused     Cause = "reused"
-	Needed     Cause = "needed" // suppressed, but a shard has no other
-	Standby    Cause = "standby"
-	Active     Cause = "active"
-	Suspected  Cause = "suspected"
-	Cleared    Cause = "cleared"
-	Aliased    Cause = "alias" // another id stands at its address
-	Excess     Cause = "too many"
-	Unfit      Cause = "unfit" // a record that can't be used
+	// Of a data node in the list.
+	Listed    Cause = "listed"
+	Removed   Cause = "removed"
+	Drained   Cause = "draining"
+	Moved     Cause = "moved"     // to another address
+	Replaced  Cause = "replaced"  // it stands at an address in place of another
+	Restarted Cause = "restarted" // it is another process than before
+	Aliased   Cause = "alias"     // another id stands at its address
+
+	// Of damping.
+	Suppressed Cause = "suppressed" // its return is held back
+	Needed     Cause = "needed"     // suppressed, but a shard has no other
+	Reused     Cause = "reused"     // no longer suppressed
+
+	// Of priorities.
+	Standby Cause = "standby" // data nodes of a lower figure suffice
+	Active  Cause = "active"  // they no longer do
+
+	// Of the coordinator's own evidence.
+	Suspected Cause = "suspected"
+	Cleared   Cause = "cleared"
+
+	// Of a source.
+	Held     Cause = "list held"     // an answer changes nothing, or removes nothing
+	Emptied  Cause = "list emptied"  // an authoritative empty list
+	WentBack Cause = "serial back"   // an older serial is believed after all
+	Stale    Cause = "source stale"  // its lease has run out
+	Fresh    Cause = "source fresh"  // it has answered again
+	Lapsed   Cause = "source lapsed" // its MaxStale is over; its claims are dropped
+	Excess   Cause = "too many"      // it names more data nodes than Spec.MaxNodes
+	Unfit    Cause = "unfit"         // a record that can't be used
 )
 
 // Note says why something was decided.
--- a/internal/observations/observations.go
+++ b/internal/observations/observations.go
@@ -27,6 +27,7 @@
 package observations
 
 import (
+	"cmp"
 	"errors"
 	"fmt"
 	"math"
@@ -104,24 +105,13 @@
 }
 
 func (c Config) withDefaults() Config {
-	for _, d := range []struct {
-		field    *time.Duration
-		fallback time.Duration
-	}{
-		{&c.MaxSkew, 500 * time.Millisecond},
-		{&c.MaxAhead, time.Minute},
-		{&c.SuspectFor, 5 * time.Second},
-		{&c.MaxAge, time.Minute},
-		{&c.WarmupTime, 10 * time.Second},
-		{&c.MinInterval, 500 * time.Millisecond},
-	} {
-		if *d.field == 0 {
-			*d.field = d.fallback
-		}
-	}
-	if c.MaxNodes == 0 {
-		c.MaxNodes = 10_000
-	}
+	c.MaxSkew = cmp.Or(c.MaxSkew, 500*time.Millisecond)
+	c.MaxAhead = cmp.Or(c.MaxAhead, time.Minute)
+	c.SuspectFor = cmp.Or(c.SuspectFor, 5*time.Second)
+	c.MaxAge = cmp.Or(c.MaxAge, time.Minute)
+	c.WarmupTime = cmp.Or(c.WarmupTime, 10*time.Second)
+	c.MinInterval = cmp.Or(c.MinInterval, 500*time.Millisecond)
+	c.MaxNodes = cmp.Or(c.MaxNodes, 10_000)
 	return c
 }
 
--- a/internal/swim/config.go
+++ b/internal/swim/config.go
@@ -1,6 +1,7 @@
 package swim
 
 import (
+	"cmp"
 	"fmt"
 	"time"
 )
@@ -63,31 +64,24 @@
 	if c.Self == "" || c.Addr == "" {
 		return fmt.Errorf("swim: Self, Addr: both must be given")
 	}
-	orDefault(&c.Period, time.Second)
-	orDefault(&c.Timeout, c.Period/4)
-	orDefault(&c.MaxPause, 3*time.Second)
-	orDefault(&c.SyncInterval, 15*c.Period)
-	orDefault(&c.ForgetAfter, 10*time.Minute)
-	orDefault(&c.Indirect, 3)
-	orDefault(&c.RetransmitMult, 4)
-	orDefault(&c.MaxHealth, 4)
-	orDefault(&c.MaxUpdateBytes, 1100)
-	orDefault(&c.CutAfter, 4)
-	orDefault(&c.Suspicion.MinMult, 4)
-	orDefault(&c.Suspicion.MaxMult, 4)
-	orDefault(&c.Suspicion.MinPhi, 1)
+	c.Period = cmp.Or(c.Period, time.Second)
+	c.Timeout = cmp.Or(c.Timeout, c.Period/4)
+	c.MaxPause = cmp.Or(c.MaxPause, 3*time.Second)
+	c.SyncInterval = cmp.Or(c.SyncInterval, 15*c.Period)
+	c.ForgetAfter = cmp.Or(c.ForgetAfter, 10*time.Minute)
+	c.Indirect = cmp.Or(c.Indirect, 3)
+	c.RetransmitMult = cmp.Or(c.RetransmitMult, 4)
+	c.MaxHealth = cmp.Or(c.MaxHealth, 4)
+	c.MaxUpdateBytes = cmp.Or(c.MaxUpdateBytes, 1100)
+	c.CutAfter = cmp.Or(c.CutAfter, 4)
+	c.Suspicion.MinMult = cmp.Or(c.Suspicion.MinMult, 4)
+	c.Suspicion.MaxMult = cmp.Or(c.Suspicion.MaxMult, 4)
+	c.Suspicion.MinPhi = cmp.Or(c.Suspicion.MinPhi, 1)
 	s := c.Suspicion
 	if c.Period <= 0 || c.Timeout <= 0 || c.Timeout > c.Period/2 || c.MaxPause < 0 || s.MaxMult < 1 || s.MinMult < 0 {
-		return fmt.Errorf("swim: Period %v, Timeout %v, MaxPause %v, MinMult %v, MaxMult %v: Timeout is above 0 and at most half of Period, MaxMult 1 at least, none below 0",
+		return fmt.Errorf("swim: Period %v, Timeout %v, MaxPause %v, MinMult %v, MaxMult %v: "+
+			"Timeout is above 0 and at most half of Period, MaxMult 1 at least, none below 0",
 			c.Period, c.Timeout, c.MaxPause, s.MinMult, s.MaxMult)
 	}
 	return nil
 }
-
-// orDefault sets what is zero to its default.
-func orDefault[T comparable](field *T, fallback T) {
-	var zero T
-	if *field == zero {
-		*field = fallback
-	}
-}
--- a/internal/zones/config.go
+++ b/internal/zones/config.go
@@ -1,6 +1,7 @@
 package zones
 
 import (
+	"cmp"
 	"fmt"
 	"time"
 )
@@ -33,27 +34,22 @@
 }
 
 func (c Config) withDefaults() Config {
-	d := Defaults
-	for _, f := range []struct{ field, fallback *time.Duration }{{&c.Window, &d.Window}, {&c.Confirm, &d.Confirm},
-		{&c.Quiet, &d.Quiet}, {&c.Wait, &d.Wait}, {&c.MaxWait, &d.MaxWait}, {&c.Spread, &d.Spread}, {&c.Ramp, &d.Ramp}} {
-		orDefault(f.field, *f.fallback)
-	}
-	for _, f := range []struct{ field, fallback *float64 }{{&c.Doubt, &d.Doubt}, {&c.Clear, &d.Clear}, {&c.Leave, &d.Leave},
-		{&c.Margin, &d.Margin}, {&c.Keep, &d.Keep}} {
-		orDefault(f.field, *f.fallback)
-	}
-	orDefault(&c.MinFailing, d.MinFailing)
+	c.Window = cmp.Or(c.Window, Defaults.Window)
+	c.Doubt = cmp.Or(c.Doubt, Defaults.Doubt)
+	c.Clear = cmp.Or(c.Clear, Defaults.Clear)
+	c.Leave = cmp.Or(c.Leave, Defaults.Leave)
+	c.Margin = cmp.Or(c.Margin, Defaults.Margin)
+	c.MinFailing = cmp.Or(c.MinFailing, Defaults.MinFailing)
+	c.Confirm = cmp.Or(c.Confirm, Defaults.Confirm)
+	c.Quiet = cmp.Or(c.Quiet, Defaults.Quiet)
+	c.Wait = cmp.Or(c.Wait, Defaults.Wait)
+	c.MaxWait = cmp.Or(c.MaxWait, Defaults.MaxWait)
+	c.Spread = cmp.Or(c.Spread, Defaults.Spread)
+	c.Ramp = cmp.Or(c.Ramp, Defaults.Ramp)
+	c.Keep = cmp.Or(c.Keep, Defaults.Keep)
 	return c
 }
 
-// orDefault sets what is zero to its default.
-func orDefault[T comparable](field *T, fallback T) {
-	var zero T
-	if *field == zero {
-		*field = fallback
-	}
-}
-
 // Check returns an error that names the first field that is out of range, after defaults.
 func (c Config) Check() error {
 	c = c.withDefaults()
