--- a/internal/observations/table.go
+++ b/internal/observations/table.go
@@ -45,15 +45,15 @@
 // Observe writes what this coordinator has observed itself just now. Of what it observes again and again only some becomes
 // a fact. The error is ErrMalformed.
 func (t *Table) Observe(now time.Duration, wall time.Time, id string, f Field, value float64) error {
-	if !t.worthSharing(now, id, f) {
+	if !t.becomesFact(now, id, f) {
 		return nil
 	}
 	return t.write(now, wall, Fact{Node: id, Field: f, Value: value})
 }
 
-// worthSharing tells whether what was observed just now becomes a fact: each field once in MinInterval, and at once where a
+// becomesFact tells whether what was observed just now becomes a fact: each field once in MinInterval, and at once where a
 // failure follows an answer or an answer a failure.
-func (t *Table) worthSharing(now time.Duration, id string, f Field) bool {
+func (t *Table) becomesFact(now time.Duration, id string, f Field) bool {
 	n := t.nodes[id]
 	if n == nil || f >= fieldCount {
 		return true
@@ -110,7 +110,7 @@
 func (t *Table) merge(now time.Duration, f Fact) bool {
 	n := t.nodes[f.Node]
 	if n == nil {
-		t.makeRoom()
+		t.evictOldest()
 		n = &node{}
 		t.nodes[f.Node] = n
 	}
@@ -136,8 +136,8 @@
 	return later != 0 && (r.seen > held.seen || r.seen == held.seen && later > 0)
 }
 
-// makeRoom drops the data node updated longest ago, where there are MaxNodes.
-func (t *Table) makeRoom() {
+// evictOldest drops the data node updated longest ago, where there are MaxNodes.
+func (t *Table) evictOldest() {
 	if len(t.nodes) < t.cfg.MaxNodes {
 		return
 	}
--- a/internal/swim/probe.go
+++ b/internal/swim/probe.go
@@ -13,7 +13,7 @@
 	nextAt      time.Duration // when the next probe begins
 	gossipAt    time.Duration // when updates are next sent beside probes
 	recheck     []string      // members to be probed again, between those of the round
-	recheckTurn bool          // the last probe was one of these
+	rechecking bool          // the last probe was one of these
 }
 
 // probe is an open probe of this member's own.
@@ -141,8 +141,8 @@
 // nextTarget is whose turn it is: every second time one of those to be rechecked, else the next of the round.
 func (s *Swim) nextTarget() *member {
 	p, l := &s.prober, &s.members
-	p.recheckTurn = !p.recheckTurn
-	if p.recheckTurn && len(p.recheck) > 0 {
+	p.rechecking = !p.rechecking
+	if p.rechecking && len(p.recheck) > 0 {
 		name := p.recheck[0]
 		p.recheck = p.recheck[1:]
 		if m := l.byName[name]; m != nil && reachable(m) {
