--- a/internal/swim/probe.go
+++ b/internal/swim/probe.go
@@ -7,12 +7,12 @@
 
 // prober holds the open probes and when the next begins.
 type prober struct {
-	probes      []*probe
-	relays      []relay
-	seq         uint32        // of the last probe, direct or indirect
-	nextAt      time.Duration // when the next probe begins
-	gossipAt    time.Duration // when updates are next sent beside probes
-	recheck     []string      // members to be probed again, between those of the round
+	probes     []*probe
+	relays     []relay
+	seq        uint32        // of the last probe, direct or indirect
+	nextAt     time.Duration // when the next probe begins
+	gossipAt   time.Duration // when updates are next sent beside probes
+	recheck    []string      // members to be probed again, between those of the round
 	rechecking bool          // the last probe was one of these
 }
 
