--- a/internal/membership/table.go
+++ b/internal/membership/table.go
@@ -160,7 +160,8 @@
 // penalise counts a withdrawal or a drain against a node.
 func (t *Table) penalise(now time.Time, n *node, penalty float64) {
 	if n.damping.add(&t.cfg, now, penalty) {
-		t.note(Suppressed, nil, n.id, fmt.Sprintf("penalty %.0f, for %v", n.damping.penalty, n.damping.until.Sub(now).Round(time.Second)))
+		held := n.damping.until.Sub(now).Round(time.Second)
+		t.note(Suppressed, nil, n.id, fmt.Sprintf("penalty %.0f, for %v", n.damping.penalty, held))
 	}
 }
 
--- a/internal/observations/observations.go
+++ b/internal/observations/observations.go
@@ -79,11 +79,12 @@
 const maxNameBytes = 255 // of data nodes and coordinators
 
 func (f *Fact) valid() bool {
-	by := f.Stamp.Coordinator
-	return f.Node != "" && len(f.Node) <= maxNameBytes && f.Field < fieldCount && f.Age >= 0 && by != "" && len(by) <= maxNameBytes &&
+	return validName(f.Node) && validName(f.Stamp.Coordinator) && f.Field < fieldCount && f.Age >= 0 &&
 		f.Value >= 0 && !math.IsInf(f.Value, 0)
 }
 
+func validName(name string) bool { return name != "" && len(name) <= maxNameBytes }
+
 // Why a fact was not taken.
 var (
 	ErrMalformed = errors.New("not a fact: its node, field, age, value or coordinator is out of range")
@@ -118,8 +119,11 @@
 // Check returns an error where a bound is out of range, after defaults.
 func (c Config) Check() error {
 	c = c.withDefaults()
-	if c.Self == "" || c.MaxSkew < 0 || c.MaxAhead <= c.MaxSkew || c.SuspectFor <= 0 || c.MaxAge < c.SuspectFor || c.MaxAge < c.WarmupTime || c.MaxNodes < 1 {
-		return fmt.Errorf("observations: %+v: Self is named, MaxAhead is above MaxSkew, MaxAge is not under SuspectFor and WarmupTime, MaxNodes is 1 at least", c)
+	clocks := c.MaxSkew >= 0 && c.MaxAhead > c.MaxSkew
+	ages := c.SuspectFor > 0 && c.MaxAge >= c.SuspectFor && c.MaxAge >= c.WarmupTime
+	if c.Self == "" || !clocks || !ages || c.MaxNodes < 1 {
+		return fmt.Errorf("observations: %+v: Self is named, MaxAhead is above MaxSkew, "+
+			"MaxAge is not under SuspectFor and WarmupTime, MaxNodes is 1 at least", c)
 	}
 	return nil
 }
--- a/internal/observations/table.go
+++ b/internal/observations/table.go
@@ -183,7 +183,8 @@
 		}
 	}
 	slices.SortFunc(list, func(a, b entry) int {
-		return cmp.Or(cmp.Compare(a.register.sent, b.register.sent), cmp.Compare(a.Age, b.Age), cmp.Compare(a.Node, b.Node), cmp.Compare(a.Field, b.Field))
+		return cmp.Or(cmp.Compare(a.register.sent, b.register.sent), cmp.Compare(a.Age, b.Age),
+			cmp.Compare(a.Node, b.Node), cmp.Compare(a.Field, b.Field))
 	})
 	var facts []Fact
 	for _, e := range list[:min(limit, len(list))] {
--- a/internal/swim/suspicion.go
+++ b/internal/swim/suspicion.go
@@ -71,6 +71,7 @@
 		u := m.Update
 		u.State, u.By = Dead, s.cfg.Self
 		s.counts.Deaths++
-		s.applyUpdate(u, fromOther, fmt.Sprintf("suspected for %v by %d, and not refuted", (s.now-m.suspectedAt).Round(time.Millisecond), len(m.suspectors)))
+		lasted := (s.now - m.suspectedAt).Round(time.Millisecond)
+		s.applyUpdate(u, fromOther, fmt.Sprintf("suspected for %v by %d, and not refuted", lasted, len(m.suspectors)))
 	}
 }
