--- a/cmd/gullfall/peers.go
+++ b/cmd/gullfall/peers.go
@@ -86,7 +86,7 @@
 func forgetPeer(peers *gossip.Gossip, members *store.Store, name string) (forgotten, error) {
 	err := fmt.Errorf("no coordinator %q is known", name)
 	peers.View(func(s *swim.Swim) {
-		if state, known := s.Holds(name); known && state == swim.Dead {
+		if state, known := s.State(name); known && state == swim.Dead {
 			err = nil
 		} else if known {
 			err = fmt.Errorf("%q is %v; only one that is dead can be gone for good", name, state)
@@ -104,7 +104,7 @@
 func viewOfPeers(s *swim.Swim, now time.Duration) peersView {
 	quorum := s.Quorum()
 	v := peersView{Verdict: quorum.Kind.String(), Here: quorum.Here, Known: quorum.Known, Majority: quorum.Majority,
-		Refused: s.Refused(), Health: s.Health(), Counts: s.Counts(), Self: s.Self()}
+		Refused: s.Rejection(), Health: s.Health(), Counts: s.Counts(), Self: s.Self()}
 	ago := func(t time.Duration) float64 {
 		if t == 0 {
 			return -1
--- a/cmd/gullfall/store.go
+++ b/cmd/gullfall/store.go
@@ -100,7 +100,7 @@
 		return false
 	}
 	peers.View(func(s *swim.Swim) {
-		state, known := s.Holds(name)
+		state, known := s.State(name)
 		alive = known && state < swim.Dead
 	})
 	return alive
--- a/internal/config/peers.go
+++ b/internal/config/peers.go
@@ -74,7 +74,7 @@
 
 // Swim is the configuration of the coordinators' membership protocol for one process.
 func (p *Peers) Swim(name string, process, seed uint64) swim.Config {
-	return swim.Config{Self: name, Addr: p.Listen, Process: process, Seed: seed, Seeds: p.Seeds, Period: time.Duration(p.Period),
+	return swim.Config{Self: name, Addr: p.Listen, Process: process, RandomSeed: seed, Seeds: p.Seeds, Period: time.Duration(p.Period),
 		Timeout: time.Duration(p.Timeout), MaxPause: time.Duration(p.MaxPause)}
 }
 
--- a/internal/gossip/gossip_test.go
+++ b/internal/gossip/gossip_test.go
@@ -1,6 +1,6 @@
 package gossip
 
-// The encoding, the seal, and two of us on loopback.
+// The encoding, the keyring, and two coordinators on loopback.
 
 import (
 	"errors"
@@ -26,7 +26,7 @@
 		{Kind: swim.Ack, From: sample, Via: "n4", Updates: []swim.Update{sample, {Name: "x", Addr: "y", State: swim.Left}},
 			Links: []swim.Link{{From: "a", To: "b", By: "a", Version: 1<<32 - 1, Cut: true}, {From: "b", To: "a", By: "a"}}},
 		{Kind: swim.Nack, From: sample},
-		{Kind: swim.Refuse, From: sample, Reason: strings.Repeat("r", 255)},
+		{Kind: swim.Reject, From: sample, Reason: strings.Repeat("r", 255)},
 	}
 }
 
@@ -42,11 +42,11 @@
 			t.Errorf("%d bytes; %d were reckoned with", len(raw), m.Size())
 		}
 		for n := range raw {
-			if _, _, err := Decode(raw[:n]); !errors.Is(err, errForm) {
+			if _, _, err := Decode(raw[:n]); !errors.Is(err, errMalformed) {
 				t.Errorf("cut at %d of %d: error %v", n, len(raw), err)
 			}
 		}
-		if _, _, err := Decode(append(raw, 0)); !errors.Is(err, errForm) {
+		if _, _, err := Decode(append(raw, 0)); !errors.Is(err, errMalformed) {
 			t.Errorf("a byte too many: error %v", err)
 		}
 	}
@@ -60,7 +60,7 @@
 
 func someFacts(n int) (facts []observations.Fact) {
 	for i := range n {
-		facts = append(facts, observations.Fact{Node: fmt.Sprint("node-", i), Field: observations.Field(i % 5), Stamp: observations.Stamp{At: 1_700_000_000_000, N: uint32(i), By: "n0"},
+		facts = append(facts, observations.Fact{Node: fmt.Sprint("node-", i), Field: observations.Field(i % 5), Stamp: observations.Stamp{Physical: 1_700_000_000_000, Logical: uint32(i), Coordinator: "n0"},
 			Age: time.Duration(i) * time.Millisecond, Value: 0.25})
 	}
 	return facts
@@ -71,15 +71,15 @@
 	facts := someFacts(100)
 	raw, n := AppendFacts(nil, facts)
 	got, err := DecodeFacts(raw)
-	if diff := cmp.Diff(facts[:n], got); err != nil || diff != "" || n < 20 || len(raw)+overhead > mostPacket {
+	if diff := cmp.Diff(facts[:n], got); err != nil || diff != "" || n < 20 || len(raw)+sealOverhead > maxPacketBytes {
 		t.Errorf("error %v, %d facts in %d bytes (-want +got)\n%s", err, n, len(raw), diff)
 	}
 	for i := range raw {
-		if _, err := DecodeFacts(raw[:i]); !errors.Is(err, errForm) {
+		if _, err := DecodeFacts(raw[:i]); !errors.Is(err, errMalformed) {
 			t.Fatalf("cut at %d of %d: %v", i, len(raw), err)
 		}
 	}
-	if _, err := DecodeFacts(append(raw, 0)); !errors.Is(err, errForm) {
+	if _, err := DecodeFacts(append(raw, 0)); !errors.Is(err, errMalformed) {
 		t.Errorf("a byte too many: %v", err)
 	}
 	short := facts[:1]
@@ -94,7 +94,7 @@
 func FuzzDecodeFacts(f *testing.F) {
 	raw, _ := AppendFacts(nil, someFacts(3))
 	f.Add(raw)
-	f.Add([]byte{factsKind, 0xff, 0xff, 3})
+	f.Add([]byte{kindFacts, 0xff, 0xff, 3})
 	f.Fuzz(func(t *testing.T, raw []byte) {
 		facts, err := DecodeFacts(raw)
 		if err != nil || len(facts) == 0 {
@@ -118,7 +118,7 @@
 		f.Add(AppendMessage(nil, m))
 	}
 	f.Add(AppendFull(nil, &swim.Full{From: sample, Members: []swim.Update{sample}}))
-	f.Add([]byte{fullKind, 0})
+	f.Add([]byte{kindFull, 0})
 	f.Fuzz(func(t *testing.T, raw []byte) {
 		m, full, err := Decode(raw)
 		switch {
@@ -140,38 +140,38 @@
 
 func key(id byte, c string) Key { return Key{ID: id, Secret: []byte(strings.Repeat(c, 16))} }
 
-func newTestRing(t *testing.T, fleet string, process uint64, keys ...Key) *ring {
+func newTestRing(t *testing.T, fleet string, process uint64, keys ...Key) *keyring {
 	t.Helper()
-	r, err := newRing(fleet, process, keys)
+	r, err := newKeyring(fleet, process, keys)
 	if err != nil {
 		t.Fatal(err)
 	}
 	return r
 }
 
-// TestSeal: who opens what: keys are rotated by adding, sealing with the new one, and removing; another fleet's, another
-// version's, spoilt and repeated packets are not taken.
+// TestSeal: which packets are opened: keys are rotated by adding, sealing with the new one, and removing; packets of another
+// fleet or version, corrupt and repeated ones are not opened.
 func TestSeal(t *testing.T) {
 	from := newTestRing(t, "f", 1, key(1, "a"))
 	raw := from.seal([]byte("hello"))
 	for _, c := range []struct {
-		name  string
-		fleet string
-		keys  []Key
-		spoil func([]byte)
-		want  error
+		name    string
+		fleet   string
+		keys    []Key
+		corrupt func([]byte)
+		want    error
 	}{
 		{"the same key", "f", []Key{key(1, "a")}, nil, nil},
 		{"a new key seals, the old one opens", "f", []Key{key(2, "b"), key(1, "a")}, nil, nil},
 		{"the old key is gone", "f", []Key{key(2, "b")}, nil, errSeal},
 		{"another secret under the id", "f", []Key{key(1, "c")}, nil, errSeal},
 		{"another fleet", "g", []Key{key(1, "a")}, nil, errSeal},
-		{"another version", "f", []Key{key(1, "a")}, func(b []byte) { b[0]++ }, errOther},
-		{"a spoilt byte", "f", []Key{key(1, "a")}, func(b []byte) { b[len(b)-1]++ }, errSeal},
+		{"another version", "f", []Key{key(1, "a")}, func(b []byte) { b[0]++ }, errVersion},
+		{"a corrupt byte", "f", []Key{key(1, "a")}, func(b []byte) { b[len(b)-1]++ }, errSeal},
 	} {
 		b := append([]byte(nil), raw...)
-		if c.spoil != nil {
-			c.spoil(b)
+		if c.corrupt != nil {
+			c.corrupt(b)
 		}
 		to := newTestRing(t, c.fleet, 2, c.keys...)
 		got, err := to.open(b)
@@ -182,12 +182,12 @@
 			t.Errorf("%s: taken twice", c.name)
 		}
 	}
-	if _, err := newRing("f", 1, []Key{{ID: 1, Secret: []byte("short")}}); err == nil || strings.Contains(err.Error(), "short") {
+	if _, err := newKeyring("f", 1, []Key{{ID: 1, Secret: []byte("short")}}); err == nil || strings.Contains(err.Error(), "short") {
 		t.Errorf("a short key: %v", err)
 	}
 }
 
-// TestReplay: packets may come in any order within 64, each once; what is older is not taken.
+// TestReplay: packets may come in any order within 64, each once; what is older is rejected.
 func TestReplay(t *testing.T) {
 	from, to := newTestRing(t, "f", 1, key(1, "a")), newTestRing(t, "f", 2, key(1, "a"))
 	var sent [][]byte
@@ -204,8 +204,8 @@
 	}
 }
 
-// TestTwo: two of us meet by a seed; a foreign packet is counted and dropped; a key is rotated without a gap; a goodbye is
-// heard; and all is given back.
+// TestTwo: two coordinators meet by a seed; a foreign packet is counted and dropped; a key is rotated without a gap; a
+// goodbye arrives; and Close gives everything back.
 func TestTwo(t *testing.T) {
 	free := func() string {
 		ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -228,7 +228,7 @@
 	defer a.Close()
 	state := func(g *Gossip, name string) (s string) {
 		g.View(func(v *swim.Swim) {
-			if held, known := v.Holds(name); known {
+			if held, known := v.State(name); known {
 				s = held.String()
 			}
 		})
@@ -246,7 +246,7 @@
 	// What one sees of a data node the other learns, until an answer that is clearly later clears it.
 	a.Observe("n", observations.Failed, 0)
 	a.Observe("n", observations.Utilization, 0.5)
-	until("a failure is told", func() bool { v := b.Observations("n"); return v.Suspect && v.Utilization == 0.5 })
+	until("a failure is shared", func() bool { v := b.Observations("n"); return v.Suspect && v.Utilization == 0.5 })
 	time.Sleep(600 * time.Millisecond)
 	b.Observe("n", observations.Answered, 0)
 	until("and an answer", func() bool { return !a.Observations("n").Suspect && !b.Observations("n").Suspect })
@@ -271,6 +271,6 @@
 		t.Errorf("after the keys were rotated: %s, %s", state(a, "b"), state(b, "a"))
 	}
 	b.Leave()
-	until("the goodbye is heard", func() bool { return state(a, "b") == "left" })
+	until("the goodbye has arrived", func() bool { return state(a, "b") == "left" })
 	b.Close()
 }
--- a/internal/observations/observations_test.go
+++ b/internal/observations/observations_test.go
@@ -29,14 +29,14 @@
 }
 
 func fact(f Field, by string, at int64, age time.Duration, value float64) Fact {
-	return Fact{Node: "n", Field: f, Stamp: Stamp{At: wall.UnixMilli() + at, By: by}, Age: age, Value: value}
+	return Fact{Node: "n", Field: f, Stamp: Stamp{Physical: wall.UnixMilli() + at, Coordinator: by}, Age: age, Value: value}
 }
 
-// TestOf: what is held of a data node, by what was told, where copies differ and as time goes on.
+// TestOf: the view of a data node, where facts differ and as time goes on.
 func TestOf(t *testing.T) {
 	none := View{Answered: -1, Latency: -1, Utilization: -1}
 	with := func(change func(*View)) View { v := none; change(&v); return v }
-	doubtful := func(ago time.Duration) View {
+	suspect := func(ago time.Duration) View {
 		return View{Suspect: true, FailedBy: "a", Failed: ago, Answered: -1, Latency: -1, Utilization: -1}
 	}
 	answered := func(v View) View { v.Answered = s; return v }
@@ -47,16 +47,16 @@
 		want  View
 	}{
 		{"nothing", nil, 0, none},
-		{"a failure", []Fact{fact(Failed, "a", 0, 0, 0)}, 0, doubtful(0)},
-		{"a failure that was told late", []Fact{fact(Failed, "a", 0, 6*s, 0)}, 0, none},
+		{"a failure", []Fact{fact(Failed, "a", 0, 0, 0)}, 0, suspect(0)},
+		{"a failure that came late", []Fact{fact(Failed, "a", 0, 6*s, 0)}, 0, none},
 		{"a failure, and time", []Fact{fact(Failed, "a", 0, 2*s, 0)}, 3 * s, none},
 		{"answered later to the same", []Fact{fact(Failed, "a", 0, s, 0), fact(Answered, "a", 1, s, 0)}, 0, answered(none)},
-		{"answered before", []Fact{fact(Answered, "a", -1, s, 0), fact(Failed, "a", 0, s, 0)}, 0, answered(doubtful(s))},
-		{"answered to another within the skew: the more cautious counts", []Fact{fact(Answered, "b", 400, s, 0), fact(Failed, "a", 0, s, 0)}, 0, answered(doubtful(s))},
+		{"answered before", []Fact{fact(Answered, "a", -1, s, 0), fact(Failed, "a", 0, s, 0)}, 0, answered(suspect(s))},
+		{"answered to another within the skew: the more cautious counts", []Fact{fact(Answered, "b", 400, s, 0), fact(Failed, "a", 0, s, 0)}, 0, answered(suspect(s))},
 		{"answered to another, clearly later", []Fact{fact(Answered, "b", 600, s, 0), fact(Failed, "a", 0, s, 0)}, 0, answered(none)},
 		{"of two latencies the later", []Fact{fact(Latency, "a", 5, 0, 0.2), fact(Latency, "b", 3, 0, 0.7)}, 0, with(func(v *View) { v.Latency = 0.2 })},
 		{"too old to count", []Fact{fact(Utilization, "a", 0, 59*s, 0.5)}, 2 * s, none},
-		{"of two starts the younger, though it was told of earlier", []Fact{fact(Started, "a", 9, 8*s, 0), fact(Started, "b", 1, 3*s, 0)}, s,
+		{"of two starts the younger, though its stamp is earlier", []Fact{fact(Started, "a", 9, 8*s, 0), fact(Started, "b", 1, 3*s, 0)}, s,
 			with(func(v *View) { v.WarmingFor, v.WarmingSeenBy, v.Started = 6*s, "b", 4*s })},
 		{"warm", []Fact{fact(Started, "a", 0, 8*s, 0)}, 2 * s, none},
 	} {
@@ -89,7 +89,7 @@
 		{"an earlier one", fact(Failed, "a", -5, 0, 0), ErrKnown},
 		{"no data node", Fact{Field: Failed, Stamp: Stamp{1, 0, "a"}}, ErrMalformed},
 		{"no coordinator", Fact{Node: "n", Stamp: Stamp{1, 0, ""}}, ErrMalformed},
-		{"no field", Fact{Node: "n", Field: fields, Stamp: Stamp{1, 0, "a"}}, ErrMalformed},
+		{"no field", Fact{Node: "n", Field: fieldCount, Stamp: Stamp{1, 0, "a"}}, ErrMalformed},
 		{"from the future", fact(Failed, "a", 0, -s, 0), ErrMalformed},
 		{"no number", fact(Latency, "a", 0, 0, math.NaN()), ErrMalformed},
 		{"without end", fact(Latency, "a", 0, 0, math.Inf(1)), ErrMalformed},
@@ -98,27 +98,27 @@
 		{"too old", fact(Utilization, "b", 59_500, time.Minute, 0), ErrOld},
 	} {
 		tab := table(t, Config{})
-		if c.want == ErrKnown {
+		if errors.Is(c.want, ErrKnown) {
 			tab.Merge(0, wall, fact(Failed, "a", 0, 0, 0))
 		}
 		if err := tab.Merge(0, wall, c.f); !errors.Is(err, c.want) {
 			t.Errorf("%s: %v, want %v", c.name, err, c.want)
 		}
 	}
-	if _, err := New(Config{Self: "me", Keep: s}); err == nil {
-		t.Error("Keep under Hold was taken")
+	if _, err := New(Config{Self: "me", MaxAge: s}); err == nil {
+		t.Error("MaxAge under SuspectFor was taken")
 	}
 }
 
 // TestStamps: our own stamps only grow, whatever our clock does, and go beyond what was heard.
 func TestStamps(t *testing.T) {
-	tab := table(t, Config{Every: time.Nanosecond})
+	tab := table(t, Config{MinInterval: time.Nanosecond})
 	var last Stamp
 	for i, at := range []time.Duration{0, 0, -time.Hour, 5 * s, 4 * s} {
 		if err := tab.Observe(time.Duration(i), wall.Add(at), "n", Failed, 0); err != nil {
 			t.Fatal(err)
 		}
-		got := tab.nodes["n"].facts[Failed].stamp
+		got := tab.nodes["n"].registers[Failed].stamp
 		if got.Compare(last) <= 0 {
 			t.Errorf("step %d: %+v is not after %+v", i, got, last)
 		}
@@ -127,7 +127,7 @@
 	heard := fact(Failed, "other", 30_000, 0, 0)
 	tab.Merge(0, wall, heard)
 	tab.Observe(0, wall, "n", Answered, 0)
-	if got := tab.nodes["n"].facts[Answered].stamp; got.Compare(heard.Stamp) <= 0 {
+	if got := tab.nodes["n"].registers[Answered].stamp; got.Compare(heard.Stamp) <= 0 {
 		t.Errorf("%+v is not after what was heard, %+v", got, heard.Stamp)
 	}
 }
@@ -140,13 +140,13 @@
 		n := rapid.IntRange(2, 5).Draw(r, "coordinators")
 		var tabs []*Table
 		for i := range n {
-			tabs = append(tabs, table(t, Config{Self: fmt.Sprint("c", i), Every: time.Nanosecond}))
+			tabs = append(tabs, table(t, Config{Self: fmt.Sprint("c", i), MinInterval: time.Nanosecond}))
 		}
-		type told struct {
+		type observed struct {
 			Fact
 			seen time.Duration
 		}
-		var all []told
+		var all []observed
 		now := time.Duration(0)
 		skew := func(i int) time.Time { return wall.Add(now + time.Duration(i)*50*time.Millisecond) } // clocks differ by 200 ms at most
 		tell := func(from, to int) {
@@ -161,12 +161,12 @@
 			i := chance.IntN(n)
 			if chance.IntN(2) == 0 {
 				now++ // two sights at one moment are one
-				id, f := fmt.Sprint("n", chance.IntN(3)), Field(chance.IntN(int(fields)))
+				id, f := fmt.Sprint("n", chance.IntN(3)), Field(chance.IntN(int(fieldCount)))
 				if err := tabs[i].Observe(now, skew(i), id, f, float64(chance.IntN(9))); err != nil {
 					r.Fatal(err)
 				}
-				h := tabs[i].nodes[id].facts[f]
-				all = append(all, told{Fact{id, f, h.stamp, 0, h.value}, now})
+				h := tabs[i].nodes[id].registers[f]
+				all = append(all, observed{Fact{id, f, h.stamp, 0, h.value}, now})
 			} else {
 				tell(i, chance.IntN(n))
 			}
@@ -180,7 +180,7 @@
 		}
 		for k := range 3 {
 			id := fmt.Sprint("n", k)
-			var best [fields]*told
+			var best [fieldCount]*observed
 			for i := range all {
 				f := &all[i]
 				if f.Node != id {
@@ -193,13 +193,13 @@
 				}
 			}
 			for i, tab := range tabs {
-				for f := range fields {
-					var h held
+				for f := range fieldCount {
+					var h register
 					if tab.nodes[id] != nil {
-						h = tab.nodes[id].facts[f]
+						h = tab.nodes[id].registers[f]
 					}
 					switch b := best[f]; {
-					case b == nil && h.stamp.By != "":
+					case b == nil && h.stamp.Coordinator != "":
 						r.Fatalf("c%d holds %s of %s, which nobody saw", i, f, id)
 					case b != nil && (h.stamp != b.Stamp || h.seen != b.seen || h.value != b.Value):
 						r.Fatalf("c%d holds %+v for %s of %s; %+v seen at %v is right", i, h, f, id, b.Fact, b.seen)
@@ -218,8 +218,8 @@
 	})
 }
 
-// TestWorth: what is seen again and again is one fact in Every; a failure after an answer, or an answer after a failure, at once.
-func TestWorth(t *testing.T) {
+// TestObservationsAreThinnedOut: what is seen again and again is one fact in MinInterval; a failure after an answer, or an answer after a failure, at once.
+func TestObservationsAreThinnedOut(t *testing.T) {
 	tab := table(t, Config{})
 	ms := time.Millisecond
 	for i, c := range []struct {
@@ -228,33 +228,33 @@
 		want bool
 	}{{0, Answered, true}, {10 * ms, Answered, false}, {20 * ms, Failed, true}, {30 * ms, Failed, false}, {40 * ms, Answered, true}, {50 * ms, Latency, true},
 		{60 * ms, Latency, false}, {550 * ms, Latency, true}, {560 * ms, Answered, true}} {
-		before := tab.last
+		before := tab.clock.last
 		if err := tab.Observe(c.at, wall, "n", c.f, 1); err != nil {
 			t.Fatal(err)
 		}
-		held := tab.nodes["n"].facts[c.f].stamp == tab.last && tab.last != before
+		held := tab.nodes["n"].registers[c.f].stamp == tab.clock.last && tab.clock.last != before
 		if held != c.want {
 			t.Errorf("sight %d, %s after %v: a fact %v, want %v", i, c.f, c.at, held, c.want)
 		}
 	}
 }
 
-// TestBounds: no more data nodes than may be, the one heard of longest ago goes; what was told least is told first.
+// TestBounds: no more data nodes than may be, the one updated longest ago goes; what was sent least is sent first.
 func TestBounds(t *testing.T) {
-	tab := table(t, Config{MostNodes: 3})
+	tab := table(t, Config{MaxNodes: 3})
 	for i := range 5 {
 		tab.Observe(time.Duration(i)*s, wall, fmt.Sprint("n", i), Failed, 0)
 	}
 	if tab.Size() != 3 || tab.nodes["n0"] != nil || tab.nodes["n1"] != nil {
 		t.Errorf("%d data nodes held", tab.Size())
 	}
-	var told []string
+	var sent []string
 	for range 3 {
 		for _, f := range tab.Facts(5*s, 2) {
-			told = append(told, f.Node)
+			sent = append(sent, f.Node)
 		}
 	}
-	if d := cmp.Diff([]string{"n4", "n3", "n2", "n4", "n3", "n2"}, told); d != "" {
+	if d := cmp.Diff([]string{"n4", "n3", "n2", "n4", "n3", "n2"}, sent); d != "" {
 		t.Errorf("(-want +got)\n%s", d)
 	}
 }
@@ -285,8 +285,8 @@
 	}
 }
 
-// TestSawStart: a start that the list tells is told on once, with its age, and another one later.
-func TestSawStart(t *testing.T) {
+// TestObserveStart: a start that the list states is one fact, with its age, and another one later.
+func TestObserveStart(t *testing.T) {
 	tab := table(t, Config{})
 	for _, c := range []struct {
 		now, ago time.Duration
--- a/internal/swim/fleet_test.go
+++ b/internal/swim/fleet_test.go
@@ -28,21 +28,20 @@
 }
 
 // settled runs until all views are equal and true, or fails.
-func settled(t testing.TB, f *swimsim.Fleet, within time.Duration, what string) time.Duration {
+func settled(t testing.TB, f *swimsim.Fleet, within time.Duration, what string) {
 	t.Helper()
 	from := f.Now()
 	for f.Now() < from+within {
 		if f.Agreed() {
-			return f.Now() - from
+			return
 		}
 		f.Run(f.Now() + 100*time.Millisecond)
 	}
 	t.Errorf("%s: views still differ after %v", what, within)
-	return within
 }
 
-// bear is the longest pause that must do no harm by the defaults.
-const bear = 3 * time.Second
+// maxPause is the longest pause that must do no harm by the defaults.
+const maxPause = 3 * time.Second
 
 // TestCrashIsKnownToAll: all start at once, a member dies, and all know it within the bound: a round of probes in which
 // it must have its turn, and a suspicion without confirmations.
@@ -51,7 +50,7 @@
 		t.Run(fmt.Sprint(n), func(t *testing.T) {
 			f := fleet(t, swimsim.Config{Members: n, Seed: uint64(n)})
 			settled(t, f, 30*time.Second, "start")
-			bound := time.Duration(n)*time.Second + 4*f.View(0).Least()
+			bound := time.Duration(n)*time.Second + 4*f.View(0).MinSuspicion()
 			_, all, ok := f.Detection(n-1, bound)
 			if !ok || f.FalseDead > 0 {
 				t.Errorf("known to all after %v (bound %v): %v; %d false deaths", all, bound, ok, f.FalseDead)
@@ -62,31 +61,31 @@
 			settled(t, f, 40*time.Second, "return under a new process")
 			if n > 2 {
 				if v := f.View(0).Quorum(); v.Kind != swim.Connected || v.Here != n || !v.Majority {
-					t.Errorf("verdict %+v", v)
+					t.Errorf("quorum %+v", v)
 				}
 			}
 		})
 	}
 }
 
-// TestPausesAreBorne: a pause within the bound makes nobody dead, of one, of a fifth, and of all at once; one beyond it
+// TestPausesMakeNobodyDead: a pause within the bound makes nobody dead, of one, of a fifth, and of all at once; one beyond it
 // does, and the member is back soon after it wakes.
-func TestPausesAreBorne(t *testing.T) {
+func TestPausesMakeNobodyDead(t *testing.T) {
 	for seed := range uint64(8) {
 		f := fleet(t, swimsim.Config{Members: 20, Seed: seed, Loss: 0.05})
 		settled(t, f, 40*time.Second, "start")
-		f.Pause(3, bear)
+		f.Pause(3, maxPause)
 		f.Run(f.Now() + 20*time.Second)
 		for i := range 4 {
-			f.Pause(5*i, bear)
+			f.Pause(5*i, maxPause)
 		}
 		f.Run(f.Now() + 20*time.Second)
 		for i := range 20 {
-			f.Pause(i, bear+time.Duration(i)*50*time.Millisecond)
+			f.Pause(i, maxPause+time.Duration(i)*50*time.Millisecond)
 		}
 		f.Run(f.Now() + 20*time.Second)
 		if f.FalseDead > 0 {
-			t.Errorf("seed %d: %d false deaths by pauses of %v", seed, f.FalseDead, bear)
+			t.Errorf("seed %d: %d false deaths by pauses of %v", seed, f.FalseDead, maxPause)
 		}
 		f.Pause(7, time.Minute)
 		f.Run(f.Now() + 55*time.Second)
@@ -104,10 +103,10 @@
 	for seed := range uint64(4) {
 		f := fleet(t, swimsim.Config{Members: 20, Seed: seed, Loss: 0.05})
 		settled(t, f, 40*time.Second, "start")
-		for _, by := range []time.Duration{5 * time.Minute, -bear, time.Hour} {
+		for _, by := range []time.Duration{5 * time.Minute, -maxPause, time.Hour} {
 			for _, who := range []int{1, 20} {
-				f.Pause(19, bear)
-				f.Run(f.Now() + bear - 100*time.Millisecond)
+				f.Pause(19, maxPause)
+				f.Run(f.Now() + maxPause - 100*time.Millisecond)
 				for i := range who {
 					f.Jump(i, by)
 				}
@@ -152,7 +151,7 @@
 				}
 			}
 			if got := v.Quorum(); got.Kind != swim.Connected || got.Here != 8 {
-				t.Errorf("seed %d: member %d: verdict %+v: the others reach both", seed, i, got)
+				t.Errorf("seed %d: member %d: quorum %+v: the others reach both", seed, i, got)
 			}
 		}
 		f.Cut(1, 2, false)
@@ -189,7 +188,7 @@
 				here = 3
 			}
 			if v.Kind != swim.Split || v.Here != here || v.Known != 8 || v.Majority != (here == 5) {
-				t.Errorf("seed %d: member %d: verdict %+v, want split, %d of 8", seed, i, v, here)
+				t.Errorf("seed %d: member %d: quorum %+v, want split, %d of 8", seed, i, v, here)
 			}
 		}
 		split(false)
@@ -197,17 +196,17 @@
 	}
 }
 
-// TestWordsOnAnotherProcess: a restarted process's own word counts from its start; what others still say of the one before
-// does not bring that one back, and what they say of a later one does count.
-func TestWordsOnAnotherProcess(t *testing.T) {
+// TestUpdatesOnAnotherProcess: a restarted process's own update counts from its start; what others still say of the one
+// before does not bring that one back, and what they say of a later one does count.
+func TestUpdatesOnAnotherProcess(t *testing.T) {
 	const before, after, later = 1, 2, 3
-	word := func(process, incarnation uint64) swim.Update {
+	update := func(process, incarnation uint64) swim.Update {
 		return swim.Update{Name: "a", Addr: "1", Process: process, Incarnation: incarnation}
 	}
 	own := func(u swim.Update) swim.Event {
 		return swim.Event{Packet: &swim.Message{Kind: swim.Updates, From: u}}
 	}
-	hearsay := func(u swim.Update) swim.Event {
+	others := func(u swim.Update) swim.Event {
 		return swim.Event{Packet: &swim.Message{Kind: swim.Updates, From: swim.Update{Name: "b", Addr: "2", Process: 9, Incarnation: 1}, Updates: []swim.Update{u}}}
 	}
 	for _, c := range []struct {
@@ -215,12 +214,12 @@
 		events []swim.Event
 		want   uint64 // the incarnation that is held in the end
 	}{
-		{"its own word goes on to count after hearsay on the one before", []swim.Event{own(word(after, 1)), hearsay(word(before, 1)), own(word(after, 3))}, 3},
-		{"also after newer hearsay on the one before", []swim.Event{own(word(after, 1)), hearsay(word(before, 5)), own(word(after, 7))}, 7},
-		{"its own word counts though it has less behind it", []swim.Event{hearsay(word(before, 5)), own(word(after, 1))}, 6},
-		{"the one before says no more by a packet sent anew", []swim.Event{own(word(before, 5)), own(word(after, 1)), own(word(before, 5))}, 6},
-		{"hearsay on a later one", []swim.Event{own(word(after, 1)), hearsay(word(later, 2))}, 2},
-		{"an incarnation that is no more than a lie", []swim.Event{own(word(after, 1)), hearsay(word(after, 1<<40))}, 1},
+		{"its own word goes on to count after hearsay on the one before", []swim.Event{own(update(after, 1)), others(update(before, 1)), own(update(after, 3))}, 3},
+		{"also after newer hearsay on the one before", []swim.Event{own(update(after, 1)), others(update(before, 5)), own(update(after, 7))}, 7},
+		{"its own word counts though it has less behind it", []swim.Event{others(update(before, 5)), own(update(after, 1))}, 6},
+		{"the one before says no more by a packet sent anew", []swim.Event{own(update(before, 5)), own(update(after, 1)), own(update(before, 5))}, 6},
+		{"hearsay on a later one", []swim.Event{own(update(after, 1)), others(update(later, 2))}, 2},
+		{"an incarnation that is no more than a lie", []swim.Event{own(update(after, 1)), others(update(after, 1<<40))}, 1},
 	} {
 		s, err := swim.New(swim.Config{Self: "x", Addr: "0", Process: 7}, 0)
 		if err != nil {
@@ -301,7 +300,7 @@
 	})
 }
 
-// TestLoadIsFlat: what a member sends in a period does not grow with the fleet beyond what news and acks take.
+// TestLoadIsFlat: what a member sends in a period does not grow with the fleet beyond what updates and acks take.
 func TestLoadIsFlat(t *testing.T) {
 	var rates []float64
 	for _, n := range []int{10, 100} {
@@ -315,3 +314,29 @@
 		t.Errorf("packets a second and member: %.2f of 10, %.2f of 100", rates[0], rates[1])
 	}
 }
+
+// TestLateLinkReport: a member has left, and a report on a link to it comes late. Once the member is forgotten the report
+// is on nobody, and the list of members must leave it out.
+func TestLateLinkReport(t *testing.T) {
+	s, err := swim.New(swim.Config{Self: "x", Addr: "0", Process: 7, ForgetAfter: time.Second}, 0)
+	if err != nil {
+		t.Fatal(err)
+	}
+	from := swim.Update{Name: "a", Addr: "1", Process: 1, Incarnation: 1}
+	left := swim.Update{Name: "b", Addr: "2", Process: 2, Incarnation: 1}
+	s.Step(10*time.Millisecond, swim.Event{Packet: &swim.Message{Kind: swim.Updates, From: from, Updates: []swim.Update{left}}})
+	left.State = swim.Left
+	s.Step(20*time.Millisecond, swim.Event{Packet: &swim.Message{Kind: swim.Updates, From: from, Updates: []swim.Update{left},
+		Links: []swim.Link{{From: "a", To: "b", By: "a", Version: 1, Cut: true}}}})
+	for now := 30 * time.Millisecond; now < 2*time.Second; now += 10 * time.Millisecond {
+		s.Step(now)
+	}
+	if _, known := s.State("b"); known {
+		t.Fatal("b is still known")
+	}
+	for _, m := range s.Members() {
+		if m.Partly || len(m.CutTo)+len(m.CutFrom) > 0 {
+			t.Errorf("%s is held for partly reachable: %+v", m.Name, m)
+		}
+	}
+}
