--- a/cmd/gullfall/main_test.go
+++ b/cmd/gullfall/main_test.go
@@ -219,7 +219,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	clients := &platform.Clients{Core: c, Log: log, MaxConns: 9, BodyMemory: 1 << 20}
+	clients := &platform.Server{Coordinator: c, Log: log, MaxConns: 9, BodyMemory: 1 << 20}
 	go clients.Serve(ln)
 	nc, err := net.Dial("tcp", ln.Addr().String())
 	if err != nil {
--- a/cmd/gullfall/serve.go
+++ b/cmd/gullfall/serve.go
@@ -76,7 +76,7 @@
 // fronts are what clients connect to.
 type fronts struct {
 	listener   net.Listener
-	clients    *platform.Clients
+	clients    *platform.Server
 	flight     *flight.Server // nil where Arrow Flight is off
 	advertised *dnssd.Service // nil where no records of our own are served
 }
@@ -224,19 +224,19 @@
 func (d *daemon) followDiscovery(ctx context.Context) error {
 	limits, rules := d.cfg.Settings.Limits, d.cfg.Settings.Rules
 	d.connections = make(chan struct{}, d.cfg.Limits.Sockets*dataNodeSocketsOf8/8)
-	nodes := &platform.Nodes{Core: d.coordinator, Log: d.log, Dial: dial, Streams: d.cfg.Streams, Connect: limits.ConnectTimeout,
-		Idle: limits.ConnIdle, Slots: d.connections}
+	nodes := &platform.ConnPool{Coordinator: d.coordinator, Log: d.log, Dial: dial, Streams: d.cfg.Streams, ConnectTimeout: limits.ConnectTimeout,
+		IdleTimeout: limits.ConnIdle, Slots: d.connections}
 	d.coordinator.RegisterDispatcher(dnssd.Frames, nodes.Dispatch)
 	watch := platform.NewWatch(d.cfg.Discovery)
 	watch.Source = d.coordinator.Source(membership.Spec{Name: "discovery", Rank: discoveryRank})
 	watch.Log, watch.Dial = d.log, dial
-	watch.Keep = func(list []byte) { d.store.Put(store.Members, list) }
-	watch.Calls = membership.PollSchedule{Pushed: !d.cfg.Settings.PollList, Peers: d.cfg.Settings.Aggregators - 1,
+	watch.Persist = func(list []byte) { d.store.Put(store.Members, list) }
+	watch.Schedule = membership.PollSchedule{Pushed: !d.cfg.Settings.PollList, Peers: d.cfg.Settings.Aggregators - 1,
 		Grace: rules.DrainGrace, Interval: rules.PollInterval}
-	watch.Confirm = watch.Calls.ConfirmTimeout()
-	watch.Draw = rand.New(rand.NewPCG(d.cfg.Seed, watchRandomStream)).Float64
+	watch.ConfirmTimeout = watch.Schedule.ConfirmTimeout()
+	watch.Random = rand.New(rand.NewPCG(d.cfg.Seed, watchRandomStream)).Float64
 	if len(d.cfg.Known) > 0 {
-		watch.Remember(d.cfg.Known)
+		watch.Restore(d.cfg.Known)
 	}
 	d.watch = watch
 	go watch.Run(ctx)
@@ -281,7 +281,7 @@
 	if d.deploy.Flight.Listen != "" {
 		maxConns -= sockets / flightSocketsDiv
 	}
-	d.fronts.clients = &platform.Clients{Core: d.coordinator, Log: d.log, MaxConns: maxConns, BusyConns: sockets / busyClientsDiv,
+	d.fronts.clients = &platform.Server{Coordinator: d.coordinator, Log: d.log, MaxConns: maxConns, BusyConns: sockets / busyClientsDiv,
 		BodyMemory: int64(d.cfg.Limits.MemoryMB) << 20 / clientBodyMemoryDiv, RetryAfter: d.coordinator.RetryAfter()}
 	go func() { d.failed <- d.fronts.clients.Serve(d.fronts.listener) }()
 	d.log.Info("serving", "name", d.cfg.Name, "listen", d.cfg.Listen)
--- a/internal/faults/standins_test.go
+++ b/internal/faults/standins_test.go
@@ -50,8 +50,8 @@
 var quiet = slog.New(slog.NewTextHandler(io.Discard, nil))
 
 func carryFrames(c *coordinator.Coordinator) coordinator.Dispatcher {
-	return (&platform.Nodes{Core: c, Log: quiet, Dial: dial, Streams: 32, Connect: 250 * time.Millisecond,
-		Idle: 30 * time.Second, Slots: make(chan struct{}, 64)}).Dispatch
+	return (&platform.ConnPool{Coordinator: c, Log: quiet, Dial: dial, Streams: 32, ConnectTimeout: 250 * time.Millisecond,
+		IdleTimeout: 30 * time.Second, Slots: make(chan struct{}, 64)}).Dispatch
 }
 
 func carryFlight(c *coordinator.Coordinator) coordinator.Dispatcher {
@@ -417,7 +417,7 @@
 
 // frontHTTP is the platform's front and its client.
 func frontHTTP(c *coordinator.Coordinator, ln net.Listener) (asker, func()) {
-	clients := &platform.Clients{Core: c, Log: quiet, MaxConns: 64, BodyMemory: 1 << 20}
+	clients := &platform.Server{Coordinator: c, Log: quiet, MaxConns: 64, BodyMemory: 1 << 20}
 	go clients.Serve(&conns{Listener: ln, narrow: true})
 	ids := ids()
 	ask := func(ctx context.Context, class, owner string, shards ...int) string {
--- a/internal/platform/clientconn.go
+++ b/internal/platform/clientconn.go
@@ -32,7 +32,7 @@
 // clientConn is one connection of a client. Its own goroutine, in run, is the only one that closes it: whoever wants it
 // gone sets its read deadline under the lock of Clients. So a request is either read, and then answered, or left unread.
 type clientConn struct {
-	clients  *Clients
+	clients  *Server
 	nc       net.Conn
 	in       inbound
 	text     *textproto.Reader // over in
@@ -44,7 +44,7 @@
 	evicted bool      // it is to go, unless a request has just been read
 }
 
-func newClientConn(f *Clients, nc net.Conn) *clientConn {
+func newClientConn(f *Server, nc net.Conn) *clientConn {
 	c := &clientConn{clients: f, nc: nc, phase: silent, in: inbound{conn: nc}}
 	c.text = textproto.NewReader(bufio.NewReader(&c.in))
 	return c
@@ -233,7 +233,7 @@
 		return errorResponse(re.status, re.text)
 	}
 	q.Deadline = c.clients.bound(q.Deadline)
-	answer, err := c.clients.Core.Execute(ctx, q)
+	answer, err := c.clients.Coordinator.Execute(ctx, q)
 	switch {
 	case errors.Is(err, coordinator.ErrInput):
 		return errorResponse(400, err.Error())
--- a/internal/platform/clients.go
+++ b/internal/platform/clients.go
@@ -47,8 +47,8 @@
 	coming: time.Second, resting: 2 * time.Second}
 
 // Clients serves clients. Its exported fields are set before its first use.
-type Clients struct {
-	Core       *coordinator.Coordinator
+type Server struct {
+	Coordinator       *coordinator.Coordinator
 	Log        *slog.Logger
 	MaxConns   int   // connections that may be open
 	BusyConns  int   // connections with requests that clients may have; from half of it on they are kept no longer than need be
@@ -67,7 +67,7 @@
 }
 
 // Serve accepts connections until the listener is closed.
-func (f *Clients) Serve(ln net.Listener) error {
+func (f *Server) Serve(ln net.Listener) error {
 	for {
 		nc, err := ln.Accept()
 		if err != nil {
@@ -84,11 +84,11 @@
 }
 
 // ServeConn serves one connection until it ends.
-func (f *Clients) ServeConn(nc net.Conn) { f.enter(nc).run() }
+func (f *Server) ServeConn(nc net.Conn) { f.enter(nc).run() }
 
 // enter gives a connection its place, and is the one place that decides which other must go for it. Where none may go
 // yet, it waits; at most as many requests are out as the core holds, so that others soon may.
-func (f *Clients) enter(nc net.Conn) *clientConn {
+func (f *Server) enter(nc net.Conn) *clientConn {
 	c := newClientConn(f, nc)
 	for !f.place(c) {
 		time.Sleep(placePoll)
@@ -97,7 +97,7 @@
 }
 
 // place notes a connection if there is room for it; otherwise another is asked to go.
-func (f *Clients) place(c *clientConn) bool {
+func (f *Server) place(c *clientConn) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.conns == nil {
@@ -115,7 +115,7 @@
 // evict asks the connection to end that must go first, and tells whether one may go: of those in the earliest phase, not
 // before least, the one that has been in it for longest. The connection itself settles whether it still can: one that
 // has just read a request answers it. The caller holds the lock.
-func (f *Clients) evict(least phase) bool {
+func (f *Server) evict(least phase) bool {
 	var first *clientConn
 	now := time.Now()
 	for c := range f.conns {
@@ -135,7 +135,7 @@
 }
 
 // remove gives back the place of a connection that has ended.
-func (f *Clients) remove(c *clientConn) {
+func (f *Server) remove(c *clientConn) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.conns[c] && c.used {
@@ -147,19 +147,19 @@
 // crowded tells whether an answer is to close its connection. Clients that open one for each request and keep it
 // would soon have no other left: one that rests goes first, and where none has rested for long enough, this one.
 // The caller holds the lock.
-func (f *Clients) crowded() bool {
+func (f *Server) crowded() bool {
 	return f.BusyConns > 0 && f.used > f.BusyConns/2 && !f.evict(resting)
 }
 
 // Drain makes each answer from now on close its connection. Queries that come in from now on are answered by answerBy.
-func (f *Clients) Drain(answerBy time.Time) {
+func (f *Server) Drain(answerBy time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.draining, f.answerBy = true, answerBy
 }
 
 // bound is the deadline of a query that comes in now.
-func (f *Clients) bound(deadline time.Time) time.Time {
+func (f *Server) bound(deadline time.Time) time.Time {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if !f.answerBy.IsZero() && deadline.After(f.answerBy) {
@@ -169,7 +169,7 @@
 }
 
 // CloseIdle closes the connections that are between requests, now and from now on.
-func (f *Clients) CloseIdle() {
+func (f *Server) CloseIdle() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.draining, f.closing = true, true
@@ -181,10 +181,10 @@
 }
 
 // Wait returns once all connections are closed.
-func (f *Clients) Wait() { f.wg.Wait() }
+func (f *Server) Wait() { f.wg.Wait() }
 
 // reserve books the memory that a body may take, and tells whether there is room for it.
-func (f *Clients) reserve(n int64) bool {
+func (f *Server) reserve(n int64) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if n > 0 && f.held+n > f.BodyMemory {
--- a/internal/platform/discovery.go
+++ b/internal/platform/discovery.go
@@ -31,11 +31,11 @@
 	Source *coordinator.Source
 	Log    *slog.Logger
 	Dial   func(ctx context.Context, addr string) (net.Conn, error)
-	Keep   func(list []byte)       // takes in the list, in discovery's form, after each change; may be nil
-	Calls  membership.PollSchedule // when the list is called for
-	Draw   func() float64          // from 0 to 1, not the same in each coordinator
+	Persist   func(list []byte)       // takes in the list, in discovery's form, after each change; may be nil
+	Schedule  membership.PollSchedule // when the list is called for
+	Random   func() float64          // from 0 to 1, not the same in each coordinator
 	// Confirm is how long a remembered list is used before discovery has answered; 0 sets no bound.
-	Confirm time.Duration
+	ConfirmTimeout time.Duration
 
 	moves   chan string
 	addr    string
@@ -52,7 +52,7 @@
 
 // NewWatch returns a watch on discovery at addr.
 func NewWatch(addr string) *Watch {
-	return &Watch{addr: addr, moves: make(chan string), Draw: rand.Float64}
+	return &Watch{addr: addr, moves: make(chan string), Random: rand.Float64}
 }
 
 // source is one connection to discovery, or the attempt to open one.
@@ -105,7 +105,7 @@
 		}
 		list = append(list, m)
 	}
-	w.Calls.Lines = len(w.entries)
+	w.Schedule.Lines = len(w.entries)
 	return list
 }
 
@@ -144,7 +144,7 @@
 }
 
 // Remember starts from a list as it was last held.
-func (w *Watch) Remember(known []byte) {
+func (w *Watch) Restore(known []byte) {
 	var p page
 	if err := json.Unmarshal(known, &p); err != nil {
 		w.Log.Warn("remembered list not understood", "cause", err)
@@ -191,7 +191,7 @@
 func (w *Watch) Run(ctx context.Context) {
 	told := make(chan telling)
 	open := func() *source {
-		s := &source{addr: w.addr, target: "/discovery/hosts?watch=1", patience: w.Calls.Timeout(), told: told}
+		s := &source{addr: w.addr, target: "/discovery/hosts?watch=1", patience: w.Schedule.Timeout(), told: told}
 		if w.listed && !w.moved {
 			s.since = true
 			s.target += "&after=" + strconv.FormatInt(w.version, 10)
@@ -202,11 +202,11 @@
 		return s
 	}
 	var now, next *source
-	again := time.NewTimer(w.Calls.FirstDelay(w.Draw()))
+	again := time.NewTimer(w.Schedule.FirstDelay(w.Random()))
 	defer again.Stop()
 	var unconfirmed <-chan time.Time
-	if w.Confirm > 0 {
-		timer := time.NewTimer(w.Confirm)
+	if w.ConfirmTimeout > 0 {
+		timer := time.NewTimer(w.ConfirmTimeout)
 		defer timer.Stop()
 		unconfirmed = timer.C
 	}
@@ -246,10 +246,10 @@
 						"cause", t.end)
 				}
 				if w.away = true; next == nil {
-					again.Reset(w.Calls.RetryDelay(w.Draw()))
+					again.Reset(w.Schedule.RetryDelay(w.Random()))
 				}
 			case t.open:
-				w.Calls.Succeeded()
+				w.Schedule.Succeeded()
 				if w.away {
 					w.Log.Info("watch on discovery is open again", "version", w.version)
 				}
@@ -395,7 +395,7 @@
 
 // keep passes on the whole list.
 func (w *Watch) keep() {
-	if w.Keep == nil {
+	if w.Persist == nil {
 		return
 	}
 	p := page{Version: w.version, Full: true, Servers: []json.RawMessage{}}
@@ -403,7 +403,7 @@
 		p.Servers = append(p.Servers, w.entries[id])
 	}
 	if data, err := json.Marshal(p); err == nil {
-		w.Keep(data)
+		w.Persist(data)
 	}
 }
 
--- a/internal/platform/ending_test.go
+++ b/internal/platform/ending_test.go
@@ -256,7 +256,7 @@
 	w := &world{t: t, real: true}
 	ours, theirs := w.pair()
 	defer ours.Close()
-	clients := &Clients{Core: c, Log: log, MaxConns: 9, BodyMemory: 1 << 20}
+	clients := &Server{Coordinator: c, Log: log, MaxConns: 9, BodyMemory: 1 << 20}
 	go clients.ServeConn(theirs)
 	body := `{"shards":[{"shard":0,"weight":1}],"q":"text"}`
 	fmt.Fprintf(ours, "POST /report HTTP/1.1\r\nReq-Id: q\r\nReq-Deadline-Ms: 100\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
--- a/internal/platform/fleet_test.go
+++ b/internal/platform/fleet_test.go
@@ -93,9 +93,9 @@
 			}
 			w := NewWatch("d")
 			w.Source, w.Log, w.Dial = c.Source(membership.Spec{Name: "discovery"}), log, o.dial
-			w.Calls = membership.PollSchedule{Peers: coordinators - 1, Grace: 2 * time.Second}
-			w.Draw = rand.New(rand.NewPCG(seed, 1)).Float64
-			w.Remember([]byte(`{"version":41,"servers":[` + strings.Join(known, ",") + `]}`))
+			w.Schedule = membership.PollSchedule{Peers: coordinators - 1, Grace: 2 * time.Second}
+			w.Random = rand.New(rand.NewPCG(seed, 1)).Float64
+			w.Restore([]byte(`{"version":41,"servers":[` + strings.Join(known, ",") + `]}`))
 			go w.Run(ctx)
 		}
 		time.Sleep(20 * time.Second)
--- a/internal/platform/formats_test.go
+++ b/internal/platform/formats_test.go
@@ -70,7 +70,7 @@
 	}
 	ctx, stop := context.WithCancel(t.Context())
 	go k.Run(ctx)
-	nodes := &Nodes{Core: k, Log: log, Dial: dial, Streams: 32, Connect: 250 * time.Millisecond, Slots: make(chan struct{}, 9)}
+	nodes := &ConnPool{Coordinator: k, Log: log, Dial: dial, Streams: 32, ConnectTimeout: 250 * time.Millisecond, Slots: make(chan struct{}, 9)}
 	k.RegisterDispatcher("", nodes.Dispatch)
 	list := k.Source(membership.Spec{Name: "list"})
 	list.Replace([]coordinator.Member{{ID: "a", Weight: 1}}, false)
@@ -95,14 +95,14 @@
 	w := NewWatch("discovery")
 	w.Log = slog.New(slog.NewTextHandler(io.Discard, nil))
 	w.Source = k.Source(membership.Spec{Name: "list"})
-	w.Remember(known)
+	w.Restore(known)
 	claims := w.Source.Claims()
 	if len(claims) != 2 || claims[0].ID != "a" || claims[0].ShardSet != 1 || claims[0].Zone != "recife" || claims[1].State != coordinator.Draining ||
 		!claims[1].Started.Equal(time.UnixMilli(1_790_000_000_000)) {
 		t.Errorf("the list holds %+v", claims)
 	}
 	var kept []byte
-	w.Keep = func(list []byte) { kept = list }
+	w.Persist = func(list []byte) { kept = list }
 	w.keep()
 	golden.Bytes(t, "remembered.json", kept)
 }
--- a/internal/platform/nodes.go
+++ b/internal/platform/nodes.go
@@ -53,13 +53,13 @@
 var errSlots = errors.New("no descriptor left")
 
 // Nodes carries orders to data nodes. Its exported fields are set before its first use.
-type Nodes struct {
-	Core    *coordinator.Coordinator
+type ConnPool struct {
+	Coordinator    *coordinator.Coordinator
 	Log     *slog.Logger
 	Dial    func(ctx context.Context, addr string) (net.Conn, error)
 	Streams int           // parts that one connection carries at once
-	Connect time.Duration // within which a connection comes up, a frame is written, a probe is answered
-	Idle    time.Duration // after which the peer closes an idle connection; 0 where not known
+	ConnectTimeout time.Duration // within which a connection comes up, a frame is written, a probe is answered
+	IdleTimeout    time.Duration // after which the peer closes an idle connection; 0 where not known
 	Slots   chan struct{} // one for each connection that may be open
 
 	mu    sync.Mutex // guards links; taken before a link's own
@@ -68,7 +68,7 @@
 
 // link is all connections to one data node.
 type link struct {
-	*Nodes
+	*ConnPool
 	node *coordinator.Node
 
 	mu    sync.Mutex // guards conns and the fields of each
@@ -113,8 +113,8 @@
 }
 
 // Dispatch serves one data node until it has left the list.
-func (ns *Nodes) Dispatch(n *coordinator.Node) {
-	l := &link{Nodes: ns, node: n}
+func (ns *ConnPool) Dispatch(n *coordinator.Node) {
+	l := &link{ConnPool: ns, node: n}
 	ns.list(l, true)
 	defer ns.list(l, false)
 	for {
@@ -138,7 +138,7 @@
 }
 
 // list notes a data node's connections for as long as it is served.
-func (ns *Nodes) list(l *link, on bool) {
+func (ns *ConnPool) list(l *link, on bool) {
 	ns.mu.Lock()
 	defer ns.mu.Unlock()
 	if ns.links == nil {
@@ -151,7 +151,7 @@
 
 // reap closes the connection that carries nothing and was used least lately, so that its descriptor comes free: where
 // there are more data nodes than descriptors for them, each gets one in turn. No link's lock may be held.
-func (ns *Nodes) reap() {
+func (ns *ConnPool) reap() {
 	ns.mu.Lock()
 	defer ns.mu.Unlock()
 	var oldest *conn
@@ -228,7 +228,7 @@
 		}
 		if s.at.IsZero() {
 			delete(c.out, a.ID)
-			l.Core.Report(a, coordinator.Result{Outcome: coordinator.Cancelled})
+			l.Coordinator.Report(a, coordinator.Result{Outcome: coordinator.Cancelled})
 			return
 		}
 		s.dropping = true
@@ -253,7 +253,7 @@
 		for id, s := range c.out {
 			if s.at.IsZero() {
 				delete(c.out, id)
-				l.Core.Report(s.Attempt, coordinator.Result{Outcome: coordinator.Overloaded})
+				l.Coordinator.Report(s.Attempt, coordinator.Result{Outcome: coordinator.Overloaded})
 			}
 		}
 	}
@@ -265,7 +265,7 @@
 	c := l.room(nil)
 	p := &probe{}
 	c.push(frame{probe: p})
-	time.AfterFunc(l.Connect, func() { c.probed(p, coordinator.Result{Outcome: coordinator.Cancelled}) })
+	time.AfterFunc(l.ConnectTimeout, func() { c.probed(p, coordinator.Result{Outcome: coordinator.Cancelled}) })
 }
 
 // closeIdle closes the connections that carry nothing. A probe that is still waited for is something.
@@ -281,12 +281,12 @@
 
 // idle tells whether the peer may be about to close the connection.
 func (c *conn) idle(now time.Time) bool {
-	return c.l.Idle > 0 && len(c.out) == 0 && !now.Before(c.idleEnd())
+	return c.l.IdleTimeout > 0 && len(c.out) == 0 && !now.Before(c.idleEnd())
 }
 
 // idleEnd is when an idle connection is closed: well before the peer does so, and soon where another is in use.
 func (c *conn) idleEnd() time.Time {
-	keep := c.l.Idle - c.l.Idle/8
+	keep := c.l.IdleTimeout - c.l.IdleTimeout/8
 	for _, o := range c.l.conns {
 		if o == c {
 			break
@@ -353,9 +353,9 @@
 	if c.slot {
 		return nil
 	}
-	end := time.NewTimer(c.l.Connect)
+	end := time.NewTimer(c.l.ConnectTimeout)
 	defer end.Stop()
-	look := time.NewTicker(max(c.l.Connect/32, time.Millisecond))
+	look := time.NewTicker(max(c.l.ConnectTimeout/32, time.Millisecond))
 	defer look.Stop()
 	for {
 		c.l.reap()
@@ -379,12 +379,12 @@
 
 // open opens the connection; a first one that was reset is no sign yet.
 func (c *conn) open() (net.Conn, error) {
-	ctx, cancel := context.WithDeadline(context.Background(), time.Now().Add(lateTimes*c.l.Connect))
+	ctx, cancel := context.WithDeadline(context.Background(), time.Now().Add(lateTimes*c.l.ConnectTimeout))
 	defer cancel()
 	c.l.mu.Lock()
 	c.cancel = cancel
 	c.l.mu.Unlock()
-	overdue := time.AfterFunc(c.l.Connect, c.overdue)
+	overdue := time.AfterFunc(c.l.ConnectTimeout, c.overdue)
 	defer overdue.Stop()
 	nc, err := c.l.Dial(ctx, c.l.node.Addr())
 	if errors.Is(err, syscall.ECONNRESET) {
@@ -480,7 +480,7 @@
 	if s.dropping {
 		outcome = coordinator.Cancelled
 	}
-	c.l.Core.Report(s.Attempt, coordinator.Result{Outcome: outcome})
+	c.l.Coordinator.Report(s.Attempt, coordinator.Result{Outcome: outcome})
 }
 
 // settle reports what was out as its connection ended.
@@ -525,7 +525,7 @@
 			}
 			end := c.idleEnd()
 			if !end.After(now) { // parts are out on it
-				end = now.Add(c.l.Idle / 8)
+				end = now.Add(c.l.IdleTimeout / 8)
 			}
 			c.l.mu.Unlock()
 			c.wait(end)
@@ -538,7 +538,7 @@
 		if data == nil {
 			continue
 		}
-		nc.SetWriteDeadline(time.Now().Add(min(c.l.Connect, writeFrameTime)))
+		nc.SetWriteDeadline(time.Now().Add(min(c.l.ConnectTimeout, writeFrameTime)))
 		_, err := nc.Write(data)
 		c.l.mu.Lock()
 		c.used = time.Now()
@@ -555,7 +555,7 @@
 		if f.drop != nil && c.out[f.drop.ID] == f.drop {
 			delete(c.out, f.drop.ID)
 			c.spoil(f.drop)
-			c.l.Core.Report(f.drop.Attempt, coordinator.Result{Outcome: coordinator.Cancelled})
+			c.l.Coordinator.Report(f.drop.Attempt, coordinator.Result{Outcome: coordinator.Cancelled})
 		}
 		c.l.mu.Unlock()
 	}
@@ -574,7 +574,7 @@
 
 // wait pauses the writer until something is queued, the connection is shut, or end.
 func (c *conn) wait(end time.Time) {
-	if c.l.Idle <= 0 {
+	if c.l.IdleTimeout <= 0 {
 		<-c.wake
 		return
 	}
@@ -616,7 +616,7 @@
 			}
 			if outcome, ok := s.Sendable(now); !ok {
 				delete(c.out, s.ID)
-				c.l.Core.Report(s.Attempt, coordinator.Result{Outcome: outcome})
+				c.l.Coordinator.Report(s.Attempt, coordinator.Result{Outcome: outcome})
 				continue
 			}
 			s.at = now
@@ -774,7 +774,7 @@
 	if s := c.out[id]; s != nil && !s.at.IsZero() {
 		delete(c.out, id)
 		c.last = id
-		c.l.Core.Report(s.Attempt, r)
+		c.l.Coordinator.Report(s.Attempt, r)
 	}
 	delete(c.stale, id)
 	return nil
@@ -808,7 +808,7 @@
 func (c *conn) end(p *probe, r coordinator.Result) {
 	if !p.done {
 		p.done = true
-		c.l.Core.ReportProbe(c.l.node, r)
+		c.l.Coordinator.ReportProbe(c.l.node, r)
 	}
 }
 
--- a/internal/platform/scenario_test.go
+++ b/internal/platform/scenario_test.go
@@ -516,7 +516,7 @@
 	actors  map[string]*actor
 	ends    map[string]time.Time // by the query's id, when its client's time is over
 	set     aggregator.Settings
-	clients *Clients
+	clients *Server
 	watch   *Watch
 	ended   context.Context
 	crowd   []net.Conn     // of clients that only take a place; guarded by mu
@@ -658,10 +658,10 @@
 	}
 	ctx, stop := context.WithCancel(t.Context())
 	w := &world{t: t, real: real, actors: map[string]*actor{}, ends: map[string]time.Time{}, set: set, ended: ctx,
-		clients: &Clients{Core: c, Log: log, MaxConns: 9, BodyMemory: 2 * maxBody, RetryAfter: time.Second}}
+		clients: &Server{Coordinator: c, Log: log, MaxConns: 9, BodyMemory: 2 * maxBody, RetryAfter: time.Second}}
 	go c.Run(ctx)
-	carrier := &Nodes{Core: c, Log: log, Dial: w.dial, Streams: 32, Connect: set.Limits.ConnectTimeout,
-		Idle: set.Limits.ConnIdle, Slots: make(chan struct{}, 9)}
+	carrier := &ConnPool{Coordinator: c, Log: log, Dial: w.dial, Streams: 32, ConnectTimeout: set.Limits.ConnectTimeout,
+		IdleTimeout: set.Limits.ConnIdle, Slots: make(chan struct{}, 9)}
 	c.RegisterDispatcher("", carrier.Dispatch)
 	watch := NewWatch("d1")
 	watch.Source, watch.Log, watch.Dial, w.watch = c.Source(membership.Spec{Name: "discovery"}), log, w.dial, watch
@@ -678,8 +678,8 @@
 		list = append(list, fmt.Sprintf(`{"id":%q,"addr":%q,"cell":%d,"state":"SERVING"}`, id, id, (id[1]+1)%2))
 	}
 	w.actor("d1")
-	watch.Confirm = time.Duration(confirm) * time.Millisecond
-	watch.Remember(fmt.Appendf(nil, `{"version":41,"servers":[%s]}`, strings.Join(list, ",")))
+	watch.ConfirmTimeout = time.Duration(confirm) * time.Millisecond
+	watch.Restore(fmt.Appendf(nil, `{"version":41,"servers":[%s]}`, strings.Join(list, ",")))
 	watching := make(chan bool)
 	watched, unwatch := context.WithCancel(ctx)
 	go func() { watch.Run(watched); close(watching) }()
@@ -767,7 +767,7 @@
 }
 
 // givenBack tells whether nothing is held any more.
-func (w *world) givenBack(c *coordinator.Coordinator, carrier *Nodes) bool {
+func (w *world) givenBack(c *coordinator.Coordinator, carrier *ConnPool) bool {
 	w.clients.mu.Lock()
 	defer w.clients.mu.Unlock()
 	return len(carrier.Slots)+len(w.clients.conns)+c.Open() == 0
@@ -1084,7 +1084,7 @@
 // TestSpareConnections: a second connection to a data node is closed soon after its use, unless the first can't be
 // used; with churn and give-ups they took all descriptors.
 func TestSpareConnections(t *testing.T) {
-	l := &link{Nodes: &Nodes{Idle: 8 * time.Second}}
+	l := &link{ConnPool: &ConnPool{IdleTimeout: 8 * time.Second}}
 	first, second := &conn{l: l}, &conn{l: l}
 	l.conns = []*conn{first, second}
 	for _, silent := range []bool{false, true} {
@@ -1107,7 +1107,7 @@
 		t.Fatal(err)
 	}
 	defer ln.Close()
-	clients := &Clients{Log: slog.New(slog.DiscardHandler), MaxConns: 9, BodyMemory: 1 << 20}
+	clients := &Server{Log: slog.New(slog.DiscardHandler), MaxConns: 9, BodyMemory: 1 << 20}
 	go clients.Serve(ln)
 	for range 20 {
 		nc, err := net.Dial("tcp", ln.Addr().String())
--- a/internal/platform/silence_test.go
+++ b/internal/platform/silence_test.go
@@ -139,12 +139,12 @@
 			t.Fatal(err)
 		}
 		go c.Run(ctx)
-		c.RegisterDispatcher("", (&Nodes{Core: c, Log: log, Dial: frames.dial, Streams: 32, Connect: 250 * time.Millisecond, Slots: make(chan struct{}, 16)}).Dispatch)
+		c.RegisterDispatcher("", (&ConnPool{Coordinator: c, Log: log, Dial: frames.dial, Streams: 32, ConnectTimeout: 250 * time.Millisecond, Slots: make(chan struct{}, 16)}).Dispatch)
 		w := NewWatch("d")
 		w.Source, w.Log, w.Dial = c.Source(membership.Spec{Name: "discovery"}), log, q.dial
-		w.Calls = membership.PollSchedule{Pushed: pushed, Peers: others, Grace: grace}
-		w.Draw = rand.New(rand.NewPCG(seed, uint64(i))).Float64
-		w.Remember([]byte(strings.TrimSpace(q.list(false))))
+		w.Schedule = membership.PollSchedule{Pushed: pushed, Peers: others, Grace: grace}
+		w.Random = rand.New(rand.NewPCG(seed, uint64(i))).Float64
+		w.Restore([]byte(strings.TrimSpace(q.list(false))))
 		watching, unwatch := context.WithCancel(ctx)
 		done := make(chan bool)
 		go func() { w.Run(watching); close(done) }()
--- a/internal/platform/slots_test.go
+++ b/internal/platform/slots_test.go
@@ -73,7 +73,7 @@
 			}()
 			return &counted{Conn: ours, open: &open}, nil
 		}
-		carrier := &Nodes{Core: c, Log: log, Dial: dial, Streams: 32, Connect: 250 * time.Millisecond, Idle: 30 * time.Second, Slots: make(chan struct{}, 2)}
+		carrier := &ConnPool{Coordinator: c, Log: log, Dial: dial, Streams: 32, ConnectTimeout: 250 * time.Millisecond, IdleTimeout: 30 * time.Second, Slots: make(chan struct{}, 2)}
 		c.RegisterDispatcher("", carrier.Dispatch)
 		list := c.Source(membership.Spec{Name: "list"})
 		var all []coordinator.Member
