--- a/internal/platform/clientconn.go
+++ b/internal/platform/clientconn.go
@@ -16,17 +16,17 @@
 	// A connection must have brought its first request whole within firstTime, and each further one within
 	// readTime of its first byte. One that rests for longer than restTime is closed; a client that comes back
 	// opens another.
-	firstTime = 2 * time.Second
-	readTime  = 2 * time.Second
-	restTime  = 30 * time.Second
+	firstRequestTimeout = 2 * time.Second
+	requestTimeout      = 2 * time.Second
+	idleTimeout         = 30 * time.Second
 	// Within writeTime an error is written. Before a connection is closed its client is given lingerTime to read what it
 	// was sent: a close while more comes in would discard it.
-	writeTime  = time.Second
-	lingerTime = 500 * time.Millisecond
+	errorWriteTimeout = time.Second
+	lingerTimeout     = 500 * time.Millisecond
 	// lateTime is how long after its time an answer may still be written: it earns nothing, but is not lost.
-	lateTime = 400 * time.Millisecond
+	lateAnswerWrite = 400 * time.Millisecond
 	// While all idle connections are closed, a new one is given this long for its first request.
-	lastTime = time.Second
+	drainFirstRequestTimeout = time.Second
 )
 
 // clientConn is one connection of a client. Its own goroutine, in run, is the only one that closes it: whoever wants it
@@ -34,18 +34,18 @@
 type clientConn struct {
 	clients  *Server
 	nc       net.Conn
-	in       inbound
+	in       clientReader
 	text     *textproto.Reader // over in
 	reserved bool              // memory is booked for what was sent ahead
 
-	phase   phase     // guarded by clients.mu, as are the next three
+	phase   connPhase // guarded by clients.mu, as are the next three
 	since   time.Time // when the phase began
-	used    bool      // a request has come
+	active  bool      // a request has come
 	evicted bool      // it is to go, unless a request has just been read
 }
 
 func newClientConn(f *Server, nc net.Conn) *clientConn {
-	c := &clientConn{clients: f, nc: nc, phase: silent, in: inbound{conn: nc}}
+	c := &clientConn{clients: f, nc: nc, phase: phaseNew, in: clientReader{conn: nc}}
 	c.text = textproto.NewReader(bufio.NewReader(&c.in))
 	return c
 }
@@ -53,28 +53,28 @@
 // run serves the connection until it ends.
 func (c *clientConn) run() {
 	defer c.release()
-	firstEnd := time.Now().Add(firstTime)
-	c.enter(silent, firstEnd)
+	firstEnd := time.Now().Add(firstRequestTimeout)
+	c.setPhase(phaseNew, firstEnd)
 	for {
 		c.in.allowance = maxHeader
 		if _, err := c.text.R.Peek(1); err != nil {
-			c.endIdle(err)
+			c.finishIdle(err)
 			return
 		}
-		end := time.Now().Add(readTime)
-		if !c.used && firstEnd.After(time.Now()) {
+		end := time.Now().Add(requestTimeout)
+		if !c.active && firstEnd.After(time.Now()) {
 			end = firstEnd
 		}
-		c.enter(coming, end)
-		req, err := c.read()
+		c.setPhase(phaseReading, end)
+		req, err := c.readRequest()
 		if err != nil {
-			c.refuse(err)
+			c.reject(err)
 			return
 		}
-		if !c.answer(req) {
+		if !c.serve(req) {
 			return
 		}
-		c.enter(resting, time.Now().Add(restTime))
+		c.setPhase(phaseIdle, time.Now().Add(idleTimeout))
 	}
 }
 
@@ -82,53 +82,53 @@
 func (c *clientConn) release() {
 	c.nc.Close()
 	if c.reserved {
-		c.clients.reserve(-maxReadAhead)
+		c.clients.reserveMemory(-maxReadAheadBytes)
 	}
-	c.clients.remove(c)
+	c.clients.unregister(c)
 }
 
 // enter begins a phase, in which reads end at the deadline. What was read before is served: an eviction comes too late.
-func (c *clientConn) enter(p phase, deadline time.Time) {
+func (c *clientConn) setPhase(p connPhase, deadline time.Time) {
 	c.clients.mu.Lock()
 	defer c.clients.mu.Unlock()
 	c.phase, c.since, c.evicted = p, time.Now(), false
-	if p == asking && !c.used {
-		c.used = true
+	if p == phaseExecuting && !c.active {
+		c.active = true
 		if c.clients.conns[c] {
-			c.clients.used++
+			c.clients.active++
 		}
 	}
-	if c.clients.closing && c.idle() {
-		deadline = c.lastCall()
+	if c.clients.closing && c.isIdle() {
+		deadline = c.drainDeadline()
 	}
 	c.nc.SetReadDeadline(deadline)
 }
 
 // idle tells whether nothing is owed to the client. The caller holds the lock.
-func (c *clientConn) idle() bool { return c.phase == silent || c.phase == resting }
+func (c *clientConn) isIdle() bool { return c.phase == phaseNew || c.phase == phaseIdle }
 
 // lastCall is until when a connection between requests is kept while all are closed: one that is new has its
 // first request on the way. The caller holds the lock.
-func (c *clientConn) lastCall() time.Time {
-	if c.used {
+func (c *clientConn) drainDeadline() time.Time {
+	if c.active {
 		return time.Now()
 	}
-	return time.Now().Add(lastTime)
+	return time.Now().Add(drainFirstRequestTimeout)
 }
 
 // endIdle ends a connection on which no request has begun. One that must make room goes at once.
-func (c *clientConn) endIdle(err error) {
+func (c *clientConn) finishIdle(err error) {
 	c.clients.mu.Lock()
 	evicted := c.evicted
 	c.clients.mu.Unlock()
 	if errors.Is(err, os.ErrDeadlineExceeded) && !evicted {
-		c.shut()
+		c.lingerClose()
 	}
 }
 
 // refuse answers a request that could not be read, if its client is still there, and ends the connection.
-func (c *clientConn) refuse(err error) {
-	var re *refusal
+func (c *clientConn) reject(err error) {
+	var re *httpError
 	if !errors.As(err, &re) {
 		return
 	}
@@ -137,37 +137,37 @@
 		r.header = retryAfter(c.clients.RetryAfter)
 	}
 	if c.write(r, true) {
-		c.shut()
+		c.lingerClose()
 	}
 }
 
 // shut ends the connection from our side: nothing that comes in from here on is used. It is read on for a while, and no
 // more of it than it takes to see its end, because a close over unread bytes would discard what was written.
-func (c *clientConn) shut() {
+func (c *clientConn) lingerClose() {
 	half, ok := c.nc.(interface{ CloseWrite() error })
 	if !ok || half.CloseWrite() != nil {
 		return
 	}
-	end := time.Now().Add(lingerTime)
-	c.enter(leaving, end)
+	end := time.Now().Add(lingerTimeout)
+	c.setPhase(phaseClosing, end)
 	for time.Now().Before(end) {
 		c.in.allowance = maxHeader
 		if _, err := c.text.R.Discard(maxHeader); err != nil {
 			return
 		}
-		time.Sleep(placePoll)
+		time.Sleep(pollInterval)
 	}
 }
 
 // answer gives a request its one final answer and tells whether the connection goes on. While the query is out the
 // connection is read on: its end is the client leaving.
-func (c *clientConn) answer(req *request) bool {
-	c.enter(asking, time.Time{})
+func (c *clientConn) serve(req *request) bool {
+	c.setPhase(phaseExecuting, time.Time{})
 	ctx, cancel := context.WithCancelCause(context.Background())
 	defer cancel(nil)
 	watched := make(chan error, 1)
 	go func() {
-		err := c.in.watch(c.reserveAhead)
+		err := c.in.readAhead(c.reserveAhead)
 		if !errors.Is(err, os.ErrDeadlineExceeded) {
 			cancel(err)
 		}
@@ -180,18 +180,18 @@
 		ended = nil
 	}
 	// Nothing reads now: what the client sends from here on is either read after this answer, or never.
-	last := c.isLast(req.close || ended != nil)
+	last := c.closesAfter(req.close || ended != nil)
 	if !c.write(r, last) {
 		return false
 	}
 	if last {
-		c.shut()
+		c.lingerClose()
 	}
 	return !last
 }
 
 // isLast decides whether an answer ends its connection. Requests that were read ahead are answered before.
-func (c *clientConn) isLast(closes bool) bool {
+func (c *clientConn) closesAfter(closes bool) bool {
 	if closes {
 		return true
 	}
@@ -207,7 +207,7 @@
 // reserveAhead books memory for what a client sends ahead; it is kept until the connection ends.
 func (c *clientConn) reserveAhead() bool {
 	if !c.reserved {
-		c.reserved = c.clients.reserve(maxReadAhead)
+		c.reserved = c.clients.reserveMemory(maxReadAheadBytes)
 	}
 	return c.reserved
 }
@@ -221,18 +221,18 @@
 	case req.method != "GET":
 		return errorResponse(405, "method not allowed")
 	case req.path == "/up" || req.path == "/alive":
-		return response{status: 200, body: []byte("{}"), end: time.Now().Add(writeTime)}
+		return response{status: 200, body: []byte("{}"), end: time.Now().Add(errorWriteTimeout)}
 	}
 	return errorResponse(404, "not found")
 }
 
 func (c *clientConn) respondQuery(ctx context.Context, req *request) response {
-	q, err := query(req)
-	var re *refusal
+	q, err := parseQuery(req)
+	var re *httpError
 	if errors.As(err, &re) {
 		return errorResponse(re.status, re.text)
 	}
-	q.Deadline = c.clients.bound(q.Deadline)
+	q.Deadline = c.clients.capDeadline(q.Deadline)
 	answer, err := c.clients.Coordinator.Execute(ctx, q)
 	switch {
 	case errors.Is(err, coordinator.ErrInput):
@@ -243,15 +243,15 @@
 		// It may have closed its sending side only, and still read.
 		return errorResponse(500, "the client closed the connection")
 	}
-	r := c.answered(q.ID, answer)
-	if end := q.Deadline.Add(lateTime); end.After(time.Now()) {
+	r := c.answerResponse(q.ID, answer)
+	if end := q.Deadline.Add(lateAnswerWrite); end.After(time.Now()) {
 		r.end = end // else it still gets the usual time of an error: better late than never
 	}
 	return r
 }
 
 // answered turns the core's answer to a query into a response.
-func (c *clientConn) answered(id string, answer coordinator.Answer) response {
+func (c *clientConn) answerResponse(id string, answer coordinator.Answer) response {
 	switch answer.Status {
 	case coordinator.Answered:
 		body, err := answerBody(answer)
@@ -263,7 +263,7 @@
 			c.clients.Log.Error("answer too large for the protocol", "query", id, "bytes", len(body))
 			return errorResponse(500, "answer too large")
 		}
-		return response{status: 200, body: body, end: time.Now().Add(writeTime)}
+		return response{status: 200, body: body, end: time.Now().Add(errorWriteTimeout)}
 	case coordinator.Rejected:
 		r := errorResponse(503, "refused")
 		r.header = retryAfter(answer.RetryAfter)
--- a/internal/platform/discovery.go
+++ b/internal/platform/discovery.go
@@ -28,21 +28,21 @@
 
 // Watch follows the list of data nodes. Its exported fields are set before Run.
 type Watch struct {
-	Source *coordinator.Source
-	Log    *slog.Logger
-	Dial   func(ctx context.Context, addr string) (net.Conn, error)
-	Persist   func(list []byte)       // takes in the list, in discovery's form, after each change; may be nil
-	Schedule  membership.PollSchedule // when the list is called for
+	Source   *coordinator.Source
+	Log      *slog.Logger
+	Dial     func(ctx context.Context, addr string) (net.Conn, error)
+	Persist  func(list []byte)       // takes in the list, in discovery's form, after each change; may be nil
+	Schedule membership.PollSchedule // when the list is called for
 	Random   func() float64          // from 0 to 1, not the same in each coordinator
 	// Confirm is how long a remembered list is used before discovery has answered; 0 sets no bound.
 	ConfirmTimeout time.Duration
 
-	moves   chan string
-	addr    string
-	version int64
-	listed  bool // a list was told, or remembered
-	moved   bool // and not by the address in use
-	away    bool // the last try failed, and was logged
+	moves        chan string
+	addr         string
+	version      int64
+	listed       bool // a list was told, or remembered
+	moved        bool // and not by the address in use
+	reconnecting bool // the last try failed, and was logged
 
 	confirmed bool // discovery has answered since the start
 	withheld  bool // the remembered list is not used
@@ -56,17 +56,17 @@
 }
 
 // source is one connection to discovery, or the attempt to open one.
-type source struct {
-	addr, target string
-	since        bool          // it is asked for what has changed since the version that is held
-	patience     time.Duration // how long it may bring nothing before its first line
-	told         chan<- telling
-	stop         context.CancelFunc
+type discoveryConn struct {
+	addr, target     string
+	sinceVersion     bool          // it is asked for what has changed since the version that is held
+	firstLineTimeout time.Duration // how long it may bring nothing before its first line
+	events           chan<- watchEvent
+	stop             context.CancelFunc
 }
 
 // telling is what a source has brought: that it is open, that nothing has changed, a page, or its end.
-type telling struct {
-	from *source
+type watchEvent struct {
+	from *discoveryConn
 	open bool
 	idle bool
 	page *page
@@ -80,22 +80,22 @@
 	Servers []json.RawMessage `json:"servers"`
 }
 
-type entry struct {
+type endpointEntry struct {
 	ID, Addr, Zone, State string
 	Cell                  int
 	Weight                float64
 	Started               float64 `json:"started_ms"`
 }
 
-var states = map[string]coordinator.State{"SERVING": coordinator.Serving, "DRAINING": coordinator.Draining, "DELETED": coordinator.Gone}
+var endpointStates = map[string]coordinator.State{"SERVING": coordinator.Serving, "DRAINING": coordinator.Draining, "DELETED": coordinator.Gone}
 
 // members reads the entries of a page and merges them into the list.
-func (w *Watch) members(p page) (list []coordinator.Member) {
+func (w *Watch) mergePage(p page) (list []coordinator.Member) {
 	if p.Full || w.entries == nil {
 		w.entries = map[string]json.RawMessage{}
 	}
 	for _, raw := range p.Servers {
-		m, err := w.member(raw)
+		m, err := w.parseEntry(raw)
 		if err != nil {
 			w.Log.Warn("entry of the list not understood", "entry", string(raw), "cause", err)
 			continue
@@ -113,8 +113,8 @@
 var errNoID = errors.New("no id")
 
 // member reads an entry. A state that is not known reads as draining, so that nothing new is sent.
-func (w *Watch) member(raw json.RawMessage) (coordinator.Member, error) {
-	e := entry{Weight: 1}
+func (w *Watch) parseEntry(raw json.RawMessage) (coordinator.Member, error) {
+	e := endpointEntry{Weight: 1}
 	if err := json.Unmarshal(raw, &e); err != nil {
 		return coordinator.Member{}, err
 	}
@@ -122,7 +122,7 @@
 		return coordinator.Member{}, errNoID
 	}
 	m := coordinator.Member{ID: e.ID, Addr: e.Addr, Zone: e.Zone, ShardSet: e.Cell, Weight: e.Weight, State: coordinator.Draining}
-	if state, known := states[e.State]; known {
+	if state, known := endpointStates[e.State]; known {
 		m.State = state
 	} else {
 		w.Log.Warn("state not known; taken as draining", "node", e.ID, "state", e.State)
@@ -134,9 +134,9 @@
 }
 
 // all is the whole list as it is held.
-func (w *Watch) all() (list []coordinator.Member) {
+func (w *Watch) allMembers() (list []coordinator.Member) {
 	for _, id := range slices.Sorted(maps.Keys(w.entries)) {
-		if m, err := w.member(w.entries[id]); err == nil {
+		if m, err := w.parseEntry(w.entries[id]); err == nil {
 			list = append(list, m)
 		}
 	}
@@ -152,7 +152,7 @@
 	}
 	p.Full = true
 	w.version, w.listed = p.Version, true
-	w.Source.Replace(w.members(p), true)
+	w.Source.Replace(w.mergePage(p), true)
 }
 
 // withhold stops the use of a remembered list that discovery has not confirmed in time: it may name data nodes whose
@@ -163,7 +163,7 @@
 	}
 	w.Log.Warn("remembered list not confirmed; nothing is sent until discovery answers", "lines", len(w.entries))
 	w.withheld = true
-	list := w.all()
+	list := w.allMembers()
 	for i := range list {
 		list[i].State = coordinator.Draining
 	}
@@ -171,9 +171,9 @@
 }
 
 // confirm takes a remembered list for the present one: discovery has been asked for what has changed since, and nothing has.
-func (w *Watch) confirm() {
+func (w *Watch) confirmCached() {
 	if w.withheld {
-		w.Source.Replace(w.all(), false)
+		w.Source.Replace(w.allMembers(), false)
 	}
 	w.confirmed, w.withheld = true, false
 }
@@ -189,19 +189,19 @@
 // Run watches until ctx ends. While it moves, the old source is followed until the new one has told its whole
 // list: another address may be another agent, whose versions need not be those of the first.
 func (w *Watch) Run(ctx context.Context) {
-	told := make(chan telling)
-	open := func() *source {
-		s := &source{addr: w.addr, target: "/discovery/hosts?watch=1", patience: w.Schedule.Timeout(), told: told}
+	told := make(chan watchEvent)
+	open := func() *discoveryConn {
+		s := &discoveryConn{addr: w.addr, target: "/discovery/hosts?watch=1", firstLineTimeout: w.Schedule.Timeout(), events: told}
 		if w.listed && !w.moved {
-			s.since = true
+			s.sinceVersion = true
 			s.target += "&after=" + strconv.FormatInt(w.version, 10)
 		}
 		var running context.Context
 		running, s.stop = context.WithCancel(ctx)
-		go w.follow(running, s)
+		go w.runConn(running, s)
 		return s
 	}
-	var now, next *source
+	var now, next *discoveryConn
 	again := time.NewTimer(w.Schedule.FirstDelay(w.Random()))
 	defer again.Stop()
 	var unconfirmed <-chan time.Time
@@ -241,22 +241,22 @@
 				} else {
 					next = nil
 				}
-				if !w.away {
+				if !w.reconnecting {
 					w.Log.Warn("watch on discovery ended; opening it anew", "addr", t.from.addr, "version", w.version,
 						"cause", t.end)
 				}
-				if w.away = true; next == nil {
+				if w.reconnecting = true; next == nil {
 					again.Reset(w.Schedule.RetryDelay(w.Random()))
 				}
 			case t.open:
 				w.Schedule.Succeeded()
-				if w.away {
+				if w.reconnecting {
 					w.Log.Info("watch on discovery is open again", "version", w.version)
 				}
-				w.away = false
+				w.reconnecting = false
 			case t.idle:
-				if t.from == now && t.from.since {
-					w.confirm()
+				if t.from == now && t.from.sinceVersion {
+					w.confirmCached()
 				}
 			default:
 				if t.from == next {
@@ -274,40 +274,40 @@
 
 // apply takes in a page.
 func (w *Watch) apply(p page) {
-	changed := w.members(p)
+	changed := w.mergePage(p)
 	switch {
 	case p.Full:
 		w.Source.Replace(changed, false)
 	case w.withheld:
-		w.Source.Replace(w.all(), false)
+		w.Source.Replace(w.allMembers(), false)
 	default:
 		w.Source.Change(changed)
 	}
 	w.version, w.listed = p.Version, true
 	w.confirmed, w.withheld = true, false
-	w.keep()
+	w.persist()
 }
 
 // tell passes on what a source has brought, unless it was stopped.
-func (s *source) tell(ctx context.Context, t telling) {
+func (s *discoveryConn) send(ctx context.Context, t watchEvent) {
 	t.from = s
 	select {
-	case s.told <- t:
+	case s.events <- t:
 	case <-ctx.Done():
 	}
 }
 
 // follow runs a source until it ends.
-func (w *Watch) follow(ctx context.Context, s *source) {
+func (w *Watch) runConn(ctx context.Context, s *discoveryConn) {
 	begun := time.Now()
-	end := w.read(ctx, s)
+	end := w.readPages(ctx, s)
 	w.Log.Debug("list call ended", "took", time.Since(begun), "target", s.target, "cause", end)
-	s.tell(ctx, telling{end: end})
+	s.send(ctx, watchEvent{end: end})
 }
 
 // read opens a source's connection and tells what it brings, until it ends.
-func (w *Watch) read(ctx context.Context, s *source) error {
-	dialing, cancel := context.WithDeadline(ctx, time.Now().Add(s.patience))
+func (w *Watch) readPages(ctx context.Context, s *discoveryConn) error {
+	dialing, cancel := context.WithDeadline(ctx, time.Now().Add(s.firstLineTimeout))
 	nc, err := w.Dial(dialing, s.addr)
 	cancel()
 	if err != nil {
@@ -315,11 +315,11 @@
 	}
 	defer nc.Close()
 	defer context.AfterFunc(ctx, func() { nc.Close() })()
-	nc.SetWriteDeadline(time.Now().Add(s.patience))
+	nc.SetWriteDeadline(time.Now().Add(s.firstLineTimeout))
 	if _, err := fmt.Fprintf(nc, "GET %s HTTP/1.1\r\nHost: %s\r\n\r\n", s.target, s.addr); err != nil {
 		return err
 	}
-	live := &lively{nc: nc, silence: s.patience}
+	live := &silenceTimeoutReader{conn: nc, timeout: s.firstLineTimeout}
 	in := textproto.NewReader(bufio.NewReader(live))
 	status, err := in.ReadLine()
 	if err != nil {
@@ -338,23 +338,23 @@
 	}
 	// The head alone tells nothing: the call may still wait its turn, and end.
 	opened := &onFirstByte{in: body, call: func() {
-		live.silence = membership.SilenceTimeout
-		s.tell(ctx, telling{open: true})
+		live.timeout = membership.SilenceTimeout
+		s.send(ctx, watchEvent{open: true})
 	}}
-	idle := func() { s.tell(ctx, telling{idle: true}) }
+	idle := func() { s.send(ctx, watchEvent{idle: true}) }
 	for pages := newPageReader(opened, idle); ; {
 		p, err := pages.next()
 		if err != nil {
 			return err
 		}
-		s.tell(ctx, telling{page: p})
+		s.send(ctx, watchEvent{page: p})
 	}
 }
 
 // bodyOf is the body of an answer: chunked, of a length, or up to the end of the connection.
 func bodyOf(in *textproto.Reader, header textproto.MIMEHeader) (io.Reader, error) {
 	if strings.EqualFold(header.Get("Transfer-Encoding"), "chunked") {
-		return &chunks{in: in}, nil
+		return &chunkReader{in: in}, nil
 	}
 	length := header.Get("Content-Length")
 	if length == "" {
@@ -383,18 +383,18 @@
 }
 
 // lively reads a connection for as long as it goes on bringing something.
-type lively struct {
-	nc      net.Conn
-	silence time.Duration // that is borne
+type silenceTimeoutReader struct {
+	conn    net.Conn
+	timeout time.Duration // that is borne
 }
 
-func (l *lively) Read(p []byte) (int, error) {
-	l.nc.SetReadDeadline(time.Now().Add(l.silence))
-	return l.nc.Read(p)
+func (l *silenceTimeoutReader) Read(p []byte) (int, error) {
+	l.conn.SetReadDeadline(time.Now().Add(l.timeout))
+	return l.conn.Read(p)
 }
 
 // keep passes on the whole list.
-func (w *Watch) keep() {
+func (w *Watch) persist() {
 	if w.Persist == nil {
 		return
 	}
@@ -408,14 +408,14 @@
 }
 
 // chunks reads a chunked body; its end is io.EOF.
-type chunks struct {
+type chunkReader struct {
 	in   *textproto.Reader
 	left int64
 	open bool // within a chunk, whose line end is still to come
 	done bool
 }
 
-func (c *chunks) Read(p []byte) (int, error) {
+func (c *chunkReader) Read(p []byte) (int, error) {
 	if c.done {
 		return 0, io.EOF
 	}
--- a/internal/platform/formats_test.go
+++ b/internal/platform/formats_test.go
@@ -103,6 +103,6 @@
 	}
 	var kept []byte
 	w.Persist = func(list []byte) { kept = list }
-	w.keep()
+	w.persist()
 	golden.Bytes(t, "remembered.json", kept)
 }
--- a/internal/platform/inbound.go
+++ b/internal/platform/inbound.go
@@ -9,10 +9,10 @@
 
 const (
 	// maxReadAhead bounds what is read of a connection while a request of it is out: one request of the longest kind.
-	maxReadAhead = maxBody + maxHeader
+	maxReadAheadBytes = maxBody + maxHeader
 	// freeReadAhead may always be read ahead; beyond it a connection needs room in the memory for long bodies.
-	freeReadAhead = freeBody
-	readAheadStep = 2 << 10
+	freeReadAheadBytes = freeBodyBytes
+	readAheadStep      = 2 << 10
 	// arrivalStep is how close two arrivals may lie to be kept as one, at the time of the first.
 	arrivalStep = 5 * time.Millisecond
 )
@@ -29,7 +29,7 @@
 // inbound is the reading side of a client's connection. While a request is out, watch reads on, so that the client's
 // leaving is seen behind whatever it has sent ahead; later reads take that first. Each byte's time of arrival is known,
 // because a request's time counts from its last byte. It is used by one goroutine at a time.
-type inbound struct {
+type clientReader struct {
 	conn      net.Conn
 	allowance int64 // bytes that the request in hand may still bring
 	ahead     []byte
@@ -39,7 +39,7 @@
 }
 
 // Read implements io.Reader. It ends once the allowance is used up.
-func (in *inbound) Read(p []byte) (int, error) {
+func (in *clientReader) Read(p []byte) (int, error) {
 	if in.allowance <= 0 {
 		return 0, io.EOF
 	}
@@ -56,7 +56,7 @@
 		}
 	} else {
 		n, err = in.conn.Read(p)
-		in.note(n)
+		in.recordArrival(n)
 	}
 	in.consumed += int64(n)
 	in.allowance -= int64(n)
@@ -64,7 +64,7 @@
 }
 
 // note records that n bytes were read off the connection.
-func (in *inbound) note(n int) {
+func (in *clientReader) recordArrival(n int) {
 	if n <= 0 {
 		return
 	}
@@ -79,7 +79,7 @@
 
 // arrived returns when the last byte of what was consumed, but for the unread ones that a buffer above still holds, had
 // come in. Earlier arrivals are forgotten.
-func (in *inbound) arrived(unread int) time.Time {
+func (in *clientReader) arrivedAt(unread int) time.Time {
 	end := in.consumed - int64(unread)
 	for len(in.arrivals) > 1 && in.arrivals[0].end < end {
 		in.arrivals = in.arrivals[1:]
@@ -92,23 +92,23 @@
 
 // watch reads ahead until the connection ends, its read deadline passes, or more has come than may be kept; reserve
 // books the memory beyond what is free.
-func (in *inbound) watch(reserve func() bool) error {
+func (in *clientReader) readAhead(reserve func() bool) error {
 	reserved := false
 	step := make([]byte, readAheadStep)
 	for {
 		n, err := in.conn.Read(step)
-		in.note(n)
+		in.recordArrival(n)
 		in.ahead = append(in.ahead, step[:n]...)
 		if err != nil {
 			return err
 		}
-		if len(in.ahead) > freeReadAhead && !reserved {
+		if len(in.ahead) > freeReadAheadBytes && !reserved {
 			reserved = reserve()
 			if !reserved {
 				return errReadAhead
 			}
 		}
-		if len(in.ahead) > maxReadAhead {
+		if len(in.ahead) > maxReadAheadBytes {
 			return errReadAhead
 		}
 	}
--- a/internal/platform/pages.go
+++ b/internal/platform/pages.go
@@ -15,21 +15,21 @@
 // pageReader reads discovery's messages: JSON objects, each on a line or indented over several, and blank lines between
 // them. A blank line within an object tells that its rest is lost; blank lines alone would keep such a watch open for good.
 type pageReader struct {
-	in      *bufio.Reader
-	idle    func() // called at each blank line between messages: nothing has changed
-	message []byte
-	depth   int // of braces and brackets that are open
-	text    bool
-	escaped bool
+	in       *bufio.Reader
+	onIdle   func() // called at each blank line between messages: nothing has changed
+	message  []byte
+	depth    int // of braces and brackets that are open
+	inString bool
+	escaped  bool
 }
 
 func newPageReader(in io.Reader, idle func()) *pageReader {
-	return &pageReader{in: bufio.NewReader(in), idle: idle}
+	return &pageReader{in: bufio.NewReader(in), onIdle: idle}
 }
 
 // next reads one message.
 func (r *pageReader) next() (*page, error) {
-	r.message, r.depth, r.text, r.escaped = r.message[:0], 0, false, false
+	r.message, r.depth, r.inString, r.escaped = r.message[:0], 0, false, false
 	for {
 		line, err := r.in.ReadBytes('\n')
 		line = bytes.TrimSpace(line)
@@ -38,16 +38,16 @@
 		}
 		switch {
 		case len(line) == 0 && len(r.message) == 0:
-			r.idle()
+			r.onIdle()
 			continue
 		case len(line) == 0:
 			return nil, errCutPage
 		}
 		begins := len(r.message) == 0
 		r.message = append(append(r.message, line...), '\n')
-		r.scan(line)
+		r.trackDepth(line)
 		if r.depth > 0 {
-			if begins && !goesOn(line) {
+			if begins && !continues(line) {
 				return nil, errCutPage
 			}
 			continue
@@ -61,18 +61,18 @@
 }
 
 // goesOn tells whether a line that begins an object may have its rest on further lines.
-func goesOn(line []byte) bool { return bytes.IndexByte([]byte("{[,"), line[len(line)-1]) >= 0 }
+func continues(line []byte) bool { return bytes.IndexByte([]byte("{[,"), line[len(line)-1]) >= 0 }
 
 // scan follows how deep in an object a line ends.
-func (r *pageReader) scan(line []byte) {
+func (r *pageReader) trackDepth(line []byte) {
 	for _, b := range line {
 		switch {
 		case r.escaped:
 			r.escaped = false
-		case r.text:
-			r.escaped, r.text = b == '\\', b != '"'
+		case r.inString:
+			r.escaped, r.inString = b == '\\', b != '"'
 		case b == '"':
-			r.text = true
+			r.inString = true
 		case b == '{', b == '[':
 			r.depth++
 		case b == '}', b == ']':
--- a/internal/platform/response.go
+++ b/internal/platform/response.go
@@ -20,14 +20,14 @@
 
 // errorResponse tells a client what is wrong.
 func errorResponse(status int, text string) response {
-	return response{status: status, body: errorBody(text), end: time.Now().Add(writeTime)}
+	return response{status: status, body: errorBody(text), end: time.Now().Add(errorWriteTimeout)}
 }
 
 // encode makes the bytes of a response; last announces that the connection ends with it.
 func (r response) encode(last bool) []byte {
 	var out bytes.Buffer
 	fmt.Fprintf(&out, "HTTP/1.1 %d %s\r\nContent-Type: application/json\r\nContent-Length: %d\r\n", r.status,
-		reasons[r.status], len(r.body))
+		statusText[r.status], len(r.body))
 	out.Write(r.header)
 	if last {
 		out.WriteString("Connection: close\r\n")
@@ -71,6 +71,6 @@
 	return fmt.Appendf(nil, "Retry-After: %.3f\r\n", d.Seconds())
 }
 
-var reasons = map[int]string{200: "OK", 400: "Bad Request", 404: "Not Found", 405: "Method Not Allowed",
+var statusText = map[int]string{200: "OK", 400: "Bad Request", 404: "Not Found", 405: "Method Not Allowed",
 	408: "Request Timeout", 413: "Content Too Large", 431: "Request Header Fields Too Large", 500: "Internal Server Error",
 	503: "Service Unavailable"}
--- a/internal/platform/scenario_test.go
+++ b/internal/platform/scenario_test.go
@@ -757,8 +757,8 @@
 	if len(carrier.Slots) > 0 {
 		t.Errorf("%d connections were not given back", len(carrier.Slots))
 	}
-	if f := w.clients; len(f.conns)+f.used > 0 || f.held > 0 {
-		t.Errorf("%d client connections, %d of them used, and %d bytes are still held", len(f.conns), f.used, f.held)
+	if f := w.clients; len(f.conns)+f.active > 0 || f.bodyBytes > 0 {
+		t.Errorf("%d client connections, %d of them used, and %d bytes are still held", len(f.conns), f.active, f.bodyBytes)
 	}
 	if c.Open() > 0 {
 		t.Errorf("%d queries and parts are still held", c.Open())
@@ -1071,9 +1071,9 @@
 // look like a reset; one that has timed out holds nothing.
 func TestCloseIdleSparesProbes(t *testing.T) {
 	for _, done := range []bool{false, true} {
-		l := &link{}
-		c := &conn{l: l, wake: make(chan struct{}, 1), probes: []*probe{{done: true}, {done: done}}}
-		l.conns = []*conn{c}
+		l := &nodePool{}
+		c := &nodeConn{pool: l, wake: make(chan struct{}, 1), probes: []*probe{{done: true}, {done: done}}}
+		l.conns = []*nodeConn{c}
 		l.closeIdle()
 		if c.closed != done {
 			t.Errorf("probe done: %v; connection closed: %v", done, c.closed)
@@ -1084,16 +1084,16 @@
 // TestSpareConnections: a second connection to a data node is closed soon after its use, unless the first can't be
 // used; with churn and give-ups they took all descriptors.
 func TestSpareConnections(t *testing.T) {
-	l := &link{ConnPool: &ConnPool{IdleTimeout: 8 * time.Second}}
-	first, second := &conn{l: l}, &conn{l: l}
-	l.conns = []*conn{first, second}
+	l := &nodePool{ConnPool: &ConnPool{IdleTimeout: 8 * time.Second}}
+	first, second := &nodeConn{pool: l}, &nodeConn{pool: l}
+	l.conns = []*nodeConn{first, second}
 	for _, silent := range []bool{false, true} {
-		first.silent = silent
+		first.unresponsive = silent
 		want := map[bool]time.Duration{false: 2 * time.Second, true: 7 * time.Second}[silent]
-		if got := second.idleEnd().Sub(second.used); got != want {
+		if got := second.idleDeadline().Sub(second.lastUsed); got != want {
 			t.Errorf("first silent: %v; the second is kept for %v", silent, got)
 		}
-		if got := first.idleEnd().Sub(first.used); got != 7*time.Second {
+		if got := first.idleDeadline().Sub(first.lastUsed); got != 7*time.Second {
 			t.Errorf("the first is kept for %v", got)
 		}
 	}
