--- /dev/null
+++ b/internal/platform/connpool.go
@@ -0,0 +1,202 @@
+package platform
+
+import (
+	"context"
+	"errors"
+	"log/slog"
+	"net"
+	"sync"
+	"time"
+
+	"gullfall/internal/coordinator"
+)
+
+// errNoDescriptor reports a connection for which no descriptor came free.
+var errNoDescriptor = errors.New("no descriptor left")
+
+// ConnPool owns the connections to all data nodes and the descriptors that they hold. Its exported fields are set before
+// its first use.
+type ConnPool struct {
+	Coordinator    *coordinator.Coordinator
+	Log            *slog.Logger
+	Dial           func(ctx context.Context, addr string) (net.Conn, error)
+	Streams        int           // parts that one connection carries at once
+	ConnectTimeout time.Duration // within which a connection comes up, a frame is written, a health check is answered
+	IdleTimeout    time.Duration // after which the peer closes an idle connection; 0 where not known
+	Slots          chan struct{} // a semaphore of descriptors: it holds one element for each connection
+
+	// mu guards pools. It is taken before a nodePool's own.
+	mu    sync.Mutex
+	pools map[*nodePool]bool
+}
+
+// Dispatch carries out what the coordinator wants of one data node, until the data node has left the list.
+func (p *ConnPool) Dispatch(n *coordinator.Node) {
+	np := &nodePool{ConnPool: p, node: n}
+	p.register(np)
+	defer p.unregister(np)
+	for {
+		o := n.Pick(context.Background())
+		switch {
+		case o == nil:
+			np.closeIdle()
+			return
+		case o.Call != nil:
+			np.send(o.Call)
+		case o.Cancel != nil:
+			np.cancel(o.Cancel)
+		case o.RejectQueued:
+			np.rejectUnsent()
+		case o.Probe:
+			np.sendProbe()
+		case o.CloseIdle:
+			np.closeIdle()
+		}
+	}
+}
+
+// register makes the connections to a data node known to closeLeastRecentlyUsed.
+func (p *ConnPool) register(np *nodePool) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if p.pools == nil {
+		p.pools = map[*nodePool]bool{}
+	}
+	p.pools[np] = true
+}
+
+// unregister undoes register.
+func (p *ConnPool) unregister(np *nodePool) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	delete(p.pools, np)
+}
+
+// closeLeastRecentlyUsed closes the idle connection that was used least recently, so that its descriptor comes free. Where
+// there are more data nodes than descriptors, each data node gets one in turn. The caller holds no nodePool's lock.
+func (p *ConnPool) closeLeastRecentlyUsed() {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	oldest := p.leastRecentlyUsed()
+	if oldest == nil {
+		return
+	}
+	oldest.pool.mu.Lock()
+	defer oldest.pool.mu.Unlock()
+	if oldest.isIdle() {
+		oldest.close()
+	}
+}
+
+// leastRecentlyUsed returns the idle connection that was used least recently, nil where none is idle. The caller holds p.mu.
+func (p *ConnPool) leastRecentlyUsed() (oldest *nodeConn) {
+	var used time.Time
+	for np := range p.pools {
+		np.mu.Lock()
+		for _, c := range np.conns {
+			evictable := (c.state == connReady || c.state == connLate) && c.isIdle()
+			if evictable && (oldest == nil || c.lastUsed.Before(used)) {
+				oldest, used = c, c.lastUsed
+			}
+		}
+		np.mu.Unlock()
+	}
+	return oldest
+}
+
+// nodePool is all connections to one data node.
+type nodePool struct {
+	*ConnPool
+	node *coordinator.Node
+
+	// mu guards conns and the fields of each connection.
+	mu    sync.Mutex
+	conns []*nodeConn
+}
+
+// acquire returns a connection that can take a call, and starts a new one where there is none. The caller holds np.mu.
+func (np *nodePool) acquire(call []*coordinator.Attempt) *nodeConn {
+	now := time.Now()
+	for _, c := range np.conns {
+		if c.accepts(call, now) {
+			return c
+		}
+	}
+	c := newNodeConn(np, now)
+	select {
+	case np.Slots <- struct{}{}:
+		c.hasSlot = true
+	default: // run waits for a descriptor
+	}
+	np.conns = append(np.conns, c)
+	go c.run()
+	return c
+}
+
+// send queues a call.
+func (np *nodePool) send(call []*coordinator.Attempt) {
+	np.mu.Lock()
+	defer np.mu.Unlock()
+	c := np.acquire(call)
+	f := queuedFrame{}
+	for _, a := range call {
+		pending := &pendingAttempt{Attempt: a}
+		c.attempts.pending[a.ID] = pending
+		f.call = append(f.call, pending)
+	}
+	c.enqueue(f)
+}
+
+// cancel gives up an attempt. One that was not begun is only forgotten. One that was is followed by a cancel frame, or its
+// connection is closed where that is full: the data node would not read the frame.
+func (np *nodePool) cancel(a *coordinator.Attempt) {
+	np.mu.Lock()
+	defer np.mu.Unlock()
+	for _, c := range np.conns {
+		pending := c.attempts.pending[a.ID]
+		if pending == nil || pending.Attempt != a {
+			continue
+		}
+		if !pending.begun() {
+			delete(c.attempts.pending, a.ID)
+			np.Coordinator.Report(a, coordinator.Result{Outcome: coordinator.Cancelled})
+			return
+		}
+		pending.cancelling = true
+		if c.lastReceived.Before(pending.begunAt) {
+			c.unresponsive = true
+		}
+		if len(c.attempts.pending) >= np.Streams {
+			c.abandoned = true
+			c.close()
+			return
+		}
+		c.enqueue(queuedFrame{cancel: pending})
+		return
+	}
+}
+
+// rejectUnsent reports all attempts that are queued and not begun as overloaded, so that they go to another data node.
+func (np *nodePool) rejectUnsent() {
+	np.mu.Lock()
+	defer np.mu.Unlock()
+	for _, c := range np.conns {
+		for id, pending := range c.attempts.pending {
+			if !pending.begun() {
+				delete(c.attempts.pending, id)
+				np.Coordinator.Report(pending.Attempt, coordinator.Result{Outcome: coordinator.Overloaded})
+			}
+		}
+	}
+}
+
+// closeIdle closes the connections that carry nothing.
+func (np *nodePool) closeIdle() {
+	np.mu.Lock()
+	defer np.mu.Unlock()
+	for _, c := range np.conns {
+		if c.isIdle() {
+			c.close()
+		}
+	}
+}
--- /dev/null
+++ b/internal/platform/frame_test.go
@@ -0,0 +1,85 @@
+package platform
+
+import (
+	"errors"
+	"io"
+	"strings"
+	"testing"
+	"time"
+
+	"github.com/google/go-cmp/cmp"
+
+	"gullfall/internal/coordinator"
+)
+
+func TestFrameEncoding(t *testing.T) {
+	call := beginFrame(letterCall)
+	call = appendPart(call, &coordinator.Attempt{ID: "q.0", Shard: 0, Text: "text"}, 240*time.Millisecond)
+	call = appendPart(call, &coordinator.Attempt{ID: "q.3", Shard: 3, IdempotencyKey: "key", Text: "more\ntext"}, 1999*time.Microsecond)
+	for _, c := range []struct {
+		name string
+		got  []byte
+		want string
+	}{
+		{"call of two parts", finishFrame(call), "\x2e\x00\x00\x00Qq.0 0 d=240 4\ntextq.3 3 d=1,k=key 9\nmore\ntext"},
+		{"cancel", cancelFrame("q.3"), "\x04\x00\x00\x00Xq.3"},
+		{"load check", loadCheckFrame(), "\x01\x00\x00\x00L"},
+	} {
+		if diff := cmp.Diff(c.want, string(c.got)); diff != "" {
+			t.Errorf("%s (-want +got)\n%s", c.name, diff)
+		}
+	}
+	if !isEmpty(beginFrame(letterCall)) || isEmpty(call) {
+		t.Error("a call is empty as long as it has no part")
+	}
+}
+
+func TestFrameReader(t *testing.T) {
+	answer := frameOf("Aq.3 ok 18 inflight=7,util=0.5\nvalue")
+	load := map[string]float64{"inflight": 7, "util": 0.5}
+	for _, c := range []struct {
+		name, in string
+		want     []receivedFrame
+		end      error
+	}{
+		{"nothing", "", nil, io.EOF},
+		{"answer", answer, []receivedFrame{{"q.3", coordinator.OK, []byte("value"), load}}, io.EOF},
+		{"answers without a value", frameOf("Aq.3 busy 0 -\n") + frameOf("Aq.3 err 0 -\n"), []receivedFrame{
+			{"q.3", coordinator.Overloaded, []byte{}, map[string]float64{}}, {"q.3", coordinator.Errored, []byte{}, map[string]float64{}}}, io.EOF},
+		{"answers to checks", frameOf("L{\"util\":0.5,\"name\":\"a\"}") + frameOf("Lerr") + frameOf("Pok"), []receivedFrame{
+			{"", coordinator.OK, nil, map[string]float64{"util": 0.5}}, {"", coordinator.Errored, nil, map[string]float64{}},
+			{"", coordinator.OK, nil, map[string]float64{}}}, io.EOF},
+		{"cut in its head", answer[:3], nil, io.EOF},
+		{"cut in its value", answer[:len(answer)-1], nil, io.ErrUnexpectedEOF},
+		{"letter that data nodes don't send", frameOf("Qq.3"), nil, errCorrupt},
+		{"length zero", "\x00\x00\x00\x00A", nil, errCorrupt},
+		{"too long", "\xff\xff\xff\x7fA", nil, errCorrupt},
+		{"load report that is too long", frameOf("L" + strings.Repeat("x", maxFrameLine+1)), nil, errCorrupt},
+		{"data node reports an error", frameOf("Ewhat was that"), nil, errCorrupt},
+		{"id that is not expected", frameOf("Aother ok 0 -\nvalue"), nil, errCorrupt},
+		{"outcome that is not known", frameOf("Aq.3 fine 0 -\nvalue"), nil, errCorrupt},
+		{"line that is too short", frameOf("Aq.3 ok 0\nvalue"), nil, errCorrupt},
+		{"line without an end", frameOf("A" + strings.Repeat("x", maxFrameLine+1)), nil, errCorrupt},
+		{"line longer than the frame", frameOf("Aq.3 ok") + " 0 -\n", nil, errCorrupt},
+		{"control character in the value", frameOf("Aq.3 ok 0 -\na\x00b"), nil, errCorrupt},
+		{"length that cuts the value", frameOf("Aq.3 ok 0 -\nval") + "ue of the answer", nil, errCorrupt},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			r := newFrameReader(strings.NewReader(c.in), func(id string) bool { return id == "q.3" })
+			var got []receivedFrame
+			for {
+				f, err := r.next()
+				if err != nil {
+					if !errors.Is(err, c.end) {
+						t.Errorf("ended with %v, want %v", err, c.end)
+					}
+					break
+				}
+				got = append(got, f)
+			}
+			if diff := cmp.Diff(c.want, got, cmp.AllowUnexported(receivedFrame{})); diff != "" {
+				t.Errorf("(-want +got)\n%s", diff)
+			}
+		})
+	}
+}
--- a/internal/platform/scenario_test.go
+++ b/internal/platform/scenario_test.go
@@ -1075,8 +1075,8 @@
 		c := &nodeConn{pool: l, wake: make(chan struct{}, 1), probes: []*probe{{done: true}, {done: done}}}
 		l.conns = []*nodeConn{c}
 		l.closeIdle()
-		if c.closed != done {
-			t.Errorf("probe done: %v; connection closed: %v", done, c.closed)
+		if closed := c.state == connClosed; closed != done {
+			t.Errorf("probe done: %v; connection closed: %v", done, closed)
 		}
 	}
 }
