--- a/internal/platform/clientconn.go
+++ b/internal/platform/clientconn.go
@@ -13,39 +13,40 @@
 )
 
 const (
-	// A connection must have brought its first request whole within firstTime, and each further one within
-	// readTime of its first byte. One that rests for longer than restTime is closed; a client that comes back
-	// opens another.
+	// A connection must have brought its first request completely within firstRequestTimeout, and each further one within
+	// requestTimeout of its first byte. One that is idle for longer than idleTimeout is closed.
 	firstRequestTimeout = 2 * time.Second
 	requestTimeout      = 2 * time.Second
 	idleTimeout         = 30 * time.Second
-	// Within writeTime an error is written. Before a connection is closed its client is given lingerTime to read what it
-	// was sent: a close while more comes in would discard it.
+	// errorWriteTimeout is the most that an error may take to be written.
 	errorWriteTimeout = time.Second
-	lingerTimeout     = 500 * time.Millisecond
-	// lateTime is how long after its time an answer may still be written: it earns nothing, but is not lost.
+	// lingerTimeout is how long a client may read what it was sent before its connection is closed: a close while more comes
+	// in would discard it.
+	lingerTimeout = 500 * time.Millisecond
+	// lateAnswerWrite is how long after its deadline an answer may still be written.
 	lateAnswerWrite = 400 * time.Millisecond
-	// While all idle connections are closed, a new one is given this long for its first request.
+	// drainFirstRequestTimeout is how long a new connection has for its first request while all idle ones are closed.
 	drainFirstRequestTimeout = time.Second
 )
 
-// clientConn is one connection of a client. Its own goroutine, in run, is the only one that closes it: whoever wants it
-// gone sets its read deadline under the lock of Clients. So a request is either read, and then answered, or left unread.
+// clientConn is one connection of a client. Its own goroutine, in run, is the only one that closes it: whoever wants it gone
+// sets its read deadline under the lock of the server. So a request is either read, and then answered, or left unread.
 type clientConn struct {
-	clients  *Server
-	nc       net.Conn
+	server   *Server
+	conn     net.Conn
 	in       clientReader
 	text     *textproto.Reader // over in
-	reserved bool              // memory is booked for what was sent ahead
+	reserved bool              // memory is reserved for what the client sends ahead
 
-	phase   connPhase // guarded by clients.mu, as are the next three
+	// The server's lock guards what follows.
+	phase   connPhase
 	since   time.Time // when the phase began
 	active  bool      // a request has come
 	evicted bool      // it is to go, unless a request has just been read
 }
 
-func newClientConn(f *Server, nc net.Conn) *clientConn {
-	c := &clientConn{clients: f, nc: nc, phase: phaseNew, in: clientReader{conn: nc}}
+func newClientConn(s *Server, nc net.Conn) *clientConn {
+	c := &clientConn{server: s, conn: nc, phase: phaseNew, in: clientReader{conn: nc}}
 	c.text = textproto.NewReader(bufio.NewReader(&c.in))
 	return c
 }
@@ -80,35 +81,35 @@
 
 // release gives back all that the connection holds.
 func (c *clientConn) release() {
-	c.nc.Close()
+	_ = c.conn.Close()
 	if c.reserved {
-		c.clients.reserveMemory(-maxReadAheadBytes)
+		c.server.reserveMemory(-maxReadAheadBytes)
 	}
-	c.clients.unregister(c)
+	c.server.unregister(c)
 }
 
-// enter begins a phase, in which reads end at the deadline. What was read before is served: an eviction comes too late.
+// setPhase begins a phase, in which reads end at the deadline. What was read before is served: an eviction comes too late.
 func (c *clientConn) setPhase(p connPhase, deadline time.Time) {
-	c.clients.mu.Lock()
-	defer c.clients.mu.Unlock()
+	c.server.mu.Lock()
+	defer c.server.mu.Unlock()
 	c.phase, c.since, c.evicted = p, time.Now(), false
 	if p == phaseExecuting && !c.active {
 		c.active = true
-		if c.clients.conns[c] {
-			c.clients.active++
+		if c.server.conns[c] {
+			c.server.active++
 		}
 	}
-	if c.clients.closing && c.isIdle() {
+	if c.server.closingIdle && c.isIdle() {
 		deadline = c.drainDeadline()
 	}
-	c.nc.SetReadDeadline(deadline)
+	_ = c.conn.SetReadDeadline(deadline)
 }
 
-// idle tells whether nothing is owed to the client. The caller holds the lock.
+// isIdle tells whether nothing is owed to the client. The caller holds the server's lock.
 func (c *clientConn) isIdle() bool { return c.phase == phaseNew || c.phase == phaseIdle }
 
-// lastCall is until when a connection between requests is kept while all are closed: one that is new has its
-// first request on the way. The caller holds the lock.
+// drainDeadline is until when a connection between requests is kept while all of them are closed: one that is new has its
+// first request on the way. The caller holds the server's lock.
 func (c *clientConn) drainDeadline() time.Time {
 	if c.active {
 		return time.Now()
@@ -116,35 +117,36 @@
 	return time.Now().Add(drainFirstRequestTimeout)
 }
 
-// endIdle ends a connection on which no request has begun. One that must make room goes at once.
+// finishIdle ends a connection on which no request has begun. One that makes room for another goes at once.
 func (c *clientConn) finishIdle(err error) {
-	c.clients.mu.Lock()
+	c.server.mu.Lock()
 	evicted := c.evicted
-	c.clients.mu.Unlock()
+	c.server.mu.Unlock()
 	if errors.Is(err, os.ErrDeadlineExceeded) && !evicted {
 		c.lingerClose()
 	}
 }
 
-// refuse answers a request that could not be read, if its client is still there, and ends the connection.
+// reject answers a request that could not be read, if its client is still there, and ends the connection.
 func (c *clientConn) reject(err error) {
-	var re *httpError
-	if !errors.As(err, &re) {
+	var httpErr *httpError
+	if !errors.As(err, &httpErr) {
 		return
 	}
-	r := errorResponse(re.status, re.text)
-	if re.status == 503 {
-		r.header = retryAfter(c.clients.RetryAfter)
+	r := errorResponse(httpErr.status, httpErr.text)
+	if httpErr.status == 503 {
+		r.header = retryAfter(c.server.RetryAfter)
 	}
-	if c.write(r, true) {
+	r.last = true
+	if c.write(r) {
 		c.lingerClose()
 	}
 }
 
-// shut ends the connection from our side: nothing that comes in from here on is used. It is read on for a while, and no
-// more of it than it takes to see its end, because a close over unread bytes would discard what was written.
+// lingerClose ends the connection from our side: nothing that comes in from here on is used. It is read on for a while, and
+// no more of it than it takes to see its end, because a close over unread bytes would discard what was written.
 func (c *clientConn) lingerClose() {
-	half, ok := c.nc.(interface{ CloseWrite() error })
+	half, ok := c.conn.(interface{ CloseWrite() error })
 	if !ok || half.CloseWrite() != nil {
 		return
 	}
@@ -159,111 +161,105 @@
 	}
 }
 
-// answer gives a request its one final answer and tells whether the connection goes on. While the query is out the
-// connection is read on: its end is the client leaving.
+// serve gives a request its one final answer and tells whether the connection goes on. While the query is out the connection
+// is read on: its end is the client leaving.
 func (c *clientConn) serve(req *request) bool {
 	c.setPhase(phaseExecuting, time.Time{})
 	ctx, cancel := context.WithCancelCause(context.Background())
 	defer cancel(nil)
-	watched := make(chan error, 1)
+	readAhead := make(chan error, 1)
 	go func() {
-		err := c.in.readAhead(c.reserveAhead)
+		err := c.in.readAhead(c.reserveReadAhead)
 		if !errors.Is(err, os.ErrDeadlineExceeded) {
 			cancel(err)
 		}
-		watched <- err
+		readAhead <- err
 	}()
 	r := c.respond(ctx, req)
-	c.nc.SetReadDeadline(time.Now())
-	ended := <-watched
-	if errors.Is(ended, os.ErrDeadlineExceeded) {
-		ended = nil
-	}
+	_ = c.conn.SetReadDeadline(time.Now())
+	clientEnded := !errors.Is(<-readAhead, os.ErrDeadlineExceeded)
 	// Nothing reads now: what the client sends from here on is either read after this answer, or never.
-	last := c.closesAfter(req.close || ended != nil)
-	if !c.write(r, last) {
+	r.last = req.close || clientEnded || c.closesAfterAnswer()
+	if !c.write(r) {
 		return false
 	}
-	if last {
+	if r.last {
 		c.lingerClose()
 	}
-	return !last
+	return !r.last
 }
 
-// isLast decides whether an answer ends its connection. Requests that were read ahead are answered before.
-func (c *clientConn) closesAfter(closes bool) bool {
-	if closes {
-		return true
-	}
+// closesAfterAnswer tells whether the server wants the connection to end with the answer in hand. Requests that were read
+// ahead are answered before.
+func (c *clientConn) closesAfterAnswer() bool {
 	if len(c.in.ahead)+c.text.R.Buffered() > 0 {
 		return false
 	}
-	f := c.clients
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	return f.draining || f.crowded()
+	c.server.mu.Lock()
+	defer c.server.mu.Unlock()
+	return c.server.draining || c.server.crowded()
 }
 
-// reserveAhead books memory for what a client sends ahead; it is kept until the connection ends.
-func (c *clientConn) reserveAhead() bool {
+// reserveReadAhead reserves memory for what a client sends ahead; it is given back when the connection ends.
+func (c *clientConn) reserveReadAhead() bool {
 	if !c.reserved {
-		c.reserved = c.clients.reserveMemory(maxReadAheadBytes)
+		c.reserved = c.server.reserveMemory(maxReadAheadBytes)
 	}
 	return c.reserved
 }
 
 // respond finds the answer to a request.
 func (c *clientConn) respond(ctx context.Context, req *request) response {
-	if req.method == "POST" {
-		return c.respondQuery(ctx, req)
-	}
 	switch {
+	case req.method == "POST":
+		return c.respondQuery(ctx, req)
 	case req.method != "GET":
 		return errorResponse(405, "method not allowed")
 	case req.path == "/up" || req.path == "/alive":
-		return response{status: 200, body: []byte("{}"), end: time.Now().Add(errorWriteTimeout)}
+		return response{status: 200, body: []byte("{}"), writeBy: time.Now().Add(errorWriteTimeout)}
 	}
 	return errorResponse(404, "not found")
 }
 
+// respondQuery finds the answer to a query.
 func (c *clientConn) respondQuery(ctx context.Context, req *request) response {
 	q, err := parseQuery(req)
-	var re *httpError
-	if errors.As(err, &re) {
-		return errorResponse(re.status, re.text)
+	var httpErr *httpError
+	if errors.As(err, &httpErr) {
+		return errorResponse(httpErr.status, httpErr.text)
 	}
-	q.Deadline = c.clients.capDeadline(q.Deadline)
-	answer, err := c.clients.Coordinator.Execute(ctx, q)
+	q.Deadline = c.server.capDeadline(q.Deadline)
+	answer, err := c.server.Coordinator.Execute(ctx, q)
 	switch {
 	case errors.Is(err, coordinator.ErrInput):
 		return errorResponse(400, err.Error())
 	case errors.Is(context.Cause(ctx), errReadAhead):
 		return errorResponse(400, errReadAhead.Error())
 	case err != nil:
-		// It may have closed its sending side only, and still read.
+		// The client may have closed its sending side only, and still read.
 		return errorResponse(500, "the client closed the connection")
 	}
 	r := c.answerResponse(q.ID, answer)
 	if end := q.Deadline.Add(lateAnswerWrite); end.After(time.Now()) {
-		r.end = end // else it still gets the usual time of an error: better late than never
+		r.writeBy = end // a later answer has as long as an error
 	}
 	return r
 }
 
-// answered turns the core's answer to a query into a response.
+// answerResponse turns the coordinator's answer to a query into a response.
 func (c *clientConn) answerResponse(id string, answer coordinator.Answer) response {
 	switch answer.Status {
 	case coordinator.Answered:
 		body, err := answerBody(answer)
 		if err != nil {
-			c.clients.Log.Error("answer not fit for the protocol", "query", id, "cause", err)
+			c.server.Log.Error("answer not fit for the protocol", "query", id, "cause", err)
 			return errorResponse(500, "answer can't be passed on")
 		}
 		if len(body) > maxBody {
-			c.clients.Log.Error("answer too large for the protocol", "query", id, "bytes", len(body))
+			c.server.Log.Error("answer too large for the protocol", "query", id, "bytes", len(body))
 			return errorResponse(500, "answer too large")
 		}
-		return response{status: 200, body: body, end: time.Now().Add(errorWriteTimeout)}
+		return response{status: 200, body: body, writeBy: time.Now().Add(errorWriteTimeout)}
 	case coordinator.Rejected:
 		r := errorResponse(503, "refused")
 		r.header = retryAfter(answer.RetryAfter)
@@ -273,10 +269,10 @@
 }
 
 // write sends a response and tells whether all of it was written.
-func (c *clientConn) write(r response, last bool) bool {
-	c.nc.SetWriteDeadline(r.end)
-	if _, err := c.nc.Write(r.encode(last)); err != nil {
-		c.clients.Log.Info("answer not written whole", "cause", err)
+func (c *clientConn) write(r response) bool {
+	_ = c.conn.SetWriteDeadline(r.writeBy)
+	if _, err := c.conn.Write(r.encode()); err != nil {
+		c.server.Log.Info("response not written completely", "cause", err)
 		return false
 	}
 	return true
--- a/internal/platform/httprequest.go
+++ b/internal/platform/httprequest.go
@@ -15,29 +15,61 @@
 	"gullfall/internal/queryjson"
 )
 
-// request is one that was read whole.
+const (
+	maxBody   = queryjson.MaxBytes
+	maxHeader = 16 << 10
+	// freeBodyBytes of a body may always come in. Of longer ones only as many come in at once as Server.BodyMemory has room for.
+	freeBodyBytes = 4 << 10
+)
+
+// singleHeaders are the headers that a request may hold once: which of two counts would be a guess.
+var singleHeaders = []string{"Content-Length", "Transfer-Encoding", "Req-Id", "Req-Owner", "Req-Deadline-Ms", "Idempotency-Key"}
+
+// request is one that was read completely.
 type request struct {
 	method, path string
 	header       textproto.MIMEHeader
 	body         []byte
-	close        bool
+	close        bool      // the client wants the connection to end with the answer
 	arrived      time.Time // when its last byte had come in
 }
 
-// refusal is an answer to what can't be read or understood.
+// httpError is the answer to a request that can't be read or understood.
 type httpError struct {
 	status int
 	text   string
 }
 
-func (r *httpError) Error() string { return r.text }
+func (e *httpError) Error() string { return e.text }
 
 func httpErrorf(status int, format string, args ...any) error {
 	return &httpError{status, fmt.Sprintf(format, args...)}
 }
 
-// read takes in one request.
+// readRequest reads one request.
 func (c *clientConn) readRequest() (*request, error) {
+	req, err := c.readHead()
+	if err != nil {
+		return nil, err
+	}
+	framing, err := parseBodyFraming(req.header)
+	if err != nil {
+		return nil, err
+	}
+	if strings.EqualFold(req.header.Get("Expect"), "100-continue") {
+		// An error shows in the next read.
+		_ = c.conn.SetWriteDeadline(time.Now().Add(errorWriteTimeout))
+		_, _ = io.WriteString(c.conn, "HTTP/1.1 100 Continue\r\n\r\n")
+	}
+	if req.body, err = c.readBody(framing); err != nil {
+		return nil, err
+	}
+	req.arrived = c.in.arrivedAt(c.text.R.Buffered())
+	return req, nil
+}
+
+// readHead reads the request line and the headers.
+func (c *clientConn) readHead() (*request, error) {
 	line, err := c.text.ReadLine()
 	if err != nil {
 		return nil, c.requestError(err)
@@ -50,89 +82,98 @@
 	if err != nil {
 		return nil, c.requestError(err)
 	}
-	for _, key := range []string{"Content-Length", "Transfer-Encoding", "Req-Id", "Req-Owner", "Req-Deadline-Ms",
-		"Idempotency-Key"} {
+	for _, key := range singleHeaders {
 		if len(header[key]) > 1 {
 			return nil, httpErrorf(400, "%s stands twice", key)
 		}
 	}
 	path, _, _ := strings.Cut(words[1], "?")
-	req := &request{method: words[0], path: path, header: header,
-		close: words[2] == "HTTP/1.0" || strings.EqualFold(header.Get("Connection"), "close")}
-	// A request with a length and a coding may hide another in its body: nothing after the head is read.
-	size := int64(maxBody) + 1
+	return &request{method: words[0], path: path, header: header,
+		close: words[2] == "HTTP/1.0" || strings.EqualFold(header.Get("Connection"), "close")}, nil
+}
+
+// bodyFraming says where a body ends: after its last chunk, or after size bytes.
+type bodyFraming struct {
+	chunked bool
+	size    int64 // of a body that is not chunked
+}
+
+// parseBodyFraming reads the headers that frame a body. A request with a length and a coding could hide another request in its
+// body, so that is an error.
+func parseBodyFraming(header textproto.MIMEHeader) (bodyFraming, error) {
 	coding, coded := header["Transfer-Encoding"]
 	length, sized := header["Content-Length"]
 	switch {
 	case coded && (sized || !strings.EqualFold(coding[0], "chunked")):
-		return nil, httpErrorf(400, "framing of the body")
+		return bodyFraming{}, httpErrorf(400, "framing of the body")
 	case coded:
+		return bodyFraming{chunked: true}, nil
 	case !sized:
-		size = 0
-	default:
-		n, bogus := strconv.ParseUint(length[0], 10, 63)
-		if bogus != nil {
-			return nil, httpErrorf(400, "Content-Length %.40q", length[0])
-		}
-		if n > maxBody {
-			return nil, httpErrorf(413, "body of %d bytes; %d are allowed", n, maxBody)
-		}
-		size = int64(n)
+		return bodyFraming{}, nil
 	}
-	if strings.EqualFold(header.Get("Expect"), "100-continue") {
-		c.nc.SetWriteDeadline(time.Now().Add(errorWriteTimeout))
-		io.WriteString(c.nc, "HTTP/1.1 100 Continue\r\n\r\n")
+	n, err := strconv.ParseUint(length[0], 10, 63)
+	if err != nil {
+		return bodyFraming{}, httpErrorf(400, "Content-Length %.40q", length[0])
+	}
+	if n > maxBody {
+		return bodyFraming{}, httpErrorf(413, "body of %d bytes; %d are allowed", n, maxBody)
 	}
+	return bodyFraming{size: int64(n)}, nil
+}
+
+// readBody reads a body of at most maxBody bytes.
+func (c *clientConn) readBody(framing bodyFraming) ([]byte, error) {
 	c.in.allowance = maxBody + maxHeader // the chunks' own lines included
-	var body io.Reader = c.text.R
-	if coded {
-		body = &chunkReader{in: c.text}
+	in := io.LimitReader(c.text.R, framing.size)
+	if framing.chunked {
+		in = io.LimitReader(&chunkReader{in: c.text}, maxBody+1)
 	}
-	if req.body, err = c.readBody(io.LimitReader(body, size)); err == nil && !coded && int64(len(req.body)) < size {
+	body, err := c.readAll(in)
+	if err == nil && !framing.chunked && int64(len(body)) < framing.size {
 		err = io.ErrUnexpectedEOF
 	}
-	if len(req.body) > maxBody {
+	if len(body) > maxBody {
 		return nil, httpErrorf(413, "body over %d bytes", maxBody)
 	}
 	if err != nil {
 		return nil, c.requestError(err)
 	}
-	req.arrived = c.in.arrivedAt(c.text.R.Buffered())
-	return req, nil
+	return body, nil
 }
 
-// body takes in a body, holding no more memory than it has brought or there is room for.
-func (c *clientConn) readBody(in io.Reader) ([]byte, error) {
+// readAll reads a body, and takes no more memory for it than it has brought or there is room for.
+func (c *clientConn) readAll(in io.Reader) ([]byte, error) {
 	body, err := io.ReadAll(io.LimitReader(in, freeBodyBytes))
 	if err != nil || len(body) < freeBodyBytes {
 		return body, err
 	}
-	if !c.clients.reserveMemory(maxBody) {
+	if !c.server.reserveMemory(maxBody) {
 		return nil, httpErrorf(503, "too many long bodies are on their way")
 	}
-	defer c.clients.reserveMemory(-maxBody)
+	defer c.server.reserveMemory(-maxBody)
 	rest, err := io.ReadAll(in)
 	return append(body, rest...), err
 }
 
-// cut tells a request that is too large, too slow or malformed from a connection that ended.
+// requestError turns the error of a read into the answer to a request that is too large, too slow or malformed. The error of
+// a connection that has ended is returned as it is: nobody is there to read an answer.
 func (c *clientConn) requestError(err error) error {
-	var ne net.Error
-	var re *httpError
+	var netErr net.Error
+	var httpErr *httpError
 	switch {
-	case errors.As(err, &re):
+	case errors.As(err, &httpErr):
 		return err
 	case c.in.allowance <= 0:
 		return httpErrorf(431, "request too large")
 	case errors.Is(err, os.ErrDeadlineExceeded):
 		return httpErrorf(408, "request did not come whole in time")
-	case errors.Is(err, io.EOF), errors.Is(err, io.ErrUnexpectedEOF), errors.As(err, &ne), errors.Is(err, io.ErrClosedPipe):
+	case errors.Is(err, io.EOF), errors.Is(err, io.ErrUnexpectedEOF), errors.As(err, &netErr), errors.Is(err, io.ErrClosedPipe):
 		return err
 	}
 	return httpErrorf(400, "%v", err)
 }
 
-// query reads what is asked.
+// parseQuery reads the query in a request. Its deadline counts from the request's last byte.
 func parseQuery(req *request) (coordinator.Query, error) {
 	h := req.header
 	class, _, _ := strings.Cut(strings.TrimPrefix(req.path, "/"), "/")
--- a/internal/platform/readahead.go
+++ b/internal/platform/readahead.go
@@ -8,9 +8,9 @@
 )
 
 const (
-	// maxReadAhead bounds what is read of a connection while a request of it is out: one request of the longest kind.
+	// maxReadAheadBytes is the most that is read of a connection while a request of it is out: one request of the longest kind.
 	maxReadAheadBytes = maxBody + maxHeader
-	// freeReadAhead may always be read ahead; beyond it a connection needs room in the memory for long bodies.
+	// freeReadAheadBytes may always be read ahead; beyond it a connection needs room in the memory for long bodies.
 	freeReadAheadBytes = freeBodyBytes
 	readAheadStep      = 2 << 10
 	// arrivalStep is how close two arrivals may lie to be kept as one, at the time of the first.
@@ -26,9 +26,9 @@
 	at  time.Time
 }
 
-// inbound is the reading side of a client's connection. While a request is out, watch reads on, so that the client's
+// clientReader is the reading side of a client's connection. While a request is out, readAhead reads on, so that the client's
 // leaving is seen behind whatever it has sent ahead; later reads take that first. Each byte's time of arrival is known,
-// because a request's time counts from its last byte. It is used by one goroutine at a time.
+// because a request's deadline counts from its last byte. One goroutine uses it at a time.
 type clientReader struct {
 	conn      net.Conn
 	allowance int64 // bytes that the request in hand may still bring
@@ -63,7 +63,7 @@
 	return n, err
 }
 
-// note records that n bytes were read off the connection.
+// recordArrival notes that n bytes were read off the connection.
 func (in *clientReader) recordArrival(n int) {
 	if n <= 0 {
 		return
@@ -77,7 +77,7 @@
 	in.arrivals = append(in.arrivals, arrival{in.received, now})
 }
 
-// arrived returns when the last byte of what was consumed, but for the unread ones that a buffer above still holds, had
+// arrivedAt returns when the last byte of what was consumed, but for the unread ones that a buffer above still holds, had
 // come in. Earlier arrivals are forgotten.
 func (in *clientReader) arrivedAt(unread int) time.Time {
 	end := in.consumed - int64(unread)
@@ -90,8 +90,8 @@
 	return in.arrivals[0].at
 }
 
-// watch reads ahead until the connection ends, its read deadline passes, or more has come than may be kept; reserve
-// books the memory beyond what is free.
+// readAhead reads until the connection ends, its read deadline passes, or more has come than may be kept. reserve takes the
+// memory beyond what is free.
 func (in *clientReader) readAhead(reserve func() bool) error {
 	reserved := false
 	step := make([]byte, readAheadStep)
