--- a/internal/platform/slots_test.go
+++ b/internal/platform/descriptors_test.go
@@ -73,8 +73,8 @@
 			}()
 			return &counted{Conn: ours, open: &open}, nil
 		}
-		carrier := &ConnPool{Coordinator: c, Log: log, Dial: dial, Streams: 32, ConnectTimeout: 250 * time.Millisecond, IdleTimeout: 30 * time.Second, Slots: make(chan struct{}, 2)}
-		c.RegisterDispatcher("", carrier.Dispatch)
+		pool := &ConnPool{Coordinator: c, Log: log, Dial: dial, Streams: 32, ConnectTimeout: 250 * time.Millisecond, IdleTimeout: 30 * time.Second, Slots: make(chan struct{}, 2)}
+		c.RegisterDispatcher("", pool.Dispatch)
 		list := c.Source(membership.Spec{Name: "list"})
 		var all []coordinator.Member
 		for i := range nodes {
@@ -126,8 +126,8 @@
 		}
 		list.Replace(nil, false)
 		time.Sleep(time.Minute)
-		if len(carrier.Slots) > 0 || open.Load() > 0 {
-			t.Errorf("%d descriptors and %d connections were not given back", len(carrier.Slots), open.Load())
+		if len(pool.Slots) > 0 || open.Load() > 0 {
+			t.Errorf("%d descriptors and %d connections were not given back", len(pool.Slots), open.Load())
 		}
 		stop()
 	})
--- a/internal/platform/ending_test.go
+++ b/internal/platform/ending_test.go
@@ -16,9 +16,7 @@
 	"gullfall/internal/coordinator"
 )
 
-var endings = []struct {
-	name, nodes, script string
-}{
+var endings = []scenario{
 	// A close over unread bytes resets the connection: the client that still sends would lose its answer.
 	{"bytes come in with the last answer", "n1", `
 		c1 send query q1 2000 0
@@ -243,8 +241,8 @@
 		c1 expect 200`},
 }
 
-// TestLateAnswer: where the program comes to a query only after its time, the client still gets its answer: late it earns
-// nothing, never it is lost.
+// TestLateAnswer: where the program comes to a query only after its time, the client still gets its answer: late is better
+// than never.
 func TestLateAnswer(t *testing.T) {
 	log := slog.New(slog.DiscardHandler)
 	set := aggregator.Settings{Aggregators: 1, Tick: 5 * time.Millisecond, ShardSets: 1, Shards: 1, Reach: 1,
@@ -253,7 +251,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	w := &world{t: t, real: true}
+	w := &world{t: t, network: loopback}
 	ours, theirs := w.pair()
 	defer ours.Close()
 	clients := &Server{Coordinator: c, Log: log, MaxConns: 9, BodyMemory: 1 << 20}
@@ -273,7 +271,7 @@
 	for _, s := range endings {
 		t.Run(s.name, func(t *testing.T) {
 			t.Parallel()
-			play(t, true, s.nodes, s.script)
+			play(t, loopback, s)
 		})
 	}
 }
--- a/internal/platform/formats_test.go
+++ b/internal/platform/formats_test.go
@@ -41,7 +41,7 @@
 			}()
 			return ours, nil
 		}
-		k := startFrameCore(t, dial)
+		k := startFrameCoordinator(t, dial)
 		ctx, leave := context.WithTimeout(t.Context(), 400*time.Millisecond)
 		defer leave()
 		_, err := k.Execute(ctx, coordinator.Query{ID: "query", Class: "entry", IdempotencyKey: "key", Text: "text of the query",
@@ -56,8 +56,8 @@
 	})
 }
 
-// startFrameCore runs a core before one data node whose connections come by dial.
-func startFrameCore(t *testing.T, dial func(context.Context, string) (net.Conn, error)) *coordinator.Coordinator {
+// startFrameCoordinator runs a coordinator before one data node whose connections come by dial.
+func startFrameCoordinator(t *testing.T, dial func(context.Context, string) (net.Conn, error)) *coordinator.Coordinator {
 	t.Helper()
 	log := slog.New(slog.DiscardHandler)
 	set := aggregator.Settings{Aggregators: 1, Tick: 5 * time.Millisecond, ShardSets: 1, Shards: 2, Reach: 1, CallCost: time.Millisecond,
--- /dev/null
+++ b/internal/platform/httpresponse_test.go
@@ -0,0 +1,19 @@
+package platform
+
+import (
+	"encoding/json"
+	"testing"
+
+	"gullfall/internal/coordinator"
+)
+
+// TestAnswerBody: documents go to clients as they came or not at all; JSON would change what is no text.
+func TestAnswerBody(t *testing.T) {
+	for doc, fit := range map[string]bool{"d\u00e9j\u00e0 \"vu\"\n": true, "\xff\xfe": false} {
+		body, err := answerBody(coordinator.Answer{Complete: true, Values: []coordinator.PartValue{{Shard: 1, Docs: [][]byte{[]byte(doc)}}}})
+		var got struct{ Hits []struct{ Doc string } }
+		if (err == nil) != fit || fit && (json.Unmarshal(body, &got) != nil || got.Hits[0].Doc != doc) {
+			t.Errorf("%q: %s, %v", doc, body, err)
+		}
+	}
+}
--- /dev/null
+++ b/internal/platform/listener_test.go
@@ -0,0 +1,50 @@
+package platform
+
+import (
+	"io"
+	"log/slog"
+	"net"
+	"strings"
+	"testing"
+	"time"
+)
+
+// TestErrorReachesSender: a client that is still sending its 60 MB reads its error, not a reset, and little of what
+// it sends is taken in.
+func TestErrorReachesSender(t *testing.T) {
+	ln, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer ln.Close()
+	clients := &Server{Log: slog.New(slog.DiscardHandler), MaxConns: 9, BodyMemory: 1 << 20}
+	go clients.Serve(ln)
+	for range 20 {
+		nc, err := net.Dial("tcp", ln.Addr().String())
+		if err != nil {
+			t.Fatal(err)
+		}
+		sent := make(chan int64)
+		go func() {
+			n, _ := io.Copy(nc, io.MultiReader(strings.NewReader("POST /report HTTP/1.1\r\nContent-Length: 60000000\r\n\r\n"),
+				io.LimitReader(zeros{}, 60_000_000)))
+			sent <- n
+		}()
+		nc.SetReadDeadline(time.Now().Add(3 * time.Second))
+		if answer, err := io.ReadAll(nc); err != nil || !strings.HasPrefix(string(answer), "HTTP/1.1 413 ") {
+			t.Errorf("got %q, %v", answer, err)
+		}
+		nc.Close()
+		if n := <-sent; n >= 60_000_000 {
+			t.Errorf("%d bytes were taken in", n)
+		}
+	}
+	clients.Wait()
+}
+
+type zeros struct{}
+
+func (zeros) Read(p []byte) (int, error) {
+	clear(p)
+	return len(p), nil
+}
--- a/internal/platform/silence_test.go
+++ b/internal/platform/watchsilence_test.go
@@ -39,15 +39,16 @@
 	return ours, nil
 }
 
-func (q *quietLists) list(drained bool) string {
+// list is a complete list, in which the even data nodes have the state.
+func (q *quietLists) list(even string) string {
 	var list []string
 	for i := range 60 { // they make it a long list
 		list = append(list, fmt.Sprintf(`{"id":"old%d","addr":"old%d","cell":0,"state":"DRAINING"}`, i, i))
 	}
 	for i := range q.nodes {
 		state := "SERVING"
-		if drained && i%2 == 0 {
-			state = "DRAINING"
+		if i%2 == 0 {
+			state = even
 		}
 		list = append(list, fmt.Sprintf(`{"id":"n%d","addr":"n%d","cell":0,"state":%q}`, i, i, state))
 	}
@@ -73,7 +74,10 @@
 		<-q.turn
 	}
 	io.WriteString(nc, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
-	line := q.list(!before)
+	line := q.list("DRAINING")
+	if before {
+		line = q.list("SERVING")
+	}
 	for {
 		if before && !time.Now().Before(q.from) {
 			io.Copy(io.Discard, nc) // this watch never brings anything again
@@ -118,23 +122,35 @@
 	return ours, nil
 }
 
-// overdueDrains runs a fleet through a silence that begins phase after its start, and returns by how much the last part at a drained data node came after
-// discovery fell silent, and how many parts the others got at all.
-func overdueDrains(t *testing.T, pushed bool, coordinators, others int, grace, phase, silence time.Duration, seed uint64) (last time.Duration, served int) {
+// silentFleet is a fleet whose discovery falls silent.
+type silentFleet struct {
+	pushed       bool // discovery is an agent that pushes changes; else a service that is polled
+	coordinators int  // that run
+	others       int  // as the settings have it
+	grace        time.Duration
+	phase        time.Duration // from the start to the silence
+	silence      time.Duration
+	seed         uint64
+}
+
+// overdueDrains runs a fleet through a silence. It returns how long after discovery fell silent the last part came at a drained
+// data node, and how many of the others got parts at all.
+func overdueDrains(t *testing.T, fleet silentFleet) (last time.Duration, served int) {
+	t.Helper()
 	const nodes = 4
 	ctx, stop := context.WithCancel(t.Context())
 	log := slog.New(slog.DiscardHandler)
-	q := &quietLists{from: time.Now().Add(phase), nodes: nodes}
-	if q.until = q.from.Add(silence); !pushed {
+	q := &quietLists{from: time.Now().Add(fleet.phase), nodes: nodes}
+	if q.until = q.from.Add(fleet.silence); !fleet.pushed {
 		q.turn = make(chan struct{}, 1)
 	}
 	frames := &lastFrames{last: map[string]time.Time{}}
-	set := aggregator.Settings{Aggregators: coordinators, Tick: 5 * time.Millisecond, ShardSets: 1, Shards: 1, Reach: 1,
+	set := aggregator.Settings{Aggregators: fleet.coordinators, Tick: 5 * time.Millisecond, ShardSets: 1, Shards: 1, Reach: 1,
 		Classes: []aggregator.Class{{Name: "report", LatencyObjective: time.Second, Deadline: 2 * time.Second, Priority: 1, CompleteShare: 1, MinShare: 1}},
 		Limits:  aggregator.Limits{MaxAttempts: 3, CanCancel: true, ConnectTimeout: 250 * time.Millisecond}}
 	var asking sync.WaitGroup
-	for i := range coordinators {
-		c, err := coordinator.New(set, seed+uint64(i), log)
+	for i := range fleet.coordinators {
+		c, err := coordinator.New(set, fleet.seed+uint64(i), log)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -142,9 +158,9 @@
 		c.RegisterDispatcher("", (&ConnPool{Coordinator: c, Log: log, Dial: frames.dial, Streams: 32, ConnectTimeout: 250 * time.Millisecond, Slots: make(chan struct{}, 16)}).Dispatch)
 		w := NewWatch("d")
 		w.Source, w.Log, w.Dial = c.Source(membership.Spec{Name: "discovery"}), log, q.dial
-		w.Schedule = membership.PollSchedule{Pushed: pushed, Peers: others, Grace: grace}
-		w.Random = rand.New(rand.NewPCG(seed, uint64(i))).Float64
-		w.Restore([]byte(strings.TrimSpace(q.list(false))))
+		w.Schedule = membership.PollSchedule{Pushed: fleet.pushed, Peers: fleet.others, Grace: fleet.grace}
+		w.Random = rand.New(rand.NewPCG(fleet.seed, uint64(i))).Float64
+		w.Restore([]byte(strings.TrimSpace(q.list("SERVING"))))
 		watching, unwatch := context.WithCancel(ctx)
 		done := make(chan bool)
 		go func() { w.Run(watching); close(done) }()
@@ -194,7 +210,7 @@
 					// After the first call of each. It ends before the silence is noticed: a call that meets it may wait, see below.
 					phase, silence = 2*membership.KeepAliveInterval+c.grace/2+150*time.Millisecond, 2500*time.Millisecond
 				}
-				last, served := overdueDrains(t, c.pushed, c.coordinators, c.others, c.grace, phase, silence, 1)
+				last, served := overdueDrains(t, silentFleet{c.pushed, c.coordinators, c.others, c.grace, phase, silence, 1})
 				if last > membership.NotifiedAfter+c.grace {
 					t.Errorf("a drained data node got a part %v after discovery fell silent; %v are allowed", last, membership.NotifiedAfter+c.grace)
 				}
@@ -221,7 +237,7 @@
 			bound = max(bound, silence+calls.Timeout()+time.Second+100*time.Millisecond)
 		}
 		synctest.Test(t, func(t *testing.T) {
-			if last, _ := overdueDrains(t, pushed, 3, 2, grace, phase, silence, seed); last > bound {
+			if last, _ := overdueDrains(t, silentFleet{pushed, 3, 2, grace, phase, silence, seed}); last > bound {
 				t.Errorf("a drained data node got a part %v after discovery fell silent; %v are allowed", last, bound)
 			}
 		})
