--- a/internal/faults/held_test.go
+++ b/internal/faults/dialgate_test.go
@@ -14,22 +14,22 @@
 	"gullfall/internal/coordinator"
 )
 
-// gate holds connections to a data node back until it is opened.
-type gate struct {
+// dialGate holds connections to a data node back until it is opened.
+type dialGate struct {
 	open    chan struct{}
 	waiting atomic.Int32
 }
 
-// gates are by the data node's address.
-var gates sync.Map
+// dialGates are by the data node's address.
+var dialGates sync.Map
 
-// pass waits for the gate of an address, if there is one.
-func pass(ctx context.Context, addr string) error {
-	held, ok := gates.Load(addr)
+// awaitGate waits for the gate of an address, if there is one.
+func awaitGate(ctx context.Context, addr string) error {
+	held, ok := dialGates.Load(addr)
 	if !ok {
 		return nil
 	}
-	g := held.(*gate)
+	g := held.(*dialGate)
 	g.waiting.Add(1)
 	select {
 	case <-g.open:
@@ -39,22 +39,22 @@
 	}
 }
 
-// hold lets no connection to a data node come up until release is called.
-func (r *rig) hold() (g *gate, release func()) {
-	g = &gate{open: make(chan struct{})}
+// holdDials lets no connection to a data node come up until release is called.
+func (r *rig) holdDials() (g *dialGate, release func()) {
+	g = &dialGate{open: make(chan struct{})}
 	for _, n := range r.nodes {
-		gates.Store(n.Addr, g)
+		dialGates.Store(n.Addr, g)
 	}
 	return g, func() {
 		close(g.open)
 		for _, n := range r.nodes {
-			gates.Delete(n.Addr)
+			dialGates.Delete(n.Addr)
 		}
 	}
 }
 
-// held are what may happen while a part waits for its connection, in both protocols. Nothing may be sent after it.
-var held = []struct {
+// whileDialing are what may happen while a part waits for its connection, in both protocols. Nothing may be sent after it.
+var whileDialing = []struct {
 	name string
 	play func(r *rig, leave func(), done <-chan string) []string
 	want []string
@@ -66,20 +66,20 @@
 	{"the data nodes drain", func(r *rig, _ func(), done <-chan string) []string {
 		for _, n := range r.nodes {
 			n.State = coordinator.Draining
-			r.fleet.Change([]coordinator.Member{n})
+			r.list.Change([]coordinator.Member{n})
 		}
 		return []string{<-done}
-	}, []string{"refused", "sent 0"}},
+	}, []string{"rejected", "sent 0"}},
 	{"the list leaves the data nodes out", func(r *rig, _ func(), done <-chan string) []string {
-		r.fleet.Replace(nil, false)
+		r.list.Replace(nil, false)
 		return []string{<-done}
-	}, []string{"refused", "sent 0"}},
+	}, []string{"rejected", "sent 0"}},
 }
 
 // TestHeldConnections: what may no longer be sent once a connection has come up is not, also where the settings let no
 // attempt be cancelled.
 func TestHeldConnections(t *testing.T) {
-	for _, h := range held {
+	for _, h := range whileDialing {
 		for _, p := range protocols {
 			for _, cancels := range []bool{true, false} {
 				t.Run(fmt.Sprintf("%s/%s/cancels=%v", h.name, p.name, cancels), func(t *testing.T) {
@@ -87,17 +87,17 @@
 					set := settings()
 					set.Limits.CanCancel = cancels
 					r := newRigWith(t, set, p, 0, "ok")
-					g, release := r.hold()
+					g, release := r.holdDials()
 					ctx, leave := context.WithDeadline(t.Context(), time.Now().Add(3*time.Second))
 					defer leave()
 					done := make(chan string, 1)
-					go func() { done <- r.ask(ctx, "report", "club", 0) }()
+					go func() { done <- r.query(ctx, "report", "club", 0) }()
 					r.until("a connection is being opened", func() bool { return g.waiting.Load() > 0 })
 					got := h.play(r, leave, done)
 					time.Sleep(20 * time.Millisecond) // the program has heard that the client has left
 					release()
 					time.Sleep(100 * time.Millisecond)
-					got = append(got, fmt.Sprint("sent ", r.b.at("n1")+r.b.at("n2")))
+					got = append(got, fmt.Sprint("sent ", r.b.startsAt("n1")+r.b.startsAt("n2")))
 					if diff := cmp.Diff(h.want, got); diff != "" {
 						t.Errorf("(-want +got)\n%s", diff)
 					}
@@ -109,7 +109,7 @@
 
 // dial opens a connection to a data node, once its gate is open.
 func dial(ctx context.Context, addr string) (net.Conn, error) {
-	if err := pass(ctx, addr); err != nil {
+	if err := awaitGate(ctx, addr); err != nil {
 		return nil, err
 	}
 	var d net.Dialer
--- /dev/null
+++ b/internal/faults/harness_test.go
@@ -0,0 +1,235 @@
+package faults
+
+import (
+	"context"
+	"fmt"
+	"io"
+	"log/slog"
+	"maps"
+	"net"
+	"slices"
+	"strings"
+	"sync"
+	"testing"
+	"time"
+
+	"gullfall/aggregator"
+	"gullfall/internal/coordinator"
+	"gullfall/internal/membership"
+)
+
+// protocol is how data nodes are started and reached, and how clients are served and ask: one of the two, or a mix.
+type protocol struct {
+	name        string
+	startNode   func(ln net.Listener, b *nodeScript, name string) (stop func())
+	dispatcher  func(c *coordinator.Coordinator) coordinator.Dispatcher
+	startServer func(c *coordinator.Coordinator, ln net.Listener) (query queryFunc, drain func())
+	readSlowly  func(t *testing.T, addr string, end time.Time) // queries shards 0 to 3 and reads nothing of the answer
+	fillBytes   int                                            // bytes that make a part too long for its buffers
+}
+
+var protocols = []protocol{
+	{"platform", startFrameNode, dispatchFrames, serveHTTP, readHTTPSlowly, 15_000},
+	{"flight", startFlightNode, dispatchFlight, serveFlight, readFlightSlowly, 200_000},
+	// The coordinator joins clients of either protocol with data nodes of either.
+	{"platform to flight", startFlightNode, dispatchFlight, serveHTTP, readHTTPSlowly, 15_000},
+	{"flight to platform", startFrameNode, dispatchFrames, serveFlight, readFlightSlowly, 60_000},
+	// Calls as one stream, to data nodes and from clients.
+	{"flight calls", startCallNode, dispatchFlight, serveFlight, readFlightSlowly, 200_000},
+	{"exchange", startCallNode, dispatchFlight, serveExchange, readFlightSlowly, 200_000},
+	{"exchange to platform", startFrameNode, dispatchFrames, serveExchange, readFlightSlowly, 60_000},
+}
+
+var quiet = slog.New(slog.NewTextHandler(io.Discard, nil))
+
+// queryFunc sends one query, of a class or of "class#key" where it carries an idempotency key. It returns how that ended: a
+// result with its documents, "rejected", "failed", "bad input", "gone" (the client left), "lost" (its connection was) or
+// "overtime".
+type queryFunc func(ctx context.Context, class, owner string, shards ...int) string
+
+// result is a query's answer.
+type result struct {
+	complete bool
+	docs     []string
+}
+
+// String is "complete" or "partial" with the documents in order.
+func (r result) String() string {
+	slices.Sort(r.docs)
+	if !r.complete {
+		return "partial " + strings.Join(r.docs, " ")
+	}
+	return "complete " + strings.Join(r.docs, " ")
+}
+
+// nodeScript is what the stand-in data nodes do, and what they have seen.
+type nodeScript struct {
+	actions []string // for each attempt of a part, the last one for all further ones
+	fill    string   // makes documents longer
+
+	// mu guards what follows, but for release.
+	mu           sync.Mutex
+	attempts     map[string]int  // by part
+	inFlight     map[int]attempt // by a number of its own
+	begun        int
+	overlaps     int // attempts that began while another of their part was out
+	cancelled    int
+	startsByNode map[string]int // by data node
+	keys         []string       // of attempts, in order of their beginning
+	release      chan struct{}  // closed to let go of attempts that are held
+}
+
+// attempt is one that is out at a data node.
+type attempt struct{ node, id string }
+
+// start notes an attempt and returns its number and what is to be done to it.
+func (b *nodeScript) start(node, id, key string) (number int, action string) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	n := b.attempts[id]
+	b.attempts[id]++
+	b.startsByNode[node]++
+	b.keys = append(b.keys, key)
+	for _, a := range b.inFlight {
+		if a.id == id {
+			b.overlaps++
+		}
+	}
+	b.begun++
+	b.inFlight[b.begun] = attempt{node, id}
+	action = b.actions[min(n, len(b.actions)-1)]
+	if shard, rest, ok := strings.Cut(action, ":"); ok { // an action for one shard only
+		if action = "ok"; strings.HasSuffix(id, "."+shard) {
+			action = rest
+		}
+	}
+	return b.begun, action
+}
+
+// end notes that an attempt is over. It comes before the coordinator can know.
+func (b *nodeScript) end(number int) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	delete(b.inFlight, number)
+}
+
+// cancel notes that the coordinator gave an attempt up.
+func (b *nodeScript) cancel(number int) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	delete(b.inFlight, number)
+	b.cancelled++
+}
+
+// connsCut notes that all that is out at a data node ends with its connections.
+func (b *nodeScript) connsCut(node string) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	maps.DeleteFunc(b.inFlight, func(_ int, a attempt) bool { return a.node == node })
+}
+
+// startsAt is how many attempts a data node got.
+func (b *nodeScript) startsAt(node string) int {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	return b.startsByNode[node]
+}
+
+// doc is the value of a part. It names the shard and the attempt that gave it.
+func (b *nodeScript) doc(id string) string {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	_, shard, _ := strings.Cut(id, ".")
+	return fmt.Sprintf("%s/%d", shard, b.attempts[id]) + b.fill
+}
+
+// rig is a coordinator between stand-ins, on loopback sockets.
+type rig struct {
+	t           *testing.T
+	b           *nodeScript
+	list        *coordinator.Source
+	query       queryFunc
+	drain       func()
+	nodes       []coordinator.Member
+	coordinator *coordinator.Coordinator
+	addr        string
+}
+
+func settings() aggregator.Settings {
+	class := func(name string, floor float64) aggregator.Class {
+		return aggregator.Class{Name: name, LatencyObjective: time.Second, Deadline: 3 * time.Second, Priority: 1, LateShare: 0.1,
+			CompleteShare: 1, MinShare: floor, PartialShare: 0.9}
+	}
+	entry := class("entry", 1)
+	entry.Effect, entry.DedupWindow = aggregator.Keyed, 2*time.Second
+	return aggregator.Settings{Aggregators: 1, Tick: 5 * time.Millisecond, ShardSets: 1, Shards: 4, Reach: 1,
+		Classes: []aggregator.Class{class("report", 1), class("board", 0.5), entry},
+		Tenants: []aggregator.Tenant{{Name: "club", Rate: 1000}}, OverQuotaFactor: 0.05,
+		CallCost: time.Millisecond,
+		Limits: aggregator.Limits{MaxAttempts: 3, MaxBatch: 8, CanCancel: true, SendRetryAfter: true, MaxRetryAfter: time.Second,
+			ConnectTimeout: 250 * time.Millisecond, ConnIdle: 30 * time.Second},
+		Rules: aggregator.Rules{DrainGrace: 2 * time.Second},
+	}
+}
+
+func newRig(t *testing.T, p protocol, down int, acts ...string) *rig {
+	t.Helper()
+	return newRigWith(t, settings(), p, down, acts...)
+}
+
+func newRigWith(t *testing.T, set aggregator.Settings, p protocol, down int, acts ...string) *rig {
+	t.Helper()
+	b := &nodeScript{actions: acts, attempts: map[string]int{}, inFlight: map[int]attempt{}, startsByNode: map[string]int{},
+		release: make(chan struct{})}
+	c, err := coordinator.New(set, 7, slog.New(slog.NewTextHandler(io.Discard, nil)))
+	if err != nil {
+		t.Fatal(err)
+	}
+	ctx, stop := context.WithCancel(context.Background())
+	t.Cleanup(stop)
+	go c.Run(ctx)
+	c.RegisterDispatcher("", p.dispatcher(c))
+	r := &rig{t: t, b: b, coordinator: c, list: c.Source(membership.Spec{Name: "list"})}
+	for i := range 2 {
+		name := fmt.Sprintf("n%d", i+1)
+		ln := listen(t)
+		if i < down {
+			ln.Close() // nobody listens there
+		} else {
+			t.Cleanup(p.startNode(ln, b, name))
+		}
+		r.nodes = append(r.nodes, coordinator.Member{ID: name, Addr: ln.Addr().String(), Weight: 1})
+	}
+	r.list.Replace(r.nodes, false)
+	ln := listen(t)
+	r.addr = ln.Addr().String()
+	r.query, r.drain = p.startServer(c, ln)
+	return r
+}
+
+func listen(t *testing.T) net.Listener {
+	t.Helper()
+	ln, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	return ln
+}
+
+// queryWithin3s sends a query with a deadline of 3 s.
+func (r *rig) queryWithin3s(class, owner string, shards ...int) string {
+	ctx, cancel := context.WithDeadline(context.Background(), time.Now().Add(3*time.Second))
+	defer cancel()
+	return r.query(ctx, class, owner, shards...)
+}
+
+// until waits for a condition that must come about.
+func (r *rig) until(what string, met func() bool) {
+	r.t.Helper()
+	for end := time.Now().Add(10 * time.Second); !met(); time.Sleep(time.Millisecond) {
+		if time.Now().After(end) {
+			r.t.Errorf("never: %s", what)
+			return
+		}
+	}
+}
--- a/internal/platform/scenario_client_test.go
+++ b/internal/platform/scenario_client_test.go
@@ -13,7 +13,7 @@
 		n1 expect Q q1.0
 		c1 close
 		n1 expect X q1.0`},
-	{"bad input never reaches the core", "n1", `
+	{"bad input never reaches the coordinator", "n1", `
 		c1 send query q1 2000 9
 		c1 expect 400
 		c1 send query q1 0 0
