--- a/cmd/gullfall/dnssd.go
+++ b/cmd/gullfall/dnssd.go
@@ -172,7 +172,7 @@
 	var wg sync.WaitGroup
 	for _, zone := range zones {
 		t := &teller{show: s, zone: zone.Domain, source: table.Source(membership.Spec{Name: zone.Domain, Damped: true})}
-		f := &dnssd.Follower{Zone: zone, Client: client, To: t, Log: slog.New(slog.DiscardHandler), Poll: time.Duration(deploy.DNSSD.Poll),
+		f := &dnssd.Follower{Zone: zone, Client: client, Updater: t, Log: slog.New(slog.DiscardHandler), Poll: time.Duration(deploy.DNSSD.Poll),
 			Report: func(list []dnssd.Problem) {
 				s.mu.Lock()
 				defer s.mu.Unlock()
--- a/cmd/gullfall/sources.go
+++ b/cmd/gullfall/sources.go
@@ -61,7 +61,7 @@
 	spec := membership.Spec{Name: zone.Domain, Rank: zoneRank, Damped: true, MaxStale: time.Duration(d.deploy.DNSSD.Stale)}
 	source := &storedSource{Source: d.coordinator.Source(spec), key: store.Members + "/" + zone.Domain, store: d.store}
 	source.load(d.log)
-	return &dnssd.Follower{Zone: zone, Client: client, To: source, Log: d.log, Poll: time.Duration(d.deploy.DNSSD.Poll)}
+	return &dnssd.Follower{Zone: zone, Client: client, Updater: source, Log: d.log, Poll: time.Duration(d.deploy.DNSSD.Poll)}
 }
 
 // listenForNotify takes NOTIFY messages (RFC 1996) for the followed zones, where dnssd.notify names an address.
--- a/internal/dnssd/client.go
+++ b/internal/dnssd/client.go
@@ -8,7 +8,6 @@
 	"errors"
 	"fmt"
 	"strings"
-	"sync/atomic"
 	"time"
 
 	"github.com/miekg/dns"
@@ -32,7 +31,6 @@
 type Client struct {
 	budget *rate.Limiter
 	out    chan struct{}
-	asked  atomic.Uint64
 }
 
 // NewClient returns a client that sends perSecond questions at most (and as many at once after a pause), with most
@@ -41,9 +39,6 @@
 	return &Client{budget: rate.NewLimiter(rate.Limit(perSecond), max(1, int(perSecond))), out: make(chan struct{}, most)}
 }
 
-// Asked counts the questions sent, transfers included.
-func (c *Client) Asked() uint64 { return c.asked.Load() }
-
 // begin waits for a place and for the budget; the caller gives the place back.
 func (c *Client) begin(ctx context.Context) error {
 	select {
@@ -55,7 +50,6 @@
 		<-c.out
 		return err
 	}
-	c.asked.Add(1)
 	return nil
 }
 
@@ -72,10 +66,10 @@
 
 func (e *rcodeError) Error() string { return fmt.Sprintf("%s: %s", e.name, dns.RcodeToString[e.code]) }
 
-// Ask asks one server one question: over UDP from a port and with an id of chance, and over TCP where the answer was
+// Query asks one server one question: over UDP from a port and with an id of chance, and over TCP where the answer was
 // cut. An answer is returned only where it is one to the question and says NOERROR or NXDOMAIN. It may be cut over TCP
 // too, where it takes more than 64 KiB.
-func (c *Client) Ask(ctx context.Context, server string, k *Key, name string, kind uint16) (*dns.Msg, error) {
+func (c *Client) Query(ctx context.Context, server string, k *Key, name string, kind uint16) (*dns.Msg, error) {
 	q := new(dns.Msg).SetQuestion(dns.Fqdn(name), kind)
 	q.SetEdns0(udpSize, false)
 	a, err := c.exchange(ctx, "udp", server, k, q)
@@ -130,7 +124,7 @@
 
 // zoneSerial asks for the SOA record of the zone that a domain lies in. auth tells whether the server has authority.
 func (c *Client) zoneSerial(ctx context.Context, server string, k *Key, domain string) (soa *dns.SOA, auth bool, err error) {
-	a, err := c.Ask(ctx, server, k, domain, dns.TypeSOA)
+	a, err := c.Query(ctx, server, k, domain, dns.TypeSOA)
 	if err != nil {
 		return nil, false, err
 	}
--- a/internal/dnssd/follow.go
+++ b/internal/dnssd/follow.go
@@ -51,12 +51,12 @@
 
 // Follower follows one zone. Its fields are set before Run.
 type Follower struct {
-	Zone   Zone
-	Client *Client
-	To     Updater
-	Log    *slog.Logger
-	Poll   time.Duration // 0 means DefaultPoll
-	Report func([]Problem)
+	Zone    Zone
+	Client  *Client
+	Updater Updater
+	Log     *slog.Logger
+	Poll    time.Duration // 0 means DefaultPoll
+	Report  func([]Problem)
 
 	once  sync.Once
 	nudge chan struct{}
@@ -78,8 +78,8 @@
 
 func (f *Follower) init() { f.once.Do(func() { f.nudge = make(chan struct{}, 1) }) }
 
-// Nudge says that the zone may have changed; many of them at once are one.
-func (f *Follower) Nudge() {
+// Refresh says that the zone may have changed; many of them at once are one.
+func (f *Follower) Refresh() {
 	f.init()
 	select {
 	case f.nudge <- struct{}{}:
@@ -102,7 +102,7 @@
 		}
 		pause := f.Poll
 		if err != nil {
-			f.To.Update(membership.Update{Basis: membership.Failed, Cause: cause(err)})
+			f.Updater.Update(membership.Update{Basis: membership.Failed, Cause: cause(err)})
 			f.server = (f.server + 1) % len(f.Zone.Servers)
 			// The next server is asked at once; once none has answered, less and less often.
 			if f.failures++; f.failures%len(f.Zone.Servers) != 0 {
@@ -160,10 +160,10 @@
 		return f.browse(ctx, server)
 	}
 	if f.relayed && f.dated && soa.Serial == f.serial {
-		f.To.Renew()
+		f.Updater.Renew()
 		return nil
 	}
-	if !f.To.SerialSeen(soa.Serial) && f.held != nil && !f.undone {
+	if !f.Updater.SerialSeen(soa.Serial) && f.held != nil && !f.undone {
 		return nil
 	}
 	f.apex = soa.Hdr.Name
@@ -233,7 +233,7 @@
 	fresh := map[key]bool{}
 	f.cut = false
 	for _, kind := range f.kinds() {
-		a, err := f.Client.Ask(ctx, server, f.Zone.Key, kind, dns.TypePTR)
+		a, err := f.Client.Query(ctx, server, f.Zone.Key, kind, dns.TypePTR)
 		if err != nil {
 			return err
 		}
@@ -243,7 +243,7 @@
 		}
 	}
 	if next.prune(f.kinds()); f.relayed && len(next.sets) == 0 && f.held != nil && len(f.held.sets) > 0 {
-		f.To.Update(membership.Update{Basis: membership.Relayed, Full: true})
+		f.Updater.Update(membership.Update{Basis: membership.Relayed, Full: true})
 		return nil
 	}
 	f.held, f.whole = next, false
@@ -302,7 +302,7 @@
 		places <- struct{}{}
 		wg.Go(func() {
 			defer func() { <-places }()
-			a, err := f.Client.Ask(ctx, server, f.Zone.Key, k.name, k.kind)
+			a, err := f.Client.Query(ctx, server, f.Zone.Key, k.name, k.kind)
 			mu.Lock()
 			defer mu.Unlock()
 			if err != nil {
@@ -337,7 +337,7 @@
 	if !complete && f.relayed && len(out.nodes) == 0 {
 		return
 	}
-	f.To.Update(u)
+	f.Updater.Update(u)
 }
 
 // trouble logs what can't be used, once for each cause.
--- a/internal/dnssd/follow_test.go
+++ b/internal/dnssd/follow_test.go
@@ -146,7 +146,7 @@
 	r.table, _ = membership.New(membership.Config{SerialHold: time.Second})
 	r.source = r.table.Source(membership.Spec{Name: "club.example.", Damped: true, MaxStale: time.Hour})
 	r.f = &dnssd.Follower{Zone: dnssd.Zone{Domain: "club.example.", Services: []string{"_dn._tcp"}, Transfer: transfer, Key: key,
-		Networks: loopback()}, Client: dnssd.NewClient(1000, 16), To: r, Log: slog.New(slog.DiscardHandler), Poll: 50 * time.Millisecond}
+		Networks: loopback()}, Client: dnssd.NewClient(1000, 16), Updater: r, Log: slog.New(slog.DiscardHandler), Poll: 50 * time.Millisecond}
 	for _, s := range r.servers {
 		r.f.Zone.Servers = append(r.f.Zone.Servers, s.Addr())
 	}
@@ -289,7 +289,7 @@
 			own.table, _ = membership.New(membership.Config{})
 			own.source = own.table.Source(membership.Spec{Name: "zone"})
 			own.f = &dnssd.Follower{Zone: dnssd.Zone{Domain: "club.example.", Services: []string{"_dn._tcp"}, Transfer: true, Networks: loopback(),
-				Servers: []string{s.Addr()}}, Client: dnssd.NewClient(1000, 16), To: own, Log: slog.New(slog.DiscardHandler), Poll: 50 * time.Millisecond}
+				Servers: []string{s.Addr()}}, Client: dnssd.NewClient(1000, 16), Updater: own, Log: slog.New(slog.DiscardHandler), Poll: 50 * time.Millisecond}
 			go own.f.Run(t.Context())
 			own.until(both)
 			if whole := s.Messages(); n < whole && s.Asked(dns.TypePTR) == 0 {
@@ -306,7 +306,7 @@
 			own2 := &rig{T: t, zone: later, servers: []*nameserver.Server{s2}}
 			own2.table, _ = membership.New(membership.Config{})
 			own2.source = own2.table.Source(membership.Spec{Name: "zone"})
-			own2.f = &dnssd.Follower{Zone: own.f.Zone, Client: own.f.Client, To: own2, Log: own.f.Log, Poll: 50 * time.Millisecond}
+			own2.f = &dnssd.Follower{Zone: own.f.Zone, Client: own.f.Client, Updater: own2, Log: own.f.Log, Poll: 50 * time.Millisecond}
 			own2.f.Zone.Servers = []string{s2.Addr()}
 			own2.do(0, "add a 127.0.0.1:1001", "add b 127.0.0.1:1002")
 			go own2.f.Run(t.Context())
@@ -364,7 +364,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			r := newRig(t, 1, true, c.key)
-			slow := &dnssd.Follower{Zone: r.f.Zone, Client: r.f.Client, To: r, Log: r.f.Log, Poll: time.Hour}
+			slow := &dnssd.Follower{Zone: r.f.Zone, Client: r.f.Client, Updater: r, Log: r.f.Log, Poll: time.Hour}
 			go slow.Run(t.Context())
 			allow := new(bart.Lite)
 			allow.Insert(netip.MustParsePrefix(c.allow))
@@ -402,7 +402,7 @@
 			r.until("b serving")
 			table, _ := membership.New(membership.Config{})
 			wrong := &rig{T: t, table: table, source: table.Source(membership.Spec{Name: "wrong"})}
-			wrong.f = &dnssd.Follower{Zone: r.f.Zone, Client: r.f.Client, To: wrong, Log: r.f.Log, Poll: 50 * time.Millisecond}
+			wrong.f = &dnssd.Follower{Zone: r.f.Zone, Client: r.f.Client, Updater: wrong, Log: r.f.Log, Poll: 50 * time.Millisecond}
 			wrong.f.Zone.Key = &dnssd.Key{Name: "k.", Algorithm: dns.HmacSHA256, Secret: "b3RoZXI="}
 			go wrong.f.Run(t.Context())
 			wrong.eventually("it is noted", func() bool { return wrong.noted("list held") })
@@ -442,7 +442,7 @@
 	r.table, _ = membership.New(membership.Config{})
 	r.source = r.table.Source(membership.Spec{Name: "zone"})
 	r.f = &dnssd.Follower{Zone: dnssd.Zone{Domain: "club.example.", Services: []string{"_dn._tcp"}, Networks: loopback(), Servers: []string{s.Addr()}},
-		Client: dnssd.NewClient(1000, 16), To: r, Log: slog.New(slog.DiscardHandler), Poll: 50 * time.Millisecond}
+		Client: dnssd.NewClient(1000, 16), Updater: r, Log: slog.New(slog.DiscardHandler), Poll: 50 * time.Millisecond}
 	go r.f.Run(t.Context())
 	r.until("a serving, v6 serving")
 	a := s.Asked(dns.TypeA)
--- a/internal/dnssd/notify.go
+++ b/internal/dnssd/notify.go
@@ -59,7 +59,7 @@
 			continue
 		}
 		known = true
-		f.Nudge()
+		f.Refresh()
 	}
 	if !known {
 		l.dropped.Add(1)
