--- a/internal/dnssd/client.go
+++ b/internal/dnssd/client.go
@@ -18,7 +18,7 @@
 const udpSize = 1232
 
 // patience is how long an answer may take.
-const patience = 600 * time.Millisecond
+const queryTimeout = 600 * time.Millisecond
 
 // Key signs messages to and from the servers of a zone (RFC 8945).
 type Key struct {
@@ -29,34 +29,34 @@
 
 // Client asks questions. One client may serve many zones; its budget is for all of them.
 type Client struct {
-	budget *rate.Limiter
-	out    chan struct{}
+	limiter *rate.Limiter
+	slots   chan struct{}
 }
 
 // NewClient returns a client that sends perSecond questions at most (and as many at once after a pause), with most
 // of them out.
 func NewClient(perSecond float64, most int) *Client {
-	return &Client{budget: rate.NewLimiter(rate.Limit(perSecond), max(1, int(perSecond))), out: make(chan struct{}, most)}
+	return &Client{limiter: rate.NewLimiter(rate.Limit(perSecond), max(1, int(perSecond))), slots: make(chan struct{}, most)}
 }
 
 // begin waits for a place and for the budget; the caller gives the place back.
-func (c *Client) begin(ctx context.Context) error {
+func (c *Client) acquire(ctx context.Context) error {
 	select {
-	case c.out <- struct{}{}:
+	case c.slots <- struct{}{}:
 	case <-ctx.Done():
 		return ctx.Err()
 	}
-	if err := c.budget.Wait(ctx); err != nil {
-		<-c.out
+	if err := c.limiter.Wait(ctx); err != nil {
+		<-c.slots
 		return err
 	}
 	return nil
 }
 
-func (c *Client) end() { <-c.out }
+func (c *Client) release() { <-c.slots }
 
 // errAnswer marks an answer that is none to the question.
-var errAnswer = errors.New("answer does not match the question")
+var errMismatchedAnswer = errors.New("answer does not match the question")
 
 // rcodeError is an answer that tells of an error.
 type rcodeError struct {
@@ -91,13 +91,13 @@
 
 // exchange sends one message and waits for its answer.
 func (c *Client) exchange(ctx context.Context, network, server string, k *Key, q *dns.Msg) (*dns.Msg, error) {
-	if err := c.begin(ctx); err != nil {
+	if err := c.acquire(ctx); err != nil {
 		return nil, err
 	}
-	defer c.end()
-	ctx, cancel := context.WithDeadline(ctx, time.Now().Add(patience))
+	defer c.release()
+	ctx, cancel := context.WithDeadline(ctx, time.Now().Add(queryTimeout))
 	defer cancel()
-	client := &dns.Client{Net: network, UDPSize: udpSize, Timeout: patience}
+	client := &dns.Client{Net: network, UDPSize: udpSize, Timeout: queryTimeout}
 	q = q.Copy()
 	q.Id = dns.Id()
 	if k != nil {
@@ -113,11 +113,11 @@
 	}
 	// A server that refuses may leave the question out.
 	if !a.Response || a.Opcode != q.Opcode || len(a.Question) > 1 || len(a.Question) == 0 && a.Rcode == dns.RcodeSuccess {
-		return nil, fmt.Errorf("%s: %w", server, errAnswer)
+		return nil, fmt.Errorf("%s: %w", server, errMismatchedAnswer)
 	}
 	if len(a.Question) == 1 && (!strings.EqualFold(a.Question[0].Name, q.Question[0].Name) ||
 		a.Question[0].Qtype != q.Question[0].Qtype || a.Question[0].Qclass != q.Question[0].Qclass) {
-		return nil, fmt.Errorf("%s: %w", server, errAnswer)
+		return nil, fmt.Errorf("%s: %w", server, errMismatchedAnswer)
 	}
 	return a, nil
 }
--- a/internal/dnssd/names.go
+++ b/internal/dnssd/names.go
@@ -26,7 +26,7 @@
 		switch c := s[i]; {
 		case c != '\\' || i+1 == len(s):
 			b.WriteByte(c)
-		case i+3 < len(s) && digit(s[i+1]) && digit(s[i+2]) && digit(s[i+3]):
+		case i+3 < len(s) && isDigit(s[i+1]) && isDigit(s[i+2]) && isDigit(s[i+3]):
 			b.WriteByte((s[i+1]-'0')*100 + (s[i+2]-'0')*10 + s[i+3] - '0')
 			i += 3
 		default:
@@ -37,7 +37,7 @@
 	return b.String()
 }
 
-func digit(c byte) bool { return c >= '0' && c <= '9' }
+func isDigit(c byte) bool { return c >= '0' && c <= '9' }
 
 // Escape turns an instance's label, which may hold spaces, dots and UTF-8, into the presentation form, just as the DNS
 // library writes it: names are compared in that form.
--- a/internal/dnssd/notify.go
+++ b/internal/dnssd/notify.go
@@ -19,7 +19,7 @@
 	Allow     *bart.Lite
 	Followers []*Follower
 
-	taken, dropped atomic.Uint64
+	accepted, dropped atomic.Uint64
 }
 
 // Serve reads from the socket until ctx ends; it closes it.
@@ -65,7 +65,7 @@
 		l.dropped.Add(1)
 		return
 	}
-	l.taken.Add(1)
+	l.accepted.Add(1)
 	a := new(dns.Msg).SetReply(q)
 	a.Authoritative = true
 	if t := q.IsTsig(); t != nil {
@@ -75,4 +75,4 @@
 }
 
 // Counts are the messages that were taken and those that were not.
-func (l *Listener) Counts() (taken, dropped uint64) { return l.taken.Load(), l.dropped.Load() }
+func (l *Listener) Counts() (taken, dropped uint64) { return l.accepted.Load(), l.dropped.Load() }
--- a/internal/dnssd/records.go
+++ b/internal/dnssd/records.go
@@ -27,23 +27,25 @@
 const maxHops = 8
 
 // key names a set of records.
-type key struct {
-	name string // in lower case
-	kind uint16
+type recordKey struct {
+	name   string // in lower case
+	rrtype uint16
 }
 
-func keyOf(name string, kind uint16) key { return key{strings.ToLower(dns.Fqdn(name)), kind} }
+func newRecordKey(name string, kind uint16) recordKey {
+	return recordKey{strings.ToLower(dns.Fqdn(name)), kind}
+}
 
 // records is what is held of a zone.
 type records struct {
-	apex  string // what lies outside it is not taken
-	sets  map[key][]dns.RR
-	none  map[key]time.Time // RFC 2308: there are none, until then
-	count int
+	apex   string // what lies outside it is not taken
+	sets   map[recordKey][]dns.RR
+	absent map[recordKey]time.Time // RFC 2308: there are none, until then
+	count  int
 }
 
 func newRecords(apex string) *records {
-	return &records{apex: strings.ToLower(dns.Fqdn(apex)), sets: map[key][]dns.RR{}, none: map[key]time.Time{}}
+	return &records{apex: strings.ToLower(dns.Fqdn(apex)), sets: map[recordKey][]dns.RR{}, absent: map[recordKey]time.Time{}}
 }
 
 // clone is a copy that can be changed by itself.
@@ -53,12 +55,12 @@
 	for k, set := range r.sets {
 		c.sets[k] = slices.Clone(set)
 	}
-	maps.Copy(c.none, r.none)
+	maps.Copy(c.absent, r.absent)
 	return c
 }
 
 // wanted tells whether a record is of use and in bailiwick.
-func (r *records) wanted(rr dns.RR) bool {
+func (r *records) usable(rr dns.RR) bool {
 	switch rr.Header().Rrtype {
 	case dns.TypePTR, dns.TypeSRV, dns.TypeTXT, dns.TypeA, dns.TypeAAAA, dns.TypeCNAME:
 		return rr.Header().Class == dns.ClassINET && dns.IsSubDomain(r.apex, strings.ToLower(rr.Header().Name))
@@ -68,10 +70,10 @@
 
 // add takes in a record; it tells whether it was there already or is now.
 func (r *records) add(rr dns.RR) bool {
-	if !r.wanted(rr) {
+	if !r.usable(rr) {
 		return false
 	}
-	k := keyOf(rr.Header().Name, rr.Header().Rrtype)
+	k := newRecordKey(rr.Header().Name, rr.Header().Rrtype)
 	if slices.ContainsFunc(r.sets[k], func(o dns.RR) bool { return dns.IsDuplicate(o, rr) }) {
 		return true
 	}
@@ -80,13 +82,13 @@
 	}
 	r.sets[k] = append(r.sets[k], rr)
 	r.count++
-	delete(r.none, k)
+	delete(r.absent, k)
 	return true
 }
 
 // remove takes a record out.
 func (r *records) remove(rr dns.RR) {
-	k := keyOf(rr.Header().Name, rr.Header().Rrtype)
+	k := newRecordKey(rr.Header().Name, rr.Header().Rrtype)
 	kept := slices.DeleteFunc(r.sets[k], func(o dns.RR) bool { return dns.IsDuplicate(o, rr) })
 	r.count -= len(r.sets[k]) - len(kept)
 	if r.sets[k] = kept; len(kept) == 0 {
@@ -96,14 +98,14 @@
 
 // replace puts the sets that an answer holds in the place of those of the same names, and notes where there are none
 // of what was asked. Sets that only ride along are taken where they are in bailiwick. It returns what it has set.
-func (r *records) replace(asked key, answer *dns.Msg, now time.Time) map[key]bool {
-	fresh := map[key]bool{}
+func (r *records) replace(asked recordKey, answer *dns.Msg, now time.Time) map[recordKey]bool {
+	fresh := map[recordKey]bool{}
 	for _, section := range [][]dns.RR{answer.Answer, answer.Extra} {
 		for _, rr := range section {
-			if !r.wanted(rr) {
+			if !r.usable(rr) {
 				continue
 			}
-			k := keyOf(rr.Header().Name, rr.Header().Rrtype)
+			k := newRecordKey(rr.Header().Name, rr.Header().Rrtype)
 			if !fresh[k] {
 				r.count -= len(r.sets[k])
 				delete(r.sets, k)
@@ -112,10 +114,10 @@
 			r.add(rr)
 		}
 	}
-	if !fresh[asked] && !fresh[key{asked.name, dns.TypeCNAME}] {
+	if !fresh[asked] && !fresh[recordKey{asked.name, dns.TypeCNAME}] {
 		r.count -= len(r.sets[asked])
 		delete(r.sets, asked)
-		r.none[asked] = now.Add(negative(answer))
+		r.absent[asked] = now.Add(negativeTTL(answer))
 		fresh[asked] = true
 	}
 	return fresh
@@ -123,33 +125,33 @@
 
 // Negative answers hold for what their SOA record says (RFC 2308, 5), within these bounds.
 const (
-	leastNegative = time.Second
-	mostNegative  = 5 * time.Minute
+	minNegativeTTL = time.Second
+	maxNegativeTTL = 5 * time.Minute
 )
 
-func negative(answer *dns.Msg) time.Duration {
+func negativeTTL(answer *dns.Msg) time.Duration {
 	for _, rr := range answer.Ns {
 		if soa, ok := rr.(*dns.SOA); ok {
 			ttl := time.Duration(min(soa.Minttl, soa.Hdr.Ttl)) * time.Second
-			return min(max(ttl, leastNegative), mostNegative)
+			return min(max(ttl, minNegativeTTL), maxNegativeTTL)
 		}
 	}
-	return leastNegative
+	return minNegativeTTL
 }
 
 // prune forgets what no instance refers to any more.
 func (r *records) prune(kinds []string) {
-	keep := map[key]bool{}
+	keep := map[recordKey]bool{}
 	for _, kind := range kinds {
-		ptr := keyOf(kind, dns.TypePTR)
+		ptr := newRecordKey(kind, dns.TypePTR)
 		keep[ptr] = true
 		for _, rr := range r.sets[ptr] {
 			name := rr.(*dns.PTR).Ptr
-			srv := keyOf(name, dns.TypeSRV)
-			keep[srv], keep[keyOf(name, dns.TypeTXT)] = true, true
+			srv := newRecordKey(name, dns.TypeSRV)
+			keep[srv], keep[newRecordKey(name, dns.TypeTXT)] = true, true
 			for _, rr := range r.sets[srv] {
 				for _, name := range r.chain(rr.(*dns.SRV).Target) {
-					keep[key{name, dns.TypeA}], keep[key{name, dns.TypeAAAA}], keep[key{name, dns.TypeCNAME}] = true, true, true
+					keep[recordKey{name, dns.TypeA}], keep[recordKey{name, dns.TypeAAAA}], keep[recordKey{name, dns.TypeCNAME}] = true, true, true
 				}
 			}
 		}
@@ -160,9 +162,9 @@
 			delete(r.sets, k)
 		}
 	}
-	for k := range r.none {
+	for k := range r.absent {
 		if !keep[k] {
-			delete(r.none, k)
+			delete(r.absent, k)
 		}
 	}
 }
@@ -171,7 +173,7 @@
 func (r *records) chain(name string) []string {
 	list := []string{strings.ToLower(dns.Fqdn(name))}
 	for range maxHops {
-		set := r.sets[key{list[len(list)-1], dns.TypeCNAME}]
+		set := r.sets[recordKey{list[len(list)-1], dns.TypeCNAME}]
 		if len(set) == 0 {
 			break
 		}
@@ -187,12 +189,12 @@
 // addresses are those of a host, IPv4 first and then by value, so that every reader takes the same.
 func (r *records) addresses(host string) (list []netip.Addr) {
 	for _, name := range r.chain(host) {
-		for _, rr := range r.sets[key{name, dns.TypeA}] {
+		for _, rr := range r.sets[recordKey{name, dns.TypeA}] {
 			if a, ok := netip.AddrFromSlice(rr.(*dns.A).A); ok {
 				list = append(list, a.Unmap())
 			}
 		}
-		for _, rr := range r.sets[key{name, dns.TypeAAAA}] {
+		for _, rr := range r.sets[recordKey{name, dns.TypeAAAA}] {
 			if a, ok := netip.AddrFromSlice(rr.(*dns.AAAA).AAAA); ok {
 				list = append(list, a)
 			}
@@ -209,11 +211,11 @@
 }
 
 // reading is what a zone's records come to.
-type reading struct {
+type zoneReading struct {
 	nodes    []membership.Record
 	names    []string // the instance's full name of each
 	problems []Problem
-	missing  []key         // what must be asked for before more can be read
+	missing  []recordKey   // what must be asked for before more can be read
 	ttl      time.Duration // shortest of the records read
 }
 
@@ -221,11 +223,11 @@
 var errMissing = errors.New("records have not come")
 
 // read finds the data nodes of the service types; addresses must lie within the networks.
-func (r *records) read(kinds []string, networks *bart.Lite) (out reading) {
+func (r *records) read(kinds []string, networks *bart.Lite) (out zoneReading) {
 	out.ttl = time.Duration(math.MaxInt64)
 	seen := map[string]bool{}
 	for _, kind := range kinds {
-		set := r.sets[keyOf(kind, dns.TypePTR)]
+		set := r.sets[newRecordKey(kind, dns.TypePTR)]
 		names := make([]string, 0, len(set))
 		for _, rr := range set {
 			names = append(names, rr.(*dns.PTR).Ptr)
@@ -233,7 +235,7 @@
 		}
 		slices.Sort(names)
 		for _, name := range names {
-			rec, err := r.node(name, kind, networks, &out)
+			rec, err := r.readInstance(name, kind, networks, &out)
 			if err == nil && seen[rec.ID] {
 				err = fmt.Errorf("id %q is another instance's too", rec.ID)
 			}
@@ -254,17 +256,17 @@
 }
 
 // node reads one instance.
-func (r *records) node(name, kind string, networks *bart.Lite, out *reading) (rec membership.Record, err error) {
+func (r *records) readInstance(name, kind string, networks *bart.Lite, out *zoneReading) (rec membership.Record, err error) {
 	label, err := Instance(name, kind)
 	if err != nil {
 		return rec, err
 	}
-	srvs, texts := r.sets[keyOf(name, dns.TypeSRV)], r.sets[keyOf(name, dns.TypeTXT)]
+	srvs, texts := r.sets[newRecordKey(name, dns.TypeSRV)], r.sets[newRecordKey(name, dns.TypeTXT)]
 	for _, need := range []struct {
 		have bool
-		k    key
-	}{{len(srvs) > 0, keyOf(name, dns.TypeSRV)}, {len(texts) > 0, keyOf(name, dns.TypeTXT)}} {
-		if _, none := r.none[need.k]; !need.have && !none {
+		k    recordKey
+	}{{len(srvs) > 0, newRecordKey(name, dns.TypeSRV)}, {len(texts) > 0, newRecordKey(name, dns.TypeTXT)}} {
+		if _, none := r.absent[need.k]; !need.have && !none {
 			out.missing = append(out.missing, need.k)
 			err = errMissing
 		}
@@ -296,8 +298,8 @@
 		last := r.chain(srv.Target)
 		host := last[len(last)-1]
 		missing := false
-		for _, k := range []key{{host, dns.TypeA}, {host, dns.TypeAAAA}} {
-			if _, none := r.none[k]; !none && dns.IsSubDomain(r.apex, host) {
+		for _, k := range []recordKey{{host, dns.TypeA}, {host, dns.TypeAAAA}} {
+			if _, none := r.absent[k]; !none && dns.IsSubDomain(r.apex, host) {
 				out.missing, missing = append(out.missing, k), true
 			}
 		}
@@ -313,21 +315,21 @@
 	rec = membership.Record{ID: label, Addr: netip.AddrPortFrom(addrs[i], srv.Port).String(), Weight: 1, Unstated: true,
 		Priority: srv.Priority}
 	if srv.Weight > 0 {
-		rec.Weight = float64(srv.Weight) / ordinaryWeight
+		rec.Weight = float64(srv.Weight) / standardSRVWeight
 	}
 	var strs []string
 	for _, rr := range texts {
 		strs = append(strs, rr.(*dns.TXT).Txt...)
 	}
 	out.ttl = min(out.ttl, time.Duration(srv.Hdr.Ttl)*time.Second)
-	return rec, describe(&rec, ReadText(strs))
+	return rec, applyText(&rec, ReadText(strs))
 }
 
 // ordinaryWeight is the SRV weight of an ordinary data node.
-const ordinaryWeight = 100
+const standardSRVWeight = 100
 
 // The values of the TXT key proto, and the carriers' names that they stand for.
-var protos = map[string]string{"frames": Frames, "flight": Flight}
+var protocols = map[string]string{"frames": Frames, "flight": Flight}
 
 // The protocols of data nodes, as carriers are named by them.
 const (
@@ -336,7 +338,7 @@
 )
 
 // describe reads the keys of a TXT record; those that it does not know are skipped.
-func describe(rec *membership.Record, text Text) (err error) {
+func applyText(rec *membership.Record, text Text) (err error) {
 	if id := text["id"]; id != "" {
 		if len(id) > 255 || strings.ContainsFunc(id, func(r rune) bool { return r <= ' ' || r > '~' }) {
 			return fmt.Errorf("TXT id=%q: up to 255 printable characters are allowed", id)
@@ -345,7 +347,7 @@
 	}
 	if proto, said := text["proto"]; said {
 		known := false
-		if rec.Proto, known = protos[strings.ToLower(proto)]; !known {
+		if rec.Proto, known = protocols[strings.ToLower(proto)]; !known {
 			return fmt.Errorf("TXT proto=%q is neither frames nor flight", proto)
 		}
 	}
--- a/internal/dnssd/records_test.go
+++ b/internal/dnssd/records_test.go
@@ -168,7 +168,7 @@
 			return
 		}
 		r := newRecords("e.")
-		r.replace(keyOf("_dn._tcp.e.", dns.TypePTR), m, time.Unix(0, 0))
+		r.replace(newRecordKey("_dn._tcp.e.", dns.TypePTR), m, time.Unix(0, 0))
 		count := 0
 		for _, set := range r.sets {
 			count += len(set)
--- a/internal/dnssd/transfer.go
+++ b/internal/dnssd/transfer.go
@@ -14,7 +14,7 @@
 )
 
 // transferPatience is how long a whole transfer may take.
-const transferPatience = 5 * time.Second
+const transferTimeout = 5 * time.Second
 
 // errTransfer marks a transfer that can't be read.
 var errTransfer = errors.New("transfer not understood")
@@ -22,11 +22,11 @@
 // transfer fetches the zone, from what is held of serial on where held is not nil. It returns the records as they are
 // now, and the serial that they are of.
 func (c *Client) transfer(ctx context.Context, server string, k *Key, apex string, held *records, serial uint32) (*records, uint32, error) {
-	if err := c.begin(ctx); err != nil {
+	if err := c.acquire(ctx); err != nil {
 		return nil, 0, err
 	}
-	defer c.end()
-	ctx, cancel := context.WithDeadline(ctx, time.Now().Add(transferPatience))
+	defer c.release()
+	ctx, cancel := context.WithDeadline(ctx, time.Now().Add(transferTimeout))
 	defer cancel()
 	q := new(dns.Msg)
 	if held != nil {
@@ -41,7 +41,7 @@
 	}
 	defer nc.Close()
 	defer context.AfterFunc(ctx, func() { nc.Close() })()
-	t := &dns.Transfer{Conn: &dns.Conn{Conn: nc}, ReadTimeout: transferPatience, WriteTimeout: transferPatience}
+	t := &dns.Transfer{Conn: &dns.Conn{Conn: nc}, ReadTimeout: transferTimeout, WriteTimeout: transferTimeout}
 	if k != nil {
 		t.TsigSecret = map[string]string{k.Name: k.Secret}
 		q.SetTsig(k.Name, k.Algorithm, 300, time.Now().Unix())
@@ -91,7 +91,7 @@
 			if from.Serial != serial {
 				return nil, 0, fmt.Errorf("%w: changes are from serial %d, not %d", errTransfer, from.Serial, serial)
 			}
-			return difference(held.clone(), first.Serial, body)
+			return applyChanges(held.clone(), first.Serial, body)
 		}
 	}
 	next := newRecords(apex)
@@ -99,7 +99,7 @@
 		if _, again := rr.(*dns.SOA); again {
 			return nil, 0, fmt.Errorf("%w: SOA amid a whole zone", errTransfer)
 		}
-		if next.wanted(rr) && !next.add(rr) {
+		if next.usable(rr) && !next.add(rr) {
 			return nil, 0, fmt.Errorf("%w: over %d records", errTransfer, maxRecords)
 		}
 	}
@@ -107,7 +107,7 @@
 }
 
 // difference applies the sequences of an IXFR: an SOA and what goes, an SOA and what comes, and so on.
-func difference(r *records, end uint32, body []dns.RR) (*records, uint32, error) {
+func applyChanges(r *records, end uint32, body []dns.RR) (*records, uint32, error) {
 	adding, at := true, uint32(0)
 	for _, rr := range body {
 		soa, ok := rr.(*dns.SOA)
