--- /dev/null
+++ b/internal/dnssd/browse.go
@@ -0,0 +1,159 @@
+package dnssd
+
+import (
+	"cmp"
+	"context"
+	"slices"
+	"sync"
+	"time"
+
+	"github.com/miekg/dns"
+
+	"gullfall/internal/membership"
+)
+
+const (
+	maxParallelQueries = 16                     // of one browse
+	browseBatch        = 8 * maxParallelQueries // sets of records between two updates
+)
+
+// browse asks for the instances of each service type and for what may have changed of them. What has vanished is published
+// before anything else is asked.
+func (f *Follower) browse(ctx context.Context, server string) error {
+	fresh := map[recordKey]bool{} // fetched by this browse
+	next, err := f.fetchInstances(ctx, server, fresh)
+	if err != nil {
+		return err
+	}
+	z := &f.state
+	hadRecords := z.records != nil && len(z.records.sets) > 0
+	if z.nonAuthoritative && len(next.sets) == 0 && hadRecords {
+		f.Updater.Update(membership.Update{Basis: membership.Relayed, Full: true})
+		return nil
+	}
+	z.records, z.transferred = next, false
+	if err := f.fetchMissing(ctx, server, fresh); err != nil {
+		return err
+	}
+	return f.refetchKnown(ctx, server, fresh)
+}
+
+// fetchInstances asks for the instances of each service type. It returns the records with those that are listed no longer
+// taken out.
+func (f *Follower) fetchInstances(ctx context.Context, server string, fresh map[recordKey]bool) (*records, error) {
+	z := &f.state
+	next := newRecords(z.apex)
+	if z.records != nil {
+		next = z.records.clone()
+	}
+	z.truncated = false
+	for _, serviceType := range f.serviceTypes() {
+		answer, err := f.Client.Query(ctx, server, f.Zone.Key, serviceType, dns.TypePTR)
+		if err != nil {
+			return nil, err
+		}
+		z.nonAuthoritative, z.truncated = z.nonAuthoritative || !answer.Authoritative, z.truncated || answer.Truncated
+		for k := range next.replace(newRecordKey(serviceType, dns.TypePTR), answer, time.Now()) {
+			fresh[k] = true
+		}
+	}
+	next.prune(f.serviceTypes())
+	return next, nil
+}
+
+// fetchMissing publishes what is known, and asks for the records without which an instance can't be read, in as many passes as
+// it takes.
+func (f *Follower) fetchMissing(ctx context.Context, server string, fresh map[recordKey]bool) error {
+	missing := f.read().missing
+	f.publishWithout(missing)
+	for pass := 0; pass < maxHops && len(missing) > 0; pass++ {
+		if err := f.fetch(ctx, server, missing, fresh); err != nil {
+			return err
+		}
+		missing = f.read().missing
+	}
+	f.publishWithout(missing)
+	return nil
+}
+
+// publishWithout passes on the data nodes; missing are the records that have not come.
+func (f *Follower) publishWithout(missing []recordKey) {
+	if len(missing) == 0 {
+		f.publish()
+	} else {
+		f.publishPartial()
+	}
+}
+
+// refetchKnown asks for the records that are known and may have changed, and publishes them batch by batch.
+func (f *Follower) refetchKnown(ctx context.Context, server string, fresh map[recordKey]bool) error {
+	for batch := range slices.Chunk(f.maybeChanged(fresh), browseBatch) {
+		if err := f.fetch(ctx, server, batch, fresh); err != nil {
+			return err
+		}
+		f.publish()
+	}
+	return nil
+}
+
+// maybeChanged are the known sets of records that this browse has not fetched, TXT records first: they tell of drains. A
+// negative answer holds for its time, unless the zone has a serial, which has changed.
+func (f *Follower) maybeChanged(fresh map[recordKey]bool) (keys []recordKey) {
+	z := &f.state
+	for k := range z.records.sets {
+		if !fresh[k] && k.rrtype != dns.TypePTR && k.rrtype != dns.TypeCNAME {
+			keys = append(keys, k)
+		}
+	}
+	for k, until := range z.records.absent {
+		if !fresh[k] && (z.hasSerial || !time.Now().Before(until)) {
+			keys = append(keys, k)
+		}
+	}
+	slices.SortFunc(keys, func(a, b recordKey) int {
+		if aText, bText := a.rrtype == dns.TypeTXT, b.rrtype == dns.TypeTXT; aText != bText {
+			if aText {
+				return -1
+			}
+			return 1
+		}
+		return cmp.Compare(a.name, b.name)
+	})
+	return keys
+}
+
+// fetch asks for sets of records, several at a time, and takes their answers in. The first error ends it.
+func (f *Follower) fetch(ctx context.Context, server string, keys []recordKey, fresh map[recordKey]bool) (first error) {
+	ctx, cancel := context.WithCancel(ctx)
+	defer cancel()
+	var mu sync.Mutex // guards first, fresh and the records
+	var wg sync.WaitGroup
+	slots := make(chan struct{}, maxParallelQueries)
+	for _, k := range keys {
+		mu.Lock()
+		skip := fresh[k] || first != nil
+		mu.Unlock()
+		if skip {
+			continue
+		}
+		slots <- struct{}{}
+		wg.Go(func() {
+			defer func() { <-slots }()
+			answer, err := f.Client.Query(ctx, server, f.Zone.Key, k.name, k.rrtype)
+			mu.Lock()
+			defer mu.Unlock()
+			if err != nil {
+				if first == nil {
+					first = err
+					cancel()
+				}
+				return
+			}
+			for k := range f.state.records.replace(k, answer, time.Now()) {
+				fresh[k] = true
+			}
+		})
+	}
+	wg.Wait()
+	return first
+}
--- a/internal/dnssd/client.go
+++ b/internal/dnssd/client.go
@@ -1,8 +1,5 @@
 package dnssd
 
-// This file owns questions: how many are out, how many a second, and which answers count. It must never believe an
-// answer to what was not asked, send a question beyond the budget, or hold a socket past its question's deadline.
-
 import (
 	"context"
 	"errors"
@@ -14,11 +11,29 @@
 	"golang.org/x/time/rate"
 )
 
-// udpSize is what we say that we take in one datagram (EDNS0; the figure of DNS Flag Day 2020).
-const udpSize = 1232
+const (
+	// udpSize is the largest datagram that we say we take, bytes (EDNS0; the figure of DNS Flag Day 2020).
+	udpSize = 1232
+	// queryTimeout is how long an answer may take.
+	queryTimeout = 600 * time.Millisecond
+	// tsigFudge is how far two clocks may differ for a signature to count, seconds (RFC 8945, 10).
+	tsigFudge = 300
+)
 
-// patience is how long an answer may take.
-const queryTimeout = 600 * time.Millisecond
+var (
+	// errMismatchedAnswer reports an answer that is none to the question.
+	errMismatchedAnswer = errors.New("answer does not match the question")
+	// errUnsigned reports an answer without the signature that the zone's key asks for.
+	errUnsigned = errors.New("answer is not signed")
+)
+
+// rcodeError is an answer that tells of an error.
+type rcodeError struct {
+	name string
+	code int
+}
+
+func (e *rcodeError) Error() string { return fmt.Sprintf("%s: %s", e.name, dns.RcodeToString[e.code]) }
 
 // Key signs messages to and from the servers of a zone (RFC 8945).
 type Key struct {
@@ -30,7 +45,7 @@
 // Client asks questions. One client may serve many zones; its budget is for all of them.
 type Client struct {
 	limiter *rate.Limiter
-	slots   chan struct{}
+	slots   chan struct{} // holds one element for each question that is out
 }
 
 // NewClient returns a client that sends perSecond questions at most (and as many at once after a pause), with most
@@ -39,7 +54,7 @@
 	return &Client{limiter: rate.NewLimiter(rate.Limit(perSecond), max(1, int(perSecond))), slots: make(chan struct{}, most)}
 }
 
-// begin waits for a place and for the budget; the caller gives the place back.
+// acquire waits for a slot and for the budget; the caller gives the slot back by release.
 func (c *Client) acquire(ctx context.Context) error {
 	select {
 	case c.slots <- struct{}{}:
@@ -55,26 +70,15 @@
 
 func (c *Client) release() { <-c.slots }
 
-// errAnswer marks an answer that is none to the question.
-var errMismatchedAnswer = errors.New("answer does not match the question")
-
-// rcodeError is an answer that tells of an error.
-type rcodeError struct {
-	name string
-	code int
-}
-
-func (e *rcodeError) Error() string { return fmt.Sprintf("%s: %s", e.name, dns.RcodeToString[e.code]) }
-
-// Query asks one server one question: over UDP from a port and with an id of chance, and over TCP where the answer was
-// cut. An answer is returned only where it is one to the question and says NOERROR or NXDOMAIN. It may be cut over TCP
-// too, where it takes more than 64 KiB.
-func (c *Client) Query(ctx context.Context, server string, k *Key, name string, kind uint16) (*dns.Msg, error) {
-	q := new(dns.Msg).SetQuestion(dns.Fqdn(name), kind)
+// Query asks one server one question: over UDP from a random port and with a random id, and over TCP where the answer was
+// truncated. It returns an answer only where that is one to the question and says NOERROR or NXDOMAIN. It may be truncated over
+// TCP too, where it takes more than 64 KiB.
+func (c *Client) Query(ctx context.Context, server string, k *Key, name string, rrtype uint16) (*dns.Msg, error) {
+	q := new(dns.Msg).SetQuestion(dns.Fqdn(name), rrtype)
 	q.SetEdns0(udpSize, false)
 	a, err := c.exchange(ctx, "udp", server, k, q)
 	if err == nil && a.Rcode == dns.RcodeFormatError {
-		q = new(dns.Msg).SetQuestion(dns.Fqdn(name), kind) // a server that does not know EDNS0 (RFC 6891, 7)
+		q = new(dns.Msg).SetQuestion(dns.Fqdn(name), rrtype) // a server that does not know EDNS0 (RFC 6891, 7)
 		a, err = c.exchange(ctx, "udp", server, k, q)
 	}
 	if err == nil && a.Truncated {
@@ -102,28 +106,39 @@
 	q.Id = dns.Id()
 	if k != nil {
 		client.TsigSecret = map[string]string{k.Name: k.Secret}
-		q.SetTsig(k.Name, k.Algorithm, 300, time.Now().Unix())
+		q.SetTsig(k.Name, k.Algorithm, tsigFudge, time.Now().Unix())
 	}
 	a, _, err := client.ExchangeContext(ctx, q, server)
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", server, err)
 	}
 	if k != nil && a.IsTsig() == nil {
-		return nil, fmt.Errorf("%s: answer is not signed", server)
+		return nil, fmt.Errorf("%s: %w", server, errUnsigned)
 	}
-	// A server that refuses may leave the question out.
-	if !a.Response || a.Opcode != q.Opcode || len(a.Question) > 1 || len(a.Question) == 0 && a.Rcode == dns.RcodeSuccess {
-		return nil, fmt.Errorf("%s: %w", server, errMismatchedAnswer)
-	}
-	if len(a.Question) == 1 && (!strings.EqualFold(a.Question[0].Name, q.Question[0].Name) ||
-		a.Question[0].Qtype != q.Question[0].Qtype || a.Question[0].Qclass != q.Question[0].Qclass) {
+	if !answers(a, q) {
 		return nil, fmt.Errorf("%s: %w", server, errMismatchedAnswer)
 	}
 	return a, nil
 }
 
-// zoneSerial asks for the SOA record of the zone that a domain lies in. auth tells whether the server has authority.
-func (c *Client) zoneSerial(ctx context.Context, server string, k *Key, domain string) (soa *dns.SOA, auth bool, err error) {
+// answers tells whether a is an answer to q. A server that refuses may leave the question out.
+func answers(a, q *dns.Msg) bool {
+	if !a.Response || a.Opcode != q.Opcode {
+		return false
+	}
+	switch len(a.Question) {
+	case 0:
+		return a.Rcode != dns.RcodeSuccess
+	case 1:
+		asked, got := q.Question[0], a.Question[0]
+		return strings.EqualFold(got.Name, asked.Name) && got.Qtype == asked.Qtype && got.Qclass == asked.Qclass
+	}
+	return false
+}
+
+// zoneSerial asks for the SOA record of the zone that a domain lies in; nil where the server has none. authoritative tells
+// whether the server has authority.
+func (c *Client) zoneSerial(ctx context.Context, server string, k *Key, domain string) (soa *dns.SOA, authoritative bool, err error) {
 	a, err := c.Query(ctx, server, k, domain, dns.TypeSOA)
 	if err != nil {
 		return nil, false, err
--- a/internal/dnssd/names.go
+++ b/internal/dnssd/instancename.go
@@ -1,11 +1,5 @@
-// Package dnssd works with DNS-SD records (RFC 6763): it browses domains for data nodes, follows their changes, and
-// describes our own Flight service. It owns DNS messages and what they mean; who is there in the end is for
-// internal/membership to decide. A hostile or broken server can cost its own records and nothing else.
 package dnssd
 
-// This file owns names: instance names as RFC 6763, 4.1 and 4.3 have them, and the strings of TXT records after its
-// section 6. It must never trust a length or an escape.
-
 import (
 	"fmt"
 	"strings"
@@ -57,12 +51,12 @@
 	return b.String()
 }
 
-// Instance is the label of a service instance, given its full name and that of its type, as _dn._tcp.example.org.;
-// an error says why the name is none.
-func Instance(name, kind string) (string, error) {
+// Instance is the label of a service instance (RFC 6763, 4.1), given its full name and that of its type, as
+// _dn._tcp.example.org.; an error says why the name is none.
+func Instance(name, serviceType string) (string, error) {
 	labels := dns.SplitDomainName(name)
-	if len(labels) == 0 || !strings.EqualFold(dns.Fqdn(strings.Join(labels[1:], ".")), dns.Fqdn(kind)) {
-		return "", fmt.Errorf("%q is no instance of %s", name, kind)
+	if len(labels) == 0 || !strings.EqualFold(dns.Fqdn(strings.Join(labels[1:], ".")), dns.Fqdn(serviceType)) {
+		return "", fmt.Errorf("%q is no instance of %s", name, serviceType)
 	}
 	label := unescape(labels[0])
 	switch {
@@ -75,21 +69,3 @@
 	}
 	return label, nil
 }
-
-// Text is what the strings of a TXT record say, by key in lower case. A key without "=" is there with an empty value.
-type Text map[string]string
-
-// ReadText reads the strings of a TXT record, as the DNS library holds them: the first of each key counts, and one without
-// a key does not.
-func ReadText(list []string) Text {
-	t := Text{}
-	for _, s := range list {
-		key, value, _ := strings.Cut(unescape(s), "=")
-		key = strings.ToLower(key)
-		if _, twice := t[key]; key == "" || twice {
-			continue
-		}
-		t[key] = value
-	}
-	return t
-}
--- a/internal/dnssd/notify.go
+++ b/internal/dnssd/notify.go
@@ -1,8 +1,5 @@
 package dnssd
 
-// This file owns the socket on which servers tell that a zone has changed (NOTIFY, RFC 1996). What comes is a hint
-// to ask, never an answer. It must never react to who is not allowed, or tell strangers that it is there.
-
 import (
 	"context"
 	"net"
@@ -14,15 +11,16 @@
 	"github.com/miekg/dns"
 )
 
-// Listener takes in NOTIFY messages for the zones that are followed.
+// Listener takes NOTIFY messages (RFC 1996), by which servers say that a followed zone has changed. A message is a hint to poll
+// the zone and nothing more. Whoever is not allowed gets no answer.
 type Listener struct {
-	Allow     *bart.Lite
+	Allow     *bart.Lite // who may send them
 	Followers []*Follower
 
 	accepted, dropped atomic.Uint64
 }
 
-// Serve reads from the socket until ctx ends; it closes it.
+// Serve reads from the socket until ctx ends, and closes it.
 func (l *Listener) Serve(ctx context.Context, pc net.PacketConn) error {
 	secrets := map[string]string{}
 	for _, f := range l.Followers {
@@ -39,7 +37,7 @@
 			}
 			return dns.MsgAccept
 		}}
-	defer context.AfterFunc(ctx, func() { server.ShutdownContext(context.Background()) })()
+	defer context.AfterFunc(ctx, func() { _ = server.ShutdownContext(context.Background()) })()
 	return server.ActivateAndServe()
 }
 
@@ -50,18 +48,14 @@
 		l.dropped.Add(1)
 		return
 	}
-	name, known := strings.ToLower(q.Question[0].Name), false
+	accepted := false
 	for _, f := range l.Followers {
-		if !dns.IsSubDomain(name, strings.ToLower(f.Zone.Domain)) {
-			continue // neither the zone nor one that it lies in
-		}
-		if k := f.Zone.Key; k != nil && (q.IsTsig() == nil || w.TsigStatus() != nil || !strings.EqualFold(q.IsTsig().Hdr.Name, k.Name)) {
-			continue
+		if f.concernedBy(q.Question[0].Name) && f.trusts(w, q) {
+			accepted = true
+			f.Refresh()
 		}
-		known = true
-		f.Refresh()
 	}
-	if !known {
+	if !accepted {
 		l.dropped.Add(1)
 		return
 	}
@@ -69,10 +63,22 @@
 	a := new(dns.Msg).SetReply(q)
 	a.Authoritative = true
 	if t := q.IsTsig(); t != nil {
-		a.SetTsig(t.Hdr.Name, t.Algorithm, 300, int64(t.TimeSigned))
+		a.SetTsig(t.Hdr.Name, t.Algorithm, tsigFudge, int64(t.TimeSigned))
 	}
-	w.WriteMsg(a)
+	_ = w.WriteMsg(a) // the sender repeats what is not answered
+}
+
+// concernedBy tells whether a change of the zone with this name may be one of the followed domain: it is the domain, or lies
+// above it.
+func (f *Follower) concernedBy(zone string) bool {
+	return dns.IsSubDomain(strings.ToLower(zone), strings.ToLower(f.Zone.Domain))
+}
+
+// trusts tells whether a message is signed by the zone's key, if it has one.
+func (f *Follower) trusts(w dns.ResponseWriter, q *dns.Msg) bool {
+	k := f.Zone.Key
+	return k == nil || q.IsTsig() != nil && w.TsigStatus() == nil && strings.EqualFold(q.IsTsig().Hdr.Name, k.Name)
 }
 
-// Counts are the messages that were taken and those that were not.
-func (l *Listener) Counts() (taken, dropped uint64) { return l.accepted.Load(), l.dropped.Load() }
+// Counts are the messages that were accepted, and those that were not.
+func (l *Listener) Counts() (accepted, dropped uint64) { return l.accepted.Load(), l.dropped.Load() }
--- a/internal/dnssd/records_test.go
+++ b/internal/dnssd/records_test.go
@@ -183,7 +183,7 @@
 				t.Errorf("read %+v", rec)
 			}
 		}
-		assemble("e.", nil, 0, m.Answer)
-		assemble("e.", r, 1, m.Answer)
+		assemble("e.", nil, m.Answer)
+		assemble("e.", &transferBase{r, 1}, m.Answer)
 	})
 }
--- a/internal/dnssd/service.go
+++ b/internal/dnssd/service.go
@@ -1,7 +1,5 @@
 package dnssd
 
-// This file owns the records of our own Flight service. It must never describe one that is being withdrawn.
-
 import (
 	"context"
 	"net"
@@ -14,11 +12,14 @@
 	"github.com/miekg/dns"
 )
 
-// ownTTL is how long others may keep our records, seconds. It is short, for they have no serial to ask us for
-// unless they ask for ours.
-const ownTTL = 10
+const (
+	// ownTTL is how long others may keep our records, seconds. It is short, since most of them poll no serial.
+	ownTTL = 10
+	// ownExpire is how long a secondary server may keep them without us, seconds.
+	ownExpire = 60
+)
 
-// Service is what our own records say.
+// Service is our own Flight service, as its records describe it.
 type Service struct {
 	Instance string // one label, not escaped
 	Type     string // as _name._tcp
@@ -29,8 +30,8 @@
 	withdrawn atomic.Int64 // milliseconds of Unix time since when; 0 while it serves
 }
 
-// Withdraw takes the service back: no instance is listed any more, and the TXT record of who asks by name says that
-// it drains.
+// Withdraw takes the service back: no instance is listed any more, and the TXT record, for those that still ask for it, says
+// that it drains.
 func (s *Service) Withdraw() { s.withdrawn.CompareAndSwap(0, time.Now().UnixMilli()) }
 
 // ServeDNS answers for our own records.
@@ -53,33 +54,34 @@
 	} else {
 		answer.Truncate(dns.MinMsgSize)
 	}
-	w.WriteMsg(answer)
+	_ = w.WriteMsg(answer) // a client whose answer is lost asks again
 }
 
+// soa is the start of our zone. Its serial rises once, as the service is withdrawn.
 func (s *Service) soa() *dns.SOA {
 	serial := uint32(1)
 	if s.withdrawn.Load() != 0 {
 		serial = 2
 	}
 	return &dns.SOA{Hdr: dns.RR_Header{Name: s.Domain, Rrtype: dns.TypeSOA, Class: dns.ClassINET, Ttl: ownTTL},
-		Ns: s.Domain, Mbox: "hostmaster." + s.Domain, Serial: serial, Refresh: ownTTL, Retry: ownTTL, Expire: 60, Minttl: 1}
+		Ns: s.Domain, Mbox: "hostmaster." + s.Domain, Serial: serial, Refresh: ownTTL, Retry: ownTTL, Expire: ownExpire, Minttl: 1}
 }
 
 // records are those that answer a question, and those that save the next ones.
 func (s *Service) records(q dns.Question) (answer, extra []dns.RR) {
-	head := func(name string, kind uint16) dns.RR_Header {
-		return dns.RR_Header{Name: name, Rrtype: kind, Class: dns.ClassINET, Ttl: ownTTL}
+	head := func(name string, rrtype uint16) dns.RR_Header {
+		return dns.RR_Header{Name: name, Rrtype: rrtype, Class: dns.ClassINET, Ttl: ownTTL}
 	}
-	kind := s.Type + "." + s.Domain
-	instance, host := Escape(s.Instance)+"."+kind, Escape(s.Instance)+"."+s.Domain
+	serviceType := s.Type + "." + s.Domain
+	instance, host := Escape(s.Instance)+"."+serviceType, Escape(s.Instance)+"."+s.Domain
 	gone, state := s.withdrawn.Load() != 0, "state=serving"
 	if gone {
 		state = "state=draining"
 	}
 	text := append(slices.Clone(s.Text), state)
 	all := []dns.RR{
-		&dns.PTR{Hdr: head("_services._dns-sd._udp."+s.Domain, dns.TypePTR), Ptr: kind},
-		&dns.PTR{Hdr: head(kind, dns.TypePTR), Ptr: instance},
+		&dns.PTR{Hdr: head("_services._dns-sd._udp."+s.Domain, dns.TypePTR), Ptr: serviceType},
+		&dns.PTR{Hdr: head(serviceType, dns.TypePTR), Ptr: instance},
 		&dns.SRV{Hdr: head(instance, dns.TypeSRV), Port: s.Addr.Port(), Target: host},
 		&dns.TXT{Hdr: head(instance, dns.TypeTXT), Txt: text},
 	}
@@ -98,7 +100,7 @@
 			answer = append(answer, rr)
 		}
 	}
-	if len(answer) > 0 && strings.EqualFold(q.Name, kind) {
+	if len(answer) > 0 && strings.EqualFold(q.Name, serviceType) {
 		extra = all[2 : len(all)-1]
 	}
 	return answer, extra
@@ -107,6 +109,6 @@
 // Serve answers on a UDP socket until ctx ends.
 func (s *Service) Serve(ctx context.Context, pc net.PacketConn) error {
 	server := &dns.Server{PacketConn: pc, Handler: s}
-	defer context.AfterFunc(ctx, func() { server.ShutdownContext(context.Background()) })()
+	defer context.AfterFunc(ctx, func() { _ = server.ShutdownContext(context.Background()) })()
 	return server.ActivateAndServe()
 }
--- a/internal/dnssd/transfer.go
+++ b/internal/dnssd/transfer.go
@@ -1,8 +1,5 @@
 package dnssd
 
-// This file owns zone transfers: whole ones (AXFR, RFC 5936) and those of what has changed (IXFR, RFC 1995). It must
-// never use a part of one: a transfer that is cut, at whichever message, leaves the records as they were.
-
 import (
 	"context"
 	"errors"
@@ -13,108 +10,140 @@
 	"github.com/miekg/dns"
 )
 
-// transferPatience is how long a whole transfer may take.
-const transferTimeout = 5 * time.Second
+const (
+	// transferTimeout is how long a complete transfer may take.
+	transferTimeout = 5 * time.Second
+	// transferRetryDelay is how long a server is asked for no transfer after one has failed.
+	transferRetryDelay = 30 * time.Second
+	// maxTransferRecords bounds the records of a transfer; one of changes names those that go, too.
+	maxTransferRecords = 2 * maxRecords
+)
 
-// errTransfer marks a transfer that can't be read.
-var errTransfer = errors.New("transfer not understood")
+var (
+	// errTransfer reports a transfer that can't be read.
+	errTransfer = errors.New("transfer not understood")
+	// errTransferSize reports a transfer of more than maxTransferRecords.
+	errTransferSize = fmt.Errorf("transfer of over %d records", maxTransferRecords)
+)
+
+// transferBase is a zone as a transfer has brought it: its records, and the serial that they are of.
+type transferBase struct {
+	records *records
+	serial  uint32
+}
 
-// transfer fetches the zone, from what is held of serial on where held is not nil. It returns the records as they are
-// now, and the serial that they are of.
-func (c *Client) transfer(ctx context.Context, server string, k *Key, apex string, held *records, serial uint32) (*records, uint32, error) {
+// transfer fetches the zone: what has changed since base (IXFR, RFC 1995), or all of it (AXFR, RFC 5936) where base is nil. A
+// transfer that is cut, at whichever message, is an error and changes nothing.
+func (c *Client) transfer(ctx context.Context, server string, k *Key, apex string, base *transferBase) (transferBase, error) {
 	if err := c.acquire(ctx); err != nil {
-		return nil, 0, err
+		return transferBase{}, err
 	}
 	defer c.release()
 	ctx, cancel := context.WithDeadline(ctx, time.Now().Add(transferTimeout))
 	defer cancel()
-	q := new(dns.Msg)
-	if held != nil {
-		q.SetIxfr(apex, serial, ".", ".")
-	} else {
-		q.SetAxfr(apex)
-	}
 	var d net.Dialer
 	nc, err := d.DialContext(ctx, "tcp", server)
 	if err != nil {
-		return nil, 0, err
+		return transferBase{}, err
 	}
-	defer nc.Close()
-	defer context.AfterFunc(ctx, func() { nc.Close() })()
+	closeConn := func() { _ = nc.Close() }
+	defer closeConn()
+	defer context.AfterFunc(ctx, closeConn)()
 	t := &dns.Transfer{Conn: &dns.Conn{Conn: nc}, ReadTimeout: transferTimeout, WriteTimeout: transferTimeout}
+	q := transferQuestion(apex, base)
 	if k != nil {
 		t.TsigSecret = map[string]string{k.Name: k.Secret}
-		q.SetTsig(k.Name, k.Algorithm, 300, time.Now().Unix())
+		q.SetTsig(k.Name, k.Algorithm, tsigFudge, time.Now().Unix())
 	}
 	envelopes, err := t.In(q, server)
 	if err != nil {
-		return nil, 0, fmt.Errorf("%s: %w", server, err)
+		return transferBase{}, fmt.Errorf("%s: %w", server, err)
+	}
+	all, err := collectEnvelopes(envelopes, closeConn)
+	if err != nil {
+		return transferBase{}, fmt.Errorf("%s: %w", server, err)
 	}
-	var all []dns.RR
-	for e := range envelopes { // to its end, or its sender waits for good
+	return assemble(apex, base, all)
+}
+
+// transferQuestion asks for the changes since base, or for the complete zone.
+func transferQuestion(apex string, base *transferBase) *dns.Msg {
+	if base != nil {
+		return new(dns.Msg).SetIxfr(apex, base.serial, ".", ".")
+	}
+	return new(dns.Msg).SetAxfr(apex)
+}
+
+// collectEnvelopes returns the records of all messages. It closes the connection on an error, and reads the channel to its end
+// all the same: its sender would wait forever.
+func collectEnvelopes(envelopes <-chan *dns.Envelope, closeConn func()) (all []dns.RR, err error) {
+	for e := range envelopes {
 		if err == nil && e.Error != nil {
-			err = fmt.Errorf("%s: transfer: %w", server, e.Error)
-			nc.Close()
+			err = fmt.Errorf("transfer: %w", e.Error)
+			closeConn()
 		}
-		if len(all)+len(e.RR) > 2*maxRecords {
-			err = fmt.Errorf("%s: transfer of over %d records", server, 2*maxRecords)
-			nc.Close()
+		if len(all)+len(e.RR) > maxTransferRecords {
+			err = errTransferSize
+			closeConn()
 		} else {
 			all = append(all, e.RR...)
 		}
 	}
-	if err != nil {
-		return nil, 0, err
-	}
-	return assemble(apex, held, serial, all)
+	return all, err
 }
 
 // assemble turns the records of a transfer into those of the zone.
-func assemble(apex string, held *records, serial uint32, all []dns.RR) (*records, uint32, error) {
+func assemble(apex string, base *transferBase, all []dns.RR) (transferBase, error) {
 	if len(all) == 0 {
-		return nil, 0, fmt.Errorf("%w: empty", errTransfer)
+		return transferBase{}, fmt.Errorf("%w: empty", errTransfer)
 	}
 	first, ok := all[0].(*dns.SOA)
 	if !ok {
-		return nil, 0, fmt.Errorf("%w: does not begin with SOA", errTransfer)
+		return transferBase{}, fmt.Errorf("%w: does not begin with SOA", errTransfer)
 	}
-	if held != nil && len(all) == 1 {
-		return held, first.Serial, nil // RFC 1995, 4: nothing newer, or ask for all of it
+	if base != nil && len(all) == 1 {
+		return transferBase{base.records, first.Serial}, nil // RFC 1995, 4: nothing newer, or ask for all of it
 	}
 	last, ok := all[len(all)-1].(*dns.SOA)
 	if !ok || last.Serial != first.Serial || len(all) == 1 {
-		return nil, 0, fmt.Errorf("%w: does not end with its SOA", errTransfer)
+		return transferBase{}, fmt.Errorf("%w: does not end with its SOA", errTransfer)
 	}
 	body := all[1 : len(all)-1]
-	if held != nil && len(body) > 0 {
+	if base != nil && len(body) > 0 {
 		if from, ok := body[0].(*dns.SOA); ok {
-			if from.Serial != serial {
-				return nil, 0, fmt.Errorf("%w: changes are from serial %d, not %d", errTransfer, from.Serial, serial)
+			if from.Serial != base.serial {
+				return transferBase{}, fmt.Errorf("%w: changes are from serial %d, not %d", errTransfer, from.Serial, base.serial)
 			}
-			return applyChanges(held.clone(), first.Serial, body)
+			return applyChanges(base.records.clone(), first.Serial, body)
 		}
 	}
+	return completeZone(apex, first.Serial, body)
+}
+
+// completeZone takes in the records of a complete zone.
+func completeZone(apex string, serial uint32, body []dns.RR) (transferBase, error) {
 	next := newRecords(apex)
 	for _, rr := range body {
-		if _, again := rr.(*dns.SOA); again {
-			return nil, 0, fmt.Errorf("%w: SOA amid a whole zone", errTransfer)
+		if _, isSOA := rr.(*dns.SOA); isSOA {
+			return transferBase{}, fmt.Errorf("%w: SOA amid a whole zone", errTransfer)
 		}
 		if next.usable(rr) && !next.add(rr) {
-			return nil, 0, fmt.Errorf("%w: over %d records", errTransfer, maxRecords)
+			return transferBase{}, fmt.Errorf("%w: over %d records", errTransfer, maxRecords)
 		}
 	}
-	return next, first.Serial, nil
+	return transferBase{next, serial}, nil
 }
 
-// difference applies the sequences of an IXFR: an SOA and what goes, an SOA and what comes, and so on.
-func applyChanges(r *records, end uint32, body []dns.RR) (*records, uint32, error) {
+// applyChanges applies the sequences of an IXFR to r: an SOA and the records that go, an SOA and those that come, and so on.
+// The last one must lead to the serial end.
+func applyChanges(r *records, end uint32, body []dns.RR) (transferBase, error) {
 	adding, at := true, uint32(0)
 	for _, rr := range body {
-		soa, ok := rr.(*dns.SOA)
+		soa, isSOA := rr.(*dns.SOA)
 		switch {
-		case ok && adding && at != 0 && soa.Serial != at:
-			return nil, 0, fmt.Errorf("%w: changes from serial %d follow those to %d", errTransfer, soa.Serial, at)
-		case ok:
+		case isSOA && adding && at != 0 && soa.Serial != at:
+			return transferBase{}, fmt.Errorf("%w: changes from serial %d follow those to %d", errTransfer, soa.Serial, at)
+		case isSOA:
 			adding, at = !adding, soa.Serial
 		case adding:
 			r.add(rr)
@@ -123,7 +152,7 @@
 		}
 	}
 	if !adding || at != end {
-		return nil, 0, fmt.Errorf("%w: changes end at serial %d, not %d", errTransfer, at, end)
+		return transferBase{}, fmt.Errorf("%w: changes end at serial %d, not %d", errTransfer, at, end)
 	}
-	return r, end, nil
+	return transferBase{r, end}, nil
 }
