--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -44,13 +44,13 @@
 			t.Errorf("%s: error %v", command, err)
 		}
 	}
-	for line, want := range map[string]string{"nonsense\n": "not a request", strings.Repeat("x", mostLine+1) + "\n": "a line of over"} {
+	for line, want := range map[string]string{"nonsense\n": "not a request", strings.Repeat("x", maxRequestBytes+1) + "\n": "a line of over"} {
 		nc, err := net.Dial("unix", path)
 		if err != nil {
 			t.Fatal(err)
 		}
 		go nc.Write([]byte(line))
-		var a answer
+		var a response
 		if err := json.NewDecoder(nc).Decode(&a); err != nil || !strings.Contains(a.Failed, want) {
 			t.Errorf("%.20q: %+v, error %v", line, a, err)
 		}
