--- a/cmd/gullfall/serve.go
+++ b/cmd/gullfall/serve.go
@@ -258,7 +258,7 @@
 	if d.deploy.Admin.Socket == "" {
 		return nil
 	}
-	server, err := admin.Serve(d.deploy.Admin.Socket, adminCommands(d.peers, d.agent, d.store, d.drains), d.log)
+	server, err := admin.Serve(d.deploy.Admin.Socket, adminCommands(d.peers, d.agent, d.store, d.drains))
 	if err != nil {
 		return err
 	}
--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -4,7 +4,6 @@
 	"context"
 	"encoding/json"
 	"errors"
-	"log/slog"
 	"net"
 	"os"
 	"path/filepath"
@@ -16,7 +15,6 @@
 // is the owner's alone, a dead one is replaced and a living one is not.
 func TestCommands(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "admin")
-	log := slog.New(slog.DiscardHandler)
 	commands := map[string]Command{
 		"echo": func(_ context.Context, args json.RawMessage) (any, error) { return args, nil },
 		"fail": func(context.Context, json.RawMessage) (any, error) { return nil, errors.New("it can't") },
@@ -25,14 +23,14 @@
 		ln.SetUnlinkOnClose(false)
 		ln.Close()
 	}
-	s, err := Serve(path, commands, log)
+	s, err := Serve(path, commands)
 	if err != nil {
 		t.Fatal(err)
 	}
 	if info, err := os.Stat(path); err != nil || info.Mode().Perm() != 0o600 {
 		t.Errorf("mode %v, error %v", info.Mode(), err)
 	}
-	if _, err := Serve(path, commands, log); err == nil || !strings.Contains(err.Error(), "another process") {
+	if _, err := Serve(path, commands); err == nil || !strings.Contains(err.Error(), "another process") {
 		t.Errorf("a second server: %v", err)
 	}
 	var got string
--- a/internal/admin/server.go
+++ b/internal/admin/server.go
@@ -12,7 +12,6 @@
 	"encoding/json"
 	"errors"
 	"fmt"
-	"log/slog"
 	"net"
 	"os"
 	"path/filepath"
@@ -37,7 +36,6 @@
 // Server serves commands.
 type Server struct {
 	listener net.Listener
-	log      *slog.Logger
 	commands map[string]Command
 	slots    chan struct{}   // holds one element for each connection
 	ctx      context.Context // of the commands
@@ -47,7 +45,7 @@
 
 // Serve listens at a path, with mode 0600. A socket that an earlier process left behind is replaced; one that answers is not,
 // which is ErrInUse.
-func Serve(path string, commands map[string]Command, log *slog.Logger) (*Server, error) {
+func Serve(path string, commands map[string]Command) (*Server, error) {
 	if err := removeStale(path); err != nil {
 		return nil, err
 	}
@@ -57,7 +55,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("admin.socket: %w", err)
 	}
-	s := &Server{listener: listener, log: log, commands: commands, slots: make(chan struct{}, maxConns)}
+	s := &Server{listener: listener, commands: commands, slots: make(chan struct{}, maxConns)}
 	s.ctx, s.stop = context.WithCancel(context.Background())
 	s.wg.Go(s.accept)
 	return s, nil
