--- a/internal/dnssd/follower_test.go
+++ b/internal/dnssd/follower_test.go
@@ -1,12 +1,10 @@
 package dnssd_test
 
-// Following a zone against the stand-in server: what a script does to it, and what the joined list then says. Only
-// time's bounds are checked that hold on a slow machine.
-
 import (
 	"fmt"
 	"log/slog"
 	"net"
+	"net/netip"
 	"slices"
 	"strings"
 	"sync"
@@ -15,14 +13,14 @@
 
 	"github.com/gaissmai/bart"
 	"github.com/miekg/dns"
-	"net/netip"
 
 	"gullfall/internal/dnssd"
 	"gullfall/internal/lab/nameserver"
 	"gullfall/internal/membership"
 )
 
-// rig is a zone on one or two servers, a follower and the list that comes of it.
+// rig is a zone on one or two stand-in servers, a follower and the list that comes of it. Only those bounds of time are checked
+// that hold on a slow machine.
 type rig struct {
 	*testing.T
 	zone    *nameserver.Zone
@@ -128,6 +126,7 @@
 
 // newRig follows a zone with nodes a and b; the second server, if there is one, has a copy of its own.
 func newRig(t *testing.T, servers int, transfer bool, key *dnssd.Key) *rig {
+	t.Helper()
 	r := &rig{T: t, zone: nameserver.NewZone("club.example.", 4500)}
 	for i := range servers {
 		z := r.zone
