--- a/internal/platform/descriptors_test.go
+++ b/internal/platform/descriptors_test.go
@@ -1,7 +1,5 @@
 package platform
 
-// More data nodes than descriptors for connections to them.
-
 import (
 	"bufio"
 	"context"
@@ -22,7 +20,7 @@
 )
 
 // counted takes itself off the number of open connections when its owner closes it: the descriptor is free from then on,
-// whether or not the peer has noticed. Counted at the peer, a verdict hung on which goroutine came first.
+// whether or not the peer has noticed.
 type counted struct {
 	net.Conn
 	open *atomic.Int64
@@ -36,8 +34,8 @@
 
 // TestMoreNodesThanDescriptors: three data nodes share two descriptors. An idle connection makes room for another data
 // node's; while both are in use a part waits for one that comes free, and where none does, the data node is not blamed: it
-// is asked again as soon as there is room. Before, each part beyond was reported as a failed connection, and in a fleet of 172
-// data nodes behind 136 descriptors most queries found no holder that was not taken for dead or cold.
+// is sent parts again as soon as there is room. If each part beyond counted as a failed connection, a coordinator with fewer
+// descriptors than data nodes would take most of them for dead or cold.
 func TestMoreNodesThanDescriptors(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const nodes = 3
--- a/internal/platform/ending_test.go
+++ b/internal/platform/ending_test.go
@@ -1,8 +1,5 @@
 package platform
 
-// What is owed at the instants in which something ends, over loopback connections. Each scenario holds the instant, so that
-// the bad order comes every time; docs/design/ending.md names them beside the paths.
-
 import (
 	"bufio"
 	"fmt"
@@ -16,6 +13,8 @@
 	"gullfall/internal/coordinator"
 )
 
+// endings are about what is owed at the instants in which something ends, over loopback connections. Each scenario holds the
+// instant, so that the bad order comes every time; docs/design/ending.md names them beside the paths.
 var endings = []scenario{
 	// A close over unread bytes resets the connection: the client that still sends would lose its answer.
 	{"bytes come in with the last answer", "n1", `
@@ -267,6 +266,7 @@
 	}
 }
 
+// TestEndings plays scenarios in real time.
 func TestEndings(t *testing.T) {
 	for _, s := range endings {
 		t.Run(s.name, func(t *testing.T) {
--- a/internal/platform/keyed_test.go
+++ b/internal/platform/keyed_test.go
@@ -1,7 +1,5 @@
 package platform
 
-// A keyed part's further attempt meets a connection that comes up only after the time for which a repeat is dropped.
-
 import (
 	"context"
 	"log/slog"
--- a/internal/platform/watchfleet_test.go
+++ b/internal/platform/watchfleet_test.go
@@ -1,7 +1,5 @@
 package platform
 
-// Many watches on one discovery that can serve few calls at a time, in virtual time.
-
 import (
 	"bufio"
 	"context"
@@ -22,27 +20,27 @@
 	"gullfall/internal/membership"
 )
 
-// overbooked is discovery that lists to one caller at a time. Whoever has waited for longer than patience is cut off,
-// but has taken its turn by then; beyond queue waiting calls, further ones are turned away.
-type overbooked struct {
+// overloadedDiscovery lists to one caller at a time. Whoever has waited for longer than patience is cut off, but has taken its
+// turn by then; beyond queue waiting calls, further ones are rejected.
+type overloadedDiscovery struct {
 	turn          chan struct{}
-	waiting, asks atomic.Int32
+	waiting, calls atomic.Int32
 	served        atomic.Int32
 }
 
 const (
-	listTime = 60 * time.Millisecond
+	listDuration = 60 * time.Millisecond
 	patience = 2 * time.Second
 	queue    = 40
 )
 
-func (o *overbooked) dial(context.Context, string) (net.Conn, error) {
+func (o *overloadedDiscovery) dial(context.Context, string) (net.Conn, error) {
 	ours, theirs := net.Pipe()
 	go o.serve(theirs)
 	return ours, nil
 }
 
-func (o *overbooked) serve(nc net.Conn) {
+func (o *overloadedDiscovery) serve(nc net.Conn) {
 	defer nc.Close()
 	in := textproto.NewReader(bufio.NewReader(nc))
 	in.ReadLine()
@@ -50,7 +48,7 @@
 		return
 	}
 	came := time.Now()
-	o.asks.Add(1)
+	o.calls.Add(1)
 	if o.waiting.Add(1) > queue {
 		o.waiting.Add(-1)
 		io.WriteString(nc, "HTTP/1.1 503 Service Unavailable\r\n\r\n")
@@ -58,7 +56,7 @@
 	}
 	io.WriteString(nc, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
 	o.turn <- struct{}{}
-	time.Sleep(listTime)
+	time.Sleep(listDuration)
 	<-o.turn
 	o.waiting.Add(-1)
 	if time.Since(came) > patience {
@@ -73,8 +71,8 @@
 }
 
 // TestListCallsOfAFleet: 80 coordinators that start together, each with the list as it was, all hear of the changes
-// soon, though discovery can't list to all of them within the time that it lets a call wait. Before, 48 were cut off
-// together, asked again together five times a second, and none of them was ever served.
+// soon, though discovery can't list to all of them within the time that it lets a call wait. If those that are cut off together
+// called again together, none of them would ever be served.
 func TestListCallsOfAFleet(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const coordinators, nodes = 80, 60
@@ -82,7 +80,7 @@
 		for i := range nodes {
 			known = append(known, fmt.Sprintf(`{"id":"s%d","addr":"a%d","cell":0,"state":"SERVING"}`, i, i))
 		}
-		o := &overbooked{turn: make(chan struct{}, 1)}
+		o := &overloadedDiscovery{turn: make(chan struct{}, 1)}
 		ctx, stop := context.WithCancel(t.Context())
 		log := slog.New(slog.DiscardHandler)
 		set := aggregator.Settings{ShardSets: 1, Shards: 1, Reach: 1, Classes: []aggregator.Class{{LatencyObjective: 1, Deadline: 1}}}
@@ -99,7 +97,7 @@
 			go w.Run(ctx)
 		}
 		time.Sleep(20 * time.Second)
-		if served, asks := o.served.Load(), o.asks.Load(); served != coordinators || asks > 3*coordinators {
+		if served, asks := o.served.Load(), o.calls.Load(); served != coordinators || asks > 3*coordinators {
 			t.Errorf("%d of %d coordinators were served; %d calls", served, coordinators, asks)
 		}
 		stop()
--- a/internal/platform/watchsilence_test.go
+++ b/internal/platform/watchsilence_test.go
@@ -1,8 +1,5 @@
 package platform
 
-// Discovery that falls silent under a fleet of watches and lists drains the moment it is back, in virtual time. What is
-// judged is the last frame that a drained data node gets from any coordinator.
-
 import (
 	"bufio"
 	"context"
@@ -25,22 +22,22 @@
 	"gullfall/internal/membership"
 )
 
-// quietLists is discovery that says nothing between two moments: connections come up and stay silent for good, those
-// that were open before too. Half of the data nodes drain in that time; who calls later is told so.
-type quietLists struct {
+// silentDiscovery says nothing between two moments: connections come up and stay silent forever, those that were open before
+// too. Half of the data nodes drain in that time; who calls later is told so.
+type silentDiscovery struct {
 	from, until time.Time
 	nodes       int
-	turn        chan struct{} // asked: lists are made one after the other; nil where an agent has them
+	turn        chan struct{} // a service makes lists one after the other; nil for an agent, which has them
 }
 
-func (q *quietLists) dial(context.Context, string) (net.Conn, error) {
+func (q *silentDiscovery) dial(context.Context, string) (net.Conn, error) {
 	ours, theirs := net.Pipe()
 	go q.serve(theirs)
 	return ours, nil
 }
 
 // list is a complete list, in which the even data nodes have the state.
-func (q *quietLists) list(even string) string {
+func (q *silentDiscovery) list(even string) string {
 	var list []string
 	for i := range 60 { // they make it a long list
 		list = append(list, fmt.Sprintf(`{"id":"old%d","addr":"old%d","cell":0,"state":"DRAINING"}`, i, i))
@@ -55,7 +52,7 @@
 	return `{"version":42,"full":true,"servers":[` + strings.Join(list, ",") + "]}\n"
 }
 
-func (q *quietLists) serve(nc net.Conn) {
+func (q *silentDiscovery) serve(nc net.Conn) {
 	defer nc.Close()
 	in := textproto.NewReader(bufio.NewReader(nc))
 	in.ReadLine()
@@ -91,13 +88,13 @@
 	}
 }
 
-// lastFrames notes when data nodes were last sent a part, each of which is answered at once.
-type lastFrames struct {
+// partRecorder notes when data nodes were last sent a part, each of which is answered at once.
+type partRecorder struct {
 	mu   sync.Mutex
 	last map[string]time.Time
 }
 
-func (l *lastFrames) dial(_ context.Context, addr string) (net.Conn, error) {
+func (l *partRecorder) dial(_ context.Context, addr string) (net.Conn, error) {
 	ours, theirs := net.Pipe()
 	go func() {
 		defer theirs.Close()
@@ -140,11 +137,11 @@
 	const nodes = 4
 	ctx, stop := context.WithCancel(t.Context())
 	log := slog.New(slog.DiscardHandler)
-	q := &quietLists{from: time.Now().Add(fleet.phase), nodes: nodes}
+	q := &silentDiscovery{from: time.Now().Add(fleet.phase), nodes: nodes}
 	if q.until = q.from.Add(fleet.silence); !fleet.pushed {
 		q.turn = make(chan struct{}, 1)
 	}
-	frames := &lastFrames{last: map[string]time.Time{}}
+	frames := &partRecorder{last: map[string]time.Time{}}
 	set := aggregator.Settings{Aggregators: fleet.coordinators, Tick: 5 * time.Millisecond, ShardSets: 1, Shards: 1, Reach: 1,
 		Classes: []aggregator.Class{{Name: "report", LatencyObjective: time.Second, Deadline: 2 * time.Second, Priority: 1, CompleteShare: 1, MinShare: 1}},
 		Limits:  aggregator.Limits{MaxAttempts: 3, CanCancel: true, ConnectTimeout: 250 * time.Millisecond}}
@@ -189,8 +186,9 @@
 	return last, served
 }
 
-// TestDrainsAfterSilence: a fleet whose discovery fell silent for 5 s hears of the drains in time once it is back. Before,
-// a coordinator called its own agent again after as long as a service would need for all coordinators' lists.
+// TestDrainsAfterSilence: a fleet whose discovery fell silent for 5 s hears of the drains in time once it is back: a
+// coordinator calls its own agent again sooner than a service that lists to all coordinators. What is judged is the last frame
+// that a drained data node gets from any coordinator.
 func TestDrainsAfterSilence(t *testing.T) {
 	for _, c := range []struct {
 		name                 string
