--- a/internal/platform/watchfleet_test.go
+++ b/internal/platform/watchfleet_test.go
@@ -23,15 +23,15 @@
 // overloadedDiscovery lists to one caller at a time. Whoever has waited for longer than patience is cut off, but has taken its
 // turn by then; beyond queue waiting calls, further ones are rejected.
 type overloadedDiscovery struct {
-	turn          chan struct{}
+	turn           chan struct{}
 	waiting, calls atomic.Int32
-	served        atomic.Int32
+	served         atomic.Int32
 }
 
 const (
 	listDuration = 60 * time.Millisecond
-	patience = 2 * time.Second
-	queue    = 40
+	patience     = 2 * time.Second
+	queue        = 40
 )
 
 func (o *overloadedDiscovery) dial(context.Context, string) (net.Conn, error) {
