--- a/internal/flight/doget.go
+++ b/internal/flight/doget.go
@@ -85,7 +85,7 @@
 		s.Log.Error("answer not fit for the class's schema", "class", class.Name, "cause", err)
 		return status.Errorf(codes.DataLoss, "a data node's answer can't be used: %v", err)
 	case err != nil:
-		s.Log.Info("answer not written whole", "cause", err)
+		s.Log.Info("response not written completely", "cause", err)
 	}
 	return err
 }
--- a/internal/platform/slots_test.go
+++ b/internal/platform/descriptors_test.go
@@ -1,7 +1,5 @@
 package platform
 
-// More data nodes than descriptors for connections to them.
-
 import (
 	"bufio"
 	"context"
@@ -22,7 +20,7 @@
 )
 
 // counted takes itself off the number of open connections when its owner closes it: the descriptor is free from then on,
-// whether or not the peer has noticed. Counted at the peer, a verdict hung on which goroutine came first.
+// whether or not the peer has noticed.
 type counted struct {
 	net.Conn
 	open *atomic.Int64
@@ -36,8 +34,8 @@
 
 // TestMoreNodesThanDescriptors: three data nodes share two descriptors. An idle connection makes room for another data
 // node's; while both are in use a part waits for one that comes free, and where none does, the data node is not blamed: it
-// is asked again as soon as there is room. Before, each part beyond was reported as a failed connection, and in a fleet of 172
-// data nodes behind 136 descriptors most queries found no holder that was not taken for dead or cold.
+// is sent parts again as soon as there is room. If each part beyond counted as a failed connection, a coordinator with fewer
+// descriptors than data nodes would take most of them for dead or cold.
 func TestMoreNodesThanDescriptors(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const nodes = 3
@@ -73,8 +71,8 @@
 			}()
 			return &counted{Conn: ours, open: &open}, nil
 		}
-		carrier := &Nodes{Core: c, Log: log, Dial: dial, Streams: 32, Connect: 250 * time.Millisecond, Idle: 30 * time.Second, Slots: make(chan struct{}, 2)}
-		c.RegisterDispatcher("", carrier.Dispatch)
+		pool := &ConnPool{Coordinator: c, Log: log, Dial: dial, Streams: 32, ConnectTimeout: 250 * time.Millisecond, IdleTimeout: 30 * time.Second, Slots: make(chan struct{}, 2)}
+		c.RegisterDispatcher("", pool.Dispatch)
 		list := c.Source(membership.Spec{Name: "list"})
 		var all []coordinator.Member
 		for i := range nodes {
@@ -126,8 +124,8 @@
 		}
 		list.Replace(nil, false)
 		time.Sleep(time.Minute)
-		if len(carrier.Slots) > 0 || open.Load() > 0 {
-			t.Errorf("%d descriptors and %d connections were not given back", len(carrier.Slots), open.Load())
+		if len(pool.Slots) > 0 || open.Load() > 0 {
+			t.Errorf("%d descriptors and %d connections were not given back", len(pool.Slots), open.Load())
 		}
 		stop()
 	})
--- a/internal/platform/ending_test.go
+++ b/internal/platform/ending_test.go
@@ -1,8 +1,5 @@
 package platform
 
-// What is owed at the instants in which something ends, over loopback connections. Each scenario holds the instant, so that
-// the bad order comes every time; docs/design/ending.md names them beside the paths.
-
 import (
 	"bufio"
 	"fmt"
@@ -17,9 +14,9 @@
 	"gullfall/internal/membership"
 )
 
-var endings = []struct {
-	name, nodes, script string
-}{
+// endings are about what is owed at the instants in which something ends, over loopback connections. Each scenario holds the
+// instant, so that the bad order comes every time; docs/design/ending.md names them beside the paths.
+var endings = []scenario{
 	// A close over unread bytes resets the connection: the client that still sends would lose its answer.
 	{"bytes come in with the last answer", "n1", `
 		c1 send query q1 2000 0
@@ -244,8 +241,8 @@
 		c1 expect 200`},
 }
 
-// TestLateAnswer: where the program comes to a query only after its time, the client still gets its answer: late it earns
-// nothing, never it is lost.
+// TestLateAnswer: where the program comes to a query only after its time, the client still gets its answer: late is better
+// than never.
 func TestLateAnswer(t *testing.T) {
 	log := slog.New(slog.DiscardHandler)
 	set := aggregator.Settings{Aggregators: 1, Tick: 5 * time.Millisecond, ShardSets: 1, Shards: 1, Reach: 1,
@@ -254,10 +251,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	w := &world{t: t, real: true}
+	w := &world{t: t, network: loopback}
 	ours, theirs := w.pair()
 	defer ours.Close()
-	clients := &Clients{Core: c, Log: log, MaxConns: 9, BodyMemory: 1 << 20}
+	clients := &Server{Coordinator: c, Log: log, MaxConns: 9, BodyMemory: 1 << 20}
 	go clients.ServeConn(theirs)
 	body := `{"shards":[{"shard":0,"weight":1}],"q":"text"}`
 	fmt.Fprintf(ours, "POST /report HTTP/1.1\r\nReq-Id: q\r\nReq-Deadline-Ms: 100\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
@@ -270,11 +267,12 @@
 	}
 }
 
+// TestEndings plays scenarios in real time.
 func TestEndings(t *testing.T) {
 	for _, s := range endings {
 		t.Run(s.name, func(t *testing.T) {
 			t.Parallel()
-			play(t, true, s.nodes, s.script)
+			play(t, loopback, s)
 		})
 	}
 }
--- a/internal/platform/formats_test.go
+++ b/internal/platform/formats_test.go
@@ -41,7 +41,7 @@
 			}()
 			return ours, nil
 		}
-		k := startFrameCore(t, dial)
+		k := startFrameCoordinator(t, dial)
 		ctx, leave := context.WithTimeout(t.Context(), 400*time.Millisecond)
 		defer leave()
 		_, err := k.Execute(ctx, coordinator.Query{ID: "query", Class: "entry", IdempotencyKey: "key", Text: "text of the query",
@@ -56,8 +56,8 @@
 	})
 }
 
-// startFrameCore runs a core before one data node whose connections come by dial.
-func startFrameCore(t *testing.T, dial func(context.Context, string) (net.Conn, error)) *coordinator.Coordinator {
+// startFrameCoordinator runs a coordinator before one data node whose connections come by dial.
+func startFrameCoordinator(t *testing.T, dial func(context.Context, string) (net.Conn, error)) *coordinator.Coordinator {
 	t.Helper()
 	log := slog.New(slog.DiscardHandler)
 	set := aggregator.Settings{Aggregators: 1, Tick: 5 * time.Millisecond, ShardSets: 1, Shards: 2, Reach: 1, CallCost: time.Millisecond,
@@ -70,7 +70,7 @@
 	}
 	ctx, stop := context.WithCancel(t.Context())
 	go k.Run(ctx)
-	nodes := &Nodes{Core: k, Log: log, Dial: dial, Streams: 32, Connect: 250 * time.Millisecond, Slots: make(chan struct{}, 9)}
+	nodes := &ConnPool{Coordinator: k, Log: log, Dial: dial, Streams: 32, ConnectTimeout: 250 * time.Millisecond, Slots: make(chan struct{}, 9)}
 	k.RegisterDispatcher("", nodes.Dispatch)
 	list := k.Source(membership.Spec{Name: "list"})
 	list.Replace([]coordinator.Member{{ID: "a", Weight: 1}}, false)
@@ -95,14 +95,14 @@
 	w := NewWatch("discovery")
 	w.Log = slog.New(slog.NewTextHandler(io.Discard, nil))
 	w.Source = k.Source(membership.Spec{Name: "list"})
-	w.Remember(known)
+	w.Restore(known)
 	claims := w.Source.Claims()
 	if len(claims) != 2 || claims[0].ID != "a" || claims[0].ShardSet != 1 || claims[0].Zone != "recife" || claims[1].State != coordinator.Draining ||
 		!claims[1].Started.Equal(time.UnixMilli(1_790_000_000_000)) {
 		t.Errorf("the list holds %+v", claims)
 	}
 	var kept []byte
-	w.Keep = func(list []byte) { kept = list }
-	w.keep()
+	w.Persist = func(list []byte) { kept = list }
+	w.persist()
 	golden.Bytes(t, "remembered.json", kept)
 }
--- a/internal/platform/inbound.go
+++ b/internal/platform/readahead.go
@@ -8,11 +8,11 @@
 )
 
 const (
-	// maxReadAhead bounds what is read of a connection while a request of it is out: one request of the longest kind.
-	maxReadAhead = maxBody + maxHeader
-	// freeReadAhead may always be read ahead; beyond it a connection needs room in the memory for long bodies.
-	freeReadAhead = freeBody
-	readAheadStep = 2 << 10
+	// maxReadAheadBytes is the most that is read of a connection while a request of it is out: one request of the longest kind.
+	maxReadAheadBytes = maxBody + maxHeader
+	// freeReadAheadBytes may always be read ahead; beyond it a connection needs room in the memory for long bodies.
+	freeReadAheadBytes = freeBodyBytes
+	readAheadStep      = 2 << 10
 	// arrivalStep is how close two arrivals may lie to be kept as one, at the time of the first.
 	arrivalStep = 5 * time.Millisecond
 )
@@ -26,10 +26,10 @@
 	at  time.Time
 }
 
-// inbound is the reading side of a client's connection. While a request is out, watch reads on, so that the client's
+// clientReader is the reading side of a client's connection. While a request is out, readAhead reads on, so that the client's
 // leaving is seen behind whatever it has sent ahead; later reads take that first. Each byte's time of arrival is known,
-// because a request's time counts from its last byte. It is used by one goroutine at a time.
-type inbound struct {
+// because a request's deadline counts from its last byte. One goroutine uses it at a time.
+type clientReader struct {
 	conn      net.Conn
 	allowance int64 // bytes that the request in hand may still bring
 	ahead     []byte
@@ -39,7 +39,7 @@
 }
 
 // Read implements io.Reader. It ends once the allowance is used up.
-func (in *inbound) Read(p []byte) (int, error) {
+func (in *clientReader) Read(p []byte) (int, error) {
 	if in.allowance <= 0 {
 		return 0, io.EOF
 	}
@@ -56,15 +56,15 @@
 		}
 	} else {
 		n, err = in.conn.Read(p)
-		in.note(n)
+		in.recordArrival(n)
 	}
 	in.consumed += int64(n)
 	in.allowance -= int64(n)
 	return n, err
 }
 
-// note records that n bytes were read off the connection.
-func (in *inbound) note(n int) {
+// recordArrival notes that n bytes were read off the connection.
+func (in *clientReader) recordArrival(n int) {
 	if n <= 0 {
 		return
 	}
@@ -77,9 +77,9 @@
 	in.arrivals = append(in.arrivals, arrival{in.received, now})
 }
 
-// arrived returns when the last byte of what was consumed, but for the unread ones that a buffer above still holds, had
+// arrivedAt returns when the last byte of what was consumed, but for the unread ones that a buffer above still holds, had
 // come in. Earlier arrivals are forgotten.
-func (in *inbound) arrived(unread int) time.Time {
+func (in *clientReader) arrivedAt(unread int) time.Time {
 	end := in.consumed - int64(unread)
 	for len(in.arrivals) > 1 && in.arrivals[0].end < end {
 		in.arrivals = in.arrivals[1:]
@@ -90,25 +90,25 @@
 	return in.arrivals[0].at
 }
 
-// watch reads ahead until the connection ends, its read deadline passes, or more has come than may be kept; reserve
-// books the memory beyond what is free.
-func (in *inbound) watch(reserve func() bool) error {
+// readAhead reads until the connection ends, its read deadline passes, or more has come than may be kept. reserve takes the
+// memory beyond what is free.
+func (in *clientReader) readAhead(reserve func() bool) error {
 	reserved := false
 	step := make([]byte, readAheadStep)
 	for {
 		n, err := in.conn.Read(step)
-		in.note(n)
+		in.recordArrival(n)
 		in.ahead = append(in.ahead, step[:n]...)
 		if err != nil {
 			return err
 		}
-		if len(in.ahead) > freeReadAhead && !reserved {
+		if len(in.ahead) > freeReadAheadBytes && !reserved {
 			reserved = reserve()
 			if !reserved {
 				return errReadAhead
 			}
 		}
-		if len(in.ahead) > maxReadAhead {
+		if len(in.ahead) > maxReadAheadBytes {
 			return errReadAhead
 		}
 	}
