--- /dev/null
+++ b/internal/kv/decoder.go
@@ -0,0 +1,103 @@
+package kv
+
+import (
+	"encoding/binary"
+	"errors"
+	"fmt"
+	"hash/crc32"
+)
+
+// decodeBatch reads a payload; its keys and values lie in it.
+func decodeBatch(raw []byte) (Batch, error) {
+	var b Batch
+	field := func(most int) ([]byte, bool) {
+		n, used := binary.Uvarint(raw)
+		if used <= 0 || n > uint64(most) || n > uint64(len(raw)-used) {
+			return nil, false
+		}
+		f := raw[used : used+int(n) : used+int(n)]
+		raw = raw[used+int(n):]
+		return f, true
+	}
+	for len(raw) > 0 {
+		op := Op{Kind: OpKind(raw[0])}
+		raw = raw[1:]
+		ok := op.Kind >= Put && op.Kind <= DeleteRange
+		if ok {
+			op.Key, ok = field(MaxKey)
+		}
+		if ok && op.Kind != Delete {
+			op.Value, ok = field(MaxValue)
+		}
+		if !ok || len(op.Key) == 0 {
+			return nil, fmt.Errorf("change %d of a batch is not understood", len(b))
+		}
+		b = append(b, op)
+	}
+	if len(b) == 0 {
+		return nil, ErrBatch
+	}
+	return b, nil
+}
+
+// decodeGroup reads the batches of a record.
+func decodeGroup(raw []byte) (list []Batch, err error) {
+	for len(raw) > 0 {
+		n, used := binary.Uvarint(raw)
+		if used <= 0 || n > uint64(len(raw)-used) {
+			return nil, fmt.Errorf("batch %d of a record is cut", len(list))
+		}
+		b, err := decodeBatch(raw[used : used+int(n)])
+		if err != nil {
+			return nil, err
+		}
+		list, raw = append(list, b), raw[used+int(n):]
+	}
+	if len(list) == 0 {
+		return nil, ErrBatch
+	}
+	return list, nil
+}
+
+// The errors of a segment's head.
+var (
+	errHeadTorn    = errors.New("head is cut off")
+	errHeadBad     = errors.New("head does not match its checksum")
+	errHeadVersion = errors.New("format is of another version")
+)
+
+// readSegmentHead reads a segment's first sequence number.
+func readSegmentHead(raw []byte) (first uint64, err error) {
+	switch {
+	case len(raw) < segmentHead:
+		return 0, errHeadTorn
+	case string(raw[:4]) != segmentMagic || crc32.Checksum(raw[:16], castagnoli) != binary.LittleEndian.Uint32(raw[16:]):
+		return 0, errHeadBad
+	case binary.LittleEndian.Uint16(raw[4:]) != formatVersion:
+		return 0, fmt.Errorf("%w: %d", errHeadVersion, binary.LittleEndian.Uint16(raw[4:]))
+	}
+	return binary.LittleEndian.Uint64(raw[8:]), nil
+}
+
+// record is one that was read; its payload lies in what it was read from.
+type record struct {
+	kind    byte
+	seq     uint64
+	payload []byte
+}
+
+// readRecord reads the record at the start of raw and how long it is; ok is false where there is no whole one.
+func readRecord(raw []byte) (r record, size int, ok bool) {
+	if len(raw) < recordHead {
+		return r, 0, false
+	}
+	n := int64(binary.LittleEndian.Uint32(raw[4:]))
+	if n > maxGroup || n > int64(len(raw)-recordHead) {
+		return r, 0, false
+	}
+	size = recordHead + int(n)
+	if crc32.Checksum(raw[4:size], castagnoli) != binary.LittleEndian.Uint32(raw) {
+		return r, 0, false
+	}
+	return record{kind: raw[8], seq: binary.LittleEndian.Uint64(raw[9:]), payload: raw[recordHead:size:size]}, size, true
+}
--- a/internal/kv/manifest.go
+++ b/internal/kv/manifest.go
@@ -1,12 +1,9 @@
 package kv
 
-// This file owns the manifest: which runs there are, in order, and up to which number they hold everything. It is decided
-// here what its bytes mean; db.go writes it beside the old one, syncs it, and puts it in its place by rename. It must never
-// be half of one and half of another.
-
 import (
 	"encoding/binary"
 	"errors"
+	"fmt"
 	"hash/crc32"
 )
 
@@ -52,3 +49,29 @@
 	}
 	return m, nil
 }
+
+// install makes a manifest last, and only then lets it hold.
+func (db *DB) install(m manifest) error {
+	file, err := db.fresh(manifestNew)
+	if err == nil {
+		if _, err = file.Write(m.encode()); err == nil {
+			err = file.Sync()
+		}
+		if cerr := file.Close(); err == nil {
+			err = cerr
+		}
+		if err != nil {
+			err = errors.Join(err, db.fs.Remove(manifestNew))
+		}
+	}
+	if err == nil {
+		err = db.fs.Rename(manifestNew, manifestName)
+	}
+	if err != nil {
+		return fmt.Errorf("%s: %w", manifestName, err)
+	}
+	if err := db.fs.SyncDir(); err != nil { // which of the two lasts is not known: final, whatever the cause
+		return fmt.Errorf("folder: %v", err)
+	}
+	return nil
+}
