--- a/internal/kv/compaction.go
+++ b/internal/kv/compaction.go
@@ -1,73 +1,113 @@
 package kv
 
 import (
+	"context"
 	"errors"
 	"fmt"
 	"io/fs"
 	"slices"
 	"time"
+
+	"golang.org/x/time/rate"
+)
+
+const (
+	// diskFullRetryInterval is how long the background waits before it tries again on a full disk.
+	diskFullRetryInterval = 100 * time.Millisecond
+	// mergeBurst is how many bytes a merge may write ahead of the rate limit.
+	mergeBurst = 1 << 20
+	// mergePaceStep is how many bytes a merge writes between two waits for the rate limit.
+	mergePaceStep = 64 << 10
 )
 
-// background writes memory tables and merges runs until the store is closed.
-func (db *DB) background() {
-	defer close(db.ended)
+// background is the one goroutine that writes memory tables and merges runs.
+type background struct {
+	ctx     context.Context
+	stop    context.CancelFunc
+	wake    chan struct{}
+	done    chan struct{} // closed once the goroutine has ended
+	limiter *rate.Limiter // bytes that merges may write
+}
+
+func newBackground(mergeRate float64) background {
+	b := background{wake: make(chan struct{}, 1), done: make(chan struct{}), limiter: rate.NewLimiter(rate.Limit(mergeRate), mergeBurst)}
+	b.ctx, b.stop = context.WithCancel(context.Background())
+	return b
+}
+
+// notify wakes the goroutine, which looks for what is due.
+func (b *background) notify() {
+	select {
+	case b.wake <- struct{}{}:
+	default:
+	}
+}
+
+// pace waits until the rate limit lets a merge go on that has written so many bytes more.
+func (b *background) pace(bytes int64) error {
+	return b.limiter.WaitN(b.ctx, int(min(bytes, mergeBurst)))
+}
+
+// runBackground writes memory tables and merges runs until the store is closed, or an error other than a full disk.
+func (db *DB) runBackground() {
+	defer close(db.background.done)
 	for {
-		worked, err := db.work()
-		if db.ctx.Err() != nil {
+		worked, err := db.runNextTask()
+		switch {
+		case db.background.ctx.Err() != nil:
 			return
-		}
-		if err != nil {
-			if db.cfg.OnFailure != nil {
-				db.cfg.OnFailure(err)
-			}
-			if !isFull(err) && !errors.Is(err, ErrFull) {
-				db.mu.Lock()
-				db.failed = fmt.Errorf("%w: %w", ErrReadOnly, err)
-				db.room.Broadcast()
-				db.mu.Unlock()
+		case err != nil:
+			if !db.handleTaskError(err) {
 				return
 			}
+		case worked:
 			db.mu.Lock()
-			if db.short = err; !errors.Is(err, ErrFull) {
-				db.short = fmt.Errorf("%w (%w)", ErrFull, err)
-			}
-			db.room.Broadcast()
+			db.diskFull = nil
 			db.mu.Unlock()
-			select { // there may be room later
-			case <-db.ctx.Done():
+		default:
+			select {
+			case <-db.background.ctx.Done():
 				return
-			case <-time.After(fullPause):
+			case <-db.background.wake:
 			}
-			continue
-		}
-		if worked {
-			db.mu.Lock()
-			db.short = nil
-			db.mu.Unlock()
-			continue
-		}
-		select {
-		case <-db.ctx.Done():
-			return
-		case <-db.wake:
 		}
 	}
 }
 
-// fullPause is how long the background waits before it tries again on a full disk.
-const fullPause = 100 * time.Millisecond
-
-// work does one thing that is due.
-func (db *DB) work() (worked bool, err error) {
+// handleTaskError makes an error known to the writers that wait. On a full disk it waits before the next attempt; retry is
+// false where the store is closed or the error is final.
+func (db *DB) handleTaskError(err error) (retry bool) {
+	if db.cfg.OnFailure != nil {
+		db.cfg.OnFailure(err)
+	}
+	if !isFull(err) && !errors.Is(err, ErrFull) {
+		db.mu.Lock()
+		db.failed = fmt.Errorf("%w: %w", ErrReadOnly, err)
+		db.writable.Broadcast()
+		db.mu.Unlock()
+		return false
+	}
 	db.mu.Lock()
-	full := db.full
-	var sizes []int64
-	for _, r := range db.runs {
-		sizes = append(sizes, r.size)
+	if db.diskFull = err; !errors.Is(err, ErrFull) {
+		db.diskFull = fmt.Errorf("%w (%w)", ErrFull, err)
+	}
+	db.writable.Broadcast()
+	db.mu.Unlock()
+	select {
+	case <-db.background.ctx.Done():
+		return false
+	case <-time.After(diskFullRetryInterval):
+		return true
 	}
+}
+
+// runNextTask writes the full memory table, else merges the runs that are due; worked is false where nothing is.
+func (db *DB) runNextTask() (worked bool, err error) {
+	db.mu.Lock()
+	immutable, sizes := db.immutable, db.runSizes()
 	db.mu.Unlock()
-	if full != nil {
-		return true, db.flush(full)
+	if immutable != nil {
+		return true, db.flush(immutable)
 	}
 	if from, to := pickMerge(sizes); to > 0 {
 		return true, db.merge(from, to)
@@ -75,8 +115,16 @@
 	return false, nil
 }
 
-// fresh creates a file that no manifest names; one of an earlier try goes.
-func (db *DB) fresh(name string) (File, error) {
+// runSizes lists the sizes of the runs in bytes, newest first. The caller holds the lock.
+func (db *DB) runSizes() (sizes []int64) {
+	for _, r := range db.runs {
+		sizes = append(sizes, r.size)
+	}
+	return sizes
+}
+
+// createReplacing creates a file that no manifest names; one that an earlier attempt left is removed.
+func (db *DB) createReplacing(name string) (File, error) {
 	file, err := db.fs.Create(name)
 	if errors.Is(err, fs.ErrExist) {
 		if err := db.fs.Remove(name); err != nil {
@@ -87,24 +135,24 @@
 	return file, err
 }
 
-// create writes a table.
-func (db *DB) create(number uint64, upTo uint64, fill func(w *tableWriter) error) (*run, error) {
+// writeTable writes a table and opens it. Its entries come from fill.
+func (db *DB) writeTable(number uint64, maxSeq uint64, fill func(w *tableWriter) error) (*run, error) {
 	name := fmt.Sprintf(tablePattern, number)
-	file, err := db.fresh(name)
+	file, err := db.createReplacing(name)
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", name, err)
 	}
-	w := &tableWriter{out: file}
+	w := &tableWriter{file: file}
 	if err = fill(w); err == nil {
-		err = w.finish(upTo)
+		err = w.finish(maxSeq)
 	}
 	if err == nil {
 		err = file.Sync()
 	}
-	if cerr := file.Close(); err == nil {
-		err = cerr
+	if closeErr := file.Close(); err == nil {
+		err = closeErr
 	}
-	if err == nil { // its name must last before a manifest has it
+	if err == nil { // the file's name must be durable before a manifest names it
 		err = db.fs.SyncDir()
 	}
 	if err != nil {
@@ -113,95 +161,104 @@
 	return db.openRun(number)
 }
 
-// flush writes a memory table as the newest run.
-func (db *DB) flush(m *memory) error {
-	number := db.man.next
-	r, err := db.create(number, m.upTo, func(w *tableWriter) error {
-		w.spans = m.spans
+// flush writes a memory table as the newest run and trims the log.
+func (db *DB) flush(m *memtable) error {
+	number := db.manifest.next
+	r, err := db.writeTable(number, m.maxSeq, func(w *tableWriter) error {
+		w.tombstones = m.tombstones
 		m.tree.Ascend(func(e entry) bool { w.add(e); return w.err == nil })
 		return w.err
 	})
 	if err != nil {
 		return err
 	}
-	next := manifest{flushed: m.upTo, next: number + 1, runs: append([]uint64{number}, db.man.runs...)}
-	if err := db.install(next); err != nil {
-		r.file.Close()
+	next := manifest{flushed: m.maxSeq, next: number + 1, runs: append([]uint64{number}, db.manifest.runs...)}
+	if err := db.installManifest(next); err != nil {
+		_ = r.file.Close()
 		return err
 	}
 	db.mu.Lock()
-	r.users = 1
-	db.man, db.runs, db.full = next, append([]*run{r}, db.runs...), nil
-	db.flushes += r.size
-	db.turn()
-	db.room.Broadcast()
+	r.references = 1
+	db.manifest, db.runs, db.immutable = next, append([]*run{r}, db.runs...), nil
+	db.written.flushed += r.size
+	db.rotateMemtable()
+	db.writable.Broadcast()
 	db.mu.Unlock()
-	return db.log.Trim(m.upTo)
+	return db.log.Trim(m.maxSeq)
 }
 
-// merge makes one run of several that lie next to each other.
+// merge makes one run of the neighbours from..to-1.
 func (db *DB) merge(from, to int) error {
 	db.mu.Lock()
 	old := slices.Clone(db.runs[from:to])
-	floor := db.visible
-	for seq := range db.snaps {
-		floor = min(floor, seq)
-	}
-	oldest := to == len(db.runs)
+	filter := &compactionFilter{floor: db.oldestReadable(), oldest: to == len(db.runs)}
 	db.mu.Unlock()
-	k := &keeper{floor: floor, oldest: oldest}
-	var pulls []func() (entry, bool, error)
-	upTo := uint64(0)
+	number := db.manifest.next
+	r, err := db.writeMerged(number, old, filter)
+	if err != nil {
+		return err
+	}
+	m := manifest{flushed: db.manifest.flushed, next: number + 1}
+	m.runs = append(append(append(m.runs, db.manifest.runs[:from]...), number), db.manifest.runs[to:]...)
+	if err := db.installManifest(m); err != nil {
+		_ = r.file.Close()
+		return err
+	}
+	db.mu.Lock()
+	defer db.mu.Unlock()
+	r.references = 1
+	db.manifest = m
+	db.runs = append(append(append([]*run(nil), db.runs[:from]...), r), db.runs[to:]...)
+	db.written.merged += r.size
+	for _, o := range old {
+		o.obsolete = true
+	}
+	db.releaseRuns(old)
+	return nil
+}
+
+// oldestReadable is the oldest sequence number that a view may read as of. The caller holds the lock.
+func (db *DB) oldestReadable() uint64 {
+	seq := db.visible
+	for s := range db.snapshots {
+		seq = min(seq, s)
+	}
+	return seq
+}
+
+// writeMerged writes what the filter retains of several runs as one table, at the pace of the rate limit.
+func (db *DB) writeMerged(number uint64, old []*run, filter *compactionFilter) (*run, error) {
+	var sources []iterator
+	maxSeq := uint64(0)
 	for _, r := range old {
-		k.spans = append(k.spans, r.spans...)
-		pulls = append(pulls, r.iterate(nil))
-		upTo = max(upTo, r.upTo)
+		filter.tombstones = append(filter.tombstones, r.tombstones...)
+		sources = append(sources, r.iterator(nil))
+		maxSeq = max(maxSeq, r.maxSeq)
 	}
-	next, err := mergePulls(pulls)
+	next, err := mergeIterators(sources)
 	if err != nil {
-		return err
+		return nil, err
 	}
-	number := db.man.next
-	r, err := db.create(number, upTo, func(w *tableWriter) error {
-		w.spans = k.keepSpans()
-		paid := int64(0)
+	return db.writeTable(number, maxSeq, func(w *tableWriter) error {
+		w.tombstones = filter.retainedTombstones()
+		paced := int64(0)
 		for {
 			e, ok, err := next()
 			if err != nil || !ok {
 				return err
 			}
-			if k.keep(e) {
+			if filter.retain(e) {
 				w.add(e)
 			}
 			if w.err != nil {
 				return w.err
 			}
-			if due := w.at - paid; due >= 64<<10 {
-				if err := db.budget.WaitN(db.ctx, int(min(due, 1<<20))); err != nil {
+			if due := w.offset - paced; due >= mergePaceStep {
+				if err := db.background.pace(due); err != nil {
 					return err
 				}
-				paid = w.at
+				paced = w.offset
 			}
 		}
 	})
-	if err != nil {
-		return err
-	}
-	m := manifest{flushed: db.man.flushed, next: number + 1}
-	m.runs = append(append(append(m.runs, db.man.runs[:from]...), number), db.man.runs[to:]...)
-	if err := db.install(m); err != nil {
-		r.file.Close()
-		return err
-	}
-	db.mu.Lock()
-	defer db.mu.Unlock()
-	r.users = 1
-	db.man = m
-	db.runs = append(append(append([]*run(nil), db.runs[:from]...), r), db.runs[to:]...)
-	db.merged += r.size
-	for _, o := range old {
-		o.gone = true
-	}
-	db.release(old)
-	return nil
 }
--- a/internal/kv/compactionpolicy.go
+++ b/internal/kv/compactionpolicy.go
@@ -1,19 +1,15 @@
 package kv
 
-// This file owns what is kept, merged and discarded. It does no I/O. It must never discard a version that an open snapshot
-// may read, nor a deletion while an older run may hold what it deletes.
-//
-// Runs are sorted tables in the order of their age. The logarithmic method (Bentley and Saxe, Decomposable Searching
-// Problems, 1980): a run is merged with the older ones next to it for as long as they are not larger than what has come
-// together, so sizes at least double with age, there are about log2 of the whole of them, and each byte is written again
-// about as often.
-
 import "bytes"
 
-// maxRuns is how many runs may be there before the newest are merged whatever their sizes.
+// maxRuns is how many runs there may be before the newest are merged whatever their sizes.
 const maxRuns = 12
 
-// pickMerge says which runs, newest first, are to be merged: from..to-1; to is 0 for none. Sizes are in bytes.
+// pickMerge returns which runs, newest first, are due to be merged: from..to-1; to is 0 for none. Sizes are in bytes.
+//
+// It follows the logarithmic method (Bentley and Saxe, Decomposable Searching Problems, 1980): a run is merged with its older
+// neighbours for as long as they are not larger than the sum so far. So sizes at least double with age, there are about log2
+// of the total of them, and each byte is rewritten about as often.
 func pickMerge(sizes []int64) (from, to int) {
 	for from := range sizes {
 		sum, to := sizes[from], from+1
@@ -30,43 +26,45 @@
 	return 0, 0
 }
 
-// keeper decides which versions of a merge are written. Versions come in order: by key, the newest first.
-type keeper struct {
-	floor  uint64 // the oldest number that somebody may read as of
-	oldest bool   // no older run is left out of the merge
-	spans  []span // ranges that were deleted, of the runs that are merged
+// compactionFilter decides which versions of a merge are written. Versions come in order: by key, the newest first. It drops no
+// version that an open view may read: a view would then return an older value or none. Nor does it drop a deletion while an
+// older run may have the key: the deleted value would come back.
+type compactionFilter struct {
+	floor      uint64           // the oldest sequence number that a view may read as of
+	oldest     bool             // the merge includes the oldest run
+	tombstones []rangeTombstone // of the runs that are merged
 
-	key   []byte
-	begun bool
-	below bool // a version of key at or below floor was seen; what is older is not read any more
+	key      []byte
+	started  bool
+	shadowed bool // a version of key at or below floor was seen; no view reads an older one
 }
 
-// keep tells whether a version is to be written.
-func (k *keeper) keep(e entry) bool {
-	if !k.begun || !bytes.Equal(e.key, k.key) {
-		k.key, k.begun, k.below = append(k.key[:0], e.key...), true, false
+// retain tells whether a version is to be written.
+func (f *compactionFilter) retain(e entry) bool {
+	if !f.started || !bytes.Equal(e.key, f.key) {
+		f.key, f.started, f.shadowed = append(f.key[:0], e.key...), true, false
 	}
-	if k.below {
+	if f.shadowed {
 		return false
 	}
-	for _, s := range k.spans {
-		if s.seq <= k.floor && e.seq < s.seq && s.holds(e.key) {
-			k.below = true
-			return false // deleted for all who may read
+	for _, s := range f.tombstones {
+		if s.seq <= f.floor && e.seq < s.seq && s.contains(e.key) {
+			f.shadowed = true
+			return false // deleted for every view
 		}
 	}
-	if e.seq > k.floor {
+	if e.seq > f.floor {
 		return true
 	}
-	k.below = true
-	return !e.deleted || !k.oldest
+	f.shadowed = true
+	return !e.deleted || !f.oldest
 }
 
-// keepSpans are the ranges that must be written on: those that somebody may still read behind, or that older runs are
-// deleted by.
-func (k *keeper) keepSpans() (list []span) {
-	for _, s := range k.spans {
-		if !k.oldest || s.seq > k.floor {
+// retainedTombstones are the range tombstones to be written: those newer than the oldest view, and all while an older run
+// may have keys that they delete.
+func (f *compactionFilter) retainedTombstones() (list []rangeTombstone) {
+	for _, s := range f.tombstones {
+		if !f.oldest || s.seq > f.floor {
 			list = append(list, s)
 		}
 	}
--- a/internal/kv/db.go
+++ b/internal/kv/db.go
@@ -1,64 +1,63 @@
 package kv
 
 import (
-	"context"
 	"errors"
 	"fmt"
 	"io/fs"
 	"slices"
 	"strings"
 	"sync"
-
-	"golang.org/x/time/rate"
 )
 
-// Config holds the figures of a DB. The zero value of a field stands for its default.
+// Config configures a DB. The zero value of a field stands for its default.
 type Config struct {
-	MemoryBytes  int64   // of the memory table before it is written; 2 MiB. Two may be there at once
-	SegmentBytes int64   // of the log; 4 MiB
-	MergeRate    float64 // bytes a second that merges may write; 32 MiB
-	Report       func(Cut)
-	OnFailure    func(error) // of the background; may be nil
+	MemoryBytes  int64       // size of the memory table at which it is written to a run; default 2 MiB. Two may exist at once
+	SegmentBytes int64       // size of a log segment; default 4 MiB
+	MergeRate    float64     // bytes a second that merges may write; default 32 MiB
+	Report       func(Cut)   // called when a torn tail of the log is cut off; may be nil
+	OnFailure    func(error) // called for errors of the background; may be nil
 }
 
-// ErrNotFound tells that a key has no value.
+// ErrNotFound is returned for a key without a value.
 var ErrNotFound = errors.New("not found")
 
 // run is a sorted table in use.
 type run struct {
 	*table
-	number uint64
-	file   Reader
-	users  int // views that read it, and the store itself while it is in use; guarded by the DB's lock
-	gone   bool
+	number     uint64
+	file       Reader
+	references int  // views that read it, and the store while it is in use; guarded by DB.mu
+	obsolete   bool // merged into another; its file is removed with the last reference
+}
+
+// writtenBytes counts the bytes that the background wrote.
+type writtenBytes struct {
+	flushed int64 // from memory tables
+	merged  int64
 }
 
 // DB is an open store. Its methods may be called from any goroutine.
 type DB struct {
-	fs     FS
-	cfg    Config
-	log    *Log
-	budget *rate.Limiter
-	ctx    context.Context
-	stop   context.CancelFunc
-	wake   chan struct{}
-	ended  chan struct{}
-
-	mu      sync.Mutex // guards what follows
-	room    *sync.Cond // a memory table was written
-	mem     *memory
-	full    *memory // being written; nil for none
-	runs    []*run  // newest first
-	visible uint64
-	snaps   map[uint64]int
-	man     manifest
-	failed  error
-	short   error // the background found the disk full, and tries again
-	merged  int64 // bytes written by merges
-	flushes int64 // bytes written from memory tables
+	fs         FS
+	cfg        Config
+	log        *Log
+	background background
+
+	// mu guards the fields below. It is not held over reads and writes of files.
+	mu        sync.Mutex
+	writable  *sync.Cond // signalled when a memory table was written, and when writing fails
+	active    *memtable
+	immutable *memtable      // full, and being written to a table; nil for none
+	runs      []*run         // newest first
+	visible   uint64         // the highest sequence number that new views read
+	snapshots map[uint64]int // number of open views by their sequence number
+	manifest  manifest
+	failed    error // final: nothing is written any more
+	diskFull  error // the background found the disk full, and tries again
+	written   writtenBytes
 }
 
-// Open recovers the store of a folder.
+// Open recovers the store of a folder and starts its background.
 func Open(fsys FS, cfg Config) (*DB, error) {
 	if cfg.MemoryBytes <= 0 {
 		cfg.MemoryBytes = 2 << 20
@@ -66,56 +65,67 @@
 	if cfg.MergeRate <= 0 {
 		cfg.MergeRate = 32 << 20
 	}
-	db := &DB{fs: fsys, cfg: cfg, budget: rate.NewLimiter(rate.Limit(cfg.MergeRate), 1<<20), wake: make(chan struct{}, 1),
-		ended: make(chan struct{}), mem: newMemory(), snaps: map[uint64]int{}, man: manifest{next: 1}}
-	db.room = sync.NewCond(&db.mu)
-	db.ctx, db.stop = context.WithCancel(context.Background())
+	db := &DB{fs: fsys, cfg: cfg, background: newBackground(cfg.MergeRate), active: newMemtable(), snapshots: map[uint64]int{},
+		manifest: manifest{next: 1}}
+	db.writable = sync.NewCond(&db.mu)
 	var entries []Entry
 	var err error
 	if db.log, entries, err = OpenLog(fsys, Options{SegmentBytes: cfg.SegmentBytes, Report: cfg.Report, Apply: db.apply}); err != nil {
 		return nil, err
 	}
-	if err := db.load(); err != nil {
+	if err = db.loadManifest(); err == nil {
+		err = db.checkLogFollows(entries)
+	}
+	if err != nil {
 		db.closeRuns()
 		return nil, errors.Join(err, db.log.Close())
 	}
-	db.visible = db.man.flushed
+	db.replay(entries)
+	go db.runBackground()
+	return db, nil
+}
+
+// checkLogFollows returns a *CorruptionError where batches are missing between the runs and the log.
+func (db *DB) checkLogFollows(entries []Entry) error {
+	flushed := db.manifest.flushed
+	if next := db.log.Next(); next <= flushed {
+		return &CorruptionError{manifestName, 8, fmt.Sprintf("the runs hold all up to number %d, the log would go on with %d: its segments are missing", flushed, next)}
+	}
+	if len(entries) > 0 && entries[0].Seq > flushed+1 {
+		return &CorruptionError{manifestName, 8, fmt.Sprintf("the runs hold all up to number %d, the log begins at %d", flushed, entries[0].Seq)}
+	}
+	return nil
+}
+
+// replay applies the batches of the log that are not in the runs.
+func (db *DB) replay(entries []Entry) {
+	db.visible = db.manifest.flushed
 	for _, e := range entries {
-		if e.Seq > db.man.flushed {
-			db.mem.apply(e.Seq, e.Batch)
+		if e.Seq > db.manifest.flushed {
+			db.active.apply(e.Seq, e.Batch)
 			db.visible = e.Seq
 		}
 	}
-	if next := db.log.Next(); next <= db.man.flushed {
-		db.closeRuns()
-		return nil, errors.Join(&Damage{manifestName, 8, fmt.Sprintf("the runs hold all up to number %d, the log would go on with %d: its segments are missing", db.man.flushed, next)}, db.log.Close())
-	}
-	if len(entries) > 0 && entries[0].Seq > db.man.flushed+1 {
-		db.closeRuns()
-		return nil, errors.Join(&Damage{manifestName, 8, fmt.Sprintf("the runs hold all up to number %d, the log begins at %d", db.man.flushed, entries[0].Seq)}, db.log.Close())
-	}
-	go db.background()
-	return db, nil
 }
 
-// load reads the manifest and opens its runs; what belongs to no manifest is removed.
-func (db *DB) load() error {
+// loadManifest reads the manifest and opens its runs; files that it does not name are removed.
+func (db *DB) loadManifest() error {
 	raw, err := db.fs.Read(manifestName)
 	switch {
 	case errors.Is(err, fs.ErrNotExist):
 	case err != nil:
 		return fmt.Errorf("%s: %w", manifestName, err)
 	default:
-		if db.man, err = readManifest(raw); err != nil {
-			return &Damage{manifestName, 0, err.Error()}
+		if db.manifest, err = decodeManifest(raw); err != nil {
+			return &CorruptionError{manifestName, 0, err.Error()}
 		}
 	}
-	for _, number := range db.man.runs {
+	for _, number := range db.manifest.runs {
 		r, err := db.openRun(number)
 		if err != nil {
 			return err
 		}
-		r.users = 1
+		r.references = 1
 		db.runs = append(db.runs, r)
 	}
 	names, err := db.fs.List()
@@ -125,7 +135,7 @@
 	for _, name := range names {
 		var number uint64
 		n, _ := fmt.Sscanf(name, tablePattern, &number)
-		orphan := n == 1 && strings.HasSuffix(name, ".table") && !slices.Contains(db.man.runs, number)
+		orphan := n == 1 && strings.HasSuffix(name, ".table") && !slices.Contains(db.manifest.runs, number)
 		if orphan || name == manifestNew {
 			if err := db.fs.Remove(name); err != nil {
 				return fmt.Errorf("%s: %w", name, err)
@@ -143,7 +153,7 @@
 	}
 	t, err := openTable(name, file, file.Size())
 	if err != nil {
-		file.Close()
+		_ = file.Close()
 		return nil, err
 	}
 	return &run{table: t, number: number, file: file}, nil
@@ -151,16 +161,16 @@
 
 func (db *DB) closeRuns() {
 	for _, r := range db.runs {
-		r.file.Close()
+		_ = r.file.Close()
 	}
 }
 
-// release gives runs back; those that are merged away are removed once nobody reads them. The caller holds the lock.
-func (db *DB) release(list []*run) {
+// releaseRuns drops a reference to each run; the file of an obsolete one is removed with its last reference. The caller holds the lock.
+func (db *DB) releaseRuns(list []*run) {
 	for _, r := range list {
-		if r.users--; r.users == 0 && r.gone {
-			r.file.Close()
-			db.fs.Remove(r.name) // one that stays is removed at the next start
+		if r.references--; r.references == 0 && r.obsolete {
+			_ = r.file.Close()
+			_ = db.fs.Remove(r.name) // one that stays is removed at the next start
 		}
 	}
 }
@@ -169,32 +179,32 @@
 type Stats struct {
 	Runs                  int
 	RunBytes, MemoryBytes int64
-	Flushed, Merged       int64 // bytes written so far
-	Visible, InRuns       uint64
-	Snapshots             int
+	Flushed, Merged       int64  // bytes written so far
+	Visible, InRuns       uint64 // the highest sequence numbers that are visible, and that the runs hold
+	Snapshots             int    // sequence numbers that open views read as of
 }
 
-// Stats tells how the store stands.
+// Stats returns the current figures.
 func (db *DB) Stats() Stats {
 	db.mu.Lock()
 	defer db.mu.Unlock()
-	s := Stats{Runs: len(db.runs), MemoryBytes: db.mem.bytes, Flushed: db.flushes, Merged: db.merged, Visible: db.visible,
-		InRuns: db.man.flushed, Snapshots: len(db.snaps)}
+	s := Stats{Runs: len(db.runs), MemoryBytes: db.active.bytes, Flushed: db.written.flushed, Merged: db.written.merged, Visible: db.visible,
+		InRuns: db.manifest.flushed, Snapshots: len(db.snapshots)}
 	for _, r := range db.runs {
 		s.RunBytes += r.size
 	}
 	return s
 }
 
-// Close ends the store. What is in memory is in the log.
+// Close stops the background and closes the files. The memory tables need no flush: their batches are in the log.
 func (db *DB) Close() error {
-	db.stop()
-	<-db.ended
+	db.background.stop()
+	<-db.background.done
 	err := db.log.Close()
 	db.mu.Lock()
 	defer db.mu.Unlock()
 	db.failed = ErrClosed
-	db.room.Broadcast()
+	db.writable.Broadcast()
 	db.closeRuns()
 	return err
 }
--- a/internal/kv/db_test.go
+++ b/internal/kv/db_test.go
@@ -143,7 +143,7 @@
 					t.Fatal(err)
 				}
 			case "quiet":
-				if err := db.Quiet(); err != nil {
+				if err := db.WaitIdle(); err != nil {
 					t.Fatal(err)
 				}
 			}
@@ -192,7 +192,7 @@
 			t.Fatal(err)
 		}
 	}
-	if err := db.Quiet(); err != nil {
+	if err := db.WaitIdle(); err != nil {
 		t.Fatal(err)
 	}
 	s := db.Stats()
@@ -319,7 +319,7 @@
 		}
 		d.Room(1 << 20)
 		for end := time.Now().Add(10 * time.Second); ; time.Sleep(5 * time.Millisecond) {
-			if err := db.Quiet(); err == nil {
+			if err := db.WaitIdle(); err == nil {
 				break
 			} else if !errors.Is(err, kv.ErrFull) || time.Now().After(end) {
 				t.Fatal(err)
@@ -362,7 +362,7 @@
 		})
 	}
 	wg.Wait()
-	if err := db.Quiet(); err != nil {
+	if err := db.WaitIdle(); err != nil {
 		t.Fatal(err)
 	}
 	if s := db.Stats(); s.Runs == 0 || s.Runs > 10 {
@@ -396,7 +396,7 @@
 		}
 		db := open()
 		write(db, 0, 400)
-		if err := errors.Join(db.Quiet(), db.Close()); err != nil {
+		if err := errors.Join(db.WaitIdle(), db.Close()); err != nil {
 			t.Fatal(err)
 		}
 		db = open()
@@ -405,7 +405,7 @@
 			view.Close()
 		}
 		write(db, 400, 2000)
-		if err := db.Quiet(); err != nil {
+		if err := db.WaitIdle(); err != nil {
 			t.Fatal(err)
 		}
 		if viewed {
--- a/internal/kv/decoder.go
+++ b/internal/kv/decoder.go
@@ -61,20 +61,20 @@
 
 // The errors of a segment's head.
 var (
-	errHeadTorn    = errors.New("head is cut off")
-	errHeadBad     = errors.New("head does not match its checksum")
-	errHeadVersion = errors.New("format is of another version")
+	errHeaderTruncated = errors.New("head is cut off")
+	errHeaderChecksum  = errors.New("head does not match its checksum")
+	errHeaderVersion   = errors.New("format is of another version")
 )
 
 // readSegmentHead reads a segment's first sequence number.
-func readSegmentHead(raw []byte) (first uint64, err error) {
+func decodeSegmentHeader(raw []byte) (first uint64, err error) {
 	switch {
-	case len(raw) < segmentHead:
-		return 0, errHeadTorn
+	case len(raw) < segmentHeaderSize:
+		return 0, errHeaderTruncated
 	case string(raw[:4]) != segmentMagic || crc32.Checksum(raw[:16], castagnoli) != binary.LittleEndian.Uint32(raw[16:]):
-		return 0, errHeadBad
+		return 0, errHeaderChecksum
 	case binary.LittleEndian.Uint16(raw[4:]) != formatVersion:
-		return 0, fmt.Errorf("%w: %d", errHeadVersion, binary.LittleEndian.Uint16(raw[4:]))
+		return 0, fmt.Errorf("%w: %d", errHeaderVersion, binary.LittleEndian.Uint16(raw[4:]))
 	}
 	return binary.LittleEndian.Uint64(raw[8:]), nil
 }
@@ -87,17 +87,17 @@
 }
 
 // readRecord reads the record at the start of raw and how long it is; ok is false where there is no whole one.
-func readRecord(raw []byte) (r record, size int, ok bool) {
-	if len(raw) < recordHead {
+func decodeRecord(raw []byte) (r record, size int, ok bool) {
+	if len(raw) < recordHeaderSize {
 		return r, 0, false
 	}
 	n := int64(binary.LittleEndian.Uint32(raw[4:]))
-	if n > maxGroup || n > int64(len(raw)-recordHead) {
+	if n > maxGroup || n > int64(len(raw)-recordHeaderSize) {
 		return r, 0, false
 	}
-	size = recordHead + int(n)
+	size = recordHeaderSize + int(n)
 	if crc32.Checksum(raw[4:size], castagnoli) != binary.LittleEndian.Uint32(raw) {
 		return r, 0, false
 	}
-	return record{kind: raw[8], seq: binary.LittleEndian.Uint64(raw[9:]), payload: raw[recordHead:size:size]}, size, true
+	return record{kind: raw[8], seq: binary.LittleEndian.Uint64(raw[9:]), payload: raw[recordHeaderSize:size:size]}, size, true
 }
--- a/internal/kv/encoder.go
+++ b/internal/kv/encoder.go
@@ -42,7 +42,7 @@
 }
 
 // appendSegmentHead begins a segment.
-func appendSegmentHead(out []byte, first uint64) []byte {
+func appendSegmentHeader(out []byte, first uint64) []byte {
 	from := len(out)
 	out = append(out, segmentMagic...)
 	out = binary.LittleEndian.AppendUint16(out, formatVersion)
--- a/internal/kv/format.go
+++ b/internal/kv/format.go
@@ -18,15 +18,15 @@
 )
 
 const (
-	segmentMagic   = "GFKL"
-	formatVersion  = 1
-	segmentHead    = 20 // magic 4, version 2, zero 2, first sequence number 8, checksum 4
-	recordHead     = 17 // checksum 4, length 4, kind 1, sequence number 8
-	kindGroup      = 1
-	opPut          = 1
-	opDelete       = 2
-	opDeleteRange  = 3
-	segmentPattern = "%016x.log"
+	segmentMagic      = "GFKL"
+	formatVersion     = 1
+	segmentHeaderSize = 20 // magic 4, version 2, zero 2, first sequence number 8, checksum 4
+	recordHeaderSize  = 17 // checksum 4, length 4, kind 1, sequence number 8
+	kindGroup         = 1
+	opPut             = 1
+	opDelete          = 2
+	opDeleteRange     = 3
+	segmentPattern    = "%016x.log"
 )
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
--- a/internal/kv/fs.go
+++ b/internal/kv/fs.go
@@ -1,8 +1,5 @@
 package kv
 
-// This file owns the way to files: the interface that tests put a faulty disk behind, and the one of the operating
-// system. It must never hide an error.
-
 import (
 	"errors"
 	"fmt"
@@ -13,7 +10,7 @@
 	"syscall"
 )
 
-// FS is a folder.
+// FS is a folder. Tests implement it with a faulty disk.
 type FS interface {
 	List() ([]string, error) // names, sorted
 	Read(name string) ([]byte, error)
@@ -41,13 +38,13 @@
 	Close() error
 }
 
-// ErrLocked tells that another process has the store open.
+// ErrLocked is returned by Lock and by the functions that open a store.
 var ErrLocked = errors.New("another process has the store open")
 
-// Dir is a folder of the operating system's.
+// Dir is a folder of the operating system.
 type Dir string
 
-// List is FS's.
+// List returns the names of the regular files, sorted.
 func (d Dir) List() (names []string, err error) {
 	entries, err := os.ReadDir(string(d))
 	for _, e := range entries {
@@ -61,18 +58,18 @@
 
 func (d Dir) path(name string) string { return filepath.Join(string(d), name) }
 
-// Read is FS's.
+// Read returns the whole file.
 func (d Dir) Read(name string) ([]byte, error) { return os.ReadFile(d.path(name)) }
 
-// sized is an open file of the operating system's.
-type sized struct {
+// sizedFile is an open file with the size that it had when it was opened.
+type sizedFile struct {
 	*os.File
 	size int64
 }
 
-func (s sized) Size() int64 { return s.size }
+func (s sizedFile) Size() int64 { return s.size }
 
-// Open is FS's.
+// Open opens a file for reading.
 func (d Dir) Open(name string) (Reader, error) {
 	f, err := os.Open(d.path(name))
 	if err != nil {
@@ -80,13 +77,13 @@
 	}
 	info, err := f.Stat()
 	if err != nil {
-		f.Close()
+		_ = f.Close()
 		return nil, err
 	}
-	return sized{f, info.Size()}, nil
+	return sizedFile{f, info.Size()}, nil
 }
 
-// Create is FS's.
+// Create creates a file; it fails where the name exists.
 func (d Dir) Create(name string) (File, error) {
 	f, err := os.OpenFile(d.path(name), os.O_WRONLY|os.O_CREATE|os.O_EXCL|os.O_APPEND, 0o600)
 	if err != nil {
@@ -95,7 +92,7 @@
 	return f, nil
 }
 
-// Append is FS's.
+// Append opens an existing file for writing at its end.
 func (d Dir) Append(name string) (File, error) {
 	f, err := os.OpenFile(d.path(name), os.O_WRONLY|os.O_APPEND, 0)
 	if err != nil {
@@ -104,30 +101,30 @@
 	return f, nil
 }
 
-// Remove is FS's.
+// Remove removes a file.
 func (d Dir) Remove(name string) error { return os.Remove(d.path(name)) }
 
-// Rename is FS's.
+// Rename replaces to by from.
 func (d Dir) Rename(from, to string) error { return os.Rename(d.path(from), d.path(to)) }
 
-// SyncDir is FS's.
+// SyncDir makes earlier creations, renames and removals durable.
 func (d Dir) SyncDir() error {
 	f, err := os.Open(string(d))
 	if err != nil {
 		return err
 	}
-	defer f.Close()
+	defer func() { _ = f.Close() }()
 	return f.Sync()
 }
 
-// Lock is FS's.
+// Lock takes an exclusive lock of the file for this process, or returns an error that wraps ErrLocked.
 func (d Dir) Lock(name string) (io.Closer, error) {
 	f, err := os.OpenFile(d.path(name), os.O_RDWR|os.O_CREATE, 0o600)
 	if err != nil {
 		return nil, err
 	}
 	if err := syscall.Flock(int(f.Fd()), syscall.LOCK_EX|syscall.LOCK_NB); err != nil {
-		f.Close()
+		_ = f.Close()
 		return nil, fmt.Errorf("%s: %w", d.path(name), ErrLocked)
 	}
 	return f, nil
--- a/internal/kv/idle_test.go
+++ b/internal/kv/idle_test.go
@@ -1,21 +1,15 @@
 package kv
 
-import (
-	"time"
-)
+import "time"
 
-// Quiet waits until nothing is due in the background, or it has failed or finds no room; that it tries again.
-func (db *DB) Quiet() error {
+// WaitIdle waits until the background has nothing to do, or has failed or found the disk full; then it returns that error.
+func (db *DB) WaitIdle() error {
 	for {
 		db.mu.Lock()
-		var sizes []int64
-		for _, r := range db.runs {
-			sizes = append(sizes, r.size)
-		}
-		_, to := pickMerge(sizes)
-		due, err := db.full != nil || to > 0, db.failed
+		_, to := pickMerge(db.runSizes())
+		due, err := db.immutable != nil || to > 0, db.failed
 		if err == nil && due {
-			err = db.short
+			err = db.diskFull
 		}
 		db.mu.Unlock()
 		if err != nil || !due {
--- a/internal/kv/log.go
+++ b/internal/kv/log.go
@@ -34,13 +34,13 @@
 	opts Options
 	lock io.Closer
 
-	mu      sync.Mutex // guards what follows; not held over a write or a sync
-	turn    *sync.Cond
-	waiting []*commit
-	leading bool // some writer writes for all
-	next    uint64
-	failed  error
-	closed  bool
+	mu        sync.Mutex // guards what follows; not held over a write or a sync
+	committed *sync.Cond
+	pending   []*pendingCommit
+	writing   bool // some writer writes for all
+	next      uint64
+	failed    error
+	closed    bool
 
 	// The leader's own.
 	name string
@@ -49,11 +49,11 @@
 }
 
 // commit is one that waits for its batch to last.
-type commit struct {
-	payload []byte
-	seq     uint64
-	done    bool
-	err     error
+type pendingCommit struct {
+	payload  []byte
+	seq      uint64
+	finished bool
+	err      error
 }
 
 // OpenLog recovers the log of a folder and returns what is committed in it. Damage is refused and changes nothing; a
@@ -79,9 +79,9 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	l = &Log{fs: fs, opts: o, lock: lock, next: p.Next, name: p.Last, size: p.End}
-	l.turn = sync.NewCond(&l.mu)
-	if err := l.settle(p); err != nil {
+	l = &Log{fs: fs, opts: o, lock: lock, next: p.Next, name: p.TailSegment, size: p.TailSize}
+	l.committed = sync.NewCond(&l.mu)
+	if err := l.prepareTail(p); err != nil {
 		return nil, nil, err
 	}
 	return l, p.Entries, nil
@@ -109,7 +109,7 @@
 
 // settle carries out a recovery's plan, so that what is written next follows what is committed. It may be cut itself,
 // and be carried out again.
-func (l *Log) settle(p Plan) error {
+func (l *Log) prepareTail(p RecoveryPlan) error {
 	if p.Cut != nil && p.Cut.Complete {
 		if err := l.fs.Remove(p.Cut.File); err != nil {
 			return fmt.Errorf("%s: %w", p.Cut.File, err)
@@ -153,28 +153,28 @@
 	if err != nil {
 		return 0, err
 	}
-	c := &commit{payload: payload}
+	c := &pendingCommit{payload: payload}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.waiting = append(l.waiting, c)
-	for !c.done && l.leading {
-		l.turn.Wait()
+	l.pending = append(l.pending, c)
+	for !c.finished && l.writing {
+		l.committed.Wait()
 	}
-	if !c.done {
-		l.lead()
+	if !c.finished {
+		l.commitGroup()
 	}
 	return c.seq, c.err
 }
 
 // lead writes for all that wait. The caller holds the lock, and gets it back.
-func (l *Log) lead() {
-	l.leading = true
-	list := l.waiting
-	l.waiting = nil
+func (l *Log) commitGroup() {
+	l.writing = true
+	list := l.pending
+	l.pending = nil
 	total := 0
 	for i, c := range list { // as much as fits into a few records' room; the rest waits for the next
 		if total += len(c.payload); total > 2*MaxBatch && i > 0 {
-			l.waiting, list = list[i:], list[:i]
+			l.pending, list = list[i:], list[:i]
 			break
 		}
 	}
@@ -203,20 +203,20 @@
 		}
 	}
 	for i, c := range list {
-		c.done = true
+		c.finished = true
 		if c.err = err; err == nil {
 			c.seq = first + uint64(i)
 			l.next = c.seq + 1
 		}
 	}
-	l.leading = false
-	l.turn.Broadcast()
+	l.writing = false
+	l.committed.Broadcast()
 }
 
 // write puts records behind what is synced, and syncs them. An error that is not ErrFull is final.
-func (l *Log) write(first uint64, list []*commit) error {
+func (l *Log) write(first uint64, list []*pendingCommit) error {
 	if l.file == nil || l.size >= l.opts.SegmentBytes {
-		if err := l.begin(first); err != nil {
+		if err := l.startSegment(first); err != nil {
 			return err
 		}
 	}
@@ -243,7 +243,7 @@
 }
 
 // begin starts a new segment. All of the one before is synced.
-func (l *Log) begin(first uint64) error {
+func (l *Log) startSegment(first uint64) error {
 	name := fmt.Sprintf(segmentPattern, first)
 	file, err := l.fs.Create(name)
 	if err != nil {
@@ -262,7 +262,7 @@
 		}
 		return fmt.Errorf("%s: %w (%w)", name, ErrFull, err)
 	}
-	if _, err := file.Write(appendSegmentHead(nil, first)); err != nil {
+	if _, err := file.Write(appendSegmentHeader(nil, first)); err != nil {
 		return undo(err)
 	}
 	if err := file.Sync(); err != nil {
@@ -276,7 +276,7 @@
 	if l.file != nil {
 		l.file.Close()
 	}
-	l.name, l.file, l.size = name, file, segmentHead
+	l.name, l.file, l.size = name, file, segmentHeaderSize
 	return nil
 }
 
@@ -327,8 +327,8 @@
 	if l.closed {
 		return ErrClosed
 	}
-	for l.leading || len(l.waiting) > 0 {
-		l.turn.Wait()
+	for l.writing || len(l.pending) > 0 {
+		l.committed.Wait()
 	}
 	l.closed = true
 	var err error
--- a/internal/kv/log_test.go
+++ b/internal/kv/log_test.go
@@ -124,7 +124,7 @@
 	for at := range whole {
 		c := d.Clone()
 		c.Put(names[1], whole[:at])
-		var damage *kv.Damage
+		var damage *kv.CorruptionError
 		_, _, err := kv.OpenLog(c, small)
 		if !errors.As(err, &damage) || damage.File != names[1] && damage.File != names[2] || damage.Offset > int64(at) {
 			t.Fatalf("cut at %d: %v", at, err)
--- a/internal/kv/manifest.go
+++ b/internal/kv/manifest.go
@@ -14,14 +14,14 @@
 	tablePattern  = "%08d.table"
 )
 
-// manifest is what is known of the runs.
+// manifest lists the runs, in order, and the sequence number up to which they hold everything.
 type manifest struct {
 	flushed uint64   // all batches up to this number are in the runs
 	next    uint64   // the number of the next table's file
 	runs    []uint64 // numbers of the tables' files, newest first
 }
 
-var errManifest = errors.New("manifest is damaged")
+var errManifestCorrupt = errors.New("manifest is damaged")
 
 func (m manifest) encode() []byte {
 	out := append([]byte(manifestMagic), formatVersion, 0, 0, 0)
@@ -34,14 +34,14 @@
 	return binary.LittleEndian.AppendUint32(out, crc32.Checksum(out, castagnoli))
 }
 
-func readManifest(raw []byte) (m manifest, err error) {
+func decodeManifest(raw []byte) (m manifest, err error) {
 	const head = 28
 	if len(raw) < head+4 || string(raw[:4]) != manifestMagic || raw[4] != formatVersion {
-		return m, errManifest
+		return m, errManifestCorrupt
 	}
 	n := int(binary.LittleEndian.Uint32(raw[24:]))
 	if n > 1<<20 || len(raw) != head+8*n+4 || crc32.Checksum(raw[:len(raw)-4], castagnoli) != binary.LittleEndian.Uint32(raw[len(raw)-4:]) {
-		return m, errManifest
+		return m, errManifestCorrupt
 	}
 	m.flushed, m.next = binary.LittleEndian.Uint64(raw[8:]), binary.LittleEndian.Uint64(raw[16:])
 	for i := range n {
@@ -50,15 +50,16 @@
 	return m, nil
 }
 
-// install makes a manifest last, and only then lets it hold.
-func (db *DB) install(m manifest) error {
-	file, err := db.fresh(manifestNew)
+// installManifest writes the manifest beside the current one, syncs it, and renames it over that: a crash leaves one of the two,
+// never a part of either.
+func (db *DB) installManifest(m manifest) error {
+	file, err := db.createReplacing(manifestNew)
 	if err == nil {
 		if _, err = file.Write(m.encode()); err == nil {
 			err = file.Sync()
 		}
-		if cerr := file.Close(); err == nil {
-			err = cerr
+		if closeErr := file.Close(); err == nil {
+			err = closeErr
 		}
 		if err != nil {
 			err = errors.Join(err, db.fs.Remove(manifestNew))
@@ -70,8 +71,8 @@
 	if err != nil {
 		return fmt.Errorf("%s: %w", manifestName, err)
 	}
-	if err := db.fs.SyncDir(); err != nil { // which of the two lasts is not known: final, whatever the cause
-		return fmt.Errorf("folder: %v", err)
+	if err := db.fs.SyncDir(); err != nil { // which of the two manifests is on disk is unknown
+		return fmt.Errorf("folder: %v", err) //nolint:errorlint // unwrapped on purpose: a full disk here must count as final
 	}
 	return nil
 }
--- a/internal/kv/memtable.go
+++ b/internal/kv/memtable.go
@@ -6,20 +6,23 @@
 	"github.com/google/btree"
 )
 
-// memory is a memory table.
-type memory struct {
-	tree  *btree.BTreeG[entry]
-	spans []span
-	bytes int64
-	upTo  uint64
+// iteratorBatch is how many entries an iterator takes from the tree at once.
+const iteratorBatch = 64
+
+// memtable holds the batches that are in the log and not yet in a run.
+type memtable struct {
+	tree       *btree.BTreeG[entry]
+	tombstones []rangeTombstone
+	bytes      int64
+	maxSeq     uint64
 }
 
-func newMemory() *memory {
-	return &memory{tree: btree.NewG(32, func(a, b entry) bool { return order(a, b) < 0 })}
+func newMemtable() *memtable {
+	return &memtable{tree: btree.NewG(32, func(a, b entry) bool { return compareEntries(a, b) < 0 })}
 }
 
-// apply takes in a batch.
-func (m *memory) apply(seq uint64, b Batch) {
+// apply adds a batch.
+func (m *memtable) apply(seq uint64, b Batch) {
 	for _, op := range b {
 		m.bytes += int64(len(op.Key) + len(op.Value) + 64)
 		switch op.Kind {
@@ -28,7 +31,7 @@
 		case Delete:
 			m.tree.ReplaceOrInsert(entry{key: op.Key, seq: seq, deleted: true})
 		case DeleteRange:
-			var same []entry // what the batch itself put there before
+			var same []entry // of the same batch: the tombstone has their sequence number and would not cover them
 			m.tree.AscendRange(entry{key: op.Key, seq: ^uint64(0)}, entry{key: op.Value, seq: ^uint64(0)}, func(e entry) bool {
 				if e.seq == seq {
 					same = append(same, e)
@@ -38,14 +41,14 @@
 			for _, e := range same {
 				m.tree.Delete(e)
 			}
-			m.spans = append(m.spans, span{op.Key, op.Value, seq})
+			m.tombstones = append(m.tombstones, rangeTombstone{op.Key, op.Value, seq})
 		}
 	}
-	m.upTo = seq
+	m.maxSeq = seq
 }
 
-// get is the newest version of a key up to a number.
-func (m *memory) get(key []byte, upTo uint64) (found entry, ok bool) {
+// get returns the newest version of a key up to a sequence number.
+func (m *memtable) get(key []byte, upTo uint64) (found entry, ok bool) {
 	m.tree.AscendGreaterOrEqual(entry{key: key, seq: upTo}, func(e entry) bool {
 		if bytes.Equal(e.key, key) {
 			found, ok = e, true
@@ -55,8 +58,8 @@
 	return found, ok
 }
 
-// iterate returns a pull over a copy of the entries from a key on; the copy costs nothing until something changes.
-func (m *memory) iterate(from []byte) func() (entry, bool, error) {
+// iterator reads a copy-on-write clone of the entries from a key on.
+func (m *memtable) iterator(from []byte) iterator {
 	tree := m.tree.Clone()
 	at := entry{key: from, seq: ^uint64(0)}
 	var list []entry
@@ -65,10 +68,10 @@
 		if len(list) == 0 && !done {
 			tree.AscendGreaterOrEqual(at, func(e entry) bool {
 				list = append(list, e)
-				return len(list) < 65
+				return len(list) <= iteratorBatch
 			})
-			if done = len(list) < 65; !done { // the last one is where the next pull begins
-				at, list = list[64], list[:64]
+			if done = len(list) <= iteratorBatch; !done { // the last one is where the next batch begins
+				at, list = list[iteratorBatch], list[:iteratorBatch]
 			}
 		}
 		if len(list) == 0 {
--- a/internal/kv/recover.go
+++ b/internal/kv/recover.go
@@ -29,13 +29,13 @@
 }
 
 // Damage is what can't have come from a cut: the file and the offset at which it begins.
-type Damage struct {
+type CorruptionError struct {
 	File   string
 	Offset int64
 	Cause  string
 }
 
-func (d *Damage) Error() string {
+func (d *CorruptionError) Error() string {
 	return fmt.Sprintf("%s: damage at offset %d: %s; `gullfall store repair` saves what is whole", d.File, d.Offset, d.Cause)
 }
 
@@ -54,34 +54,34 @@
 }
 
 // Plan is what recovery comes to.
-type Plan struct {
-	Entries []Entry
-	Cut     *Cut   // nil where nothing is torn
-	Next    uint64 // the sequence number that comes next
-	Last    string // the segment to write on; empty where a new one is needed
-	End     int64  // its length once Cut was carried out
+type RecoveryPlan struct {
+	Entries     []Entry
+	Cut         *Cut   // nil where nothing is torn
+	Next        uint64 // the sequence number that comes next
+	TailSegment string // the segment to write on; empty where a new one is needed
+	TailSize    int64  // its length once Cut was carried out
 }
 
 // Recover reads the segments of a log, in order. A *Damage is returned with the plan of what is whole before it.
-func Recover(segments []Segment) (p Plan, err error) {
+func Recover(segments []Segment) (p RecoveryPlan, err error) {
 	p.Next = 1
 	for i, s := range segments {
 		last := i == len(segments)-1
-		first, err := readSegmentHead(s.Bytes)
+		first, err := decodeSegmentHeader(s.Bytes)
 		switch {
-		case errors.Is(err, errHeadVersion):
+		case errors.Is(err, errHeaderVersion):
 			return p, fmt.Errorf("%s: %w", s.Name, err)
-		case err != nil && last && !later(s.Bytes, p.Next):
+		case err != nil && last && !containsLaterRecord(s.Bytes, p.Next):
 			p.Cut = &Cut{File: s.Name, Bytes: int64(len(s.Bytes)), Complete: true}
 			return p, nil
 		case err != nil:
-			return p, &Damage{s.Name, 0, err.Error()}
+			return p, &CorruptionError{s.Name, 0, err.Error()}
 		case i == 0:
 			p.Next = first // what came before was compacted away
 		case first != p.Next:
-			return p, &Damage{s.Name, 8, fmt.Sprintf("begins with number %d where %d comes next: a segment is missing", first, p.Next)}
+			return p, &CorruptionError{s.Name, 8, fmt.Sprintf("begins with number %d where %d comes next: a segment is missing", first, p.Next)}
 		}
-		if err := p.segment(s, last); err != nil {
+		if err := p.readSegment(s, last); err != nil {
 			return p, err
 		}
 	}
@@ -89,23 +89,23 @@
 }
 
 // segment reads the records of one segment.
-func (p *Plan) segment(s Segment, last bool) error {
-	at := segmentHead
+func (p *RecoveryPlan) readSegment(s Segment, last bool) error {
+	at := segmentHeaderSize
 	for at < len(s.Bytes) {
-		r, size, ok := readRecord(s.Bytes[at:])
+		r, size, ok := decodeRecord(s.Bytes[at:])
 		if !ok {
-			if last && !later(s.Bytes[at:], p.Next) {
+			if last && !containsLaterRecord(s.Bytes[at:], p.Next) {
 				p.Cut = &Cut{File: s.Name, Offset: int64(at), Bytes: int64(len(s.Bytes) - at)}
 				break
 			}
-			return &Damage{s.Name, int64(at), fmt.Sprintf("no whole record, number %d was to come", p.Next)}
+			return &CorruptionError{s.Name, int64(at), fmt.Sprintf("no whole record, number %d was to come", p.Next)}
 		}
 		if r.seq != p.Next || r.kind != kindGroup {
-			return &Damage{s.Name, int64(at), fmt.Sprintf("record of kind %d and number %d where number %d was to come", r.kind, r.seq, p.Next)}
+			return &CorruptionError{s.Name, int64(at), fmt.Sprintf("record of kind %d and number %d where number %d was to come", r.kind, r.seq, p.Next)}
 		}
 		group, err := decodeGroup(r.payload)
 		if err != nil {
-			return &Damage{s.Name, int64(at), err.Error()}
+			return &CorruptionError{s.Name, int64(at), err.Error()}
 		}
 		for _, b := range group {
 			p.Entries = append(p.Entries, Entry{p.Next, b})
@@ -113,18 +113,18 @@
 		}
 		at += size
 	}
-	p.Last, p.End = s.Name, int64(at)
+	p.TailSegment, p.TailSize = s.Name, int64(at)
 	return nil
 }
 
 // later tells whether bytes hold, at any offset, a whole record whose number is at least next and not far beyond it: one
 // that was written after a place where no record can be read.
-func later(raw []byte, next uint64) bool {
-	for at := 0; at+recordHead <= len(raw); at++ {
+func containsLaterRecord(raw []byte, next uint64) bool {
+	for at := 0; at+recordHeaderSize <= len(raw); at++ {
 		if raw[at+8] != kindGroup {
 			continue
 		}
-		if r, _, ok := readRecord(raw[at:]); ok && r.seq >= next && r.seq-next < 1<<32 && len(r.payload) > 0 {
+		if r, _, ok := decodeRecord(raw[at:]); ok && r.seq >= next && r.seq-next < 1<<32 && len(r.payload) > 0 {
 			return true
 		}
 	}
--- a/internal/kv/salvage_test.go
+++ b/internal/kv/salvage_test.go
@@ -6,8 +6,8 @@
 // numbers that are lost.
 func Salvage(segments []Segment) (saved []Entry, lost [][2]uint64) {
 	for _, s := range segments {
-		for at := 0; at+recordHead <= len(s.Bytes); {
-			r, size, ok := readRecord(s.Bytes[at:])
+		for at := 0; at+recordHeaderSize <= len(s.Bytes); {
+			r, size, ok := decodeRecord(s.Bytes[at:])
 			group, err := decodeGroup(r.payload)
 			if !ok || r.kind != kindGroup || err != nil {
 				at++
--- a/internal/kv/table.go
+++ b/internal/kv/table.go
@@ -17,11 +17,11 @@
 )
 
 const (
-	tableMagic  = "GFKT"
-	tableFoot   = 36 // offsets of index, filter, ranges: 8 each; highest number 8 ... and checksum 4
-	blockBytes  = 4 << 10
-	bitsPerKey  = 10
-	filterProbe = 7
+	tableMagic   = "GFKT"
+	tableFooter  = 36 // offsets of index, filter, ranges: 8 each; highest number 8 ... and checksum 4
+	blockBytes   = 4 << 10
+	bitsPerKey   = 10
+	filterHashes = 7
 )
 
 // entry is one version of a key: its value, or that it was deleted.
@@ -33,7 +33,7 @@
 }
 
 // order is by key, and of a key the newest first.
-func order(a, b entry) int {
+func compareEntries(a, b entry) int {
 	if c := bytes.Compare(a.key, b.key); c != 0 {
 		return c
 	}
@@ -47,46 +47,46 @@
 }
 
 // span is a range of keys, from on and before to, of which all versions up to a number are deleted.
-type span struct {
-	from, to []byte
-	seq      uint64
+type rangeTombstone struct {
+	start, end []byte
+	seq        uint64
 }
 
-func (s span) holds(key []byte) bool {
-	return bytes.Compare(s.from, key) <= 0 && bytes.Compare(key, s.to) < 0
+func (s rangeTombstone) contains(key []byte) bool {
+	return bytes.Compare(s.start, key) <= 0 && bytes.Compare(key, s.end) < 0
 }
 
 // tableWriter writes a table to a file as its entries come.
 type tableWriter struct {
-	out    io.Writer
-	at     int64
-	block  []byte
-	last   []byte
-	index  []byte
-	hashes []uint64
-	spans  []span
-	count  uint64
-	err    error
+	file       io.Writer
+	offset     int64
+	block      []byte
+	lastKey    []byte
+	index      []byte
+	hashes     []uint64
+	tombstones []rangeTombstone
+	count      uint64
+	err        error
 }
 
 func (w *tableWriter) write(raw []byte) {
 	if w.err == nil {
 		var n int
-		n, w.err = w.out.Write(raw)
-		w.at += int64(n)
+		n, w.err = w.file.Write(raw)
+		w.offset += int64(n)
 	}
 }
 
 // section writes bytes and their checksum, and returns where they begin.
 func (w *tableWriter) section(raw []byte) (at int64) {
-	at = w.at
+	at = w.offset
 	w.write(binary.LittleEndian.AppendUint32(raw, crc32.Checksum(raw, castagnoli)))
 	return at
 }
 
 // add appends an entry; entries come in order.
 func (w *tableWriter) add(e entry) {
-	if !bytes.Equal(e.key, w.last) || len(w.hashes) == 0 {
+	if !bytes.Equal(e.key, w.lastKey) || len(w.hashes) == 0 {
 		w.hashes = append(w.hashes, xxhash.Sum64(e.key))
 	}
 	kind := byte(opPut)
@@ -99,21 +99,21 @@
 	w.block = append(w.block, e.key...)
 	w.block = binary.AppendUvarint(w.block, uint64(len(e.value)))
 	w.block = append(w.block, e.value...)
-	w.last = append(w.last[:0], e.key...)
+	w.lastKey = append(w.lastKey[:0], e.key...)
 	if w.count++; len(w.block) >= blockBytes {
-		w.flush()
+		w.finishBlock()
 	}
 }
 
 // flush ends a block; the index has its last key, its offset and its length.
-func (w *tableWriter) flush() {
+func (w *tableWriter) finishBlock() {
 	if len(w.block) == 0 {
 		return
 	}
 	n := len(w.block)
 	at := w.section(w.block)
-	w.index = binary.AppendUvarint(w.index, uint64(len(w.last)))
-	w.index = append(w.index, w.last...)
+	w.index = binary.AppendUvarint(w.index, uint64(len(w.lastKey)))
+	w.index = append(w.index, w.lastKey...)
 	w.index = binary.AppendUvarint(w.index, uint64(at))
 	w.index = binary.AppendUvarint(w.index, uint64(n))
 	w.block = w.block[:0]
@@ -121,13 +121,13 @@
 
 // finish writes the index, the filter, the ranges and the foot. The caller syncs the file.
 func (w *tableWriter) finish(upTo uint64) error {
-	w.flush()
+	w.finishBlock()
 	index := w.section(w.index)
 	filter := w.section(newFilter(w.hashes))
 	var raw []byte
-	for _, s := range w.spans {
+	for _, s := range w.tombstones {
 		raw = binary.AppendUvarint(raw, s.seq)
-		for _, k := range [][]byte{s.from, s.to} {
+		for _, k := range [][]byte{s.start, s.end} {
 			raw = binary.AppendUvarint(raw, uint64(len(k)))
 			raw = append(raw, k...)
 		}
@@ -148,7 +148,7 @@
 	raw := make([]byte, (bits+7)/8)
 	bits = uint64(len(raw)) * 8
 	for _, h := range hashes {
-		for i, d := uint64(0), h>>33|1; i < filterProbe; i++ {
+		for i, d := uint64(0), h>>33|1; i < filterHashes; i++ {
 			b := (h + i*d) % bits
 			raw[b/8] |= 1 << (b % 8)
 		}
@@ -157,9 +157,9 @@
 }
 
 // mayHold tells whether a key may be among those of a filter.
-func mayHold(filter []byte, key []byte) bool {
+func mayContain(filter []byte, key []byte) bool {
 	h, bits := xxhash.Sum64(key), uint64(len(filter))*8
-	for i, d := uint64(0), h>>33|1; i < filterProbe; i++ {
+	for i, d := uint64(0), h>>33|1; i < filterHashes; i++ {
 		b := (h + i*d) % bits
 		if filter[b/8]&(1<<(b%8)) == 0 {
 			return false
@@ -169,38 +169,38 @@
 }
 
 // blockAt is one line of an index.
-type blockAt struct {
-	last   []byte
-	offset int64
-	length int
+type blockHandle struct {
+	lastKey []byte
+	offset  int64
+	length  int
 }
 
 // table is one that is open for reading. It may be used by several goroutines.
 type table struct {
-	name   string
-	in     io.ReaderAt
-	size   int64
-	index  []blockAt
-	filter []byte
-	spans  []span
-	upTo   uint64 // highest number in it
+	name       string
+	in         io.ReaderAt
+	size       int64
+	index      []blockHandle
+	filter     []byte
+	tombstones []rangeTombstone
+	maxSeq     uint64 // highest number in it
 }
 
-func (t *table) damage(at int64, cause string) error {
-	return &Damage{t.name, at, "table: " + cause}
+func (t *table) corrupt(at int64, cause string) error {
+	return &CorruptionError{t.name, at, "table: " + cause}
 }
 
 // read returns n bytes at an offset that match the checksum behind them.
 func (t *table) read(at int64, n int) ([]byte, error) {
 	if at < 0 || n < 0 || at+int64(n)+4 > t.size {
-		return nil, t.damage(at, "points beyond its end")
+		return nil, t.corrupt(at, "points beyond its end")
 	}
 	raw := make([]byte, n+4)
 	if _, err := t.in.ReadAt(raw, at); err != nil && err != io.EOF {
 		return nil, fmt.Errorf("%s: %w", t.name, err)
 	}
 	if crc32.Checksum(raw[:n], castagnoli) != binary.LittleEndian.Uint32(raw[n:]) {
-		return nil, t.damage(at, "checksum")
+		return nil, t.corrupt(at, "checksum")
 	}
 	return raw[:n:n], nil
 }
@@ -208,36 +208,36 @@
 // openTable reads a table's foot, index, filter and ranges.
 func openTable(name string, in io.ReaderAt, size int64) (*table, error) {
 	t := &table{name: name, in: in, size: size}
-	foot, err := t.read(size-tableFoot-4, tableFoot)
+	foot, err := t.read(size-tableFooter-4, tableFooter)
 	if err != nil {
 		return nil, err
 	}
 	if string(foot[32:]) != tableMagic {
-		return nil, t.damage(size-tableFoot-4, "no foot")
+		return nil, t.corrupt(size-tableFooter-4, "no foot")
 	}
 	at := [3]int64{}
 	for i := range at {
 		at[i] = int64(binary.LittleEndian.Uint64(foot[8*i:]))
 	}
-	t.upTo = binary.LittleEndian.Uint64(foot[24:])
-	end := size - tableFoot - 4
+	t.maxSeq = binary.LittleEndian.Uint64(foot[24:])
+	end := size - tableFooter - 4
 	raw, err := t.read(at[0], int(at[1]-at[0]-4))
 	if err != nil {
 		return nil, err
 	}
 	for len(raw) > 0 {
-		var b blockAt
+		var b blockHandle
 		var ok bool
-		if b.last, raw, ok = cutBytes(raw, MaxKey); !ok {
-			return nil, t.damage(at[0], "index")
+		if b.lastKey, raw, ok = readBytes(raw, MaxKey); !ok {
+			return nil, t.corrupt(at[0], "index")
 		}
 		offset, a := binary.Uvarint(raw)
 		if a <= 0 {
-			return nil, t.damage(at[0], "index")
+			return nil, t.corrupt(at[0], "index")
 		}
 		length, l := binary.Uvarint(raw[a:])
 		if l <= 0 || offset > uint64(at[0]) || length > uint64(at[0])-offset {
-			return nil, t.damage(at[0], "index")
+			return nil, t.corrupt(at[0], "index")
 		}
 		b.offset, b.length, raw = int64(offset), int(length), raw[a+l:]
 		t.index = append(t.index, b)
@@ -246,7 +246,7 @@
 		return nil, err
 	}
 	if len(t.filter) == 0 {
-		return nil, t.damage(at[1], "filter")
+		return nil, t.corrupt(at[1], "filter")
 	}
 	if raw, err = t.read(at[2], int(end-at[2]-4)); err != nil {
 		return nil, err
@@ -254,22 +254,22 @@
 	for len(raw) > 0 {
 		seq, n := binary.Uvarint(raw)
 		if n <= 0 {
-			return nil, t.damage(at[2], "ranges")
+			return nil, t.corrupt(at[2], "ranges")
 		}
-		s, ok := span{seq: seq}, false
-		if s.from, raw, ok = cutBytes(raw[n:], MaxKey); ok {
-			s.to, raw, ok = cutBytes(raw, MaxKey)
+		s, ok := rangeTombstone{seq: seq}, false
+		if s.start, raw, ok = readBytes(raw[n:], MaxKey); ok {
+			s.end, raw, ok = readBytes(raw, MaxKey)
 		}
 		if !ok {
-			return nil, t.damage(at[2], "ranges")
+			return nil, t.corrupt(at[2], "ranges")
 		}
-		t.spans = append(t.spans, s)
+		t.tombstones = append(t.tombstones, s)
 	}
 	return t, nil
 }
 
 // cutBytes takes a length and so many bytes off the front.
-func cutBytes(raw []byte, most int) (field, rest []byte, ok bool) {
+func readBytes(raw []byte, most int) (field, rest []byte, ok bool) {
 	n, used := binary.Uvarint(raw)
 	if used <= 0 || n > uint64(most) || n > uint64(len(raw)-used) {
 		return nil, nil, false
@@ -290,12 +290,12 @@
 		ok := n > 0 && (raw[0] == opPut || raw[0] == opDelete)
 		if ok {
 			e.seq = seq
-			if e.key, raw, ok = cutBytes(raw[1+n:], MaxKey); ok {
-				e.value, raw, ok = cutBytes(raw, MaxValue)
+			if e.key, raw, ok = readBytes(raw[1+n:], MaxKey); ok {
+				e.value, raw, ok = readBytes(raw, MaxValue)
 			}
 		}
 		if !ok {
-			return nil, t.damage(b.offset, "entry")
+			return nil, t.corrupt(b.offset, "entry")
 		}
 		list = append(list, e)
 	}
@@ -304,10 +304,10 @@
 
 // get is the newest version of a key up to a number; found is false where there is none.
 func (t *table) get(key []byte, upTo uint64) (e entry, found bool, err error) {
-	if !mayHold(t.filter, key) {
+	if !mayContain(t.filter, key) {
 		return e, false, nil
 	}
-	i := sort.Search(len(t.index), func(i int) bool { return bytes.Compare(t.index[i].last, key) >= 0 })
+	i := sort.Search(len(t.index), func(i int) bool { return bytes.Compare(t.index[i].lastKey, key) >= 0 })
 	for ; i < len(t.index); i++ { // versions of a key may go on in the next block
 		list, err := t.block(i)
 		if err != nil {
@@ -325,8 +325,8 @@
 }
 
 // iterate returns a pull over the entries from a key on, in order.
-func (t *table) iterate(from []byte) func() (entry, bool, error) {
-	i := sort.Search(len(t.index), func(i int) bool { return bytes.Compare(t.index[i].last, from) >= 0 })
+func (t *table) iterator(from []byte) func() (entry, bool, error) {
+	i := sort.Search(len(t.index), func(i int) bool { return bytes.Compare(t.index[i].lastKey, from) >= 0 })
 	var list []entry
 	first := true
 	return func() (entry, bool, error) {
--- a/internal/kv/view.go
+++ b/internal/kv/view.go
@@ -5,33 +5,33 @@
 	"slices"
 )
 
-// View reads the store as of one number, while writing goes on. It must be closed.
+// View reads the store as of one sequence number, while writing goes on. It must be closed.
 type View struct {
-	db     *DB
-	seq    uint64
-	tables []*memory
-	runs   []*run
-	closed bool
+	db        *DB
+	seq       uint64
+	memtables []*memtable
+	runs      []*run
+	closed    bool
 }
 
-// Snapshot opens a view of all that is visible now.
+// Snapshot opens a view of all batches that are visible now.
 func (db *DB) Snapshot() *View {
 	db.mu.Lock()
 	defer db.mu.Unlock()
 	v := &View{db: db, seq: db.visible, runs: slices.Clone(db.runs)}
-	db.snaps[v.seq]++
+	db.snapshots[v.seq]++
 	for _, r := range v.runs {
-		r.users++
+		r.references++
 	}
-	for _, m := range []*memory{db.mem, db.full} {
+	for _, m := range []*memtable{db.active, db.immutable} {
 		if m != nil {
-			v.tables = append(v.tables, &memory{tree: m.tree.Clone(), spans: slices.Clone(m.spans)})
+			v.memtables = append(v.memtables, &memtable{tree: m.tree.Clone(), tombstones: slices.Clone(m.tombstones)})
 		}
 	}
 	return v
 }
 
-// Close gives the view back.
+// Close releases the view. A second call does nothing.
 func (v *View) Close() {
 	v.db.mu.Lock()
 	defer v.db.mu.Unlock()
@@ -39,56 +39,57 @@
 		return
 	}
 	v.closed = true
-	if v.db.snaps[v.seq]--; v.db.snaps[v.seq] == 0 {
-		delete(v.db.snaps, v.seq)
+	if v.db.snapshots[v.seq]--; v.db.snapshots[v.seq] == 0 {
+		delete(v.db.snapshots, v.seq)
 	}
-	v.db.release(v.runs)
+	v.db.releaseRuns(v.runs)
 }
 
-// Seq is the number that the view is of.
+// Seq is the sequence number that the view reads as of.
 func (v *View) Seq() uint64 { return v.seq }
 
-// deletedBelow is the highest number up to which a key's versions are deleted by a range.
-func (v *View) deletedBelow(key []byte) (seq uint64) {
-	look := func(list []span) {
-		for _, s := range list {
-			if s.seq <= v.seq && s.seq > seq && s.holds(key) {
-				seq = s.seq
-			}
+// tombstoneSeq is the highest sequence number of a range tombstone of the view that contains the key; 0 for none.
+func (v *View) tombstoneSeq(key []byte) (seq uint64) {
+	v.eachTombstone(func(t rangeTombstone) {
+		if t.seq > seq && t.contains(key) {
+			seq = t.seq
 		}
-	}
-	for _, m := range v.tables {
-		look(m.spans)
-	}
-	for _, r := range v.runs {
-		look(r.spans)
-	}
+	})
 	return seq
 }
 
-// spansFrom lists the ranges that are deleted as of the view and reach beyond a key, by where they end.
-func (v *View) spansFrom(key []byte) (list []span) {
-	look := func(of []span) {
-		for _, s := range of {
-			if s.seq <= v.seq && bytes.Compare(s.to, key) > 0 {
-				list = append(list, s)
+// tombstonesFrom lists the range tombstones of the view that end behind a key, in the order of their ends.
+func (v *View) tombstonesFrom(key []byte) (list []rangeTombstone) {
+	v.eachTombstone(func(t rangeTombstone) {
+		if bytes.Compare(t.end, key) > 0 {
+			list = append(list, t)
+		}
+	})
+	slices.SortFunc(list, func(a, b rangeTombstone) int { return bytes.Compare(a.end, b.end) })
+	return list
+}
+
+// eachTombstone visits the range tombstones that were written before the view was opened.
+func (v *View) eachTombstone(visit func(rangeTombstone)) {
+	visitAll := func(list []rangeTombstone) {
+		for _, t := range list {
+			if t.seq <= v.seq {
+				visit(t)
 			}
 		}
 	}
-	for _, m := range v.tables {
-		look(m.spans)
+	for _, m := range v.memtables {
+		visitAll(m.tombstones)
 	}
 	for _, r := range v.runs {
-		look(r.spans)
+		visitAll(r.tombstones)
 	}
-	slices.SortFunc(list, func(a, b span) int { return bytes.Compare(a.to, b.to) })
-	return list
 }
 
-// Get is a key's value, or ErrNotFound.
+// Get returns a key's value, or ErrNotFound.
 func (v *View) Get(key []byte) ([]byte, error) {
 	found, ok := entry{}, false
-	for _, m := range v.tables {
+	for _, m := range v.memtables {
 		if found, ok = m.get(key, v.seq); ok {
 			break
 		}
@@ -99,28 +100,20 @@
 			return nil, err
 		}
 	}
-	if !ok || found.deleted || found.seq < v.deletedBelow(key) {
+	if !ok || found.deleted || found.seq < v.tombstoneSeq(key) {
 		return nil, ErrNotFound
 	}
 	return bytes.Clone(found.value), nil
 }
 
-// Each calls for each key of a prefix, in order, until it returns false.
+// Each calls each for the keys of a prefix, in order, until it returns false. The slices are valid during the call only.
 func (v *View) Each(prefix []byte, each func(key, value []byte) bool) error {
-	var pulls []func() (entry, bool, error)
-	for _, m := range v.tables {
-		pulls = append(pulls, m.iterate(prefix))
-	}
-	for _, r := range v.runs {
-		pulls = append(pulls, r.iterate(prefix))
-	}
-	next, err := mergePulls(pulls)
+	next, err := v.iterator(prefix)
 	if err != nil {
 		return err
 	}
-	var last []byte
-	spans := v.spansFrom(prefix)
-	for begun := false; ; {
+	newest := newestVersions{seq: v.seq, tombstones: v.tombstonesFrom(prefix)}
+	for {
 		e, ok, err := next()
 		if err != nil {
 			return err
@@ -128,61 +121,44 @@
 		if !ok || !bytes.HasPrefix(e.key, prefix) {
 			return nil
 		}
-		if e.seq > v.seq || begun && bytes.Equal(e.key, last) {
-			continue
-		}
-		last, begun = append(last[:0], e.key...), true
-		for len(spans) > 0 && bytes.Compare(spans[0].to, e.key) <= 0 { // keys come in order: it holds none of those to come
-			spans = spans[1:]
-		}
-		if e.deleted || slices.ContainsFunc(spans, func(s span) bool { return e.seq < s.seq && s.holds(e.key) }) {
-			continue
-		}
-		if !each(e.key, e.value) {
+		if newest.accept(e) && !each(e.key, e.value) {
 			return nil
 		}
 	}
 }
 
-// mergePulls joins ordered pulls into one.
-func mergePulls(pulls []func() (entry, bool, error)) (func() (entry, bool, error), error) {
-	type head struct {
-		e    entry
-		pull func() (entry, bool, error)
-	}
-	var heads []head
-	for _, pull := range pulls {
-		e, ok, err := pull()
-		if err != nil {
-			return nil, err
-		}
-		if ok {
-			heads = append(heads, head{e, pull})
-		}
+// iterator merges the memory tables and the runs, from a key on.
+func (v *View) iterator(from []byte) (iterator, error) {
+	var sources []iterator
+	for _, m := range v.memtables {
+		sources = append(sources, m.iterator(from))
 	}
-	return func() (entry, bool, error) { // there are about a dozen, so they are looked through
-		best := -1
-		for i := range heads {
-			if best < 0 || order(heads[i].e, heads[best].e) < 0 {
-				best = i
-			}
-		}
-		if best < 0 {
-			return entry{}, false, nil
-		}
-		out := heads[best].e
-		e, ok, err := heads[best].pull()
-		if err != nil {
-			return entry{}, false, err
-		}
-		if heads[best].e = e; !ok {
-			heads = slices.Delete(heads, best, best+1)
-		}
-		return out, true, nil
-	}, nil
+	for _, r := range v.runs {
+		sources = append(sources, r.iterator(from))
+	}
+	return mergeIterators(sources)
+}
+
+// newestVersions picks, of entries in order, the newest version of each key as of a sequence number, unless it is deleted.
+type newestVersions struct {
+	seq        uint64
+	tombstones []rangeTombstone // in the order of their ends; those that end before the current key are dropped
+	key        []byte           // of the last version
+	started    bool
+}
+
+func (n *newestVersions) accept(e entry) bool {
+	if e.seq > n.seq || n.started && bytes.Equal(e.key, n.key) {
+		return false
+	}
+	n.key, n.started = append(n.key[:0], e.key...), true
+	for len(n.tombstones) > 0 && bytes.Compare(n.tombstones[0].end, e.key) <= 0 {
+		n.tombstones = n.tombstones[1:]
+	}
+	return !e.deleted && !slices.ContainsFunc(n.tombstones, func(t rangeTombstone) bool { return e.seq < t.seq && t.contains(e.key) })
 }
 
-// Get is a key's value as of now, or ErrNotFound.
+// Get returns a key's current value, or ErrNotFound.
 func (db *DB) Get(key []byte) ([]byte, error) {
 	v := db.Snapshot()
 	defer v.Close()
--- a/internal/kv/write.go
+++ b/internal/kv/write.go
@@ -1,15 +1,16 @@
 package kv
 
-// Write makes a batch last, and visible to who reads after it. While two memory tables are full it waits for the first
-// to be written.
+// Write makes a batch durable, and visible to views opened after it. The batch is in the log first, then in the memory table,
+// then visible. While both memory tables are full it waits for one to be flushed. It returns an error that wraps ErrFull,
+// ErrReadOnly, ErrClosed, ErrKey, ErrValue or ErrBatch.
 func (db *DB) Write(b Batch) error {
 	db.mu.Lock()
-	for db.full != nil && db.mem.bytes >= db.cfg.MemoryBytes && db.failed == nil && db.short == nil {
-		db.room.Wait()
+	for db.memtablesFull() && db.failed == nil && db.diskFull == nil {
+		db.writable.Wait()
 	}
 	err := db.failed
-	if db.full != nil && db.mem.bytes >= db.cfg.MemoryBytes && err == nil {
-		err = db.short // nobody waits for room that may never come
+	if db.memtablesFull() && err == nil {
+		err = db.diskFull // a writer does not wait for space that may never come
 	}
 	db.mu.Unlock()
 	if err != nil {
@@ -19,28 +20,26 @@
 	return err
 }
 
-// apply takes in batches that the log has just synced, in their order.
+// apply adds batches that the log has just synced, in their order, to the memory table.
 func (db *DB) apply(first uint64, list []Batch) {
 	db.mu.Lock()
 	defer db.mu.Unlock()
 	for i, b := range list {
-		db.mem.apply(first+uint64(i), b)
+		db.active.apply(first+uint64(i), b)
 	}
 	db.visible = first + uint64(len(list)) - 1
-	db.turn()
+	db.rotateMemtable()
 }
 
-// turn puts a memory table that is full aside to be written. The caller holds the lock.
-func (db *DB) turn() {
-	if db.full == nil && db.mem.bytes >= db.cfg.MemoryBytes {
-		db.full, db.mem = db.mem, newMemory()
-		db.nudge()
+// rotateMemtable hands a full memory table to the background. The caller holds the lock.
+func (db *DB) rotateMemtable() {
+	if db.immutable == nil && db.active.bytes >= db.cfg.MemoryBytes {
+		db.immutable, db.active = db.active, newMemtable()
+		db.background.notify()
 	}
 }
 
-func (db *DB) nudge() {
-	select {
-	case db.wake <- struct{}{}:
-	default:
-	}
+// memtablesFull tells whether both memory tables are full, so that a write has to wait. The caller holds the lock.
+func (db *DB) memtablesFull() bool {
+	return db.immutable != nil && db.active.bytes >= db.cfg.MemoryBytes
 }
