--- a/internal/kv/compaction.go
+++ b/internal/kv/compaction.go
@@ -226,7 +226,7 @@
 	return seq
 }
 
-// writeMerged writes what the filter retains of several runs as one table, at the pace of the rate limit.
+// writeMerged writes what the filter retains of several runs as one table.
 func (db *DB) writeMerged(number uint64, old []*run, filter *compactionFilter) (*run, error) {
 	var sources []iterator
 	maxSeq := uint64(0)
@@ -241,24 +241,29 @@
 	}
 	return db.writeTable(number, maxSeq, func(w *tableWriter) error {
 		w.tombstones = filter.retainedTombstones()
-		paced := int64(0)
-		for {
-			e, ok, err := next()
-			if err != nil || !ok {
+		return db.copyPaced(w, next, filter)
+	})
+}
+
+// copyPaced writes the entries that the filter retains, at the pace of the rate limit.
+func (db *DB) copyPaced(w *tableWriter, next iterator, filter *compactionFilter) error {
+	paced := int64(0)
+	for {
+		e, ok, err := next()
+		if err != nil || !ok {
+			return err
+		}
+		if filter.retain(e) {
+			w.add(e)
+		}
+		if w.err != nil {
+			return w.err
+		}
+		if due := w.offset - paced; due >= mergePaceStep {
+			if err := db.background.pace(due); err != nil {
 				return err
 			}
-			if filter.retain(e) {
-				w.add(e)
-			}
-			if w.err != nil {
-				return w.err
-			}
-			if due := w.offset - paced; due >= mergePaceStep {
-				if err := db.background.pace(due); err != nil {
-					return err
-				}
-				paced = w.offset
-			}
+			paced = w.offset
 		}
-	})
+	}
 }
--- a/internal/kv/decoder.go
+++ b/internal/kv/decoder.go
@@ -7,7 +7,7 @@
 	"hash/crc32"
 )
 
-// decodeBatch reads a payload; its keys and values lie in it.
+// decodeBatch reads a payload; the keys and values are parts of it.
 func decodeBatch(raw []byte) (Batch, error) {
 	var b Batch
 	field := func(most int) ([]byte, bool) {
@@ -59,14 +59,14 @@
 	return list, nil
 }
 
-// The errors of a segment's head.
+// The errors of a segment's header.
 var (
 	errHeaderTruncated = errors.New("head is cut off")
 	errHeaderChecksum  = errors.New("head does not match its checksum")
 	errHeaderVersion   = errors.New("format is of another version")
 )
 
-// readSegmentHead reads a segment's first sequence number.
+// decodeSegmentHeader reads a segment's first sequence number.
 func decodeSegmentHeader(raw []byte) (first uint64, err error) {
 	switch {
 	case len(raw) < segmentHeaderSize:
@@ -79,14 +79,14 @@
 	return binary.LittleEndian.Uint64(raw[8:]), nil
 }
 
-// record is one that was read; its payload lies in what it was read from.
+// record is a decoded record; its payload is a part of the bytes it was decoded from.
 type record struct {
 	kind    byte
 	seq     uint64
 	payload []byte
 }
 
-// readRecord reads the record at the start of raw and how long it is; ok is false where there is no whole one.
+// decodeRecord reads the record at the start of raw and its size; ok is false where there is no complete one.
 func decodeRecord(raw []byte) (r record, size int, ok bool) {
 	if len(raw) < recordHeaderSize {
 		return r, 0, false
--- a/internal/kv/encoder.go
+++ b/internal/kv/encoder.go
@@ -41,7 +41,7 @@
 	return append(binary.AppendUvarint(out, uint64(len(payload))), payload...)
 }
 
-// appendSegmentHead begins a segment.
+// appendSegmentHeader appends a segment's header.
 func appendSegmentHeader(out []byte, first uint64) []byte {
 	from := len(out)
 	out = append(out, segmentMagic...)
--- a/internal/kv/format.go
+++ b/internal/kv/format.go
@@ -8,13 +8,13 @@
 	"hash/crc32"
 )
 
-// Bounds of what is kept.
+// Limits of sizes in bytes.
 const (
 	MaxKey   = 1 << 10
 	MaxValue = 1 << 20
-	MaxBatch = 4 << 20 // bytes of one batch
+	MaxBatch = 4 << 20 // encoded
 
-	maxGroup = 2*MaxBatch + MaxBatch + 64 // bytes of the batches that share a sync
+	maxGroup = 2*MaxBatch + MaxBatch + 64 // the batches that share a sync
 )
 
 const (
@@ -34,8 +34,8 @@
 // Op is one change of a batch.
 type Op struct {
 	Kind  OpKind
-	Key   []byte // DeleteRange: the first that goes
-	Value []byte // Put; DeleteRange: the first that stays
+	Key   []byte // of a DeleteRange the first key that is deleted
+	Value []byte // of a Put; of a DeleteRange the first key behind it
 }
 
 // OpKind is what an Op does.
@@ -48,7 +48,7 @@
 	DeleteRange OpKind = opDeleteRange
 )
 
-// Batch is a list of changes that are all there or not at all.
+// Batch is a list of changes that are applied all or none.
 type Batch []Op
 
 // The errors of batches.
--- a/internal/kv/log.go
+++ b/internal/kv/log.go
@@ -1,8 +1,5 @@
 package kv
 
-// This file owns the log: its open segment, the writers that wait for one sync together, and what is done once a write
-// or a sync has failed. It must never acknowledge what may not be on disk, nor write on behind what may be torn.
-
 import (
 	"errors"
 	"fmt"
@@ -11,21 +8,22 @@
 	"sync"
 )
 
-// Options are the figures of a Log. The zero value of a field stands for its default.
+// Options configures a Log. The zero value of a field stands for its default.
 type Options struct {
-	SegmentBytes int64 // after which a new segment is begun; 4 MiB
-	Report       func(Cut)
-	Apply        func(first uint64, list []Batch) // is told what was synced, in order, before it is acknowledged; may be nil
+	SegmentBytes int64                            // size at which a new segment is started; default 4 MiB
+	Report       func(Cut)                        // called when a torn tail is cut off; may be nil
+	Apply        func(first uint64, list []Batch) // called with batches once they are synced, in order, before Append returns; may be nil
 }
 
-// The errors of a Log.
+// The errors of a Log. ErrFull wrote nothing, and writing goes on once there is space. ErrReadOnly is final until the store is
+// opened anew: after a failed write or sync it is unknown what is on disk, and a record behind a torn one could not be recovered.
 var (
 	ErrFull     = errors.New("the disk is full; nothing was written, and writing goes on once there is room")
 	ErrReadOnly = errors.New("the log takes nothing more, since a write or a sync has failed; open it anew")
 	ErrClosed   = errors.New("the log is closed")
 )
 
-// lockName is the file that keeps two processes apart.
+// lockName is the file whose lock keeps a second process from opening the store.
 const lockName = "LOCK"
 
 // Log is an open log. Its methods may be called from any goroutine.
@@ -34,21 +32,22 @@
 	opts Options
 	lock io.Closer
 
-	mu        sync.Mutex // guards what follows; not held over a write or a sync
-	committed *sync.Cond
-	pending   []*pendingCommit
-	writing   bool // some writer writes for all
-	next      uint64
+	// mu guards the fields up to closed. It is not held over a write or a sync.
+	mu        sync.Mutex
+	committed *sync.Cond       // signalled when a group is finished
+	pending   []*pendingCommit // the next group
+	writing   bool             // one writer commits a group for all that wait
+	next      uint64           // the next sequence number
 	failed    error
 	closed    bool
 
-	// The leader's own.
+	// The open segment; of the writer that commits a group.
 	name string
 	file File
-	size int64 // up to which all is synced
+	size int64 // bytes that are synced
 }
 
-// commit is one that waits for its batch to last.
+// pendingCommit is a writer that waits for its batch to be durable.
 type pendingCommit struct {
 	payload  []byte
 	seq      uint64
@@ -56,8 +55,8 @@
 	err      error
 }
 
-// OpenLog recovers the log of a folder and returns what is committed in it. Damage is refused and changes nothing; a
-// torn tail is cut off.
+// OpenLog recovers the log of a folder and returns the committed batches. A torn tail is cut off. A corrupt log gives a
+// *CorruptionError, and nothing is changed; a folder that another process has open gives ErrLocked.
 func OpenLog(fs FS, o Options) (l *Log, entries []Entry, err error) {
 	if o.SegmentBytes <= 0 {
 		o.SegmentBytes = 4 << 20
@@ -68,7 +67,7 @@
 	}
 	defer func() {
 		if err != nil {
-			lock.Close()
+			_ = lock.Close()
 		}
 	}()
 	segments, err := readSegments(fs)
@@ -107,8 +106,8 @@
 	return list, nil
 }
 
-// settle carries out a recovery's plan, so that what is written next follows what is committed. It may be cut itself,
-// and be carried out again.
+// prepareTail carries out a recovery's plan, so that the next record follows what is committed. After a crash in between it is
+// carried out again.
 func (l *Log) prepareTail(p RecoveryPlan) error {
 	if p.Cut != nil && p.Cut.Complete {
 		if err := l.fs.Remove(p.Cut.File); err != nil {
@@ -124,20 +123,9 @@
 			return fmt.Errorf("%s: %w", l.name, err)
 		}
 		l.file = file
-		if p.Cut != nil && !p.Cut.Complete {
-			if err := file.Truncate(l.size); err != nil {
-				file.Close()
-				return fmt.Errorf("%s: %w", l.name, err)
-			}
-		}
-		// What was read may be in the kernel's memory only: it is acknowledged anew by being shown.
-		if err := file.Sync(); err != nil {
-			file.Close()
-			return fmt.Errorf("%s: %w", l.name, err)
-		}
-		if err := l.fs.SyncDir(); err != nil {
-			file.Close()
-			return fmt.Errorf("folder: %w", err)
+		if err := l.syncTail(p.Cut); err != nil {
+			_ = file.Close()
+			return err
 		}
 	}
 	if p.Cut != nil && l.opts.Report != nil {
@@ -146,6 +134,23 @@
 	return nil
 }
 
+// syncTail cuts a torn tail off the open segment and syncs it. What recovery read may be in the kernel's memory only, and is
+// acknowledged by being shown to readers.
+func (l *Log) syncTail(cut *Cut) error {
+	if cut != nil && !cut.Complete {
+		if err := l.file.Truncate(l.size); err != nil {
+			return fmt.Errorf("%s: %w", l.name, err)
+		}
+	}
+	if err := l.file.Sync(); err != nil {
+		return fmt.Errorf("%s: %w", l.name, err)
+	}
+	if err := l.fs.SyncDir(); err != nil {
+		return fmt.Errorf("folder: %w", err)
+	}
+	return nil
+}
+
 // Append writes a batch and returns its sequence number once it is on disk, with all that came before it. Writers that
 // come while another writes share the next sync.
 func (l *Log) Append(b Batch) (seq uint64, err error) {
@@ -166,35 +171,18 @@
 	return c.seq, c.err
 }
 
-// lead writes for all that wait. The caller holds the lock, and gets it back.
+// commitGroup writes for all that wait. The caller holds the lock; it is released over the write.
 func (l *Log) commitGroup() {
 	l.writing = true
-	list := l.pending
-	l.pending = nil
-	total := 0
-	for i, c := range list { // as much as fits into a few records' room; the rest waits for the next
-		if total += len(c.payload); total > 2*MaxBatch && i > 0 {
-			l.pending, list = list[i:], list[:i]
-			break
-		}
-	}
+	group, first := l.takeGroup(), l.next
 	err := l.failed
 	if err == nil && l.closed {
 		err = ErrClosed
 	}
-	first := l.next
 	if err == nil {
 		l.mu.Unlock()
-		if err = l.write(first, list); err == nil && l.opts.Apply != nil {
-			var batches []Batch
-			for _, c := range list { // of the payload: the caller may go on using its own
-				b, derr := decodeBatch(c.payload)
-				if derr != nil {
-					panic(derr) // encode has made it
-				}
-				batches = append(batches, b)
-			}
-			l.opts.Apply(first, batches)
+		if err = l.write(first, group); err == nil && l.opts.Apply != nil {
+			l.opts.Apply(first, decodePayloads(group))
 		}
 		l.mu.Lock()
 		if err != nil && !errors.Is(err, ErrFull) {
@@ -202,7 +190,7 @@
 			err = l.failed
 		}
 	}
-	for i, c := range list {
+	for i, c := range group {
 		c.finished = true
 		if c.err = err; err == nil {
 			c.seq = first + uint64(i)
@@ -213,7 +201,32 @@
 	l.committed.Broadcast()
 }
 
-// write puts records behind what is synced, and syncs them. An error that is not ErrFull is final.
+// takeGroup takes as many of the pending commits as fit into a record, the first one in any case.
+func (l *Log) takeGroup() (group []*pendingCommit) {
+	group, l.pending = l.pending, nil
+	total := 0
+	for i, c := range group {
+		if total += len(c.payload); total > 2*MaxBatch && i > 0 {
+			l.pending, group = group[i:], group[:i]
+			break
+		}
+	}
+	return group
+}
+
+// decodePayloads returns batches of the log's own: a caller of Append may go on using the slices of its batch.
+func decodePayloads(group []*pendingCommit) (batches []Batch) {
+	for _, c := range group {
+		b, err := decodeBatch(c.payload)
+		if err != nil {
+			panic(err) // unreachable: encode made the payload
+		}
+		batches = append(batches, b)
+	}
+	return batches
+}
+
+// write appends the group as one record and syncs it. An error that is not ErrFull is final.
 func (l *Log) write(first uint64, list []*pendingCommit) error {
 	if l.file == nil || l.size >= l.opts.SegmentBytes {
 		if err := l.startSegment(first); err != nil {
@@ -229,9 +242,9 @@
 		if !isFull(err) {
 			return fmt.Errorf("%s: %w", l.name, err)
 		}
-		// What part of it was written is taken back: nothing may be written behind it.
-		if terr := l.file.Truncate(l.size); terr != nil {
-			return fmt.Errorf("%s: %w, and then %w", l.name, err, terr)
+		// The part that was written is cut off: a record behind it could not be recovered.
+		if truncateErr := l.file.Truncate(l.size); truncateErr != nil {
+			return fmt.Errorf("%s: %w, and then %w", l.name, err, truncateErr)
 		}
 		return fmt.Errorf("%s: %w (%w)", l.name, ErrFull, err)
 	}
@@ -242,7 +255,7 @@
 	return nil
 }
 
-// begin starts a new segment. All of the one before is synced.
+// startSegment creates a new segment. All of the one before is synced.
 func (l *Log) startSegment(first uint64) error {
 	name := fmt.Sprintf(segmentPattern, first)
 	file, err := l.fs.Create(name)
@@ -253,12 +266,12 @@
 		return fmt.Errorf("%s: %w", name, err)
 	}
 	undo := func(err error) error {
-		file.Close()
+		_ = file.Close()
 		if !isFull(err) {
 			return fmt.Errorf("%s: %w", name, err)
 		}
-		if rerr := l.fs.Remove(name); rerr != nil {
-			return fmt.Errorf("%s: %w, and then %w", name, err, rerr)
+		if removeErr := l.fs.Remove(name); removeErr != nil {
+			return fmt.Errorf("%s: %w, and then %w", name, err, removeErr)
 		}
 		return fmt.Errorf("%s: %w (%w)", name, ErrFull, err)
 	}
@@ -266,21 +279,21 @@
 		return undo(err)
 	}
 	if err := file.Sync(); err != nil {
-		file.Close()
+		_ = file.Close()
 		return fmt.Errorf("%s: %w", name, err)
 	}
 	if err := l.fs.SyncDir(); err != nil {
-		file.Close()
+		_ = file.Close()
 		return fmt.Errorf("folder: %w", err)
 	}
 	if l.file != nil {
-		l.file.Close()
+		_ = l.file.Close()
 	}
 	l.name, l.file, l.size = name, file, segmentHeaderSize
 	return nil
 }
 
-// Trim removes the segments all of whose batches have numbers up to one that are kept elsewhere. The last one stays.
+// Trim removes the segments that hold only batches up to a sequence number. The last segment stays.
 func (l *Log) Trim(upTo uint64) error {
 	names, err := l.fs.List()
 	if err != nil {
@@ -298,7 +311,7 @@
 		if err := l.fs.Remove(list[i]); err != nil {
 			return fmt.Errorf("%s: %w", list[i], err)
 		}
-		// One that stays though a later one is gone would be a gap: each removal lasts before the next.
+		// Each removal is durable before the next: a segment that came back without its successor would be a gap.
 		if err := l.fs.SyncDir(); err != nil {
 			return fmt.Errorf("folder: %w", err)
 		}
@@ -313,14 +326,14 @@
 	return l.next
 }
 
-// Err is why the log takes nothing more; nil while it does.
+// Err returns why nothing can be written any more; nil while it can.
 func (l *Log) Err() error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.failed
 }
 
-// Close waits for those that write, and gives the folder back.
+// Close waits for the writers, closes the open segment and releases the lock of the folder.
 func (l *Log) Close() error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/kv/recover.go
+++ b/internal/kv/recover.go
@@ -1,21 +1,21 @@
 package kv
 
-// This file owns what recovery decides: from the bytes of the segments alone, which batches are committed, where a torn
-// tail is to be cut off, and what is damage. It does no I/O. It must never pass over a record that may have been
-// acknowledged without calling that damage, nor return a batch that is not whole.
+// Recovery decides, from the bytes of the segments alone, which batches are committed, where a torn tail is cut off, and what is
+// corrupt. A record that may have been acknowledged is never dropped silently: it is committed, or its loss is a CorruptionError.
 //
 //	what is found at an offset              in the last segment                   in an earlier one
-//	a whole record of the next number       committed                             committed
-//	no whole record, none of a later number
-//	anywhere behind it                      torn: cut off there                   damage
-//	no whole record, but a later one behind damage                                damage
-//	a whole record of another number        damage                                damage
-//	a head that is cut off or is none       torn, if nothing whole is behind it:  damage
-//	                                        the segment had not begun
-//	a head of another version               refused, and nothing is changed       the same
+//	complete record of the next number      committed                             committed
+//	no complete record, and none of a later
+//	number anywhere behind it               torn: cut off there                   corrupt
+//	no complete record, but a later one
+//	behind it                               corrupt                               corrupt
+//	complete record of another number       corrupt                               corrupt
+//	header truncated or without checksum    torn, if no record is behind it: the  corrupt
+//	                                        segment was just being created
+//	header of another version               rejected, and nothing is changed      the same
 //
-// All that is written between two syncs is one record, so a torn write has no whole record behind its start. A segment
-// is begun only once the one before it was synced to its end. That is why only the last may be torn.
+// All that is written between two syncs is one record, so a torn write has no complete record behind its start. A segment is
+// started only after the one before it was synced to its end, so only the last may be torn.
 
 import (
 	"errors"
@@ -28,7 +28,7 @@
 	Bytes []byte
 }
 
-// Damage is what can't have come from a cut: the file and the offset at which it begins.
+// CorruptionError is a fault of a file that an interrupted write cannot explain, and the offset at which it begins.
 type CorruptionError struct {
 	File   string
 	Offset int64
@@ -39,7 +39,7 @@
 	return fmt.Sprintf("%s: damage at offset %d: %s; `gullfall store repair` saves what is whole", d.File, d.Offset, d.Cause)
 }
 
-// Cut is a torn tail: what is to be cut off from an offset on. Whole tells that the file had not begun and goes.
+// Cut is a torn tail: the file is cut off at an offset, or removed where Complete is set because not even its header was written.
 type Cut struct {
 	File     string
 	Offset   int64
@@ -53,16 +53,17 @@
 	Batch Batch
 }
 
-// Plan is what recovery comes to.
+// RecoveryPlan is the result of recovery.
 type RecoveryPlan struct {
 	Entries     []Entry
-	Cut         *Cut   // nil where nothing is torn
-	Next        uint64 // the sequence number that comes next
-	TailSegment string // the segment to write on; empty where a new one is needed
-	TailSize    int64  // its length once Cut was carried out
+	Cut         *Cut   // the torn tail; nil for none
+	Next        uint64 // the next sequence number
+	TailSegment string // the segment to append to; empty where a new one is needed
+	TailSize    int64  // its length in bytes once Cut was carried out
 }
 
-// Recover reads the segments of a log, in order. A *Damage is returned with the plan of what is whole before it.
+// Recover reads the segments of a log, in order. With a *CorruptionError it returns the plan of what is committed before the
+// fault.
 func Recover(segments []Segment) (p RecoveryPlan, err error) {
 	p.Next = 1
 	for i, s := range segments {
@@ -81,44 +82,50 @@
 		case first != p.Next:
 			return p, &CorruptionError{s.Name, 8, fmt.Sprintf("begins with number %d where %d comes next: a segment is missing", first, p.Next)}
 		}
-		if err := p.readSegment(s, last); err != nil {
+		end, err := p.readSegment(s)
+		if errors.Is(err, errNoRecord) {
+			if !last || containsLaterRecord(s.Bytes[end:], p.Next) {
+				return p, &CorruptionError{s.Name, int64(end), fmt.Sprintf("no whole record, number %d was to come", p.Next)}
+			}
+			p.Cut = &Cut{File: s.Name, Offset: int64(end), Bytes: int64(len(s.Bytes) - end)}
+		} else if err != nil {
 			return p, err
 		}
+		p.TailSegment, p.TailSize = s.Name, int64(end)
 	}
 	return p, nil
 }
 
-// segment reads the records of one segment.
-func (p *RecoveryPlan) readSegment(s Segment, last bool) error {
-	at := segmentHeaderSize
-	for at < len(s.Bytes) {
-		r, size, ok := decodeRecord(s.Bytes[at:])
+// errNoRecord tells that a segment has no complete record at an offset.
+var errNoRecord = errors.New("no complete record")
+
+// readSegment adds the batches of a segment to the plan. It returns the offset behind its last record, with errNoRecord where
+// anything follows that is no complete record.
+func (p *RecoveryPlan) readSegment(s Segment) (offset int, err error) {
+	offset = segmentHeaderSize
+	for offset < len(s.Bytes) {
+		r, size, ok := decodeRecord(s.Bytes[offset:])
 		if !ok {
-			if last && !containsLaterRecord(s.Bytes[at:], p.Next) {
-				p.Cut = &Cut{File: s.Name, Offset: int64(at), Bytes: int64(len(s.Bytes) - at)}
-				break
-			}
-			return &CorruptionError{s.Name, int64(at), fmt.Sprintf("no whole record, number %d was to come", p.Next)}
+			return offset, errNoRecord
 		}
 		if r.seq != p.Next || r.kind != kindGroup {
-			return &CorruptionError{s.Name, int64(at), fmt.Sprintf("record of kind %d and number %d where number %d was to come", r.kind, r.seq, p.Next)}
+			return offset, &CorruptionError{s.Name, int64(offset), fmt.Sprintf("record of kind %d and number %d where number %d was to come", r.kind, r.seq, p.Next)}
 		}
 		group, err := decodeGroup(r.payload)
 		if err != nil {
-			return &CorruptionError{s.Name, int64(at), err.Error()}
+			return offset, &CorruptionError{s.Name, int64(offset), err.Error()}
 		}
 		for _, b := range group {
 			p.Entries = append(p.Entries, Entry{p.Next, b})
 			p.Next++
 		}
-		at += size
+		offset += size
 	}
-	p.TailSegment, p.TailSize = s.Name, int64(at)
-	return nil
+	return offset, nil
 }
 
-// later tells whether bytes hold, at any offset, a whole record whose number is at least next and not far beyond it: one
-// that was written after a place where no record can be read.
+// containsLaterRecord tells whether bytes hold, at any offset, a complete record whose number is at least next and within 2^32 of
+// it: one that was written after a place where no record can be read.
 func containsLaterRecord(raw []byte, next uint64) bool {
 	for at := 0; at+recordHeaderSize <= len(raw); at++ {
 		if raw[at+8] != kindGroup {
--- a/internal/kv/table.go
+++ b/internal/kv/table.go
@@ -1,9 +1,5 @@
 package kv
 
-// This file owns sorted tables: blocks of entries, their index, a bloom filter, and the ranges that were deleted. A
-// table is written once, from its first key to its last, and never changed. It must never return an entry whose block does
-// not match its checksum. It does no I/O but by the ReaderAt that it is given.
-
 import (
 	"bytes"
 	"encoding/binary"
@@ -18,7 +14,7 @@
 
 const (
 	tableMagic   = "GFKT"
-	tableFooter  = 36 // offsets of index, filter, ranges: 8 each; highest number 8 ... and checksum 4
+	tableFooter  = 36 // offsets of index, filter and tombstones, highest sequence number: 8 each; magic 4
 	blockBytes   = 4 << 10
 	bitsPerKey   = 10
 	filterHashes = 7
@@ -32,7 +28,7 @@
 	value   []byte
 }
 
-// order is by key, and of a key the newest first.
+// compareEntries orders by key, and the versions of a key from the newest to the oldest.
 func compareEntries(a, b entry) int {
 	if c := bytes.Compare(a.key, b.key); c != 0 {
 		return c
@@ -46,7 +42,7 @@
 	return 0
 }
 
-// span is a range of keys, from on and before to, of which all versions up to a number are deleted.
+// rangeTombstone deletes all versions below seq of the keys from start to before end.
 type rangeTombstone struct {
 	start, end []byte
 	seq        uint64
@@ -56,7 +52,8 @@
 	return bytes.Compare(s.start, key) <= 0 && bytes.Compare(key, s.end) < 0
 }
 
-// tableWriter writes a table to a file as its entries come.
+// tableWriter writes a sorted table: blocks of entries, an index of the blocks, a bloom filter, range tombstones and a footer. A
+// table is written once, from its first key to its last, and never changed.
 type tableWriter struct {
 	file       io.Writer
 	offset     int64
@@ -105,7 +102,7 @@
 	}
 }
 
-// flush ends a block; the index has its last key, its offset and its length.
+// finishBlock writes the block; the index gets its last key, its offset and its length.
 func (w *tableWriter) finishBlock() {
 	if len(w.block) == 0 {
 		return
@@ -119,7 +116,7 @@
 	w.block = w.block[:0]
 }
 
-// finish writes the index, the filter, the ranges and the foot. The caller syncs the file.
+// finish writes the index, the filter, the tombstones and the footer. The caller syncs the file.
 func (w *tableWriter) finish(upTo uint64) error {
 	w.finishBlock()
 	index := w.section(w.index)
@@ -156,7 +153,7 @@
 	return raw
 }
 
-// mayHold tells whether a key may be among those of a filter.
+// mayContain tells whether a filter may contain a key; false is certain.
 func mayContain(filter []byte, key []byte) bool {
 	h, bits := xxhash.Sum64(key), uint64(len(filter))*8
 	for i, d := uint64(0), h>>33|1; i < filterHashes; i++ {
@@ -168,14 +165,15 @@
 	return true
 }
 
-// blockAt is one line of an index.
+// blockHandle is an entry of the index: where a block lies.
 type blockHandle struct {
 	lastKey []byte
 	offset  int64
 	length  int
 }
 
-// table is one that is open for reading. It may be used by several goroutines.
+// table is a sorted table open for reading. Several goroutines may use it. No entry is returned of a block that does not match
+// its checksum.
 type table struct {
 	name       string
 	in         io.ReaderAt
@@ -183,7 +181,7 @@
 	index      []blockHandle
 	filter     []byte
 	tombstones []rangeTombstone
-	maxSeq     uint64 // highest number in it
+	maxSeq     uint64 // highest sequence number in it
 }
 
 func (t *table) corrupt(at int64, cause string) error {
@@ -205,70 +203,86 @@
 	return raw[:n:n], nil
 }
 
-// openTable reads a table's foot, index, filter and ranges.
+// openTable reads a table's footer, index, filter and tombstones.
 func openTable(name string, in io.ReaderAt, size int64) (*table, error) {
 	t := &table{name: name, in: in, size: size}
-	foot, err := t.read(size-tableFooter-4, tableFooter)
+	footerAt := size - tableFooter - 4
+	footer, err := t.read(footerAt, tableFooter)
 	if err != nil {
 		return nil, err
 	}
-	if string(foot[32:]) != tableMagic {
-		return nil, t.corrupt(size-tableFooter-4, "no foot")
+	if string(footer[32:]) != tableMagic {
+		return nil, t.corrupt(footerAt, "no foot")
 	}
-	at := [3]int64{}
-	for i := range at {
-		at[i] = int64(binary.LittleEndian.Uint64(foot[8*i:]))
+	indexAt := int64(binary.LittleEndian.Uint64(footer))
+	filterAt := int64(binary.LittleEndian.Uint64(footer[8:]))
+	tombstonesAt := int64(binary.LittleEndian.Uint64(footer[16:]))
+	t.maxSeq = binary.LittleEndian.Uint64(footer[24:])
+	if err := t.readIndex(indexAt, filterAt); err != nil {
+		return nil, err
 	}
-	t.maxSeq = binary.LittleEndian.Uint64(foot[24:])
-	end := size - tableFooter - 4
-	raw, err := t.read(at[0], int(at[1]-at[0]-4))
-	if err != nil {
+	if t.filter, err = t.read(filterAt, int(tombstonesAt-filterAt-4)); err != nil {
 		return nil, err
 	}
+	if len(t.filter) == 0 {
+		return nil, t.corrupt(filterAt, "filter")
+	}
+	if err := t.readTombstones(tombstonesAt, footerAt); err != nil {
+		return nil, err
+	}
+	return t, nil
+}
+
+// readIndex reads the index, which lies from at to before end.
+func (t *table) readIndex(at, end int64) error {
+	raw, err := t.read(at, int(end-at-4))
+	if err != nil {
+		return err
+	}
 	for len(raw) > 0 {
 		var b blockHandle
 		var ok bool
 		if b.lastKey, raw, ok = readBytes(raw, MaxKey); !ok {
-			return nil, t.corrupt(at[0], "index")
+			return t.corrupt(at, "index")
 		}
-		offset, a := binary.Uvarint(raw)
-		if a <= 0 {
-			return nil, t.corrupt(at[0], "index")
+		offset, n := binary.Uvarint(raw)
+		if n <= 0 {
+			return t.corrupt(at, "index")
 		}
-		length, l := binary.Uvarint(raw[a:])
-		if l <= 0 || offset > uint64(at[0]) || length > uint64(at[0])-offset {
-			return nil, t.corrupt(at[0], "index")
+		length, m := binary.Uvarint(raw[n:])
+		if m <= 0 || offset > uint64(at) || length > uint64(at)-offset {
+			return t.corrupt(at, "index")
 		}
-		b.offset, b.length, raw = int64(offset), int(length), raw[a+l:]
+		b.offset, b.length, raw = int64(offset), int(length), raw[n+m:]
 		t.index = append(t.index, b)
 	}
-	if t.filter, err = t.read(at[1], int(at[2]-at[1]-4)); err != nil {
-		return nil, err
-	}
-	if len(t.filter) == 0 {
-		return nil, t.corrupt(at[1], "filter")
-	}
-	if raw, err = t.read(at[2], int(end-at[2]-4)); err != nil {
-		return nil, err
+	return nil
+}
+
+// readTombstones reads the range tombstones, which lie from at to before end.
+func (t *table) readTombstones(at, end int64) error {
+	raw, err := t.read(at, int(end-at-4))
+	if err != nil {
+		return err
 	}
 	for len(raw) > 0 {
 		seq, n := binary.Uvarint(raw)
 		if n <= 0 {
-			return nil, t.corrupt(at[2], "ranges")
+			return t.corrupt(at, "ranges")
 		}
 		s, ok := rangeTombstone{seq: seq}, false
 		if s.start, raw, ok = readBytes(raw[n:], MaxKey); ok {
 			s.end, raw, ok = readBytes(raw, MaxKey)
 		}
 		if !ok {
-			return nil, t.corrupt(at[2], "ranges")
+			return t.corrupt(at, "ranges")
 		}
 		t.tombstones = append(t.tombstones, s)
 	}
-	return t, nil
+	return nil
 }
 
-// cutBytes takes a length and so many bytes off the front.
+// readBytes reads a length of at most most, and so many bytes, off the front.
 func readBytes(raw []byte, most int) (field, rest []byte, ok bool) {
 	n, used := binary.Uvarint(raw)
 	if used <= 0 || n > uint64(most) || n > uint64(len(raw)-used) {
@@ -302,7 +316,7 @@
 	return list, nil
 }
 
-// get is the newest version of a key up to a number; found is false where there is none.
+// get returns the newest version of a key up to a sequence number; found is false where there is none.
 func (t *table) get(key []byte, upTo uint64) (e entry, found bool, err error) {
 	if !mayContain(t.filter, key) {
 		return e, false, nil
@@ -324,8 +338,8 @@
 	return e, false, nil
 }
 
-// iterate returns a pull over the entries from a key on, in order.
-func (t *table) iterator(from []byte) func() (entry, bool, error) {
+// iterator reads the entries from a key on, in order.
+func (t *table) iterator(from []byte) iterator {
 	i := sort.Search(len(t.index), func(i int) bool { return bytes.Compare(t.index[i].lastKey, from) >= 0 })
 	var list []entry
 	first := true
