--- /dev/null
+++ b/internal/store/raftlog.go
@@ -0,0 +1,166 @@
+package store
+
+import (
+	"encoding/binary"
+	"errors"
+	"fmt"
+	"time"
+
+	"github.com/hashicorp/raft"
+
+	"gullfall/internal/kv"
+)
+
+// FirstIndex and the methods below are the library's LogStore and StableStore.
+func (d *disk) FirstIndex() (uint64, error) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	return d.first, nil
+}
+
+// LastIndex is the index of the latest entry.
+func (d *disk) LastIndex() (uint64, error) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	return d.last, nil
+}
+
+// GetLog reads an entry.
+func (d *disk) GetLog(index uint64, l *raft.Log) error {
+	view := d.db.Snapshot()
+	defer view.Close()
+	held, err := view.Get(key(keyLog, place(index)))
+	if errors.Is(err, kv.ErrNotFound) {
+		return raft.ErrLogNotFound
+	} else if err != nil {
+		return err
+	}
+	data, err := whole(view, held, keyLogPart)
+	if err == nil {
+		*l, err = readEntry(index, data)
+	}
+	if err != nil {
+		return fmt.Errorf("entry %d of the store's log: %w", index, err)
+	}
+	return nil
+}
+
+// StoreLog writes an entry.
+func (d *disk) StoreLog(l *raft.Log) error { return d.StoreLogs([]*raft.Log{l}) }
+
+// StoreLogs writes entries, in their order: where it fails, some of the first may be there.
+func (d *disk) StoreLogs(logs []*raft.Log) error {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	var b kv.Batch
+	size, from := 0, 0
+	flush := func(to int) error {
+		if len(b) == 0 {
+			return nil
+		}
+		if err := d.db.Write(b); err != nil {
+			return err
+		}
+		for i := range b {
+			index := logs[from+i].Index
+			if d.first == 0 || index < d.first {
+				d.first = index
+			}
+			d.last = max(d.last, index)
+			d.sizes.add(index, length(b[i].Value))
+		}
+		b, size, from = nil, 0, to
+		return nil
+	}
+	for i, l := range logs {
+		held, err := d.keep(appendEntry(nil, l), keyLogPart, place(l.Index), d.part)
+		if err != nil {
+			return err
+		}
+		b = append(b, kv.Op{Kind: kv.Put, Key: key(keyLog, place(l.Index)), Value: held})
+		if size += len(held); size > atOnce*d.part {
+			if err := flush(i + 1); err != nil {
+				return err
+			}
+		}
+	}
+	return flush(len(logs))
+}
+
+// DeleteRange removes entries, both ends included.
+func (d *disk) DeleteRange(first, last uint64) error {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	err := d.db.Write(kv.Batch{
+		{Kind: kv.DeleteRange, Key: key(keyLog, place(first)), Value: key(keyLog, place(last+1))},
+		{Kind: kv.DeleteRange, Key: key(keyLogPart, place(first)), Value: key(keyLogPart, place(last+1))}})
+	if err != nil {
+		return err
+	}
+	// Behind the first whose size is known there is no gap.
+	switch {
+	case first <= d.first && last >= d.last:
+		d.first, d.last, d.sizes = 0, 0, sizes{}
+	case first <= d.first && last+1 >= d.sizes.from:
+		d.first = max(d.first, last+1)
+	case last >= d.last && first > max(d.sizes.from, d.first):
+		d.last = min(d.last, first-1)
+		d.sizes.cut(d.last)
+	default:
+		return d.measure()
+	}
+	return nil
+}
+
+// measure reads the log's ends and the sizes of its entries.
+func (d *disk) measure() error {
+	view := d.db.Snapshot()
+	defer view.Close()
+	d.first, d.last, d.sizes = 0, 0, sizes{}
+	return view.Each([]byte{keyLog}, func(key, value []byte) bool {
+		index := binary.BigEndian.Uint64(key[1:])
+		if d.first == 0 {
+			d.first = index
+		}
+		d.last = index
+		d.sizes.add(index, length(value))
+		return true
+	})
+}
+
+// An entry as it is kept: its type, term, when its leader took it in (ns since 1970; 0 for not said), the length of its extensions,
+// these, and its data.
+const entryHead = 1 + 8 + 8 + 4
+
+func appendEntry(to []byte, l *raft.Log) []byte {
+	at := int64(0)
+	if !l.AppendedAt.IsZero() {
+		at = l.AppendedAt.UnixNano()
+	}
+	to = append(to, byte(l.Type))
+	to = binary.BigEndian.AppendUint64(to, l.Term)
+	to = binary.BigEndian.AppendUint64(to, uint64(at))
+	to = binary.BigEndian.AppendUint32(to, uint32(len(l.Extensions)))
+	return append(append(to, l.Extensions...), l.Data...)
+}
+
+func readEntry(index uint64, data []byte) (raft.Log, error) {
+	if len(data) < entryHead {
+		return raft.Log{}, fmt.Errorf("%d bytes are no entry", len(data))
+	}
+	l := raft.Log{Index: index, Type: raft.LogType(data[0]), Term: binary.BigEndian.Uint64(data[1:])}
+	if at := int64(binary.BigEndian.Uint64(data[9:])); at != 0 {
+		l.AppendedAt = time.Unix(0, at)
+	}
+	n := uint64(binary.BigEndian.Uint32(data[17:]))
+	if data = data[entryHead:]; n > uint64(len(data)) {
+		return raft.Log{}, fmt.Errorf("extensions of %d bytes in %d", n, len(data))
+	}
+	if n > 0 {
+		l.Extensions = data[:n:n]
+	}
+	if len(data[n:]) > 0 {
+		l.Data = data[n:]
+	}
+	return l, nil
+}
--- a/internal/store/snapshots.go
+++ b/internal/store/snapshots.go
@@ -194,3 +194,16 @@
 	r.view.Close()
 	return nil
 }
+
+// snapshotHead is what a snapshot's key holds.
+type snapshotHead struct {
+	Meta raft.SnapshotMeta
+	Sum  uint32 // CRC-32C of its content
+}
+
+func readHead(raw []byte) (h snapshotHead, err error) {
+	if err = json.Unmarshal(raw, &h); err != nil {
+		err = fmt.Errorf("head of a snapshot: %w", err)
+	}
+	return h, err
+}
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -1,23 +1,18 @@
-// Package store keeps the coordinators' shared state in a small replicated store: configuration, the last known list of data
-// nodes, and, where coordinators may talk, what they settle among themselves (internal/statemachine). It owns its log and its
-// members' connections. Serving waits for none of it: Put is handed over and made when there is a leader, Get sees what this
-// member has applied, and a lost quorum stops neither. Do and Sync are for what has to be settled; they end with their
-// deadline. It must never say that something was done which may be undone.
+// Package store keeps the coordinators' shared state in a small replicated store by Raft: the configuration, the last known list
+// of data nodes, and, where coordinators may talk, what they agree on (internal/statemachine). Serving does not depend on it: Put
+// returns at once and is written when there is a leader, Get reads what this member has applied, and a lost quorum stops neither.
+// Do and Sync wait for agreement until their deadline; what they report as done is never undone.
 package store
 
 import (
 	"bytes"
-	"context"
 	"crypto/rand"
 	"encoding/hex"
-	"encoding/json"
 	"errors"
 	"fmt"
 	"log/slog"
-	"maps"
 	"os"
 	"slices"
-	"strings"
 	"sync"
 	"sync/atomic"
 	"time"
@@ -208,190 +203,6 @@
 	return !s.torn
 }
 
-// Put hands over a value and returns at once. The leader writes what all share; a key that ends with a member's name is that
-// member's own, and is written from wherever it is.
-func (s *Store) Put(key string, value []byte) {
-	s.mu.Lock()
-	s.want[key] = bytes.Clone(value)
-	s.mu.Unlock()
-	select {
-	case s.wake <- struct{}{}:
-	default:
-	}
-}
-
-// retry is the pause before a command is tried again that found no leader.
-const retry = 20 * time.Millisecond
-
-// Do has a command logged and applied once, whoever leads, and returns what it came to. An error means that this is not known,
-// as ctx ended first; it may be done yet, once.
-func (s *Store) Do(ctx context.Context, c statemachine.Command) (statemachine.Result, error) {
-	if err := c.Check(); err != nil {
-		return statemachine.Result{}, err
-	}
-	c.ID = statemachine.ID{Writer: s.writer, N: s.number.Add(1)}
-	var last error
-	for {
-		r, err := s.ask(ctx, call{Command: &c})
-		if err == nil && r.Failed != statemachine.StaleStamp {
-			return r, nil
-		}
-		if err != nil {
-			last = err
-		}
-		if err := s.pause(ctx); err != nil {
-			return statemachine.Result{}, errors.Join(err, last)
-		}
-	}
-}
-
-func (s *Store) pause(ctx context.Context) error {
-	timer := time.NewTimer(retry)
-	defer timer.Stop()
-	select {
-	case <-ctx.Done():
-		return ctx.Err()
-	case <-s.ended:
-		return errEnded
-	case <-timer.C:
-		return nil
-	}
-}
-
-var (
-	errEnded    = errors.New("the store has ended")
-	errNoLeader = errors.New("the store has no leader")
-)
-
-// ask puts a call to the leader, wherever it is.
-func (s *Store) ask(ctx context.Context, c call) (statemachine.Result, error) {
-	if s.raft.State() == raft.Leader {
-		return s.lead(ctx, c)
-	}
-	addr, id := s.raft.LeaderWithID()
-	if addr == "" || s.layer == nil || string(id) == s.name {
-		return statemachine.Result{}, errNoLeader
-	}
-	return s.layer.call(ctx, string(addr), c)
-}
-
-// lead serves a call at the leader.
-func (s *Store) lead(ctx context.Context, c call) (r statemachine.Result, err error) {
-	end, ok := ctx.Deadline()
-	if !ok {
-		end = time.Now().Add(longest)
-	}
-	if c.Member != nil {
-		return s.changeMember(ctx, *c.Member, end)
-	}
-	if c.Command == nil {
-		if err := s.await(ctx, s.raft.Barrier(time.Until(end))); err != nil {
-			return r, err
-		}
-		s.mu.Lock()
-		defer s.mu.Unlock()
-		return statemachine.Result{Index: s.state.Index()}, nil
-	}
-	// The stamp: the term is read before and after, so that the clock is that of this term's leader while it leads.
-	term := s.raft.CurrentTerm()
-	if s.raft.State() != raft.Leader || s.raft.CurrentTerm() != term {
-		return r, errNoLeader
-	}
-	stamped := *c.Command
-	stamped.At, stamped.LedTerm = s.clock(), term
-	data, err := json.Marshal(stamped)
-	if err != nil {
-		return r, err
-	}
-	f := s.raft.Apply(data, time.Until(end))
-	if err := s.await(ctx, f); err != nil {
-		return r, err
-	}
-	if r, ok = f.Response().(statemachine.Result); !ok {
-		return r, fmt.Errorf("the store could not apply it: %v", f.Response())
-	}
-	return r, nil
-}
-
-// await waits for the log's answer until ctx ends or the store does: what the log has taken in and not begun as it is shut down it
-// never answers.
-func (s *Store) await(ctx context.Context, f raft.Future) error {
-	answer := make(chan error, 1)
-	go func() { answer <- f.Error() }()
-	select {
-	case err := <-answer:
-		return err
-	case <-s.ended:
-		return errEnded
-	case <-ctx.Done():
-		return ctx.Err()
-	}
-}
-
-// Sync returns once this member has applied everything that was done before the call, wherever that was.
-func (s *Store) Sync(ctx context.Context) error {
-	for {
-		r, err := s.ask(ctx, call{})
-		if err == nil {
-			return s.Wait(ctx, r.Index)
-		}
-		if err2 := s.pause(ctx); err2 != nil {
-			return errors.Join(err2, err)
-		}
-	}
-}
-
-// Wait returns once this member has applied the log up to an index.
-func (s *Store) Wait(ctx context.Context, index uint64) error {
-	for {
-		s.mu.Lock()
-		at, changed := s.state.Index(), s.changed
-		s.mu.Unlock()
-		if at >= index {
-			return nil
-		}
-		select {
-		case <-changed:
-		case <-s.ended:
-			return errEnded
-		case <-ctx.Done():
-			return fmt.Errorf("this member has applied the log up to %d, not %d: %w", at, index, ctx.Err())
-		}
-	}
-}
-
-// Status is how one member sees the store.
-type Status struct {
-	Name   string
-	State  string // Leader, Follower, Candidate, Shutdown
-	Leader string // empty for none
-	Term   uint64
-	Index  uint64 // applied
-	Heard  time.Duration
-	Peers  map[string]string // suffrage by name
-	Addrs  map[string]string // where each listens
-}
-
-// Status tells how this member sees the store now.
-func (s *Store) Status() Status {
-	_, leader := s.raft.LeaderWithID()
-	st := Status{Name: s.name, State: s.raft.State().String(), Leader: string(leader), Term: s.raft.CurrentTerm(), Peers: map[string]string{},
-		Addrs: map[string]string{}}
-	if at := s.raft.LastContact(); !at.IsZero() && st.State != "Leader" {
-		st.Heard = time.Since(at)
-	}
-	if f := s.raft.GetConfiguration(); f.Error() == nil {
-		for _, p := range f.Configuration().Servers {
-			st.Peers[string(p.ID)] = strings.ToLower(p.Suffrage.String())
-			st.Addrs[string(p.ID)] = string(p.Address)
-		}
-	}
-	s.mu.Lock()
-	st.Index = s.state.Index()
-	s.mu.Unlock()
-	return st
-}
-
 // Close ends the member.
 func (s *Store) Close() error {
 	close(s.ended)
@@ -407,70 +218,3 @@
 	}
 	return err
 }
-
-// tune has as much of the log kept, and snapshots taken as often, as the sizes of its entries ask for.
-func (s *Store) tune() {
-	if s.disk == nil {
-		return
-	}
-	s.disk.mu.Lock()
-	trailing, threshold := s.disk.sizes.plan()
-	s.disk.mu.Unlock()
-	now := s.raft.ReloadableConfig()
-	far := func(a, b uint64) bool { return 4*a > 5*b || 4*b > 5*a }
-	if !far(trailing, now.TrailingLogs) && !far(threshold, now.SnapshotThreshold) {
-		return
-	}
-	now.TrailingLogs, now.SnapshotThreshold = trailing, threshold
-	if err := s.raft.ReloadConfig(now); err != nil {
-		s.log.Warn("store keeps as much of its log as before", "cause", err)
-	}
-}
-
-// write brings what is wanted into the store: whatever it is while this member leads, else what is its own.
-func (s *Store) write() {
-	again := time.NewTicker(time.Second)
-	defer again.Stop()
-	for {
-		select {
-		case <-s.ended:
-			return
-		case <-s.wake:
-		case <-s.raft.LeaderCh():
-		case <-again.C:
-			s.tune()
-		}
-		leads := s.raft.State() == raft.Leader
-		s.mu.Lock()
-		want := maps.Clone(s.want)
-		s.mu.Unlock()
-		for key, value := range want {
-			if !leads && !strings.HasSuffix(key, "/"+s.name) {
-				continue
-			}
-			s.mu.Lock()
-			e, _ := s.state.Get(key)
-			same := bytes.Equal(e.Value, value)
-			s.mu.Unlock()
-			if !same {
-				ctx, cancel := context.WithDeadline(context.Background(), time.Now().Add(time.Second))
-				r, err := s.ask(ctx, call{Command: &statemachine.Command{Put: []statemachine.Pair{{Key: key, Value: value}}}})
-				cancel()
-				if err == nil {
-					err = r.Err()
-				}
-				if err != nil {
-					if leads {
-						s.log.Warn("store did not take a value; serving goes on", "key", key, "cause", err)
-					}
-					continue
-				}
-			}
-			s.mu.Lock()
-			if bytes.Equal(s.want[key], value) {
-				delete(s.want, key)
-			}
-			s.mu.Unlock()
-		}
-	}
-}
--- /dev/null
+++ b/internal/store/sweep.go
@@ -0,0 +1,53 @@
+package store
+
+import (
+	"encoding/binary"
+
+	"gullfall/internal/kv"
+)
+
+// sweep removes the snapshots that were not finished, and values of other generations.
+func (d *disk) sweep() error {
+	list, err := d.List()
+	if err != nil {
+		return err
+	}
+	known := map[string]bool{}
+	for _, m := range list {
+		known[m.ID] = true
+	}
+	var b kv.Batch
+	lost, last := map[string]bool{}, ""
+	view := d.db.Snapshot()
+	defer view.Close()
+	err = view.Each([]byte{keySnapPart}, func(key, _ []byte) bool {
+		if id := string(key[1 : len(key)-4]); id != last {
+			if last = id; !known[id] && !lost[id] {
+				lost[id] = true
+				b = append(b, within(keySnapPart, []byte(id))...)
+			}
+		}
+		return true
+	})
+	if err != nil {
+		return err
+	}
+	for _, kind := range []byte{keyValue, keyValuePart} {
+		other := false
+		err := view.Each([]byte{kind}, func(key, _ []byte) bool {
+			other = binary.BigEndian.Uint64(key[1:]) != d.generation
+			return !other
+		})
+		if err != nil {
+			return err
+		}
+		if other {
+			b = append(b, kv.Op{Kind: kv.DeleteRange, Key: key(kind, place(0)), Value: key(kind, place(d.generation))},
+				kv.Op{Kind: kv.DeleteRange, Key: key(kind, place(d.generation+1)), Value: []byte{kind + 1}})
+		}
+	}
+	if len(b) == 0 {
+		return nil
+	}
+	return d.db.Write(b)
+}
