--- a/internal/store/commands.go
+++ b/internal/store/commands.go
@@ -13,7 +13,7 @@
 )
 
 // retry is the pause before a command is tried again that found no leader.
-const retry = 20 * time.Millisecond
+const commandRetryInterval = 20 * time.Millisecond
 
 // Do has a command logged and applied once, whoever leads, and returns what it came to. An error means that this is not known,
 // as ctx ended first; it may be done yet, once.
@@ -24,60 +24,60 @@
 	c.ID = statemachine.ID{Writer: s.writer, N: s.number.Add(1)}
 	var last error
 	for {
-		r, err := s.ask(ctx, call{Command: &c})
+		r, err := s.sendToLeader(ctx, call{Command: &c})
 		if err == nil && r.Failed != statemachine.StaleStamp {
 			return r, nil
 		}
 		if err != nil {
 			last = err
 		}
-		if err := s.pause(ctx); err != nil {
+		if err := s.waitRetry(ctx); err != nil {
 			return statemachine.Result{}, errors.Join(err, last)
 		}
 	}
 }
 
-func (s *Store) pause(ctx context.Context) error {
-	timer := time.NewTimer(retry)
+func (s *Store) waitRetry(ctx context.Context) error {
+	timer := time.NewTimer(commandRetryInterval)
 	defer timer.Stop()
 	select {
 	case <-ctx.Done():
 		return ctx.Err()
-	case <-s.ended:
-		return errEnded
+	case <-s.closed:
+		return errClosed
 	case <-timer.C:
 		return nil
 	}
 }
 
 var (
-	errEnded    = errors.New("the store has ended")
+	errClosed   = errors.New("the store has ended")
 	errNoLeader = errors.New("the store has no leader")
 )
 
 // ask puts a call to the leader, wherever it is.
-func (s *Store) ask(ctx context.Context, c call) (statemachine.Result, error) {
+func (s *Store) sendToLeader(ctx context.Context, c call) (statemachine.Result, error) {
 	if s.raft.State() == raft.Leader {
-		return s.lead(ctx, c)
+		return s.handleAsLeader(ctx, c)
 	}
 	addr, id := s.raft.LeaderWithID()
-	if addr == "" || s.layer == nil || string(id) == s.name {
+	if addr == "" || s.transport == nil || string(id) == s.name {
 		return statemachine.Result{}, errNoLeader
 	}
-	return s.layer.call(ctx, string(addr), c)
+	return s.transport.call(ctx, string(addr), c)
 }
 
 // lead serves a call at the leader.
-func (s *Store) lead(ctx context.Context, c call) (r statemachine.Result, err error) {
+func (s *Store) handleAsLeader(ctx context.Context, c call) (r statemachine.Result, err error) {
 	end, ok := ctx.Deadline()
 	if !ok {
-		end = time.Now().Add(longest)
+		end = time.Now().Add(maxCallTime)
 	}
 	if c.Member != nil {
 		return s.changeMember(ctx, *c.Member, end)
 	}
 	if c.Command == nil {
-		if err := s.await(ctx, s.raft.Barrier(time.Until(end))); err != nil {
+		if err := s.waitFuture(ctx, s.raft.Barrier(time.Until(end))); err != nil {
 			return r, err
 		}
 		s.mu.Lock()
@@ -96,7 +96,7 @@
 		return r, err
 	}
 	f := s.raft.Apply(data, time.Until(end))
-	if err := s.await(ctx, f); err != nil {
+	if err := s.waitFuture(ctx, f); err != nil {
 		return r, err
 	}
 	if r, ok = f.Response().(statemachine.Result); !ok {
@@ -107,14 +107,14 @@
 
 // await waits for the log's answer until ctx ends or the store does: what the log has taken in and not begun as it is shut down it
 // never answers.
-func (s *Store) await(ctx context.Context, f raft.Future) error {
+func (s *Store) waitFuture(ctx context.Context, f raft.Future) error {
 	answer := make(chan error, 1)
 	go func() { answer <- f.Error() }()
 	select {
 	case err := <-answer:
 		return err
-	case <-s.ended:
-		return errEnded
+	case <-s.closed:
+		return errClosed
 	case <-ctx.Done():
 		return ctx.Err()
 	}
@@ -123,11 +123,11 @@
 // Sync returns once this member has applied everything that was done before the call, wherever that was.
 func (s *Store) Sync(ctx context.Context) error {
 	for {
-		r, err := s.ask(ctx, call{})
+		r, err := s.sendToLeader(ctx, call{})
 		if err == nil {
 			return s.Wait(ctx, r.Index)
 		}
-		if err2 := s.pause(ctx); err2 != nil {
+		if err2 := s.waitRetry(ctx); err2 != nil {
 			return errors.Join(err2, err)
 		}
 	}
@@ -144,8 +144,8 @@
 		}
 		select {
 		case <-changed:
-		case <-s.ended:
-			return errEnded
+		case <-s.closed:
+			return errClosed
 		case <-ctx.Done():
 			return fmt.Errorf("this member has applied the log up to %d, not %d: %w", at, index, ctx.Err())
 		}
--- a/internal/store/disk.go
+++ b/internal/store/disk.go
@@ -18,25 +18,25 @@
 )
 
 const (
-	form     = 1
-	partSize = 256 << 10 // bytes of a value that is kept in parts, and of a part
-	atOnce   = 8         // parts in one batch of internal/kv, about
+	diskFormat      = 1
+	defaultPartSize = 256 << 10 // bytes of a value that is kept in parts, and of a part
+	batchParts      = 8         // parts in one batch of internal/kv, about
 )
 
 // disk keeps all that lasts of one member. Its methods may be called from any goroutine.
 type disk struct {
-	db   *kv.DB
-	part int // bytes: partSize, or less to try it
-	ctx  context.Context
-	stop context.CancelFunc                       // ends who waits for room or for the pace
-	pace func(*raft.SnapshotMeta) (bytes float64) // a second, at which a snapshot is read now; 0 for no bound
-	runs atomic.Bool                              // under the library, which can't go on where a figure is not kept
+	db           *kv.DB
+	partSize     int // bytes: partSize, or less to try it
+	ctx          context.Context
+	stop         context.CancelFunc                       // ends who waits for room or for the pace
+	snapshotRate func(*raft.SnapshotMeta) (bytes float64) // a second, at which a snapshot is read now; 0 for no bound
+	raftRunning  atomic.Bool                              // under the library, which can't go on where a figure is not kept
 
 	mu          sync.Mutex
 	first, last uint64 // ends of the log; 0 for an empty one
 	applied     uint64
 	generation  uint64
-	sizes       sizes
+	entrySizes  entrySizes
 }
 
 // openDisk opens a member's folder. What an earlier release kept there is taken over first.
@@ -61,9 +61,9 @@
 	if err != nil {
 		return nil, err
 	}
-	d, err := newDisk(db, func(d *disk) error { return takeOver(d, dir) })
+	d, err := newDisk(db, func(d *disk) error { return migrateBolt(d, dir) })
 	if err == nil {
-		if err = putAside(dir); err != nil {
+		if err = renameMigrated(dir); err != nil {
 			err = errors.Join(err, d.Close())
 		}
 	}
@@ -72,16 +72,16 @@
 
 // newDisk begins with what a store holds. takeOver fills one that is new.
 func newDisk(db *kv.DB, takeOver func(*disk) error) (*disk, error) {
-	d := &disk{db: db, part: partSize, generation: 1}
+	d := &disk{db: db, partSize: defaultPartSize, generation: 1}
 	d.ctx, d.stop = context.WithCancel(context.Background())
-	if err := d.begin(takeOver); err != nil {
+	if err := d.load(takeOver); err != nil {
 		return nil, errors.Join(err, d.Close())
 	}
 	return d, nil
 }
 
-func (d *disk) begin(takeOver func(*disk) error) error {
-	raw, err := d.db.Get([]byte{keyForm})
+func (d *disk) load(takeOver func(*disk) error) error {
+	raw, err := d.db.Get([]byte{keyFormat})
 	switch {
 	case errors.Is(err, kv.ErrNotFound):
 		// New, or its taking over was cut short: from the beginning.
@@ -91,23 +91,23 @@
 		if err := takeOver(d); err != nil {
 			return err
 		}
-		if err := d.db.Write(kv.Batch{{Kind: kv.Put, Key: []byte{keyForm}, Value: []byte{form}}}); err != nil {
+		if err := d.db.Write(kv.Batch{{Kind: kv.Put, Key: []byte{keyFormat}, Value: []byte{diskFormat}}}); err != nil {
 			return err
 		}
 	case err != nil:
 		return err
-	case len(raw) != 1 || raw[0] != form:
-		return fmt.Errorf("it is of form %v; this program knows %d: start the newer one", raw, form)
+	case len(raw) != 1 || raw[0] != diskFormat:
+		return fmt.Errorf("it is of form %v; this program knows %d: start the newer one", raw, diskFormat)
 	}
 	if raw, err = d.db.Get([]byte{keyApplied}); err == nil && len(raw) == 16 {
 		d.applied, d.generation = binary.BigEndian.Uint64(raw), binary.BigEndian.Uint64(raw[8:])
 	} else if err != nil && !errors.Is(err, kv.ErrNotFound) {
 		return err
 	}
-	if err := d.sweep(); err != nil {
+	if err := d.removeLeftovers(); err != nil {
 		return err
 	}
-	return d.measure()
+	return d.measureLog()
 }
 
 // Close ends it.
--- a/internal/store/disk_test.go
+++ b/internal/store/disk_test.go
@@ -39,7 +39,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	kept.part = 1 << 10
+	kept.partSize = 1 << 10
 	return kept
 }
 
@@ -85,7 +85,7 @@
 			t.Fatalf("figure %s: %q, %v, want %q", k, got, err, v)
 		}
 	}
-	values, index, err := d.read()
+	values, index, err := d.readApplied()
 	if err != nil || index != m.applied || len(values) != len(m.values) {
 		t.Fatalf("%d values up to %d, %v; want %d up to %d", len(values), index, err, len(m.values), m.applied)
 	}
@@ -121,7 +121,7 @@
 		m := &model{log: map[uint64]raft.Log{}, figures: map[string]string{}, values: map[string]string{}}
 		chance := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "power"), 1))
 		bytesOf := func(name string) []byte {
-			n := rapid.SampledFrom([]int{0, 1, 100, d.part, d.part + 1, 3*d.part - 7}).Draw(t, name)
+			n := rapid.SampledFrom([]int{0, 1, 100, d.partSize, d.partSize + 1, 3*d.partSize - 7}).Draw(t, name)
 			data := make([]byte, n)
 			for i := range data {
 				data[i] = byte(chance.Uint32())
@@ -201,8 +201,8 @@
 					}
 				}
 				m.applied += uint64(rapid.IntRange(1, 3).Draw(t, "steps"))
-				must(d.write(changed, m.applied, false))
-				must(d.write(map[string][]byte{"a": []byte("older")}, m.applied-1, true)) // stays unheard
+				must(d.writeApplied(changed, m.applied, false))
+				must(d.writeApplied(map[string][]byte{"a": []byte("older")}, m.applied-1, true)) // stays unheard
 			},
 			"all values": func(t *rapid.T) {
 				m.values, m.applied = map[string]string{"ab": string(bytesOf("value")), "c": "2"}, m.applied+5
@@ -210,7 +210,7 @@
 				for k, v := range m.values {
 					all[k] = []byte(v)
 				}
-				must(d.write(all, m.applied, true))
+				must(d.writeApplied(all, m.applied, true))
 			},
 			"snapshot": func(t *rapid.T) {
 				_, last := ends()
@@ -230,15 +230,15 @@
 				must(err)
 				at := slices.IndexFunc(list, func(s *raft.SnapshotMeta) bool { return s.ID == sink.ID() })
 				m.snaps = slices.Insert(m.snaps, max(at, 0), string(content))
-				m.snaps = m.snaps[:min(len(m.snaps), snapshotsKept)]
+				m.snaps = m.snaps[:min(len(m.snaps), retainedSnapshots)]
 			},
 			"power": func(t *rapid.T) {
 				// What is begun and not acknowledged is not seen.
 				sink, err := d.Create(1, 1, 1, raft.Configuration{}, 1, nil)
 				must(err)
-				_, err = sink.Write(make([]byte, 2*d.part))
+				_, err = sink.Write(make([]byte, 2*d.partSize))
 				must(err)
-				_, err = d.keep(make([]byte, 2*d.part), keyValuePart, append(place(d.generation), bytes.Repeat([]byte{9}, 12)...), d.part)
+				_, err = d.writeChunked(make([]byte, 2*d.partSize), keyValuePart, append(encodeIndex(d.generation), bytes.Repeat([]byte{9}, 12)...), d.partSize)
 				must(err)
 				after := power.Crash(chance)
 				d.Close()
@@ -276,12 +276,12 @@
 		}
 		for index := uint64(4); index <= 9; index++ {
 			data, err := json.Marshal(command(index))
-			if err := errors.Join(err, tx.Bucket([]byte("log")).Put(place(index), data)); err != nil {
+			if err := errors.Join(err, tx.Bucket([]byte("log")).Put(encodeIndex(index), data)); err != nil {
 				return err
 			}
 		}
 		stable := tx.Bucket([]byte("stable"))
-		return errors.Join(stable.Put([]byte("CurrentTerm"), place(term)), stable.Put([]byte("applied"), place(9)),
+		return errors.Join(stable.Put([]byte("CurrentTerm"), encodeIndex(term)), stable.Put([]byte("applied"), encodeIndex(9)),
 			tx.Bucket([]byte("values")).Put([]byte("k9"), []byte("v")), tx.Bucket([]byte("values")).Put([]byte("old"), []byte("list")))
 	}))
 	must(db.Close())
@@ -309,7 +309,7 @@
 	half, err := kv.Open(kv.Dir(folder), kv.Config{})
 	must(err)
 	if _, err := newDisk(half, func(d *disk) error {
-		return errors.Join(takeOver(d, dir), d.StoreLog(&raft.Log{Index: 99}), errors.New("the power goes"))
+		return errors.Join(migrateBolt(d, dir), d.StoreLog(&raft.Log{Index: 99}), errors.New("the power goes"))
 	}); err == nil {
 		t.Fatal("it was not cut short")
 	}
@@ -326,7 +326,7 @@
 		t.Errorf("term %d", term)
 	}
 	must(s.Close())
-	for name, there := range map[string]bool{"store.db": false, "store.db" + takenOver: true, "snapshots": false, "snapshots" + takenOver: true} {
+	for name, there := range map[string]bool{"store.db": false, "store.db" + migratedSuffix: true, "snapshots": false, "snapshots" + migratedSuffix: true} {
 		if _, err := os.Stat(filepath.Join(dir, name)); (err == nil) != there {
 			t.Errorf("%s: %v", name, err)
 		}
@@ -343,35 +343,35 @@
 		entries, bytes     int
 		trailing, snapshot uint64
 	}{
-		{"empty", 0, 0, tailLeast, eachLeast},
+		{"empty", 0, 0, minTrailing, minSnapshotThreshold},
 		{"leases", 1000, 300, 11522, 5761},
-		{"bare", 1000, 1, 64527, eachMost},
-		{"lists of all data nodes", 40, 600_000, tailLeast, eachLeast},
+		{"bare", 1000, 1, 64527, maxSnapshotThreshold},
+		{"lists of all data nodes", 40, 600_000, minTrailing, minSnapshotThreshold},
 	} {
-		var s sizes
+		var s entrySizes
 		for i := range c.entries {
 			s.add(uint64(i+1), c.bytes)
 		}
-		if trailing, snapshot := s.plan(); trailing != c.trailing || snapshot != c.snapshot {
+		if trailing, snapshot := s.retention(); trailing != c.trailing || snapshot != c.snapshot {
 			t.Errorf("%s: %d and %d, want %d and %d", c.name, trailing, snapshot, c.trailing, c.snapshot)
 		}
 	}
-	var s sizes
-	for i := range 5 * tailMost {
+	var s entrySizes
+	for i := range 5 * maxTrailing {
 		s.add(uint64(i+1), 10)
 	}
-	s.add(5*tailMost-9, 1<<20) // in the place of a later end
-	if len(s.list) > 2*tailMost || s.from+uint64(len(s.list)) != 5*tailMost-8 {
-		t.Errorf("%d sizes from %d on", len(s.list), s.from)
+	s.add(5*maxTrailing-9, 1<<20) // in the place of a later end
+	if len(s.list) > 2*maxTrailing || s.first+uint64(len(s.list)) != 5*maxTrailing-8 {
+		t.Errorf("%d sizes from %d on", len(s.list), s.first)
 	}
 	// What is cut off and then passed over by a gap is not taken for its beginning.
-	var gap sizes
+	var gap entrySizes
 	for i := range 10 {
 		gap.add(uint64(i+1), 10)
 	}
-	gap.cut(1)
-	if gap.add(11, 10); gap.from != 11 || len(gap.list) != 1 {
-		t.Errorf("behind a gap: %d sizes from %d on", len(gap.list), gap.from)
+	gap.truncate(1)
+	if gap.add(11, 10); gap.first != 11 || len(gap.list) != 1 {
+		t.Errorf("behind a gap: %d sizes from %d on", len(gap.list), gap.first)
 	}
 }
 
@@ -381,7 +381,7 @@
 	full := labdisk.New()
 	d := openOn(t, full)
 	defer d.Close()
-	d.runs.Store(true)
+	d.raftRunning.Store(true)
 	full.Room(2000)
 	var err error
 	last := uint64(0)
@@ -405,15 +405,15 @@
 		t.Fatal(err)
 	}
 	full.Room(-1)
-	d.part = partSize
+	d.partSize = defaultPartSize
 	values := map[string][]byte{} // of one batch of entries, more than one batch of internal/kv takes
 	for i := range 40 {
-		values[fmt.Sprint(i)] = bytes.Repeat([]byte{byte(i)}, partSize-1)
+		values[fmt.Sprint(i)] = bytes.Repeat([]byte{byte(i)}, defaultPartSize-1)
 	}
-	if err := d.write(values, 1, false); err != nil {
+	if err := d.writeApplied(values, 1, false); err != nil {
 		t.Error(err)
 	}
-	if got, _, err := d.read(); err != nil || len(got) != 40 || !bytes.Equal(got["39"], values["39"]) {
+	if got, _, err := d.readApplied(); err != nil || len(got) != 40 || !bytes.Equal(got["39"], values["39"]) {
 		t.Errorf("%d values, %v", len(got), err)
 	}
 	if term, err := d.GetUint64([]byte("CurrentTerm")); term != 7 || err != nil {
--- a/internal/store/fsm.go
+++ b/internal/store/fsm.go
@@ -14,13 +14,13 @@
 )
 
 // machine is the Store as the replicated log sees it.
-type machine Store
+type fsm Store
 
 // Apply takes in one entry of the log.
-func (m *machine) Apply(l *raft.Log) any { return m.ApplyBatch([]*raft.Log{l})[0] }
+func (m *fsm) Apply(l *raft.Log) any { return m.ApplyBatch([]*raft.Log{l})[0] }
 
 // ApplyBatch takes in entries in their order, and writes what they changed at once.
-func (m *machine) ApplyBatch(logs []*raft.Log) []any {
+func (m *fsm) ApplyBatch(logs []*raft.Log) []any {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	results, changed := make([]any, len(logs)), map[string]bool{}
@@ -40,48 +40,48 @@
 		}
 		results[i] = r
 	}
-	if m.disk != nil && m.torn {
-		m.mend()
+	if m.disk != nil && m.diskStale {
+		m.rewriteAll()
 	} else if m.disk != nil && len(changed) > 0 {
 		values := map[string][]byte{}
 		for k := range changed {
 			e, _ := m.state.Get(k)
 			values[k] = e.Value
 		}
-		m.keep(m.disk.write(values, m.state.Index(), false))
+		m.recordWrite(m.disk.writeApplied(values, m.state.Index(), false))
 	}
-	m.tell()
+	m.notify()
 	return results
 }
 
 // tell wakes those that wait for a change. The caller holds the lock.
-func (m *machine) tell() {
+func (m *fsm) notify() {
 	close(m.changed)
 	m.changed = make(chan struct{})
 }
 
 // keep takes in what came of a write. The caller holds the lock.
-func (m *machine) keep(err error) {
+func (m *fsm) recordWrite(err error) {
 	switch {
 	case err != nil:
 		m.log.Error("store can't be written", "cause", err)
-		m.tried = time.Now()
-	case m.torn:
+		m.lastDiskFailure = time.Now()
+	case m.diskStale:
 		m.log.Info("store is written again")
 	}
-	m.torn = err != nil
+	m.diskStale = err != nil
 }
 
 // mend writes all values anew after a write has failed, once a second at most: what changed meanwhile is not on the disk. The caller
 // holds the lock.
-func (m *machine) mend() {
-	if time.Since(m.tried) < time.Second {
+func (m *fsm) rewriteAll() {
+	if time.Since(m.lastDiskFailure) < time.Second {
 		return
 	}
-	m.keep(m.disk.write(m.all(), m.state.Index(), true))
+	m.recordWrite(m.disk.writeApplied(m.values(), m.state.Index(), true))
 }
 
-func (m *machine) all() map[string][]byte {
+func (m *fsm) values() map[string][]byte {
 	values := map[string][]byte{}
 	for k, e := range m.state.Values() {
 		values[k] = e.Value
@@ -90,15 +90,15 @@
 }
 
 // Snapshot copies the state.
-func (m *machine) Snapshot() (raft.FSMSnapshot, error) {
+func (m *fsm) Snapshot() (raft.FSMSnapshot, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	data, err := m.state.Snapshot()
-	return snapshot(data), err
+	return fsmSnapshot(data), err
 }
 
 // Restore replaces the state.
-func (m *machine) Restore(r io.ReadCloser) error {
+func (m *fsm) Restore(r io.ReadCloser) error {
 	defer r.Close()
 	data, err := io.ReadAll(r)
 	if err != nil {
@@ -110,16 +110,16 @@
 		return err
 	}
 	if m.disk != nil {
-		m.keep(m.disk.write(m.all(), m.state.Index(), true))
+		m.recordWrite(m.disk.writeApplied(m.values(), m.state.Index(), true))
 	}
-	m.tell()
+	m.notify()
 	return nil
 }
 
-type snapshot []byte
+type fsmSnapshot []byte
 
 // Persist writes a snapshot out.
-func (s snapshot) Persist(sink raft.SnapshotSink) error {
+func (s fsmSnapshot) Persist(sink raft.SnapshotSink) error {
 	if _, err := sink.Write(s); err != nil {
 		sink.Cancel()
 		return err
@@ -128,4 +128,4 @@
 }
 
 // Release has nothing to give back.
-func (s snapshot) Release() {}
+func (s fsmSnapshot) Release() {}
--- a/internal/store/lease.go
+++ b/internal/store/lease.go
@@ -24,9 +24,9 @@
 	Granted  func(until time.Time)      // of each grant, renewals included; may be nil
 	Log      *slog.Logger
 
-	mu     sync.Mutex
-	holder *lease.Holder
-	held   bool // as logged last
+	mu         sync.Mutex
+	holder     *lease.Holder
+	loggedHeld bool // as logged last
 }
 
 // Run campaigns and renews until ctx ends. The first campaign waits for a pause of this coordinator's own.
@@ -39,7 +39,7 @@
 		now := l.now()
 		ask, next := l.holder.Step(now), l.holder.Next()
 		l.mu.Unlock()
-		l.tell()
+		l.logChange()
 		if ask.Kind == lease.Wait {
 			timer := time.NewTimer(min(max(next-now, time.Millisecond), 100*time.Millisecond))
 			select {
@@ -49,14 +49,14 @@
 			timer.Stop()
 			continue
 		}
-		l.ask(ctx, ask, now)
+		l.request(ctx, ask, now)
 	}
 }
 
 func (l *Lease) now() time.Duration { return l.Store.clock() }
 
 // ask puts one request and takes in what came of it.
-func (l *Lease) ask(ctx context.Context, ask lease.Request, sent time.Duration) {
+func (l *Lease) request(ctx context.Context, ask lease.Request, sent time.Duration) {
 	c := statemachine.Command{Lease: &statemachine.LeaseOp{What: statemachine.Campaign, Duty: l.Duty, Presence: l.Presence, Who: l.Who, Term: ask.Term, Heard: ask.Version,
 		Length: l.Config.Length}}
 	if ask.Kind == lease.Renew {
@@ -87,15 +87,15 @@
 	if err == nil && r.Failed == "" && l.Granted != nil {
 		l.Granted(l.Store.at(sent + l.Config.Acting()))
 	}
-	l.tell()
+	l.logChange()
 }
 
 // tell logs that the lease was won or lost.
-func (l *Lease) tell() {
+func (l *Lease) logChange() {
 	l.mu.Lock()
 	token, held := l.holder.MayAct(l.now())
-	changed := held != l.held
-	l.held = held
+	changed := held != l.loggedHeld
+	l.loggedHeld = held
 	l.mu.Unlock()
 	switch {
 	case !changed || l.Presence:
@@ -132,7 +132,7 @@
 	}
 	g, held := l.holder.Resign()
 	l.mu.Unlock()
-	l.tell()
+	l.logChange()
 	if !held {
 		return nil
 	}
--- a/internal/store/members.go
+++ b/internal/store/members.go
@@ -27,12 +27,12 @@
 type MemberChange struct{ What, Name, Addr string }
 
 // unfit is the cause of a result that no other try would change.
-const unfit = "member"
+const invalidMemberChange = "member"
 
 // Change has the leader change who is a member, by ctx's deadline; an error that is not of ctx says what does not fit. A change
 // that was made though its answer was lost counts as made.
 func (s *Store) Change(ctx context.Context, c MemberChange) error {
-	if s.layer == nil {
+	if s.transport == nil {
 		return errors.New("the store has this one member: store.listen in deploy/gullfall.toml is empty")
 	}
 	if c.What == GiveVote {
@@ -42,27 +42,27 @@
 		}
 	}
 	for doubt := false; ; {
-		r, err := s.ask(ctx, call{Member: &c})
+		r, err := s.sendToLeader(ctx, call{Member: &c})
 		switch {
-		case err == nil && r.Failed == "", err == nil && doubt && s.made(c):
+		case err == nil && r.Failed == "", err == nil && doubt && s.isApplied(c):
 			return nil
 		case err == nil:
 			return errors.New(r.Why)
 		}
 		doubt = doubt || !errors.Is(err, errNoLeader) // else it was not even begun
-		if ended := s.pause(ctx); ended != nil {
+		if ended := s.waitRetry(ctx); ended != nil {
 			return errors.Join(ended, err)
 		}
 	}
 }
 
 // made tells whether the members are as a change wants them, as far as is known here.
-func (s *Store) made(c MemberChange) bool {
+func (s *Store) isApplied(c MemberChange) bool {
 	f := s.raft.GetConfiguration()
 	if f.Error() != nil {
 		return false
 	}
-	p, known := find(f.Configuration().Servers, c.Name)
+	p, known := findServer(f.Configuration().Servers, c.Name)
 	switch c.What {
 	case Remove:
 		return !known
@@ -72,7 +72,7 @@
 	return known && string(p.Address) == c.Addr
 }
 
-func find(servers []raft.Server, name string) (raft.Server, bool) {
+func findServer(servers []raft.Server, name string) (raft.Server, bool) {
 	for _, p := range servers {
 		if string(p.ID) == name {
 			return p, true
@@ -84,7 +84,7 @@
 // changeMember makes a change at the leader.
 func (s *Store) changeMember(ctx context.Context, c MemberChange, end time.Time) (statemachine.Result, error) {
 	no := func(format string, args ...any) (statemachine.Result, error) {
-		return statemachine.Result{Failed: unfit, Why: fmt.Sprintf(format, args...)}, nil
+		return statemachine.Result{Failed: invalidMemberChange, Why: fmt.Sprintf(format, args...)}, nil
 	}
 	if s.raft.State() != raft.Leader {
 		return statemachine.Result{}, errNoLeader
@@ -99,7 +99,7 @@
 			votes++
 		}
 	}
-	p, known := find(servers, c.Name)
+	p, known := findServer(servers, c.Name)
 	left := time.Until(end)
 	switch c.What {
 	case AddLearner:
@@ -109,12 +109,12 @@
 		if _, _, err := net.SplitHostPort(c.Addr); err != nil || c.Name == "" {
 			return no("a member needs a name and an address as 127.0.0.1:8300; got %q, %q", c.Name, c.Addr)
 		}
-		return statemachine.Result{}, s.await(ctx, s.raft.AddNonvoter(raft.ServerID(c.Name), raft.ServerAddress(c.Addr), 0, left))
+		return statemachine.Result{}, s.waitFuture(ctx, s.raft.AddNonvoter(raft.ServerID(c.Name), raft.ServerAddress(c.Addr), 0, left))
 	case GiveVote:
 		if !known || p.Suffrage == raft.Voter {
 			return no("%q is no learner of the store", c.Name)
 		}
-		return statemachine.Result{}, s.await(ctx, s.raft.AddVoter(p.ID, p.Address, 0, left))
+		return statemachine.Result{}, s.waitFuture(ctx, s.raft.AddVoter(p.ID, p.Address, 0, left))
 	case Remove:
 		if !known {
 			return no("no member %q", c.Name)
@@ -122,7 +122,7 @@
 		if p.Suffrage == raft.Voter && votes == 1 {
 			return no("%q has the last vote; give another member one first", c.Name)
 		}
-		return statemachine.Result{}, s.await(ctx, s.raft.RemoveServer(p.ID, 0, left))
+		return statemachine.Result{}, s.waitFuture(ctx, s.raft.RemoveServer(p.ID, 0, left))
 	}
 	return no("%q is no change of a member; %s, %s and %s are", c.What, AddLearner, GiveVote, Remove)
 }
--- a/internal/store/migrate.go
+++ b/internal/store/migrate.go
@@ -23,10 +23,10 @@
 )
 
 // takenOver is added to the names of what was taken over.
-const takenOver = ".taken-over"
+const migratedSuffix = ".taken-over"
 
 // takeOver fills a new disk with what an earlier release kept in a folder, if there is anything.
-func takeOver(d *disk, dir string) error {
+func migrateBolt(d *disk, dir string) error {
 	name := filepath.Join(dir, "store.db")
 	if _, err := os.Stat(name); errors.Is(err, fs.ErrNotExist) {
 		return nil
@@ -38,7 +38,7 @@
 		return fmt.Errorf("%s is to be taken over: %w; end the earlier release first", name, err)
 	}
 	defer db.Close()
-	if err := takeFile(d, db); err != nil {
+	if err := migrateBoltFile(d, db); err != nil {
 		return fmt.Errorf("%s is to be taken over: %w", name, err)
 	}
 	files, err := raft.NewFileSnapshotStoreWithLogger(dir, 2, hclog.NewNullLogger())
@@ -47,7 +47,7 @@
 	}
 	list, err := files.List()
 	if err == nil && len(list) > 0 {
-		err = takeSnapshot(d, files, list[0])
+		err = migrateSnapshot(d, files, list[0])
 	}
 	if err != nil {
 		return fmt.Errorf("snapshots of %s are to be taken over: %w", dir, err)
@@ -56,10 +56,10 @@
 }
 
 // putAside renames what was taken over.
-func putAside(dir string) error {
+func renameMigrated(dir string) error {
 	for _, name := range []string{"store.db", "snapshots"} {
 		from := filepath.Join(dir, name)
-		if err := os.Rename(from, from+takenOver); err != nil && !errors.Is(err, fs.ErrNotExist) {
+		if err := os.Rename(from, from+migratedSuffix); err != nil && !errors.Is(err, fs.ErrNotExist) {
 			return err
 		}
 	}
@@ -67,7 +67,7 @@
 }
 
 // takeFile takes the log, the figures and the values.
-func takeFile(d *disk, db *bbolt.DB) error {
+func migrateBoltFile(d *disk, db *bbolt.DB) error {
 	return db.View(func(tx *bbolt.Tx) error {
 		each := func(name string, f func(k, v []byte) error) error {
 			if b := tx.Bucket([]byte(name)); b != nil {
@@ -81,7 +81,7 @@
 				index = binary.BigEndian.Uint64(v)
 				return nil
 			}
-			return d.db.Write(kv.Batch{{Kind: kv.Put, Key: key(keyFigure, k), Value: v}})
+			return d.db.Write(kv.Batch{{Kind: kv.Put, Key: key(keyStable, k), Value: v}})
 		}), each("log", func(k, v []byte) error {
 			var l raft.Log
 			if err := json.Unmarshal(v, &l); err != nil {
@@ -91,12 +91,12 @@
 		}), each("values", func(k, v []byte) error {
 			values[string(k)] = v
 			return nil
-		}), d.write(values, index, true))
+		}), d.writeApplied(values, index, true))
 	})
 }
 
 // takeSnapshot takes one snapshot.
-func takeSnapshot(d *disk, files raft.SnapshotStore, m *raft.SnapshotMeta) error {
+func migrateSnapshot(d *disk, files raft.SnapshotStore, m *raft.SnapshotMeta) error {
 	_, in, err := files.Open(m.ID)
 	if err != nil {
 		return err
--- a/internal/store/putqueue.go
+++ b/internal/store/putqueue.go
@@ -16,21 +16,21 @@
 // member's own, and is written from wherever it is.
 func (s *Store) Put(key string, value []byte) {
 	s.mu.Lock()
-	s.want[key] = bytes.Clone(value)
+	s.pending[key] = bytes.Clone(value)
 	s.mu.Unlock()
 	select {
-	case s.wake <- struct{}{}:
+	case s.pendingChanged <- struct{}{}:
 	default:
 	}
 }
 
 // tune has as much of the log kept, and snapshots taken as often, as the sizes of its entries ask for.
-func (s *Store) tune() {
+func (s *Store) adjustRetention() {
 	if s.disk == nil {
 		return
 	}
 	s.disk.mu.Lock()
-	trailing, threshold := s.disk.sizes.plan()
+	trailing, threshold := s.disk.entrySizes.retention()
 	s.disk.mu.Unlock()
 	now := s.raft.ReloadableConfig()
 	far := func(a, b uint64) bool { return 4*a > 5*b || 4*b > 5*a }
@@ -44,21 +44,21 @@
 }
 
 // write brings what is wanted into the store: whatever it is while this member leads, else what is its own.
-func (s *Store) write() {
+func (s *Store) runPutQueue() {
 	again := time.NewTicker(time.Second)
 	defer again.Stop()
 	for {
 		select {
-		case <-s.ended:
+		case <-s.closed:
 			return
-		case <-s.wake:
+		case <-s.pendingChanged:
 		case <-s.raft.LeaderCh():
 		case <-again.C:
-			s.tune()
+			s.adjustRetention()
 		}
 		leads := s.raft.State() == raft.Leader
 		s.mu.Lock()
-		want := maps.Clone(s.want)
+		want := maps.Clone(s.pending)
 		s.mu.Unlock()
 		for key, value := range want {
 			if !leads && !strings.HasSuffix(key, "/"+s.name) {
@@ -70,7 +70,7 @@
 			s.mu.Unlock()
 			if !same {
 				ctx, cancel := context.WithDeadline(context.Background(), time.Now().Add(time.Second))
-				r, err := s.ask(ctx, call{Command: &statemachine.Command{Put: []statemachine.Pair{{Key: key, Value: value}}}})
+				r, err := s.sendToLeader(ctx, call{Command: &statemachine.Command{Put: []statemachine.Pair{{Key: key, Value: value}}}})
 				cancel()
 				if err == nil {
 					err = r.Err()
@@ -83,8 +83,8 @@
 				}
 			}
 			s.mu.Lock()
-			if bytes.Equal(s.want[key], value) {
-				delete(s.want, key)
+			if bytes.Equal(s.pending[key], value) {
+				delete(s.pending, key)
 			}
 			s.mu.Unlock()
 		}
--- a/internal/store/raftlog.go
+++ b/internal/store/raftlog.go
@@ -29,15 +29,15 @@
 func (d *disk) GetLog(index uint64, l *raft.Log) error {
 	view := d.db.Snapshot()
 	defer view.Close()
-	held, err := view.Get(key(keyLog, place(index)))
+	held, err := view.Get(key(keyLog, encodeIndex(index)))
 	if errors.Is(err, kv.ErrNotFound) {
 		return raft.ErrLogNotFound
 	} else if err != nil {
 		return err
 	}
-	data, err := whole(view, held, keyLogPart)
+	data, err := readChunked(view, held, keyLogPart)
 	if err == nil {
-		*l, err = readEntry(index, data)
+		*l, err = decodeEntry(index, data)
 	}
 	if err != nil {
 		return fmt.Errorf("entry %d of the store's log: %w", index, err)
@@ -67,18 +67,18 @@
 				d.first = index
 			}
 			d.last = max(d.last, index)
-			d.sizes.add(index, length(b[i].Value))
+			d.entrySizes.add(index, valueLength(b[i].Value))
 		}
 		b, size, from = nil, 0, to
 		return nil
 	}
 	for i, l := range logs {
-		held, err := d.keep(appendEntry(nil, l), keyLogPart, place(l.Index), d.part)
+		held, err := d.writeChunked(appendEntry(nil, l), keyLogPart, encodeIndex(l.Index), d.partSize)
 		if err != nil {
 			return err
 		}
-		b = append(b, kv.Op{Kind: kv.Put, Key: key(keyLog, place(l.Index)), Value: held})
-		if size += len(held); size > atOnce*d.part {
+		b = append(b, kv.Op{Kind: kv.Put, Key: key(keyLog, encodeIndex(l.Index)), Value: held})
+		if size += len(held); size > batchParts*d.partSize {
 			if err := flush(i + 1); err != nil {
 				return err
 			}
@@ -92,45 +92,45 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	err := d.db.Write(kv.Batch{
-		{Kind: kv.DeleteRange, Key: key(keyLog, place(first)), Value: key(keyLog, place(last+1))},
-		{Kind: kv.DeleteRange, Key: key(keyLogPart, place(first)), Value: key(keyLogPart, place(last+1))}})
+		{Kind: kv.DeleteRange, Key: key(keyLog, encodeIndex(first)), Value: key(keyLog, encodeIndex(last+1))},
+		{Kind: kv.DeleteRange, Key: key(keyLogPart, encodeIndex(first)), Value: key(keyLogPart, encodeIndex(last+1))}})
 	if err != nil {
 		return err
 	}
 	// Behind the first whose size is known there is no gap.
 	switch {
 	case first <= d.first && last >= d.last:
-		d.first, d.last, d.sizes = 0, 0, sizes{}
-	case first <= d.first && last+1 >= d.sizes.from:
+		d.first, d.last, d.entrySizes = 0, 0, entrySizes{}
+	case first <= d.first && last+1 >= d.entrySizes.first:
 		d.first = max(d.first, last+1)
-	case last >= d.last && first > max(d.sizes.from, d.first):
+	case last >= d.last && first > max(d.entrySizes.first, d.first):
 		d.last = min(d.last, first-1)
-		d.sizes.cut(d.last)
+		d.entrySizes.truncate(d.last)
 	default:
-		return d.measure()
+		return d.measureLog()
 	}
 	return nil
 }
 
 // measure reads the log's ends and the sizes of its entries.
-func (d *disk) measure() error {
+func (d *disk) measureLog() error {
 	view := d.db.Snapshot()
 	defer view.Close()
-	d.first, d.last, d.sizes = 0, 0, sizes{}
+	d.first, d.last, d.entrySizes = 0, 0, entrySizes{}
 	return view.Each([]byte{keyLog}, func(key, value []byte) bool {
 		index := binary.BigEndian.Uint64(key[1:])
 		if d.first == 0 {
 			d.first = index
 		}
 		d.last = index
-		d.sizes.add(index, length(value))
+		d.entrySizes.add(index, valueLength(value))
 		return true
 	})
 }
 
 // An entry as it is kept: its type, term, when its leader took it in (ns since 1970; 0 for not said), the length of its extensions,
 // these, and its data.
-const entryHead = 1 + 8 + 8 + 4
+const entryHeaderSize = 1 + 8 + 8 + 4
 
 func appendEntry(to []byte, l *raft.Log) []byte {
 	at := int64(0)
@@ -144,8 +144,8 @@
 	return append(append(to, l.Extensions...), l.Data...)
 }
 
-func readEntry(index uint64, data []byte) (raft.Log, error) {
-	if len(data) < entryHead {
+func decodeEntry(index uint64, data []byte) (raft.Log, error) {
+	if len(data) < entryHeaderSize {
 		return raft.Log{}, fmt.Errorf("%d bytes are no entry", len(data))
 	}
 	l := raft.Log{Index: index, Type: raft.LogType(data[0]), Term: binary.BigEndian.Uint64(data[1:])}
@@ -153,7 +153,7 @@
 		l.AppendedAt = time.Unix(0, at)
 	}
 	n := uint64(binary.BigEndian.Uint32(data[17:]))
-	if data = data[entryHead:]; n > uint64(len(data)) {
+	if data = data[entryHeaderSize:]; n > uint64(len(data)) {
 		return raft.Log{}, fmt.Errorf("extensions of %d bytes in %d", n, len(data))
 	}
 	if n > 0 {
--- a/internal/store/recover.go
+++ b/internal/store/recover.go
@@ -36,7 +36,7 @@
 	s := &Store{log: log, name: name, state: statemachine.New(), disk: d, changed: make(chan struct{})}
 	_, transport := raft.NewInmemTransport(raft.ServerAddress(cfg.Listen))
 	alone := raft.Configuration{Servers: []raft.Server{{ID: raft.ServerID(name), Address: raft.ServerAddress(cfg.Listen)}}}
-	if err := raft.RecoverCluster(conf, (*machine)(s), d, d, d, transport, alone); err != nil {
+	if err := raft.RecoverCluster(conf, (*fsm)(s), d, d, d, transport, alone); err != nil {
 		return 0, fmt.Errorf("store.directory: %w", err)
 	}
 	return s.state.Index(), nil
--- a/internal/store/snapshots.go
+++ b/internal/store/snapshots.go
@@ -23,7 +23,7 @@
 )
 
 // snapshotsKept is how many snapshots stay: the one before the last may still be on its way to a member.
-const snapshotsKept = 2
+const retainedSnapshots = 2
 
 // List, Open and Create are the library's SnapshotStore; the newest comes first.
 func (d *disk) List() (list []*raft.SnapshotMeta, err error) {
@@ -32,7 +32,7 @@
 	var bad error
 	err = view.Each([]byte{keySnapshot}, func(_, raw []byte) bool {
 		var h snapshotHead
-		if h, bad = readHead(raw); bad == nil {
+		if h, bad = decodeSnapshotHead(raw); bad == nil {
 			list = append(list, &h.Meta)
 		}
 		return bad == nil
@@ -49,16 +49,16 @@
 	raw, err := view.Get(key(keySnapshot, []byte(id)))
 	var h snapshotHead
 	if err == nil {
-		h, err = readHead(raw)
+		h, err = decodeSnapshotHead(raw)
 	}
 	if err != nil {
 		view.Close()
 		return nil, nil, fmt.Errorf("snapshot %s: %w", id, err)
 	}
-	r := &snapshotReader{ctx: d.ctx, view: view, head: h, sum: crc32.New(castagnoli)}
-	if d.pace != nil {
-		if bound := d.pace(&h.Meta); bound > 0 {
-			r.budget = rate.NewLimiter(rate.Limit(bound), partSize)
+	r := &snapshotReader{ctx: d.ctx, view: view, head: h, checksum: crc32.New(castagnoli)}
+	if d.snapshotRate != nil {
+		if bound := d.snapshotRate(&h.Meta); bound > 0 {
+			r.limiter = rate.NewLimiter(rate.Limit(bound), defaultPartSize)
 		}
 	}
 	return &h.Meta, r, nil
@@ -70,19 +70,19 @@
 		return nil, fmt.Errorf("snapshot of version %d; this program writes 1", version)
 	}
 	id := fmt.Sprintf("%016x-%016x-%016x", term, index, time.Now().UnixNano())
-	w := &snapshotWriter{disk: d, sum: crc32.New(castagnoli)}
+	w := &snapshotWriter{disk: d, checksum: crc32.New(castagnoli)}
 	w.head.Meta = raft.SnapshotMeta{Version: version, ID: id, Index: index, Term: term, Configuration: members, ConfigurationIndex: membersIndex}
 	return w, nil
 }
 
 // snapshotWriter is a snapshot that is being written.
 type snapshotWriter struct {
-	disk  *disk
-	head  snapshotHead
-	sum   hash.Hash32
-	buf   []byte
-	parts int
-	ended bool
+	disk     *disk
+	head     snapshotHead
+	checksum hash.Hash32
+	buf      []byte
+	parts    int
+	finished bool
 }
 
 // ID names the snapshot.
@@ -90,12 +90,12 @@
 
 // Write takes further content in.
 func (w *snapshotWriter) Write(p []byte) (n int, err error) {
-	w.sum.Write(p)
+	w.checksum.Write(p)
 	w.head.Meta.Size += int64(len(p))
 	for n = len(p); len(p) > 0; {
-		take := min(w.disk.part-len(w.buf), len(p))
+		take := min(w.disk.partSize-len(w.buf), len(p))
 		w.buf, p = append(w.buf, p[:take]...), p[take:]
-		if len(w.buf) == w.disk.part {
+		if len(w.buf) == w.disk.partSize {
 			if err := w.flush(); err != nil {
 				return 0, err
 			}
@@ -108,18 +108,18 @@
 	if len(w.buf) == 0 {
 		return nil
 	}
-	err := w.disk.db.Write(kv.Batch{{Kind: kv.Put, Key: key(keySnapPart, []byte(w.ID()), part(w.parts)), Value: w.buf}})
+	err := w.disk.db.Write(kv.Batch{{Kind: kv.Put, Key: key(keySnapshotPart, []byte(w.ID()), encodePart(w.parts)), Value: w.buf}})
 	w.buf, w.parts = nil, w.parts+1
 	return err
 }
 
 // Close lets it be seen, and removes those that are too old.
 func (w *snapshotWriter) Close() error {
-	if w.ended {
+	if w.finished {
 		return nil
 	}
-	w.ended = true
-	w.head.Sum = w.sum.Sum32()
+	w.finished = true
+	w.head.Sum = w.checksum.Sum32()
 	raw, err := json.Marshal(w.head)
 	if err == nil {
 		err = w.flush()
@@ -133,9 +133,9 @@
 	}
 	b := kv.Batch{{Kind: kv.Put, Key: key(keySnapshot, []byte(w.ID())), Value: raw}}
 	for i, m := range list {
-		if i >= snapshotsKept-1 {
+		if i >= retainedSnapshots-1 {
 			b = append(b, kv.Op{Kind: kv.Delete, Key: key(keySnapshot, []byte(m.ID))})
-			b = append(b, within(keySnapPart, []byte(m.ID))...)
+			b = append(b, deletePrefix(keySnapshotPart, []byte(m.ID))...)
 		}
 	}
 	return w.disk.db.Write(b)
@@ -143,49 +143,49 @@
 
 // Cancel removes what was written.
 func (w *snapshotWriter) Cancel() error {
-	if w.ended {
+	if w.finished {
 		return nil
 	}
-	w.ended = true
-	return w.disk.db.Write(within(keySnapPart, []byte(w.ID())))
+	w.finished = true
+	return w.disk.db.Write(deletePrefix(keySnapshotPart, []byte(w.ID())))
 }
 
 // snapshotReader reads a snapshot, as it was when that was opened.
 type snapshotReader struct {
-	ctx    context.Context
-	view   *kv.View
-	head   snapshotHead
-	sum    hash.Hash32
-	budget *rate.Limiter // nil for none
-	rest   bytes.Reader  // of the part that is read
-	part   int
-	read   int64
+	ctx      context.Context
+	view     *kv.View
+	head     snapshotHead
+	checksum hash.Hash32
+	limiter  *rate.Limiter // nil for none
+	current  bytes.Reader  // of the part that is read
+	part     int
+	offset   int64
 }
 
 // Read is io.Reader's.
 func (r *snapshotReader) Read(p []byte) (n int, err error) {
-	if r.read == r.head.Meta.Size {
-		if r.sum.Sum32() != r.head.Sum {
+	if r.offset == r.head.Meta.Size {
+		if r.checksum.Sum32() != r.head.Sum {
 			return 0, fmt.Errorf("snapshot %s does not have its checksum", r.head.Meta.ID)
 		}
 		return 0, io.EOF
 	}
-	if r.rest.Len() == 0 {
-		data, err := r.view.Get(key(keySnapPart, []byte(r.head.Meta.ID), part(r.part)))
+	if r.current.Len() == 0 {
+		data, err := r.view.Get(key(keySnapshotPart, []byte(r.head.Meta.ID), encodePart(r.part)))
 		if err != nil {
 			return 0, fmt.Errorf("snapshot %s, part %d: %w", r.head.Meta.ID, r.part, err)
 		}
-		if r.budget != nil {
-			if err := r.budget.WaitN(r.ctx, len(data)); err != nil { // a part is the most that it lets through
+		if r.limiter != nil {
+			if err := r.limiter.WaitN(r.ctx, len(data)); err != nil { // a part is the most that it lets through
 				return 0, err
 			}
 		}
-		r.rest.Reset(data)
+		r.current.Reset(data)
 		r.part++
 	}
-	n, err = r.rest.Read(p)
-	r.sum.Write(p[:n])
-	r.read += int64(n)
+	n, err = r.current.Read(p)
+	r.checksum.Write(p[:n])
+	r.offset += int64(n)
 	return n, err
 }
 
@@ -201,7 +201,7 @@
 	Sum  uint32 // CRC-32C of its content
 }
 
-func readHead(raw []byte) (h snapshotHead, err error) {
+func decodeSnapshotHead(raw []byte) (h snapshotHead, err error) {
 	if err = json.Unmarshal(raw, &h); err != nil {
 		err = fmt.Errorf("head of a snapshot: %w", err)
 	}
--- a/internal/store/stable.go
+++ b/internal/store/stable.go
@@ -13,8 +13,8 @@
 // once the store ends, its goroutine does. A member that neither votes nor leads meanwhile does no harm.
 func (d *disk) Set(name, value []byte) error {
 	for {
-		err := d.db.Write(kv.Batch{{Kind: kv.Put, Key: key(keyFigure, name), Value: value}})
-		if !errors.Is(err, kv.ErrFull) || !d.runs.Load() {
+		err := d.db.Write(kv.Batch{{Kind: kv.Put, Key: key(keyStable, name), Value: value}})
+		if !errors.Is(err, kv.ErrFull) || !d.raftRunning.Load() {
 			return err
 		}
 		select {
@@ -27,7 +27,7 @@
 
 // Get reads a figure of the member, none for one that is not kept.
 func (d *disk) Get(name []byte) ([]byte, error) {
-	value, err := d.db.Get(key(keyFigure, name))
+	value, err := d.db.Get(key(keyStable, name))
 	if errors.Is(err, kv.ErrNotFound) {
 		return nil, nil
 	}
@@ -35,7 +35,7 @@
 }
 
 // SetUint64 keeps a number.
-func (d *disk) SetUint64(name []byte, value uint64) error { return d.Set(name, place(value)) }
+func (d *disk) SetUint64(name []byte, value uint64) error { return d.Set(name, encodeIndex(value)) }
 
 // GetUint64 reads a number, 0 for one that is not kept.
 func (d *disk) GetUint64(name []byte) (uint64, error) {
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -36,31 +36,31 @@
 	name string
 	raft *raft.Raft
 	// running is raft once it has begun, for what it calls itself.
-	running atomic.Pointer[raft.Raft]
-	logs    raft.LogStore
-	disk    *disk  // nil where all is kept in memory
-	layer   *layer // nil where it is alone
-	start   time.Time
-	skew    float64 // of clock
-	writer  string
-	number  atomic.Uint64
-
-	mu      sync.Mutex
-	state   *statemachine.State
-	torn    bool              // a write to the disk has failed: what is there is older than what is applied
-	tried   time.Time         // when the last one did
-	boot    map[string][]byte // as this member had applied it before its start, up to bootAt
-	bootAt  uint64
-	want    map[string][]byte // to be written, the latest of each key
-	changed chan struct{}     // closed when something is applied
-	wake    chan struct{}
-	ended   chan struct{}
+	running   atomic.Pointer[raft.Raft]
+	raftLog   raft.LogStore
+	disk      *disk        // nil where all is kept in memory
+	transport *streamLayer // nil where it is alone
+	start     time.Time
+	skew      float64 // of clock
+	writer    string
+	number    atomic.Uint64
+
+	mu              sync.Mutex
+	state           *statemachine.State
+	diskStale       bool              // a write to the disk has failed: what is there is older than what is applied
+	lastDiskFailure time.Time         // when the last one did
+	restored        map[string][]byte // as this member had applied it before its start, up to bootAt
+	restoredIndex   uint64
+	pending         map[string][]byte // to be written, the latest of each key
+	changed         chan struct{}     // closed when something is applied
+	pendingChanged  chan struct{}
+	closed          chan struct{}
 }
 
 // Open starts the member called name; what it had applied on disk can be read at once.
 func Open(cfg config.Store, name string, log *slog.Logger) (*Store, error) {
-	s := &Store{log: log, name: name, start: time.Now(), skew: cfg.Skew, state: statemachine.New(), want: map[string][]byte{}, wake: make(chan struct{}, 1), changed: make(chan struct{}),
-		ended: make(chan struct{})}
+	s := &Store{log: log, name: name, start: time.Now(), skew: cfg.Skew, state: statemachine.New(), pending: map[string][]byte{}, pendingChanged: make(chan struct{}, 1), changed: make(chan struct{}),
+		closed: make(chan struct{})}
 	var err error
 	var process [6]byte
 	if _, err := rand.Read(process[:]); err != nil {
@@ -84,7 +84,7 @@
 			return nil, fmt.Errorf("store.directory: %w", err)
 		}
 		s.disk = d
-		if s.boot, s.bootAt, err = d.read(); err != nil {
+		if s.restored, s.restoredIndex, err = d.readApplied(); err != nil {
 			return nil, fmt.Errorf("store.directory: %w", err)
 		}
 		logs, stable, snapshots = d, d, d
@@ -100,14 +100,14 @@
 		if beat := time.Duration(cfg.Heartbeat); beat > 0 {
 			conf.HeartbeatTimeout, conf.ElectionTimeout, conf.LeaderLeaseTimeout = beat, beat, beat/2
 		}
-		if s.layer, err = listen(cfg, s); err != nil {
+		if s.transport, err = newStreamLayer(cfg, s); err != nil {
 			return nil, fmt.Errorf("store.listen: %w", err)
 		}
 		// What is long under way holds up a log: a few heartbeats; and a snapshot for twice as long as its pace needs.
 		within := 2 * conf.HeartbeatTimeout
-		wire := raft.NewNetworkTransportWithConfig(&raft.NetworkTransportConfig{Stream: s.layer, MaxPool: 2, Timeout: within, Logger: conf.Logger})
+		wire := raft.NewNetworkTransportWithConfig(&raft.NetworkTransportConfig{Stream: s.transport, MaxPool: 2, Timeout: within, Logger: conf.Logger})
 		wire.TimeoutScale = max(1, int(cfg.Pace()*within.Seconds()/2))
-		transport = &patient{wire, s.leads, s.ended}
+		transport = &retryingTransport{wire, s.isLeaderOf, s.closed}
 		servers = nil
 		for _, p := range cfg.Peer {
 			server := raft.Server{ID: raft.ServerID(p.Name), Address: raft.ServerAddress(p.Addr)}
@@ -122,33 +122,33 @@
 		err = raft.BootstrapCluster(conf, logs, stable, snapshots, transport, raft.Configuration{Servers: servers})
 	}
 	if err == nil {
-		s.raft, err = raft.NewRaft(conf, (*machine)(s), logs, stable, snapshots, transport)
+		s.raft, err = raft.NewRaft(conf, (*fsm)(s), logs, stable, snapshots, transport)
 	}
 	if err != nil {
 		return nil, fmt.Errorf("store: %w", err)
 	}
-	s.logs = logs
+	s.raftLog = logs
 	s.running.Store(s.raft)
 	if s.disk != nil {
 		// A leader reads a snapshot only to send it to a member that is far behind.
-		s.disk.pace = func(m *raft.SnapshotMeta) float64 {
+		s.disk.snapshotRate = func(m *raft.SnapshotMeta) float64 {
 			if s.raft.State() != raft.Leader {
 				return 0
 			}
 			s.log.Info("store sends a snapshot to a member that is far behind", "index", m.Index, "bytes", m.Size, "bytes_per_s", cfg.Pace())
 			return cfg.Pace()
 		}
-		s.disk.runs.Store(true)
+		s.disk.raftRunning.Store(true)
 	}
-	if s.layer != nil {
-		s.layer.serve()
+	if s.transport != nil {
+		s.transport.start()
 	}
-	go s.write()
+	go s.runPutQueue()
 	return s, nil
 }
 
 // leads tells whether this member leads another in a term.
-func (s *Store) leads(term uint64, member raft.ServerID) bool {
+func (s *Store) isLeaderOf(term uint64, member raft.ServerID) bool {
 	r := s.running.Load()
 	if r == nil || r.State() != raft.Leader || r.CurrentTerm() != term {
 		return false
@@ -162,8 +162,8 @@
 func (s *Store) Get(key string) []byte {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.state.Index() < s.bootAt || s.state.Index() == 0 {
-		return bytes.Clone(s.boot[key])
+	if s.state.Index() < s.restoredIndex || s.state.Index() == 0 {
+		return bytes.Clone(s.restored[key])
 	}
 	e, _ := s.state.Get(key)
 	return bytes.Clone(e.Value)
@@ -200,18 +200,18 @@
 func (s *Store) Durable() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return !s.torn
+	return !s.diskStale
 }
 
 // Close ends the member.
 func (s *Store) Close() error {
-	close(s.ended)
+	close(s.closed)
 	if s.disk != nil {
 		s.disk.stop()
 	}
 	err := s.raft.Shutdown().Error()
-	if s.layer != nil {
-		s.layer.Close()
+	if s.transport != nil {
+		s.transport.Close()
 	}
 	if s.disk != nil {
 		err = errors.Join(err, s.disk.Close())
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -64,8 +64,8 @@
 		until(t, s, Members, value)
 	}
 	for end := time.Now().Add(30 * time.Second); ; time.Sleep(50 * time.Millisecond) {
-		first, _ := s.logs.FirstIndex()
-		last, _ := s.logs.LastIndex()
+		first, _ := s.raftLog.FirstIndex()
+		last, _ := s.raftLog.LastIndex()
 		if last >= 200 && last-first < 50 {
 			return
 		}
@@ -109,7 +109,7 @@
 		s.Put("other", fmt.Append(nil, n))
 		time.Sleep(100 * time.Millisecond)
 	}
-	values, _, err := s.disk.read()
+	values, _, err := s.disk.readApplied()
 	if err != nil || string(values[Members]) != "list 2" {
 		t.Errorf("the disk holds %q, %v", values[Members], err)
 	}
@@ -386,7 +386,7 @@
 	for ctx.Err() == nil { // until no leader can go on from there
 		kept := false
 		for _, s := range all[:3] {
-			first, _ := s.logs.FirstIndex()
+			first, _ := s.raftLog.FirstIndex()
 			kept = kept || first <= at+1
 		}
 		if !kept {
@@ -408,7 +408,7 @@
 		t.Fatalf("no snapshot was sent, or it did not arrive: %v", ctx.Err())
 	}
 	// Eight values of 300,000 bytes are 3.2 MB as they are written; one part goes ahead of the pace.
-	if least := time.Duration(3_200_000-partSize) * time.Second / pace; took < least {
+	if least := time.Duration(3_200_000-defaultPartSize) * time.Second / pace; took < least {
 		t.Errorf("caught up within %v, faster than %v", took, least)
 	}
 	t.Logf("caught up within %v", took)
--- a/internal/store/sweep.go
+++ b/internal/store/sweep.go
@@ -7,7 +7,7 @@
 )
 
 // sweep removes the snapshots that were not finished, and values of other generations.
-func (d *disk) sweep() error {
+func (d *disk) removeLeftovers() error {
 	list, err := d.List()
 	if err != nil {
 		return err
@@ -20,11 +20,11 @@
 	lost, last := map[string]bool{}, ""
 	view := d.db.Snapshot()
 	defer view.Close()
-	err = view.Each([]byte{keySnapPart}, func(key, _ []byte) bool {
+	err = view.Each([]byte{keySnapshotPart}, func(key, _ []byte) bool {
 		if id := string(key[1 : len(key)-4]); id != last {
 			if last = id; !known[id] && !lost[id] {
 				lost[id] = true
-				b = append(b, within(keySnapPart, []byte(id))...)
+				b = append(b, deletePrefix(keySnapshotPart, []byte(id))...)
 			}
 		}
 		return true
@@ -42,8 +42,8 @@
 			return err
 		}
 		if other {
-			b = append(b, kv.Op{Kind: kv.DeleteRange, Key: key(kind, place(0)), Value: key(kind, place(d.generation))},
-				kv.Op{Kind: kv.DeleteRange, Key: key(kind, place(d.generation+1)), Value: []byte{kind + 1}})
+			b = append(b, kv.Op{Kind: kv.DeleteRange, Key: key(kind, encodeIndex(0)), Value: key(kind, encodeIndex(d.generation))},
+				kv.Op{Kind: kv.DeleteRange, Key: key(kind, encodeIndex(d.generation+1)), Value: []byte{kind + 1}})
 		}
 	}
 	if len(b) == 0 {
--- a/internal/store/transport.go
+++ b/internal/store/transport.go
@@ -21,10 +21,10 @@
 )
 
 const (
-	callByte  = 'G'             // the log's own traffic begins with a small number
-	mostCalls = 256             // connections with calls at once
-	longest   = 5 * time.Second // that a call may take, whatever its deadline
-	perTry    = 2 * time.Second // a leader that does not answer may be none any more
+	callMarker         = 'G'             // the log's own traffic begins with a small number
+	maxConcurrentCalls = 256             // connections with calls at once
+	maxCallTime        = 5 * time.Second // that a call may take, whatever its deadline
+	callAttemptTimeout = 2 * time.Second // a leader that does not answer may be none any more
 )
 
 // call is what is put to the leader: a command, a change of the members, or to tell up to where its log goes.
@@ -40,27 +40,27 @@
 }
 
 // layer is the raft library's stream layer.
-type layer struct {
-	store  *Store
-	ln     net.Listener
-	routes map[string]string
-	raft   chan net.Conn
-	places chan struct{}
-	ended  chan struct{}
-	once   sync.Once
-	wg     sync.WaitGroup
-
-	mu    sync.Mutex
-	conns map[net.Conn]bool // whose first byte or call is awaited
+type streamLayer struct {
+	store     *Store
+	listener  net.Listener
+	routes    map[string]string
+	raftConns chan net.Conn
+	callSlots chan struct{}
+	closed    chan struct{}
+	closeOnce sync.Once
+	wg        sync.WaitGroup
+
+	mu       sync.Mutex
+	awaiting map[net.Conn]bool // whose first byte or call is awaited
 }
 
-func listen(cfg config.Store, s *Store) (*layer, error) {
+func newStreamLayer(cfg config.Store, s *Store) (*streamLayer, error) {
 	ln, err := net.Listen("tcp", cfg.Listen)
 	if err != nil {
 		return nil, err
 	}
-	l := &layer{store: s, ln: ln, routes: map[string]string{}, raft: make(chan net.Conn), places: make(chan struct{}, mostCalls),
-		ended: make(chan struct{}), conns: map[net.Conn]bool{}}
+	l := &streamLayer{store: s, listener: ln, routes: map[string]string{}, raftConns: make(chan net.Conn), callSlots: make(chan struct{}, maxConcurrentCalls),
+		closed: make(chan struct{}), awaiting: map[net.Conn]bool{}}
 	for _, r := range cfg.Route {
 		l.routes[r.Addr] = r.Via
 	}
@@ -68,11 +68,11 @@
 }
 
 // serve begins to take connections in, once there is a store behind it.
-func (l *layer) serve() { l.wg.Go(l.accept) }
+func (l *streamLayer) start() { l.wg.Go(l.acceptLoop) }
 
-func (l *layer) accept() {
+func (l *streamLayer) acceptLoop() {
 	for {
-		nc, err := l.ln.Accept()
+		nc, err := l.listener.Accept()
 		if errors.Is(err, net.ErrClosed) {
 			return
 		} else if err != nil {
@@ -80,10 +80,10 @@
 			continue
 		}
 		select {
-		case l.places <- struct{}{}:
+		case l.callSlots <- struct{}{}:
 			l.wg.Go(func() {
-				defer func() { <-l.places }()
-				l.first(nc)
+				defer func() { <-l.callSlots }()
+				l.handleConn(nc)
 			})
 		default:
 			nc.Close()
@@ -92,22 +92,22 @@
 }
 
 // first reads a connection's first byte and serves a call, or hands the connection to the log.
-func (l *layer) first(nc net.Conn) {
-	l.hold(nc, true)
-	defer l.hold(nc, false)
-	nc.SetDeadline(time.Now().Add(longest))
+func (l *streamLayer) handleConn(nc net.Conn) {
+	l.setAwaiting(nc, true)
+	defer l.setAwaiting(nc, false)
+	nc.SetDeadline(time.Now().Add(maxCallTime))
 	in := bufio.NewReader(nc)
 	b, err := in.ReadByte()
 	if err != nil {
 		nc.Close()
 		return
 	}
-	if b != callByte {
+	if b != callMarker {
 		in.UnreadByte()
 		nc.SetDeadline(time.Time{})
 		select {
-		case l.raft <- &begun{nc, in}:
-		case <-l.ended:
+		case l.raftConns <- &bufferedConn{nc, in}:
+		case <-l.closed:
 			nc.Close()
 		}
 		return
@@ -117,35 +117,35 @@
 	if json.NewDecoder(in).Decode(&c) != nil {
 		return
 	}
-	ctx, cancel := context.WithDeadline(context.Background(), time.Now().Add(min(longest, time.Duration(c.LeftMS)*time.Millisecond)))
+	ctx, cancel := context.WithDeadline(context.Background(), time.Now().Add(min(maxCallTime, time.Duration(c.LeftMS)*time.Millisecond)))
 	defer cancel()
 	var r reply
-	if r.Result, err = l.store.lead(ctx, c); err != nil {
+	if r.Result, err = l.store.handleAsLeader(ctx, c); err != nil {
 		r.Failed = err.Error()
 	}
 	json.NewEncoder(nc).Encode(r)
 }
 
 // hold notes a connection whose end Close must not wait for.
-func (l *layer) hold(nc net.Conn, on bool) {
+func (l *streamLayer) setAwaiting(nc net.Conn, on bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.conns[nc] = true; !on {
-		delete(l.conns, nc)
+	if l.awaiting[nc] = true; !on {
+		delete(l.awaiting, nc)
 	}
 }
 
 // begun is a connection whose first bytes were read.
-type begun struct {
+type bufferedConn struct {
 	net.Conn
-	in *bufio.Reader
+	reader *bufio.Reader
 }
 
 // Read goes on where the first byte was.
-func (b *begun) Read(p []byte) (int, error) { return b.in.Read(p) }
+func (b *bufferedConn) Read(p []byte) (int, error) { return b.reader.Read(p) }
 
 // dial connects to a member, by another address where one is named.
-func (l *layer) dial(ctx context.Context, addr string) (net.Conn, error) {
+func (l *streamLayer) dial(ctx context.Context, addr string) (net.Conn, error) {
 	if via := l.routes[addr]; via != "" {
 		addr = via
 	}
@@ -154,8 +154,8 @@
 }
 
 // call puts a call to the member at an address.
-func (l *layer) call(ctx context.Context, addr string, c call) (r statemachine.Result, err error) {
-	end := time.Now().Add(perTry)
+func (l *streamLayer) call(ctx context.Context, addr string, c call) (r statemachine.Result, err error) {
+	end := time.Now().Add(callAttemptTimeout)
 	if d, ok := ctx.Deadline(); ok && d.Before(end) {
 		end = d
 	}
@@ -172,7 +172,7 @@
 	if err != nil {
 		return r, err
 	}
-	if _, err := nc.Write(append([]byte{callByte}, data...)); err != nil {
+	if _, err := nc.Write(append([]byte{callMarker}, data...)); err != nil {
 		return r, fmt.Errorf("the store's leader was not told: %w", err)
 	}
 	var a reply
@@ -190,22 +190,22 @@
 }
 
 // Accept, Close, Addr and Dial are the library's StreamLayer.
-func (l *layer) Accept() (net.Conn, error) {
+func (l *streamLayer) Accept() (net.Conn, error) {
 	select {
-	case nc := <-l.raft:
+	case nc := <-l.raftConns:
 		return nc, nil
-	case <-l.ended:
+	case <-l.closed:
 		return nil, net.ErrClosed
 	}
 }
 
 // Close ends the listener and the calls that are served; the log's connections are the library's to end.
-func (l *layer) Close() error {
-	l.once.Do(func() {
-		close(l.ended)
-		l.ln.Close()
+func (l *streamLayer) Close() error {
+	l.closeOnce.Do(func() {
+		close(l.closed)
+		l.listener.Close()
 		l.mu.Lock()
-		for nc := range l.conns {
+		for nc := range l.awaiting {
 			nc.Close()
 		}
 		l.mu.Unlock()
@@ -215,10 +215,10 @@
 }
 
 // Addr is where it listens.
-func (l *layer) Addr() net.Addr { return l.ln.Addr() }
+func (l *streamLayer) Addr() net.Addr { return l.listener.Addr() }
 
 // Dial connects to a member for the log. The library gives a time, not a deadline.
-func (l *layer) Dial(address raft.ServerAddress, within time.Duration) (net.Conn, error) {
+func (l *streamLayer) Dial(address raft.ServerAddress, within time.Duration) (net.Conn, error) {
 	ctx, cancel := context.WithDeadline(context.Background(), time.Now().Add(within))
 	defer cancel()
 	return l.dial(ctx, string(address))
