--- a/internal/store/applied.go
+++ b/internal/store/applied.go
@@ -7,75 +7,123 @@
 	"gullfall/internal/kv"
 )
 
-// read returns the values as they were applied last, and up to which index.
-func (d *disk) readApplied() (values map[string][]byte, index uint64, err error) {
-	values = map[string][]byte{}
+// readApplied returns the values that were applied last.
+func (d *disk) readApplied() (appliedState, error) {
+	values := map[string][]byte{}
 	view := d.db.Snapshot()
 	defer view.Close()
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	prefix := key(keyValue, encodeIndex(d.generation))
-	var bad error
-	err = view.Each(prefix, func(k, held []byte) bool {
-		values[string(k[len(prefix):])], bad = readChunked(view, held, keyValuePart)
-		return bad == nil
+	var chunkErr error
+	err := view.Each(prefix, func(k, held []byte) bool {
+		values[string(k[len(prefix):])], chunkErr = readChunked(view, held, keyValuePart)
+		return chunkErr == nil
 	})
-	return values, d.applied, errors.Join(err, bad)
+	return appliedState{values, d.applied}, errors.Join(err, chunkErr)
 }
 
-// write keeps values that changed, nil for those that went, up to an index; what it holds already up to there stays. Where
-// whole is set they are all that there is.
-func (d *disk) writeApplied(values map[string][]byte, index uint64, whole bool) error {
+// writeChanged stores the values that changed up to an index, nil for deleted ones. An index that is applied already changes
+// nothing: a replayed log must not overwrite later values.
+func (d *disk) writeChanged(values map[string][]byte, index uint64) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if index <= d.applied {
 		return nil
 	}
-	generation := d.generation
-	if whole { // they are written beside the others, and then take their place at once
-		generation++
-		for _, kind := range []byte{keyValue, keyValuePart} {
-			if err := d.db.Write(deletePrefix(kind, encodeIndex(generation))); err != nil {
-				return err
-			}
+	w := appliedWriter{disk: d, index: index, generation: d.generation}
+	for name, value := range values {
+		if err := w.add(name, value); err != nil {
+			return err
 		}
 	}
-	var b kv.Batch
-	size, n := 0, 0
-	for name, v := range values {
-		k := key(keyValue, encodeIndex(generation), []byte(name))
-		if old, err := d.db.Get(k); err == nil && len(old) > 13 && old[0] == chunked {
-			b = append(b, deletePrefix(keyValuePart, old[13:])...)
-		} else if err != nil && !errors.Is(err, kv.ErrNotFound) {
+	return w.finish()
+}
+
+// replaceAll stores the values as all that there are at an index, unless that is applied already. They are written as a new
+// generation beside the current one, and replace it with the last batch.
+func (d *disk) replaceAll(values map[string][]byte, index uint64) error {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	if index <= d.applied {
+		return nil
+	}
+	w := appliedWriter{disk: d, index: index, generation: d.generation + 1}
+	for _, kind := range []byte{keyValue, keyValuePart} { // of an earlier attempt
+		if err := d.db.Write(deletePrefix(kind, encodeIndex(w.generation))); err != nil {
 			return err
 		}
-		if v == nil {
-			b = append(b, kv.Op{Kind: kv.Delete, Key: k})
-			continue
-		}
-		// What would not fit into the batch any more goes ahead of it, in parts.
-		most := min(d.partSize, max(0, batchParts*d.partSize-size))
-		held, err := d.writeChunked(v, keyValuePart, bytes.Join([][]byte{encodeIndex(generation), encodeIndex(index), encodePart(n)}, nil), most)
-		if err != nil {
+	}
+	for name, value := range values {
+		if err := w.add(name, value); err != nil {
 			return err
 		}
-		n++
-		b = append(b, kv.Op{Kind: kv.Put, Key: k, Value: held})
-		if size += len(k) + len(held); whole && size > batchParts*d.partSize { // nobody reads this generation yet
-			if err := d.db.Write(b); err != nil {
-				return err
-			}
-			b, size = nil, 0
+		if err := w.flushLarge(); err != nil {
+			return err
 		}
 	}
-	b = append(b, kv.Op{Kind: kv.Put, Key: []byte{keyApplied}, Value: append(encodeIndex(index), encodeIndex(generation)...)})
-	if whole {
-		b = append(b, deletePrefix(keyValue, encodeIndex(d.generation))...)
-		b = append(b, deletePrefix(keyValuePart, encodeIndex(d.generation))...)
+	return w.finish()
+}
+
+// appliedWriter collects a batch of values. The caller holds the disk's lock.
+type appliedWriter struct {
+	disk       *disk
+	index      uint64
+	generation uint64
+	batch      kv.Batch
+	bytes      int // of the batch
+	written    int // values that were put
+}
+
+// add adds a value to the batch, or its deletion where it is nil.
+func (w *appliedWriter) add(name string, value []byte) error {
+	d := w.disk
+	k := key(keyValue, encodeIndex(w.generation), []byte(name))
+	if old, err := d.db.Get(k); err == nil && len(old) > chunkHeaderSize && old[0] == chunked {
+		w.batch = append(w.batch, deletePrefix(keyValuePart, old[chunkHeaderSize:])...)
+	} else if err != nil && !errors.Is(err, kv.ErrNotFound) {
+		return err
+	}
+	if value == nil {
+		w.batch = append(w.batch, kv.Op{Kind: kv.Delete, Key: k})
+		return nil
+	}
+	// A value that does not fit into the batch any more is written ahead of it, in parts.
+	inlineLimit := min(d.partSize, max(0, batchParts*d.partSize-w.bytes))
+	prefix := bytes.Join([][]byte{encodeIndex(w.generation), encodeIndex(w.index), encodePart(w.written)}, nil)
+	held, err := d.writeChunked(value, keyValuePart, prefix, inlineLimit)
+	if err != nil {
+		return err
+	}
+	w.written++
+	w.batch = append(w.batch, kv.Op{Kind: kv.Put, Key: k, Value: held})
+	w.bytes += len(k) + len(held)
+	return nil
+}
+
+// flushLarge writes the batch once it is large. Only for a new generation, which nobody reads before finish.
+func (w *appliedWriter) flushLarge() error {
+	if w.bytes <= batchParts*w.disk.partSize {
+		return nil
+	}
+	if err := w.disk.db.Write(w.batch); err != nil {
+		return err
+	}
+	w.batch, w.bytes = nil, 0
+	return nil
+}
+
+// finish writes the rest together with the applied index, and deletes the generation that is replaced.
+func (w *appliedWriter) finish() error {
+	d := w.disk
+	w.batch = append(w.batch, kv.Op{Kind: kv.Put, Key: []byte{keyApplied}, Value: append(encodeIndex(w.index), encodeIndex(w.generation)...)})
+	if w.generation != d.generation {
+		w.batch = append(w.batch, deletePrefix(keyValue, encodeIndex(d.generation))...)
+		w.batch = append(w.batch, deletePrefix(keyValuePart, encodeIndex(d.generation))...)
 	}
-	if err := d.db.Write(b); err != nil {
+	if err := d.db.Write(w.batch); err != nil {
 		return err
 	}
-	d.applied, d.generation = index, generation
+	d.applied, d.generation = w.index, w.generation
 	return nil
 }
--- a/internal/store/chunks.go
+++ b/internal/store/chunks.go
@@ -9,18 +9,22 @@
 	"gullfall/internal/kv"
 )
 
-// A value as it is kept: byte 0 and itself, or byte 1, its length, checksum and the prefix of its parts.
+// A stored value is the byte inline and the value itself; or the byte chunked, its length, its checksum and the prefix of its parts,
+// which are stored under keys of their own.
 const (
 	inline  = 0
 	chunked = 1
+
+	chunkHeaderSize = 1 + 8 + 4 // bytes before the prefix
 )
 
-// keep writes the parts of what is longer than so many bytes, and returns what its key is to hold: a part without that is seen by nobody.
-func (d *disk) writeChunked(data []byte, kind byte, prefix []byte, most int) ([]byte, error) {
-	if len(data) <= most {
+// writeChunked returns what the key of a value is to hold. It writes the parts of a value that is longer than inlineLimit bytes;
+// parts are not read before the key is written.
+func (d *disk) writeChunked(data []byte, kind byte, prefix []byte, inlineLimit int) ([]byte, error) {
+	if len(data) <= inlineLimit {
 		return append([]byte{inline}, data...), nil
 	}
-	if err := d.db.Write(deletePrefix(kind, prefix)); err != nil { // of an earlier try
+	if err := d.db.Write(deletePrefix(kind, prefix)); err != nil { // of an earlier attempt
 		return nil, err
 	}
 	for at := 0; at < len(data); at += d.partSize {
@@ -36,25 +40,25 @@
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// length is that of what a key's value stands for.
+// valueLength returns the length in bytes of the value that a key holds; of an inline one with its first byte.
 func valueLength(held []byte) int {
-	if len(held) >= 13 && held[0] == chunked {
+	if len(held) >= chunkHeaderSize && held[0] == chunked {
 		return int(binary.BigEndian.Uint64(held[1:]))
 	}
 	return len(held)
 }
 
-// whole reads what a key's value stands for.
+// readChunked returns the value that a key holds, and checks its checksum where it is in parts.
 func readChunked(view *kv.View, held []byte, kind byte) ([]byte, error) {
 	switch {
 	case len(held) > 0 && held[0] == inline:
 		return bytes.Clone(held[1:]), nil
-	case len(held) < 13 || held[0] != chunked:
+	case len(held) < chunkHeaderSize || held[0] != chunked:
 		return nil, fmt.Errorf("a value of %d bytes is neither itself nor in parts", len(held))
 	}
 	data := make([]byte, 0, valueLength(held))
 	for n := 0; len(data) < valueLength(held); n++ {
-		p, err := view.Get(key(kind, held[13:], encodePart(n)))
+		p, err := view.Get(key(kind, held[chunkHeaderSize:], encodePart(n)))
 		if err != nil {
 			return nil, fmt.Errorf("part %d of a value of %d bytes: %w", n, valueLength(held), err)
 		}
--- a/internal/store/commands.go
+++ b/internal/store/commands.go
@@ -12,16 +12,16 @@
 	"gullfall/internal/statemachine"
 )
 
-// retry is the pause before a command is tried again that found no leader.
+// commandRetryInterval is the pause before a command is sent again that found no leader.
 const commandRetryInterval = 20 * time.Millisecond
 
-// Do has a command logged and applied once, whoever leads, and returns what it came to. An error means that this is not known,
-// as ctx ended first; it may be done yet, once.
+// Do replicates a command, whoever leads, and returns its result once it is applied. It is applied at most once. An error means
+// that the result is unknown because ctx ended first: the command may still be applied.
 func (s *Store) Do(ctx context.Context, c statemachine.Command) (statemachine.Result, error) {
 	if err := c.Check(); err != nil {
 		return statemachine.Result{}, err
 	}
-	c.ID = statemachine.ID{Writer: s.writer, N: s.number.Add(1)}
+	c.ID = s.ids.next()
 	var last error
 	for {
 		r, err := s.sendToLeader(ctx, call{Command: &c})
@@ -37,6 +37,7 @@
 	}
 }
 
+// waitRetry waits before the next attempt, until ctx ends or the store is closed.
 func (s *Store) waitRetry(ctx context.Context) error {
 	timer := time.NewTimer(commandRetryInterval)
 	defer timer.Stop()
@@ -50,12 +51,13 @@
 	}
 }
 
+// The errors of a call to the leader. errNoLeader means that nothing was begun.
 var (
 	errClosed   = errors.New("the store has ended")
 	errNoLeader = errors.New("the store has no leader")
 )
 
-// ask puts a call to the leader, wherever it is.
+// sendToLeader has the leader handle a call, whichever member it is.
 func (s *Store) sendToLeader(ctx context.Context, c call) (statemachine.Result, error) {
 	if s.raft.State() == raft.Leader {
 		return s.handleAsLeader(ctx, c)
@@ -67,46 +69,56 @@
 	return s.transport.call(ctx, string(addr), c)
 }
 
-// lead serves a call at the leader.
-func (s *Store) handleAsLeader(ctx context.Context, c call) (r statemachine.Result, err error) {
+// handleAsLeader handles a call at the leader.
+func (s *Store) handleAsLeader(ctx context.Context, c call) (statemachine.Result, error) {
 	end, ok := ctx.Deadline()
 	if !ok {
 		end = time.Now().Add(maxCallTime)
 	}
-	if c.Member != nil {
+	switch {
+	case c.Member != nil:
 		return s.changeMember(ctx, *c.Member, end)
+	case c.Command == nil:
+		return s.barrier(ctx, end)
 	}
-	if c.Command == nil {
-		if err := s.waitFuture(ctx, s.raft.Barrier(time.Until(end))); err != nil {
-			return r, err
-		}
-		s.mu.Lock()
-		defer s.mu.Unlock()
-		return statemachine.Result{Index: s.state.Index()}, nil
+	return s.applyCommand(ctx, *c.Command, end)
+}
+
+// barrier returns the index of the log up to which everything done before the call is applied here.
+func (s *Store) barrier(ctx context.Context, end time.Time) (statemachine.Result, error) {
+	if err := s.waitFuture(ctx, s.raft.Barrier(time.Until(end))); err != nil {
+		return statemachine.Result{}, err
 	}
-	// The stamp: the term is read before and after, so that the clock is that of this term's leader while it leads.
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return statemachine.Result{Index: s.state.Index()}, nil
+}
+
+// applyCommand stamps a command with the leader's clock and term, and replicates it. The term is read before and after the state,
+// so that the clock is that of this term's leader while it leads.
+func (s *Store) applyCommand(ctx context.Context, c statemachine.Command, end time.Time) (r statemachine.Result, err error) {
 	term := s.raft.CurrentTerm()
 	if s.raft.State() != raft.Leader || s.raft.CurrentTerm() != term {
 		return r, errNoLeader
 	}
-	stamped := *c.Command
-	stamped.At, stamped.LedTerm = s.clock(), term
-	data, err := json.Marshal(stamped)
+	c.At, c.LedTerm = s.clock.now(), term
+	data, err := json.Marshal(c)
 	if err != nil {
 		return r, err
 	}
-	f := s.raft.Apply(data, time.Until(end))
-	if err := s.waitFuture(ctx, f); err != nil {
+	future := s.raft.Apply(data, time.Until(end))
+	if err := s.waitFuture(ctx, future); err != nil {
 		return r, err
 	}
-	if r, ok = f.Response().(statemachine.Result); !ok {
-		return r, fmt.Errorf("the store could not apply it: %v", f.Response())
+	r, ok := future.Response().(statemachine.Result)
+	if !ok {
+		return r, fmt.Errorf("the store could not apply it: %v", future.Response())
 	}
 	return r, nil
 }
 
-// await waits for the log's answer until ctx ends or the store does: what the log has taken in and not begun as it is shut down it
-// never answers.
+// waitFuture waits for raft's result until ctx ends or the store is closed: raft never answers a request that was queued when it
+// was shut down.
 func (s *Store) waitFuture(ctx context.Context, f raft.Future) error {
 	answer := make(chan error, 1)
 	go func() { answer <- f.Error() }()
@@ -120,26 +132,26 @@
 	}
 }
 
-// Sync returns once this member has applied everything that was done before the call, wherever that was.
+// Sync returns once this member has applied everything that any member was told is done before the call.
 func (s *Store) Sync(ctx context.Context) error {
 	for {
 		r, err := s.sendToLeader(ctx, call{})
 		if err == nil {
 			return s.Wait(ctx, r.Index)
 		}
-		if err2 := s.waitRetry(ctx); err2 != nil {
-			return errors.Join(err2, err)
+		if ended := s.waitRetry(ctx); ended != nil {
+			return errors.Join(ended, err)
 		}
 	}
 }
 
-// Wait returns once this member has applied the log up to an index.
+// Wait returns once this member has applied the log up to an index; an error tells how far it is.
 func (s *Store) Wait(ctx context.Context, index uint64) error {
 	for {
 		s.mu.Lock()
-		at, changed := s.state.Index(), s.changed
+		applied, changed := s.state.Index(), s.changed
 		s.mu.Unlock()
-		if at >= index {
+		if applied >= index {
 			return nil
 		}
 		select {
@@ -147,7 +159,7 @@
 		case <-s.closed:
 			return errClosed
 		case <-ctx.Done():
-			return fmt.Errorf("this member has applied the log up to %d, not %d: %w", at, index, ctx.Err())
+			return fmt.Errorf("this member has applied the log up to %d, not %d: %w", applied, index, ctx.Err())
 		}
 	}
 }
--- a/internal/store/disk.go
+++ b/internal/store/disk.go
@@ -19,45 +19,43 @@
 
 const (
 	diskFormat      = 1
-	defaultPartSize = 256 << 10 // bytes of a value that is kept in parts, and of a part
+	defaultPartSize = 256 << 10 // bytes up to which a value is stored inline, and of a part of a larger one
 	batchParts      = 8         // parts in one batch of internal/kv, about
+
+	lockTimeout      = time.Second           // how long openDisk waits for an earlier process to end
+	lockPollInterval = 20 * time.Millisecond // between its attempts
 )
 
-// disk keeps all that lasts of one member. Its methods may be called from any goroutine.
+// disk keeps what one member has on its disk, in one internal/kv store: its log, raft's stable values, the values that it has
+// applied, and its snapshots. docs/formats/store.md describes it. Its methods may be called from any goroutine.
 type disk struct {
 	db           *kv.DB
-	partSize     int // bytes: partSize, or less to try it
+	partSize     int // bytes; defaultPartSize except in tests
 	ctx          context.Context
-	stop         context.CancelFunc                       // ends who waits for room or for the pace
-	snapshotRate func(*raft.SnapshotMeta) (bytes float64) // a second, at which a snapshot is read now; 0 for no bound
-	raftRunning  atomic.Bool                              // under the library, which can't go on where a figure is not kept
+	stop         context.CancelFunc                                // ends waits for space and for the rate of a snapshot
+	snapshotRate func(*raft.SnapshotMeta) (bytesPerSecond float64) // the bound on reading a snapshot now; 0 for none
+	raftRunning  atomic.Bool                                       // raft runs on this disk, and would end the process where Set fails
 
+	// mu guards the fields below.
 	mu          sync.Mutex
 	first, last uint64 // ends of the log; 0 for an empty one
-	applied     uint64
-	generation  uint64
+	applied     uint64 // the index up to which values are applied
+	generation  uint64 // of the applied values
 	entrySizes  entrySizes
 }
 
-// openDisk opens a member's folder. What an earlier release kept there is taken over first.
+// openDisk opens a member's folder. What an earlier release stored there is migrated first.
 func openDisk(dir string, log *slog.Logger) (*disk, error) {
 	folder := filepath.Join(dir, "kv")
 	if err := os.MkdirAll(folder, 0o700); err != nil {
 		return nil, err
 	}
-	cfg := kv.Config{
+	db, err := openLocked(kv.Dir(folder), kv.Config{
 		Report: func(c kv.Cut) {
 			log.Warn("store ended in the middle of a write; what was not acknowledged is cut off", "file", c.File, "offset", c.Offset, "bytes", c.Bytes)
 		},
 		OnFailure: func(err error) { log.Error("store can't be written", "cause", err) },
-	}
-	var db *kv.DB
-	err := error(kv.ErrLocked)
-	for end := time.Now().Add(time.Second); errors.Is(err, kv.ErrLocked) && time.Now().Before(end); { // the process before may be about to end
-		if db, err = kv.Open(kv.Dir(folder), cfg); errors.Is(err, kv.ErrLocked) {
-			time.Sleep(20 * time.Millisecond)
-		}
-	}
+	})
 	if err != nil {
 		return nil, err
 	}
@@ -70,47 +68,66 @@
 	return d, err
 }
 
-// newDisk begins with what a store holds. takeOver fills one that is new.
-func newDisk(db *kv.DB, takeOver func(*disk) error) (*disk, error) {
+// openLocked opens a store; while another process has it open, which may be about to end, it tries again for lockTimeout.
+func openLocked(folder kv.Dir, cfg kv.Config) (db *kv.DB, err error) {
+	err = kv.ErrLocked
+	for end := time.Now().Add(lockTimeout); errors.Is(err, kv.ErrLocked) && time.Now().Before(end); {
+		if db, err = kv.Open(folder, cfg); errors.Is(err, kv.ErrLocked) {
+			time.Sleep(lockPollInterval)
+		}
+	}
+	return db, err
+}
+
+// newDisk reads the state of a store. migrate fills a new one.
+func newDisk(db *kv.DB, migrate func(*disk) error) (*disk, error) {
 	d := &disk{db: db, partSize: defaultPartSize, generation: 1}
 	d.ctx, d.stop = context.WithCancel(context.Background())
-	if err := d.load(takeOver); err != nil {
+	if err := d.load(migrate); err != nil {
 		return nil, errors.Join(err, d.Close())
 	}
 	return d, nil
 }
 
-func (d *disk) load(takeOver func(*disk) error) error {
+// load reads the applied index and the ends of the log, after a migration and the removal of leftovers.
+func (d *disk) load(migrate func(*disk) error) error {
+	if err := d.checkFormat(migrate); err != nil {
+		return err
+	}
+	raw, err := d.db.Get([]byte{keyApplied})
+	if err == nil && len(raw) == 16 {
+		d.applied, d.generation = binary.BigEndian.Uint64(raw), binary.BigEndian.Uint64(raw[8:])
+	} else if err != nil && !errors.Is(err, kv.ErrNotFound) {
+		return err
+	}
+	if err := d.removeLeftovers(); err != nil {
+		return err
+	}
+	return d.measureLog()
+}
+
+// checkFormat returns an error for a newer format. A store without one is new, or its migration was interrupted: it is cleared
+// and migrated from the beginning.
+func (d *disk) checkFormat(migrate func(*disk) error) error {
 	raw, err := d.db.Get([]byte{keyFormat})
 	switch {
 	case errors.Is(err, kv.ErrNotFound):
-		// New, or its taking over was cut short: from the beginning.
 		if err := d.db.Write(kv.Batch{{Kind: kv.DeleteRange, Key: []byte{0}, Value: []byte{255}}}); err != nil {
 			return err
 		}
-		if err := takeOver(d); err != nil {
-			return err
-		}
-		if err := d.db.Write(kv.Batch{{Kind: kv.Put, Key: []byte{keyFormat}, Value: []byte{diskFormat}}}); err != nil {
+		if err := migrate(d); err != nil {
 			return err
 		}
+		return d.db.Write(kv.Batch{{Kind: kv.Put, Key: []byte{keyFormat}, Value: []byte{diskFormat}}})
 	case err != nil:
 		return err
 	case len(raw) != 1 || raw[0] != diskFormat:
 		return fmt.Errorf("it is of form %v; this program knows %d: start the newer one", raw, diskFormat)
 	}
-	if raw, err = d.db.Get([]byte{keyApplied}); err == nil && len(raw) == 16 {
-		d.applied, d.generation = binary.BigEndian.Uint64(raw), binary.BigEndian.Uint64(raw[8:])
-	} else if err != nil && !errors.Is(err, kv.ErrNotFound) {
-		return err
-	}
-	if err := d.removeLeftovers(); err != nil {
-		return err
-	}
-	return d.measureLog()
+	return nil
 }
 
-// Close ends it.
+// Close ends the waits and closes the store.
 func (d *disk) Close() error {
 	d.stop()
 	return d.db.Close()
--- a/internal/store/disk_test.go
+++ b/internal/store/disk_test.go
@@ -85,13 +85,13 @@
 			t.Fatalf("figure %s: %q, %v, want %q", k, got, err, v)
 		}
 	}
-	values, index, err := d.readApplied()
-	if err != nil || index != m.applied || len(values) != len(m.values) {
-		t.Fatalf("%d values up to %d, %v; want %d up to %d", len(values), index, err, len(m.values), m.applied)
+	applied, err := d.readApplied()
+	if err != nil || applied.index != m.applied || len(applied.values) != len(m.values) {
+		t.Fatalf("%d values up to %d, %v; want %d up to %d", len(applied.values), applied.index, err, len(m.values), m.applied)
 	}
 	for k, v := range m.values {
-		if string(values[k]) != v {
-			t.Fatalf("%s has %d bytes, want %d", k, len(values[k]), len(v))
+		if string(applied.values[k]) != v {
+			t.Fatalf("%s has %d bytes, want %d", k, len(applied.values[k]), len(v))
 		}
 	}
 	list, err := d.List()
@@ -201,8 +201,8 @@
 					}
 				}
 				m.applied += uint64(rapid.IntRange(1, 3).Draw(t, "steps"))
-				must(d.writeApplied(changed, m.applied, false))
-				must(d.writeApplied(map[string][]byte{"a": []byte("older")}, m.applied-1, true)) // stays unheard
+				must(d.writeChanged(changed, m.applied))
+				must(d.replaceAll(map[string][]byte{"a": []byte("older")}, m.applied-1)) // stays unheard
 			},
 			"all values": func(t *rapid.T) {
 				m.values, m.applied = map[string]string{"ab": string(bytesOf("value")), "c": "2"}, m.applied+5
@@ -210,7 +210,7 @@
 				for k, v := range m.values {
 					all[k] = []byte(v)
 				}
-				must(d.writeApplied(all, m.applied, true))
+				must(d.replaceAll(all, m.applied))
 			},
 			"snapshot": func(t *rapid.T) {
 				_, last := ends()
@@ -410,11 +410,11 @@
 	for i := range 40 {
 		values[fmt.Sprint(i)] = bytes.Repeat([]byte{byte(i)}, defaultPartSize-1)
 	}
-	if err := d.writeApplied(values, 1, false); err != nil {
+	if err := d.writeChanged(values, 1); err != nil {
 		t.Error(err)
 	}
-	if got, _, err := d.readApplied(); err != nil || len(got) != 40 || !bytes.Equal(got["39"], values["39"]) {
-		t.Errorf("%d values, %v", len(got), err)
+	if got, err := d.readApplied(); err != nil || len(got.values) != 40 || !bytes.Equal(got.values["39"], values["39"]) {
+		t.Errorf("%d values, %v", len(got.values), err)
 	}
 	if term, err := d.GetUint64([]byte("CurrentTerm")); term != 7 || err != nil {
 		t.Errorf("term %d, %v", term, err)
--- a/internal/store/fsm.go
+++ b/internal/store/fsm.go
@@ -1,8 +1,5 @@
 package store
 
-// This file owns what the replicated log calls on a member: each entry is applied to the state, and what it changed goes to
-// the disk. It must never apply anything but by internal/statemachine.
-
 import (
 	"encoding/json"
 	"io"
@@ -13,13 +10,16 @@
 	"gullfall/internal/statemachine"
 )
 
-// machine is the Store as the replicated log sees it.
+// rewriteInterval is the least time between a failed write to the disk and the next attempt.
+const rewriteInterval = time.Second
+
+// fsm is the Store as raft's state machine. It changes the state by internal/statemachine only.
 type fsm Store
 
-// Apply takes in one entry of the log.
+// Apply applies one entry of the log.
 func (m *fsm) Apply(l *raft.Log) any { return m.ApplyBatch([]*raft.Log{l})[0] }
 
-// ApplyBatch takes in entries in their order, and writes what they changed at once.
+// ApplyBatch applies entries in their order, and writes the values that they changed to the disk together.
 func (m *fsm) ApplyBatch(logs []*raft.Log) []any {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -40,27 +40,34 @@
 		}
 		results[i] = r
 	}
-	if m.disk != nil && m.diskStale {
+	m.persist(changed)
+	m.notify()
+	return results
+}
+
+// persist writes the changed values to the disk, or all of them after a failed write. The caller holds the lock.
+func (m *fsm) persist(changed map[string]bool) {
+	switch {
+	case m.disk == nil:
+	case m.diskStale:
 		m.rewriteAll()
-	} else if m.disk != nil && len(changed) > 0 {
+	case len(changed) > 0:
 		values := map[string][]byte{}
 		for k := range changed {
 			e, _ := m.state.Get(k)
 			values[k] = e.Value
 		}
-		m.recordWrite(m.disk.writeApplied(values, m.state.Index(), false))
+		m.recordWrite(m.disk.writeChanged(values, m.state.Index()))
 	}
-	m.notify()
-	return results
 }
 
-// tell wakes those that wait for a change. The caller holds the lock.
+// notify wakes those that wait for a change. The caller holds the lock.
 func (m *fsm) notify() {
 	close(m.changed)
 	m.changed = make(chan struct{})
 }
 
-// keep takes in what came of a write. The caller holds the lock.
+// recordWrite notes the result of a write to the disk. The caller holds the lock.
 func (m *fsm) recordWrite(err error) {
 	switch {
 	case err != nil:
@@ -72,13 +79,13 @@
 	m.diskStale = err != nil
 }
 
-// mend writes all values anew after a write has failed, once a second at most: what changed meanwhile is not on the disk. The caller
-// holds the lock.
+// rewriteAll writes all values anew after a failed write, since the disk lacks what changed meanwhile. It does so at most once a
+// second. The caller holds the lock.
 func (m *fsm) rewriteAll() {
-	if time.Since(m.lastDiskFailure) < time.Second {
+	if time.Since(m.lastDiskFailure) < rewriteInterval {
 		return
 	}
-	m.recordWrite(m.disk.writeApplied(m.values(), m.state.Index(), true))
+	m.recordWrite(m.disk.replaceAll(m.values(), m.state.Index()))
 }
 
 func (m *fsm) values() map[string][]byte {
@@ -89,7 +96,7 @@
 	return values
 }
 
-// Snapshot copies the state.
+// Snapshot encodes the state.
 func (m *fsm) Snapshot() (raft.FSMSnapshot, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -97,9 +104,9 @@
 	return fsmSnapshot(data), err
 }
 
-// Restore replaces the state.
+// Restore replaces the state by a snapshot.
 func (m *fsm) Restore(r io.ReadCloser) error {
-	defer r.Close()
+	defer func() { _ = r.Close() }()
 	data, err := io.ReadAll(r)
 	if err != nil {
 		return err
@@ -110,22 +117,23 @@
 		return err
 	}
 	if m.disk != nil {
-		m.recordWrite(m.disk.writeApplied(m.values(), m.state.Index(), true))
+		m.recordWrite(m.disk.replaceAll(m.values(), m.state.Index()))
 	}
 	m.notify()
 	return nil
 }
 
+// fsmSnapshot is an encoded state.
 type fsmSnapshot []byte
 
-// Persist writes a snapshot out.
+// Persist writes the snapshot to raft's sink.
 func (s fsmSnapshot) Persist(sink raft.SnapshotSink) error {
 	if _, err := sink.Write(s); err != nil {
-		sink.Cancel()
+		_ = sink.Cancel() // leftovers are removed at the next start
 		return err
 	}
 	return sink.Close()
 }
 
-// Release has nothing to give back.
+// Release does nothing: the snapshot holds no resources.
 func (s fsmSnapshot) Release() {}
--- a/internal/store/keys.go
+++ b/internal/store/keys.go
@@ -7,17 +7,17 @@
 	"gullfall/internal/kv"
 )
 
-// The first byte of each key tells what it is of.
+// The first byte of a key is the kind of its value; the comments name what follows it.
 const (
-	keyLog          = 'l' // index: an entry
+	keyLog          = 'l' // index: an entry of the log
 	keyLogPart      = 'L' // index, part
-	keyStable       = 's' // name: what the log library keeps
-	keyApplied      = 'a' // up to where values go, and their generation
-	keyValue        = 'v' // generation, name
-	keyValuePart    = 'V' // generation, index and place of the change, part
-	keySnapshot     = 'm' // id: what a snapshot is of
+	keyStable       = 's' // name: a value of raft's stable store
+	keyApplied      = 'a' // the applied index, and the generation of the applied values
+	keyValue        = 'v' // generation, name: an applied value
+	keyValuePart    = 'V' // generation, index and number of the change, part
+	keySnapshot     = 'm' // id: metadata and checksum of a snapshot
 	keySnapshotPart = 'M' // id, part
-	keyFormat       = 'f' // the form of all this; it is written once all that was there before is taken over
+	keyFormat       = 'f' // the version of this format, written once a migration from the older one is complete
 )
 
 func encodeIndex(index uint64) []byte { return binary.BigEndian.AppendUint64(nil, index) }
@@ -28,7 +28,7 @@
 
 func encodePart(n int) []byte { return binary.BigEndian.AppendUint32(nil, uint32(n)) }
 
-// within removes all keys of a kind that go on from a prefix, which must not be the beginning of another's.
+// deletePrefix deletes all keys of a kind that have a prefix. No other key's prefix may begin with it.
 func deletePrefix(kind byte, prefix []byte) kv.Batch {
 	return kv.Batch{{Kind: kv.DeleteRange, Key: key(kind, prefix), Value: key(kind, prefix, []byte{255, 255, 255, 255, 255})}}
 }
--- a/internal/store/lease.go
+++ b/internal/store/lease.go
@@ -1,8 +1,5 @@
 package store
 
-// This file owns one coordinator's part in one duty: it campaigns, renews and gives back, by the decisions of internal/lease
-// over the replicated table. It must never let a lease be acted on for longer than its holder's own clock proves.
-
 import (
 	"context"
 	"log/slog"
@@ -13,23 +10,25 @@
 	"gullfall/internal/statemachine"
 )
 
-// Lease is held, or campaigned for, as long as Run runs.
+// Lease campaigns for one duty, renews its lease and returns it, by the decisions of internal/lease over the replicated table. A
+// lease is never acted on for longer than the holder's own clock proves, so two coordinators do not do one duty together.
 type Lease struct {
 	Store    *Store
 	Duty     string
-	Presence bool                       // the coordinator's own presence; Duty is its name
+	Presence bool                       // the lease is the coordinator's presence, and Duty its name
 	Who      string                     // the coordinator
-	Config   lease.Config               // its length, the bound on clocks
-	Put      func() []statemachine.Pair // goes with each campaign; may be nil
-	Granted  func(until time.Time)      // of each grant, renewals included; may be nil
+	Config   lease.Config               // length of the lease, bound on clocks
+	Put      func() []statemachine.Pair // values written with each campaign; may be nil
+	Granted  func(until time.Time)      // called with the end of each grant, renewals included; may be nil
 	Log      *slog.Logger
 
+	// mu guards the fields below.
 	mu         sync.Mutex
 	holder     *lease.Holder
-	loggedHeld bool // as logged last
+	loggedHeld bool // as it was logged last
 }
 
-// Run campaigns and renews until ctx ends. The first campaign waits for a pause of this coordinator's own.
+// Run campaigns and renews until ctx ends. The first campaign waits for pause, which differs between coordinators.
 func (l *Lease) Run(ctx context.Context, pause time.Duration) {
 	l.mu.Lock()
 	l.holder = lease.NewHolder(l.Config, l.now(), pause)
@@ -53,9 +52,9 @@
 	}
 }
 
-func (l *Lease) now() time.Duration { return l.Store.clock() }
+func (l *Lease) now() time.Duration { return l.Store.clock.now() }
 
-// ask puts one request and takes in what came of it.
+// request sends one request and passes its result to the holder.
 func (l *Lease) request(ctx context.Context, ask lease.Request, sent time.Duration) {
 	c := statemachine.Command{Lease: &statemachine.LeaseOp{What: statemachine.Campaign, Duty: l.Duty, Presence: l.Presence, Who: l.Who, Term: ask.Term, Heard: ask.Version,
 		Length: l.Config.Length}}
@@ -64,12 +63,12 @@
 	} else if l.Put != nil {
 		c.Put = l.Put()
 	}
-	// A third of the lease: then there is time for another try.
+	// A third of the lease leaves time for another attempt.
 	ctx, cancel := context.WithDeadline(ctx, time.Now().Add(l.Config.Acting()/3))
 	defer cancel()
 	r, err := l.Store.Do(ctx, c)
 	if err == nil && (r.Failed == "" || r.Failed == statemachine.StaleVersion) {
-		// What was settled before the grant is known here before it is acted on; who does not get the log has not heard.
+		// A member acts on a grant only once it has applied all that was agreed before it.
 		err = l.Store.Wait(ctx, r.Index)
 	}
 	l.mu.Lock()
@@ -85,12 +84,12 @@
 	}
 	l.mu.Unlock()
 	if err == nil && r.Failed == "" && l.Granted != nil {
-		l.Granted(l.Store.at(sent + l.Config.Acting()))
+		l.Granted(l.Store.clock.time(sent + l.Config.Acting()))
 	}
 	l.logChange()
 }
 
-// tell logs that the lease was won or lost.
+// logChange logs that the lease was won or lost.
 func (l *Lease) logChange() {
 	l.mu.Lock()
 	token, held := l.holder.MayAct(l.now())
@@ -106,13 +105,13 @@
 	}
 }
 
-// MayAct tells whether the duty may be acted on now, and under which token.
+// MayAct tells whether the duty may be acted on now, and returns the fencing token.
 func (l *Lease) MayAct() (token uint64, ok bool) {
 	token, _, ok = l.Claim()
 	return token, ok
 }
 
-// Claim is MayAct with the moment for which it was told.
+// Claim is MayAct with the time that it holds for.
 func (l *Lease) Claim() (token uint64, at time.Time, ok bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -120,10 +119,10 @@
 	if l.holder != nil {
 		token, ok = l.holder.MayAct(now)
 	}
-	return token, l.Store.at(now), ok
+	return token, l.Store.clock.time(now), ok
 }
 
-// Resign stops acting at once and gives the lease back, by ctx's deadline; else it runs out.
+// Resign stops acting at once and returns the lease; where that fails by ctx's deadline, the lease expires.
 func (l *Lease) Resign(ctx context.Context) error {
 	l.mu.Lock()
 	if l.holder == nil {
@@ -143,7 +142,7 @@
 	return r.Err()
 }
 
-// StandBack gives the lease back and campaigns again only after its length, so that another can take it over.
+// StandBack returns the lease and campaigns again only after its length, so that another coordinator can get it.
 func (l *Lease) StandBack(ctx context.Context) error {
 	err := l.Resign(ctx)
 	l.mu.Lock()
--- a/internal/store/migrate.go
+++ b/internal/store/migrate.go
@@ -1,9 +1,5 @@
 package store
 
-// This file owns the taking over of what releases before internal/kv kept: one bbolt file and a folder of snapshots. It must never
-// change them before all is taken over, and leaves them beside it under another name: started anew, the earlier release would vote
-// with what it knew then.
-
 import (
 	"encoding/binary"
 	"encoding/json"
@@ -22,10 +18,12 @@
 	"gullfall/internal/kv"
 )
 
-// takenOver is added to the names of what was taken over.
+// migratedSuffix is added to the names of the older format's files once they are migrated. They are not removed, but an earlier
+// release must not open them again: it would vote with what it knew then.
 const migratedSuffix = ".taken-over"
 
-// takeOver fills a new disk with what an earlier release kept in a folder, if there is anything.
+// migrateBolt fills a new disk from the format of earlier releases, a bbolt file and a folder of snapshots, if a folder has them.
+// It does not change them.
 func migrateBolt(d *disk, dir string) error {
 	name := filepath.Join(dir, "store.db")
 	if _, err := os.Stat(name); errors.Is(err, fs.ErrNotExist) {
@@ -37,7 +35,7 @@
 	if err != nil {
 		return fmt.Errorf("%s is to be taken over: %w; end the earlier release first", name, err)
 	}
-	defer db.Close()
+	defer func() { _ = db.Close() }() // it was only read
 	if err := migrateBoltFile(d, db); err != nil {
 		return fmt.Errorf("%s is to be taken over: %w", name, err)
 	}
@@ -55,7 +53,7 @@
 	return nil
 }
 
-// putAside renames what was taken over.
+// renameMigrated renames the files that were migrated.
 func renameMigrated(dir string) error {
 	for _, name := range []string{"store.db", "snapshots"} {
 		from := filepath.Join(dir, name)
@@ -66,7 +64,7 @@
 	return nil
 }
 
-// takeFile takes the log, the figures and the values.
+// migrateBoltFile copies the log, raft's stable values and the applied values.
 func migrateBoltFile(d *disk, db *bbolt.DB) error {
 	return db.View(func(tx *bbolt.Tx) error {
 		each := func(name string, f func(k, v []byte) error) error {
@@ -91,17 +89,17 @@
 		}), each("values", func(k, v []byte) error {
 			values[string(k)] = v
 			return nil
-		}), d.writeApplied(values, index, true))
+		}), d.replaceAll(values, index))
 	})
 }
 
-// takeSnapshot takes one snapshot.
+// migrateSnapshot copies one snapshot.
 func migrateSnapshot(d *disk, files raft.SnapshotStore, m *raft.SnapshotMeta) error {
 	_, in, err := files.Open(m.ID)
 	if err != nil {
 		return err
 	}
-	defer in.Close()
+	defer func() { _ = in.Close() }()
 	out, err := d.Create(m.Version, m.Index, m.Term, m.Configuration, m.ConfigurationIndex, nil)
 	if err != nil {
 		return err
--- a/internal/store/putqueue.go
+++ b/internal/store/putqueue.go
@@ -5,6 +5,7 @@
 	"context"
 	"maps"
 	"strings"
+	"sync"
 	"time"
 
 	"github.com/hashicorp/raft"
@@ -12,81 +13,99 @@
 	"gullfall/internal/statemachine"
 )
 
-// Put hands over a value and returns at once. The leader writes what all share; a key that ends with a member's name is that
-// member's own, and is written from wherever it is.
-func (s *Store) Put(key string, value []byte) {
-	s.mu.Lock()
-	s.pending[key] = bytes.Clone(value)
-	s.mu.Unlock()
+// putInterval is how often values that could not be written are tried anew, and the retention is adjusted.
+const putInterval = time.Second
+
+// putQueue holds the values that are to be written, the latest of each key.
+type putQueue struct {
+	changed chan struct{} // one is sent when a value comes
+
+	mu     sync.Mutex
+	values map[string][]byte
+}
+
+func newPutQueue() putQueue {
+	return putQueue{changed: make(chan struct{}, 1), values: map[string][]byte{}}
+}
+
+func (q *putQueue) put(key string, value []byte) {
+	q.mu.Lock()
+	q.values[key] = bytes.Clone(value)
+	q.mu.Unlock()
 	select {
-	case s.pendingChanged <- struct{}{}:
+	case q.changed <- struct{}{}:
 	default:
 	}
 }
 
-// tune has as much of the log kept, and snapshots taken as often, as the sizes of its entries ask for.
-func (s *Store) adjustRetention() {
-	if s.disk == nil {
-		return
-	}
-	s.disk.mu.Lock()
-	trailing, threshold := s.disk.entrySizes.retention()
-	s.disk.mu.Unlock()
-	now := s.raft.ReloadableConfig()
-	far := func(a, b uint64) bool { return 4*a > 5*b || 4*b > 5*a }
-	if !far(trailing, now.TrailingLogs) && !far(threshold, now.SnapshotThreshold) {
-		return
-	}
-	now.TrailingLogs, now.SnapshotThreshold = trailing, threshold
-	if err := s.raft.ReloadConfig(now); err != nil {
-		s.log.Warn("store keeps as much of its log as before", "cause", err)
+// pending copies the queue.
+func (q *putQueue) pending() map[string][]byte {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	return maps.Clone(q.values)
+}
+
+// remove removes a value that was written, unless a later one has replaced it.
+func (q *putQueue) remove(key string, value []byte) {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	if bytes.Equal(q.values[key], value) {
+		delete(q.values, key)
 	}
 }
 
-// write brings what is wanted into the store: whatever it is while this member leads, else what is its own.
+// Put queues a value and returns at once. The leader writes shared keys. A key that ends with a slash and a member's name is that
+// member's own, and is written by it whoever leads.
+func (s *Store) Put(key string, value []byte) { s.puts.put(key, value) }
+
+// runPutQueue writes the queued values until the store is closed.
 func (s *Store) runPutQueue() {
-	again := time.NewTicker(time.Second)
-	defer again.Stop()
+	ticker := time.NewTicker(putInterval)
+	defer ticker.Stop()
 	for {
 		select {
 		case <-s.closed:
 			return
-		case <-s.pendingChanged:
+		case <-s.puts.changed:
 		case <-s.raft.LeaderCh():
-		case <-again.C:
+		case <-ticker.C:
 			s.adjustRetention()
 		}
-		leads := s.raft.State() == raft.Leader
-		s.mu.Lock()
-		want := maps.Clone(s.pending)
-		s.mu.Unlock()
-		for key, value := range want {
-			if !leads && !strings.HasSuffix(key, "/"+s.name) {
-				continue
-			}
-			s.mu.Lock()
-			e, _ := s.state.Get(key)
-			same := bytes.Equal(e.Value, value)
-			s.mu.Unlock()
-			if !same {
-				ctx, cancel := context.WithDeadline(context.Background(), time.Now().Add(time.Second))
-				r, err := s.sendToLeader(ctx, call{Command: &statemachine.Command{Put: []statemachine.Pair{{Key: key, Value: value}}}})
-				cancel()
-				if err == nil {
-					err = r.Err()
-				}
-				if err != nil {
-					if leads {
-						s.log.Warn("store did not take a value; serving goes on", "key", key, "cause", err)
-					}
-					continue
-				}
-			}
-			s.mu.Lock()
-			if bytes.Equal(s.pending[key], value) {
-				delete(s.pending, key)
+		s.writePending()
+	}
+}
+
+// writePending writes the queued values: all of them while this member leads, else its own.
+func (s *Store) writePending() {
+	leader := s.raft.State() == raft.Leader
+	for key, value := range s.puts.pending() {
+		if !leader && !strings.HasSuffix(key, "/"+s.name) {
+			continue
+		}
+		if err := s.writeValue(key, value); err != nil {
+			if leader {
+				s.log.Warn("store did not take a value; serving goes on", "key", key, "cause", err)
 			}
-			s.mu.Unlock()
+			continue
 		}
+		s.puts.remove(key, value)
+	}
+}
+
+// writeValue replicates a value, unless this member has applied it already.
+func (s *Store) writeValue(key string, value []byte) error {
+	s.mu.Lock()
+	e, _ := s.state.Get(key)
+	same := bytes.Equal(e.Value, value)
+	s.mu.Unlock()
+	if same {
+		return nil
+	}
+	ctx, cancel := context.WithDeadline(context.Background(), time.Now().Add(time.Second))
+	defer cancel()
+	r, err := s.sendToLeader(ctx, call{Command: &statemachine.Command{Put: []statemachine.Pair{{Key: key, Value: value}}}})
+	if err != nil {
+		return err
 	}
+	return r.Err()
 }
--- a/internal/store/raftlog.go
+++ b/internal/store/raftlog.go
@@ -11,21 +11,21 @@
 	"gullfall/internal/kv"
 )
 
-// FirstIndex and the methods below are the library's LogStore and StableStore.
+// FirstIndex returns the index of the oldest entry, 0 for an empty log. With the methods below it implements raft.LogStore.
 func (d *disk) FirstIndex() (uint64, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.first, nil
 }
 
-// LastIndex is the index of the latest entry.
+// LastIndex returns the index of the latest entry, 0 for an empty log.
 func (d *disk) LastIndex() (uint64, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.last, nil
 }
 
-// GetLog reads an entry.
+// GetLog reads an entry, or returns raft.ErrLogNotFound.
 func (d *disk) GetLog(index uint64, l *raft.Log) error {
 	view := d.db.Snapshot()
 	defer view.Close()
@@ -45,10 +45,10 @@
 	return nil
 }
 
-// StoreLog writes an entry.
+// StoreLog stores an entry.
 func (d *disk) StoreLog(l *raft.Log) error { return d.StoreLogs([]*raft.Log{l}) }
 
-// StoreLogs writes entries, in their order: where it fails, some of the first may be there.
+// StoreLogs stores entries in their order. Where it fails, the first of them may be stored.
 func (d *disk) StoreLogs(logs []*raft.Log) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -87,7 +87,7 @@
 	return flush(len(logs))
 }
 
-// DeleteRange removes entries, both ends included.
+// DeleteRange deletes the entries from first to last, both included.
 func (d *disk) DeleteRange(first, last uint64) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -97,7 +97,7 @@
 	if err != nil {
 		return err
 	}
-	// Behind the first whose size is known there is no gap.
+	// The log has no gap behind the first entry whose size is known.
 	switch {
 	case first <= d.first && last >= d.last:
 		d.first, d.last, d.entrySizes = 0, 0, entrySizes{}
@@ -112,7 +112,7 @@
 	return nil
 }
 
-// measure reads the log's ends and the sizes of its entries.
+// measureLog reads the ends of the log and the sizes of its entries.
 func (d *disk) measureLog() error {
 	view := d.db.Snapshot()
 	defer view.Close()
@@ -128,8 +128,8 @@
 	})
 }
 
-// An entry as it is kept: its type, term, when its leader took it in (ns since 1970; 0 for not said), the length of its extensions,
-// these, and its data.
+// entryHeaderSize is the bytes of a stored entry before its extensions and data: type, term, when its leader appended it (ns since
+// 1970; 0 for unknown) and the length of the extensions.
 const entryHeaderSize = 1 + 8 + 8 + 4
 
 func appendEntry(to []byte, l *raft.Log) []byte {
--- a/internal/store/recover.go
+++ b/internal/store/recover.go
@@ -1,23 +1,19 @@
 package store
 
-// This file owns what an operator does once more than half of the votes are gone for good: one member's copy becomes the store, with
-// this one vote. It must never run while the member does, nor by itself: what only the lost had acknowledged is lost with them.
-
 import (
 	"errors"
 	"fmt"
 	"log/slog"
-	"os"
 
-	"github.com/hashicorp/go-hclog"
 	"github.com/hashicorp/raft"
 
 	"gullfall/internal/config"
 	"gullfall/internal/statemachine"
 )
 
-// Recover makes the member called name the only one of its store, from what is on its disk; all that is in its log counts, whether or
-// not the others had it. It returns up to where that goes. The member must not run.
+// Recover makes the member called name the only one of its store, from what is on its disk, and returns the last index. An operator
+// calls it, with the coordinator stopped, once more than half of the votes are lost for good. All entries of the member's log
+// count as committed; what only the lost members had acknowledged is lost.
 func Recover(cfg config.Store, name string, log *slog.Logger) (index uint64, err error) {
 	if cfg.Directory == "" || cfg.Listen == "" {
 		return 0, errors.New("store.directory and store.listen: a store in memory, or of one member, has nothing to recover")
@@ -27,12 +23,11 @@
 		return 0, fmt.Errorf("store.directory: %w; end the coordinator before its store is recovered", err)
 	}
 	defer func() { err = errors.Join(err, d.Close()) }()
-	hc := hclog.New(&hclog.LoggerOptions{Name: "store", Level: hclog.Error, Output: os.Stderr})
 	if known, err := raft.HasExistingState(d, d, d); err != nil || !known {
 		return 0, errors.Join(err, fmt.Errorf("store.directory: %s holds no store", cfg.Directory))
 	}
 	conf := raft.DefaultConfig()
-	conf.LocalID, conf.Logger = raft.ServerID(name), hc
+	conf.LocalID, conf.Logger = raft.ServerID(name), raftLogger()
 	s := &Store{log: log, name: name, state: statemachine.New(), disk: d, changed: make(chan struct{})}
 	_, transport := raft.NewInmemTransport(raft.ServerAddress(cfg.Listen))
 	alone := raft.Configuration{Servers: []raft.Server{{ID: raft.ServerID(name), Address: raft.ServerAddress(cfg.Listen)}}}
--- a/internal/store/retention.go
+++ b/internal/store/retention.go
@@ -1,27 +1,25 @@
 package store
 
-// This file owns the decision how much of the log is kept behind a snapshot, and how often one is taken: by bytes, since an entry is
-// anything from a lease's hundred bytes to a list of all data nodes. It must never read the log.
-
 import "slices"
 
-// The bounds of what is kept behind a snapshot.
+// How much of the log is kept behind a snapshot, and how often one is taken. Both go by bytes, since an entry is anything from the
+// hundred bytes of a lease to a list of all data nodes.
 const (
-	trailingBytes        = 4 << 20 // a member away for a minute is sent the entries; for a day, a snapshot
+	trailingBytes        = 4 << 20 // a member that was away for a minute is sent entries; for a day, a snapshot
 	minTrailing          = 16      // entries
 	maxTrailing          = 65_536
-	snapshotBytes        = 2 << 20 // bytes of entries: what a start replays beside the snapshot
+	snapshotBytes        = 2 << 20 // bytes of entries between snapshots, which a start replays
 	minSnapshotThreshold = 32      // entries
 	maxSnapshotThreshold = 16_384
 )
 
-// sizes are those of the log's entries, in order.
+// entrySizes are the sizes in bytes of the log's entries, in order.
 type entrySizes struct {
-	first uint64 // index of the first
+	first uint64 // index of the first entry
 	list  []int32
 }
 
-// add notes an entry: the next one, one that takes the place of a later end, or one behind a gap.
+// add notes an entry: the next one, one that replaces the end of the log from there on, or one behind a gap.
 func (s *entrySizes) add(index uint64, n int) {
 	switch at := index - s.first; {
 	case len(s.list) == 0 || index < s.first || at > uint64(len(s.list)):
@@ -35,12 +33,12 @@
 	}
 }
 
-// cut takes in that the log ends with an index that is there.
+// truncate notes that the log now ends with an index, which must be in the list.
 func (s *entrySizes) truncate(last uint64) {
 	s.list = s.list[:min(uint64(len(s.list)), last+1-s.first)]
 }
 
-// plan is how many entries are kept behind a snapshot, and after how many the next one is taken.
+// retention returns how many entries are kept behind a snapshot, and after how many the next one is taken.
 func (s *entrySizes) retention() (trailing, threshold uint64) {
 	sum, n := 0, 0
 	for ; n < len(s.list) && n < maxTrailing && sum < trailingBytes; n++ {
@@ -54,3 +52,23 @@
 }
 
 func clamp(n, least, most int) uint64 { return uint64(max(least, min(n, most))) }
+
+// adjustRetention sets how much of the log is kept, and how often a snapshot is taken, by the sizes of the entries. Differences of
+// less than a quarter are left.
+func (s *Store) adjustRetention() {
+	if s.disk == nil {
+		return
+	}
+	s.disk.mu.Lock()
+	trailing, threshold := s.disk.entrySizes.retention()
+	s.disk.mu.Unlock()
+	current := s.raft.ReloadableConfig()
+	differs := func(a, b uint64) bool { return 4*a > 5*b || 4*b > 5*a }
+	if !differs(trailing, current.TrailingLogs) && !differs(threshold, current.SnapshotThreshold) {
+		return
+	}
+	current.TrailingLogs, current.SnapshotThreshold = trailing, threshold
+	if err := s.raft.ReloadConfig(current); err != nil {
+		s.log.Warn("store keeps as much of its log as before", "cause", err)
+	}
+}
--- a/internal/store/retry.go
+++ b/internal/store/retry.go
@@ -1,27 +1,25 @@
 package store
 
-// This file owns how long the leader goes on with entries that a member does not take: until it answers, or the leader leads no more.
-// It must never hold back a heartbeat, by which a leader learns that it is alone, nor send what another term's leader may have
-// replaced in another's name: the entries go out under the term in which they were.
-
 import (
 	"time"
 
 	"github.com/hashicorp/raft"
 )
 
-// again is the pause before entries are sent again to a member that did not take them.
+// appendRetryInterval is the pause before entries are sent again to a member that did not answer.
 const appendRetryInterval = 50 * time.Millisecond
 
-// patient is the library's transport, but for this: the library doubles its pause with each failure up to 10 s, and a member that
-// was away for longer waits for the rest of it when it is back.
+// retryingTransport sends entries to a member until it answers, or this member no longer leads. The library doubles its pause with
+// each failure, up to 10 s: a member that was cut off would wait for the rest of that after it is back, and show as a follower
+// whose index stands still. A heartbeat is not repeated: by its failure a leader learns that it has lost the quorum. The entries
+// keep the term under which they were first sent, so a member rejects them once another leader is elected.
 type retryingTransport struct {
 	*raft.NetworkTransport
 	isLeader func(term uint64, member raft.ServerID) bool
 	closed   <-chan struct{}
 }
 
-// AppendEntries sends entries until they are answered. What is sent twice is taken once, by its place in the log.
+// AppendEntries sends entries until they are answered. Entries that arrive twice are stored once, by their index.
 func (p *retryingTransport) AppendEntries(id raft.ServerID, to raft.ServerAddress, a *raft.AppendEntriesRequest, r *raft.AppendEntriesResponse) error {
 	for {
 		err := p.NetworkTransport.AppendEntries(id, to, a, r)
--- a/internal/store/snapshots.go
+++ b/internal/store/snapshots.go
@@ -1,8 +1,5 @@
 package store
 
-// This file owns a member's snapshots: written in parts and seen only once they are whole, read in parts, at a pace while others
-// are sent one. It must never hold one in memory as a whole.
-
 import (
 	"bytes"
 	"cmp"
@@ -22,28 +19,28 @@
 	"gullfall/internal/kv"
 )
 
-// snapshotsKept is how many snapshots stay: the one before the last may still be on its way to a member.
+// retainedSnapshots is how many snapshots are retained: the one before the last may still be on its way to a member.
 const retainedSnapshots = 2
 
-// List, Open and Create are the library's SnapshotStore; the newest comes first.
+// List returns the finished snapshots, the newest first. With Open and Create it implements raft.SnapshotStore.
 func (d *disk) List() (list []*raft.SnapshotMeta, err error) {
 	view := d.db.Snapshot()
 	defer view.Close()
-	var bad error
+	var decodeErr error
 	err = view.Each([]byte{keySnapshot}, func(_, raw []byte) bool {
 		var h snapshotHead
-		if h, bad = decodeSnapshotHead(raw); bad == nil {
+		if h, decodeErr = decodeSnapshotHead(raw); decodeErr == nil {
 			list = append(list, &h.Meta)
 		}
-		return bad == nil
+		return decodeErr == nil
 	})
 	slices.SortFunc(list, func(a, b *raft.SnapshotMeta) int {
 		return cmp.Or(cmp.Compare(b.Term, a.Term), cmp.Compare(b.Index, a.Index), cmp.Compare(b.ID, a.ID))
 	})
-	return list, errors.Join(err, bad)
+	return list, errors.Join(err, decodeErr)
 }
 
-// Open reads a snapshot. Its content is checked by the time it ends.
+// Open opens a snapshot for reading. Its checksum is verified at its end.
 func (d *disk) Open(id string) (*raft.SnapshotMeta, io.ReadCloser, error) {
 	view := d.db.Snapshot()
 	raw, err := view.Get(key(keySnapshot, []byte(id)))
@@ -57,14 +54,14 @@
 	}
 	r := &snapshotReader{ctx: d.ctx, view: view, head: h, checksum: crc32.New(castagnoli)}
 	if d.snapshotRate != nil {
-		if bound := d.snapshotRate(&h.Meta); bound > 0 {
-			r.limiter = rate.NewLimiter(rate.Limit(bound), defaultPartSize)
+		if bytesPerSecond := d.snapshotRate(&h.Meta); bytesPerSecond > 0 {
+			r.limiter = rate.NewLimiter(rate.Limit(bytesPerSecond), defaultPartSize)
 		}
 	}
 	return &h.Meta, r, nil
 }
 
-// Create begins a snapshot.
+// Create starts a snapshot. It is listed only once its writer is closed.
 func (d *disk) Create(version raft.SnapshotVersion, index, term uint64, members raft.Configuration, membersIndex uint64, _ raft.Transport) (raft.SnapshotSink, error) {
 	if version != 1 {
 		return nil, fmt.Errorf("snapshot of version %d; this program writes 1", version)
@@ -75,7 +72,7 @@
 	return w, nil
 }
 
-// snapshotWriter is a snapshot that is being written.
+// snapshotWriter writes a snapshot in parts, so that it is never in memory as a whole.
 type snapshotWriter struct {
 	disk     *disk
 	head     snapshotHead
@@ -85,10 +82,10 @@
 	finished bool
 }
 
-// ID names the snapshot.
+// ID returns the name of the snapshot.
 func (w *snapshotWriter) ID() string { return w.head.Meta.ID }
 
-// Write takes further content in.
+// Write appends to the content.
 func (w *snapshotWriter) Write(p []byte) (n int, err error) {
 	w.checksum.Write(p)
 	w.head.Meta.Size += int64(len(p))
@@ -113,7 +110,7 @@
 	return err
 }
 
-// Close lets it be seen, and removes those that are too old.
+// Close makes the snapshot visible, and removes the ones that are too old.
 func (w *snapshotWriter) Close() error {
 	if w.finished {
 		return nil
@@ -141,7 +138,7 @@
 	return w.disk.db.Write(b)
 }
 
-// Cancel removes what was written.
+// Cancel removes the parts that were written.
 func (w *snapshotWriter) Cancel() error {
 	if w.finished {
 		return nil
@@ -150,19 +147,19 @@
 	return w.disk.db.Write(deletePrefix(keySnapshotPart, []byte(w.ID())))
 }
 
-// snapshotReader reads a snapshot, as it was when that was opened.
+// snapshotReader reads a snapshot as of the view under which it was opened.
 type snapshotReader struct {
 	ctx      context.Context
 	view     *kv.View
 	head     snapshotHead
 	checksum hash.Hash32
-	limiter  *rate.Limiter // nil for none
-	current  bytes.Reader  // of the part that is read
+	limiter  *rate.Limiter // nil for no bound
+	current  bytes.Reader  // the rest of the part that was read last
 	part     int
 	offset   int64
 }
 
-// Read is io.Reader's.
+// Read returns the content, and an error in place of io.EOF where the checksum does not match.
 func (r *snapshotReader) Read(p []byte) (n int, err error) {
 	if r.offset == r.head.Meta.Size {
 		if r.checksum.Sum32() != r.head.Sum {
@@ -176,7 +173,7 @@
 			return 0, fmt.Errorf("snapshot %s, part %d: %w", r.head.Meta.ID, r.part, err)
 		}
 		if r.limiter != nil {
-			if err := r.limiter.WaitN(r.ctx, len(data)); err != nil { // a part is the most that it lets through
+			if err := r.limiter.WaitN(r.ctx, len(data)); err != nil { // a part is never larger than its burst
 				return 0, err
 			}
 		}
@@ -189,13 +186,13 @@
 	return n, err
 }
 
-// Close gives it back.
+// Close releases the view.
 func (r *snapshotReader) Close() error {
 	r.view.Close()
 	return nil
 }
 
-// snapshotHead is what a snapshot's key holds.
+// snapshotHead is the value of a snapshot's key.
 type snapshotHead struct {
 	Meta raft.SnapshotMeta
 	Sum  uint32 // CRC-32C of its content
--- a/internal/store/stable.go
+++ b/internal/store/stable.go
@@ -9,8 +9,12 @@
 	"gullfall/internal/kv"
 )
 
-// Set keeps a figure of the member. The library ends the process where that fails; so while the disk is full it waits for room, and
-// once the store ends, its goroutine does. A member that neither votes nor leads meanwhile does no harm.
+// stableRetryInterval is the pause before a write is tried again on a full disk.
+const stableRetryInterval = 100 * time.Millisecond
+
+// Set stores a value of raft, such as its term and vote. Raft ends the process where that fails. So while the disk is full Set
+// waits for space, and once the store is closed it ends raft's goroutine. A member that neither votes nor leads meanwhile does no
+// harm. With Get, SetUint64 and GetUint64 it implements raft.StableStore.
 func (d *disk) Set(name, value []byte) error {
 	for {
 		err := d.db.Write(kv.Batch{{Kind: kv.Put, Key: key(keyStable, name), Value: value}})
@@ -20,12 +24,12 @@
 		select {
 		case <-d.ctx.Done():
 			runtime.Goexit()
-		case <-time.After(100 * time.Millisecond):
+		case <-time.After(stableRetryInterval):
 		}
 	}
 }
 
-// Get reads a figure of the member, none for one that is not kept.
+// Get returns a value of raft, nil for none.
 func (d *disk) Get(name []byte) ([]byte, error) {
 	value, err := d.db.Get(key(keyStable, name))
 	if errors.Is(err, kv.ErrNotFound) {
@@ -34,10 +38,10 @@
 	return value, err
 }
 
-// SetUint64 keeps a number.
+// SetUint64 stores a number.
 func (d *disk) SetUint64(name []byte, value uint64) error { return d.Set(name, encodeIndex(value)) }
 
-// GetUint64 reads a number, 0 for one that is not kept.
+// GetUint64 returns a number, 0 for none.
 func (d *disk) GetUint64(name []byte) (uint64, error) {
 	value, err := d.Get(name)
 	if err != nil || len(value) != 8 {
--- a/internal/store/status.go
+++ b/internal/store/status.go
@@ -5,19 +5,19 @@
 	"time"
 )
 
-// Status is how one member sees the store.
+// Status is one member's view of the store.
 type Status struct {
 	Name   string
 	State  string // Leader, Follower, Candidate, Shutdown
-	Leader string // empty for none
+	Leader string // its name; empty for none
 	Term   uint64
-	Index  uint64 // applied
-	Heard  time.Duration
+	Index  uint64            // last applied
+	Heard  time.Duration     // since the last contact with the leader; 0 at the leader
 	Peers  map[string]string // suffrage by name
-	Addrs  map[string]string // where each listens
+	Addrs  map[string]string // listening address by name
 }
 
-// Status tells how this member sees the store now.
+// Status returns this member's current view of the store.
 func (s *Store) Status() Status {
 	_, leader := s.raft.LeaderWithID()
 	st := Status{Name: s.name, State: s.raft.State().String(), Leader: string(leader), Term: s.raft.CurrentTerm(), Peers: map[string]string{},
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -24,132 +24,219 @@
 	"gullfall/internal/statemachine"
 )
 
-// The keys that are kept.
+// The keys of values that the coordinators share.
 const (
 	Settings = "settings"
 	Members  = "members"
 )
 
-// Store is one member.
+// Store is one member of the replicated store. Its methods may be called from any goroutine.
 type Store struct {
-	log  *slog.Logger
-	name string
+	log   *slog.Logger
+	name  string
+	clock leaseClock
+	ids   commandIDs
+	puts  putQueue
+
 	raft *raft.Raft
-	// running is raft once it has begun, for what it calls itself.
-	running   atomic.Pointer[raft.Raft]
+	// started is raft once it runs; raft calls isLeaderOf before NewRaft has returned.
+	started   atomic.Pointer[raft.Raft]
 	raftLog   raft.LogStore
-	disk      *disk        // nil where all is kept in memory
-	transport *streamLayer // nil where it is alone
-	start     time.Time
-	skew      float64 // of clock
-	writer    string
-	number    atomic.Uint64
+	disk      *disk         // nil for a store in memory
+	transport *streamLayer  // nil for a store of one member
+	closed    chan struct{} // closed by Close
 
+	// mu guards the fields below.
 	mu              sync.Mutex
 	state           *statemachine.State
-	diskStale       bool              // a write to the disk has failed: what is there is older than what is applied
-	lastDiskFailure time.Time         // when the last one did
-	restored        map[string][]byte // as this member had applied it before its start, up to bootAt
-	restoredIndex   uint64
-	pending         map[string][]byte // to be written, the latest of each key
-	changed         chan struct{}     // closed when something is applied
-	pendingChanged  chan struct{}
-	closed          chan struct{}
+	changed         chan struct{} // closed, and replaced, when something is applied
+	restored        appliedState  // what this member had applied before its start
+	diskStale       bool          // a write failed: the disk holds less than what is applied
+	lastDiskFailure time.Time
+}
+
+// appliedState is the values of a member that it had applied up to a log index.
+type appliedState struct {
+	values map[string][]byte
+	index  uint64
+}
+
+// leaseClock counts the time of leases. It never jumps while the process runs, and is never compared with another member's.
+type leaseClock struct {
+	start time.Time
+	skew  float64 // share by which it runs too fast; 0 except in tests
 }
 
-// Open starts the member called name; what it had applied on disk can be read at once.
+// now is the time since the start.
+func (c leaseClock) now() time.Duration {
+	return time.Duration(float64(time.Since(c.start)) * (1 + c.skew))
+}
+
+// time is when the clock shows a duration.
+func (c leaseClock) time(shown time.Duration) time.Time {
+	return c.start.Add(time.Duration(float64(shown) / (1 + c.skew)))
+}
+
+// commandIDs numbers the commands of one process, so that a command that is sent twice is applied once.
+type commandIDs struct {
+	writer string // the member's name and a random part for the process
+	last   atomic.Uint64
+}
+
+func (c *commandIDs) next() statemachine.ID {
+	return statemachine.ID{Writer: c.writer, N: c.last.Add(1)}
+}
+
+// Open starts the member called name. What it had applied on its disk can be read at once.
 func Open(cfg config.Store, name string, log *slog.Logger) (*Store, error) {
-	s := &Store{log: log, name: name, start: time.Now(), skew: cfg.Skew, state: statemachine.New(), pending: map[string][]byte{}, pendingChanged: make(chan struct{}, 1), changed: make(chan struct{}),
-		closed: make(chan struct{})}
-	var err error
+	s, err := newStore(cfg, name, log)
+	if err != nil {
+		return nil, err
+	}
+	backing, err := s.openStorage(cfg.Directory)
+	if err != nil {
+		return nil, fmt.Errorf("store.directory: %w", err)
+	}
+	conf := raftConfig(cfg, name)
+	transport, servers, err := s.openTransport(cfg, conf)
+	if err != nil {
+		return nil, fmt.Errorf("store.listen: %w", err)
+	}
+	if err := s.startRaft(conf, backing, transport, servers); err != nil {
+		return nil, fmt.Errorf("store: %w", err)
+	}
+	if s.disk != nil {
+		s.disk.snapshotRate = s.snapshotRate(cfg.Pace())
+		s.disk.raftRunning.Store(true)
+	}
+	if s.transport != nil {
+		s.transport.start()
+	}
+	go s.runPutQueue()
+	return s, nil
+}
+
+// newStore returns a store that has neither storage nor raft yet.
+func newStore(cfg config.Store, name string, log *slog.Logger) (*Store, error) {
 	var process [6]byte
 	if _, err := rand.Read(process[:]); err != nil {
 		return nil, err
 	}
-	s.writer = name + "/" + hex.EncodeToString(process[:])
+	s := &Store{log: log, name: name, clock: leaseClock{start: time.Now(), skew: cfg.Skew}, puts: newPutQueue(), state: statemachine.New(),
+		changed: make(chan struct{}), closed: make(chan struct{})}
+	s.ids.writer = name + "/" + hex.EncodeToString(process[:])
+	return s, nil
+}
+
+// raftStorage is where raft keeps its state.
+type raftStorage struct {
+	log       raft.LogStore
+	stable    raft.StableStore
+	snapshots raft.SnapshotStore
+}
+
+// openStorage opens the member's folder and reads what it had applied. An empty folder name stands for memory.
+func (s *Store) openStorage(directory string) (raftStorage, error) {
+	if directory == "" {
+		memory := raft.NewInmemStore()
+		s.raftLog = memory
+		return raftStorage{memory, memory, raft.NewInmemSnapshotStore()}, nil
+	}
+	d, err := openDisk(directory, s.log)
+	if err != nil {
+		return raftStorage{}, err
+	}
+	s.disk, s.raftLog = d, d
+	if s.restored, err = d.readApplied(); err != nil {
+		return raftStorage{}, err
+	}
+	return raftStorage{d, d, d}, nil
+}
+
+// raftConfig returns raft's timeouts and retention. On a disk adjustRetention changes the latter later.
+func raftConfig(cfg config.Store, name string) *raft.Config {
 	conf := raft.DefaultConfig()
 	conf.LocalID = raft.ServerID(name)
-	// Little is kept of the log beside the latest values: each change of the list is an entry of its length. On a disk, by bytes (tune).
+	// Each change of the endpoint list is an entry of the list's length, so a store in memory retains few entries.
 	conf.SnapshotInterval, conf.SnapshotThreshold, conf.TrailingLogs = 2*time.Second, 32, 16
-	conf.Logger = hclog.New(&hclog.LoggerOptions{Name: "store", Level: hclog.Error, Output: os.Stderr})
-	var logs raft.LogStore
-	var stable raft.StableStore
-	var snapshots raft.SnapshotStore
-	if cfg.Directory == "" {
-		mem := raft.NewInmemStore()
-		logs, stable, snapshots = mem, mem, raft.NewInmemSnapshotStore()
-	} else {
-		d, err := openDisk(cfg.Directory, log)
-		if err != nil {
-			return nil, fmt.Errorf("store.directory: %w", err)
-		}
-		s.disk = d
-		if s.restored, s.restoredIndex, err = d.readApplied(); err != nil {
-			return nil, fmt.Errorf("store.directory: %w", err)
-		}
-		logs, stable, snapshots = d, d, d
-	}
-	servers := []raft.Server{{ID: conf.LocalID, Address: raft.ServerAddress(name)}}
-	var transport raft.Transport
+	conf.Logger = raftLogger()
 	if cfg.Listen == "" {
-		// Nobody is to be waited for: one member leads soon after its start.
+		// A single member waits for nobody and leads soon after its start.
 		conf.HeartbeatTimeout, conf.ElectionTimeout = 100*time.Millisecond, 100*time.Millisecond
 		conf.LeaderLeaseTimeout = 100 * time.Millisecond
-		_, transport = raft.NewInmemTransport(raft.ServerAddress(name))
-	} else {
-		if beat := time.Duration(cfg.Heartbeat); beat > 0 {
-			conf.HeartbeatTimeout, conf.ElectionTimeout, conf.LeaderLeaseTimeout = beat, beat, beat/2
-		}
-		if s.transport, err = newStreamLayer(cfg, s); err != nil {
-			return nil, fmt.Errorf("store.listen: %w", err)
-		}
-		// What is long under way holds up a log: a few heartbeats; and a snapshot for twice as long as its pace needs.
-		within := 2 * conf.HeartbeatTimeout
-		wire := raft.NewNetworkTransportWithConfig(&raft.NetworkTransportConfig{Stream: s.transport, MaxPool: 2, Timeout: within, Logger: conf.Logger})
-		wire.TimeoutScale = max(1, int(cfg.Pace()*within.Seconds()/2))
-		transport = &retryingTransport{wire, s.isLeaderOf, s.closed}
-		servers = nil
-		for _, p := range cfg.Peer {
-			server := raft.Server{ID: raft.ServerID(p.Name), Address: raft.ServerAddress(p.Addr)}
-			if p.Learner {
-				server.Suffrage = raft.Nonvoter
-			}
-			servers = append(servers, server)
+	} else if timeout := time.Duration(cfg.Heartbeat); timeout > 0 {
+		conf.HeartbeatTimeout, conf.ElectionTimeout, conf.LeaderLeaseTimeout = timeout, timeout, timeout/2
+	}
+	return conf
+}
+
+// raftLogger passes on raft's errors only.
+func raftLogger() hclog.Logger {
+	return hclog.New(&hclog.LoggerOptions{Name: "store", Level: hclog.Error, Output: os.Stderr})
+}
+
+// openTransport listens for the other members, and returns who is a member at the first start.
+func (s *Store) openTransport(cfg config.Store, conf *raft.Config) (raft.Transport, []raft.Server, error) {
+	if cfg.Listen == "" {
+		address := raft.ServerAddress(s.name)
+		_, transport := raft.NewInmemTransport(address)
+		return transport, []raft.Server{{ID: conf.LocalID, Address: address}}, nil
+	}
+	var err error
+	if s.transport, err = newStreamLayer(cfg, s); err != nil {
+		return nil, nil, err
+	}
+	// A request that takes long delays the entries behind it, so the timeout is a few heartbeats. A snapshot may take twice as
+	// long as its rate asks for.
+	timeout := 2 * conf.HeartbeatTimeout
+	network := raft.NewNetworkTransportWithConfig(&raft.NetworkTransportConfig{Stream: s.transport, MaxPool: 2, Timeout: timeout, Logger: conf.Logger})
+	network.TimeoutScale = max(1, int(cfg.Pace()*timeout.Seconds()/2))
+	return &retryingTransport{network, s.isLeaderOf, s.closed}, initialServers(cfg), nil
+}
+
+// initialServers lists the members that the settings name.
+func initialServers(cfg config.Store) (servers []raft.Server) {
+	for _, p := range cfg.Peer {
+		server := raft.Server{ID: raft.ServerID(p.Name), Address: raft.ServerAddress(p.Addr)}
+		if p.Learner {
+			server.Suffrage = raft.Nonvoter
 		}
+		servers = append(servers, server)
 	}
-	known, err := raft.HasExistingState(logs, stable, snapshots)
+	return servers
+}
+
+// startRaft starts raft, and bootstraps the cluster of servers where the storage is empty.
+func (s *Store) startRaft(conf *raft.Config, backing raftStorage, transport raft.Transport, servers []raft.Server) error {
+	known, err := raft.HasExistingState(backing.log, backing.stable, backing.snapshots)
 	if err == nil && !known {
-		err = raft.BootstrapCluster(conf, logs, stable, snapshots, transport, raft.Configuration{Servers: servers})
+		err = raft.BootstrapCluster(conf, backing.log, backing.stable, backing.snapshots, transport, raft.Configuration{Servers: servers})
 	}
 	if err == nil {
-		s.raft, err = raft.NewRaft(conf, (*fsm)(s), logs, stable, snapshots, transport)
+		s.raft, err = raft.NewRaft(conf, (*fsm)(s), backing.log, backing.stable, backing.snapshots, transport)
 	}
 	if err != nil {
-		return nil, fmt.Errorf("store: %w", err)
+		return err
 	}
-	s.raftLog = logs
-	s.running.Store(s.raft)
-	if s.disk != nil {
-		// A leader reads a snapshot only to send it to a member that is far behind.
-		s.disk.snapshotRate = func(m *raft.SnapshotMeta) float64 {
-			if s.raft.State() != raft.Leader {
-				return 0
-			}
-			s.log.Info("store sends a snapshot to a member that is far behind", "index", m.Index, "bytes", m.Size, "bytes_per_s", cfg.Pace())
-			return cfg.Pace()
+	s.started.Store(s.raft)
+	return nil
+}
+
+// snapshotRate returns the rate, in bytes a second, at which the disk reads a snapshot: a leader reads one only to send it to a
+// member that is far behind, and is bounded; 0 is without bound.
+func (s *Store) snapshotRate(leaderRate float64) func(*raft.SnapshotMeta) float64 {
+	return func(m *raft.SnapshotMeta) float64 {
+		if s.raft.State() != raft.Leader {
+			return 0
 		}
-		s.disk.raftRunning.Store(true)
+		s.log.Info("store sends a snapshot to a member that is far behind", "index", m.Index, "bytes", m.Size, "bytes_per_s", leaderRate)
+		return leaderRate
 	}
-	if s.transport != nil {
-		s.transport.start()
-	}
-	go s.runPutQueue()
-	return s, nil
 }
 
-// leads tells whether this member leads another in a term.
+// isLeaderOf tells whether this member leads in a term and another is a member.
 func (s *Store) isLeaderOf(term uint64, member raft.ServerID) bool {
-	r := s.running.Load()
+	r := s.started.Load()
 	if r == nil || r.State() != raft.Leader || r.CurrentTerm() != term {
 		return false
 	}
@@ -157,53 +244,43 @@
 	return f.Error() == nil && slices.ContainsFunc(f.Configuration().Servers, func(p raft.Server) bool { return p.ID == member })
 }
 
-// Get returns what this member has applied under a key, nil for nothing. Until it has caught up with what it had applied before
-// its start, that is what it tells.
+// Get returns the value that this member has applied, nil for none. Until it has caught up with what it had applied before its
+// start, it returns the value of then.
 func (s *Store) Get(key string) []byte {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.state.Index() < s.restoredIndex || s.state.Index() == 0 {
-		return bytes.Clone(s.restored[key])
+	if s.state.Index() < s.restored.index || s.state.Index() == 0 {
+		return bytes.Clone(s.restored.values[key])
 	}
 	e, _ := s.state.Get(key)
 	return bytes.Clone(e.Value)
 }
 
-// View lets f read the state as this member has applied it. f must not keep it, nor wait for anything.
+// View calls f with the state that this member has applied. f runs under the store's lock: it must neither retain the state nor block.
 func (s *Store) View(f func(*statemachine.State)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	f(s.state)
 }
 
-// clock is what leases are counted by: it never jumps while the process runs, and is never compared with another's.
-func (s *Store) clock() time.Duration {
-	return time.Duration(float64(time.Since(s.start)) * (1 + s.skew))
-}
-
-// at is when the clock shows a time.
-func (s *Store) at(own time.Duration) time.Time {
-	return s.start.Add(time.Duration(float64(own) / (1 + s.skew)))
-}
-
-// Changed is closed once something further is applied.
+// Changed returns a channel that is closed when something further is applied.
 func (s *Store) Changed() <-chan struct{} {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.changed
 }
 
-// Persistent tells whether what this member applies is meant to be there after a restart.
+// Persistent tells whether this member keeps what it applies on a disk.
 func (s *Store) Persistent() bool { return s.disk != nil }
 
-// Durable tells whether it will be: false from a write to the disk that failed until all is written again.
+// Durable tells whether the disk holds all that is applied: false from a failed write until all is written anew.
 func (s *Store) Durable() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return !s.diskStale
 }
 
-// Close ends the member.
+// Close stops the member.
 func (s *Store) Close() error {
 	close(s.closed)
 	if s.disk != nil {
@@ -211,7 +288,7 @@
 	}
 	err := s.raft.Shutdown().Error()
 	if s.transport != nil {
-		s.transport.Close()
+		_ = s.transport.Close() // it always returns nil
 	}
 	if s.disk != nil {
 		err = errors.Join(err, s.disk.Close())
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -109,9 +109,9 @@
 		s.Put("other", fmt.Append(nil, n))
 		time.Sleep(100 * time.Millisecond)
 	}
-	values, _, err := s.disk.readApplied()
-	if err != nil || string(values[Members]) != "list 2" {
-		t.Errorf("the disk holds %q, %v", values[Members], err)
+	restored, err := s.disk.readApplied()
+	if err != nil || string(restored.values[Members]) != "list 2" {
+		t.Errorf("the disk holds %q, %v", restored.values[Members], err)
 	}
 }
 
--- a/internal/store/sweep.go
+++ b/internal/store/sweep.go
@@ -6,7 +6,7 @@
 	"gullfall/internal/kv"
 )
 
-// sweep removes the snapshots that were not finished, and values of other generations.
+// removeLeftovers removes what a crash left: parts of snapshots that were not finished, and values of other generations.
 func (d *disk) removeLeftovers() error {
 	list, err := d.List()
 	if err != nil {
--- a/internal/store/transport.go
+++ b/internal/store/transport.go
@@ -1,15 +1,12 @@
 package store
 
-// This file owns the members' connections: one listener for the log's own traffic and for calls that are put to the leader,
-// told apart by their first byte. It must never dial where no member or route is, nor hold a connection that says nothing for
-// longer than a call may take.
-
 import (
 	"bufio"
 	"context"
 	"encoding/json"
 	"errors"
 	"fmt"
+	"io"
 	"net"
 	"sync"
 	"time"
@@ -21,39 +18,45 @@
 )
 
 const (
-	callMarker         = 'G'             // the log's own traffic begins with a small number
-	maxConcurrentCalls = 256             // connections with calls at once
+	callMarker         = 'G'             // first byte of a connection with a call; raft's own traffic begins with a small number
+	maxConcurrentCalls = 256             // connections at once whose first byte or call is awaited
 	maxCallTime        = 5 * time.Second // that a call may take, whatever its deadline
-	callAttemptTimeout = 2 * time.Second // a leader that does not answer may be none any more
+	callAttemptTimeout = 2 * time.Second // after which a call is sent anew: a leader that does not answer may have been replaced
+
+	acceptRetryInterval = 10 * time.Millisecond // after an error of the listener
 )
 
-// call is what is put to the leader: a command, a change of the members, or to tell up to where its log goes.
+// call is a request to the leader: a command, a change of the members, or, with neither, a barrier.
 type call struct {
 	Command *statemachine.Command `json:",omitempty"`
 	Member  *MemberChange         `json:",omitempty"`
-	LeftMS  int64                 // of the caller's time
+	LeftMS  int64                 // until the caller's deadline
 }
 
+// reply is the answer to a call.
 type reply struct {
 	Result statemachine.Result
 	Failed string `json:",omitempty"`
 }
 
-// layer is the raft library's stream layer.
+// streamLayer implements raft.StreamLayer. One listener serves raft's connections and the calls to the leader, told apart by their
+// first byte.
 type streamLayer struct {
 	store     *Store
 	listener  net.Listener
-	routes    map[string]string
-	raftConns chan net.Conn
+	routes    map[string]string // another address to dial for a member's address
+	raftConns chan net.Conn     // accepted connections for raft
 	callSlots chan struct{}
 	closed    chan struct{}
 	closeOnce sync.Once
 	wg        sync.WaitGroup
 
+	// mu guards awaiting: the connections whose first byte or call is awaited. Close closes them.
 	mu       sync.Mutex
-	awaiting map[net.Conn]bool // whose first byte or call is awaited
+	awaiting map[net.Conn]bool
 }
 
+// newStreamLayer listens. Connections are accepted after start.
 func newStreamLayer(cfg config.Store, s *Store) (*streamLayer, error) {
 	ln, err := net.Listen("tcp", cfg.Listen)
 	if err != nil {
@@ -67,7 +70,7 @@
 	return l, nil
 }
 
-// serve begins to take connections in, once there is a store behind it.
+// start accepts connections. The store must be running.
 func (l *streamLayer) start() { l.wg.Go(l.acceptLoop) }
 
 func (l *streamLayer) acceptLoop() {
@@ -76,7 +79,7 @@
 		if errors.Is(err, net.ErrClosed) {
 			return
 		} else if err != nil {
-			time.Sleep(10 * time.Millisecond)
+			time.Sleep(acceptRetryInterval)
 			continue
 		}
 		select {
@@ -86,65 +89,75 @@
 				l.handleConn(nc)
 			})
 		default:
-			nc.Close()
+			_ = nc.Close()
 		}
 	}
 }
 
-// first reads a connection's first byte and serves a call, or hands the connection to the log.
+// handleConn reads a connection's first byte, and answers a call or hands the connection to raft.
 func (l *streamLayer) handleConn(nc net.Conn) {
-	l.setAwaiting(nc, true)
-	defer l.setAwaiting(nc, false)
-	nc.SetDeadline(time.Now().Add(maxCallTime))
+	l.track(nc)
+	defer l.untrack(nc)
+	_ = nc.SetDeadline(time.Now().Add(maxCallTime)) // fails on a closed connection, as the read does
 	in := bufio.NewReader(nc)
-	b, err := in.ReadByte()
-	if err != nil {
-		nc.Close()
-		return
-	}
-	if b != callMarker {
-		in.UnreadByte()
-		nc.SetDeadline(time.Time{})
+	first, err := in.Peek(1)
+	switch {
+	case err != nil:
+		_ = nc.Close()
+	case first[0] == callMarker:
+		defer func() { _ = nc.Close() }()
+		_, _ = in.Discard(1) // it was peeked
+		l.answerCall(nc, in)
+	default:
+		_ = nc.SetDeadline(time.Time{})
 		select {
 		case l.raftConns <- &bufferedConn{nc, in}:
 		case <-l.closed:
-			nc.Close()
+			_ = nc.Close()
 		}
-		return
 	}
-	defer nc.Close()
+}
+
+// answerCall reads a call, has it handled and writes the reply. A connection that fails gets none.
+func (l *streamLayer) answerCall(out io.Writer, in io.Reader) {
 	var c call
 	if json.NewDecoder(in).Decode(&c) != nil {
 		return
 	}
-	ctx, cancel := context.WithDeadline(context.Background(), time.Now().Add(min(maxCallTime, time.Duration(c.LeftMS)*time.Millisecond)))
+	timeout := min(maxCallTime, time.Duration(c.LeftMS)*time.Millisecond)
+	ctx, cancel := context.WithDeadline(context.Background(), time.Now().Add(timeout))
 	defer cancel()
-	var r reply
-	if r.Result, err = l.store.handleAsLeader(ctx, c); err != nil {
-		r.Failed = err.Error()
+	var answer reply
+	var err error
+	if answer.Result, err = l.store.handleAsLeader(ctx, c); err != nil {
+		answer.Failed = err.Error()
 	}
-	json.NewEncoder(nc).Encode(r)
+	_ = json.NewEncoder(out).Encode(answer) // the caller tries again without it
 }
 
-// hold notes a connection whose end Close must not wait for.
-func (l *streamLayer) setAwaiting(nc net.Conn, on bool) {
+// track notes a connection that Close closes.
+func (l *streamLayer) track(nc net.Conn) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.awaiting[nc] = true; !on {
-		delete(l.awaiting, nc)
-	}
+	l.awaiting[nc] = true
+}
+
+func (l *streamLayer) untrack(nc net.Conn) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	delete(l.awaiting, nc)
 }
 
-// begun is a connection whose first bytes were read.
+// bufferedConn is a connection whose first bytes are in a buffer.
 type bufferedConn struct {
 	net.Conn
 	reader *bufio.Reader
 }
 
-// Read goes on where the first byte was.
+// Read reads from the buffer.
 func (b *bufferedConn) Read(p []byte) (int, error) { return b.reader.Read(p) }
 
-// dial connects to a member, by another address where one is named.
+// dial connects to a member, by its route where it has one.
 func (l *streamLayer) dial(ctx context.Context, addr string) (net.Conn, error) {
 	if via := l.routes[addr]; via != "" {
 		addr = via
@@ -153,7 +166,7 @@
 	return d.DialContext(ctx, "tcp", addr)
 }
 
-// call puts a call to the member at an address.
+// call sends a call to the member at an address. An error that wraps errNoLeader means that it was not begun.
 func (l *streamLayer) call(ctx context.Context, addr string, c call) (r statemachine.Result, err error) {
 	end := time.Now().Add(callAttemptTimeout)
 	if d, ok := ctx.Deadline(); ok && d.Before(end) {
@@ -165,8 +178,10 @@
 	if err != nil {
 		return r, fmt.Errorf("%w: it is not reached: %w", errNoLeader, err)
 	}
-	defer nc.Close()
-	nc.SetDeadline(end)
+	defer func() { _ = nc.Close() }()
+	if err := nc.SetDeadline(end); err != nil {
+		return r, fmt.Errorf("the store's leader was not told: %w", err)
+	}
 	c.LeftMS = time.Until(end).Milliseconds()
 	data, err := json.Marshal(c)
 	if err != nil {
@@ -189,7 +204,7 @@
 	return a.Result, nil
 }
 
-// Accept, Close, Addr and Dial are the library's StreamLayer.
+// Accept returns the next connection for raft.
 func (l *streamLayer) Accept() (net.Conn, error) {
 	select {
 	case nc := <-l.raftConns:
@@ -199,14 +214,14 @@
 	}
 }
 
-// Close ends the listener and the calls that are served; the log's connections are the library's to end.
+// Close ends the listener and the calls. Raft closes its own connections.
 func (l *streamLayer) Close() error {
 	l.closeOnce.Do(func() {
 		close(l.closed)
-		l.listener.Close()
+		_ = l.listener.Close()
 		l.mu.Lock()
 		for nc := range l.awaiting {
-			nc.Close()
+			_ = nc.Close()
 		}
 		l.mu.Unlock()
 	})
@@ -214,12 +229,12 @@
 	return nil
 }
 
-// Addr is where it listens.
+// Addr returns the listening address.
 func (l *streamLayer) Addr() net.Addr { return l.listener.Addr() }
 
-// Dial connects to a member for the log. The library gives a time, not a deadline.
-func (l *streamLayer) Dial(address raft.ServerAddress, within time.Duration) (net.Conn, error) {
-	ctx, cancel := context.WithDeadline(context.Background(), time.Now().Add(within))
+// Dial connects to a member for raft.
+func (l *streamLayer) Dial(address raft.ServerAddress, timeout time.Duration) (net.Conn, error) {
+	ctx, cancel := context.WithDeadline(context.Background(), time.Now().Add(timeout))
 	defer cancel()
 	return l.dial(ctx, string(address))
 }
