--- a/internal/store/applied.go
+++ b/internal/store/applied.go
@@ -16,8 +16,8 @@
 	defer d.mu.Unlock()
 	prefix := key(keyValue, encodeIndex(d.generation))
 	var chunkErr error
-	err := view.Each(prefix, func(k, held []byte) bool {
-		values[string(k[len(prefix):])], chunkErr = readChunked(view, held, keyValuePart)
+	err := view.Each(prefix, func(k, stored []byte) bool {
+		values[string(k[len(prefix):])], chunkErr = readChunked(view, stored, keyValuePart)
 		return chunkErr == nil
 	})
 	return appliedState{values, d.applied}, errors.Join(err, chunkErr)
@@ -91,13 +91,13 @@
 	// A value that does not fit into the batch any more is written ahead of it, in parts.
 	inlineLimit := min(d.partSize, max(0, batchParts*d.partSize-w.bytes))
 	prefix := bytes.Join([][]byte{encodeIndex(w.generation), encodeIndex(w.index), encodePart(w.written)}, nil)
-	held, err := d.writeChunked(value, keyValuePart, prefix, inlineLimit)
+	stored, err := d.writeChunked(value, keyValuePart, prefix, inlineLimit)
 	if err != nil {
 		return err
 	}
 	w.written++
-	w.batch = append(w.batch, kv.Op{Kind: kv.Put, Key: k, Value: held})
-	w.bytes += len(k) + len(held)
+	w.batch = append(w.batch, kv.Op{Kind: kv.Put, Key: k, Value: stored})
+	w.bytes += len(k) + len(stored)
 	return nil
 }
 
--- a/internal/store/chunks.go
+++ b/internal/store/chunks.go
@@ -41,30 +41,30 @@
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
 // valueLength returns the length in bytes of the value that a key holds; of an inline one with its first byte.
-func valueLength(held []byte) int {
-	if len(held) >= chunkHeaderSize && held[0] == chunked {
-		return int(binary.BigEndian.Uint64(held[1:]))
+func valueLength(stored []byte) int {
+	if len(stored) >= chunkHeaderSize && stored[0] == chunked {
+		return int(binary.BigEndian.Uint64(stored[1:]))
 	}
-	return len(held)
+	return len(stored)
 }
 
 // readChunked returns the value that a key holds, and checks its checksum where it is in parts.
-func readChunked(view *kv.View, held []byte, kind byte) ([]byte, error) {
+func readChunked(view *kv.View, stored []byte, kind byte) ([]byte, error) {
 	switch {
-	case len(held) > 0 && held[0] == inline:
-		return bytes.Clone(held[1:]), nil
-	case len(held) < chunkHeaderSize || held[0] != chunked:
-		return nil, fmt.Errorf("a value of %d bytes is neither itself nor in parts", len(held))
+	case len(stored) > 0 && stored[0] == inline:
+		return bytes.Clone(stored[1:]), nil
+	case len(stored) < chunkHeaderSize || stored[0] != chunked:
+		return nil, fmt.Errorf("a value of %d bytes is neither itself nor in parts", len(stored))
 	}
-	data := make([]byte, 0, valueLength(held))
-	for n := 0; len(data) < valueLength(held); n++ {
-		p, err := view.Get(key(kind, held[chunkHeaderSize:], encodePart(n)))
+	data := make([]byte, 0, valueLength(stored))
+	for n := 0; len(data) < valueLength(stored); n++ {
+		p, err := view.Get(key(kind, stored[chunkHeaderSize:], encodePart(n)))
 		if err != nil {
-			return nil, fmt.Errorf("part %d of a value of %d bytes: %w", n, valueLength(held), err)
+			return nil, fmt.Errorf("part %d of a value of %d bytes: %w", n, valueLength(stored), err)
 		}
 		data = append(data, p...)
 	}
-	if crc32.Checksum(data, castagnoli) != binary.BigEndian.Uint32(held[9:]) {
+	if crc32.Checksum(data, castagnoli) != binary.BigEndian.Uint32(stored[9:]) {
 		return nil, fmt.Errorf("a value of %d bytes in parts does not have its checksum", len(data))
 	}
 	return data, nil
--- a/internal/store/fsm.go
+++ b/internal/store/fsm.go
@@ -49,7 +49,7 @@
 func (m *fsm) persist(changed map[string]bool) {
 	switch {
 	case m.disk == nil:
-	case m.diskStale:
+	case m.diskWrites.stale:
 		m.rewriteAll()
 	case len(changed) > 0:
 		values := map[string][]byte{}
@@ -72,17 +72,17 @@
 	switch {
 	case err != nil:
 		m.log.Error("store can't be written", "cause", err)
-		m.lastDiskFailure = time.Now()
-	case m.diskStale:
+		m.diskWrites.lastFailure = time.Now()
+	case m.diskWrites.stale:
 		m.log.Info("store is written again")
 	}
-	m.diskStale = err != nil
+	m.diskWrites.stale = err != nil
 }
 
 // rewriteAll writes all values anew after a failed write, since the disk lacks what changed meanwhile. It does so at most once a
 // second. The caller holds the lock.
 func (m *fsm) rewriteAll() {
-	if time.Since(m.lastDiskFailure) < rewriteInterval {
+	if time.Since(m.diskWrites.lastFailure) < rewriteInterval {
 		return
 	}
 	m.recordWrite(m.disk.replaceAll(m.values(), m.state.Index()))
--- a/internal/store/raftlog.go
+++ b/internal/store/raftlog.go
@@ -29,13 +29,13 @@
 func (d *disk) GetLog(index uint64, l *raft.Log) error {
 	view := d.db.Snapshot()
 	defer view.Close()
-	held, err := view.Get(key(keyLog, encodeIndex(index)))
+	stored, err := view.Get(key(keyLog, encodeIndex(index)))
 	if errors.Is(err, kv.ErrNotFound) {
 		return raft.ErrLogNotFound
 	} else if err != nil {
 		return err
 	}
-	data, err := readChunked(view, held, keyLogPart)
+	data, err := readChunked(view, stored, keyLogPart)
 	if err == nil {
 		*l, err = decodeEntry(index, data)
 	}
@@ -73,12 +73,12 @@
 		return nil
 	}
 	for i, l := range logs {
-		held, err := d.writeChunked(appendEntry(nil, l), keyLogPart, encodeIndex(l.Index), d.partSize)
+		stored, err := d.writeChunked(appendEntry(nil, l), keyLogPart, encodeIndex(l.Index), d.partSize)
 		if err != nil {
 			return err
 		}
-		b = append(b, kv.Op{Kind: kv.Put, Key: key(keyLog, encodeIndex(l.Index)), Value: held})
-		if size += len(held); size > batchParts*d.partSize {
+		b = append(b, kv.Op{Kind: kv.Put, Key: key(keyLog, encodeIndex(l.Index)), Value: stored})
+		if size += len(stored); size > batchParts*d.partSize {
 			if err := flush(i + 1); err != nil {
 				return err
 			}
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -47,12 +47,11 @@
 	closed    chan struct{} // closed by Close
 
 	// mu guards the fields below.
-	mu              sync.Mutex
-	state           *statemachine.State
-	changed         chan struct{} // closed, and replaced, when something is applied
-	restored        appliedState  // what this member had applied before its start
-	diskStale       bool          // a write failed: the disk holds less than what is applied
-	lastDiskFailure time.Time
+	mu         sync.Mutex
+	state      *statemachine.State
+	changed    chan struct{} // closed, and replaced, when something is applied
+	restored   appliedState  // what this member had applied before its start
+	diskWrites diskWrites
 }
 
 // appliedState is the values of a member that it had applied up to a log index.
@@ -61,6 +60,12 @@
 	index  uint64
 }
 
+// diskWrites is how the writes of applied values went.
+type diskWrites struct {
+	stale       bool // one failed: the disk holds less than what is applied
+	lastFailure time.Time
+}
+
 // leaseClock counts the time of leases. It never jumps while the process runs, and is never compared with another member's.
 type leaseClock struct {
 	start time.Time
@@ -277,7 +282,7 @@
 func (s *Store) Durable() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return !s.diskStale
+	return !s.diskWrites.stale
 }
 
 // Close stops the member.
