--- a/internal/store/disk.go
+++ b/internal/store/disk.go
@@ -52,7 +52,7 @@
 	}
 	db, err := openLocked(kv.Dir(folder), kv.Config{
 		Report: func(c kv.Cut) {
-			log.Warn("store ended in the middle of a write; what was not acknowledged is cut off", "file", c.File, "offset", c.Offset, "bytes", c.Bytes)
+			log.Warn("store recovered from an interrupted write; unacknowledged bytes are cut off", "file", c.File, "offset", c.Offset, "bytes", c.Bytes)
 		},
 		OnFailure: func(err error) { log.Error("store can't be written", "cause", err) },
 	})
--- a/internal/store/fsm.go
+++ b/internal/store/fsm.go
@@ -30,7 +30,7 @@
 		}
 		var c statemachine.Command
 		if err := json.Unmarshal(l.Data, &c); err != nil {
-			m.log.Error("entry of the store not understood", "index", l.Index, "cause", err)
+			m.log.Error("store log entry can't be decoded", "index", l.Index, "cause", err)
 			results[i] = err
 			continue
 		}
@@ -74,7 +74,7 @@
 		m.log.Error("store can't be written", "cause", err)
 		m.diskWrites.lastFailure = time.Now()
 	case m.diskWrites.stale:
-		m.log.Info("store is written again")
+		m.log.Info("store writes to its disk again")
 	}
 	m.diskWrites.stale = err != nil
 }
--- a/internal/store/putqueue.go
+++ b/internal/store/putqueue.go
@@ -84,7 +84,7 @@
 		}
 		if err := s.writeValue(key, value); err != nil {
 			if leader {
-				s.log.Warn("store did not take a value; serving goes on", "key", key, "cause", err)
+				s.log.Warn("value not replicated; serving continues", "key", key, "cause", err)
 			}
 			continue
 		}
--- a/internal/store/retention.go
+++ b/internal/store/retention.go
@@ -69,6 +69,6 @@
 	}
 	current.TrailingLogs, current.SnapshotThreshold = trailing, threshold
 	if err := s.raft.ReloadConfig(current); err != nil {
-		s.log.Warn("store keeps as much of its log as before", "cause", err)
+		s.log.Warn("store's log retention can't be changed", "cause", err)
 	}
 }
