--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -1,24 +1,24 @@
-// Package lease decides who holds a duty: one coordinator at a time, for a lease with a term, under a fencing token that only
-// grows. It owns the three parts of that: the table that grants (kept by whoever leads the coordinators' store), the holder
-// that must stop acting before its lease can be granted to another, and the fence of a resource that acts on a duty's word. It
-// must never look at a clock, do I/O, or let a holder act on a lease that it can't prove to be its own.
+// Package lease decides who holds a duty: one coordinator at a time, for a lease with a term, under a fencing token that only grows.
+// The lessor grants leases; it is a part of the replicated store's state. The holder stops acting before its lease can be granted
+// to another. Neither looks at a clock or does I/O.
 //
 // The rules, with L the length of a lease and E the bound on clocks: each clock runs between 1-E and 1+E of true time, and is
-// never compared with another's, so that one may jump where its process is started anew, not while it runs.
+// never compared with another's, so that one may jump where its process is restarted, not while it runs.
 //
-//	campaign   granted where the duty is free, or its lease is over by the table's clock: a new term and a higher token
-//	renew      granted to the holder of the term, whether or not it was over, as long as nobody else has been granted
-//	heard      both are granted only to one that names the lease's version, which is higher with each grant; who names an older
-//	           one is told the version, and asks again at once: one that is heard and does not hear holds no duty, and keeps none
+//	campaign   granted where the duty is free, or its lease has expired by the lessor's clock: a new term and a higher token
+//	renew      granted to the holder of the term, expired or not, as long as nobody else has been granted
+//	version    both are granted only to a request that names the lease's version, which is higher by one with each grant. One that
+//	           names an older version is told the current one, and the holder asks again at once: a coordinator that can send
+//	           and not receive gets no duty, and keeps none
 //	resign     frees the duty at once; the next campaign is granted
 //	holder     may act for L (1-E)/(1+E) by its own clock, counted from when it sent the request that was granted
-//	table      holds the duty for L by its own clock, counted from when it took the request in
-//	new leader it does not know how much of a lease has passed: each is held for L from its first moment on
-//	fence      takes a token that is the highest it has seen, or higher, and turns a lower one back
+//	lessor     holds the duty for L by its own clock, counted from when it received the request
+//	new leader it does not know how much of a lease has passed: each runs for L from its first moment on
+//	fence      a resource accepts a token that is the highest it has seen, or higher, and rejects a lower one
 //
-// So two holders never act at the same true time: the holder ends by L/(1+E) of true time after it sent, the table begins the
-// next no sooner than L/(1+E) after it took the request in, which is later. What a holder sent before it ended and what arrives
-// after that is the fence's to turn back.
+// So two holders never act at the same true time: the holder ends by L/(1+E) of true time after it sent, the lessor begins the
+// next no sooner than L/(1+E) after it received the request, which is later. What a holder sent before it ended and what arrives
+// after that is rejected by the fence.
 package lease
 
 import (
@@ -29,14 +29,14 @@
 	"time"
 )
 
-// Config are the figures of a duty's leases.
+// Config configures the leases of a duty. The zero value of a field stands for its default.
 type Config struct {
-	Length time.Duration // of a lease; 10 s
-	Drift  float64       // by how much clocks may run fast or slow; 0.01
-	Renew  float64       // share of the holder's time after which it renews; 0.4
+	Length time.Duration // of a lease; default 10 s
+	Drift  float64       // the share by which clocks may run fast or slow; default 0.01
+	Renew  float64       // the share of Acting after which the holder renews; default 0.4
 }
 
-func (c Config) defaults() Config {
+func (c Config) withDefaults() Config {
 	if c.Length == 0 {
 		c.Length = 10 * time.Second
 	}
@@ -49,27 +49,27 @@
 	return c
 }
 
-// Check names the first figure that can't be kept.
+// Check returns an error for values out of range.
 func (c Config) Check() error {
-	c = c.defaults()
+	c = c.withDefaults()
 	if c.Length < 0 || !(c.Drift > 0 && c.Drift < 0.5) || !(c.Renew > 0 && c.Renew < 1) {
 		return fmt.Errorf("lease: Length %v, Drift %v, Renew %v: Length is above 0, Drift above 0 and under 0.5, Renew between 0 and 1", c.Length, c.Drift, c.Renew)
 	}
 	return nil
 }
 
-// Acting is how long a holder may act on a lease, by its own clock from when it sent the request.
+// Acting returns how long a holder may act on a lease, by its own clock from when it sent the request.
 func (c Config) Acting() time.Duration {
-	c = c.defaults()
+	c = c.withDefaults()
 	return time.Duration(float64(c.Length) * (1 - c.Drift) / (1 + c.Drift))
 }
 
-// Grant is who holds a duty.
+// Grant is a lease of a duty.
 type Grant struct {
 	Duty   string
 	Holder string // empty where it is free
-	Term   uint64 // of the holder's time in it, from its campaign on
-	Token  uint64 // higher with each term; what a fence goes by
+	Term   uint64 // higher with each campaign that was granted
+	Token  uint64 // the fencing token, higher with each term
 	// Version is 1 for a duty that nobody held yet, and higher by 1 with each grant, renewals included.
 	Version uint64
 }
@@ -78,73 +78,74 @@
 var (
 	ErrHeld     = errors.New("the duty is held by another")
 	ErrTermOver = errors.New("the term is over: another has been granted the duty since, or it was given back")
-	// ErrUnheard is no refusal: what the asker holds, it holds on, and with the version that goes with it the next request is granted.
+	// ErrStaleVersion comes with the current version: a lease that the sender holds goes on, and the next request is granted.
 	ErrStaleVersion = errors.New("the lease has been granted since the version that the request names")
 )
 
-// AnyVersion is the version of a request that does not say what its sender has heard, as those of the log's earlier form: it is granted
-// without.
+// AnyVersion is the version of a request of the log's first form, which names none: it is granted without.
 const AnyVersion uint64 = 0
 
-// Table grants duties, each for the same length. It is part of the replicated store's state: requests are applied in the order of its log, with the
-// leader's clock as they were taken in. It is not safe for concurrent use.
-type Table struct {
-	c      Config
+// Lessor grants duties. It is a part of the replicated store's state: requests are applied in the order of the log, with the clock
+// of the leader that received them. It is not safe for concurrent use.
+type Lessor struct {
+	config Config
 	duties map[string]*Record
 }
 
-// Record is a grant as the table's snapshots hold it.
+// Record is a grant as snapshots hold it.
 type Record struct {
 	Grant
-	Until  time.Duration // by the clock of the leader that holds the table
-	Length time.Duration // of its leases, as its holder asked
+	Until  time.Duration // by the leader's clock
+	Length time.Duration // of its lease, as its holder requested
 }
 
-// NewTable returns a table in which every duty is free.
-func NewTable(c Config) (*Table, error) {
-	return &Table{c: c.defaults(), duties: map[string]*Record{}}, c.Check()
+// NewLessor returns a lessor for which every duty is free.
+func NewLessor(c Config) (*Lessor, error) {
+	return &Lessor{config: c.withDefaults(), duties: map[string]*Record{}}, c.Check()
 }
 
-func (t *Table) duty(name string) *Record {
-	d := t.duties[name]
+// record returns the record of a duty, a new one where there is none.
+func (l *Lessor) record(name string) *Record {
+	d := l.duties[name]
 	if d == nil {
-		d = &Record{Grant: Grant{Duty: name, Version: 1}, Length: t.c.Length}
-		t.duties[name] = d
+		d = &Record{Grant: Grant{Duty: name, Version: 1}, Length: l.config.Length}
+		l.duties[name] = d
 	}
 	return d
 }
 
-// Campaign grants a duty that is free, or whose lease is over, for a length of the asker's own: that goes with the request, so that all
-// copies of a table hold a lease alike, whatever figures their members were started with. The holder itself gets a new term. Heard is the
-// version that the asker heard of last, or Unsaid.
-func (t *Table) Campaign(now time.Duration, duty, who string, length time.Duration, heard uint64) (Grant, error) {
-	d := t.duty(duty)
+// Grant grants a campaign for a duty that is free, or whose lease has expired. The length comes with the request, so that all members
+// hold a lease alike, whatever their settings. A holder that campaigns gets a new term. known is the version of the lease that
+// the sender knows, or AnyVersion. With an error, ErrHeld or ErrStaleVersion, the current grant is returned.
+func (l *Lessor) Grant(now time.Duration, duty, who string, length time.Duration, known uint64) (Grant, error) {
+	d := l.record(duty)
 	if d.Holder != "" && d.Holder != who && now < d.Until {
 		return d.Grant, fmt.Errorf("%w: %s, in term %d", ErrHeld, d.Holder, d.Term)
 	}
-	if heard != AnyVersion && heard != d.Version {
+	if known != AnyVersion && known != d.Version {
 		return d.Grant, ErrStaleVersion
 	}
 	d.Holder, d.Term, d.Token, d.Version, d.Until, d.Length = who, d.Term+1, d.Token+1, d.Version+1, now+length, length
 	return d.Grant, nil
 }
 
-// Renew lengthens the holder's lease.
-func (t *Table) Renew(now time.Duration, duty, who string, term, heard uint64) (Grant, error) {
-	d := t.duty(duty)
+// Renew extends the holder's lease by its length from now. With an error, ErrTermOver or ErrStaleVersion, the current grant is
+// returned.
+func (l *Lessor) Renew(now time.Duration, duty, who string, term, known uint64) (Grant, error) {
+	d := l.record(duty)
 	if d.Holder != who || d.Term != term {
 		return d.Grant, ErrTermOver
 	}
-	if heard != AnyVersion && heard != d.Version {
+	if known != AnyVersion && known != d.Version {
 		return d.Grant, ErrStaleVersion
 	}
 	d.Version, d.Until = d.Version+1, now+d.Length
 	return d.Grant, nil
 }
 
-// Resign frees a duty; one whose term is over has nothing to free.
-func (t *Table) Resign(duty, who string, term uint64) error {
-	d := t.duty(duty)
+// Revoke frees a duty for the holder of a term; ErrTermOver tells that it holds it no more.
+func (l *Lessor) Revoke(duty, who string, term uint64) error {
+	d := l.record(duty)
 	if d.Holder != who || d.Term != term {
 		return ErrTermOver
 	}
@@ -152,178 +153,165 @@
 	return nil
 }
 
-// Led begins a leader's time: its clock is not the one by which leases were granted.
-func (t *Table) Led(now time.Duration) {
-	for _, d := range t.duties {
+// Promote extends all leases by their lengths from now. It is called when another leader begins, whose clock is not the one by
+// which they were granted.
+func (l *Lessor) Promote(now time.Duration) {
+	for _, d := range l.duties {
 		if d.Holder != "" {
 			d.Until = now + d.Length
 		}
 	}
 }
 
-// Over tells whether a duty's lease has ended by the table's clock, or nobody holds it: its last holder acts no more.
-func (t *Table) Over(now time.Duration, duty string) bool {
-	d := t.duties[duty]
+// Expired tells whether a duty's lease has expired by the leader's clock, or nobody holds it: its last holder acts no more.
+func (l *Lessor) Expired(now time.Duration, duty string) bool {
+	d := l.duties[duty]
 	return d == nil || d.Holder == "" || now >= d.Until
 }
 
-// Holds tells whether a token is the present holder's: nobody has been granted the duty since, and it was not given back.
-func (t *Table) Holds(duty string, token uint64) bool {
-	d := t.duties[duty]
+// Holds tells whether a token is the current holder's: nobody has been granted the duty since, and it was not revoked.
+func (l *Lessor) Holds(duty string, token uint64) bool {
+	d := l.duties[duty]
 	return d != nil && d.Holder != "" && d.Token == token
 }
 
-// Forget lets go of a duty and of all that is known of it, its tokens included. It is for duties that no fence guards.
-func (t *Table) Forget(duty string) { delete(t.duties, duty) }
+// Forget removes the record of a duty, so that its tokens begin anew. It is for duties without a fence.
+func (l *Lessor) Forget(duty string) { delete(l.duties, duty) }
 
-// Grants lists all duties that were ever held, by name.
-func (t *Table) Grants() (list []Grant) {
-	for _, name := range slices.Sorted(maps.Keys(t.duties)) {
-		list = append(list, t.duties[name].Grant)
+// Grants lists the grants of all duties that were ever held, by name.
+func (l *Lessor) Grants() (list []Grant) {
+	for _, name := range slices.Sorted(maps.Keys(l.duties)) {
+		list = append(list, l.duties[name].Grant)
 	}
 	return list
 }
 
-// Snapshot lists all that the table holds, by name.
-func (t *Table) Snapshot() (list []Record) {
-	for _, name := range slices.Sorted(maps.Keys(t.duties)) {
-		list = append(list, *t.duties[name])
+// Snapshot lists all records, by name.
+func (l *Lessor) Snapshot() (list []Record) {
+	for _, name := range slices.Sorted(maps.Keys(l.duties)) {
+		list = append(list, *l.duties[name])
 	}
 	return list
 }
 
-// Restore takes over a snapshot. Led must follow before the next request, unless that comes from the same leader's time.
-func (t *Table) Restore(list []Record) {
-	t.duties = map[string]*Record{}
+// Restore replaces the records by a snapshot. Promote must follow before the next request, unless that is of the same leader's term.
+func (l *Lessor) Restore(list []Record) {
+	l.duties = map[string]*Record{}
 	for _, g := range list {
-		g.Version = max(g.Version, 1) // of the earlier form
-		t.duties[g.Duty] = &g
+		g.Version = max(g.Version, 1) // 0 in the first form
+		l.duties[g.Duty] = &g
 	}
 }
 
-// RequestKind is what a holder is to do next.
+// RequestKind is what a holder does next.
 type RequestKind uint8
 
-// The steps of a holder.
+// The kinds of a Request.
 const (
 	Wait     RequestKind = iota // nothing before Next
-	Campaign                    // ask for the duty
-	Renew                       // lengthen the lease
+	Campaign                    // request the duty
+	Renew                       // extend the lease
 )
 
-// Holder is one coordinator's part in one duty. It is not safe for concurrent use.
+// Holder is one coordinator's side of the lease of one duty. It is not safe for concurrent use.
 type Holder struct {
-	c       Config
-	held    bool
-	grant   Grant
-	until   time.Duration // may act before it
-	sent    time.Duration // when the request that is out was sent
-	out     bool
-	asked   uint64 // number of that request, or of the last one
-	heard   uint64 // version of the lease, by the last answer
-	next    time.Duration
-	pause   time.Duration
-	retired bool
+	config      Config
+	holding     bool
+	grant       Grant
+	actUntil    time.Duration // it may act before it
+	sentAt      time.Duration // of the last request
+	inFlight    bool          // a request waits for its result
+	lastRequest uint64        // its number
+	version     uint64        // of the lease, by the last answer
+	nextAt      time.Duration // when the next request is due
+	pause       time.Duration // added to the wait after a denial; differs between coordinators
+	resigned    bool
 }
 
-// NewHolder returns one that will campaign at first, after a pause of its own (so that not all ask at once).
+// NewHolder returns a holder that campaigns first after a pause, which differs between coordinators so that not all ask at once.
 func NewHolder(c Config, now, pause time.Duration) *Holder {
-	return &Holder{c: c.defaults(), heard: 1, next: now + pause, pause: max(pause, time.Millisecond)}
+	return &Holder{config: c.withDefaults(), version: 1, nextAt: now + pause, pause: max(pause, time.Millisecond)}
 }
 
-// MayAct tells whether the duty may be acted on now, and under which token. It is to be asked before each act; what was asked
-// before a pause of the process says nothing.
+// MayAct tells whether the duty may be acted on now, and returns the fencing token. It must be called before each act: an earlier
+// result does not hold after a pause of the process.
 func (h *Holder) MayAct(now time.Duration) (token uint64, ok bool) {
-	if !h.held || h.retired || now >= h.until {
+	if !h.holding || h.resigned || now >= h.actUntil {
 		return 0, false
 	}
 	return h.grant.Token, true
 }
 
-// Next is when Step has something to say.
-func (h *Holder) Next() time.Duration { return h.next }
+// Next returns when Step has the next request.
+func (h *Holder) Next() time.Duration { return h.nextAt }
 
 // Request is a request to be sent.
 type Request struct {
 	Kind    RequestKind
 	Term    uint64 // Renew: of the lease
 	Version uint64 // the version of the lease that this holder knows
-	N       uint64 // goes with the answer, so that a late one is not taken for that of a later request
+	Number  uint64 // names the request to which an answer belongs, so that a late answer is ignored
 }
 
-// Step tells what to send now. A request is out until Granted, Denied or Lost tells of it.
+// Step returns the request to send now. One request is in flight at a time, until Granted, VersionStale, Denied or Unanswered is
+// called for it.
 func (h *Holder) Step(now time.Duration) Request {
-	if h.retired || h.out || now < h.next {
+	if h.resigned || h.inFlight || now < h.nextAt {
 		return Request{}
 	}
-	h.out, h.sent, h.asked = true, now, h.asked+1
-	if h.held && now < h.until {
-		return Request{Renew, h.grant.Term, h.heard, h.asked}
+	h.inFlight, h.sentAt, h.lastRequest = true, now, h.lastRequest+1
+	if h.holding && now < h.actUntil {
+		return Request{Renew, h.grant.Term, h.version, h.lastRequest}
 	}
-	h.held = false
-	return Request{Campaign, 0, h.heard, h.asked}
+	h.holding = false
+	return Request{Campaign, 0, h.version, h.lastRequest}
 }
 
-// Granted takes in the answer to request n. The lease counts from when that was sent.
+// Granted handles a grant for request n. The lease counts from when that was sent.
 func (h *Holder) Granted(now time.Duration, n uint64, g Grant) {
-	if !h.out || n != h.asked || h.retired {
+	if !h.inFlight || n != h.lastRequest || h.resigned {
 		return
 	}
-	h.out, h.held, h.grant, h.heard = false, true, g, g.Version
-	h.until = h.sent + h.c.Acting()
-	h.next = h.sent + time.Duration(h.c.Renew*float64(h.c.Acting()))
-	if h.next <= now { // it was long on its way
-		h.next = now + h.c.Acting()/20
+	h.inFlight, h.holding, h.grant, h.version = false, true, g, g.Version
+	h.actUntil = h.sentAt + h.config.Acting()
+	h.nextAt = h.sentAt + time.Duration(h.config.Renew*float64(h.config.Acting()))
+	if h.nextAt <= now { // the answer took long
+		h.nextAt = now + h.config.Acting()/20
 	}
 }
 
-// VersionStale takes in, as the answer to request n, that the lease has been granted since this holder last heard of it. What is held
-// goes on to its end; Step has the next request at once.
+// VersionStale handles the answer to request n that the lease has another version. A lease that is held goes on to its end; the next
+// request is due at once.
 func (h *Holder) VersionStale(now time.Duration, n, version uint64) {
-	if !h.out || n != h.asked {
+	if !h.inFlight || n != h.lastRequest {
 		return
 	}
-	h.out, h.heard, h.next = false, version, now
+	h.inFlight, h.version, h.nextAt = false, version, now
 }
 
-// Denied takes in, as the answer to request n, that another holds the duty, and the version of its lease; 0 where that was not told.
+// Denied handles the answer to request n that another holds the duty, with the version of its lease; 0 for unknown.
 func (h *Holder) Denied(now time.Duration, n, version uint64) {
-	if !h.out || n != h.asked {
+	if !h.inFlight || n != h.lastRequest {
 		return
 	}
-	h.out, h.held = false, false
+	h.inFlight, h.holding = false, false
 	if version > 0 {
-		h.heard = version
+		h.version = version
 	}
-	h.next = now + h.c.Length/4 + h.pause
+	h.nextAt = now + h.config.Length/4 + h.pause
 }
 
-// Lost takes in that request n got no answer in its time. What is held goes on to its end.
-func (h *Holder) Lost(now time.Duration, n uint64) {
-	if n != h.asked {
+// Unanswered handles the timeout of request n. A lease that is held goes on to its end.
+func (h *Holder) Unanswered(now time.Duration, n uint64) {
+	if n != h.lastRequest {
 		return
 	}
-	h.out = false
-	h.next = now + h.c.Acting()/20
+	h.inFlight = false
+	h.nextAt = now + h.config.Acting()/20
 }
 
-// Resign stops acting at once, and tells what is to be given back.
+// Resign stops acting at once, and returns the lease to revoke.
 func (h *Holder) Resign() (g Grant, held bool) {
-	h.retired = true
-	return h.grant, h.held
-}
-
-// Fence is a resource's: the highest token that it has seen of each duty. It is not safe for concurrent use.
-type Fence struct{ seen map[string]uint64 }
-
-// Pass tells whether an act under a token may be done.
-func (f *Fence) Pass(duty string, token uint64) error {
-	if high := f.seen[duty]; token < high {
-		return fmt.Errorf("duty %q: token %d is older than %d, which has been used", duty, token, high)
-	}
-	if f.seen == nil {
-		f.seen = map[string]uint64{}
-	}
-	f.seen[duty] = token
-	return nil
+	h.resigned = true
+	return h.grant, h.holding
 }
--- a/internal/lease/lease_test.go
+++ b/internal/lease/lease_test.go
@@ -18,88 +18,88 @@
 func TestTable(t *testing.T) {
 	for _, c := range []struct {
 		name string
-		play func(t *Table) (Grant, error)
+		play func(t *Lessor) (Grant, error)
 		want Grant
 		err  error
 	}{
-		{"free", func(t *Table) (Grant, error) { return t.Campaign(0, "d", "a", 10*s, AnyVersion) }, Grant{"d", "a", 1, 1, 2}, nil},
-		{"held", func(t *Table) (Grant, error) {
-			t.Campaign(0, "d", "a", 10*s, AnyVersion)
-			return t.Campaign(10*s-1, "d", "b", 10*s, AnyVersion)
+		{"free", func(t *Lessor) (Grant, error) { return t.Grant(0, "d", "a", 10*s, AnyVersion) }, Grant{"d", "a", 1, 1, 2}, nil},
+		{"held", func(t *Lessor) (Grant, error) {
+			t.Grant(0, "d", "a", 10*s, AnyVersion)
+			return t.Grant(10*s-1, "d", "b", 10*s, AnyVersion)
 		}, Grant{"d", "a", 1, 1, 2}, ErrHeld},
-		{"over", func(t *Table) (Grant, error) {
-			t.Campaign(0, "d", "a", 10*s, AnyVersion)
-			return t.Campaign(10*s, "d", "b", 10*s, AnyVersion)
+		{"over", func(t *Lessor) (Grant, error) {
+			t.Grant(0, "d", "a", 10*s, AnyVersion)
+			return t.Grant(10*s, "d", "b", 10*s, AnyVersion)
 		}, Grant{"d", "b", 2, 2, 3}, nil},
-		{"renewed", func(t *Table) (Grant, error) {
-			t.Campaign(0, "d", "a", 10*s, AnyVersion)
+		{"renewed", func(t *Lessor) (Grant, error) {
+			t.Grant(0, "d", "a", 10*s, AnyVersion)
 			t.Renew(9*s, "d", "a", 1, AnyVersion)
-			return t.Campaign(18*s, "d", "b", 10*s, AnyVersion)
+			return t.Grant(18*s, "d", "b", 10*s, AnyVersion)
 		}, Grant{"d", "a", 1, 1, 3}, ErrHeld},
-		{"renewed late, and nobody else came", func(t *Table) (Grant, error) {
-			t.Campaign(0, "d", "a", 10*s, AnyVersion)
+		{"renewed late, and nobody else came", func(t *Lessor) (Grant, error) {
+			t.Grant(0, "d", "a", 10*s, AnyVersion)
 			return t.Renew(30*s, "d", "a", 1, AnyVersion)
 		}, Grant{"d", "a", 1, 1, 3}, nil},
-		{"renewed after another", func(t *Table) (Grant, error) {
-			t.Campaign(0, "d", "a", 10*s, AnyVersion)
-			t.Campaign(10*s, "d", "b", 10*s, AnyVersion)
+		{"renewed after another", func(t *Lessor) (Grant, error) {
+			t.Grant(0, "d", "a", 10*s, AnyVersion)
+			t.Grant(10*s, "d", "b", 10*s, AnyVersion)
 			return t.Renew(11*s, "d", "a", 1, AnyVersion)
 		}, Grant{"d", "b", 2, 2, 3}, ErrTermOver},
-		{"an old term of its own", func(t *Table) (Grant, error) {
-			t.Campaign(0, "d", "a", 10*s, AnyVersion)
-			t.Campaign(1*s, "d", "a", 10*s, AnyVersion)
+		{"an old term of its own", func(t *Lessor) (Grant, error) {
+			t.Grant(0, "d", "a", 10*s, AnyVersion)
+			t.Grant(1*s, "d", "a", 10*s, AnyVersion)
 			return t.Renew(2*s, "d", "a", 1, AnyVersion)
 		}, Grant{"d", "a", 2, 2, 3}, ErrTermOver},
-		{"resigned", func(t *Table) (Grant, error) {
-			t.Campaign(0, "d", "a", 10*s, AnyVersion)
-			t.Resign("d", "a", 1)
-			return t.Campaign(1, "d", "b", 10*s, AnyVersion)
+		{"resigned", func(t *Lessor) (Grant, error) {
+			t.Grant(0, "d", "a", 10*s, AnyVersion)
+			t.Revoke("d", "a", 1)
+			return t.Grant(1, "d", "b", 10*s, AnyVersion)
 		}, Grant{"d", "b", 2, 2, 3}, nil},
-		{"another's resignation", func(t *Table) (Grant, error) {
-			t.Campaign(0, "d", "a", 10*s, AnyVersion)
-			if err := t.Resign("d", "b", 1); !errors.Is(err, ErrTermOver) {
+		{"another's resignation", func(t *Lessor) (Grant, error) {
+			t.Grant(0, "d", "a", 10*s, AnyVersion)
+			if err := t.Revoke("d", "b", 1); !errors.Is(err, ErrTermOver) {
 				return Grant{}, err
 			}
-			return t.Campaign(1, "d", "b", 10*s, AnyVersion)
+			return t.Grant(1, "d", "b", 10*s, AnyVersion)
 		}, Grant{"d", "a", 1, 1, 2}, ErrHeld},
-		{"a new leader counts from its start", func(t *Table) (Grant, error) {
-			t.Campaign(100*s, "d", "a", 10*s, AnyVersion)
+		{"a new leader counts from its start", func(t *Lessor) (Grant, error) {
+			t.Grant(100*s, "d", "a", 10*s, AnyVersion)
 			list := t.Snapshot()
 			t.Restore(list)
-			t.Led(5 * s) // another clock
-			return t.Campaign(15*s-1, "d", "b", 10*s, AnyVersion)
+			t.Promote(5 * s) // another clock
+			return t.Grant(15*s-1, "d", "b", 10*s, AnyVersion)
 		}, Grant{"d", "a", 1, 1, 2}, ErrHeld},
-		{"the version of the last grant", func(t *Table) (Grant, error) {
-			g, _ := t.Campaign(0, "d", "a", 10*s, 1)
+		{"the version of the last grant", func(t *Lessor) (Grant, error) {
+			g, _ := t.Grant(0, "d", "a", 10*s, 1)
 			return t.Renew(9*s, "d", "a", 1, g.Version)
 		}, Grant{"d", "a", 1, 1, 3}, nil},
-		{"a renewal by one that did not hear of the last lengthens nothing", func(t *Table) (Grant, error) {
-			t.Campaign(0, "d", "a", 10*s, 1)
+		{"a renewal by one that did not hear of the last lengthens nothing", func(t *Lessor) (Grant, error) {
+			t.Grant(0, "d", "a", 10*s, 1)
 			t.Renew(4*s, "d", "a", 1, 2)
 			if g, err := t.Renew(8*s, "d", "a", 1, 2); !errors.Is(err, ErrStaleVersion) {
 				return g, err
 			}
-			return t.Campaign(14*s, "d", "b", 10*s, 3)
+			return t.Grant(14*s, "d", "b", 10*s, 3)
 		}, Grant{"d", "b", 2, 2, 4}, nil},
-		{"nor is it granted a new term, though its own is over", func(t *Table) (Grant, error) {
-			t.Campaign(0, "d", "a", 10*s, 1)
+		{"nor is it granted a new term, though its own is over", func(t *Lessor) (Grant, error) {
+			t.Grant(0, "d", "a", 10*s, 1)
 			t.Renew(4*s, "d", "a", 1, 2)
-			return t.Campaign(30*s, "d", "a", 10*s, 2)
+			return t.Grant(30*s, "d", "a", 10*s, 2)
 		}, Grant{"d", "a", 1, 1, 3}, ErrStaleVersion},
-		{"one that is denied is told the version", func(t *Table) (Grant, error) {
-			t.Campaign(0, "d", "a", 10*s, 1)
-			return t.Campaign(1*s, "d", "b", 10*s, 1)
+		{"one that is denied is told the version", func(t *Lessor) (Grant, error) {
+			t.Grant(0, "d", "a", 10*s, 1)
+			return t.Grant(1*s, "d", "b", 10*s, 1)
 		}, Grant{"d", "a", 1, 1, 2}, ErrHeld},
-		{"a snapshot of the earlier form", func(t *Table) (Grant, error) {
+		{"a snapshot of the earlier form", func(t *Lessor) (Grant, error) {
 			t.Restore([]Record{{Grant: Grant{"d", "a", 7, 7, 0}, Until: 5 * s, Length: 10 * s}})
-			return t.Campaign(6*s, "d", "b", 10*s, 1)
+			return t.Grant(6*s, "d", "b", 10*s, 1)
 		}, Grant{"d", "b", 8, 8, 2}, nil},
-		{"another duty", func(t *Table) (Grant, error) {
-			t.Campaign(0, "d", "a", 10*s, AnyVersion)
-			return t.Campaign(0, "e", "b", 10*s, AnyVersion)
+		{"another duty", func(t *Lessor) (Grant, error) {
+			t.Grant(0, "d", "a", 10*s, AnyVersion)
+			return t.Grant(0, "e", "b", 10*s, AnyVersion)
 		}, Grant{"e", "b", 1, 1, 2}, nil},
 	} {
-		table, err := NewTable(Config{})
+		table, err := NewLessor(Config{})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -108,7 +108,7 @@
 			t.Errorf("%s: error %v, want %v (-want +got)\n%s", c.name, err, c.err, diff)
 		}
 	}
-	if _, err := NewTable(Config{Drift: 0.6}); err == nil {
+	if _, err := NewLessor(Config{Drift: 0.6}); err == nil {
 		t.Errorf("a drift of 0.6 was taken")
 	}
 }
@@ -121,7 +121,7 @@
 		token uint64
 		ok    bool
 	}{{"d", 2, true}, {"d", 2, true}, {"d", 1, false}, {"e", 1, true}, {"d", 5, true}, {"d", 4, false}} {
-		if err := f.Pass(c.duty, c.token); (err == nil) != c.ok {
+		if err := f.Check(c.duty, c.token); (err == nil) != c.ok {
 			t.Errorf("%d: error %v", i, err)
 		}
 	}
@@ -145,8 +145,8 @@
 func world(seed uint64, steps int, acting float64) (both, back, handed int) {
 	rng := rand.New(rand.NewPCG(seed, 1))
 	c := Config{Length: 10 * s, Drift: 0.05}
-	table, _ := NewTable(c)
-	table.Led(0)
+	table, _ := NewLessor(c)
+	table.Promote(0)
 	leader := &process{rate: 1}
 	var ps []*process
 	for i := range 3 {
@@ -172,7 +172,7 @@
 			leader = &process{rate: 0.95 + 0.1*rng.Float64(), start: now - time.Duration(rng.Int64N(int64(100*s)))}
 			list := table.Snapshot()
 			table.Restore(list)
-			table.Led(leader.clock(now))
+			table.Promote(leader.clock(now))
 		case 2:
 			p := ps[rng.IntN(3)]
 			if now < p.stalled {
@@ -180,7 +180,7 @@
 			}
 			g, held := p.h.Resign()
 			if held {
-				table.Resign("d", p.name, g.Term)
+				table.Revoke("d", p.name, g.Term)
 			}
 			p.start, p.rate = now, 0.95+0.1*rng.Float64()
 			p.h = NewHolder(c, 0, 300*time.Millisecond)
@@ -206,24 +206,24 @@
 					if ask.Kind == Renew {
 						g, err = table.Renew(leader.clock(now), "d", p.name, ask.Term, ask.Version)
 					} else {
-						g, err = table.Campaign(leader.clock(now), "d", p.name, c.Length, ask.Version)
+						g, err = table.Grant(leader.clock(now), "d", p.name, c.Length, ask.Version)
 					}
 					late := time.Duration(0)
 					if lost { // given up, and answered when the next may be out
-						post = append(post, mail{max(now, p.stalled) + s, func(now time.Duration) { h.Lost(p.clock(now), ask.N) }, step})
+						post = append(post, mail{max(now, p.stalled) + s, func(now time.Duration) { h.Unanswered(p.clock(now), ask.Number) }, step})
 						late = 3 * s
 					}
 					post = append(post, mail{max(now, p.stalled) + late + time.Duration(rng.Int64N(int64(2*s))), func(now time.Duration) {
 						switch {
 						case p.h != h:
 						case errors.Is(err, ErrStaleVersion):
-							h.VersionStale(p.clock(now), ask.N, g.Version)
+							h.VersionStale(p.clock(now), ask.Number, g.Version)
 						case err != nil:
-							h.Denied(p.clock(now), ask.N, g.Version)
+							h.Denied(p.clock(now), ask.Number, g.Version)
 						default:
-							h.Granted(p.clock(now), ask.N, g)
+							h.Granted(p.clock(now), ask.Number, g)
 							if acting > 0 {
-								h.until = h.sent + time.Duration(acting*float64(c.Length))
+								h.actUntil = h.sentAt + time.Duration(acting*float64(c.Length))
 							}
 						}
 					}, step})
@@ -231,7 +231,7 @@
 			}
 			if token, ok := h.MayAct(at); ok {
 				acts = append(acts, p.name)
-				if fence.Pass("d", token) != nil {
+				if fence.Check("d", token) != nil {
 					back++
 				}
 			}
@@ -278,7 +278,7 @@
 func TestDeafHolder(t *testing.T) {
 	play := func(says bool) (acted map[int]int, worst time.Duration) {
 		c := Config{Length: 10 * s}
-		table, _ := NewTable(c)
+		table, _ := NewLessor(c)
 		holders := []*Holder{NewHolder(c, 0, s), NewHolder(c, 0, 2*s), NewHolder(c, 0, 3*s)}
 		acted, since := map[int]int{}, time.Duration(0)
 		for now := time.Duration(0); now < 5*time.Minute; now += 100 * time.Millisecond {
@@ -292,20 +292,20 @@
 				var err error
 				switch name := fmt.Sprint("c", i); ask.Kind {
 				case Campaign:
-					g, err = table.Campaign(now, "d", name, c.Length, heard)
+					g, err = table.Grant(now, "d", name, c.Length, heard)
 				case Renew:
 					g, err = table.Renew(now, "d", name, ask.Term, heard)
 				}
 				switch deaf := i == 0 && now > time.Minute && now < 3*time.Minute; {
 				case ask.Kind == Wait:
 				case deaf:
-					h.Lost(now, ask.N)
+					h.Unanswered(now, ask.Number)
 				case errors.Is(err, ErrStaleVersion):
-					h.VersionStale(now, ask.N, g.Version)
+					h.VersionStale(now, ask.Number, g.Version)
 				case err != nil:
-					h.Denied(now, ask.N, g.Version)
+					h.Denied(now, ask.Number, g.Version)
 				default:
-					h.Granted(now, ask.N, g)
+					h.Granted(now, ask.Number, g)
 				}
 				if _, ok := h.MayAct(now); ok {
 					acted[i]++
@@ -327,8 +327,8 @@
 }
 
 func BenchmarkCampaign(b *testing.B) {
-	table, _ := NewTable(Config{})
+	table, _ := NewLessor(Config{})
 	for i := 0; b.Loop(); i++ {
-		table.Campaign(time.Duration(i)*20*s, fmt.Sprint("d", i%100), "a", 10*s, AnyVersion)
+		table.Grant(time.Duration(i)*20*s, fmt.Sprint("d", i%100), "a", 10*s, AnyVersion)
 	}
 }
--- a/internal/maintenance/agent/operators.go
+++ b/internal/maintenance/agent/operators.go
@@ -113,7 +113,7 @@
 	if !known {
 		return fmt.Errorf("no coordinator %q takes part", name)
 	}
-	r, err := s.Store.Do(ctx, statemachine.Command{Lease: &statemachine.LeaseOp{What: statemachine.Forget, Presence: true, Duty: name, Who: s.Name},
+	r, err := s.Store.Do(ctx, statemachine.Command{Lease: &statemachine.LeaseOp{Kind: statemachine.Forget, Presence: true, Duty: name, Who: s.Name},
 		Put: []statemachine.Pair{{Key: recordKey + name}}})
 	if err != nil {
 		return err
@@ -221,6 +221,6 @@
 	if err != nil {
 		return t, err
 	}
-	t.Index, t.Accepted, t.Why = r.Index, r.Failed == "", r.Why
+	t.Index, t.Accepted, t.Why = r.Index, r.Failed == "", r.Reason
 	return t, nil
 }
--- a/internal/statemachine/statemachine_test.go
+++ b/internal/statemachine/statemachine_test.go
@@ -24,28 +24,28 @@
 		failed string
 		value  string // of a, afterwards
 	}{
-		{"put", 9, 1, Command{LedTerm: 1, Put: put("a", "2")}, "", "2"},
-		{"taken before", 9, 1, Command{ID: ID{"w", 1}, LedTerm: 1, Put: put("a", "2")}, "", "1"},
-		{"of another term than its stamp", 9, 2, Command{LedTerm: 1, Put: put("a", "2")}, StaleStamp, "1"},
-		{"at its revision", 9, 1, Command{LedTerm: 1, If: []Condition{{Key: "a", Revision: 1}}, Put: put("a", "2")}, "", "2"},
-		{"at another revision", 9, 1, Command{LedTerm: 1, If: []Condition{{Key: "a", Revision: 2}}, Put: put("a", "2")}, Conflict, "1"},
-		{"not there, and it is", 9, 1, Command{LedTerm: 1, If: []Condition{{Key: "a"}}, Put: put("a", "2")}, Conflict, "1"},
-		{"under the duty's token", 9, 1, Command{LedTerm: 1, If: []Condition{{Duty: "d", Token: 1}}, Put: put("a", "2")}, "", "2"},
-		{"under an old token", 9, 1, Command{LedTerm: 1, If: []Condition{{Duty: "d", Token: 0}}, Put: put("a", "2")}, Conflict, "1"},
-		{"while it is present", 9, 1, Command{LedTerm: 1, At: 4*s - 1, If: []Condition{{Lapsed: "n0"}}, Put: put("a", "2")}, Conflict, "1"},
-		{"once its presence is over", 9, 1, Command{LedTerm: 1, At: 4 * s, If: []Condition{{Lapsed: "n0"}}, Put: put("a", "2")}, "", "2"},
-		{"a new leader holds it from its first moment", 9, 2, Command{LedTerm: 2, At: 900 * s, If: []Condition{{Lapsed: "n0"}}, Put: put("a", "2")}, Conflict, "1"},
-		{"a lease that is another's undoes the put", 9, 1, Command{LedTerm: 1, Lease: &LeaseOp{What: Campaign, Duty: "d", Who: "n1"}, Put: put("a", "2")}, HeldByOther, "1"},
-		{"a term that is over", 9, 1, Command{LedTerm: 1, Lease: &LeaseOp{What: Renew, Duty: "d", Who: "n0", Term: 7}, Put: put("a", "2")}, TermOver, "1"},
-		{"one that is present is not forgotten", 9, 1, Command{LedTerm: 1, Lease: &LeaseOp{What: Forget, Presence: true, Duty: "n0"}, Put: put("a", "2")}, HeldByOther, "1"},
-		{"removed", 9, 1, Command{LedTerm: 1, Put: []Pair{{"a", nil}}}, "", ""},
+		{"put", 9, 1, Command{LeaderTerm: 1, Put: put("a", "2")}, "", "2"},
+		{"taken before", 9, 1, Command{ID: ID{"w", 1}, LeaderTerm: 1, Put: put("a", "2")}, "", "1"},
+		{"of another term than its stamp", 9, 2, Command{LeaderTerm: 1, Put: put("a", "2")}, StaleStamp, "1"},
+		{"at its revision", 9, 1, Command{LeaderTerm: 1, If: []Condition{{Key: "a", Revision: 1}}, Put: put("a", "2")}, "", "2"},
+		{"at another revision", 9, 1, Command{LeaderTerm: 1, If: []Condition{{Key: "a", Revision: 2}}, Put: put("a", "2")}, Conflict, "1"},
+		{"not there, and it is", 9, 1, Command{LeaderTerm: 1, If: []Condition{{Key: "a"}}, Put: put("a", "2")}, Conflict, "1"},
+		{"under the duty's token", 9, 1, Command{LeaderTerm: 1, If: []Condition{{Duty: "d", Token: 1}}, Put: put("a", "2")}, "", "2"},
+		{"under an old token", 9, 1, Command{LeaderTerm: 1, If: []Condition{{Duty: "d", Token: 0}}, Put: put("a", "2")}, Conflict, "1"},
+		{"while it is present", 9, 1, Command{LeaderTerm: 1, At: 4*s - 1, If: []Condition{{Lapsed: "n0"}}, Put: put("a", "2")}, Conflict, "1"},
+		{"once its presence is over", 9, 1, Command{LeaderTerm: 1, At: 4 * s, If: []Condition{{Lapsed: "n0"}}, Put: put("a", "2")}, "", "2"},
+		{"a new leader holds it from its first moment", 9, 2, Command{LeaderTerm: 2, At: 900 * s, If: []Condition{{Lapsed: "n0"}}, Put: put("a", "2")}, Conflict, "1"},
+		{"a lease that is another's undoes the put", 9, 1, Command{LeaderTerm: 1, Lease: &LeaseOp{Kind: Campaign, Duty: "d", Who: "n1"}, Put: put("a", "2")}, HeldByOther, "1"},
+		{"a term that is over", 9, 1, Command{LeaderTerm: 1, Lease: &LeaseOp{Kind: Renew, Duty: "d", Who: "n0", Term: 7}, Put: put("a", "2")}, TermOver, "1"},
+		{"one that is present is not forgotten", 9, 1, Command{LeaderTerm: 1, Lease: &LeaseOp{Kind: Forget, Presence: true, Duty: "n0"}, Put: put("a", "2")}, HeldByOther, "1"},
+		{"removed", 9, 1, Command{LeaderTerm: 1, Put: []Pair{{"a", nil}}}, "", ""},
 		{"the first form", 9, 5, Command{Key: "a", Value: []byte("2")}, "", "2"},
 	} {
 		st := New()
 		for i, first := range []Command{
-			{ID: ID{"w", 1}, LedTerm: 1, Put: put("a", "1")},
-			{LedTerm: 1, Lease: &LeaseOp{What: Campaign, Duty: "d", Who: "n0", Length: 10 * s}},
-			{LedTerm: 1, Lease: &LeaseOp{What: Campaign, Duty: "n0", Presence: true, Who: "n0", Length: 4 * s}},
+			{ID: ID{"w", 1}, LeaderTerm: 1, Put: put("a", "1")},
+			{LeaderTerm: 1, Lease: &LeaseOp{Kind: Campaign, Duty: "d", Who: "n0", Length: 10 * s}},
+			{LeaderTerm: 1, Lease: &LeaseOp{Kind: Campaign, Duty: "n0", Presence: true, Who: "n0", Length: 4 * s}},
 		} {
 			if r, _ := st.Apply(uint64(i+1), 1, &first); r.Failed != "" {
 				t.Fatal(r.Err())
@@ -54,7 +54,7 @@
 		r, _ := st.Apply(c.index, c.term, &c.cmd)
 		e, _ := st.Get("a")
 		if r.Failed != c.failed || string(e.Value) != c.value {
-			t.Errorf("%s: %q (%s), a is %q; want %q and %q", c.name, r.Failed, r.Why, e.Value, c.failed, c.value)
+			t.Errorf("%s: %q (%s), a is %q; want %q and %q", c.name, r.Failed, r.Reason, e.Value, c.failed, c.value)
 		}
 	}
 }
@@ -63,18 +63,18 @@
 func TestNumbersForgotten(t *testing.T) {
 	st := New()
 	for i := uint64(1); i <= 200; i++ {
-		st.Apply(i, 1, &Command{ID: ID{"w", i}, LedTerm: 1, Put: put("a", fmt.Sprint(i))})
+		st.Apply(i, 1, &Command{ID: ID{"w", i}, LeaderTerm: 1, Put: put("a", fmt.Sprint(i))})
 	}
-	if r, _ := st.Apply(201, 1, &Command{ID: ID{"w", 1}, LedTerm: 1, Put: put("a", "again")}); r.Failed != Expired {
+	if r, _ := st.Apply(201, 1, &Command{ID: ID{"w", 1}, LeaderTerm: 1, Put: put("a", "again")}); r.Failed != Expired {
 		t.Errorf("a number long past: %+v", r)
 	}
-	for i := range uint64(2 * MostWriters) {
-		st.Apply(300+i, 1, &Command{ID: ID{fmt.Sprint("w", i), 1}, LedTerm: 1, Put: put("b", "x")})
+	for i := range uint64(2 * MaxWriters) {
+		st.Apply(300+i, 1, &Command{ID: ID{fmt.Sprint("w", i), 1}, LeaderTerm: 1, Put: put("b", "x")})
 	}
-	if len(st.writers) > MostWriters {
-		t.Errorf("%d writers are remembered", len(st.writers))
+	if len(st.sessions) > MaxWriters {
+		t.Errorf("%d writers are remembered", len(st.sessions))
 	}
-	last := Command{ID: ID{fmt.Sprint("w", 2*MostWriters-1), 1}, LedTerm: 1, Put: put("b", "twice")}
+	last := Command{ID: ID{fmt.Sprint("w", 2*MaxWriters-1), 1}, LeaderTerm: 1, Put: put("b", "twice")}
 	if st.Apply(99999, 1, &last); string(st.values["b"].Value) != "x" {
 		t.Error("the latest writer was forgotten")
 	}
@@ -98,15 +98,15 @@
 			if len(given) > 0 && rapid.IntRange(0, 4).Draw(t, "again") == 0 {
 				c = given[rapid.IntRange(0, len(given)-1).Draw(t, "which")]
 			} else {
-				c = Command{ID: ID{name("w", 2), uint64(i + 1)}, At: clock, LedTerm: term}
+				c = Command{ID: ID{name("w", 2), uint64(i + 1)}, At: clock, LeaderTerm: term}
 				switch rapid.IntRange(0, 2).Draw(t, "kind") {
 				case 0:
 					c.Put = put(name("k", 3), fmt.Sprint(i))
 					c.If = []Condition{{Key: c.Put[0].Key, Revision: a.values[c.Put[0].Key].Revision}, {Lapsed: name("n", 2)}}[:rapid.IntRange(0, 2).Draw(t, "conds")]
 				case 1:
-					c.Lease = &LeaseOp{What: Campaign, Duty: name("d", 1), Who: name("n", 2), Presence: rapid.Bool().Draw(t, "presence"), Length: 4 * s}
+					c.Lease = &LeaseOp{Kind: Campaign, Duty: name("d", 1), Who: name("n", 2), Presence: rapid.Bool().Draw(t, "presence"), Length: 4 * s}
 				case 2:
-					c.Lease = &LeaseOp{What: Renew, Duty: name("d", 1), Who: name("n", 2), Term: uint64(rapid.IntRange(1, 3).Draw(t, "term"))}
+					c.Lease = &LeaseOp{Kind: Renew, Duty: name("d", 1), Who: name("n", 2), Term: uint64(rapid.IntRange(1, 3).Draw(t, "term"))}
 				}
 				given = append(given, c)
 			}
@@ -153,7 +153,7 @@
 		b.Run(fmt.Sprint(keys), func(b *testing.B) {
 			st := New()
 			for i := range b.N {
-				c := Command{ID: ID{fmt.Sprint("w", i%8), uint64(i)}, LedTerm: 1, If: []Condition{{Lapsed: "n9"}}, Put: put(fmt.Sprint("k", i%keys), "value")}
+				c := Command{ID: ID{fmt.Sprint("w", i%8), uint64(i)}, LeaderTerm: 1, If: []Condition{{Lapsed: "n9"}}, Put: put(fmt.Sprint("k", i%keys), "value")}
 				st.Apply(uint64(i+1), 1, &c)
 			}
 		})
--- a/internal/store/commands.go
+++ b/internal/store/commands.go
@@ -101,7 +101,7 @@
 	if s.raft.State() != raft.Leader || s.raft.CurrentTerm() != term {
 		return r, errNoLeader
 	}
-	c.At, c.LedTerm = s.clock.now(), term
+	c.At, c.LeaderTerm = s.clock.now(), term
 	data, err := json.Marshal(c)
 	if err != nil {
 		return r, err
--- a/internal/store/disk_test.go
+++ b/internal/store/disk_test.go
@@ -264,7 +264,7 @@
 	must(err)
 	var term uint64 = 2
 	command := func(index uint64) raft.Log {
-		data, err := json.Marshal(statemachine.Command{LedTerm: term, Put: []statemachine.Pair{{Key: fmt.Sprint("k", index), Value: []byte("v")}}})
+		data, err := json.Marshal(statemachine.Command{LeaderTerm: term, Put: []statemachine.Pair{{Key: fmt.Sprint("k", index), Value: []byte("v")}}})
 		must(err)
 		return raft.Log{Index: index, Term: term, Type: raft.LogCommand, Data: data}
 	}
--- a/internal/store/lease.go
+++ b/internal/store/lease.go
@@ -56,10 +56,10 @@
 
 // request sends one request and passes its result to the holder.
 func (l *Lease) request(ctx context.Context, ask lease.Request, sent time.Duration) {
-	c := statemachine.Command{Lease: &statemachine.LeaseOp{What: statemachine.Campaign, Duty: l.Duty, Presence: l.Presence, Who: l.Who, Term: ask.Term, Heard: ask.Version,
+	c := statemachine.Command{Lease: &statemachine.LeaseOp{Kind: statemachine.Campaign, Duty: l.Duty, Presence: l.Presence, Who: l.Who, Term: ask.Term, KnownVersion: ask.Version,
 		Length: l.Config.Length}}
 	if ask.Kind == lease.Renew {
-		c.Lease.What = statemachine.Renew
+		c.Lease.Kind = statemachine.Renew
 	} else if l.Put != nil {
 		c.Put = l.Put()
 	}
@@ -74,13 +74,13 @@
 	l.mu.Lock()
 	switch {
 	case err != nil:
-		l.holder.Lost(l.now(), ask.N)
+		l.holder.Unanswered(l.now(), ask.Number)
 	case r.Failed == statemachine.StaleVersion:
-		l.holder.VersionStale(l.now(), ask.N, r.Grant.Version)
+		l.holder.VersionStale(l.now(), ask.Number, r.Grant.Version)
 	case r.Failed != "":
-		l.holder.Denied(l.now(), ask.N, r.Grant.Version)
+		l.holder.Denied(l.now(), ask.Number, r.Grant.Version)
 	default:
-		l.holder.Granted(l.now(), ask.N, r.Grant)
+		l.holder.Granted(l.now(), ask.Number, r.Grant)
 	}
 	l.mu.Unlock()
 	if err == nil && r.Failed == "" && l.Granted != nil {
@@ -135,7 +135,7 @@
 	if !held {
 		return nil
 	}
-	r, err := l.Store.Do(ctx, statemachine.Command{Lease: &statemachine.LeaseOp{What: statemachine.Resign, Duty: l.Duty, Presence: l.Presence, Who: l.Who, Term: g.Term}})
+	r, err := l.Store.Do(ctx, statemachine.Command{Lease: &statemachine.LeaseOp{Kind: statemachine.Resign, Duty: l.Duty, Presence: l.Presence, Who: l.Who, Term: g.Term}})
 	if err != nil {
 		return err
 	}
