--- a/internal/lab/explore/model.go
+++ b/internal/lab/explore/model.go
@@ -196,7 +196,7 @@
 	q := plan{state: p, calls: uint8(p.Seen()), over: p.Requests[0].State != maintenance.Open}
 	o := p.Overlay()
 	for k := range machines {
-		if o.Barred[id(k)] {
+		if o.Excluded[id(k)] {
 			q.barred |= 1 << k
 		}
 		if o.Announced[id(k)] {
@@ -607,7 +607,7 @@
 	v := &maintenance.View{Fleet: fleet(q.usable, q.started), Limits: limits, Wall: time.Unix(10, 0)}
 	turns := state.Overlay().Turns
 	for i, says := range q.says {
-		c := maintenance.Coordinator{Name: name(i), Seen: uint64(says.seen), Clear: map[string]uint64{}, Over: true}
+		c := maintenance.Coordinator{Name: name(i), Seen: uint64(says.seen), Clear: map[string]uint64{}, Absent: true}
 		for k := range machines {
 			if turn, drains := turns[id(k)]; drains && uint8(turn) == says.clear[k] {
 				c.Clear[id(k)] = turn
--- a/internal/lab/workplan/workplan.go
+++ b/internal/lab/workplan/workplan.go
@@ -63,7 +63,7 @@
 		if len(p.Waves) == 0 {
 			return r, fmt.Errorf("of %d machines none can go: %v", machines, p.Refused[0])
 		}
-		if f.Breaks(p.Waves, l) != nil {
+		if f.CheckWaves(p.Waves, l) != nil {
 			r.Broken++
 		}
 		var going []string
@@ -71,7 +71,7 @@
 			going = append(going, w...)
 		}
 		zone := zoneByZone(f, l, going)
-		if f.Breaks(zone, l) != nil {
+		if f.CheckWaves(zone, l) != nil {
 			r.Broken++
 		}
 		r.Waves += float64(len(p.Waves)) / float64(fleets)
@@ -96,7 +96,7 @@
 	})
 	var wave []string
 	for _, id := range ids {
-		if len(wave) > 0 && (f.Machine(wave[0]).Zone != f.Machine(id).Zone || f.Breaks([][]string{append(slices.Clip(wave), id)}, l) != nil) {
+		if len(wave) > 0 && (f.Machine(wave[0]).Zone != f.Machine(id).Zone || f.CheckWaves([][]string{append(slices.Clip(wave), id)}, l) != nil) {
 			waves, wave = append(waves, wave), nil
 		}
 		wave = append(wave, id)
--- a/internal/maintenance/agent/agent.go
+++ b/internal/maintenance/agent/agent.go
@@ -162,7 +162,7 @@
 
 func workOf(plan *maintenance.State) coordinator.Maintenance {
 	o := plan.Overlay()
-	return coordinator.Maintenance{Excluded: o.Barred, Addrs: o.Addrs, Announced: o.Announced, Returned: o.Back}
+	return coordinator.Maintenance{Excluded: o.Excluded, Addrs: o.Addrs, Announced: o.Announced, Returned: o.Returned}
 }
 
 // plan is the plan as it is applied here, and its revision; ok is false until this member has caught up with what it had
@@ -294,7 +294,7 @@
 			s.renewals[list[i].Name] = renewal{k, time.Now()}
 		}
 		// Our own count only says when it is worth asking the store, which decides by its table.
-		list[i].Over = k.Holder == "" || time.Since(s.renewals[list[i].Name].at) > k.Length+k.Length/20
+		list[i].Absent = k.Holder == "" || time.Since(s.renewals[list[i].Name].at) > k.Length+k.Length/20
 	}
 	maps.DeleteFunc(s.renewals, func(name string, _ renewal) bool {
 		return !slices.ContainsFunc(list, func(c maintenance.Coordinator) bool { return c.Name == name })
@@ -383,7 +383,7 @@
 		Overloaded: s.Coordinator.Overloaded()}
 	if len(s.Hook) > 0 {
 		s.mu.Lock()
-		v.Known = maps.Clone(s.told)
+		v.HookDone = maps.Clone(s.told)
 		s.mu.Unlock()
 	}
 	s.hooks(ctx, plan)
--- a/internal/maintenance/agent/operators.go
+++ b/internal/maintenance/agent/operators.go
@@ -70,7 +70,7 @@
 		p.Ends = max(time.Now().Unix(), a.NotBefore) + int64(time.Duration(len(order.Waves))*p.Step/time.Second)
 		if !a.DryRun {
 			p.Request = r.ID
-			plan.Say(time.Now(), a.By, fmt.Sprintf("start %d: %d machines in %d waves", r.ID, len(r.Steps), r.Waves))
+			plan.RecordAudit(time.Now(), a.By, fmt.Sprintf("start %d: %d machines in %d waves", r.ID, len(r.Steps), r.Waves))
 		}
 		return nil
 	}
@@ -90,7 +90,7 @@
 		if err := plan.Order(word, request); err != nil {
 			return err
 		}
-		plan.Say(time.Now(), by, fmt.Sprintf("%s %d", word, request))
+		plan.RecordAudit(time.Now(), by, fmt.Sprintf("%s %d", word, request))
 		return nil
 	})
 }
@@ -101,7 +101,7 @@
 		if err := plan.WorkDone(machine, as); err != nil {
 			return err
 		}
-		plan.Say(time.Now(), by, fmt.Sprintf("done %s %s", machine, as))
+		plan.RecordAudit(time.Now(), by, fmt.Sprintf("done %s %s", machine, as))
 		return nil
 	})
 }
@@ -122,7 +122,7 @@
 		return fmt.Errorf("%q is present, or was until just now; only one that has ended is gone for good", name)
 	}
 	return s.edit(ctx, func(plan *maintenance.State) error {
-		plan.Say(time.Now(), by, "forget "+name)
+		plan.RecordAudit(time.Now(), by, "forget "+name)
 		return nil
 	})
 }
@@ -162,7 +162,7 @@
 		return v, err
 	}
 	for _, c := range s.coordinators() {
-		v.Coordinators = append(v.Coordinators, CoordinatorView{c.Name, c.Seen, c.Clear, !c.Over})
+		v.Coordinators = append(v.Coordinators, CoordinatorView{c.Name, c.Seen, c.Clear, !c.Absent})
 	}
 	s.Store.View(func(st *statemachine.State) {
 		for _, g := range st.Duties() {
--- a/internal/maintenance/fleet.go
+++ b/internal/maintenance/fleet.go
@@ -21,7 +21,7 @@
 	Healthy        bool    // serving, not cold since its start or its return from work, not doubtful, its zone does not fail
 	Util           float64 // how busy it is, 0 to 1; 0 where not known
 	Started        int64   // of its process, Unix milliseconds; 0 where not known
-	zone           int     // its place among the zones of the fleet
+	zoneIndex      int     // its place among the zones of the fleet
 }
 
 // Limits are hard: no order and no move breaks one.
@@ -45,29 +45,29 @@
 // Fleet is all machines at one moment. It does not change.
 type Fleet struct {
 	Layout
-	Machines []Machine
-	byID     map[string]*Machine
-	held     [][]int // shards by cell
-	sound    []int   // sound replicas by shard
-	total    float64 // weight
-	missing  float64 // weight that is not sound
-	zones    []weights
-	busy     float64 // weight times utilisation
+	Machines      []Machine
+	byID          map[string]*Machine
+	shardsOf      [][]int // shards by cell
+	healthy       []int   // sound replicas by shard
+	totalWeight   float64 // weight
+	missingWeight float64 // weight that is not sound
+	zones         []zoneWeights
+	load          float64 // weight times utilisation
 }
 
-type weights struct{ total, missing float64 }
+type zoneWeights struct{ total, missing float64 }
 
 // NewFleet indexes machines; memory and time are linear in them and in the shards times the reach.
 func NewFleet(lay Layout, machines []Machine) (*Fleet, error) {
 	if lay.ShardSets < 1 || lay.Shards < 1 || lay.Reach < 1 || lay.Reach > lay.ShardSets {
 		return nil, fmt.Errorf("maintenance: %d cells, %d shards, reach %d: each is 1 at least, the reach no more than the cells", lay.ShardSets, lay.Shards, lay.Reach)
 	}
-	f := &Fleet{Layout: lay, Machines: machines, byID: map[string]*Machine{}, held: make([][]int, lay.ShardSets), sound: make([]int, lay.Shards)}
+	f := &Fleet{Layout: lay, Machines: machines, byID: map[string]*Machine{}, shardsOf: make([][]int, lay.ShardSets), healthy: make([]int, lay.Shards)}
 	zones := map[string]int{}
 	for s := range lay.Shards {
 		for i := range lay.Reach {
 			cell := (s + i) % lay.ShardSets
-			f.held[cell] = append(f.held[cell], s)
+			f.shardsOf[cell] = append(f.shardsOf[cell], s)
 		}
 	}
 	for i := range machines {
@@ -79,20 +79,20 @@
 		at, known := zones[m.Zone]
 		if !known {
 			at = len(f.zones)
-			zones[m.Zone], f.zones = at, append(f.zones, weights{})
+			zones[m.Zone], f.zones = at, append(f.zones, zoneWeights{})
 		}
-		m.zone = at
+		m.zoneIndex = at
 		z := &f.zones[at]
-		f.total += m.Weight
+		f.totalWeight += m.Weight
 		z.total += m.Weight
 		if !m.Healthy {
-			f.missing += m.Weight
+			f.missingWeight += m.Weight
 			z.missing += m.Weight
 			continue
 		}
-		f.busy += m.Weight * m.Util
-		for _, s := range f.held[m.ShardSet] {
-			f.sound[s]++
+		f.load += m.Weight * m.Util
+		for _, s := range f.shardsOf[m.ShardSet] {
+			f.healthy[s]++
 		}
 	}
 	return f, nil
@@ -102,115 +102,115 @@
 func (f *Fleet) Machine(id string) *Machine { return f.byID[id] }
 
 // out is a set of machines that are out, and what that leaves.
-type out struct {
-	f       *Fleet
-	l       Limits
-	n       int
-	missing float64   // weight beyond what is not sound anyway
-	zones   []float64 // of it, by zone
-	inWork  []int     // machines by shard
-	sound   []int     // of them, those that were sound
+type outSet struct {
+	fleet         *Fleet
+	limits        Limits
+	count         int
+	missing       float64   // weight beyond what is not sound anyway
+	missingByZone []float64 // of it, by zone
+	inWork        []int     // machines by shard
+	healthyInWork []int     // of them, those that were sound
 }
 
-func (f *Fleet) none(l Limits) *out {
-	return &out{f: f, l: l, zones: make([]float64, len(f.zones)), inWork: make([]int, f.Shards), sound: make([]int, f.Shards)}
+func (f *Fleet) newOutSet(l Limits) *outSet {
+	return &outSet{fleet: f, limits: l, missingByZone: make([]float64, len(f.zones)), inWork: make([]int, f.Shards), healthyInWork: make([]int, f.Shards)}
 }
 
 // slack is what rounding of weights may miss.
-const slack = 1e-9
+const weightTolerance = 1e-9
 
 // hold is the limit that keeps a machine in.
-type hold struct {
+type limitHit struct {
 	limit uint8 // 0 for none
 	shard int
 }
 
 const (
-	byNumber = 1 + iota
-	byFloor
-	byPerShard
-	byShare
-	byZone
-	byRoom
+	limitAtOnce = 1 + iota
+	limitFloor
+	limitPerShard
+	limitShare
+	limitZoneShare
+	limitRoom
 )
 
 // check tells which limit keeps a machine from being out beside those that are. It is monotone: what does not fit beside a set
 // does not fit beside a larger one.
-func (o *out) check(m *Machine) hold {
-	if o.l.AtOnce > 0 && o.n >= o.l.AtOnce {
-		return hold{byNumber, 0}
+func (o *outSet) violated(m *Machine) limitHit {
+	if o.limits.AtOnce > 0 && o.count >= o.limits.AtOnce {
+		return limitHit{limitAtOnce, 0}
 	}
-	for _, s := range o.f.held[m.ShardSet] {
+	for _, s := range o.fleet.shardsOf[m.ShardSet] {
 		// One that is not sound takes nothing away, but where others are missing it may be all that comes back soon.
-		if left := o.f.sound[s] - o.sound[s]; left < o.l.Floor || m.Healthy && left == o.l.Floor {
-			return hold{byFloor, s}
+		if left := o.fleet.healthy[s] - o.healthyInWork[s]; left < o.limits.Floor || m.Healthy && left == o.limits.Floor {
+			return limitHit{limitFloor, s}
 		}
-		if o.l.PerShard > 0 && o.inWork[s] >= o.l.PerShard {
-			return hold{byPerShard, s}
+		if o.limits.PerShard > 0 && o.inWork[s] >= o.limits.PerShard {
+			return limitHit{limitPerShard, s}
 		}
 	}
 	if !m.Healthy {
-		return hold{}
+		return limitHit{}
 	}
-	if o.l.Share > 0 && o.f.missing+o.missing+m.Weight > o.l.Share*o.f.total+slack {
-		return hold{byShare, 0}
+	if o.limits.Share > 0 && o.fleet.missingWeight+o.missing+m.Weight > o.limits.Share*o.fleet.totalWeight+weightTolerance {
+		return limitHit{limitShare, 0}
 	}
-	if z := &o.f.zones[m.zone]; o.l.ZoneShare > 0 && z.missing+o.zones[m.zone]+m.Weight > o.l.ZoneShare*z.total+slack {
-		return hold{byZone, 0}
+	if z := &o.fleet.zones[m.zoneIndex]; o.limits.ZoneShare > 0 && z.missing+o.missingByZone[m.zoneIndex]+m.Weight > o.limits.ZoneShare*z.total+weightTolerance {
+		return limitHit{limitZoneShare, 0}
 	}
-	if o.l.Room > 0 && o.f.busy > o.l.Room*(o.f.total-o.f.missing-o.missing-m.Weight)+slack {
-		return hold{byRoom, 0}
+	if o.limits.Room > 0 && o.fleet.load > o.limits.Room*(o.fleet.totalWeight-o.fleet.missingWeight-o.missing-m.Weight)+weightTolerance {
+		return limitHit{limitRoom, 0}
 	}
-	return hold{}
+	return limitHit{}
 }
 
 // fits tells in words why a machine can't be out beside those that are; empty where it can.
-func (o *out) fits(m *Machine) string {
-	h := o.check(m)
+func (o *outSet) violation(m *Machine) string {
+	h := o.violated(m)
 	switch h.limit {
-	case byNumber:
-		return fmt.Sprintf("%d machines are in work, as many as may be at once", o.n)
-	case byFloor:
-		return fmt.Sprintf("shard %d has %d sound replicas and keeps %d", h.shard, o.f.sound[h.shard]-o.sound[h.shard], o.l.Floor)
-	case byPerShard:
+	case limitAtOnce:
+		return fmt.Sprintf("%d machines are in work, as many as may be at once", o.count)
+	case limitFloor:
+		return fmt.Sprintf("shard %d has %d sound replicas and keeps %d", h.shard, o.fleet.healthy[h.shard]-o.healthyInWork[h.shard], o.limits.Floor)
+	case limitPerShard:
 		return fmt.Sprintf("shard %d has %d replicas in work, as many as may be at once", h.shard, o.inWork[h.shard])
-	case byShare:
-		return fmt.Sprintf("%.3g of the fleet's weight of %.3g would be missing; %.0f%% may be", o.f.missing+o.missing+m.Weight, o.f.total, 100*o.l.Share)
-	case byZone:
-		z := &o.f.zones[m.zone]
-		return fmt.Sprintf("%.3g of zone %q's weight of %.3g would be missing; %.0f%% may be", z.missing+o.zones[m.zone]+m.Weight, m.Zone, z.total, 100*o.l.ZoneShare)
-	case byRoom:
-		left := o.f.total - o.f.missing - o.missing - m.Weight
-		return fmt.Sprintf("what remains would be %.0f%% busy; %.0f%% may be", 100*o.f.busy/max(left, slack), 100*o.l.Room)
+	case limitShare:
+		return fmt.Sprintf("%.3g of the fleet's weight of %.3g would be missing; %.0f%% may be", o.fleet.missingWeight+o.missing+m.Weight, o.fleet.totalWeight, 100*o.limits.Share)
+	case limitZoneShare:
+		z := &o.fleet.zones[m.zoneIndex]
+		return fmt.Sprintf("%.3g of zone %q's weight of %.3g would be missing; %.0f%% may be", z.missing+o.missingByZone[m.zoneIndex]+m.Weight, m.Zone, z.total, 100*o.limits.ZoneShare)
+	case limitRoom:
+		left := o.fleet.totalWeight - o.fleet.missingWeight - o.missing - m.Weight
+		return fmt.Sprintf("what remains would be %.0f%% busy; %.0f%% may be", 100*o.fleet.load/max(left, weightTolerance), 100*o.limits.Room)
 	}
 	return ""
 }
 
 // put adds a machine, or takes it back.
-func (o *out) put(m *Machine, by int) {
-	o.n += by
-	for _, s := range o.f.held[m.ShardSet] {
+func (o *outSet) put(m *Machine, by int) {
+	o.count += by
+	for _, s := range o.fleet.shardsOf[m.ShardSet] {
 		o.inWork[s] += by
 		if m.Healthy {
-			o.sound[s] += by
+			o.healthyInWork[s] += by
 		}
 	}
 	if m.Healthy {
 		o.missing += float64(by) * m.Weight
-		o.zones[m.zone] += float64(by) * m.Weight
+		o.missingByZone[m.zoneIndex] += float64(by) * m.Weight
 	}
 }
 
 // Under lists the shards that have fewer sound replicas outside a set than the floor.
-func (f *Fleet) Under(l Limits, ids []string) (shards []int) {
-	o := f.none(l)
+func (f *Fleet) ShardsBelowFloor(l Limits, ids []string) (shards []int) {
+	o := f.newOutSet(l)
 	for _, id := range ids {
 		if m := f.byID[id]; m != nil {
 			o.put(m, 1)
 		}
 	}
-	for s := range f.sound {
-		if f.sound[s]-o.sound[s] < l.Floor {
+	for s := range f.healthy {
+		if f.healthy[s]-o.healthyInWork[s] < l.Floor {
 			shards = append(shards, s)
 		}
 	}
@@ -220,7 +220,7 @@
 // Hours are barred for moves, each day, by the clock of the coordinator that moves.
 type Hours struct{ From, To time.Duration } // since midnight; over midnight where To is before From
 
-func barred(hours []Hours, wall time.Time) bool {
+func inHours(hours []Hours, wall time.Time) bool {
 	at := time.Duration(wall.Hour())*time.Hour + time.Duration(wall.Minute())*time.Minute
 	return slices.ContainsFunc(hours, func(h Hours) bool {
 		if h.From <= h.To {
--- a/internal/maintenance/maintenance.go
+++ b/internal/maintenance/maintenance.go
@@ -79,7 +79,7 @@
 // inWork tells that a machine counts as missing.
 func (s StepState) inWork() bool { return s != Waiting && !s.ended() }
 
-var next = map[StepState][]StepState{
+var transitions = map[StepState][]StepState{
 	Waiting: {Draining, Abandoned}, Draining: {Drained, Waiting, Abandoned}, Drained: {Out, Waiting, Abandoned}, Out: {Returning, Failed},
 	Returning: {Warm, Failed}, Failed: {Returning}, Warm: {Done},
 }
@@ -135,11 +135,11 @@
 }
 
 const (
-	mostOpen  = 32     // requests that are not over
-	mostOver  = 32     // requests kept once they are
-	mostAudit = 256    // lines of who asked what
-	mostMoved = 256    // moves that are kept for who looks on
-	mostSteps = 10_000 // machines of a request
+	maxOpenRequests  = 32     // requests that are not over
+	maxEndedRequests = 32     // requests kept once they are
+	maxAuditEntries  = 256    // lines of who asked what
+	maxRecentMoves   = 256    // moves that are kept for who looks on
+	maxSteps         = 10_000 // machines of a request
 )
 
 // State is all requests; a value of the replicated store. It is not safe for concurrent use.
@@ -175,7 +175,7 @@
 	return nil
 }
 
-func (r *Request) over() bool { return r.State == GivenUp || r.State == Finished }
+func (r *Request) ended() bool { return r.State == GivenUp || r.State == Finished }
 
 func (r *Request) step(machine string) *Step {
 	for _, s := range r.Steps {
@@ -187,9 +187,9 @@
 }
 
 // find is the open step of a machine.
-func (s *State) find(machine string) (*Request, *Step) {
+func (s *State) openStep(machine string) (*Request, *Step) {
 	for _, r := range s.Requests {
-		if st := r.step(machine); st != nil && !st.State.ended() && !(r.over() && st.State == Waiting) {
+		if st := r.step(machine); st != nil && !st.State.ended() && !(r.ended() && st.State == Waiting) {
 			return r, st
 		}
 	}
@@ -197,9 +197,9 @@
 }
 
 // Say notes who asked what.
-func (s *State) Say(wall time.Time, who, what string) {
+func (s *State) RecordAudit(wall time.Time, who, what string) {
 	s.Audit = append(s.Audit, Audit{wall.Unix(), who, what})
-	s.Audit = s.Audit[max(0, len(s.Audit)-mostAudit):]
+	s.Audit = s.Audit[max(0, len(s.Audit)-maxAuditEntries):]
 }
 
 // Impossible is what can't be done, with the limit that forbids it.
@@ -219,23 +219,23 @@
 // Start takes in a request for machines, in an order that holds the limits. The error is an Impossible where machines can't
 // go; without them the others may be asked for.
 func (s *State) Start(wall time.Time, r Request, machines []string, f *Fleet, l Limits, warm time.Duration) (*Request, Plan, error) {
-	if len(machines) == 0 || len(machines) > mostSteps {
-		return nil, Plan{}, fmt.Errorf("%d machines; a request names 1 to %d", len(machines), mostSteps)
+	if len(machines) == 0 || len(machines) > maxSteps {
+		return nil, Plan{}, fmt.Errorf("%d machines; a request names 1 to %d", len(machines), maxSteps)
 	}
 	if r.Takes <= 0 || r.Back <= 0 || r.AtOnce < 0 {
 		return nil, Plan{}, fmt.Errorf("takes %v, back %v, at once %d: the times are above 0, the number is not below it", r.Takes, r.Back, r.AtOnce)
 	}
 	open := 0
 	for _, o := range s.Requests {
-		if !o.over() {
+		if !o.ended() {
 			open++
 		}
 	}
-	if open >= mostOpen {
+	if open >= maxOpenRequests {
 		return nil, Plan{}, fmt.Errorf("%d requests are open, as many as there may be; wait for one, or abandon it", open)
 	}
 	for _, m := range machines {
-		if o, _ := s.find(m); o != nil {
+		if o, _ := s.openStep(m); o != nil {
 			return nil, Plan{}, fmt.Errorf("machine %s is in request %d by %s already", m, o.ID, o.By)
 		}
 	}
@@ -261,20 +261,20 @@
 		}
 	}
 	s.Requests = append(s.Requests, &r)
-	s.trim()
+	s.trimRequests()
 	return &r, p, nil
 }
 
 // trim lets go of the oldest requests that are over.
-func (s *State) trim() {
+func (s *State) trimRequests() {
 	over := 0
 	for _, r := range s.Requests {
-		if r.over() {
+		if r.ended() {
 			over++
 		}
 	}
 	s.Requests = slices.DeleteFunc(s.Requests, func(r *Request) bool {
-		if over > mostOver && r.over() && !slices.ContainsFunc(r.Steps, func(st *Step) bool { return st.State.inWork() }) {
+		if over > maxEndedRequests && r.ended() && !slices.ContainsFunc(r.Steps, func(st *Step) bool { return st.State.inWork() }) {
 			over--
 			return true
 		}
@@ -295,7 +295,7 @@
 	switch {
 	case r == nil:
 		return fmt.Errorf("there is no request %d", id)
-	case r.over():
+	case r.ended():
 		return fmt.Errorf("request %d is %s", id, r.State)
 	case word == Pause && r.State == Open:
 		r.State, r.Why = Paused, "by an operator's word"
@@ -305,7 +305,7 @@
 		r.State, r.Why = GivenUp, "by an operator's word"
 		for _, st := range r.Steps {
 			if st.State <= Drained {
-				s.set(r, st, Abandoned, r.Why)
+				s.setState(r, st, Abandoned, r.Why)
 			}
 		}
 	default:
@@ -316,14 +316,14 @@
 
 // WorkDone is an operator's or the hook's word that the work on a machine is done, and under which id it comes back if not its own.
 func (s *State) WorkDone(machine, as string) error {
-	r, st := s.find(machine)
+	r, st := s.openStep(machine)
 	switch {
 	case st == nil:
 		return fmt.Errorf("machine %s is not in work", machine)
 	case st.State != Out && st.State != Failed:
 		return fmt.Errorf("machine %s is %s in request %d; only one that is out or failed is done", machine, st.State, r.ID)
 	}
-	s.set(r, st, Returning, "it was said that the work is done")
+	s.setState(r, st, Returning, "it was said that the work is done")
 	if as != machine {
 		st.As = as
 	}
@@ -355,10 +355,10 @@
 		return fmt.Errorf("%w: no request %d", ErrMove, m.Request)
 	}
 	st := r.step(m.Machine)
-	if st == nil || !slices.Contains(next[st.State], m.To) {
+	if st == nil || !slices.Contains(transitions[st.State], m.To) {
 		return fmt.Errorf("%w: %s of request %d to %s", ErrMove, m.Machine, m.Request, m.To)
 	}
-	s.set(r, st, m.To, m.Why)
+	s.setState(r, st, m.To, m.Why)
 	switch m.To {
 	case Draining:
 		s.Turn++
@@ -366,52 +366,52 @@
 	case Returning:
 		st.As = m.As
 	case Failed:
-		if !r.GoOn && !r.over() {
+		if !r.GoOn && !r.ended() {
 			r.State, r.Why = Stopped, m.Machine+": "+m.Why
 		}
 	}
-	if !r.over() && !slices.ContainsFunc(r.Steps, func(st *Step) bool { return !st.State.ended() }) {
+	if !r.ended() && !slices.ContainsFunc(r.Steps, func(st *Step) bool { return !st.State.ended() }) {
 		r.State, r.Why = Finished, ""
 	}
 	return nil
 }
 
 // set changes a step's state and notes the move.
-func (s *State) set(r *Request, st *Step, to StepState, why string) {
+func (s *State) setState(r *Request, st *Step, to StepState, why string) {
 	if st.State = to; to == Waiting || to.ended() {
 		st.Call = 0
 	}
 	s.Moved++
 	s.Recent = append(s.Recent, Moved{s.Moved, r.ID, st.Machine, to, why})
-	if len(s.Recent) > 2*mostMoved {
-		s.Recent = slices.Clone(s.Recent[len(s.Recent)-mostMoved:])
+	if len(s.Recent) > 2*maxRecentMoves {
+		s.Recent = slices.Clone(s.Recent[len(s.Recent)-maxRecentMoves:])
 	}
 }
 
 // Overlay is what the coordinators make of the state: to whom nothing may be sent, who is announced, who comes back cold.
 type Overlay struct {
-	Barred    map[string]bool   // by id
+	Excluded  map[string]bool   // by id
 	Addrs     map[string]bool   // by address: a machine may come up under a new id while it is out
 	Announced map[string]bool   // called: to be sent to only while present
-	Back      map[string]uint64 // returning: the turn
+	Returned  map[string]uint64 // returning: the turn
 	Turns     map[string]uint64 // barred: the turn
 }
 
 // Overlay is read off the state.
 func (s *State) Overlay() Overlay {
-	o := Overlay{Barred: map[string]bool{}, Addrs: map[string]bool{}, Announced: map[string]bool{}, Back: map[string]uint64{}, Turns: map[string]uint64{}}
+	o := Overlay{Excluded: map[string]bool{}, Addrs: map[string]bool{}, Announced: map[string]bool{}, Returned: map[string]uint64{}, Turns: map[string]uint64{}}
 	for _, r := range s.Requests {
 		for _, st := range r.Steps {
 			switch {
 			case st.State.Excluded():
-				o.Barred[st.Machine], o.Turns[st.Machine] = true, st.Turn
+				o.Excluded[st.Machine], o.Turns[st.Machine] = true, st.Turn
 				if st.Addr != "" {
 					o.Addrs[st.Addr] = true
 				}
 			case st.State == Returning || st.State == Warm:
-				o.Back[st.Machine] = st.Turn
+				o.Returned[st.Machine] = st.Turn
 				if st.As != "" {
-					o.Back[st.As] = st.Turn
+					o.Returned[st.As] = st.Turn
 				}
 			}
 			if st.missing() {
--- a/internal/maintenance/maintenance_test.go
+++ b/internal/maintenance/maintenance_test.go
@@ -54,7 +54,7 @@
 		}
 		for w := range waves {
 			old := waves[w]
-			if waves[w] = append(old[:len(old):len(old)], ids[i]); f.Breaks(waves[w:w+1], l) == nil {
+			if waves[w] = append(old[:len(old):len(old)], ids[i]); f.CheckWaves(waves[w:w+1], l) == nil {
 				place(i+1, waves)
 			}
 			waves[w] = old
@@ -85,14 +85,14 @@
 		for _, w := range p.Waves {
 			planned = append(planned, w...)
 		}
-		if err := f.Breaks(p.Waves, l); err != nil {
+		if err := f.CheckWaves(p.Waves, l); err != nil {
 			t.Fatal(err)
 		}
 		if len(planned)+len(p.Refused) != n {
 			t.Fatalf("%d planned and %d refused of %d", len(planned), len(p.Refused), n)
 		}
 		for _, r := range p.Refused {
-			if f.Breaks([][]string{{r.Machine}}, l) == nil || r.Why == "" {
+			if f.CheckWaves([][]string{{r.Machine}}, l) == nil || r.Why == "" {
 				t.Fatalf("%s is refused (%s) and could go", r.Machine, r.Why)
 			}
 		}
@@ -297,12 +297,12 @@
 		{"away, and it has seen the request", Request{}, []string{"m0"}, func(p *play) {
 			p.step(0)
 			p.clear(0)
-			p.v.Coordinators[1].Over = true
+			p.v.Coordinators[1].Absent = true
 		}, "m0 drained", ""},
 		{"away, and it has not", Request{}, []string{"m0"}, func(p *play) {
 			p.step(0)
 			p.clear(0)
-			p.v.Coordinators[1].Over, p.v.Coordinators[1].Seen = true, 0
+			p.v.Coordinators[1].Absent, p.v.Coordinators[1].Seen = true, 0
 		}, "m0 draining", "m0: n1 has not said that nothing is out there"},
 		{"users' queries are turned away, with one machine begun", Request{AtOnce: 2}, []string{"m0", "m1", "m2"}, func(p *play) {
 			p.step(0)
@@ -324,7 +324,7 @@
 		if c.play != nil {
 			c.play(p)
 		}
-		p.v.Now += 2 * noteEvery
+		p.v.Now += 2 * reasonInterval
 		if got := p.step(0); got != c.want || !strings.Contains(p.st.Requests[0].Why, c.why) {
 			t.Errorf("%s: %s (%s), want %s (%s)", c.name, got, p.st.Requests[0].Why, c.want, c.why)
 		}
@@ -336,7 +336,7 @@
 	p := newPlay(t, []string{"m0"}, Request{})
 	p.step(0)
 	p.clear(0)
-	p.v.Coordinators[1].Over = true
+	p.v.Coordinators[1].Absent = true
 	moves, _ := p.st.Step(p.v, p.t)
 	if len(moves) != 1 || cmp.Diff(moves[0].Lapsed, []string{"n1"}) != "" {
 		t.Errorf("%+v", moves)
@@ -371,7 +371,7 @@
 				}
 			}
 			st.Step(v, timer)
-			o := v.Fleet.none(l)
+			o := v.Fleet.newOutSet(l)
 			for _, r := range st.Requests {
 				for _, x := range r.Steps {
 					if x.State == Out && before[x.Machine] != Out {
@@ -455,7 +455,7 @@
 			look()
 		}
 		for _, r := range st.Requests {
-			if !r.over() {
+			if !r.ended() {
 				t.Fatalf("request %d is %s: %s", r.ID, r.State, r.Why)
 			}
 		}
@@ -467,7 +467,7 @@
 	f := ring(t, Layout{ShardSets: 1000, Shards: 1000, Reach: 3}, 10_000, 5, nil)
 	l := Limits{Floor: 20, Share: 0.2}
 	p := f.Plan(names(f), l, 1)
-	if err := f.Breaks(p.Waves, l); err != nil || len(p.Refused) > 0 {
+	if err := f.CheckWaves(p.Waves, l); err != nil || len(p.Refused) > 0 {
 		t.Fatal(err, len(p.Refused))
 	}
 	if len(p.Waves) > 2*p.Bound {
--- a/internal/maintenance/plan.go
+++ b/internal/maintenance/plan.go
@@ -26,10 +26,10 @@
 type Refusal struct{ Machine, Why string }
 
 const (
-	exactUpTo = 20        // machines for which all orders are tried
-	mostNodes = 2_000_000 // of that search
-	restarts  = 24        // orders tried beyond, seeded; fewer where they are long
-	mostTried = 40_000    // machines placed in all of them
+	maxExactMachines = 20        // machines for which all orders are tried
+	maxSearchNodes   = 2_000_000 // of that search
+	maxRestarts      = 24        // orders tried beyond, seeded; fewer where they are long
+	maxPlacements    = 40_000    // machines placed in all of them
 )
 
 // Plan finds an order for machines. Equal inputs give equal orders. Beyond 20 machines its time grows with the machines
@@ -37,7 +37,7 @@
 func (f *Fleet) Plan(ids []string, l Limits, seed uint64) Plan {
 	var p Plan
 	var list []*Machine
-	seen, nobody := map[string]bool{}, f.none(l)
+	seen, nobody := map[string]bool{}, f.newOutSet(l)
 	for _, id := range ids {
 		m := f.byID[id]
 		switch {
@@ -46,7 +46,7 @@
 		case m == nil:
 			p.Refused = append(p.Refused, Refusal{id, "no data node of this name is listed"})
 		default:
-			if why := nobody.fits(m); why != "" {
+			if why := nobody.violation(m); why != "" {
 				p.Refused = append(p.Refused, Refusal{id, why})
 			} else {
 				list = append(list, m)
@@ -58,7 +58,7 @@
 		p.Exact = true
 		return p
 	}
-	p.Bound = f.bound(list, l)
+	p.Bound = f.lowerBound(list, l)
 	// Machines of one zone and neighbouring cells first, the slow before the fast: a zone is done before the next is begun.
 	slices.SortFunc(list, func(a, b *Machine) int {
 		return cmp.Or(cmp.Compare(a.Zone, b.Zone), cmp.Compare(a.Weight, b.Weight), cmp.Compare(a.ShardSet%f.Reach, b.ShardSet%f.Reach), cmp.Compare(a.ShardSet, b.ShardSet), cmp.Compare(a.ID, b.ID))
@@ -66,7 +66,7 @@
 	best := f.firstFit(list, l)
 	chance := rand.New(rand.NewPCG(seed, 3))
 	order := slices.Clone(list)
-	for try := 0; len(best) > p.Bound && try < restarts && (try+1)*len(list) <= mostTried+2*len(list); try++ {
+	for try := 0; len(best) > p.Bound && try < maxRestarts && (try+1)*len(list) <= maxPlacements+2*len(list); try++ {
 		switch try {
 		case 0: // replicas of a shard behind each other, over all zones
 			slices.SortFunc(order, func(a, b *Machine) int {
@@ -84,7 +84,7 @@
 		}
 	}
 	p.Exact = len(best) == p.Bound
-	if !p.Exact && len(list) <= exactUpTo {
+	if !p.Exact && len(list) <= maxExactMachines {
 		best, p.Exact = f.search(list, l, p.Bound, best)
 	}
 	// One zone after the other, as far as waves are of one: by the zone of each wave's first.
@@ -103,11 +103,11 @@
 }
 
 // bound is how many waves there are at least: by each shard, by the number, and by the weights of the fleet and each zone.
-func (f *Fleet) bound(list []*Machine, l Limits) int {
+func (f *Fleet) lowerBound(list []*Machine, l Limits) int {
 	most, sound, all := 1, map[int]int{}, map[int]int{}
 	weight, zones := 0.0, map[int]float64{}
 	for _, m := range list {
-		for _, s := range f.held[m.ShardSet] {
+		for _, s := range f.shardsOf[m.ShardSet] {
 			all[s]++
 			if m.Healthy {
 				sound[s]++
@@ -115,11 +115,11 @@
 		}
 		if m.Healthy {
 			weight += m.Weight
-			zones[m.zone] += m.Weight
+			zones[m.zoneIndex] += m.Weight
 		}
 	}
 	for s, n := range all {
-		if k := f.sound[s] - l.Floor; sound[s] > 0 && k > 0 {
+		if k := f.healthy[s] - l.Floor; sound[s] > 0 && k > 0 {
 			most = max(most, (sound[s]+k-1)/k)
 		}
 		if l.PerShard > 0 {
@@ -135,7 +135,7 @@
 		}
 	}
 	if l.Share > 0 {
-		by(weight, l.Share*f.total-f.missing)
+		by(weight, l.Share*f.totalWeight-f.missingWeight)
 	}
 	if l.ZoneShare > 0 {
 		for z, w := range zones {
@@ -143,27 +143,27 @@
 		}
 	}
 	if l.Room > 0 {
-		by(weight, f.total-f.missing-f.busy/l.Room)
+		by(weight, f.totalWeight-f.missingWeight-f.load/l.Room)
 	}
 	return most
 }
 
 // firstFit puts each machine into the first wave that it fits into.
 func (f *Fleet) firstFit(list []*Machine, l Limits) (waves [][]*Machine) {
-	var sets []*out
+	var sets []*outSet
 	first := 0 // waves before it are full by number
 	for _, m := range list {
 		i := first
 		for ; i < len(sets); i++ {
-			if sets[i].check(m).limit == 0 {
+			if sets[i].violated(m).limit == 0 {
 				break
 			}
-			if i == first && l.AtOnce > 0 && sets[i].n >= l.AtOnce {
+			if i == first && l.AtOnce > 0 && sets[i].count >= l.AtOnce {
 				first++
 			}
 		}
 		if i == len(sets) {
-			sets, waves = append(sets, f.none(l)), append(waves, nil)
+			sets, waves = append(sets, f.newOutSet(l)), append(waves, nil)
 		}
 		sets[i].put(m, 1)
 		waves[i] = append(waves[i], m)
@@ -184,15 +184,15 @@
 		}
 	}
 	alike := func(a, b *Machine) bool {
-		return a.ShardSet == b.ShardSet && a.Weight == b.Weight && a.zone == b.zone && a.Healthy == b.Healthy
+		return a.ShardSet == b.ShardSet && a.Weight == b.Weight && a.zoneIndex == b.zoneIndex && a.Healthy == b.Healthy
 	}
 	slices.SortStableFunc(list, func(a, b *Machine) int {
-		return cmp.Or(cmp.Compare(shares[b], shares[a]), cmp.Compare(b.Weight, a.Weight), cmp.Compare(a.ShardSet, b.ShardSet), cmp.Compare(a.zone, b.zone))
+		return cmp.Or(cmp.Compare(shares[b], shares[a]), cmp.Compare(b.Weight, a.Weight), cmp.Compare(a.ShardSet, b.ShardSet), cmp.Compare(a.zoneIndex, b.zoneIndex))
 	})
 	// What is still to be placed must find room by the fleet's share: its weight, and the least of a machine from each place on.
 	room := math.Inf(1)
 	if l.Share > 0 {
-		room = l.Share*f.total - f.missing + slack
+		room = l.Share*f.totalWeight - f.missingWeight + weightTolerance
 	}
 	rest, least := make([]float64, len(list)+1), make([]float64, len(list)+1)
 	least[len(list)] = math.Inf(1)
@@ -203,9 +203,9 @@
 	}
 	nodes := 0
 	for k := bound; k < len(best); k++ {
-		sets := make([]*out, k)
+		sets := make([]*outSet, k)
 		for i := range sets {
-			sets[i] = f.none(l)
+			sets[i] = f.newOutSet(l)
 		}
 		hopeless := func(i int) bool {
 			left := 0.0
@@ -222,7 +222,7 @@
 			if i == len(list) {
 				return true
 			}
-			if nodes++; nodes > mostNodes || hopeless(i) {
+			if nodes++; nodes > maxSearchNodes || hopeless(i) {
 				return false
 			}
 			first := 0
@@ -230,7 +230,7 @@
 				first = where[i-1]
 			}
 			for w := first; w < min(used+1, k); w++ { // empty waves are alike
-				if sets[w].check(list[i]).limit != 0 {
+				if sets[w].violated(list[i]).limit != 0 {
 					continue
 				}
 				sets[w].put(list[i], 1)
@@ -247,9 +247,9 @@
 			for i, w := range where {
 				found[w] = append(found[w], list[i])
 			}
-			return slices.DeleteFunc(found, func(w []*Machine) bool { return len(w) == 0 }), nodes <= mostNodes
+			return slices.DeleteFunc(found, func(w []*Machine) bool { return len(w) == 0 }), nodes <= maxSearchNodes
 		}
-		if nodes > mostNodes {
+		if nodes > maxSearchNodes {
 			return best, false
 		}
 	}
@@ -257,15 +257,15 @@
 }
 
 // Breaks tells which wave of an order breaks a limit; nil for none.
-func (f *Fleet) Breaks(waves [][]string, l Limits) error {
+func (f *Fleet) CheckWaves(waves [][]string, l Limits) error {
 	for i, w := range waves {
-		o := f.none(l)
+		o := f.newOutSet(l)
 		for _, id := range w {
 			m := f.byID[id]
 			if m == nil {
 				return fmt.Errorf("wave %d: no machine %s", i, id)
 			}
-			if why := o.fits(m); why != "" {
+			if why := o.violation(m); why != "" {
 				return fmt.Errorf("wave %d: %s: %s", i, id, why)
 			}
 			o.put(m, 1)
--- a/internal/maintenance/step.go
+++ b/internal/maintenance/step.go
@@ -15,10 +15,10 @@
 
 // Coordinator is what one that was ever present has said.
 type Coordinator struct {
-	Name  string
-	Seen  uint64            // State.Seen of what it had applied while it was present; without presence nothing is said
-	Clear map[string]uint64 // machines with nothing out, by the turn of their drain
-	Over  bool              // its presence is over, as far as is known; the store decides as the move is taken
+	Name   string
+	Seen   uint64            // State.Seen of what it had applied while it was present; without presence nothing is said
+	Clear  map[string]uint64 // machines with nothing out, by the turn of their drain
+	Absent bool              // its presence is over, as far as is known; the store decides as the move is taken
 }
 
 // View is what the holder sees.
@@ -30,34 +30,34 @@
 	WarmupTime   time.Duration // that a cold data node needs
 	Coordinators []Coordinator
 	Overloaded   bool              // users' queries were turned away for want of room just now: they go first
-	Known        map[string]uint64 // warm machines of which the hook was told, by their turn; nil where there is no hook
+	HookDone     map[string]uint64 // warm machines of which the hook was told, by their turn; nil where there is no hook
 }
 
 // Timer is how long the holder has seen steps in their state, by its own clock. A new holder begins anew, so a machine may be
 // out for longer than its request says by as long as the holder before had it.
 type Timer struct {
-	since map[string]mark
-	notes map[uint64]time.Duration
+	since         map[string]stateSince
+	reasonWritten map[uint64]time.Duration
 }
 
-type mark struct {
+type stateSince struct {
 	turn  uint64
 	state StepState
 	at    time.Duration
 }
 
 // noteEvery bounds how often the reason why a request does not move is written anew.
-const noteEvery = time.Second
+const reasonInterval = time.Second
 
 // look notes the state of each step, and forgets what is over.
-func (t *Timer) look(now time.Duration, s *State) {
-	seen := map[string]mark{}
+func (t *Timer) observe(now time.Duration, s *State) {
+	seen := map[string]stateSince{}
 	for _, r := range s.Requests {
 		for _, st := range r.Steps {
 			if !st.State.inWork() {
 				continue
 			}
-			m := mark{st.Turn, st.State, now}
+			m := stateSince{st.Turn, st.State, now}
 			if old, ok := t.since[st.Machine]; ok && old.turn == m.turn && old.state == m.state {
 				m = old
 			}
@@ -65,20 +65,20 @@
 		}
 	}
 	t.since = seen
-	if t.notes == nil {
-		t.notes = map[uint64]time.Duration{}
+	if t.reasonWritten == nil {
+		t.reasonWritten = map[uint64]time.Duration{}
 	}
 }
 
-func (t *Timer) held(now time.Duration, machine string) time.Duration {
+func (t *Timer) timeInState(now time.Duration, machine string) time.Duration {
 	return now - t.since[machine].at
 }
 
 // Step decides the next moves and makes them in the state. Changed tells whether anything is to be written. Lapsed are
 // coordinators whose presence the store has to hold for over, or none of it counts.
 func (s *State) Step(v *View, t *Timer) (moves []Move, changed bool) {
-	t.look(v.Now, s)
-	o := v.Fleet.none(v.Limits)
+	t.observe(v.Now, s)
+	o := v.Fleet.newOutSet(v.Limits)
 	for _, r := range s.Requests {
 		for _, st := range r.Steps {
 			if m := v.Fleet.Machine(st.Machine); m != nil && st.missing() {
@@ -96,13 +96,13 @@
 	}
 	for _, r := range s.Requests {
 		for _, st := range r.Steps {
-			s.back(v, t, o, r, st, move)
+			s.advanceReturning(v, t, o, r, st, move)
 		}
 	}
 	why, calls := map[uint64]string{}, false
 	for _, r := range s.Requests {
 		var called bool
-		why[r.ID], called = s.forth(v, o, r, move)
+		why[r.ID], called = s.advanceOutgoing(v, o, r, move)
 		calls = calls || called
 	}
 	changed = calls || len(moves) > 0
@@ -110,26 +110,26 @@
 		if r.State != Open || r.Why == why[r.ID] {
 			continue
 		}
-		if at, ok := t.notes[r.ID]; ok && v.Now-at < noteEvery {
+		if at, ok := t.reasonWritten[r.ID]; ok && v.Now-at < reasonInterval {
 			continue
 		}
-		t.notes[r.ID] = v.Now
+		t.reasonWritten[r.ID] = v.Now
 		r.Why, changed = why[r.ID], true
 	}
 	return moves, changed
 }
 
 // back makes the moves of a machine that is out or comes back.
-func (s *State) back(v *View, t *Timer, o *out, r *Request, st *Step, move func(*Request, Move) bool) {
+func (s *State) advanceReturning(v *View, t *Timer, o *outSet, r *Request, st *Step, move func(*Request, Move) bool) {
 	id := st.Machine
 	if st.As != "" {
 		id = st.As
 	}
 	m := v.Fleet.Machine(id)
-	held := t.held(v.Now, st.Machine)
+	held := t.timeInState(v.Now, st.Machine)
 	switch st.State {
 	case Out:
-		if as, ok := s.restarted(v, r, st); ok {
+		if as, ok := s.restartedAs(v, r, st); ok {
 			move(r, Move{Machine: st.Machine, To: Returning, Why: "it is listed with a later start", As: as})
 		} else if held > r.Takes {
 			move(r, Move{Machine: st.Machine, To: Failed, Why: fmt.Sprintf("it was out for longer than %v", r.Takes)})
@@ -142,7 +142,7 @@
 			move(r, Move{Machine: st.Machine, To: Failed, Why: fmt.Sprintf("it does not serve %v after its return", held.Round(time.Second))})
 		}
 	case Warm:
-		if v.Known == nil || v.Known[st.Machine] == st.Turn {
+		if v.HookDone == nil || v.HookDone[st.Machine] == st.Turn {
 			if move(r, Move{Machine: st.Machine, To: Done}); v.Fleet.Machine(st.Machine) != nil {
 				o.put(v.Fleet.Machine(st.Machine), -1)
 			}
@@ -152,7 +152,7 @@
 
 // restarted tells whether a machine that is out is listed as a new process: under its id with a later start, or under an id
 // that is not of a step itself at its address.
-func (s *State) restarted(v *View, r *Request, st *Step) (as string, ok bool) {
+func (s *State) restartedAs(v *View, r *Request, st *Step) (as string, ok bool) {
 	if r.ByHand || st.Started == 0 {
 		return "", false
 	}
@@ -165,7 +165,7 @@
 			return "", true
 		}
 		if m.Addr == st.Addr && st.Addr != "" {
-			if _, other := s.find(m.ID); other == nil {
+			if _, other := s.openStep(m.ID); other == nil {
 				return m.ID, true
 			}
 		}
@@ -175,26 +175,26 @@
 
 // again asks the limits of a machine that counts as missing, as if it were put there just now; it counts no longer where they
 // forbid it.
-func again(o *out, m *Machine) (hold string) {
+func recheck(o *outSet, m *Machine) (hold string) {
 	if m == nil {
 		return ""
 	}
 	o.put(m, -1)
-	if hold = o.fits(m); hold == "" {
+	if hold = o.violation(m); hold == "" {
 		o.put(m, 1)
 	}
 	return hold
 }
 
 // forth makes the moves towards work, and tells why a request does not move and whether machines were called or are no longer.
-func (s *State) forth(v *View, o *out, r *Request, move func(*Request, Move) bool) (why string, changed bool) {
+func (s *State) advanceOutgoing(v *View, o *outSet, r *Request, move func(*Request, Move) bool) (why string, changed bool) {
 	halt := ""
 	switch {
 	case r.State != Open:
 		halt = "the request is " + string(r.State)
 	case v.Wall.Unix() < r.NotBefore:
 		halt = "not before " + time.Unix(r.NotBefore, 0).UTC().Format(time.RFC3339)
-	case barred(r.Barred, v.Wall):
+	case inHours(r.Barred, v.Wall):
 		halt = "these hours are barred"
 	}
 	// Back where it may not go on: what was only called first, then what drains, and of these the last in the order.
@@ -205,7 +205,7 @@
 			}
 			m, hold := v.Fleet.Machine(st.Machine), halt
 			if hold == "" {
-				hold = again(o, m)
+				hold = recheck(o, m)
 			} else if m != nil {
 				o.put(m, -1)
 			}
@@ -227,13 +227,13 @@
 		}
 		switch {
 		case st.State == Waiting && st.Call > 0:
-			if blind := unseen(v, st); blind != "" {
+			if blind := unseenBy(v, st); blind != "" {
 				why = fmt.Sprintf("%s: not seen yet by %s; one that is gone for good is to be forgotten", st.Machine, blind)
 			} else if m != nil {
 				move(r, Move{Machine: st.Machine, To: Draining, Addr: m.Addr, Started: m.Started})
 			}
 		case st.State == Draining:
-			waits, lapsed := drained(v, st)
+			waits, lapsed := waitsForDrain(v, st)
 			if waits == "" { // handed over at the next look, by what is known then
 				move(r, Move{Machine: st.Machine, To: Drained, Why: "nothing is out there", Lapsed: lapsed})
 			} else {
@@ -258,7 +258,7 @@
 		case v.Overloaded:
 			hold = "users' queries were turned away for want of room just now, and go first"
 		case m != nil:
-			hold = o.fits(m)
+			hold = o.violation(m)
 		}
 		if hold != "" {
 			if why == "" {
@@ -275,7 +275,7 @@
 }
 
 // unseen lists the coordinators that have not seen a machine's call.
-func unseen(v *View, st *Step) string {
+func unseenBy(v *View, st *Step) string {
 	var blind []string
 	for _, c := range v.Coordinators {
 		if c.Seen < st.Call {
@@ -286,11 +286,11 @@
 }
 
 // drained tells whom a drain waits for, or whose presence has to be over for it.
-func drained(v *View, st *Step) (waits string, lapsed []string) {
+func waitsForDrain(v *View, st *Step) (waits string, lapsed []string) {
 	for _, c := range v.Coordinators {
 		switch {
 		case c.Clear[st.Machine] == st.Turn:
-		case c.Over && c.Seen >= st.Call:
+		case c.Absent && c.Seen >= st.Call:
 			lapsed = append(lapsed, c.Name)
 		default:
 			return fmt.Sprintf("%s: %s has not said that nothing is out there", st.Machine, c.Name), nil
