--- a/internal/maintenance/fleet.go
+++ b/internal/maintenance/fleet.go
@@ -1,15 +1,12 @@
 package maintenance
 
-// This file owns the limits: what may be out of the fleet at once, and why not more. It must never count a data node that is
-// cold, doubtful or in a zone that fails as one that holds a shard up.
-
 import (
 	"fmt"
 	"slices"
 	"time"
 )
 
-// Layout says which cells hold a shard: s, s+1, ... s+Reach-1, modulo Cells.
+// Layout says which shard sets have a replica of shard s: s, s+1, ... s+Reach-1, modulo ShardSets.
 type Layout struct{ ShardSets, Shards, Reach int }
 
 // Machine is a data node as one coordinator sees it.
@@ -18,23 +15,24 @@
 	ShardSet       int
 	Weight         float64
 	Serving        bool    // listed as such
-	Healthy        bool    // serving, not cold since its start or its return from work, not doubtful, its zone does not fail
-	Util           float64 // how busy it is, 0 to 1; 0 where not known
-	Started        int64   // of its process, Unix milliseconds; 0 where not known
-	zoneIndex      int     // its place among the zones of the fleet
+	Healthy        bool    // serving, warmed up since its start or its return, not suspect, its zone does not fail
+	Util           float64 // utilization, 0 to 1; 0 for unknown
+	Started        int64   // of its process, Unix milliseconds; 0 for unknown
+	zoneIndex      int     // into Fleet.zones
 }
 
-// Limits are hard: no order and no move breaks one.
+// Limits bound what is out of the fleet at once. They are hard: no order and no move breaks one. A data node that warms up, is
+// suspect or in a failing zone does not count as a replica: else a shard could be left to replicas that don't answer.
 type Limits struct {
-	Floor     int     // sound replicas outside work that each shard keeps; 1 at least
+	Floor     int     // healthy replicas outside work that each shard keeps; 1 at least
 	PerShard  int     // replicas of one shard in work at once; 0 for no limit
 	AtOnce    int     // machines in work at once; 0 for no limit
-	Share     float64 // of the fleet's weight that may be missing, for work or otherwise; 0 for no limit
+	Share     float64 // of the fleet's weight that may be missing, in work or unhealthy; 0 for no limit
 	ZoneShare float64 // of one zone's weight; 0 for no limit
-	Room      float64 // how busy what remains may be; 0 for no limit
+	Room      float64 // utilization that the rest may have; 0 for no limit
 }
 
-// Check names the first figure that can't be kept.
+// Check returns an error for values out of range.
 func (l Limits) Check() error {
 	if l.Floor < 1 || l.PerShard < 0 || l.AtOnce < 0 || !(l.Share >= 0 && l.Share < 1) || !(l.ZoneShare >= 0 && l.ZoneShare <= 1) || !(l.Room >= 0 && l.Room <= 1) {
 		return fmt.Errorf("maintenance: %+v: Floor is 1 at least, no figure is negative, shares are 1 at most", l)
@@ -47,14 +45,15 @@
 	Layout
 	Machines      []Machine
 	byID          map[string]*Machine
-	shardsOf      [][]int // shards by cell
-	healthy       []int   // sound replicas by shard
-	totalWeight   float64 // weight
-	missingWeight float64 // weight that is not sound
+	shardsOf      [][]int // by shard set
+	healthy       []int   // healthy replicas by shard
+	totalWeight   float64
+	missingWeight float64 // of machines that are not healthy
 	zones         []zoneWeights
-	load          float64 // weight times utilisation
+	load          float64 // weight times utilization of the healthy ones
 }
 
+// zoneWeights are the weights of one zone.
 type zoneWeights struct{ total, missing float64 }
 
 // NewFleet indexes machines; memory and time are linear in them and in the shards times the reach.
@@ -98,31 +97,31 @@
 	return f, nil
 }
 
-// Machine finds one; nil for none.
+// Machine returns the machine with an id; nil for none.
 func (f *Fleet) Machine(id string) *Machine { return f.byID[id] }
 
-// out is a set of machines that are out, and what that leaves.
+// outSet is a set of machines that are out together, and what they take from the limits.
 type outSet struct {
 	fleet         *Fleet
 	limits        Limits
 	count         int
-	missing       float64   // weight beyond what is not sound anyway
-	missingByZone []float64 // of it, by zone
+	missing       float64   // weight of those that were healthy
+	missingByZone []float64 // the same by zone
 	inWork        []int     // machines by shard
-	healthyInWork []int     // of them, those that were sound
+	healthyInWork []int     // of them, those that were healthy
 }
 
 func (f *Fleet) newOutSet(l Limits) *outSet {
 	return &outSet{fleet: f, limits: l, missingByZone: make([]float64, len(f.zones)), inWork: make([]int, f.Shards), healthyInWork: make([]int, f.Shards)}
 }
 
-// slack is what rounding of weights may miss.
+// weightTolerance is the rounding error of summed weights.
 const weightTolerance = 1e-9
 
-// hold is the limit that keeps a machine in.
+// limitHit is the limit that a machine would break.
 type limitHit struct {
 	limit uint8 // 0 for none
-	shard int
+	shard int   // of limitFloor and limitPerShard
 }
 
 const (
@@ -134,14 +133,14 @@
 	limitRoom
 )
 
-// check tells which limit keeps a machine from being out beside those that are. It is monotone: what does not fit beside a set
-// does not fit beside a larger one.
+// violated returns the limit that forbids a machine to be out beside those of the set. It is monotone: what does not fit beside a
+// set does not fit beside a larger one.
 func (o *outSet) violated(m *Machine) limitHit {
 	if o.limits.AtOnce > 0 && o.count >= o.limits.AtOnce {
 		return limitHit{limitAtOnce, 0}
 	}
 	for _, s := range o.fleet.shardsOf[m.ShardSet] {
-		// One that is not sound takes nothing away, but where others are missing it may be all that comes back soon.
+		// An unhealthy machine takes no replica away. But where others are missing, it may be the one that recovers soonest.
 		if left := o.fleet.healthy[s] - o.healthyInWork[s]; left < o.limits.Floor || m.Healthy && left == o.limits.Floor {
 			return limitHit{limitFloor, s}
 		}
@@ -164,7 +163,7 @@
 	return limitHit{}
 }
 
-// fits tells in words why a machine can't be out beside those that are; empty where it can.
+// violation returns violated in words; empty where the machine fits.
 func (o *outSet) violation(m *Machine) string {
 	h := o.violated(m)
 	switch h.limit {
@@ -186,8 +185,14 @@
 	return ""
 }
 
-// put adds a machine, or takes it back.
-func (o *outSet) put(m *Machine, by int) {
+// add adds a machine.
+func (o *outSet) add(m *Machine) { o.change(m, 1) }
+
+// remove removes a machine that was added.
+func (o *outSet) remove(m *Machine) { o.change(m, -1) }
+
+// change counts a machine once more, or once less where by is -1.
+func (o *outSet) change(m *Machine, by int) {
 	o.count += by
 	for _, s := range o.fleet.shardsOf[m.ShardSet] {
 		o.inWork[s] += by
@@ -201,12 +206,12 @@
 	}
 }
 
-// Under lists the shards that have fewer sound replicas outside a set than the floor.
+// ShardsBelowFloor lists the shards that have fewer healthy replicas outside a set of machines than the floor.
 func (f *Fleet) ShardsBelowFloor(l Limits, ids []string) (shards []int) {
 	o := f.newOutSet(l)
 	for _, id := range ids {
 		if m := f.byID[id]; m != nil {
-			o.put(m, 1)
+			o.add(m)
 		}
 	}
 	for s := range f.healthy {
@@ -217,9 +222,10 @@
 	return shards
 }
 
-// Hours are barred for moves, each day, by the clock of the coordinator that moves.
-type Hours struct{ From, To time.Duration } // since midnight; over midnight where To is before From
+// Hours are a time of each day, by the clock of the coordinator that makes the moves.
+type Hours struct{ From, To time.Duration } // since midnight; past midnight where To is before From
 
+// inHours tells whether a time is within some of the hours.
 func inHours(hours []Hours, wall time.Time) bool {
 	at := time.Duration(wall.Hour())*time.Hour + time.Duration(wall.Minute())*time.Minute
 	return slices.ContainsFunc(hours, func(h Hours) bool {
--- a/internal/maintenance/maintenance_test.go
+++ b/internal/maintenance/maintenance_test.go
@@ -382,7 +382,7 @@
 						}
 					}
 					if x.missing() {
-						o.put(v.Fleet.Machine(x.Machine), 1)
+						o.add(v.Fleet.Machine(x.Machine))
 					}
 				}
 			}
