--- /dev/null
+++ b/internal/maintenance/moves.go
@@ -0,0 +1,62 @@
+package maintenance
+
+import (
+	"errors"
+	"fmt"
+	"slices"
+)
+
+// Move is one machine's change of state.
+type Move struct {
+	Request uint64
+	Machine string
+	To      StepState
+	Why     string
+	Addr    string // Draining: where it listens, and the start of its process
+	Started int64
+	As      string   // Returning: the id that was seen at its address
+	Lapsed  []string // Drained: coordinators whose presence has to be over as the move is taken
+}
+
+// ErrMove is a move that its step does not permit.
+var ErrMove = errors.New("not a move of this step")
+
+// Apply makes a move.
+func (s *State) Apply(m Move) error {
+	r := s.Request(m.Request)
+	if r == nil {
+		return fmt.Errorf("%w: no request %d", ErrMove, m.Request)
+	}
+	st := r.step(m.Machine)
+	if st == nil || !slices.Contains(transitions[st.State], m.To) {
+		return fmt.Errorf("%w: %s of request %d to %s", ErrMove, m.Machine, m.Request, m.To)
+	}
+	s.setState(r, st, m.To, m.Why)
+	switch m.To {
+	case Draining:
+		s.Turn++
+		st.Turn, st.Addr, st.Started = s.Turn, m.Addr, m.Started
+	case Returning:
+		st.As = m.As
+	case Failed:
+		if !r.GoOn && !r.ended() {
+			r.State, r.Why = Stopped, m.Machine+": "+m.Why
+		}
+	}
+	if !r.ended() && !slices.ContainsFunc(r.Steps, func(st *Step) bool { return !st.State.ended() }) {
+		r.State, r.Why = Finished, ""
+	}
+	return nil
+}
+
+// set changes a step's state and notes the move.
+func (s *State) setState(r *Request, st *Step, to StepState, why string) {
+	if st.State = to; to == Waiting || to.ended() {
+		st.Call = 0
+	}
+	s.Moved++
+	s.Recent = append(s.Recent, Moved{s.Moved, r.ID, st.Machine, to, why})
+	if len(s.Recent) > 2*maxRecentMoves {
+		s.Recent = slices.Clone(s.Recent[len(s.Recent)-maxRecentMoves:])
+	}
+}
