--- a/internal/maintenance/maintenance_test.go
+++ b/internal/maintenance/maintenance_test.go
@@ -125,7 +125,7 @@
 		f := ring(t, lay, 4, 2, c.fix)
 		st := &State{}
 		_, _, err := st.Start(time.Unix(0, 0), Request{Takes: s, Back: s}, []string{"m0"}, f, c.l, 0)
-		var no Impossible
+		var no RefusedError
 		if !errors.As(err, &no) || len(no.Refused) != 1 || no.Refused[0].Why != c.want || len(st.Requests) > 0 {
 			t.Errorf("%s: %v; want %q", c.name, err, c.want)
 		}
--- a/internal/maintenance/moves.go
+++ b/internal/maintenance/moves.go
@@ -6,22 +6,22 @@
 	"slices"
 )
 
-// Move is one machine's change of state.
+// Move is the change of one machine's state.
 type Move struct {
 	Request uint64
 	Machine string
 	To      StepState
 	Why     string
-	Addr    string // Draining: where it listens, and the start of its process
+	Addr    string // Draining: its address, and the start of its process
 	Started int64
-	As      string   // Returning: the id that was seen at its address
-	Lapsed  []string // Drained: coordinators whose presence has to be over as the move is taken
+	As      string   // Returning: its new id, where that is another
+	Lapsed  []string // Drained: coordinators whose presence must have expired when the move is applied
 }
 
-// ErrMove is a move that its step does not permit.
+// ErrMove is returned for a move that its step does not permit.
 var ErrMove = errors.New("not a move of this step")
 
-// Apply makes a move.
+// Apply makes a move. The error wraps ErrMove.
 func (s *State) Apply(m Move) error {
 	r := s.Request(m.Request)
 	if r == nil {
@@ -49,7 +49,7 @@
 	return nil
 }
 
-// set changes a step's state and notes the move.
+// setState changes a step's state and records the move.
 func (s *State) setState(r *Request, st *Step, to StepState, why string) {
 	if st.State = to; to == Waiting || to.ended() {
 		st.Call = 0
--- a/internal/maintenance/overlay.go
+++ b/internal/maintenance/overlay.go
@@ -1,15 +1,15 @@
 package maintenance
 
-// Overlay is what the coordinators make of the state: to whom nothing may be sent, who is announced, who comes back cold.
+// Overlay is what the coordinators derive from the plan: to which machines nothing may be sent, and which return.
 type Overlay struct {
 	Excluded  map[string]bool   // by id
-	Addrs     map[string]bool   // by address: a machine may come up under a new id while it is out
-	Announced map[string]bool   // called: to be sent to only while present
-	Returned  map[string]uint64 // returning: the turn
-	Turns     map[string]uint64 // barred: the turn
+	Addrs     map[string]bool   // of excluded machines: one may come up under a new id while it is out
+	Announced map[string]bool   // called: a coordinator sends to them only while it is present
+	Returned  map[string]uint64 // returning or warm machines, with the turn of their drain
+	Turns     map[string]uint64 // of excluded machines, with the turn of their drain
 }
 
-// Overlay is read off the state.
+// Overlay derives the overlay from the state.
 func (s *State) Overlay() Overlay {
 	o := Overlay{Excluded: map[string]bool{}, Addrs: map[string]bool{}, Announced: map[string]bool{}, Returned: map[string]uint64{}, Turns: map[string]uint64{}}
 	for _, r := range s.Requests {
--- a/internal/maintenance/requests.go
+++ b/internal/maintenance/requests.go
@@ -6,67 +6,46 @@
 	"time"
 )
 
-// Say notes who asked what.
+// RecordAudit notes who asked for what.
 func (s *State) RecordAudit(wall time.Time, who, what string) {
 	s.Audit = append(s.Audit, Audit{wall.Unix(), who, what})
 	s.Audit = s.Audit[max(0, len(s.Audit)-maxAuditEntries):]
 }
 
-// Impossible is what can't be done, with the limit that forbids it.
-type Impossible struct{ Refused []Refusal }
+// RefusedError is returned for a request whose machines can't all go; each refusal names the limit that forbids it.
+type RefusedError struct{ Refused []Refusal }
 
-func (i Impossible) Error() string {
+func (e RefusedError) Error() string {
 	text := "can't be done"
-	for n, r := range i.Refused {
+	for n, r := range e.Refused {
 		if n == 10 {
-			return fmt.Sprintf("%s; and %d machines more", text, len(i.Refused)-n)
+			return fmt.Sprintf("%s; and %d machines more", text, len(e.Refused)-n)
 		}
 		text += fmt.Sprintf("; %s: %s", r.Machine, r.Why)
 	}
 	return text
 }
 
-// Start takes in a request for machines, in an order that holds the limits. The error is an Impossible where machines can't
-// go; without them the others may be asked for.
+// Start adds a request for machines, in an order that holds the limits. warm is the time that a machine needs to warm up after its
+// return. The error is a RefusedError where machines can't go; the others may be requested without them.
 func (s *State) Start(wall time.Time, r Request, machines []string, f *Fleet, l Limits, warm time.Duration) (*Request, Plan, error) {
-	if len(machines) == 0 || len(machines) > maxSteps {
-		return nil, Plan{}, fmt.Errorf("%d machines; a request names 1 to %d", len(machines), maxSteps)
-	}
-	if r.Takes <= 0 || r.Back <= 0 || r.AtOnce < 0 {
-		return nil, Plan{}, fmt.Errorf("takes %v, back %v, at once %d: the times are above 0, the number is not below it", r.Takes, r.Back, r.AtOnce)
-	}
-	open := 0
-	for _, o := range s.Requests {
-		if !o.ended() {
-			open++
-		}
-	}
-	if open >= maxOpenRequests {
-		return nil, Plan{}, fmt.Errorf("%d requests are open, as many as there may be; wait for one, or abandon it", open)
-	}
-	for _, m := range machines {
-		if o, _ := s.openStep(m); o != nil {
-			return nil, Plan{}, fmt.Errorf("machine %s is in request %d by %s already", m, o.ID, o.By)
-		}
+	if err := s.checkRequest(&r, machines); err != nil {
+		return nil, Plan{}, err
 	}
 	if r.AtOnce > 0 && (l.AtOnce == 0 || r.AtOnce < l.AtOnce) {
 		l.AtOnce = r.AtOnce
 	}
 	p := f.Plan(machines, l, s.Next+1)
 	if len(p.Refused) > 0 {
-		return nil, p, Impossible{p.Refused}
+		return nil, p, RefusedError{p.Refused}
 	}
-	if r.DoneBy > 0 {
-		begin := max(wall.Unix(), r.NotBefore)
-		if end := begin + int64(time.Duration(len(p.Waves))*(r.Takes+warm)/time.Second); end > r.DoneBy {
-			return nil, p, fmt.Errorf("it would be done by %s, %d waves of %v and %v to warm up; later than %s", time.Unix(end, 0).UTC().Format(time.RFC3339),
-				len(p.Waves), r.Takes, warm, time.Unix(r.DoneBy, 0).UTC().Format(time.RFC3339))
-		}
+	if err := r.checkDoneBy(wall, len(p.Waves), warm); err != nil {
+		return nil, p, err
 	}
 	s.Next++
 	r.ID, r.State, r.Bound, r.Waves, r.Steps = s.Next, Open, p.Bound, len(p.Waves), nil
-	for i, w := range p.Waves {
-		for _, m := range w {
+	for i, wave := range p.Waves {
+		for _, m := range wave {
 			r.Steps = append(r.Steps, &Step{Machine: m, Wave: i})
 		}
 	}
@@ -75,43 +54,82 @@
 	return &r, p, nil
 }
 
-// trim lets go of the oldest requests that are over.
+// checkRequest returns an error for a request with values out of range, for one too many, and for a machine of another request.
+func (s *State) checkRequest(r *Request, machines []string) error {
+	if len(machines) == 0 || len(machines) > maxSteps {
+		return fmt.Errorf("%d machines; a request names 1 to %d", len(machines), maxSteps)
+	}
+	if r.Takes <= 0 || r.Back <= 0 || r.AtOnce < 0 {
+		return fmt.Errorf("takes %v, back %v, at once %d: the times are above 0, the number is not below it", r.Takes, r.Back, r.AtOnce)
+	}
+	open := 0
+	for _, other := range s.Requests {
+		if !other.ended() {
+			open++
+		}
+	}
+	if open >= maxOpenRequests {
+		return fmt.Errorf("%d requests are open, as many as there may be; wait for one, or abandon it", open)
+	}
+	for _, m := range machines {
+		if other, _ := s.openStep(m); other != nil {
+			return fmt.Errorf("machine %s is in request %d by %s already", m, other.ID, other.By)
+		}
+	}
+	return nil
+}
+
+// checkDoneBy returns an error for a request that would end later than its DoneBy, wave by wave.
+func (r *Request) checkDoneBy(wall time.Time, waves int, warm time.Duration) error {
+	if r.DoneBy <= 0 {
+		return nil
+	}
+	begin := max(wall.Unix(), r.NotBefore)
+	end := begin + int64(time.Duration(waves)*(r.Takes+warm)/time.Second)
+	if end <= r.DoneBy {
+		return nil
+	}
+	return fmt.Errorf("it would be done by %s, %d waves of %v and %v to warm up; later than %s", time.Unix(end, 0).UTC().Format(time.RFC3339),
+		waves, r.Takes, warm, time.Unix(r.DoneBy, 0).UTC().Format(time.RFC3339))
+}
+
+// trimRequests removes the oldest requests that have ended and have no machine in work, beyond maxEndedRequests.
 func (s *State) trimRequests() {
-	over := 0
+	ended := 0
 	for _, r := range s.Requests {
 		if r.ended() {
-			over++
+			ended++
 		}
 	}
 	s.Requests = slices.DeleteFunc(s.Requests, func(r *Request) bool {
-		if over > maxEndedRequests && r.ended() && !slices.ContainsFunc(r.Steps, func(st *Step) bool { return st.State.inWork() }) {
-			over--
+		if ended > maxEndedRequests && r.ended() && !slices.ContainsFunc(r.Steps, func(st *Step) bool { return st.State.inWork() }) {
+			ended--
 			return true
 		}
 		return false
 	})
 }
 
-// The operators' words on a request.
+// The actions of Order.
 const (
 	Pause   = "pause"
 	Resume  = "resume"
 	Abandon = "abandon"
 )
 
-// Order is an operator's word on a whole request.
-func (s *State) Order(word string, id uint64) error {
+// Order carries out an operator's action on a request: Pause, Resume or Abandon.
+func (s *State) Order(action string, id uint64) error {
 	r := s.Request(id)
 	switch {
 	case r == nil:
 		return fmt.Errorf("there is no request %d", id)
 	case r.ended():
 		return fmt.Errorf("request %d is %s", id, r.State)
-	case word == Pause && r.State == Open:
+	case action == Pause && r.State == Open:
 		r.State, r.Why = Paused, "by an operator's word"
-	case word == Resume && r.State != Open:
+	case action == Resume && r.State != Open:
 		r.State, r.Why = Open, ""
-	case word == Abandon:
+	case action == Abandon:
 		r.State, r.Why = GivenUp, "by an operator's word"
 		for _, st := range r.Steps {
 			if st.State <= Drained {
@@ -119,12 +137,13 @@
 			}
 		}
 	default:
-		return fmt.Errorf("request %d is %s; %s changes nothing", id, r.State, word)
+		return fmt.Errorf("request %d is %s; %s changes nothing", id, r.State, action)
 	}
 	return nil
 }
 
-// WorkDone is an operator's or the hook's word that the work on a machine is done, and under which id it comes back if not its own.
+// WorkDone notes that the work on a machine is done, as an operator or the hook says. as is the id under which it comes back;
+// empty for its own.
 func (s *State) WorkDone(machine, as string) error {
 	r, st := s.openStep(machine)
 	switch {
