--- a/cmd/gullfall/store.go
+++ b/cmd/gullfall/store.go
@@ -145,7 +145,7 @@
 	case err != nil:
 		return n, fmt.Errorf("the store did not answer in time, so it may or may not have been taken: %w", err)
 	case r.Failed == statemachine.Conflict:
-		n.Conflict = r.Reason
+		n.Conflict = r.Why
 		return n, nil
 	}
 	n.Revision = r.Index
--- a/internal/maintenance/agent/agent.go
+++ b/internal/maintenance/agent/agent.go
@@ -425,7 +425,7 @@
 		return fmt.Errorf("%d moves: %w", len(moves), err)
 	}
 	if r.Failed != "" {
-		s.Log.Info("moves not taken; looked at anew", "moves", len(moves), "cause", r.Reason)
+		s.Log.Info("moves not taken; looked at anew", "moves", len(moves), "cause", r.Why)
 	}
 	return nil
 }
--- a/internal/maintenance/agent/operators.go
+++ b/internal/maintenance/agent/operators.go
@@ -221,6 +221,6 @@
 	if err != nil {
 		return t, err
 	}
-	t.Index, t.Accepted, t.Why = r.Index, r.Failed == "", r.Reason
+	t.Index, t.Accepted, t.Why = r.Index, r.Failed == "", r.Why
 	return t, nil
 }
--- a/internal/statemachine/statemachine.go
+++ b/internal/statemachine/statemachine.go
@@ -120,8 +120,8 @@
 // Result is the result of a command.
 type Result struct {
 	Index  uint64 // in the log; all before it was applied
-	Failed string `json:",omitempty"`    // a cause; empty for a command that was applied
-	Reason string `json:"Why,omitempty"` // in words
+	Failed string `json:",omitempty"` // a cause; empty for a command that was applied
+	Why    string `json:",omitempty"` // in words
 	Grant  lease.Grant
 }
 
@@ -133,7 +133,7 @@
 	if r.Failed == "" {
 		return nil
 	}
-	return fmt.Errorf("%w: %s: %s", ErrNotDone, r.Failed, r.Reason)
+	return fmt.Errorf("%w: %s: %s", ErrNotDone, r.Failed, r.Why)
 }
 
 // Entry is a value and the index of the command that put it.
@@ -198,12 +198,12 @@
 			return earlier, nil
 		}
 		if c.ID.N+resultWindow <= session.HighestN {
-			return Result{Index: index, Failed: Expired, Reason: fmt.Sprintf("number %d of writer %s is long past", c.ID.N, c.ID.Writer)}, nil
+			return Result{Index: index, Failed: Expired, Why: fmt.Sprintf("number %d of writer %s is long past", c.ID.N, c.ID.Writer)}, nil
 		}
 	}
 	if c.LeaderTerm != term {
 		// The result is not kept: the writer sends the command again under the same number.
-		return Result{Index: index, Failed: StaleStamp, Reason: "the leader changed meanwhile"}, nil
+		return Result{Index: index, Failed: StaleStamp, Why: "the leader changed meanwhile"}, nil
 	}
 	if s.term != term {
 		s.term = term
@@ -256,12 +256,12 @@
 	r.Index = index
 	for _, condition := range c.If {
 		if reason := s.violation(c.At, condition); reason != "" {
-			r.Failed, r.Reason = Conflict, reason
+			r.Failed, r.Why = Conflict, reason
 			return r, nil
 		}
 	}
 	if len(s.values)+s.newKeys(c.Put) > MaxKeys {
-		r.Failed, r.Reason = Full, fmt.Sprintf("%d keys are kept, the most there may be", len(s.values))
+		r.Failed, r.Why = Full, fmt.Sprintf("%d keys are kept, the most there may be", len(s.values))
 		return r, nil
 	}
 	if c.Lease != nil {
@@ -325,7 +325,7 @@
 		}
 	}
 	if err != nil {
-		r.Failed, r.Reason = HeldByOther, err.Error()
+		r.Failed, r.Why = HeldByOther, err.Error()
 		switch {
 		case errors.Is(err, lease.ErrTermOver):
 			r.Failed = TermOver
--- a/internal/statemachine/statemachine_test.go
+++ b/internal/statemachine/statemachine_test.go
@@ -54,7 +54,7 @@
 		r, _ := st.Apply(c.index, c.term, &c.cmd)
 		e, _ := st.Get("a")
 		if r.Failed != c.failed || string(e.Value) != c.value {
-			t.Errorf("%s: %q (%s), a is %q; want %q and %q", c.name, r.Failed, r.Reason, e.Value, c.failed, c.value)
+			t.Errorf("%s: %q (%s), a is %q; want %q and %q", c.name, r.Failed, r.Why, e.Value, c.failed, c.value)
 		}
 	}
 }
--- a/internal/store/members.go
+++ b/internal/store/members.go
@@ -44,7 +44,7 @@
 		case err == nil && r.Failed == "", err == nil && maybeDone && s.isMemberChangeDone(c):
 			return nil
 		case err == nil:
-			return errors.New(r.Reason)
+			return errors.New(r.Why)
 		}
 		maybeDone = maybeDone || !errors.Is(err, errNoLeader) // errNoLeader: it was not even begun
 		if ended := s.waitRetry(ctx); ended != nil {
@@ -81,7 +81,7 @@
 // changeMember makes a change at the leader. It rejects the removal of the last vote: the store could then elect no leader.
 func (s *Store) changeMember(ctx context.Context, c MemberChange, end time.Time) (statemachine.Result, error) {
 	reject := func(format string, args ...any) (statemachine.Result, error) {
-		return statemachine.Result{Failed: invalidMemberChange, Reason: fmt.Sprintf(format, args...)}, nil
+		return statemachine.Result{Failed: invalidMemberChange, Why: fmt.Sprintf(format, args...)}, nil
 	}
 	if s.raft.State() != raft.Leader {
 		return statemachine.Result{}, errNoLeader
