--- a/internal/maintenance/agent/agent_test.go
+++ b/internal/maintenance/agent/agent_test.go
@@ -11,8 +11,9 @@
 	"gullfall/internal/observations"
 )
 
-// TestTold: what others have told of a machine makes it missing, never sound, and its load known where it was not.
-func TestTold(t *testing.T) {
+// TestOthersObservations: reports of other coordinators make a machine unhealthy, never healthy, and its load known where it was
+// not.
+func TestOthersObservations(t *testing.T) {
 	unknown := observations.View{Latency: -1, Utilization: -1}
 	for _, c := range []struct {
 		name string
@@ -27,7 +28,7 @@
 		{"its load is known to another only", maintenance.Machine{Healthy: true}, observations.View{Utilization: 0.6}, maintenance.Machine{Healthy: true, Util: 0.6}},
 		{"and here", maintenance.Machine{Healthy: true, Util: 0.3}, observations.View{Utilization: 0.6}, maintenance.Machine{Healthy: true, Util: 0.3}},
 	} {
-		if d := cmp.Diff(c.want, told(c.m, c.v), cmpopts.IgnoreUnexported(maintenance.Machine{})); d != "" {
+		if d := cmp.Diff(c.want, withObservations(c.m, c.v), cmpopts.IgnoreUnexported(maintenance.Machine{})); d != "" {
 			t.Errorf("%s (-want +got)\n%s", c.name, d)
 		}
 	}
--- /dev/null
+++ b/internal/maintenance/agent/duties.go
@@ -0,0 +1,64 @@
+package agent
+
+import (
+	"context"
+	"fmt"
+	"gullfall/internal/statemachine"
+	"gullfall/internal/store"
+	"maps"
+	"slices"
+	"time"
+)
+
+// lease returns the lease of a duty.
+func (a *Agent) lease(duty string) (*store.Lease, error) {
+	l := a.leases.duties[duty]
+	if l == nil {
+		return nil, fmt.Errorf("no duty %q; there are %v", duty, slices.Sorted(maps.Keys(a.leases.duties)))
+	}
+	return l, nil
+}
+
+// HandOver returns a duty that this coordinator holds, and does not campaign for it for the length of one lease.
+func (a *Agent) HandOver(ctx context.Context, duty string) error {
+	l, err := a.lease(duty)
+	if err != nil {
+		return err
+	}
+	if _, ok := l.MayAct(); !ok {
+		return fmt.Errorf("%s does not hold %s", a.opts.Name, duty)
+	}
+	return l.StandBack(ctx)
+}
+
+// DutyAttempt is the result of TryDuty.
+type DutyAttempt struct {
+	Duty, Who string
+	Holds     bool  // by this coordinator's own clock
+	At        int64 // when that was so, Unix nanoseconds
+	Token     uint64
+	Accepted  bool   // the store accepted a write under the token
+	Index     uint64 // of the write in the store's log
+	Why       string `json:",omitempty"` // it was not accepted
+}
+
+// TryDuty tells whether this coordinator holds a duty, and writes to the store under its token, as the holder of a duty does. The
+// store rejects an old token.
+func (a *Agent) TryDuty(ctx context.Context, duty string) (t DutyAttempt, err error) {
+	l, err := a.lease(duty)
+	if err != nil {
+		return t, err
+	}
+	t = DutyAttempt{Duty: duty, Who: a.opts.Name}
+	var at time.Time
+	t.Token, at, t.Holds = l.Claim()
+	if t.At = at.UnixNano(); !t.Holds {
+		return t, nil
+	}
+	r, err := a.opts.Store.Do(ctx, statemachine.Command{If: []statemachine.Condition{{Duty: duty, Token: t.Token}}, Put: []statemachine.Pair{{Key: triedKey + duty, Value: []byte(a.opts.Name)}}})
+	if err != nil {
+		return t, err
+	}
+	t.Index, t.Accepted, t.Why = r.Index, r.Failed == "", r.Why
+	return t, nil
+}
--- a/internal/maintenance/agent/hooks.go
+++ b/internal/maintenance/agent/hooks.go
@@ -1,58 +1,110 @@
 package agent
 
-// This file owns the hook's processes: an argument vector, called with what became of which machine. It must never pass
-// through a shell, run longer than its time, or run twice at once for one machine.
-
 import (
 	"context"
+	"log/slog"
+	"maps"
 	"os/exec"
+	"sync"
 	"time"
 
 	"gullfall/internal/maintenance"
 )
 
-// hookAgain is the pause before a hook that failed is called again.
-const hookAgain = 10 * time.Second
+const (
+	hookRetryInterval  = 10 * time.Second // between two runs of a hook that failed
+	maxConcurrentHooks = 8
+	maxHookOutput      = 200 // bytes of a failed hook's output that are logged
+)
+
+// hookEvent is what a hook is told about a machine. The words are the hook's first argument.
+type hookEvent string
+
+const (
+	hookOut  hookEvent = "out"  // the machine was handed over
+	hookDone hookEvent = "done" // it is back and has warmed up
+)
+
+// hookRunner runs the operators' hook: an argument vector, without a shell, at most once at a time for a machine. It runs at least once
+// for each event; a new holder of the duty runs it again.
+type hookRunner struct {
+	command []string // empty for no hook
+	timeout time.Duration
+	log     *slog.Logger
+	wg      sync.WaitGroup
+
+	// mu guards the fields below.
+	mu        sync.Mutex
+	succeeded map[hookEvent]map[string]uint64 // by machine, the turn of its drain
+	running   map[string]bool                 // by machine
+	retryAt   map[string]time.Time            // by machine
+}
+
+func newHookRunner(o Options) hookRunner {
+	return hookRunner{command: o.Hook, timeout: o.HookFor, log: o.Log, running: map[string]bool{}, retryAt: map[string]time.Time{},
+		succeeded: map[hookEvent]map[string]uint64{hookOut: {}, hookDone: {}}}
+}
+
+// reset forgets the hooks that succeeded.
+func (h *hookRunner) reset() {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	for _, turns := range h.succeeded {
+		clear(turns)
+	}
+}
+
+// doneTurns returns the turns of the machines whose hook for done has succeeded; nil without a hook.
+func (h *hookRunner) doneTurns() map[string]uint64 {
+	if len(h.command) == 0 {
+		return nil
+	}
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	return maps.Clone(h.succeeded[hookDone])
+}
 
-// hooks calls the hook for machines that were handed over, and for those that are warm. It is called at least once for each; a
-// new holder of the duty calls it again.
-func (s *Agent) hooks(ctx context.Context, plan *maintenance.State) {
-	if len(s.Hook) == 0 {
+// run starts the hooks that are due by a plan.
+func (h *hookRunner) run(ctx context.Context, plan *maintenance.State) {
+	if len(h.command) == 0 {
 		return
 	}
 	for _, r := range plan.Requests {
 		for _, st := range r.Steps {
 			switch st.State {
 			case maintenance.Out:
-				s.hook(ctx, "out", st.Machine, st.Addr, st.Turn, s.handed)
+				h.start(ctx, hookOut, st)
 			case maintenance.Warm:
-				s.hook(ctx, "done", st.Machine, st.Addr, st.Turn, s.told)
+				h.start(ctx, hookDone, st)
 			}
 		}
 	}
 }
 
-func (s *Agent) hook(ctx context.Context, what, machine, addr string, turn uint64, told map[string]uint64) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if told[machine] == turn || s.calls[machine] || len(s.calls) >= mostHooks || time.Now().Before(s.retryAt[machine]) {
+// start runs the hook for an event of a machine, unless it has succeeded, runs, or waits for its retry.
+func (h *hookRunner) start(ctx context.Context, event hookEvent, st *maintenance.Step) {
+	machine, addr, turn := st.Machine, st.Addr, st.Turn
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	if h.succeeded[event][machine] == turn || h.running[machine] || len(h.running) >= maxConcurrentHooks || time.Now().Before(h.retryAt[machine]) {
 		return
 	}
-	s.calls[machine] = true
-	s.wg.Go(func() {
-		one, cancel := context.WithDeadline(ctx, time.Now().Add(s.HookFor))
+	h.running[machine] = true
+	h.wg.Go(func() {
+		ctx, cancel := context.WithDeadline(ctx, time.Now().Add(h.timeout))
 		defer cancel()
-		out, err := exec.CommandContext(one, s.Hook[0], append(append([]string{}, s.Hook[1:]...), what, machine, addr)...).CombinedOutput()
-		s.mu.Lock()
-		defer s.mu.Unlock()
-		delete(s.calls, machine)
+		args := append(append([]string{}, h.command[1:]...), string(event), machine, addr)
+		output, err := exec.CommandContext(ctx, h.command[0], args...).CombinedOutput()
+		h.mu.Lock()
+		defer h.mu.Unlock()
+		delete(h.running, machine)
 		if err != nil {
-			s.retryAt[machine] = time.Now().Add(hookAgain)
-			s.Log.Warn("hook failed; it is called again", "what", what, "machine", machine, "cause", err, "said", string(out[:min(len(out), 200)]))
+			h.retryAt[machine] = time.Now().Add(hookRetryInterval)
+			h.log.Warn("hook failed; it is called again", "what", string(event), "machine", machine, "cause", err, "said", string(output[:min(len(output), maxHookOutput)]))
 			return
 		}
-		delete(s.retryAt, machine)
-		told[machine] = turn
-		s.Log.Info("hook called", "what", what, "machine", machine)
+		delete(h.retryAt, machine)
+		h.succeeded[event][machine] = turn
+		h.log.Info("hook called", "what", string(event), "machine", machine)
 	})
 }
--- /dev/null
+++ b/internal/maintenance/agent/view.go
@@ -0,0 +1,56 @@
+package agent
+
+import (
+	"context"
+	"fmt"
+	"gullfall/internal/lease"
+	"gullfall/internal/maintenance"
+	"gullfall/internal/statemachine"
+	"gullfall/internal/store"
+)
+
+// View is what operators are shown. Its JSON keys are those of the admin command.
+type View struct {
+	Self         string
+	Plan         *maintenance.State
+	Coordinators []CoordinatorView
+	Duties       []DutyView
+	Store        store.Status
+}
+
+// CoordinatorView is a coordinator that takes part.
+type CoordinatorView struct {
+	Name    string
+	Seen    uint64
+	Clear   map[string]uint64
+	Present bool // as far as this coordinator knows
+}
+
+// DutyView is a duty and who holds it.
+type DutyView struct {
+	lease.Grant
+	LeaseS float64
+}
+
+// View returns the state of the maintenance as this coordinator has applied it. With fresh it first waits for all that was settled
+// before the call.
+func (a *Agent) View(ctx context.Context, fresh bool) (v View, err error) { //nolint:revive // the flag of the admin command, whose two answers differ in this one step
+	if fresh {
+		if err := a.opts.Store.Sync(ctx); err != nil {
+			return v, fmt.Errorf("the store was not heard in time; --stale shows what is known here: %w", err)
+		}
+	}
+	v.Self, v.Store = a.opts.Name, a.opts.Store.Status()
+	if v.Plan, _, err = a.plan(); err != nil {
+		return v, err
+	}
+	for _, c := range a.coordinators() {
+		v.Coordinators = append(v.Coordinators, CoordinatorView{c.Name, c.Seen, c.Clear, !c.Absent})
+	}
+	a.opts.Store.View(func(st *statemachine.State) {
+		for _, g := range st.Duties() {
+			v.Duties = append(v.Duties, DutyView{Grant: g, LeaseS: a.opts.Duty.Seconds()})
+		}
+	})
+	return v, nil
+}
