--- a/internal/maintenance/agent/follow.go
+++ b/internal/maintenance/agent/follow.go
@@ -45,7 +45,7 @@
 	}
 	plan, err := decodePlan(a.opts.Store.Get(planKey))
 	if err != nil || plan.Seen() < r.Seen {
-		a.opts.Log.Warn("what was kept of the work on machines is not used; nothing is sent before the store is heard", "cause", err)
+		a.opts.Log.Warn("stored maintenance plan not used; nothing is sent until the store answers", "cause", err)
 		return
 	}
 	a.mu.Lock()
@@ -117,7 +117,7 @@
 	}
 	plan, err := decodePlan(e.Value)
 	if err != nil {
-		a.opts.Log.Error("plan not understood; what is known of it holds", "cause", err)
+		a.opts.Log.Error("plan can't be decoded; the last known plan holds", "cause", err)
 		return false
 	}
 	if plan.Seen() < a.applied.seen {
--- a/internal/maintenance/agent/hooks.go
+++ b/internal/maintenance/agent/hooks.go
@@ -100,7 +100,7 @@
 		delete(h.running, machine)
 		if err != nil {
 			h.retryAt[machine] = time.Now().Add(hookRetryInterval)
-			h.log.Warn("hook failed; it is called again", "what", string(event), "machine", machine, "cause", err, "said", string(output[:min(len(output), maxHookOutput)]))
+			h.log.Warn("hook failed; retrying", "what", string(event), "machine", machine, "cause", err, "output", string(output[:min(len(output), maxHookOutput)]))
 			return
 		}
 		delete(h.retryAt, machine)
--- a/internal/maintenance/agent/moves.go
+++ b/internal/maintenance/agent/moves.go
@@ -125,7 +125,7 @@
 		return fmt.Errorf("%d moves: %w", len(moves), err)
 	}
 	if r.Failed != "" {
-		a.opts.Log.Info("moves not taken; looked at anew", "moves", len(moves), "cause", r.Why)
+		a.opts.Log.Info("moves not applied; retrying", "moves", len(moves), "cause", r.Why)
 	}
 	return nil
 }
