--- a/internal/kv/db_test.go
+++ b/internal/kv/db_test.go
@@ -256,8 +256,8 @@
 	t.Logf("%d states of %d operations", found, total)
 }
 
-// TestFlipInStore: a bit flipped in any file is told, or costs a torn tail; a value that was spoilt is never read.
-func TestFlipInStore(t *testing.T) {
+// TestBitFlipInStore: a bit flipped in any file is told, or costs a torn tail; a value that was spoilt is never read.
+func TestBitFlipInStore(t *testing.T) {
 	const batches = 100
 	states := history(batches)
 	d, _ := written(t, batches)
@@ -292,8 +292,8 @@
 	}
 }
 
-// TestFullStore: reads go on while the disk is full, writes say why they do not, and both go on once there is room.
-func TestFullStore(t *testing.T) {
+// TestStoreOnFullDisk: reads go on while the disk is full, writes say why they do not, and both go on once there is room.
+func TestStoreOnFullDisk(t *testing.T) {
 	for room := int64(3000); room < 30_000; room += 911 {
 		d := disk.New()
 		d.Room(room)
@@ -373,9 +373,9 @@
 	}
 }
 
-// TestOpenedRunsMerged: runs that were there when the store was opened are merged away later. A view reads them on until it is closed, and
+// TestRunsOfEarlierProcessMerged: runs that were there when the store was opened are merged away later. A view reads them on until it is closed, and
 // then, or at once where none is open, their files go. On files of the operating system: the stand-in reads on after a close.
-func TestOpenedRunsMerged(t *testing.T) {
+func TestRunsOfEarlierProcessMerged(t *testing.T) {
 	for _, viewed := range []bool{false, true} {
 		dir := kv.Dir(t.TempDir())
 		open := func() *kv.DB {
--- a/internal/kv/log_test.go
+++ b/internal/kv/log_test.go
@@ -85,8 +85,8 @@
 	return names
 }
 
-// TestCutAnywhere: the log is cut at every byte, with what follows gone: a prefix is there, and it can be written on.
-func TestCutAnywhere(t *testing.T) {
+// TestLogTruncatedAnywhere: the log is cut at every byte, with what follows gone: a prefix is there, and it can be written on.
+func TestLogTruncatedAnywhere(t *testing.T) {
 	d := disk.New()
 	fill(t, d, 1, 40)
 	names := segments(d)
@@ -115,8 +115,8 @@
 	t.Logf("%d offsets", offsets)
 }
 
-// TestCutInTheMiddle: an earlier segment that is cut while later ones are there is damage, told by file and offset.
-func TestCutInTheMiddle(t *testing.T) {
+// TestEarlierSegmentTruncated: an earlier segment that is cut while later ones are there is damage, told by file and offset.
+func TestEarlierSegmentTruncated(t *testing.T) {
 	d := disk.New()
 	fill(t, d, 1, 40)
 	names := segments(d)
@@ -140,8 +140,8 @@
 	}
 }
 
-// TestFlip: one bit flipped anywhere is damage, or costs the last batch as a torn tail; it is never served.
-func TestFlip(t *testing.T) {
+// TestBitFlipInLog: one bit flipped anywhere is damage, or costs the last batch as a torn tail; it is never served.
+func TestBitFlipInLog(t *testing.T) {
 	d := disk.New()
 	fill(t, d, 1, 25)
 	for _, name := range segments(d) {
@@ -170,9 +170,9 @@
 	}
 }
 
-// TestCrash: the power goes at every operation, with what was not synced kept or lost by chance; and again while the log
+// TestCrashOfLog: the power goes at every operation, with what was not synced kept or lost by chance; and again while the log
 // is being recovered. All that was acknowledged is there.
-func TestCrash(t *testing.T) {
+func TestCrashOfLog(t *testing.T) {
 	d := disk.New()
 	fill(t, d, 1, 30)
 	total, _ := d.Ops()
@@ -243,8 +243,8 @@
 	}
 }
 
-// TestFull: a disk that fills up at any byte refuses by name and goes on by itself once there is room.
-func TestFull(t *testing.T) {
+// TestLogOnFullDisk: a disk that fills up at any byte refuses by name and goes on by itself once there is room.
+func TestLogOnFullDisk(t *testing.T) {
 	for room := int64(0); room < 1500; room += 7 {
 		d := disk.New()
 		d.Room(room)
@@ -339,8 +339,8 @@
 	}
 }
 
-// TestDir: the same on the operating system's files.
-func TestDir(t *testing.T) {
+// TestLogOnOperatingSystem: the same on the operating system's files.
+func TestLogOnOperatingSystem(t *testing.T) {
 	dir := kv.Dir(t.TempDir())
 	for round := range 3 {
 		l, entries, err := kv.OpenLog(dir, small)
@@ -364,8 +364,8 @@
 	}
 }
 
-// TestBatches: what can't be kept is refused, and costs nothing.
-func TestBatches(t *testing.T) {
+// TestInvalidBatches: what can't be kept is refused, and costs nothing.
+func TestInvalidBatches(t *testing.T) {
 	l, _, err := kv.OpenLog(disk.New(), kv.Options{})
 	if err != nil {
 		t.Fatal(err)
--- a/internal/lease/lease_test.go
+++ b/internal/lease/lease_test.go
@@ -14,8 +14,8 @@
 
 const s = time.Second
 
-// TestTable: each row of the table's rules.
-func TestTable(t *testing.T) {
+// TestLessor: each row of the table's rules.
+func TestLessor(t *testing.T) {
 	for _, c := range []struct {
 		name string
 		play func(t *Lessor) (Grant, error)
@@ -273,9 +273,9 @@
 	}
 }
 
-// TestDeafHolder: one that is heard and does not hear keeps a duty for what is left of its lease and no longer, whoever else stands by,
+// TestHolderWithoutAnswersGetsNoDuty: one that is heard and does not hear keeps a duty for what is left of its lease and no longer, whoever else stands by,
 // and gets it back once it hears. Without versions nobody else ever holds it.
-func TestDeafHolder(t *testing.T) {
+func TestHolderWithoutAnswersGetsNoDuty(t *testing.T) {
 	play := func(says bool) (acted map[int]int, worst time.Duration) {
 		c := Config{Length: 10 * s}
 		table, _ := NewLessor(c)
--- a/internal/maintenance/maintenance_test.go
+++ b/internal/maintenance/maintenance_test.go
@@ -183,8 +183,8 @@
 	}
 }
 
-// TestSteps: a machine goes through its states, each move with what it needs.
-func TestSteps(t *testing.T) {
+// TestStepsOfOneMachine: a machine goes through its states, each move with what it needs.
+func TestStepsOfOneMachine(t *testing.T) {
 	p := newPlay(t, []string{"m0"}, Request{})
 	for _, c := range []struct {
 		what   string
@@ -227,8 +227,8 @@
 	}
 }
 
-// TestStops: what stops further moves, takes back what is begun, or lets a machine fail.
-func TestStops(t *testing.T) {
+// TestHaltsAndFailures: what stops further moves, takes back what is begun, or lets a machine fail.
+func TestHaltsAndFailures(t *testing.T) {
 	failing := func(id string) func(*Machine) {
 		return func(m *Machine) { m.Healthy = m.ID != id && m.Healthy }
 	}
@@ -331,8 +331,8 @@
 	}
 }
 
-// TestLapsedGoesWithTheMove: a move that rests on a coordinator being away names it, so that the store decides.
-func TestLapsedGoesWithTheMove(t *testing.T) {
+// TestMoveNamesAbsentCoordinators: a move that rests on a coordinator being away names it, so that the store decides.
+func TestMoveNamesAbsentCoordinators(t *testing.T) {
 	p := newPlay(t, []string{"m0"}, Request{})
 	p.step(0)
 	p.clear(0)
--- a/internal/statemachine/statemachine_test.go
+++ b/internal/statemachine/statemachine_test.go
@@ -59,8 +59,8 @@
 	}
 }
 
-// TestNumbersForgotten: a number that is long past is turned back, not applied anew, and writers stay bounded.
-func TestNumbersForgotten(t *testing.T) {
+// TestOldNumberRejected: a number that is long past is turned back, not applied anew, and writers stay bounded.
+func TestOldNumberRejected(t *testing.T) {
 	st := New()
 	for i := uint64(1); i <= 200; i++ {
 		st.Apply(i, 1, &Command{ID: ID{"w", i}, LeaderTerm: 1, Put: put("a", fmt.Sprint(i))})
@@ -80,9 +80,9 @@
 	}
 }
 
-// TestSnapshotAnywhere: two members, of which one goes through a snapshot after any command, come to the same state and the
+// TestSnapshotAfterAnyCommand: two members, of which one goes through a snapshot after any command, come to the same state and the
 // same results; a command that is applied again changes nothing.
-func TestSnapshotAnywhere(t *testing.T) {
+func TestSnapshotAfterAnyCommand(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		a, b := New(), New()
 		var clock time.Duration
--- a/internal/store/disk_test.go
+++ b/internal/store/disk_test.go
@@ -250,9 +250,9 @@
 	})
 }
 
-// TestTakeOver: what the release before kept is there, the log, votes, values and the newest snapshot, also where the taking over was
+// TestMigratesEarlierFormat: what the release before kept is there, the log, votes, values and the newest snapshot, also where the taking over was
 // cut short; and that release finds nothing to go on with.
-func TestTakeOver(t *testing.T) {
+func TestMigratesEarlierFormat(t *testing.T) {
 	dir := t.TempDir()
 	must := func(err error) {
 		t.Helper()
@@ -336,8 +336,8 @@
 	must(s.Close())
 }
 
-// TestPlanOfLog: how much of the log is kept, by the sizes of its entries.
-func TestPlanOfLog(t *testing.T) {
+// TestRetentionByEntrySizes: how much of the log is kept, by the sizes of its entries.
+func TestRetentionByEntrySizes(t *testing.T) {
 	for _, c := range []struct {
 		name               string
 		entries, bytes     int
@@ -375,9 +375,9 @@
 	}
 }
 
-// TestFullDisk: what the library can't go on without waits for room; the log says that there is none, and takes entries once there is;
+// TestStableStoreWaitsOnFullDisk: what the library can't go on without waits for room; the log says that there is none, and takes entries once there is;
 // and values of many entries at once.
-func TestFullDisk(t *testing.T) {
+func TestStableStoreWaitsOnFullDisk(t *testing.T) {
 	full := labdisk.New()
 	d := openOn(t, full)
 	defer d.Close()
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -40,9 +40,9 @@
 	}
 }
 
-// TestOneMember: alone and in memory, as on the platform, the store takes what it is handed, also before it
+// TestSingleMemberWritesLatestValue: alone and in memory, as on the platform, the store takes what it is handed, also before it
 // leads, and the latest value of a key wins.
-func TestOneMember(t *testing.T) {
+func TestSingleMemberWritesLatestValue(t *testing.T) {
 	s := open(t, config.Store{}, "n0")
 	defer s.Close()
 	for i := range 10 {
@@ -53,9 +53,9 @@
 	until(t, s, Settings, "settings")
 }
 
-// TestLogStaysShort: on a day on which data nodes come and go, each change of the list is an entry; the log must not
+// TestLogIsTrimmed: on a day on which data nodes come and go, each change of the list is an entry; the log must not
 // grow with them.
-func TestLogStaysShort(t *testing.T) {
+func TestLogIsTrimmed(t *testing.T) {
 	s := open(t, config.Store{}, "n0")
 	defer s.Close()
 	for i := range 200 {
@@ -75,8 +75,8 @@
 	}
 }
 
-// TestTornDisk: a member that could not write what it applied says so, and goes on.
-func TestTornDisk(t *testing.T) {
+// TestAppliedValuesRewrittenAfterFailedWrite: a member that could not write what it applied says so, and goes on.
+func TestAppliedValuesRewrittenAfterFailedWrite(t *testing.T) {
 	s := open(t, config.Store{Directory: t.TempDir()}, "n0")
 	defer s.Close()
 	s.Put(Members, []byte("list"))
@@ -210,9 +210,9 @@
 	return all, reopen
 }
 
-// TestForwardedOnce: every member, the learner too, counts the same value up by compare-and-set while leaders are closed and
+// TestForwardedCommandAppliedOnce: every member, the learner too, counts the same value up by compare-and-set while leaders are closed and
 // opened anew; each step that was told done, and no other, is in the sum.
-func TestForwardedOnce(t *testing.T) {
+func TestForwardedCommandAppliedOnce(t *testing.T) {
 	all, reopen := fleetOf(t)
 	var mu sync.Mutex // guards all
 	at := func(i int) *Store {
