--- /dev/null
+++ b/internal/lease/holder.go
@@ -0,0 +1,118 @@
+package lease
+
+import (
+	"time"
+)
+
+// RequestKind is what a holder does next.
+type RequestKind uint8
+
+// The kinds of a Request.
+const (
+	Wait     RequestKind = iota // nothing before Next
+	Campaign                    // request the duty
+	Renew                       // extend the lease
+)
+
+// Request is a request to be sent.
+type Request struct {
+	Kind    RequestKind
+	Term    uint64 // Renew: of the lease
+	Version uint64 // the version of the lease that this holder knows
+	Number  uint64 // names the request to which an answer belongs, so that a late answer is ignored
+}
+
+// Holder is one coordinator's side of the lease of one duty. It is not safe for concurrent use.
+type Holder struct {
+	config      Config
+	holding     bool
+	grant       Grant
+	actUntil    time.Duration // it may act before it
+	sentAt      time.Duration // of the last request
+	inFlight    bool          // a request waits for its result
+	lastRequest uint64        // its number
+	version     uint64        // of the lease, by the last answer
+	nextAt      time.Duration // when the next request is due
+	pause       time.Duration // added to the wait after a denial; differs between coordinators
+	resigned    bool
+}
+
+// NewHolder returns a holder that campaigns first after a pause, which differs between coordinators so that not all ask at once.
+func NewHolder(c Config, now, pause time.Duration) *Holder {
+	return &Holder{config: c.withDefaults(), version: 1, nextAt: now + pause, pause: max(pause, time.Millisecond)}
+}
+
+// MayAct tells whether the duty may be acted on now, and returns the fencing token. It must be called before each act: an earlier
+// result does not hold after a pause of the process.
+func (h *Holder) MayAct(now time.Duration) (token uint64, ok bool) {
+	if !h.holding || h.resigned || now >= h.actUntil {
+		return 0, false
+	}
+	return h.grant.Token, true
+}
+
+// Next returns when Step has the next request.
+func (h *Holder) Next() time.Duration { return h.nextAt }
+
+// Step returns the request to send now. One request is in flight at a time, until Granted, VersionStale, Denied or Unanswered is
+// called for it.
+func (h *Holder) Step(now time.Duration) Request {
+	if h.resigned || h.inFlight || now < h.nextAt {
+		return Request{}
+	}
+	h.inFlight, h.sentAt, h.lastRequest = true, now, h.lastRequest+1
+	if h.holding && now < h.actUntil {
+		return Request{Renew, h.grant.Term, h.version, h.lastRequest}
+	}
+	h.holding = false
+	return Request{Campaign, 0, h.version, h.lastRequest}
+}
+
+// Granted handles a grant for request n. The lease counts from when that was sent.
+func (h *Holder) Granted(now time.Duration, n uint64, g Grant) {
+	if !h.inFlight || n != h.lastRequest || h.resigned {
+		return
+	}
+	h.inFlight, h.holding, h.grant, h.version = false, true, g, g.Version
+	h.actUntil = h.sentAt + h.config.Acting()
+	h.nextAt = h.sentAt + time.Duration(h.config.Renew*float64(h.config.Acting()))
+	if h.nextAt <= now { // the answer took long
+		h.nextAt = now + h.config.Acting()/20
+	}
+}
+
+// VersionStale handles the answer to request n that the lease has another version. A lease that is held goes on to its end; the next
+// request is due at once.
+func (h *Holder) VersionStale(now time.Duration, n, version uint64) {
+	if !h.inFlight || n != h.lastRequest {
+		return
+	}
+	h.inFlight, h.version, h.nextAt = false, version, now
+}
+
+// Denied handles the answer to request n that another holds the duty, with the version of its lease; 0 for unknown.
+func (h *Holder) Denied(now time.Duration, n, version uint64) {
+	if !h.inFlight || n != h.lastRequest {
+		return
+	}
+	h.inFlight, h.holding = false, false
+	if version > 0 {
+		h.version = version
+	}
+	h.nextAt = now + h.config.Length/4 + h.pause
+}
+
+// Unanswered handles the timeout of request n. A lease that is held goes on to its end.
+func (h *Holder) Unanswered(now time.Duration, n uint64) {
+	if n != h.lastRequest {
+		return
+	}
+	h.inFlight = false
+	h.nextAt = now + h.config.Acting()/20
+}
+
+// Resign stops acting at once, and returns the lease to revoke.
+func (h *Holder) Resign() (g Grant, held bool) {
+	h.resigned = true
+	return h.grant, h.holding
+}
--- /dev/null
+++ b/internal/lease/lessor.go
@@ -0,0 +1,126 @@
+package lease
+
+import (
+	"fmt"
+	"maps"
+	"slices"
+	"time"
+)
+
+// Lessor grants duties. It is a part of the replicated store's state: requests are applied in the order of the log, with the clock
+// of the leader that received them. It is not safe for concurrent use.
+type Lessor struct {
+	config Config
+	duties map[string]*Record
+}
+
+// Record is a grant as snapshots hold it.
+type Record struct {
+	Grant
+	Until  time.Duration // by the leader's clock
+	Length time.Duration // of its lease, as its holder requested
+}
+
+// NewLessor returns a lessor for which every duty is free.
+func NewLessor(c Config) (*Lessor, error) {
+	return &Lessor{config: c.withDefaults(), duties: map[string]*Record{}}, c.Check()
+}
+
+// record returns the record of a duty, a new one where there is none.
+func (l *Lessor) record(name string) *Record {
+	d := l.duties[name]
+	if d == nil {
+		d = &Record{Grant: Grant{Duty: name, Version: 1}, Length: l.config.Length}
+		l.duties[name] = d
+	}
+	return d
+}
+
+// Grant grants a campaign for a duty that is free, or whose lease has expired. The length comes with the request, so that all members
+// hold a lease alike, whatever their settings. A holder that campaigns gets a new term. known is the version of the lease that
+// the sender knows, or AnyVersion. With an error, ErrHeld or ErrStaleVersion, the current grant is returned.
+func (l *Lessor) Grant(now time.Duration, duty, who string, length time.Duration, known uint64) (Grant, error) {
+	d := l.record(duty)
+	if d.Holder != "" && d.Holder != who && now < d.Until {
+		return d.Grant, fmt.Errorf("%w: %s, in term %d", ErrHeld, d.Holder, d.Term)
+	}
+	if known != AnyVersion && known != d.Version {
+		return d.Grant, ErrStaleVersion
+	}
+	d.Holder, d.Term, d.Token, d.Version, d.Until, d.Length = who, d.Term+1, d.Token+1, d.Version+1, now+length, length
+	return d.Grant, nil
+}
+
+// Renew extends the holder's lease by its length from now. With an error, ErrTermOver or ErrStaleVersion, the current grant is
+// returned.
+func (l *Lessor) Renew(now time.Duration, duty, who string, term, known uint64) (Grant, error) {
+	d := l.record(duty)
+	if d.Holder != who || d.Term != term {
+		return d.Grant, ErrTermOver
+	}
+	if known != AnyVersion && known != d.Version {
+		return d.Grant, ErrStaleVersion
+	}
+	d.Version, d.Until = d.Version+1, now+d.Length
+	return d.Grant, nil
+}
+
+// Revoke frees a duty for the holder of a term; ErrTermOver tells that it holds it no more.
+func (l *Lessor) Revoke(duty, who string, term uint64) error {
+	d := l.record(duty)
+	if d.Holder != who || d.Term != term {
+		return ErrTermOver
+	}
+	d.Holder, d.Until = "", 0
+	return nil
+}
+
+// Promote extends all leases by their lengths from now. It is called when another leader begins, whose clock is not the one by
+// which they were granted.
+func (l *Lessor) Promote(now time.Duration) {
+	for _, d := range l.duties {
+		if d.Holder != "" {
+			d.Until = now + d.Length
+		}
+	}
+}
+
+// Expired tells whether a duty's lease has expired by the leader's clock, or nobody holds it: its last holder acts no more.
+func (l *Lessor) Expired(now time.Duration, duty string) bool {
+	d := l.duties[duty]
+	return d == nil || d.Holder == "" || now >= d.Until
+}
+
+// Holds tells whether a token is the current holder's: nobody has been granted the duty since, and it was not revoked.
+func (l *Lessor) Holds(duty string, token uint64) bool {
+	d := l.duties[duty]
+	return d != nil && d.Holder != "" && d.Token == token
+}
+
+// Forget removes the record of a duty, so that its tokens begin anew. It is for duties without a fence.
+func (l *Lessor) Forget(duty string) { delete(l.duties, duty) }
+
+// Grants lists the grants of all duties that were ever held, by name.
+func (l *Lessor) Grants() (list []Grant) {
+	for _, name := range slices.Sorted(maps.Keys(l.duties)) {
+		list = append(list, l.duties[name].Grant)
+	}
+	return list
+}
+
+// Snapshot lists all records, by name.
+func (l *Lessor) Snapshot() (list []Record) {
+	for _, name := range slices.Sorted(maps.Keys(l.duties)) {
+		list = append(list, *l.duties[name])
+	}
+	return list
+}
+
+// Restore replaces the records by a snapshot. Promote must follow before the next request, unless that is of the same leader's term.
+func (l *Lessor) Restore(list []Record) {
+	l.duties = map[string]*Record{}
+	for _, g := range list {
+		g.Version = max(g.Version, 1) // 0 in the first form
+		l.duties[g.Duty] = &g
+	}
+}
--- a/internal/maintenance/agent/agent.go
+++ b/internal/maintenance/agent/agent.go
@@ -77,7 +77,7 @@
 // presenceRenewal is the share of a presence's time after which it is renewed.
 const presenceRenewal = 0.2
 
-// Start takes part from now on. The coordinator must have been told WatchWork.
+// Start takes part from now on. EnableMaintenance must have been called on the coordinator.
 func Start(o Options) *Agent {
 	ctx, stop := context.WithCancel(context.Background())
 	a := &Agent{opts: o, start: time.Now(), planLimiter: rate.NewLimiter(rate.Limit(o.Budget), o.Budget), stop: stop,
--- /dev/null
+++ b/internal/statemachine/command.go
@@ -0,0 +1,110 @@
+package statemachine
+
+import (
+	"errors"
+	"fmt"
+	"time"
+
+	"gullfall/internal/lease"
+)
+
+// ID identifies a command: the N-th of a writer, which is one process. A command without one may be applied twice.
+type ID struct {
+	Writer string
+	N      uint64
+}
+
+// Condition must hold for a command to be applied. One of Key, Duty and Lapsed is set.
+type Condition struct {
+	Key      string `json:",omitempty"` // has Revision; 0 for a key without a value
+	Revision uint64 `json:",omitempty"`
+	Duty     string `json:",omitempty"` // is held under the fencing token Token
+	Token    uint64 `json:",omitempty"`
+	Lapsed   string `json:",omitempty"` // this coordinator's presence has expired by the leader's clock
+}
+
+// Pair is a key and its new value; nil removes the key.
+type Pair struct {
+	Key   string
+	Value []byte
+}
+
+// LeaseOp is an operation on the lease of a duty, or of a coordinator's presence.
+type LeaseOp struct {
+	Kind     LeaseOpKind `json:"What"`
+	Duty     string
+	Presence bool // Duty is a coordinator's name, and the lease its presence
+	Who      string
+	Term     uint64 `json:",omitempty"` // Renew, Resign
+	// KnownVersion, of Campaign and Renew, is the version of the lease that Who knows; lease.AnyVersion in the log's first form.
+	KnownVersion uint64        `json:"Heard,omitempty"`
+	Length       time.Duration `json:",omitempty"` // Campaign: of the lease, by the leader's clock
+}
+
+// LeaseOpKind is the kind of a LeaseOp. Its numbers are stored in the log.
+type LeaseOpKind uint8
+
+// The kinds of a LeaseOp.
+const (
+	Campaign LeaseOpKind = iota + 1
+	Renew
+	Resign
+	Forget // remove the record of a presence that has expired
+)
+
+// Command is one entry of the log.
+type Command struct {
+	ID         ID            `json:",omitzero"`
+	At         time.Duration // the stamp: the leader's clock when it received the command
+	LeaderTerm uint64        `json:"LedTerm"` // its term then
+	If         []Condition   `json:",omitempty"`
+	Lease      *LeaseOp      `json:",omitempty"`
+	Put        []Pair        `json:",omitempty"`
+
+	// Key and Value are a command of the first form of the log: one value, without conditions or stamp.
+	Key   string `json:",omitempty"`
+	Value []byte `json:",omitempty"`
+}
+
+// Check returns why a command is invalid. It is called before the command is logged.
+func (c *Command) Check() error {
+	for _, p := range c.Put {
+		if p.Key == "" || len(p.Key) > 256 || len(p.Value) > MaxValue {
+			return fmt.Errorf("key %.40q of %d bytes, value of %d: a key has 1 to 256 bytes, a value %d at most", p.Key, len(p.Key), len(p.Value), MaxValue)
+		}
+	}
+	if l := c.Lease; l != nil && (l.Duty == "" || l.Kind < Campaign || l.Kind > Forget || l.Kind == Forget && !l.Presence || l.Kind == Campaign && l.Length <= 0) {
+		return fmt.Errorf("lease of duty %q, step %d, length %v: not known, or without a length", l.Duty, l.Kind, l.Length)
+	}
+	return nil
+}
+
+// The causes for which a command is not applied, as Result.Failed has them. They are stored and sent.
+const (
+	StaleStamp   = "stamp"    // the leader changed meanwhile; the command is sent again
+	Conflict     = "conflict" // a condition does not hold
+	HeldByOther  = "held"     // another coordinator holds the duty
+	TermOver     = "over"     // the term is over
+	StaleVersion = "unheard"  // the sender does not know the lease's last grant; Result.Grant has it
+	Full         = "full"     // no further key is accepted
+	Expired      = "old"      // its number is outside the writer's window of results
+)
+
+// Result is the result of a command.
+type Result struct {
+	Index  uint64 // in the log; all before it was applied
+	Failed string `json:",omitempty"` // a cause; empty for a command that was applied
+	Why    string `json:",omitempty"` // in words
+	Grant  lease.Grant
+}
+
+// ErrNotDone is wrapped by the errors of commands that were not applied.
+var ErrNotDone = errors.New("not done")
+
+// Err returns nil for a command that was applied.
+func (r Result) Err() error {
+	if r.Failed == "" {
+		return nil
+	}
+	return fmt.Errorf("%w: %s: %s", ErrNotDone, r.Failed, r.Why)
+}
--- /dev/null
+++ b/internal/statemachine/snapshot.go
@@ -0,0 +1,63 @@
+package statemachine
+
+import (
+	"encoding/json"
+	"fmt"
+
+	"gullfall/internal/lease"
+)
+
+// kept is the form of a snapshot. A change of it needs another Version.
+type kept struct {
+	Version  int
+	Index    uint64
+	Term     uint64
+	Values   map[string]Entry
+	Duties   []lease.Record
+	Presence []lease.Record
+	Writers  map[string]*clientSession
+}
+
+const snapshotVersion = 2
+
+// Snapshot encodes the state.
+func (s *State) Snapshot() ([]byte, error) {
+	return json.Marshal(kept{snapshotVersion, s.index, s.term, s.values, s.duties.Snapshot(), s.presence.Snapshot(), s.sessions})
+}
+
+// Restore replaces the state by a snapshot. It also reads the first form, a list of values without a version.
+func (s *State) Restore(data []byte) error {
+	var k kept
+	if err := json.Unmarshal(data, &k); err != nil {
+		return fmt.Errorf("snapshot of the store: %w", err)
+	}
+	switch k.Version {
+	case snapshotVersion:
+	case 0:
+		var first map[string][]byte
+		if err := json.Unmarshal(data, &first); err != nil {
+			return fmt.Errorf("snapshot of the store: %w", err)
+		}
+		k.Values = map[string]Entry{}
+		for key, value := range first {
+			k.Values[key] = Entry{value, 1}
+		}
+	default:
+		return fmt.Errorf("snapshot of the store: version %d; this program knows up to %d: start the newer one", k.Version, snapshotVersion)
+	}
+	if k.Values == nil {
+		k.Values = map[string]Entry{}
+	}
+	if k.Writers == nil {
+		k.Writers = map[string]*clientSession{}
+	}
+	for _, w := range k.Writers {
+		if w.Results == nil {
+			w.Results = map[uint64]Result{}
+		}
+	}
+	s.index, s.term, s.values, s.sessions = k.Index, k.Term, k.Values, k.Writers
+	s.duties.Restore(k.Duties)
+	s.presence.Restore(k.Presence)
+	return nil
+}
