--- a/internal/kv/db_test.go
+++ b/internal/kv/db_test.go
@@ -143,7 +143,7 @@
 					t.Fatal(err)
 				}
 			case "quiet":
-				if err := db.Quiet(); err != nil {
+				if err := db.WaitIdle(); err != nil {
 					t.Fatal(err)
 				}
 			}
@@ -192,7 +192,7 @@
 			t.Fatal(err)
 		}
 	}
-	if err := db.Quiet(); err != nil {
+	if err := db.WaitIdle(); err != nil {
 		t.Fatal(err)
 	}
 	s := db.Stats()
@@ -256,8 +256,8 @@
 	t.Logf("%d states of %d operations", found, total)
 }
 
-// TestFlipInStore: a bit flipped in any file is told, or costs a torn tail; a value that was spoilt is never read.
-func TestFlipInStore(t *testing.T) {
+// TestBitFlipInStore: a bit flipped in any file is told, or costs a torn tail; a value that was spoilt is never read.
+func TestBitFlipInStore(t *testing.T) {
 	const batches = 100
 	states := history(batches)
 	d, _ := written(t, batches)
@@ -292,8 +292,8 @@
 	}
 }
 
-// TestFullStore: reads go on while the disk is full, writes say why they do not, and both go on once there is room.
-func TestFullStore(t *testing.T) {
+// TestStoreOnFullDisk: reads go on while the disk is full, writes say why they do not, and both go on once there is room.
+func TestStoreOnFullDisk(t *testing.T) {
 	for room := int64(3000); room < 30_000; room += 911 {
 		d := disk.New()
 		d.Room(room)
@@ -319,7 +319,7 @@
 		}
 		d.Room(1 << 20)
 		for end := time.Now().Add(10 * time.Second); ; time.Sleep(5 * time.Millisecond) {
-			if err := db.Quiet(); err == nil {
+			if err := db.WaitIdle(); err == nil {
 				break
 			} else if !errors.Is(err, kv.ErrFull) || time.Now().After(end) {
 				t.Fatal(err)
@@ -362,7 +362,7 @@
 		})
 	}
 	wg.Wait()
-	if err := db.Quiet(); err != nil {
+	if err := db.WaitIdle(); err != nil {
 		t.Fatal(err)
 	}
 	if s := db.Stats(); s.Runs == 0 || s.Runs > 10 {
@@ -373,9 +373,9 @@
 	}
 }
 
-// TestOpenedRunsMerged: runs that were there when the store was opened are merged away later. A view reads them on until it is closed, and
+// TestRunsOfEarlierProcessMerged: runs that were there when the store was opened are merged away later. A view reads them on until it is closed, and
 // then, or at once where none is open, their files go. On files of the operating system: the stand-in reads on after a close.
-func TestOpenedRunsMerged(t *testing.T) {
+func TestRunsOfEarlierProcessMerged(t *testing.T) {
 	for _, viewed := range []bool{false, true} {
 		dir := kv.Dir(t.TempDir())
 		open := func() *kv.DB {
@@ -396,7 +396,7 @@
 		}
 		db := open()
 		write(db, 0, 400)
-		if err := errors.Join(db.Quiet(), db.Close()); err != nil {
+		if err := errors.Join(db.WaitIdle(), db.Close()); err != nil {
 			t.Fatal(err)
 		}
 		db = open()
@@ -405,7 +405,7 @@
 			view.Close()
 		}
 		write(db, 400, 2000)
-		if err := db.Quiet(); err != nil {
+		if err := db.WaitIdle(); err != nil {
 			t.Fatal(err)
 		}
 		if viewed {
--- /dev/null
+++ b/internal/maintenance/overlay.go
@@ -0,0 +1,35 @@
+package maintenance
+
+// Overlay is what the coordinators derive from the plan: to which machines nothing may be sent, and which return.
+type Overlay struct {
+	Excluded  map[string]bool   // by id
+	Addrs     map[string]bool   // of excluded machines: one may come up under a new id while it is out
+	Announced map[string]bool   // called: a coordinator sends to them only while it is present
+	Returned  map[string]uint64 // returning or warm machines, with the turn of their drain
+	Turns     map[string]uint64 // of excluded machines, with the turn of their drain
+}
+
+// Overlay derives the overlay from the state.
+func (s *State) Overlay() Overlay {
+	o := Overlay{Excluded: map[string]bool{}, Addrs: map[string]bool{}, Announced: map[string]bool{}, Returned: map[string]uint64{}, Turns: map[string]uint64{}}
+	for _, r := range s.Requests {
+		for _, st := range r.Steps {
+			switch {
+			case st.State.Excluded():
+				o.Excluded[st.Machine], o.Turns[st.Machine] = true, st.Turn
+				if st.Addr != "" {
+					o.Addrs[st.Addr] = true
+				}
+			case st.State == Returning || st.State == Warm:
+				o.Returned[st.Machine] = st.Turn
+				if st.As != "" {
+					o.Returned[st.As] = st.Turn
+				}
+			}
+			if st.missing() {
+				o.Announced[st.Machine] = true
+			}
+		}
+	}
+	return o
+}
--- a/internal/store/migrate.go
+++ b/internal/store/migrate.go
@@ -1,9 +1,5 @@
 package store
 
-// This file owns the taking over of what releases before internal/kv kept: one bbolt file and a folder of snapshots. It must never
-// change them before all is taken over, and leaves them beside it under another name: started anew, the earlier release would vote
-// with what it knew then.
-
 import (
 	"encoding/binary"
 	"encoding/json"
@@ -22,11 +18,13 @@
 	"gullfall/internal/kv"
 )
 
-// takenOver is added to the names of what was taken over.
-const takenOver = ".taken-over"
+// migratedSuffix is added to the names of the older format's files once they are migrated. They are not removed, but an earlier
+// release must not open them again: it would vote with what it knew then.
+const migratedSuffix = ".taken-over"
 
-// takeOver fills a new disk with what an earlier release kept in a folder, if there is anything.
-func takeOver(d *disk, dir string) error {
+// migrateBolt fills a new disk from the format of earlier releases, a bbolt file and a folder of snapshots, if a folder has them.
+// It does not change them.
+func migrateBolt(d *disk, dir string) error {
 	name := filepath.Join(dir, "store.db")
 	if _, err := os.Stat(name); errors.Is(err, fs.ErrNotExist) {
 		return nil
@@ -37,8 +35,8 @@
 	if err != nil {
 		return fmt.Errorf("%s is to be taken over: %w; end the earlier release first", name, err)
 	}
-	defer db.Close()
-	if err := takeFile(d, db); err != nil {
+	defer func() { _ = db.Close() }() // it was only read
+	if err := migrateBoltFile(d, db); err != nil {
 		return fmt.Errorf("%s is to be taken over: %w", name, err)
 	}
 	files, err := raft.NewFileSnapshotStoreWithLogger(dir, 2, hclog.NewNullLogger())
@@ -47,7 +45,7 @@
 	}
 	list, err := files.List()
 	if err == nil && len(list) > 0 {
-		err = takeSnapshot(d, files, list[0])
+		err = migrateSnapshot(d, files, list[0])
 	}
 	if err != nil {
 		return fmt.Errorf("snapshots of %s are to be taken over: %w", dir, err)
@@ -55,19 +53,19 @@
 	return nil
 }
 
-// putAside renames what was taken over.
-func putAside(dir string) error {
+// renameMigrated renames the files that were migrated.
+func renameMigrated(dir string) error {
 	for _, name := range []string{"store.db", "snapshots"} {
 		from := filepath.Join(dir, name)
-		if err := os.Rename(from, from+takenOver); err != nil && !errors.Is(err, fs.ErrNotExist) {
+		if err := os.Rename(from, from+migratedSuffix); err != nil && !errors.Is(err, fs.ErrNotExist) {
 			return err
 		}
 	}
 	return nil
 }
 
-// takeFile takes the log, the figures and the values.
-func takeFile(d *disk, db *bbolt.DB) error {
+// migrateBoltFile copies the log, raft's stable values and the applied values.
+func migrateBoltFile(d *disk, db *bbolt.DB) error {
 	return db.View(func(tx *bbolt.Tx) error {
 		each := func(name string, f func(k, v []byte) error) error {
 			if b := tx.Bucket([]byte(name)); b != nil {
@@ -81,7 +79,7 @@
 				index = binary.BigEndian.Uint64(v)
 				return nil
 			}
-			return d.db.Write(kv.Batch{{Kind: kv.Put, Key: key(keyFigure, k), Value: v}})
+			return d.db.Write(kv.Batch{{Kind: kv.Put, Key: key(keyStable, k), Value: v}})
 		}), each("log", func(k, v []byte) error {
 			var l raft.Log
 			if err := json.Unmarshal(v, &l); err != nil {
@@ -91,17 +89,17 @@
 		}), each("values", func(k, v []byte) error {
 			values[string(k)] = v
 			return nil
-		}), d.write(values, index, true))
+		}), d.replaceAll(values, index))
 	})
 }
 
-// takeSnapshot takes one snapshot.
-func takeSnapshot(d *disk, files raft.SnapshotStore, m *raft.SnapshotMeta) error {
+// migrateSnapshot copies one snapshot.
+func migrateSnapshot(d *disk, files raft.SnapshotStore, m *raft.SnapshotMeta) error {
 	_, in, err := files.Open(m.ID)
 	if err != nil {
 		return err
 	}
-	defer in.Close()
+	defer func() { _ = in.Close() }()
 	out, err := d.Create(m.Version, m.Index, m.Term, m.Configuration, m.ConfigurationIndex, nil)
 	if err != nil {
 		return err
--- a/internal/store/snapshots.go
+++ b/internal/store/snapshots.go
@@ -1,8 +1,5 @@
 package store
 
-// This file owns a member's snapshots: written in parts and seen only once they are whole, read in parts, at a pace while others
-// are sent one. It must never hold one in memory as a whole.
-
 import (
 	"bytes"
 	"cmp"
@@ -22,80 +19,80 @@
 	"gullfall/internal/kv"
 )
 
-// snapshotsKept is how many snapshots stay: the one before the last may still be on its way to a member.
-const snapshotsKept = 2
+// retainedSnapshots is how many snapshots are retained: the one before the last may still be on its way to a member.
+const retainedSnapshots = 2
 
-// List, Open and Create are the library's SnapshotStore; the newest comes first.
+// List returns the finished snapshots, the newest first. With Open and Create it implements raft.SnapshotStore.
 func (d *disk) List() (list []*raft.SnapshotMeta, err error) {
 	view := d.db.Snapshot()
 	defer view.Close()
-	var bad error
+	var decodeErr error
 	err = view.Each([]byte{keySnapshot}, func(_, raw []byte) bool {
 		var h snapshotHead
-		if h, bad = readHead(raw); bad == nil {
+		if h, decodeErr = decodeSnapshotHead(raw); decodeErr == nil {
 			list = append(list, &h.Meta)
 		}
-		return bad == nil
+		return decodeErr == nil
 	})
 	slices.SortFunc(list, func(a, b *raft.SnapshotMeta) int {
 		return cmp.Or(cmp.Compare(b.Term, a.Term), cmp.Compare(b.Index, a.Index), cmp.Compare(b.ID, a.ID))
 	})
-	return list, errors.Join(err, bad)
+	return list, errors.Join(err, decodeErr)
 }
 
-// Open reads a snapshot. Its content is checked by the time it ends.
+// Open opens a snapshot for reading. Its checksum is verified at its end.
 func (d *disk) Open(id string) (*raft.SnapshotMeta, io.ReadCloser, error) {
 	view := d.db.Snapshot()
 	raw, err := view.Get(key(keySnapshot, []byte(id)))
 	var h snapshotHead
 	if err == nil {
-		h, err = readHead(raw)
+		h, err = decodeSnapshotHead(raw)
 	}
 	if err != nil {
 		view.Close()
 		return nil, nil, fmt.Errorf("snapshot %s: %w", id, err)
 	}
-	r := &snapshotReader{ctx: d.ctx, view: view, head: h, sum: crc32.New(castagnoli)}
-	if d.pace != nil {
-		if bound := d.pace(&h.Meta); bound > 0 {
-			r.budget = rate.NewLimiter(rate.Limit(bound), partSize)
+	r := &snapshotReader{ctx: d.ctx, view: view, head: h, checksum: crc32.New(castagnoli)}
+	if d.snapshotRate != nil {
+		if bytesPerSecond := d.snapshotRate(&h.Meta); bytesPerSecond > 0 {
+			r.limiter = rate.NewLimiter(rate.Limit(bytesPerSecond), defaultPartSize)
 		}
 	}
 	return &h.Meta, r, nil
 }
 
-// Create begins a snapshot.
+// Create starts a snapshot. It is listed only once its writer is closed.
 func (d *disk) Create(version raft.SnapshotVersion, index, term uint64, members raft.Configuration, membersIndex uint64, _ raft.Transport) (raft.SnapshotSink, error) {
 	if version != 1 {
 		return nil, fmt.Errorf("snapshot of version %d; this program writes 1", version)
 	}
 	id := fmt.Sprintf("%016x-%016x-%016x", term, index, time.Now().UnixNano())
-	w := &snapshotWriter{disk: d, sum: crc32.New(castagnoli)}
+	w := &snapshotWriter{disk: d, checksum: crc32.New(castagnoli)}
 	w.head.Meta = raft.SnapshotMeta{Version: version, ID: id, Index: index, Term: term, Configuration: members, ConfigurationIndex: membersIndex}
 	return w, nil
 }
 
-// snapshotWriter is a snapshot that is being written.
+// snapshotWriter writes a snapshot in parts, so that it is never in memory as a whole.
 type snapshotWriter struct {
-	disk  *disk
-	head  snapshotHead
-	sum   hash.Hash32
-	buf   []byte
-	parts int
-	ended bool
+	disk     *disk
+	head     snapshotHead
+	checksum hash.Hash32
+	buf      []byte
+	parts    int
+	finished bool
 }
 
-// ID names the snapshot.
+// ID returns the name of the snapshot.
 func (w *snapshotWriter) ID() string { return w.head.Meta.ID }
 
-// Write takes further content in.
+// Write appends to the content.
 func (w *snapshotWriter) Write(p []byte) (n int, err error) {
-	w.sum.Write(p)
+	w.checksum.Write(p)
 	w.head.Meta.Size += int64(len(p))
 	for n = len(p); len(p) > 0; {
-		take := min(w.disk.part-len(w.buf), len(p))
+		take := min(w.disk.partSize-len(w.buf), len(p))
 		w.buf, p = append(w.buf, p[:take]...), p[take:]
-		if len(w.buf) == w.disk.part {
+		if len(w.buf) == w.disk.partSize {
 			if err := w.flush(); err != nil {
 				return 0, err
 			}
@@ -108,18 +105,18 @@
 	if len(w.buf) == 0 {
 		return nil
 	}
-	err := w.disk.db.Write(kv.Batch{{Kind: kv.Put, Key: key(keySnapPart, []byte(w.ID()), part(w.parts)), Value: w.buf}})
+	err := w.disk.db.Write(kv.Batch{{Kind: kv.Put, Key: key(keySnapshotPart, []byte(w.ID()), encodePart(w.parts)), Value: w.buf}})
 	w.buf, w.parts = nil, w.parts+1
 	return err
 }
 
-// Close lets it be seen, and removes those that are too old.
+// Close makes the snapshot visible, and removes the ones that are too old.
 func (w *snapshotWriter) Close() error {
-	if w.ended {
+	if w.finished {
 		return nil
 	}
-	w.ended = true
-	w.head.Sum = w.sum.Sum32()
+	w.finished = true
+	w.head.Sum = w.checksum.Sum32()
 	raw, err := json.Marshal(w.head)
 	if err == nil {
 		err = w.flush()
@@ -133,64 +130,77 @@
 	}
 	b := kv.Batch{{Kind: kv.Put, Key: key(keySnapshot, []byte(w.ID())), Value: raw}}
 	for i, m := range list {
-		if i >= snapshotsKept-1 {
+		if i >= retainedSnapshots-1 {
 			b = append(b, kv.Op{Kind: kv.Delete, Key: key(keySnapshot, []byte(m.ID))})
-			b = append(b, within(keySnapPart, []byte(m.ID))...)
+			b = append(b, deletePrefix(keySnapshotPart, []byte(m.ID))...)
 		}
 	}
 	return w.disk.db.Write(b)
 }
 
-// Cancel removes what was written.
+// Cancel removes the parts that were written.
 func (w *snapshotWriter) Cancel() error {
-	if w.ended {
+	if w.finished {
 		return nil
 	}
-	w.ended = true
-	return w.disk.db.Write(within(keySnapPart, []byte(w.ID())))
+	w.finished = true
+	return w.disk.db.Write(deletePrefix(keySnapshotPart, []byte(w.ID())))
 }
 
-// snapshotReader reads a snapshot, as it was when that was opened.
+// snapshotReader reads a snapshot as of the view under which it was opened.
 type snapshotReader struct {
-	ctx    context.Context
-	view   *kv.View
-	head   snapshotHead
-	sum    hash.Hash32
-	budget *rate.Limiter // nil for none
-	rest   bytes.Reader  // of the part that is read
-	part   int
-	read   int64
+	ctx      context.Context
+	view     *kv.View
+	head     snapshotHead
+	checksum hash.Hash32
+	limiter  *rate.Limiter // nil for no bound
+	current  bytes.Reader  // the rest of the part that was read last
+	part     int
+	offset   int64
 }
 
-// Read is io.Reader's.
+// Read returns the content, and an error in place of io.EOF where the checksum does not match.
 func (r *snapshotReader) Read(p []byte) (n int, err error) {
-	if r.read == r.head.Meta.Size {
-		if r.sum.Sum32() != r.head.Sum {
+	if r.offset == r.head.Meta.Size {
+		if r.checksum.Sum32() != r.head.Sum {
 			return 0, fmt.Errorf("snapshot %s does not have its checksum", r.head.Meta.ID)
 		}
 		return 0, io.EOF
 	}
-	if r.rest.Len() == 0 {
-		data, err := r.view.Get(key(keySnapPart, []byte(r.head.Meta.ID), part(r.part)))
+	if r.current.Len() == 0 {
+		data, err := r.view.Get(key(keySnapshotPart, []byte(r.head.Meta.ID), encodePart(r.part)))
 		if err != nil {
 			return 0, fmt.Errorf("snapshot %s, part %d: %w", r.head.Meta.ID, r.part, err)
 		}
-		if r.budget != nil {
-			if err := r.budget.WaitN(r.ctx, len(data)); err != nil { // a part is the most that it lets through
+		if r.limiter != nil {
+			if err := r.limiter.WaitN(r.ctx, len(data)); err != nil { // a part is never larger than its burst
 				return 0, err
 			}
 		}
-		r.rest.Reset(data)
+		r.current.Reset(data)
 		r.part++
 	}
-	n, err = r.rest.Read(p)
-	r.sum.Write(p[:n])
-	r.read += int64(n)
+	n, err = r.current.Read(p)
+	r.checksum.Write(p[:n])
+	r.offset += int64(n)
 	return n, err
 }
 
-// Close gives it back.
+// Close releases the view.
 func (r *snapshotReader) Close() error {
 	r.view.Close()
 	return nil
 }
+
+// snapshotHead is the value of a snapshot's key.
+type snapshotHead struct {
+	Meta raft.SnapshotMeta
+	Sum  uint32 // CRC-32C of its content
+}
+
+func decodeSnapshotHead(raw []byte) (h snapshotHead, err error) {
+	if err = json.Unmarshal(raw, &h); err != nil {
+		err = fmt.Errorf("head of a snapshot: %w", err)
+	}
+	return h, err
+}
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -40,9 +40,9 @@
 	}
 }
 
-// TestOneMember: alone and in memory, as on the platform, the store takes what it is handed, also before it
+// TestSingleMemberWritesLatestValue: alone and in memory, as on the platform, the store takes what it is handed, also before it
 // leads, and the latest value of a key wins.
-func TestOneMember(t *testing.T) {
+func TestSingleMemberWritesLatestValue(t *testing.T) {
 	s := open(t, config.Store{}, "n0")
 	defer s.Close()
 	for i := range 10 {
@@ -53,9 +53,9 @@
 	until(t, s, Settings, "settings")
 }
 
-// TestLogStaysShort: on a day on which data nodes come and go, each change of the list is an entry; the log must not
+// TestLogIsTrimmed: on a day on which data nodes come and go, each change of the list is an entry; the log must not
 // grow with them.
-func TestLogStaysShort(t *testing.T) {
+func TestLogIsTrimmed(t *testing.T) {
 	s := open(t, config.Store{}, "n0")
 	defer s.Close()
 	for i := range 200 {
@@ -64,8 +64,8 @@
 		until(t, s, Members, value)
 	}
 	for end := time.Now().Add(30 * time.Second); ; time.Sleep(50 * time.Millisecond) {
-		first, _ := s.logs.FirstIndex()
-		last, _ := s.logs.LastIndex()
+		first, _ := s.raftLog.FirstIndex()
+		last, _ := s.raftLog.LastIndex()
 		if last >= 200 && last-first < 50 {
 			return
 		}
@@ -75,8 +75,8 @@
 	}
 }
 
-// TestTornDisk: a member that could not write what it applied says so, and goes on.
-func TestTornDisk(t *testing.T) {
+// TestAppliedValuesRewrittenAfterFailedWrite: a member that could not write what it applied says so, and goes on.
+func TestAppliedValuesRewrittenAfterFailedWrite(t *testing.T) {
 	s := open(t, config.Store{Directory: t.TempDir()}, "n0")
 	defer s.Close()
 	s.Put(Members, []byte("list"))
@@ -109,9 +109,9 @@
 		s.Put("other", fmt.Append(nil, n))
 		time.Sleep(100 * time.Millisecond)
 	}
-	values, _, err := s.disk.read()
-	if err != nil || string(values[Members]) != "list 2" {
-		t.Errorf("the disk holds %q, %v", values[Members], err)
+	restored, err := s.disk.readApplied()
+	if err != nil || string(restored.values[Members]) != "list 2" {
+		t.Errorf("the disk holds %q, %v", restored.values[Members], err)
 	}
 }
 
@@ -210,9 +210,9 @@
 	return all, reopen
 }
 
-// TestForwardedOnce: every member, the learner too, counts the same value up by compare-and-set while leaders are closed and
+// TestForwardedCommandAppliedOnce: every member, the learner too, counts the same value up by compare-and-set while leaders are closed and
 // opened anew; each step that was told done, and no other, is in the sum.
-func TestForwardedOnce(t *testing.T) {
+func TestForwardedCommandAppliedOnce(t *testing.T) {
 	all, reopen := fleetOf(t)
 	var mu sync.Mutex // guards all
 	at := func(i int) *Store {
@@ -386,7 +386,7 @@
 	for ctx.Err() == nil { // until no leader can go on from there
 		kept := false
 		for _, s := range all[:3] {
-			first, _ := s.logs.FirstIndex()
+			first, _ := s.raftLog.FirstIndex()
 			kept = kept || first <= at+1
 		}
 		if !kept {
@@ -408,7 +408,7 @@
 		t.Fatalf("no snapshot was sent, or it did not arrive: %v", ctx.Err())
 	}
 	// Eight values of 300,000 bytes are 3.2 MB as they are written; one part goes ahead of the pace.
-	if least := time.Duration(3_200_000-partSize) * time.Second / pace; took < least {
+	if least := time.Duration(3_200_000-defaultPartSize) * time.Second / pace; took < least {
 		t.Errorf("caught up within %v, faster than %v", took, least)
 	}
 	t.Logf("caught up within %v", took)
