--- a/internal/flight/suite_test.go
+++ b/internal/flight/suite_test.go
@@ -106,7 +106,23 @@
 
 func (s *stand) client(users ...flightsuite.User) *flightsuite.Client {
 	s.t.Helper()
-	c, err := flightsuite.Dial(flightsuite.Env{Addr: s.addr, Class: "report", Shards: shards, Doc: datanode.Doc, Users: users})
+	return s.dial(flightsuite.Env{Users: users})
+}
+
+// smallestWindow is the smallest flow-control window that gRPC sets, in bytes.
+const smallestWindow = 64 << 10
+
+// slowClient is a client whose flow-control window does not grow: what it does not read stays at the server. A window that
+// adapts can take a whole answer in where the machine is busy, and a client that reads nothing is no slow reader then.
+func (s *stand) slowClient() *flightsuite.Client {
+	s.t.Helper()
+	return s.dial(flightsuite.Env{Window: smallestWindow})
+}
+
+func (s *stand) dial(env flightsuite.Env) *flightsuite.Client {
+	s.t.Helper()
+	env.Addr, env.Class, env.Shards, env.Doc = s.addr, "report", shards, datanode.Doc
+	c, err := flightsuite.Dial(env)
 	if err != nil {
 		s.t.Fatal(err)
 	}
@@ -247,7 +263,7 @@
 	var wg sync.WaitGroup
 	refused, begun, cut, other := 0, 0, 0, []error{}
 	for range 20 {
-		c := s.client()
+		c := s.slowClient()
 		for range 10 {
 			wg.Go(func() {
 				ctx, cancel := context.WithDeadline(t.Context(), time.Now().Add(5*time.Second))
--- a/internal/lab/flightsuite/suite.go
+++ b/internal/lab/flightsuite/suite.go
@@ -36,6 +36,8 @@
 	Shards int                    // that it has; 4 or more
 	Doc    func(shard int) string // what every answer must hold; nil where it is not known
 	Users  []User                 // two of two owners, where credentials are needed; else none
+	// Window is how many bytes the server may send ahead of a reader, 64 KiB at least; 0 lets the library adapt it.
+	Window int32
 }
 
 // User is one that is let in.
@@ -59,8 +61,12 @@
 
 // Dial opens a connection. Nothing is tried again by the library.
 func Dial(e Env) (*Client, error) {
-	cc, err := grpc.NewClient("passthrough:///"+e.Addr, grpc.WithDisableRetry(), grpc.WithNoProxy(),
-		grpc.WithTransportCredentials(insecure.NewCredentials()), grpc.WithDefaultCallOptions(grpc.MaxCallRecvMsgSize(16<<20)))
+	options := []grpc.DialOption{grpc.WithDisableRetry(), grpc.WithNoProxy(), grpc.WithTransportCredentials(insecure.NewCredentials()),
+		grpc.WithDefaultCallOptions(grpc.MaxCallRecvMsgSize(16 << 20))}
+	if e.Window > 0 {
+		options = append(options, grpc.WithInitialWindowSize(e.Window), grpc.WithInitialConnWindowSize(e.Window))
+	}
+	cc, err := grpc.NewClient("passthrough:///"+e.Addr, options...)
 	if err != nil {
 		return nil, err
 	}
