--- a/internal/faults/standins_test.go
+++ b/internal/faults/standins_flight_test.go
@@ -33,6 +33,15 @@
 		Connections: make(chan struct{}, 64)}).Dispatch
 }
 
+// newFlightServer is a Flight front with no limit but its memory.
+func newFlightServer(c *coordinator.Coordinator) *flight.Server {
+	server, err := flight.New(flight.Options{Coordinator: c, Log: quiet, Memory: 16 << 20})
+	if err != nil {
+		panic(err) // no option could be wrong
+	}
+	return server
+}
+
 // flightNode is a Flight data node.
 type flightNode struct {
 	arrowflight.BaseFlightServer
@@ -215,7 +224,7 @@
 
 // serveExchange is the Flight server and a client that asks by DoExchange, a stream for each query.
 func serveExchange(c *coordinator.Coordinator, ln net.Listener) (queryFunc, func()) {
-	server := flight.NewServer(c, quiet, 16<<20)
+	server := newFlightServer(c)
 	go server.Serve(ln, 64)
 	cc := grpcClient(ln.Addr().String())
 	client := arrowflight.NewClientFromConn(cc, nil)
@@ -288,7 +297,7 @@
 
 // serveFlight is the Flight server and its client.
 func serveFlight(c *coordinator.Coordinator, ln net.Listener) (queryFunc, func()) {
-	server := flight.NewServer(c, quiet, 16<<20)
+	server := newFlightServer(c)
 	go server.Serve(ln, 64)
 	cc := grpcClient(ln.Addr().String())
 	client := arrowflight.NewClientFromConn(cc, nil)
--- a/internal/flight/server.go
+++ b/internal/flight/server.go
@@ -93,15 +93,6 @@
 	sizeEstimates admission.SizeEstimator
 }
 
-// NewServer returns a server in front of a coordinator whose only limit is the memory of answers that are being read, in bytes.
-func NewServer(c *coordinator.Coordinator, log *slog.Logger, limit int64) *Server {
-	s, err := New(Options{Coordinator: c, Log: log, Memory: limit})
-	if err != nil {
-		panic(err) // there is no figure that could be wrong
-	}
-	return s
-}
-
 // New returns a server, or says which option can't be worked with.
 func New(o Options) (*Server, error) {
 	if o.Memory <= 0 {
--- a/internal/flight/server_test.go
+++ b/internal/flight/server_test.go
@@ -51,7 +51,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := NewServer(c, log, limit)
+	s := newServer(t, Options{Coordinator: c, Log: log, Memory: limit})
 	go s.Serve(ln, 9)
 	t.Cleanup(s.Stop)
 	cc, err := grpc.NewClient("passthrough:///"+ln.Addr().String(), grpc.WithTransportCredentials(insecure.NewCredentials()))
@@ -64,6 +64,16 @@
 
 const ticket = `{"class":"report","shards":[{"shard":0,"weight":1}]}`
 
+// newServer returns a server with options that are sound.
+func newServer(t *testing.T, o Options) *Server {
+	t.Helper()
+	s, err := New(o)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return s
+}
+
 // read asks and counts the batches and documents of the answer.
 func read(ctx context.Context, t *testing.T, client flight.Client, ticket string) (batches, docs int, err error) {
 	t.Helper()
@@ -139,7 +149,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := NewServer(nil, slog.New(slog.DiscardHandler), 1<<20)
+	s := newServer(t, Options{Log: slog.New(slog.DiscardHandler), Memory: 1 << 20})
 	go s.Serve(ln, 9)
 	t.Cleanup(s.Stop)
 	nc, err := net.Dial("tcp", ln.Addr().String())
--- a/internal/observations/observations_test.go
+++ b/internal/observations/observations_test.go
@@ -211,8 +211,8 @@
 			}
 		}
 		for _, tab := range tabs {
-			if tab.Step(now + time.Minute); tab.Size() != 0 {
-				r.Fatalf("%d data nodes are held a minute later", tab.Size())
+			if tab.Step(now + time.Minute); len(tab.nodes) != 0 {
+				r.Fatalf("%d data nodes are held a minute later", len(tab.nodes))
 			}
 		}
 	})
@@ -245,8 +245,8 @@
 	for i := range 5 {
 		tab.Observe(time.Duration(i)*s, wall, fmt.Sprint("n", i), Failed, 0)
 	}
-	if tab.Size() != 3 || tab.nodes["n0"] != nil || tab.nodes["n1"] != nil {
-		t.Errorf("%d data nodes held", tab.Size())
+	if len(tab.nodes) != 3 || tab.nodes["n0"] != nil || tab.nodes["n1"] != nil {
+		t.Errorf("%d data nodes held", len(tab.nodes))
 	}
 	var sent []string
 	for range 3 {
--- a/internal/observations/table.go
+++ b/internal/observations/table.go
@@ -193,6 +193,3 @@
 	}
 	return facts
 }
-
-// Size is how many data nodes are held.
-func (t *Table) Size() int { return len(t.nodes) }
--- a/internal/platform/listener.go
+++ b/internal/platform/listener.go
@@ -49,9 +49,6 @@
 	}
 }
 
-// ServeConn serves one connection until it ends.
-func (s *Server) ServeConn(nc net.Conn) { s.admit(nc).run() }
-
 // Drain makes each answer from now on close its connection. Queries that come in from now on are answered by answerBy.
 func (s *Server) Drain(answerBy time.Time) {
 	s.mu.Lock()
--- a/internal/platform/scenarioworld_test.go
+++ b/internal/platform/scenarioworld_test.go
@@ -303,7 +303,7 @@
 		w.mu.Lock()
 		w.crowd = append(w.crowd, ours)
 		w.mu.Unlock()
-		w.serving.Go(func() { w.clients.ServeConn(theirs) })
+		w.serving.Go(func() { w.clients.admit(theirs).run() })
 		time.Sleep(50 * time.Millisecond)
 	default:
 		w.send(a, strings.TrimPrefix(what, "send "))
@@ -430,7 +430,7 @@
 	if a.name[0] == 'c' && a.nc == nil {
 		ours, theirs := w.pair()
 		a.nc = ours
-		go w.clients.ServeConn(&hookedConn{theirs, a})
+		go func() { w.clients.admit(&hookedConn{theirs, a}).run() }()
 		go w.read(a, a.nc)
 	}
 	words := strings.SplitN(text, " ", 4)
