--- a/aggregator/admission.go
+++ b/aggregator/admission.go
@@ -152,7 +152,7 @@
 	if !a.settings.PriorityPerWork {
 		q.priority /= math.Max(a.queryWork(q), minWork)
 	}
-	if a.overQuota(q) {
+	if a.countAgainstQuota(q) {
 		q.priority *= a.settings.OverQuotaFactor
 	}
 	position := a.admission.priorities.add(q.priority)
@@ -171,9 +171,9 @@
 	return work
 }
 
-// overQuota counts a query of a tenant and tells whether it goes beyond the tenant's rate, or is a retry of one most of
+// countAgainstQuota counts a query of a tenant and tells whether it goes beyond the tenant's rate, or is a retry of one most of
 // whose queries are retries.
-func (a *Aggregator) overQuota(q *query) bool {
+func (a *Aggregator) countAgainstQuota(q *query) bool {
 	if q.tenant < 0 || q.tenant >= len(a.admission.tenantQueries) {
 		return false
 	}
--- a/aggregator/answer.go
+++ b/aggregator/answer.go
@@ -11,7 +11,7 @@
 // advance moves one query on and returns when it next needs attention.
 func (a *Aggregator) advance(q *query) time.Duration {
 	progress, times := q.progress(), a.timesOf(q)
-	complete := q.step == 0 && progress.weight >= a.settings.Classes[q.class].CompleteShare-weightTolerance
+	complete := q.phase == 0 && progress.weight >= a.settings.Classes[q.class].CompleteShare-weightTolerance
 	switch {
 	case q.ended:
 	case a.now >= times.end:
@@ -42,7 +42,7 @@
 // without partial answers needs all its parts.
 func (a *Aggregator) requiredShare(q *query) float64 {
 	c := &a.settings.Classes[q.class]
-	if q.step > 0 && c.MinShare >= c.CompleteShare {
+	if q.phase > 0 && c.MinShare >= c.CompleteShare {
 		return 1 - weightTolerance
 	}
 	return min(c.CompleteShare, c.MinShare) - weightTolerance
@@ -56,12 +56,12 @@
 		a.giveUp(q, reason)
 		return
 	}
-	if q.step == 0 && c.FetchParts > 0 {
+	if q.phase == 0 && c.FetchParts > 0 {
 		a.openSecondStep(q, progress.weight >= c.CompleteShare-weightTolerance)
 		return
 	}
 	complete := progress.weight >= c.CompleteShare-weightTolerance
-	if q.step > 0 {
+	if q.phase > 0 {
 		complete = progress.missing == 0 && q.firstStepComplete
 	}
 	a.act(Action{Kind: Answer, Query: q.id, Complete: complete, Final: true})
@@ -82,7 +82,7 @@
 		}
 		a.dropPart(p)
 	}
-	q.step, q.firstStepComplete, q.parts = 1, complete, nil
+	q.phase, q.firstStepComplete, q.parts = 1, complete, nil
 	q.partCount = min(a.settings.Classes[q.class].FetchParts, answered)
 	a.act(Action{Kind: Answer, Query: q.id, Complete: complete})
 }
--- a/aggregator/deadline.go
+++ b/aggregator/deadline.go
@@ -56,7 +56,7 @@
 // time for it earns nothing.
 func (a *Aggregator) secondStepTime(q *query) time.Duration {
 	c := &a.settings.Classes[q.class]
-	if q.step > 0 || c.FetchParts == 0 {
+	if q.phase > 0 || c.FetchParts == 0 {
 		return 0
 	}
 	if estimate := a.latencyOfStep(q.class, 1); estimate.tail.samples > 0 {
--- a/aggregator/dispatch.go
+++ b/aggregator/dispatch.go
@@ -61,7 +61,7 @@
 // part next needs attention, and whether its attempts are exhausted.
 func (a *Aggregator) dispatchPart(p *part, hold time.Duration) (next time.Duration, exhausted bool) {
 	if p.openAttempts() > 0 {
-		return a.hedge(p), false
+		return a.handleOverdue(p), false
 	}
 	if !a.mayRetry(p) {
 		return 0, true
--- a/aggregator/gossip.go
+++ b/aggregator/gossip.go
@@ -11,9 +11,9 @@
 	maxGossipBytes = 256
 	// gossipEntryBytes is the size of an entry: two bytes for the replica's tag, one for kind and duration.
 	gossipEntryBytes = 3
-	// gossipSteps is how many steps of duration the longest latency objective has. The third byte of an entry holds the step
+	// gossipLevels is how many steps of duration the longest latency objective has. The third byte of an entry holds the step
 	// of work sent, or gossipSteps plus the step of an excess.
-	gossipSteps = 127
+	gossipLevels = 127
 	// minGossipTicks is after how many ticks without a message an excess is sent.
 	minGossipTicks = 10
 )
@@ -59,10 +59,10 @@
 		if len(data)+gossipEntryBytes > maxGossipBytes {
 			break
 		}
-		steps := math.Round(gossipSteps * float64(e.duration) / float64(longest))
-		value := byte(math.Max(1, math.Min(steps, gossipSteps-1)))
+		steps := math.Round(gossipLevels * float64(e.duration) / float64(longest))
+		value := byte(math.Max(1, math.Min(steps, gossipLevels-1)))
 		if e.kind == gossipExcess {
-			value += gossipSteps
+			value += gossipLevels
 		}
 		data = append(data, byte(e.tag>>8), byte(e.tag), value)
 	}
@@ -77,10 +77,10 @@
 	for ; len(data) >= gossipEntryBytes; data = data[gossipEntryBytes:] {
 		e := gossipEntry{tag: uint16(data[0])<<8 | uint16(data[1]), kind: gossipSent}
 		steps := data[2]
-		if steps > gossipSteps {
-			e.kind, steps = gossipExcess, steps-gossipSteps
+		if steps > gossipLevels {
+			e.kind, steps = gossipExcess, steps-gossipLevels
 		}
-		e.duration = time.Duration(float64(steps) / gossipSteps * float64(longest))
+		e.duration = time.Duration(float64(steps) / gossipLevels * float64(longest))
 		entries = append(entries, e)
 	}
 	return entries
--- a/aggregator/idleconn_test.go
+++ b/aggregator/idleconn_test.go
@@ -86,8 +86,8 @@
 		t.Error("the query was not answered")
 	}
 	for _, r := range h.aggregator.endpoints.replicas {
-		if r.slowStart.active || r.outlier.ejected || r.outlier.failures > 0 {
-			t.Errorf("%s: slow start %v, ejected %v, %v failures", r.member.Replica, r.slowStart.active, r.outlier.ejected, r.outlier.failures)
+		if r.slowStart.active || r.outlier.ejected || r.outlier.decayedFailures > 0 {
+			t.Errorf("%s: slow start %v, ejected %v, %v failures", r.member.Replica, r.slowStart.active, r.outlier.ejected, r.outlier.decayedFailures)
 		}
 	}
 }
--- a/aggregator/latency.go
+++ b/aggregator/latency.go
@@ -91,7 +91,7 @@
 }
 
 func (a *Aggregator) latencyOf(q *query) *latencyEstimate {
-	return a.latencyOfStep(q.class, min(q.step, 1))
+	return a.latencyOfStep(q.class, min(q.phase, 1))
 }
 
 func (a *Aggregator) latencyOfStep(class, step int) *latencyEstimate {
--- a/aggregator/outcome.go
+++ b/aggregator/outcome.go
@@ -70,11 +70,11 @@
 	a.recordConnAnswer(t)
 	a.recordAnswerTime(t)
 	r.health.suspectedAt = 0
-	r.outlier.failures *= failureDecay
+	r.outlier.decayedFailures *= failureDecay
 	a.recordLatency(t, took)
 	if r.outlier.ejected {
 		// One good answer ends the ejection, one more failure brings it back.
-		r.outlier.ejected, r.outlier.failures = false, ejectionFailures-1
+		r.outlier.ejected, r.outlier.decayedFailures = false, ejectionFailures-1
 	}
 	p.query.canary.answered = true
 	if !p.answered && !p.query.ended {
@@ -101,7 +101,7 @@
 	}
 	r.outlier.failingFast = outcome == Errored
 	a.addFailure(r)
-	if outcome == Reset || outcome == ConnectFailed && r.outlier.failures >= ejectionFailures {
+	if outcome == Reset || outcome == ConnectFailed && r.outlier.decayedFailures >= ejectionFailures {
 		a.suspectRestart(r)
 	}
 }
--- a/aggregator/outlier.go
+++ b/aggregator/outlier.go
@@ -6,9 +6,10 @@
 )
 
 const (
-	// ejectionFailures is how many consecutive failures eject a replica.
+	// ejectionFailures is how many failures eject a replica. They are counted with decay: an answer between leaves a share of them,
+	// so that a replica that fails nearly always is ejected too.
 	ejectionFailures = 2.0
-	// failureDecay is the share of the consecutive failures that an answer leaves.
+	// failureDecay is the share of the counted failures that an answer leaves.
 	failureDecay = 0.6
 	// rejectedBackoff is for how many median latencies a replica is left alone that said it is full.
 	rejectedBackoff = 2.0
@@ -23,21 +24,21 @@
 // outlierState is the outlier ejection of one replica, in the terms of Envoy's outlier detection: consecutive failures,
 // ejection, and ejection time that grows with each further ejection.
 type outlierState struct {
-	failures      float64 // consecutive failures; an answer takes off a share
-	failingFast   bool    // its last failure was a quick error
-	lostConnRound int     // the round that last counted a lost connection
-	ejected       bool
-	halfOpen      bool          // while ejected: a trial part may be sent
-	trialAt       time.Duration // while ejected: when it becomes half open or is probed
-	ejectionTime  time.Duration // of the last ejection
-	backoffUntil  time.Duration // it said that it is full, so nothing is sent before
+	decayedFailures float64 // an answer leaves failureDecay of them
+	failingFast     bool    // its last failure was a quick error
+	lostConnRound   int     // the round that last counted a lost connection
+	ejected         bool
+	halfOpen        bool          // while ejected: a trial part may be sent
+	trialAt         time.Duration // while ejected: when it becomes half open or is probed
+	ejectionTime    time.Duration // of the last ejection
+	backoffUntil    time.Duration // it said that it is full, so nothing is sent before
 }
 
 // addFailure counts a failure of a replica and ejects it after ejectionFailures in a row, or at the first one while it is
 // ejected.
 func (a *Aggregator) addFailure(r *replica) {
-	r.outlier.failures++
-	if r.outlier.ejected || r.outlier.failures >= ejectionFailures {
+	r.outlier.decayedFailures++
+	if r.outlier.ejected || r.outlier.decayedFailures >= ejectionFailures {
 		a.eject(r)
 	}
 }
--- a/aggregator/query.go
+++ b/aggregator/query.go
@@ -19,7 +19,7 @@
 	retry             bool // the client has sent it before
 	parts             []*part
 	partCount         int // parts of the current step, of which some may not have arrived
-	step              int // 0 or 1
+	phase             int // 0 or 1
 	admitted          bool
 	ended             bool
 	firstStepComplete bool // the first step was answered in full
--- a/aggregator/retry.go
+++ b/aggregator/retry.go
@@ -52,10 +52,10 @@
 	return 0
 }
 
-// hedge looks at a part with an open attempt. Where the attempt is overdue and another replica is clearly faster, it sends
+// handleOverdue looks at a part with an open attempt. Where the attempt is overdue and another replica is clearly faster, it sends
 // a hedged request, or cancels the attempt where hedging is not permitted, so that a retry follows. It returns when the
 // part next needs attention.
-func (a *Aggregator) hedge(p *part) time.Duration {
+func (a *Aggregator) handleOverdue(p *part) time.Duration {
 	if at := a.hedgeAt(p); a.now < at {
 		return at
 	}
--- a/aggregator/settings.go
+++ b/aggregator/settings.go
@@ -37,7 +37,7 @@
 	CompleteShare    float64 // share of the parts' weight that makes an answer complete
 	MinShare         float64 // smallest share of the weight that may be answered
 	PartialShare     float64 // share of the priority that a partial answer earns, times its share of CompleteShare
-	FetchParts       int     // parts of the second step; 0 means one step
+	FetchParts       int     // parts of a second phase, which only the simulator has: its first answer opens it; 0 means one phase
 }
 
 // Tenant is a customer with a quota.
--- a/aggregator/slowstart.go
+++ b/aggregator/slowstart.go
@@ -43,7 +43,7 @@
 func (a *Aggregator) startSlowStart(r *replica, started time.Duration) {
 	if started > 0 && a.now-started < a.settings.Rules.WarmupTime {
 		r.slowStart.active, r.slowStart.start = true, max(started, r.slowStart.start)
-		r.outlier.ejected, r.outlier.failures, r.latency.excess = false, 0, 0
+		r.outlier.ejected, r.outlier.decayedFailures, r.latency.excess = false, 0, 0
 	}
 }
 
--- a/cmd/gullfall/reload.go
+++ b/cmd/gullfall/reload.go
@@ -8,7 +8,8 @@
 )
 
 // reload reads the configuration again at each SIGHUP until ctx ends, also during a drain, as the list of data nodes still
-// counts then. A file with a fault changes nothing: the running configuration stays and the log names the key.
+// counts then. A file with a faulty key changes nothing: the running configuration stays and the log names the key. Both files are
+// checked as a whole first; should a part still refuse what it is handed, the parts before it have their new values.
 func (d *daemon) reload(ctx context.Context) {
 	current := d.cfg
 	for {
--- a/cmd/gullfall/serve.go
+++ b/cmd/gullfall/serve.go
@@ -34,8 +34,9 @@
 	dataNodeSocketsOf8 = 3
 	flightSocketsDiv   = 8
 	clientSocketsDiv   = 2
-	// busyClientsDiv bounds the HTTP clients that wait for an answer; beyond it new requests are rejected.
-	busyClientsDiv = 3
+	// activeClientsDiv gives the connections that have sent a request beyond half of which an answer closes an idle connection, or
+	// its own, so that clients that connect anew for each request find a place.
+	activeClientsDiv = 3
 )
 
 // Shares of limits.memory_mb, as divisors.
@@ -183,7 +184,7 @@
 		d.cfg.Raw = d.store.Get(store.Settings)
 	}
 	if len(d.cfg.Known) == 0 {
-		d.cfg.Known = d.store.Get(store.Members)
+		d.cfg.Known = d.store.Get(store.EndpointList)
 	}
 	if err := d.cfg.Adopt(d.cfg.Raw); err != nil {
 		return err
@@ -225,12 +226,12 @@
 	limits, rules := d.cfg.Settings.Limits, d.cfg.Settings.Rules
 	d.connections = make(chan struct{}, d.cfg.Limits.Sockets*dataNodeSocketsOf8/8)
 	nodes := &platform.ConnPool{Coordinator: d.coordinator, Log: d.log, Dial: dial, Streams: d.cfg.Streams, ConnectTimeout: limits.ConnectTimeout,
-		IdleTimeout: limits.ConnIdle, Slots: d.connections}
+		IdleTimeout: limits.ConnIdle, Connections: d.connections}
 	d.coordinator.RegisterDispatcher(dnssd.Frames, nodes.Dispatch)
 	watch := platform.NewWatch(d.cfg.Discovery)
 	watch.Source = d.coordinator.Source(membership.Spec{Name: "discovery", Rank: discoveryRank})
 	watch.Log, watch.Dial = d.log, dial
-	watch.Persist = func(list []byte) { d.store.Put(store.Members, list) }
+	watch.Persist = func(list []byte) { d.store.Put(store.EndpointList, list) }
 	watch.Schedule = membership.PollSchedule{Pushed: !d.cfg.Settings.PollList, Peers: d.cfg.Settings.Aggregators - 1,
 		Grace: rules.DrainGrace, Interval: rules.PollInterval}
 	watch.ConfirmTimeout = watch.Schedule.ConfirmTimeout()
@@ -281,7 +282,7 @@
 	if d.deploy.Flight.Listen != "" {
 		maxConns -= sockets / flightSocketsDiv
 	}
-	d.fronts.clients = &platform.Server{Coordinator: d.coordinator, Log: d.log, MaxConns: maxConns, BusyConns: sockets / busyClientsDiv,
+	d.fronts.clients = &platform.Server{Coordinator: d.coordinator, Log: d.log, MaxConns: maxConns, ActiveConns: sockets / activeClientsDiv,
 		BodyMemory: int64(d.cfg.Limits.MemoryMB) << 20 / clientBodyMemoryDiv, RetryAfter: d.coordinator.RetryAfter()}
 	go func() { d.failed <- d.fronts.clients.Serve(d.fronts.listener) }()
 	d.log.Info("serving", "name", d.cfg.Name, "listen", d.cfg.Listen)
--- a/cmd/gullfall/sources.go
+++ b/cmd/gullfall/sources.go
@@ -59,7 +59,7 @@
 // zoneFollower returns a follower of a zone whose source starts from the list in the store.
 func (d *daemon) zoneFollower(zone dnssd.Zone, client *dnssd.Client) *dnssd.Follower {
 	spec := membership.Spec{Name: zone.Domain, Rank: zoneRank, Damped: true, MaxStale: time.Duration(d.deploy.DNSSD.Stale)}
-	source := &storedSource{Source: d.coordinator.Source(spec), key: store.Members + "/" + zone.Domain, store: d.store}
+	source := &storedSource{Source: d.coordinator.Source(spec), key: store.EndpointList + "/" + zone.Domain, store: d.store}
 	source.load(d.log)
 	return &dnssd.Follower{Zone: zone, Client: client, Updater: source, Log: d.log, Poll: time.Duration(d.deploy.DNSSD.Poll)}
 }
--- a/cmd/gullfall/zonedrains.go
+++ b/cmd/gullfall/zonedrains.go
@@ -38,7 +38,7 @@
 		changed := z.store.Changed()
 		if now := string(z.store.Get(drainedKey)); now != last {
 			if last = now; z.apply() != nil {
-				return // zones are not watched: told where they are drained
+				return // zones are not watched, which whoever drains one is told
 			}
 		}
 		select {
--- a/internal/coordinator/logline.go
+++ b/internal/coordinator/logline.go
@@ -47,14 +47,12 @@
 	return outcomeText[o]
 }
 
-// reasonText is why the module ends a query without an answer, in the log.
-var reasonText = map[aggregator.Reason]string{
-	aggregator.NoReplica:         "no replica",
-	aggregator.OverCapacity:      "over capacity",
-	aggregator.ForecastTooLate:   "forecast too late",
-	aggregator.DeadlineExceeded:  "deadline exceeded",
-	aggregator.AttemptsExhausted: "attempts exhausted",
-	aggregator.QueryOfDeath:      "query of death",
+// reasonText is why the module ends a query without an answer, in the log; empty for a query of an unknown class.
+func reasonText(reason aggregator.Reason) string {
+	if reason == 0 {
+		return ""
+	}
+	return reason.String()
 }
 
 // AttemptStates are all words for how an attempt stands, in the field missing of a query that was rejected or failed.
--- a/internal/coordinator/maintenance.go
+++ b/internal/coordinator/maintenance.go
@@ -224,8 +224,8 @@
 	}
 }
 
-// Idle reports whether a data node is out for maintenance and nothing is in flight there, whatever became of its record.
-func (c *Coordinator) Idle(id string) bool {
+// DrainedForMaintenance reports whether a data node is out for maintenance and nothing is in flight there, whatever became of its record.
+func (c *Coordinator) DrainedForMaintenance(id string) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.maintenance == nil || !c.maintenance.Excluded[id] {
--- a/internal/coordinator/maintenance_test.go
+++ b/internal/coordinator/maintenance_test.go
@@ -77,7 +77,7 @@
 			time.Sleep(10 * tick)
 			c.change(s)
 			time.Sleep(10 * tick)
-			got := told{Quiet: s.Idle("n1"), Present: s.IsPresent(), Press: s.Overloaded()}
+			got := told{Quiet: s.DrainedForMaintenance("n1"), Present: s.IsPresent(), Press: s.Overloaded()}
 			if c.want.Query != "" {
 				got.Query = s.execute(t.Context(), "q", 0)
 			}
--- a/internal/coordinator/queries.go
+++ b/internal/coordinator/queries.go
@@ -54,7 +54,7 @@
 // Answer is the one final answer of a query.
 type Answer struct {
 	Status     Status
-	Complete   bool // all parts are there
+	Complete   bool // the share of the weight that its class wants complete is there
 	Values     []PartValue
 	RetryAfter time.Duration // of a rejected one: when to come back; 0 for no advice
 }
@@ -65,7 +65,7 @@
 	Docs  [][]byte
 }
 
-// query is a Query that was admitted. Its fields belong to the event loop once it is enqueued, but for closed.
+// query is a Query that was accepted. Its fields belong to the event loop once it is enqueued, but for closed.
 type query struct {
 	Query
 	parts      []*part
@@ -253,7 +253,7 @@
 	if reason == aggregator.OverCapacity || reason == aggregator.ForecastTooLate {
 		c.noteOverload(now)
 	}
-	c.log.Info(message, "query", q.ID, "class", q.Class, "reason", reasonText[reason], "after", now.Sub(q.receivedAt).Round(time.Millisecond),
+	c.log.Info(message, "query", q.ID, "class", q.Class, "reason", reasonText(reason), "after", now.Sub(q.receivedAt).Round(time.Millisecond),
 		"left", q.Deadline.Sub(now).Round(time.Millisecond), "parts", len(q.parts), "missing", q.missing(now))
 }
 
--- a/internal/faults/standins_platform_test.go
+++ b/internal/faults/standins_platform_test.go
@@ -26,7 +26,7 @@
 // dispatchFrames reaches data nodes by the platform's protocol.
 func dispatchFrames(c *coordinator.Coordinator) coordinator.Dispatcher {
 	return (&platform.ConnPool{Coordinator: c, Log: quiet, Dial: dial, Streams: 32, ConnectTimeout: 250 * time.Millisecond,
-		IdleTimeout: 30 * time.Second, Slots: make(chan struct{}, 64)}).Dispatch
+		IdleTimeout: 30 * time.Second, Connections: make(chan struct{}, 64)}).Dispatch
 }
 
 // startFrameNode is a data node of the platform's protocol.
--- a/internal/flight/nodes.go
+++ b/internal/flight/nodes.go
@@ -107,7 +107,8 @@
 	}
 }
 
-// cancelAttempt gives up an attempt; its end is reported by fetch, after the stream was cancelled, or by giveUp. A channel on which
+// cancelAttempt gives up an attempt; its end is reported by runPart, after the stream was cancelled, or by
+// cancelPart. A channel on which
 // nothing was heard since the attempt began may be dead, and is not used for the next.
 func (p *nodeConn) cancelAttempt(a *coordinator.Attempt) {
 	p.mu.Lock()
--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -14,7 +14,8 @@
 //	holder     may act for L (1-E)/(1+E) by its own clock, counted from when it sent the request that was granted
 //	lessor     holds the duty for L by its own clock, counted from when it received the request
 //	new leader it does not know how much of a lease has passed: each runs for L from its first moment on
-//	fence      a resource accepts a token that is the highest it has seen, or higher, and rejects a lower one
+//	fence      the store applies a write under a duty only while its token is the current one (statemachine.Condition); any other
+//	           resource accepts a token that is the highest it has seen, or higher, and rejects a lower one
 //
 // So two holders never act at the same true time: the holder ends by L/(1+E) of true time after it sent, the lessor begins the
 // next no sooner than L/(1+E) after it received the request, which is later. What a holder sent before it ended and what arrives
--- a/internal/maintenance/agent/agent.go
+++ b/internal/maintenance/agent/agent.go
@@ -117,7 +117,7 @@
 func (a *Agent) Leave(ctx context.Context) error {
 	var group errgroup.Group
 	for _, l := range a.leases.duties {
-		group.Go(func() error { return l.StandBack(ctx) })
+		group.Go(func() error { return l.ResignAndPause(ctx) })
 	}
 	return group.Wait()
 }
--- a/internal/maintenance/agent/duties.go
+++ b/internal/maintenance/agent/duties.go
@@ -28,7 +28,7 @@
 	if _, ok := l.MayAct(); !ok {
 		return fmt.Errorf("%s does not hold %s", a.opts.Name, duty)
 	}
-	return l.StandBack(ctx)
+	return l.ResignAndPause(ctx)
 }
 
 // DutyAttempt is the result of TryDuty.
--- a/internal/maintenance/agent/follow.go
+++ b/internal/maintenance/agent/follow.go
@@ -96,7 +96,7 @@
 func (a *Agent) acknowledge() {
 	idle := map[string]uint64{}
 	for id, turn := range a.applied.turns {
-		if a.acked.Clear[id] == turn || a.opts.Coordinator.Idle(id) {
+		if a.acked.Clear[id] == turn || a.opts.Coordinator.DrainedForMaintenance(id) {
 			idle[id] = turn
 		}
 	}
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -25,10 +25,10 @@
 //
 // # Identity
 //
-//	same id, new address    moved: connections to the old address end; cold, unless its start is stated and the same
-//	same address, new id    replaced: the old id leaves the list, the new one is cold unless its start is stated
-//	another start           restarted: cold since the start stated, or since now where that went back
-//	vanished, came back     the same one where its start is the same; where none is stated it is cold after an
+//	same id, new address    moved: connections to the old address end; warming up, unless its start is stated and the same
+//	same address, new id    replaced: the old id leaves the list, the new one warms up unless its start is stated
+//	another start           restarted: warming up since the start stated, or since now where that went back
+//	vanished, came back     the same one where its start is the same; where none is stated it warms up after an
 //	                        absence of over Config.ShortAbsence or lost connections
 //
 // Where two sources name one address under two ids at once, the id of the higher rank stands, then the one that
--- a/internal/membership/source.go
+++ b/internal/membership/source.go
@@ -111,7 +111,7 @@
 
 // trust tells whether an update is to be applied. It takes from the update what can't be relied on: a truncated list
 // is applied as one that is not full. The guard prevents that a broken server empties the list, which would show as
-// queries failed with "no holder" everywhere at once.
+// queries rejected with "no replica" everywhere at once.
 func (t *Table) trust(now time.Time, src *source, u *Update) bool {
 	switch {
 	case u.Basis == Failed:
--- a/internal/platform/clientconn.go
+++ b/internal/platform/clientconn.go
@@ -197,7 +197,7 @@
 	}
 	c.server.mu.Lock()
 	defer c.server.mu.Unlock()
-	return c.server.draining || c.server.crowded()
+	return c.server.draining || c.server.crowdedOut()
 }
 
 // reserveReadAhead reserves memory for what a client sends ahead; it is given back when the connection ends.
--- a/internal/platform/connlimit.go
+++ b/internal/platform/connlimit.go
@@ -46,9 +46,9 @@
 	phaseIdle:    2 * time.Second,
 }
 
-// admit gives a connection its place. Where all are taken, another connection must go for it; where none may go yet, it
-// waits. No more requests are out than the coordinator takes, so that others soon may.
-func (s *Server) admit(nc net.Conn) *clientConn {
+// placeConn gives a connection its place. Where all are taken, another connection must go for it; where none may go yet, it
+// waits. A connection whose request is being answered is never closed, but its answer comes within its deadline.
+func (s *Server) placeConn(nc net.Conn) *clientConn {
 	c := newClientConn(s, nc)
 	for !s.register(c) {
 		time.Sleep(pollInterval)
@@ -104,11 +104,11 @@
 	return true
 }
 
-// crowded tells whether an answer is to close its connection. Clients that open a connection for each request and keep it
+// crowdedOut tells whether an answer is to close its connection, and closes an idle one where that is enough. Clients that open a connection for each request and keep it
 // would soon have no other left: an idle one goes first, and where none has been idle for long enough, this one. The caller
 // holds the lock.
-func (s *Server) crowded() bool {
-	return s.BusyConns > 0 && s.active > s.BusyConns/2 && !s.evict(phaseIdle)
+func (s *Server) crowdedOut() bool {
+	return s.ActiveConns > 0 && s.active > s.ActiveConns/2 && !s.evict(phaseIdle)
 }
 
 // reserveMemory reserves n bytes for bodies, or gives them back where n is negative. It tells whether there is room for them.
--- a/internal/platform/connpool.go
+++ b/internal/platform/connpool.go
@@ -23,7 +23,7 @@
 	Streams        int           // parts that one connection carries at once
 	ConnectTimeout time.Duration // within which a connection comes up, a frame is written, a health check is answered
 	IdleTimeout    time.Duration // after which the peer closes an idle connection; 0 where not known
-	Slots          chan struct{} // a semaphore of descriptors: it holds one element for each connection
+	Connections    chan struct{} // a semaphore of descriptors: it holds one element for each connection
 
 	// mu guards pools. It is taken before a nodePool's own.
 	mu    sync.Mutex
@@ -124,7 +124,7 @@
 	}
 	c := newNodeConn(np, now)
 	select {
-	case np.Slots <- struct{}{}:
+	case np.Connections <- struct{}{}:
 		c.hasSlot = true
 	default: // run waits for a descriptor
 	}
--- a/internal/platform/descriptors_test.go
+++ b/internal/platform/descriptors_test.go
@@ -71,7 +71,7 @@
 			}()
 			return &counted{Conn: ours, open: &open}, nil
 		}
-		pool := &ConnPool{Coordinator: c, Log: log, Dial: dial, Streams: 32, ConnectTimeout: 250 * time.Millisecond, IdleTimeout: 30 * time.Second, Slots: make(chan struct{}, 2)}
+		pool := &ConnPool{Coordinator: c, Log: log, Dial: dial, Streams: 32, ConnectTimeout: 250 * time.Millisecond, IdleTimeout: 30 * time.Second, Connections: make(chan struct{}, 2)}
 		c.RegisterDispatcher("", pool.Dispatch)
 		list := c.Source(membership.Spec{Name: "list"})
 		var all []coordinator.Member
@@ -124,8 +124,8 @@
 		}
 		list.Replace(nil, false)
 		time.Sleep(time.Minute)
-		if len(pool.Slots) > 0 || open.Load() > 0 {
-			t.Errorf("%d descriptors and %d connections were not given back", len(pool.Slots), open.Load())
+		if len(pool.Connections) > 0 || open.Load() > 0 {
+			t.Errorf("%d descriptors and %d connections were not given back", len(pool.Connections), open.Load())
 		}
 		stop()
 	})
--- a/internal/platform/ending_test.go
+++ b/internal/platform/ending_test.go
@@ -255,7 +255,7 @@
 	ours, theirs := w.pair()
 	defer ours.Close()
 	clients := &Server{Coordinator: c, Log: log, MaxConns: 9, BodyMemory: 1 << 20}
-	go func() { clients.admit(theirs).run() }()
+	go func() { clients.placeConn(theirs).run() }()
 	body := `{"shards":[{"shard":0,"weight":1}],"q":"text"}`
 	fmt.Fprintf(ours, "POST /report HTTP/1.1\r\nReq-Id: q\r\nReq-Deadline-Ms: 100\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 	time.Sleep(120 * time.Millisecond)
--- a/internal/platform/keyed_test.go
+++ b/internal/platform/keyed_test.go
@@ -67,7 +67,7 @@
 					}()
 					return ours, nil
 				}
-				k.RegisterDispatcher("", (&ConnPool{Coordinator: k, Log: log, Dial: dial, Streams: 32, ConnectTimeout: 250 * time.Millisecond, Slots: make(chan struct{}, 9)}).Dispatch)
+				k.RegisterDispatcher("", (&ConnPool{Coordinator: k, Log: log, Dial: dial, Streams: 32, ConnectTimeout: 250 * time.Millisecond, Connections: make(chan struct{}, 9)}).Dispatch)
 				list := k.Source(membership.Spec{Name: "list"})
 				list.Replace([]coordinator.Member{{ID: "a", Weight: 1}, {ID: "b", Weight: 1}}, false)
 				answer, err := k.Execute(ctx, coordinator.Query{ID: "q", Class: "entry", IdempotencyKey: "k1", Text: "text", Deadline: time.Now().Add(1500 * time.Millisecond),
--- a/internal/platform/listener.go
+++ b/internal/platform/listener.go
@@ -15,7 +15,7 @@
 	Coordinator *coordinator.Coordinator
 	Log         *slog.Logger
 	MaxConns    int   // connections that may be open
-	BusyConns   int   // connections with requests that clients may have; from half of it on idle ones are closed early
+	ActiveConns int   // connections with requests that clients may have; from half of it on idle ones are closed early
 	BodyMemory  int64 // bytes that longer bodies may take while they come in
 	// RetryAfter is when to come back, sent where the server itself rejects a request; 0 where nothing may be sent.
 	RetryAfter time.Duration
@@ -44,7 +44,7 @@
 			time.Sleep(pollInterval)
 			continue
 		}
-		c := s.admit(nc)
+		c := s.placeConn(nc)
 		s.wg.Go(c.run)
 	}
 }
--- a/internal/platform/nodeconn.go
+++ b/internal/platform/nodeconn.go
@@ -175,7 +175,7 @@
 	for {
 		c.pool.closeLeastRecentlyUsed()
 		select {
-		case c.pool.Slots <- struct{}{}:
+		case c.pool.Connections <- struct{}{}:
 			c.hasSlot = true
 			return nil
 		case <-poll.C:
@@ -335,6 +335,6 @@
 	}
 	c.failAll(unsent, begun)
 	if c.hasSlot {
-		<-c.pool.Slots
+		<-c.pool.Connections
 	}
 }
--- a/internal/platform/scenarioworld_test.go
+++ b/internal/platform/scenarioworld_test.go
@@ -146,13 +146,13 @@
 		clients: &Server{Coordinator: c, Log: log, MaxConns: 9, BodyMemory: 2 * maxBody, RetryAfter: time.Second}}
 	go c.Run(ctx)
 	w.nodes = &ConnPool{Coordinator: c, Log: log, Dial: w.dial, Streams: 32, ConnectTimeout: set.Limits.ConnectTimeout,
-		IdleTimeout: set.Limits.ConnIdle, Slots: make(chan struct{}, 9)}
+		IdleTimeout: set.Limits.ConnIdle, Connections: make(chan struct{}, 9)}
 	c.RegisterDispatcher("", w.nodes.Dispatch)
 	w.watch = NewWatch("d1")
 	w.watch.Source, w.watch.Log, w.watch.Dial = c.Source(membership.Spec{Name: "discovery"}), log, w.dial
 	var list []string
 	confirm := 0
-	options := map[string]*int{"streams": &w.nodes.Streams, "busy": &w.clients.BusyConns, "most": &w.clients.MaxConns, "confirm": &confirm}
+	options := map[string]*int{"streams": &w.nodes.Streams, "busy": &w.clients.ActiveConns, "most": &w.clients.MaxConns, "confirm": &confirm}
 	for _, id := range strings.Fields(nodes) {
 		if key, n, ok := strings.Cut(id, "="); ok {
 			if to := options[key]; to != nil {
@@ -274,8 +274,8 @@
 		}
 	}
 	w.settle()
-	if len(w.nodes.Slots) > 0 {
-		w.t.Errorf("%d connections were not given back", len(w.nodes.Slots))
+	if len(w.nodes.Connections) > 0 {
+		w.t.Errorf("%d connections were not given back", len(w.nodes.Connections))
 	}
 	if s := w.clients; len(s.conns)+s.active > 0 || s.bodyBytes > 0 {
 		w.t.Errorf("%d client connections, %d of them used, and %d bytes are still held", len(s.conns), s.active, s.bodyBytes)
@@ -290,7 +290,7 @@
 func (w *world) givenBack() bool {
 	w.clients.mu.Lock()
 	defer w.clients.mu.Unlock()
-	return len(w.nodes.Slots)+len(w.clients.conns)+w.coordinator.Open() == 0
+	return len(w.nodes.Connections)+len(w.clients.conns)+w.coordinator.Open() == 0
 }
 
 // instant does what happens at a held instant.
@@ -303,7 +303,7 @@
 		w.mu.Lock()
 		w.crowd = append(w.crowd, ours)
 		w.mu.Unlock()
-		w.serving.Go(func() { w.clients.admit(theirs).run() })
+		w.serving.Go(func() { w.clients.placeConn(theirs).run() })
 		time.Sleep(50 * time.Millisecond)
 	default:
 		w.send(a, strings.TrimPrefix(what, "send "))
@@ -430,7 +430,7 @@
 	if a.name[0] == 'c' && a.nc == nil {
 		ours, theirs := w.pair()
 		a.nc = ours
-		go func() { w.clients.admit(&hookedConn{theirs, a}).run() }()
+		go func() { w.clients.placeConn(&hookedConn{theirs, a}).run() }()
 		go w.read(a, a.nc)
 	}
 	words := strings.SplitN(text, " ", 4)
--- a/internal/store/commands.go
+++ b/internal/store/commands.go
@@ -15,8 +15,9 @@
 // commandRetryInterval is the pause before a command is sent again that found no leader.
 const commandRetryInterval = 20 * time.Millisecond
 
-// Do replicates a command, whoever leads, and returns its result once it is applied. It is applied at most once. An error means
-// that the result is unknown because ctx ended first: the command may still be applied.
+// Do replicates a command, whoever leads, and returns its result once it is applied. It is applied at most once. An error
+// of Command.Check means that it was not sent. Any other means that ctx ended or the store closed first: the command may still be
+// applied.
 func (s *Store) Do(ctx context.Context, c statemachine.Command) (statemachine.Result, error) {
 	if err := c.Check(); err != nil {
 		return statemachine.Result{}, err
--- a/internal/store/lease.go
+++ b/internal/store/lease.go
@@ -142,8 +142,8 @@
 	return r.Err()
 }
 
-// StandBack returns the lease and campaigns again only after its length, so that another coordinator can get it.
-func (l *Lease) StandBack(ctx context.Context) error {
+// ResignAndPause returns the lease and campaigns again only after its length, so that another coordinator can get it.
+func (l *Lease) ResignAndPause(ctx context.Context) error {
 	err := l.Resign(ctx)
 	l.mu.Lock()
 	l.holder = lease.NewHolder(l.Config, l.now(), l.Config.Length)
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -26,8 +26,8 @@
 
 // The keys of values that the coordinators share.
 const (
-	Settings = "settings"
-	Members  = "members"
+	Settings     = "settings"
+	EndpointList = "members" // the last list of data nodes
 )
 
 // Store is one member of the replicated store. Its methods may be called from any goroutine.
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -46,10 +46,10 @@
 	s := open(t, config.Store{}, "n0")
 	defer s.Close()
 	for i := range 10 {
-		s.Put(Members, fmt.Appendf(nil, "list %d", i))
+		s.Put(EndpointList, fmt.Appendf(nil, "list %d", i))
 	}
 	s.Put(Settings, []byte("settings"))
-	until(t, s, Members, "list 9")
+	until(t, s, EndpointList, "list 9")
 	until(t, s, Settings, "settings")
 }
 
@@ -60,8 +60,8 @@
 	defer s.Close()
 	for i := range 200 {
 		value := fmt.Sprintf("list %d", i)
-		s.Put(Members, []byte(value))
-		until(t, s, Members, value)
+		s.Put(EndpointList, []byte(value))
+		until(t, s, EndpointList, value)
 	}
 	for end := time.Now().Add(30 * time.Second); ; time.Sleep(50 * time.Millisecond) {
 		first, _ := s.raftLog.FirstIndex()
@@ -79,8 +79,8 @@
 func TestAppliedValuesRewrittenAfterFailedWrite(t *testing.T) {
 	s := open(t, config.Store{Directory: t.TempDir()}, "n0")
 	defer s.Close()
-	s.Put(Members, []byte("list"))
-	until(t, s, Members, "list")
+	s.Put(EndpointList, []byte("list"))
+	until(t, s, EndpointList, "list")
 	if !s.Persistent() || !s.Durable() {
 		t.Fatal("nothing failed yet")
 	}
@@ -93,8 +93,8 @@
 	whole := s.disk
 	s.disk = closed // its log stays with the first
 	s.mu.Unlock()
-	s.Put(Members, []byte("list 2"))
-	until(t, s, Members, "list 2")
+	s.Put(EndpointList, []byte("list 2"))
+	until(t, s, EndpointList, "list 2")
 	if s.Durable() {
 		t.Error("a write failed, and what is applied counts as kept")
 	}
@@ -110,8 +110,8 @@
 		time.Sleep(100 * time.Millisecond)
 	}
 	restored, err := s.disk.readApplied()
-	if err != nil || string(restored.values[Members]) != "list 2" {
-		t.Errorf("the disk holds %q, %v", restored.values[Members], err)
+	if err != nil || string(restored.values[EndpointList]) != "list 2" {
+		t.Errorf("the disk holds %q, %v", restored.values[EndpointList], err)
 	}
 }
 
@@ -120,12 +120,12 @@
 	cfg := config.Store{Directory: t.TempDir()}
 	for round := range 3 {
 		s := open(t, cfg, "n0")
-		if got, want := string(s.Get(Members)), []string{"", "list 0", "list 1"}[round]; got != want {
+		if got, want := string(s.Get(EndpointList)), []string{"", "list 0", "list 1"}[round]; got != want {
 			t.Errorf("round %d: restored %q, want %q", round, got, want)
 		}
 		next := fmt.Sprintf("list %d", round)
-		s.Put(Members, []byte(next))
-		until(t, s, Members, next)
+		s.Put(EndpointList, []byte(next))
+		until(t, s, EndpointList, next)
 		if err := s.Close(); err != nil {
 			t.Fatal(err)
 		}
@@ -154,24 +154,24 @@
 	}
 	put := func(value string) {
 		for _, s := range all {
-			s.Put(Members, []byte(value)) // each coordinator hears the same list
+			s.Put(EndpointList, []byte(value)) // each coordinator hears the same list
 		}
 	}
 	put("before")
 	for _, s := range all {
-		until(t, s, Members, "before")
+		until(t, s, EndpointList, "before")
 	}
 	all[1].Close()
 	all[2].Close()
 	start := time.Now()
-	all[0].Put(Members, []byte("after"))
-	if got := string(all[0].Get(Members)); got != "before" || time.Since(start) > time.Second {
+	all[0].Put(EndpointList, []byte("after"))
+	if got := string(all[0].Get(EndpointList)); got != "before" || time.Since(start) > time.Second {
 		t.Errorf("without a quorum: %q after %v", got, time.Since(start))
 	}
 	all[1] = member(1, dirs[1])
-	all[1].Put(Members, []byte("after"))
-	until(t, all[0], Members, "after")
-	until(t, all[1], Members, "after")
+	all[1].Put(EndpointList, []byte("after"))
+	until(t, all[0], EndpointList, "after")
+	until(t, all[1], EndpointList, "after")
 	all[0].Close()
 	all[1].Close()
 }
--- a/internal/zones/guard.go
+++ b/internal/zones/guard.go
@@ -2,7 +2,7 @@
 
 // allSuspect tells whether every zone of several is suspect at once, which switches panic mode on. It guards against a
 // fault of the coordinator itself, such as a lost network, that makes all zones look failed: without it zones would go out
-// although their data nodes serve, which shows as queries failed with "no holder".
+// although their data nodes serve, which shows as queries rejected with "no replica".
 func (t *Tracker) allSuspect() bool {
 	if len(t.zones) < 2 {
 		return false
--- a/internal/zones/tracker.go
+++ b/internal/zones/tracker.go
@@ -12,12 +12,12 @@
 	nodes       map[string]*node
 	lastFailure time.Time // of any of its data nodes
 
-	state     State
-	since     time.Time
-	reason    string
-	drained   bool      // by hand
-	outSince  time.Time // of a suspect zone: since when it exceeds Leave; zero while it does not
-	healthyAt time.Time // when it last became healthy
+	state             State
+	since             time.Time
+	reason            string
+	drained           bool      // by hand
+	exceedsLeaveSince time.Time // of a suspect zone: since when it exceeds Leave; zero while it does not
+	healthyAt         time.Time // when it last became healthy
 
 	share    shares
 	recovery recovery
@@ -59,7 +59,7 @@
 func (t *Tracker) set(now time.Time, z *zone, to State, reason string) Change {
 	c := Change{Zone: z.name, From: z.state, To: to, Reason: reason}
 	z.state, z.since, z.reason = to, now, reason
-	z.outSince, z.recovery.startAt = time.Time{}, time.Time{}
+	z.exceedsLeaveSince, z.recovery.startAt = time.Time{}, time.Time{}
 	if to == Healthy {
 		z.healthyAt = now
 	}
@@ -146,7 +146,7 @@
 	all := make([]Status, 0, len(t.zones))
 	for _, z := range t.zones {
 		s := Status{Zone: z.name, State: z.state, Since: z.since, Nodes: len(z.nodes), Failing: z.share.failing,
-			Share: z.share.own, Others: z.share.others, Waits: z.recovery.failed, Return: z.recovery.startAt,
+			Share: z.share.own, Others: z.share.others, FailedRecoveries: z.recovery.failed, Return: z.recovery.startAt,
 			Drained: z.drained, Panic: t.panic, Reason: z.reason}
 		if z.state == Recovering && t.cfg.Ramp > 0 {
 			s.Returned = min(1, float64(now.Sub(z.since))/float64(t.cfg.Ramp))
--- a/internal/zones/transitions.go
+++ b/internal/zones/transitions.go
@@ -33,7 +33,7 @@
 	}
 	c = t.set(now, z, Suspect, z.explain("suspect"))
 	if t.exceeds(z, t.cfg.Leave) {
-		z.outSince = now // Confirm counts from the first evidence that would take it out
+		z.exceedsLeaveSince = now // Confirm counts from the first evidence that would take it out
 	}
 	return c, true
 }
@@ -43,13 +43,13 @@
 		return t.set(now, z, Healthy, z.explain("cleared")), true
 	}
 	if !t.exceeds(z, t.cfg.Leave) {
-		z.outSince = time.Time{}
+		z.exceedsLeaveSince = time.Time{}
 		return Change{}, false
 	}
-	if z.outSince.IsZero() {
-		z.outSince = now
+	if z.exceedsLeaveSince.IsZero() {
+		z.exceedsLeaveSince = now
 	}
-	if now.Sub(z.outSince) < t.cfg.Confirm {
+	if now.Sub(z.exceedsLeaveSince) < t.cfg.Confirm {
 		return Change{}, false
 	}
 	if remaining, enough := t.remaining(z, total); !enough {
--- a/internal/zones/zones.go
+++ b/internal/zones/zones.go
@@ -56,29 +56,29 @@
 
 // The kinds of evidence. Good clears a data node; each other kind makes it failing for Window.
 const (
-	Good       Evidence = iota // an answer that was complete and in time
+	Good       Evidence = iota // an answer, also one that tells an error
 	Refused                    // a connection refused or reset
-	TimedOut                   // a part or a probe timed out, or the answer was silent
-	Removed                    // the list no longer names it
-	Drained                    // the list says it drains
+	TimedOut                   // a part got no answer in its time
+	Removed                    // the list no longer names it, or says that it drains
+	Drained                    // reserved: a draining data node comes as Removed
 	PeerReport                 // another coordinator saw it fail
 )
 
 // Status describes one zone, for the module's inputs, the log and the command line.
 type Status struct {
-	Zone     string
-	State    State
-	Since    time.Time // when it took this state
-	Nodes    int       // data nodes known
-	Failing  int       // of these
-	Share    float64   // of failing data nodes
-	Others   float64   // share of failing data nodes in all other zones
-	Waits    int       // recoveries that failed in a row
-	Return   time.Time // drawn start of the next recovery; zero where none is drawn
-	Drained  bool      // by hand
-	Panic    bool      // every zone is suspect: no state is believed
-	Reason   string    // of the state
-	Returned float64   // of a recovering zone: the share of the ramp that has passed
+	Zone             string
+	State            State
+	Since            time.Time // when it took this state
+	Nodes            int       // data nodes known
+	Failing          int       // of these
+	Share            float64   // of failing data nodes
+	Others           float64   // share of failing data nodes in all other zones
+	FailedRecoveries int       // recoveries that failed in a row
+	Return           time.Time // drawn start of the next recovery; zero where none is drawn
+	Drained          bool      // by hand
+	Panic            bool      // every zone is suspect: no state is believed
+	Reason           string    // of the state
+	Returned         float64   // of a recovering zone: the share of the ramp that has passed
 }
 
 // Change is one change of a zone's state.
