--- a/internal/lab/model/coordinator.go
+++ b/internal/lab/model/coordinator.go
@@ -124,7 +124,7 @@
 	for _, c := range changes {
 		if c.To == zones.Out && k.learned != nil {
 			for _, id := range k.zones.Failing(k.wall(), c.Zone) {
-				k.learned.Observe(k.m.now, k.wall(), id, observations.Failed, 0)
+				k.observe(id, observations.Failed)
 			}
 		}
 		e := aggregator.Event{Kind: aggregator.ListChanged}
@@ -249,9 +249,9 @@
 	if k.learned != nil {
 		switch end {
 		case aggregator.OK:
-			k.learned.Observe(m.now, k.wall(), n.id, observations.Answered, 0)
+			k.observe(n.id, observations.Answered)
 		case aggregator.ConnectFailed, aggregator.Reset:
-			k.learned.Observe(m.now, k.wall(), n.id, observations.Failed, 0)
+			k.observe(n.id, observations.Failed)
 		}
 	}
 	if k.zones != nil {
@@ -273,6 +273,11 @@
 	}
 }
 
+// observe writes a fact about a data node that the coordinator has just observed itself.
+func (k *coordinator) observe(id string, f observations.Field) {
+	k.m.checkFact(k.learned.Observe(k.m.now, k.wall(), id, f, 0))
+}
+
 func (k *coordinator) probe(replica string) {
 	for _, n := range k.m.nodes {
 		if n.id != replica {
@@ -312,7 +317,7 @@
 		}
 		if sum > falls*n.capacity(m.now)*float64(m.c.Cores) {
 			m.figures.Fell++
-			m.lose(n, false)
+			m.refuse(n)
 			n.fallen = true
 			return
 		}
@@ -355,7 +360,7 @@
 		}
 		m.after(m.c.Way, func() {
 			for _, f := range facts {
-				to.learned.Merge(m.now, to.wall(), f)
+				m.checkFact(to.learned.Merge(m.now, to.wall(), f))
 			}
 			to.hear()
 		})
--- a/internal/lab/model/model.go
+++ b/internal/lab/model/model.go
@@ -8,6 +8,7 @@
 package model
 
 import (
+	"errors"
 	"fmt"
 	"math"
 	"math/rand/v2"
@@ -172,6 +173,7 @@
 	asked   []int
 	served  []int
 	sent    int
+	err     error // the first fact that a table rejected as wrong; it makes the figures worthless
 }
 
 // epoch is what virtual time counts from, for code that takes times.
@@ -224,7 +226,15 @@
 	for _, k := range m.coords {
 		f.Lost += len(k.queries)
 	}
-	return *f, nil
+	return *f, m.err
+}
+
+// checkFact takes the result of writing a fact. Facts that are known or too old are rejected in the normal course of gossip; any
+// other error is a fault of the model, which Run returns.
+func (m *Model) checkFact(err error) {
+	if err != nil && m.err == nil && !errors.Is(err, observations.ErrKnown) && !errors.Is(err, observations.ErrOld) {
+		m.err = err
+	}
 }
 
 func (m *Model) at(t time.Duration, do func()) { m.queue.Put(t, do) }
@@ -246,8 +256,12 @@
 		}
 	case f.Zone != "":
 		for _, n := range m.nodes {
-			if n.zone == f.Zone {
-				m.lose(n, f.Silent)
+			switch {
+			case n.zone != f.Zone:
+			case f.Silent:
+				n.shutDown()
+			default:
+				m.refuse(n)
 			}
 		}
 	default:
@@ -271,7 +285,7 @@
 		return
 	}
 	n := m.nodes[f.Node]
-	m.lose(n, false)
+	m.refuse(n)
 	n.state = aggregator.Gone
 	m.listed(n)
 	next := &dataNode{id: n.id + "'", zone: n.zone, cell: n.cell, started: m.now}
@@ -279,17 +293,23 @@
 	m.listed(next)
 }
 
-// lose ends all that a data node does.
-func (m *Model) lose(n *dataNode, silent bool) {
-	n.lost, n.silent = true, silent
-	for _, j := range n.queue {
-		j.off = true
-	}
+// refuse ends a data node's process: what runs there is reset and what is sent there is refused.
+func (m *Model) refuse(n *dataNode) {
 	for _, a := range n.outs {
-		if !silent && !a.over {
+		if !a.over {
 			m.after(m.c.Way, func() { a.c.ended(a, aggregator.Reset) })
 		}
 	}
+	n.shutDown()
+	n.silent = false
+}
+
+// shutDown ends all work of a data node without a word to those who wait for it: what runs there and what is sent there is lost.
+func (n *dataNode) shutDown() {
+	n.lost, n.silent = true, true
+	for _, j := range n.queue {
+		j.off = true
+	}
 	n.outs = nil
 	n.life++
 	n.queue, n.busy = nil, 0
@@ -310,7 +330,7 @@
 				k.zones.List(k.wall(), k.m.serving())
 			}
 			if k.learned != nil && state == aggregator.Serving && started > 0 {
-				k.learned.ObserveStart(m.now, k.wall(), n.id, m.now-started)
+				m.checkFact(k.learned.ObserveStart(m.now, k.wall(), n.id, m.now-started))
 			}
 		})
 	}
--- a/internal/lab/swimsim/swimsim.go
+++ b/internal/lab/swimsim/swimsim.go
@@ -64,6 +64,9 @@
 	thinks []bool // whom it takes for dead, as last looked at
 }
 
+// link is one direction between two members.
+type link struct{ from, to int }
+
 // Fleet is a running fleet.
 type Fleet struct {
 	c       Config
@@ -71,7 +74,7 @@
 	now     time.Duration
 	queue   virtualtime.Queue[event]
 	nodes   []*node
-	cut     map[[2]int]bool // from, to
+	cut     map[link]bool
 	Packets int
 	Bytes   int
 	// FalseDead counts each time a member that is up was taken for dead by another that is.
@@ -84,7 +87,7 @@
 	if c.Swim.Period == 0 {
 		c.Swim.Period = time.Second
 	}
-	f := &Fleet{c: c, rng: rand.New(rand.NewPCG(c.Seed, 0xf1ee7)), cut: map[[2]int]bool{}, excused: map[int]bool{}}
+	f := &Fleet{c: c, rng: rand.New(rand.NewPCG(c.Seed, 0xf1ee7)), cut: map[link]bool{}, excused: map[int]bool{}}
 	for i := range c.Members {
 		n := &node{up: true, thinks: make([]bool, c.Members)}
 		f.nodes = append(f.nodes, n)
@@ -170,7 +173,7 @@
 	for _, o := range n.d.step(f.now+n.skew, in) {
 		f.Packets++
 		f.Bytes += o.bytes
-		if o.to < 0 || o.to >= len(f.nodes) || f.cut[[2]int{i, o.to}] || o.stream && f.cut[[2]int{o.to, i}] {
+		if o.to < 0 || o.to >= len(f.nodes) || f.cut[link{i, o.to}] || o.stream && f.cut[link{o.to, i}] {
 			continue
 		}
 		copies := 1
@@ -231,13 +234,9 @@
 	return f.start(i, process)
 }
 
-// Cut sets whether what from sends reaches to.
+// Cut cuts the link by which from sends to to, or restores it.
 func (f *Fleet) Cut(from, to int, cut bool) {
-	if cut {
-		f.cut[[2]int{from, to}] = true
-	} else {
-		delete(f.cut, [2]int{from, to})
-	}
+	f.cut[link{from, to}] = cut
 }
 
 // Excuse leaves a member out of the account of false deaths: a cut side can't know.
