--- a/internal/lab/model/coordinator.go
+++ b/internal/lab/model/coordinator.go
@@ -1,13 +1,7 @@
 package model
 
-// This file owns a coordinator of the model: it hands its module what happens and carries out what that says, and data nodes do the
-// work. It must never send what the module did not.
-
 import (
 	"fmt"
-	"maps"
-	"math"
-	"slices"
 	"time"
 
 	"gullfall/aggregator"
@@ -15,6 +9,23 @@
 	"gullfall/internal/zones"
 )
 
+type coordinator struct {
+	m       *Model
+	index   int
+	life    int // how often it was started
+	agg     *aggregator.Aggregator
+	zones   *zones.Tracker
+	learned *observations.Table
+	since   time.Duration
+	inbox   []aggregator.Event
+	due     time.Duration // of the next turn; below 0 for none
+	last    time.Duration
+	parts   map[string]*part
+	queries map[string]*query
+	heard   map[string]time.Duration // by data node: its last answer
+	drained map[string]time.Duration // and when a drain of it was heard
+}
+
 // start begins a life: all that it knows is the list.
 func (k *coordinator) start() (err error) {
 	m := k.m
@@ -144,140 +155,6 @@
 	return out
 }
 
-// ask takes a query in.
-func (k *coordinator) ask() {
-	m := k.m
-	m.number++
-	q := &query{id: fmt.Sprint("q", m.number), arrived: m.elapsed()}
-	k.queries[q.id] = q
-	m.asked[int(q.arrived/slice)]++
-	in := []aggregator.Event{{Kind: aggregator.QueryArrived, Query: q.id, Tenant: -1, Count: m.c.Parts, TimeLeft: limit}}
-	first := m.rng.IntN(m.c.PerZone)
-	for i := range m.c.Parts {
-		// Work is drawn once for the part: it takes as long wherever it is done.
-		work := time.Duration(float64(m.c.Work) * math.Exp(0.5*m.rng.NormFloat64()))
-		p := &part{id: fmt.Sprint(q.id, ".", i), q: q, work: work}
-		k.parts[p.id] = p
-		in = append(in, aggregator.Event{Kind: aggregator.PartArrived, Query: q.id, Part: p.id, Shard: (first + i) % m.c.PerZone, Weight: 1 / float64(m.c.Parts)})
-	}
-	k.put(in...)
-	life := k.life
-	m.after(limit, func() {
-		if k.life == life && !q.over {
-			m.figures.Lost++
-			k.forget(q)
-		}
-	})
-}
-
-// final takes in a query's one answer.
-func (k *coordinator) final(id string, whole bool) {
-	q := k.queries[id]
-	if q == nil {
-		return
-	}
-	switch {
-	case !whole:
-		k.m.figures.Refused++
-	case k.m.elapsed()-q.arrived <= aim:
-		k.m.served[int(q.arrived/slice)]++
-	default:
-		k.m.figures.Late++
-	}
-	k.forget(q)
-}
-
-func (k *coordinator) forget(q *query) {
-	q.over = true
-	delete(k.queries, q.id)
-	for i := range k.m.c.Parts {
-		id := fmt.Sprint(q.id, ".", i)
-		if p := k.parts[id]; p != nil && !slices.ContainsFunc(p.tries, func(a *attempt) bool { return !a.over }) {
-			delete(k.parts, id)
-		}
-	}
-}
-
-// send carries an attempt to its data node.
-func (k *coordinator) send(s aggregator.Action) {
-	m, p := k.m, k.parts[s.Part]
-	var n *dataNode
-	for _, x := range m.nodes {
-		if x.id == s.Replica {
-			n = x
-		}
-	}
-	if p == nil || n == nil {
-		return
-	}
-	for _, t := range p.tries {
-		if !t.over {
-			m.figures.Twins++
-		}
-	}
-	if at, told := k.drained[n.id]; told && m.now > at+grace {
-		m.figures.After++
-	}
-	a := &attempt{c: k, part: p, number: len(p.tries), node: n, begun: m.now}
-	a.job = &job{a: a, work: p.work}
-	p.tries = append(p.tries, a)
-	if len(n.outs) > 64 {
-		n.outs = slices.DeleteFunc(n.outs, func(a *attempt) bool { return a.over })
-	}
-	n.outs = append(n.outs, a)
-	m.sent++
-	if n.lost {
-		m.figures.Gone++
-	}
-	m.after(m.c.Way, func() { n.take(m, a.job) })
-	m.after(max(s.After, tick), func() {
-		a.job.off = true
-		k.ended(a, aggregator.TimedOut)
-	})
-}
-
-// ended takes in the end of an attempt, the first one told.
-func (k *coordinator) ended(a *attempt, end aggregator.Outcome) {
-	if a.over {
-		return
-	}
-	a.over = true
-	if k.parts[a.part.id] != a.part { // of an earlier life
-		return
-	}
-	m, n := k.m, a.node
-	if k.learned != nil {
-		switch end {
-		case aggregator.OK:
-			k.observe(n.id, observations.Answered)
-		case aggregator.ConnectFailed, aggregator.Reset:
-			k.observe(n.id, observations.Failed)
-		}
-	}
-	if k.zones != nil {
-		switch {
-		case end == aggregator.OK:
-			k.zones.Observe(k.wall(), n.zone, n.id, zones.Good)
-		case end == aggregator.ConnectFailed || end == aggregator.Reset:
-			k.zones.Observe(k.wall(), n.zone, n.id, zones.Refused)
-		case end == aggregator.TimedOut, end == aggregator.Cancelled && k.heard[n.id] < a.begun:
-			k.zones.Observe(k.wall(), n.zone, n.id, zones.TimedOut)
-		}
-	}
-	if end == aggregator.OK {
-		k.heard[n.id] = m.now
-	}
-	k.put(aggregator.Event{Kind: aggregator.AttemptEnded, Part: a.part.id, Attempt: a.number, Replica: n.id, Outcome: end, Elapsed: m.now - a.begun})
-	if a.part.q.over {
-		k.forget(a.part.q)
-	}
-}
-
-// observe writes a fact about a data node that the coordinator has just observed itself.
-func (k *coordinator) observe(id string, f observations.Field) {
-	k.m.checkFact(k.learned.Observe(k.m.now, k.wall(), id, f, 0))
-}
-
 func (k *coordinator) probe(replica string) {
 	for _, n := range k.m.nodes {
 		if n.id != replica {
@@ -297,95 +174,3 @@
 		})
 	}
 }
-
-// take begins a part, or lets it wait; a cold data node that is sent too much falls over.
-func (n *dataNode) take(m *Model, j *job) {
-	k := j.a.c
-	switch {
-	case n.lost && n.silent:
-		return
-	case n.lost || n.fallen:
-		m.after(m.c.Way, func() { k.ended(j.a, aggregator.ConnectFailed) })
-		return
-	}
-	if n.started > 0 && m.now < n.started+warm {
-		n.lately = slices.DeleteFunc(n.lately, func(a arrival) bool { return a.at < m.now-time.Second })
-		n.lately = append(n.lately, arrival{m.now, j.work.Seconds()})
-		sum := 0.0
-		for _, a := range n.lately {
-			sum += a.work
-		}
-		if sum > falls*n.capacity(m.now)*float64(m.c.Cores) {
-			m.figures.Fell++
-			m.refuse(n)
-			n.fallen = true
-			return
-		}
-	}
-	n.queue = append(n.queue, j)
-	n.next(m)
-}
-
-// next begins what waits while a core is free.
-func (n *dataNode) next(m *Model) {
-	for n.busy < m.c.Cores && len(n.queue) > 0 {
-		j := n.queue[0]
-		if n.queue = n.queue[1:]; j.off {
-			continue
-		}
-		n.busy++
-		life := n.life
-		m.after(time.Duration(float64(j.work)/n.capacity(m.now)), func() {
-			if n.life != life {
-				return
-			}
-			n.busy--
-			if !j.off {
-				m.after(m.c.Way, func() { j.a.c.ended(j.a, aggregator.OK) })
-			}
-			n.next(m)
-		})
-	}
-}
-
-// tell passes a coordinator's facts to two others, and what it holds by others' word to its own verdicts; once a period.
-func (m *Model) tell(k *coordinator) {
-	m.after(m.c.Period, func() { m.tell(k) })
-	k.learned.Step(m.now)
-	facts := k.learned.Facts(m.now, 55)
-	for range 2 {
-		to := m.coords[m.rng.IntN(len(m.coords))]
-		if to == k {
-			continue
-		}
-		m.after(m.c.Way, func() {
-			for _, f := range facts {
-				m.checkFact(to.learned.Merge(m.now, to.wall(), f))
-			}
-			to.hear()
-		})
-	}
-}
-
-// hear makes use of what others have told, as core does.
-func (k *coordinator) hear() {
-	all := k.learned.All(k.m.now)
-	e := aggregator.Event{Kind: aggregator.ListChanged}
-	for _, id := range slices.Sorted(maps.Keys(all)) {
-		v := all[id]
-		for _, n := range k.m.nodes {
-			if n.id != id || n.state != aggregator.Serving {
-				continue
-			}
-			if v.WarmingFor > 0 && k.m.now-v.Started > n.started+2*time.Second {
-				e.Members = append(e.Members, k.member(n, n.state, n.started))
-			}
-			if k.zones != nil && v.Suspect && v.FailedBy != fmt.Sprint("c", k.index) {
-				k.zones.ObservePeer(k.wall(), n.zone, id, v.Failed, v.Answered)
-			}
-		}
-	}
-	if len(e.Members) > 0 || k.zones != nil {
-		k.put(e)
-	}
-}
