--- a/internal/lab/model/config.go
+++ b/internal/lab/model/config.go
@@ -6,66 +6,66 @@
 	"gullfall/aggregator"
 )
 
-// Config is a fleet and its day.
+// Config is a fleet, its load and its faults.
 type Config struct {
 	Coordinators int
 	Zones        []string
-	PerZone      int           // data nodes
-	Cores        int           // of each
+	PerZone      int           // data nodes in each zone
+	Cores        int           // of each data node
 	Rate         float64       // queries a second at each coordinator
-	Parts        int           // of a query; shards are as many as cells
-	Work         time.Duration // of a part, at the median
-	Way          time.Duration // one way between any two
-	ListLag      time.Duration // until a change of the list is heard
+	Parts        int           // of a query; there are as many shards as data nodes in a zone
+	Work         time.Duration // of a part on a warm data node, the median
+	Way          time.Duration // network delay, one way, between any two processes
+	ListLag      time.Duration // from a change of the endpoint list until coordinators hear of it, the mean
 	For          time.Duration
 	Seed         uint64
 
-	Verdicts bool // zones are left as a whole
-	Share    bool // coordinators tell each other what they learn, each Period
+	Verdicts bool // coordinators judge zones as a whole (internal/zones)
+	Share    bool // coordinators gossip their observations, each once a Period
 	Period   time.Duration
 
 	Faults []Fault
 }
 
-// Fault is what befalls the fleet.
+// Fault is one thing that goes wrong. Times count from the start of the day.
 type Fault struct {
 	At, Until time.Duration
-	Zone      string // is lost; it comes back cold
-	Silent    bool   // what is sent there is lost, else refused
-	Node      int    // without a zone: this data node drains, and a cold one is in its place at Until
-	Restart   int    // above 0: coordinator Restart-1 starts anew at At and knows nothing but the list
+	Zone      string // fails as a whole; its data nodes come back at Until and warm up
+	Silent    bool   // what is sent to the zone gets no answer; else it is refused
+	Node      int    // without a zone: this data node drains, and a newly started one replaces it at Until
+	Restart   int    // above 0: coordinator Restart-1 restarts at At and knows nothing but the endpoint list
 }
 
-// Figures are what came of a day.
+// Figures are the result of a day.
 type Figures struct {
 	Asked    int       `json:"asked"`
-	Served   float64   `json:"served"`    // share of queries answered whole within their aim
-	Late     int       `json:"late"`      // answered whole, later
-	Refused  int       `json:"refused"`   // or failed, or answered in part
-	Lost     int       `json:"lost"`      // no final answer in its time
-	Fell     int       `json:"fell"`      // cold data nodes pushed over
-	Gone     int       `json:"gone"`      // attempts at what was lost
-	After    int       `json:"after"`     // sent to a data node later than the grace after its drain was heard
-	Twins    int       `json:"twins"`     // attempts of one part out together
-	Over     []float64 `json:"over_time"` // Served by each half second of arrival
-	Attempts float64   `json:"attempts"`  // sent for each query
+	Served   float64   `json:"served"`    // share of queries answered completely within their latency objective
+	Late     int       `json:"late"`      // queries answered completely, but later
+	Refused  int       `json:"refused"`   // queries rejected, failed or answered in part
+	Lost     int       `json:"lost"`      // queries without a final answer by their deadline
+	Fell     int       `json:"fell"`      // data nodes that were overloaded while they warmed up, and failed
+	Gone     int       `json:"gone"`      // attempts sent to data nodes that were down
+	After    int       `json:"after"`     // attempts sent to a draining data node after its grace
+	Twins    int       `json:"twins"`     // attempts sent while another of the same part was in flight
+	Over     []float64 `json:"over_time"` // Served, by half second of arrival
+	Attempts float64   `json:"attempts"`  // sent for each query, the mean
 }
 
 const (
-	tick  = 10 * time.Millisecond
-	aim   = time.Second
-	limit = 2 * time.Second
-	grace = 2 * time.Second
-	warm  = 8 * time.Second
-	cold  = 0.25 // share of its capacity with which a data node starts
-	falls = 2.5  // times of what it can do, for a second: then it falls over
-	slice = 500 * time.Millisecond
+	tick             = 10 * time.Millisecond
+	latencyObjective = time.Second
+	deadline         = 2 * time.Second
+	drainGrace       = 2 * time.Second
+	warmupTime       = 8 * time.Second
+	initialCapacity  = 0.25 // share of its capacity that a newly started data node has
+	overloadMultiple = 2.5  // times its capacity of a second: a data node that is sent more while it warms up fails
+	sliceLength      = 500 * time.Millisecond
 )
 
-// settings are what all coordinators are told.
+// settings are those of all coordinators.
 func (c *Config) settings() aggregator.Settings {
 	return aggregator.Settings{Aggregators: c.Coordinators, Tick: tick, ShardSets: c.PerZone, Shards: c.PerZone, Reach: 1,
-		Classes: []aggregator.Class{{Name: "lookup", LatencyObjective: aim, Deadline: limit, Priority: 1, LateShare: 0.3, CompleteShare: 1, MinShare: 1}},
-		Rules:   aggregator.Rules{DrainGrace: grace, OverloadMultiple: falls, OverloadWindow: time.Second, InitialCapacity: cold, WarmupTime: warm},
+		Classes: []aggregator.Class{{Name: "lookup", LatencyObjective: latencyObjective, Deadline: deadline, Priority: 1, LateShare: 0.3, CompleteShare: 1, MinShare: 1}},
+		Rules:   aggregator.Rules{DrainGrace: drainGrace, OverloadMultiple: overloadMultiple, OverloadWindow: time.Second, InitialCapacity: initialCapacity, WarmupTime: warmupTime},
 		Limits:  aggregator.Limits{MaxAttempts: 3, MaxBatch: 1, CanCancel: true, Probes: true, SendRetryAfter: true, MaxRetryAfter: 2 * time.Second}}
 }
--- a/internal/lab/model/coordinator.go
+++ b/internal/lab/model/coordinator.go
@@ -9,39 +9,39 @@
 	"gullfall/internal/zones"
 )
 
+// coordinator runs the decision code of one coordinator: it hands over events and carries out actions.
 type coordinator struct {
-	m       *Model
-	index   int
-	life    int // how often it was started
-	agg     *aggregator.Aggregator
-	zones   *zones.Tracker
-	learned *observations.Table
-	since   time.Duration
-	inbox   []aggregator.Event
-	due     time.Duration // of the next turn; below 0 for none
-	last    time.Duration
-	parts   map[string]*part
-	queries map[string]*query
-	heard   map[string]time.Duration // by data node: its last answer
-	drained map[string]time.Duration // and when a drain of it was heard
+	model        *Model
+	index        int
+	incarnation  int // how often it was restarted; work of an earlier one is dropped
+	aggregator   *aggregator.Aggregator
+	zones        *zones.Tracker
+	observations *observations.Table
+	events       []aggregator.Event
+	nextStep     time.Duration // when the decision code steps next; below 0 for never
+	lastStep     time.Duration
+	parts        map[string]*part
+	queries      map[string]*query
+	lastAnswer   map[string]time.Duration // by data node
+	drainHeard   map[string]time.Duration // by data node: when this coordinator heard that it drains
 }
 
-// start begins a life: all that it knows is the list.
+// start starts the process, which knows nothing but the endpoint list.
 func (k *coordinator) start() (err error) {
-	m := k.m
-	if k.agg, err = aggregator.New(m.c.settings(), m.c.Seed*1000+uint64(k.index)+uint64(k.life)*77); err != nil {
+	m := k.model
+	if k.aggregator, err = aggregator.New(m.config.settings(), m.config.Seed*1000+uint64(k.index)+uint64(k.incarnation)*77); err != nil {
 		return err
 	}
-	k.inbox, k.due, k.since = nil, -1, m.now
-	k.parts, k.queries, k.heard, k.drained = map[string]*part{}, map[string]*query{}, map[string]time.Duration{}, map[string]time.Duration{}
-	if m.c.Verdicts {
-		if k.zones, err = zones.New(zones.Config{Seed: m.c.Seed*1000 + uint64(k.index)}); err != nil {
+	k.events, k.nextStep = nil, -1
+	k.parts, k.queries, k.lastAnswer, k.drainHeard = map[string]*part{}, map[string]*query{}, map[string]time.Duration{}, map[string]time.Duration{}
+	if m.config.Verdicts {
+		if k.zones, err = zones.New(zones.Config{Seed: m.config.Seed*1000 + uint64(k.index)}); err != nil {
 			return err
 		}
 		k.zones.List(k.wall(), m.serving())
 	}
-	if m.c.Share {
-		if k.learned, err = observations.New(observations.Config{Self: fmt.Sprint("c", k.index), WarmupTime: warm}); err != nil {
+	if m.config.Share {
+		if k.observations, err = observations.New(observations.Config{Self: fmt.Sprint("c", k.index), WarmupTime: warmupTime}); err != nil {
 			return err
 		}
 	}
@@ -51,18 +51,19 @@
 			list = append(list, k.member(n, n.state, n.started))
 		}
 	}
-	k.put(aggregator.Event{Kind: aggregator.ListReplaced, Members: list})
+	k.handle(aggregator.Event{Kind: aggregator.ListReplaced, Members: list})
 	return nil
 }
 
-func (k *coordinator) wall() time.Time { return epoch.Add(k.m.now) }
+func (k *coordinator) wall() time.Time { return epoch.Add(k.model.now) }
 
-// member is a data node as the module is told of it, with its zone's verdict and what others tell of its start, as core does.
+// member is a data node as the decision code sees it: with its zone's state, and the start that others have observed, as in
+// internal/coordinator.
 func (k *coordinator) member(n *dataNode, state aggregator.State, started time.Duration) aggregator.Member {
-	out := aggregator.Member{Replica: n.id, ShardSet: n.cell, Zone: n.zone, State: state, Started: started, Size: 1}
-	if k.learned != nil {
-		if v := k.learned.Of(k.m.now, n.id); v.WarmingFor > 0 {
-			out.Started = max(out.Started, k.m.now-v.Started)
+	out := aggregator.Member{Replica: n.id, ShardSet: n.shardSet, Zone: n.zone, State: state, Started: started, Size: 1}
+	if k.observations != nil {
+		if v := k.observations.Of(k.model.now, n.id); v.WarmingFor > 0 {
+			out.Started = max(out.Started, k.model.now-v.Started)
 		}
 	}
 	if k.zones != nil {
@@ -76,70 +77,71 @@
 	return out
 }
 
-// put hands over what happened; the module's turn comes a tick after the last one at the soonest.
-func (k *coordinator) put(list ...aggregator.Event) {
-	k.inbox = append(k.inbox, list...)
-	k.plan(max(k.m.now, k.last+tick))
+// handle queues events for the decision code, which steps a tick after its last step at the earliest.
+func (k *coordinator) handle(list ...aggregator.Event) {
+	k.events = append(k.events, list...)
+	k.scheduleStep(max(k.model.now, k.lastStep+tick))
 }
 
-func (k *coordinator) plan(at time.Duration) {
-	if k.due >= 0 && k.due <= at {
+// scheduleStep lets the decision code step at a time, unless it does so before.
+func (k *coordinator) scheduleStep(at time.Duration) {
+	if k.nextStep >= 0 && k.nextStep <= at {
 		return
 	}
-	k.due = at
-	life := k.life
-	k.m.at(at, func() {
-		if k.life == life && k.due == at {
-			k.turn()
+	k.nextStep = at
+	incarnation := k.incarnation
+	k.model.at(at, func() {
+		if k.incarnation == incarnation && k.nextStep == at {
+			k.step()
 		}
 	})
 }
 
-// turn steps the module.
-func (k *coordinator) turn() {
-	m := k.m
-	k.due, k.last = -1, m.now
-	in := k.inbox
-	k.inbox = nil
+// step steps the decision code and carries out its actions.
+func (k *coordinator) step() {
+	m := k.model
+	k.nextStep, k.lastStep = -1, m.now
+	in := k.events
+	k.events = nil
 	if k.zones != nil {
-		in = append(in, k.verdicts()...)
+		in = append(in, k.stepZones()...)
 	}
 	if len(in) == 0 {
 		in = []aggregator.Event{{Kind: aggregator.Wakeup}}
 	}
-	for _, a := range k.agg.Step(m.now, in, nil) {
+	for _, a := range k.aggregator.Step(m.now, in, nil) {
 		switch a.Kind {
 		case aggregator.Send:
 			k.send(a)
 		case aggregator.Cancel:
-			if p := k.parts[a.Part]; p != nil && a.Attempt < len(p.tries) {
-				t := p.tries[a.Attempt]
-				t.job.off = true
-				m.after(tick, func() { k.ended(t, aggregator.Cancelled) })
+			if p := k.parts[a.Part]; p != nil && a.Attempt < len(p.attempts) {
+				t := p.attempts[a.Attempt]
+				t.job.cancelled = true
+				m.after(tick, func() { k.endAttempt(t, aggregator.Cancelled) })
 			}
 		case aggregator.Answer:
-			k.final(a.Query, a.Complete)
+			k.endQuery(a.Query, a.Complete)
 		case aggregator.Reject, aggregator.Fail:
-			k.final(a.Query, false)
+			k.endQuery(a.Query, false)
 		case aggregator.Probe:
 			k.probe(a.Replica)
 		case aggregator.Wake:
-			k.plan(m.now + max(a.After, tick))
+			k.scheduleStep(m.now + max(a.After, tick))
 		}
 	}
 }
 
-// verdicts takes the zones' verdicts, and returns what changed for the module.
-func (k *coordinator) verdicts() (out []aggregator.Event) {
+// stepZones steps the judgement of zones, and returns what it changes for the decision code.
+func (k *coordinator) stepZones() (out []aggregator.Event) {
 	changes := k.zones.Step(k.wall())
 	for _, c := range changes {
-		if c.To == zones.Out && k.learned != nil {
+		if c.To == zones.Out && k.observations != nil {
 			for _, id := range k.zones.Failing(k.wall(), c.Zone) {
 				k.observe(id, observations.Failed)
 			}
 		}
 		e := aggregator.Event{Kind: aggregator.ListChanged}
-		for _, n := range k.m.nodes {
+		for _, n := range k.model.nodes {
 			if n.zone == c.Zone && n.state == aggregator.Serving {
 				e.Members = append(e.Members, k.member(n, n.state, n.started))
 			}
@@ -148,28 +150,29 @@
 	}
 	for _, s := range k.zones.All(k.wall()) {
 		if s.State != zones.Healthy || s.Failing > 0 {
-			k.plan(k.m.now + 100*time.Millisecond)
+			k.scheduleStep(k.model.now + 100*time.Millisecond)
 			break
 		}
 	}
 	return out
 }
 
+// probe carries a health check to a data node and back.
 func (k *coordinator) probe(replica string) {
-	for _, n := range k.m.nodes {
+	for _, n := range k.model.nodes {
 		if n.id != replica {
 			continue
 		}
-		end, takes := aggregator.OK, 2*k.m.c.Way
-		if n.lost || n.fallen {
+		end, takes := aggregator.OK, 2*k.model.config.Way
+		if n.down || n.overloaded {
 			if end = aggregator.ConnectFailed; n.silent {
 				end, takes = aggregator.TimedOut, 250*time.Millisecond
 			}
 		}
-		life := k.life
-		k.m.after(takes, func() {
-			if k.life == life {
-				k.put(aggregator.Event{Kind: aggregator.ProbeEnded, Replica: replica, Outcome: end, Elapsed: takes})
+		incarnation := k.incarnation
+		k.model.after(takes, func() {
+			if k.incarnation == incarnation {
+				k.handle(aggregator.Event{Kind: aggregator.ProbeEnded, Replica: replica, Outcome: end, Elapsed: takes})
 			}
 		})
 	}
--- a/internal/lab/model/datanode.go
+++ b/internal/lab/model/datanode.go
@@ -7,98 +7,101 @@
 	"gullfall/aggregator"
 )
 
+// dataNode serves parts: Config.Cores at a time, the others wait in its queue.
 type dataNode struct {
-	id      string
-	zone    string
-	cell    int
-	started time.Duration // 0 for long ago
-	state   aggregator.State
-	lost    bool
-	silent  bool
-	fallen  bool
-	busy    int
-	queue   []*job
-	lately  []arrival // of the last second
-	outs    []*attempt
-	life    int // how often it was lost
+	id             string
+	zone           string
+	shardSet       int
+	started        time.Duration // 0 for long before the day
+	state          aggregator.State
+	down           bool
+	silent         bool
+	overloaded     bool
+	busy           int
+	queue          []*job
+	recentArrivals []arrival // of the last second
+	attempts       []*attempt
+	incarnation    int // how often it went down; work of an earlier one is dropped
 }
 
+// arrival is a part that arrived, with its work in seconds.
 type arrival struct {
 	at   time.Duration
 	work float64
 }
 
+// job is an attempt at a data node.
 type job struct {
-	a    *attempt
-	work time.Duration
-	off  bool // given up
+	attempt   *attempt
+	work      time.Duration
+	cancelled bool
 }
 
-// capacity is the share of its speed that a data node has by now.
+// capacity is the share of its full speed that a data node has: it grows linearly while it warms up.
 func (n *dataNode) capacity(now time.Duration) float64 {
 	if n.started == 0 {
 		return 1
 	}
-	return min(1, cold+(1-cold)*float64(now-n.started)/float64(warm))
+	return min(1, initialCapacity+(1-initialCapacity)*float64(now-n.started)/float64(warmupTime))
 }
 
-// take begins a part, or lets it wait; a cold data node that is sent too much falls over.
-func (n *dataNode) take(m *Model, j *job) {
-	k := j.a.c
+// receive takes in a part. A data node that is sent too much while it warms up fails.
+func (n *dataNode) receive(m *Model, j *job) {
+	k := j.attempt.coordinator
 	switch {
-	case n.lost && n.silent:
+	case n.down && n.silent:
 		return
-	case n.lost || n.fallen:
-		m.after(m.c.Way, func() { k.ended(j.a, aggregator.ConnectFailed) })
+	case n.down || n.overloaded:
+		m.after(m.config.Way, func() { k.endAttempt(j.attempt, aggregator.ConnectFailed) })
 		return
 	}
-	if n.started > 0 && m.now < n.started+warm {
-		n.lately = slices.DeleteFunc(n.lately, func(a arrival) bool { return a.at < m.now-time.Second })
-		n.lately = append(n.lately, arrival{m.now, j.work.Seconds()})
+	if n.started > 0 && m.now < n.started+warmupTime {
+		n.recentArrivals = slices.DeleteFunc(n.recentArrivals, func(a arrival) bool { return a.at < m.now-time.Second })
+		n.recentArrivals = append(n.recentArrivals, arrival{m.now, j.work.Seconds()})
 		sum := 0.0
-		for _, a := range n.lately {
+		for _, a := range n.recentArrivals {
 			sum += a.work
 		}
-		if sum > falls*n.capacity(m.now)*float64(m.c.Cores) {
+		if sum > overloadMultiple*n.capacity(m.now)*float64(m.config.Cores) {
 			m.figures.Fell++
 			m.refuse(n)
-			n.fallen = true
+			n.overloaded = true
 			return
 		}
 	}
 	n.queue = append(n.queue, j)
-	n.next(m)
+	n.startJobs(m)
 }
 
-// next begins what waits while a core is free.
-func (n *dataNode) next(m *Model) {
-	for n.busy < m.c.Cores && len(n.queue) > 0 {
+// startJobs starts jobs that wait while cores are free.
+func (n *dataNode) startJobs(m *Model) {
+	for n.busy < m.config.Cores && len(n.queue) > 0 {
 		j := n.queue[0]
-		if n.queue = n.queue[1:]; j.off {
+		if n.queue = n.queue[1:]; j.cancelled {
 			continue
 		}
 		n.busy++
-		life := n.life
+		incarnation := n.incarnation
 		m.after(time.Duration(float64(j.work)/n.capacity(m.now)), func() {
-			if n.life != life {
+			if n.incarnation != incarnation {
 				return
 			}
 			n.busy--
-			if !j.off {
-				m.after(m.c.Way, func() { j.a.c.ended(j.a, aggregator.OK) })
+			if !j.cancelled {
+				m.after(m.config.Way, func() { j.attempt.coordinator.endAttempt(j.attempt, aggregator.OK) })
 			}
-			n.next(m)
+			n.startJobs(m)
 		})
 	}
 }
 
 // shutDown ends all work of a data node without a word to those who wait for it: what runs there and what is sent there is lost.
 func (n *dataNode) shutDown() {
-	n.lost, n.silent = true, true
+	n.down, n.silent = true, true
 	for _, j := range n.queue {
-		j.off = true
+		j.cancelled = true
 	}
-	n.outs = nil
-	n.life++
+	n.attempts = nil
+	n.incarnation++
 	n.queue, n.busy = nil, 0
 }
--- a/internal/lab/model/days.go
+++ b/internal/lab/model/days.go
@@ -1,26 +1,23 @@
 package model
 
-// This file owns the days that are played, each in small: what befalls the fleet, and how loaded it is. They must stay what they are
-// for as long as figures of them are compared.
-
 import (
 	"fmt"
 	"time"
 )
 
-// Ways are the ways in which coordinators learn of a lost zone: each data node by itself, the zone as a whole, and that with what the
-// others tell.
+// Ways are how coordinators learn that a zone has failed: from each data node by itself (alone), from the zone as a whole (verdicts), and
+// from that with the observations of other coordinators (shared).
 var Ways = []string{"alone", "verdicts", "shared"}
 
-// Lost and Back are when the zone of the day `zone` goes, and comes back cold.
+// Lost and Back are when the zone of the day `zone` fails, and when it comes back and warms up.
 const (
 	Lost = 5 * time.Second
 	Back = 12 * time.Second
 )
 
-// Day returns a day: `quiet`; `zone`, in which a zone of three falls silent for 7 s; `fresh`, that and a tenth of the coordinators
-// starting anew in the 5 s after the loss; `roll`, in which all data nodes are replaced by cold ones, five every 6 s. Load is how busy
-// the data nodes are when all are there.
+// Day returns the configuration of a day: `quiet`; `zone`, in which one zone of three doesn't answer for 7 s; `fresh`, that and a tenth of
+// the coordinators restarting in the 5 s after the failure; `roll`, in which all data nodes are replaced by newly started ones, five every
+// 6 s. Load is the utilization of the data nodes, 0 to 1, when all serve. Figures of days are compared over time, so days don't change.
 func Day(name, way string, coordinators int, load float64, seed uint64) (Config, error) {
 	c := Config{Coordinators: coordinators, Zones: []string{"a", "b", "c"}, PerZone: 8, Cores: 2, Parts: 3, Work: 25 * time.Millisecond,
 		Way: time.Millisecond, ListLag: time.Second, For: 20 * time.Second, Seed: seed, Period: time.Second}
--- a/internal/lab/model/faults.go
+++ b/internal/lab/model/faults.go
@@ -6,15 +6,15 @@
 	"gullfall/aggregator"
 )
 
-// begin and end carry a fault out.
-func (m *Model) begin(f Fault) {
+// beginFault carries out what happens at a fault's At.
+func (m *Model) beginFault(f Fault) {
 	switch {
 	case f.Restart > 0:
-		k := m.coords[f.Restart-1]
-		k.life++
-		m.figures.Refused += len(k.queries) // they died with it
+		k := m.coordinators[f.Restart-1]
+		k.incarnation++
+		m.figures.Refused += len(k.queries) // clients get no answer from a process that ended
 		if err := k.start(); err != nil {
-			panic(err) // the same settings were taken before
+			panic(err) // the first start had the same settings
 		}
 	case f.Zone != "":
 		for _, n := range m.nodes {
@@ -29,16 +29,17 @@
 	default:
 		n := m.nodes[f.Node]
 		n.state = aggregator.Draining
-		m.listed(n)
+		m.announce(n)
 	}
 }
 
-func (m *Model) end(f Fault) {
+// endFault carries out what happens at a fault's Until.
+func (m *Model) endFault(f Fault) {
 	if f.Zone != "" {
 		for _, n := range m.nodes {
 			if n.zone == f.Zone {
-				n.lost, n.fallen, n.started, n.lately = false, false, m.now, nil
-				m.listed(n)
+				n.down, n.overloaded, n.started, n.recentArrivals = false, false, m.now, nil
+				m.announce(n)
 			}
 		}
 		return
@@ -49,44 +50,45 @@
 	n := m.nodes[f.Node]
 	m.refuse(n)
 	n.state = aggregator.Gone
-	m.listed(n)
-	next := &dataNode{id: n.id + "'", zone: n.zone, cell: n.cell, started: m.now}
+	m.announce(n)
+	next := &dataNode{id: n.id + "'", zone: n.zone, shardSet: n.shardSet, started: m.now}
 	m.nodes = append(m.nodes, next)
-	m.listed(next)
+	m.announce(next)
 }
 
 // refuse ends a data node's process: what runs there is reset and what is sent there is refused.
 func (m *Model) refuse(n *dataNode) {
-	for _, a := range n.outs {
-		if !a.over {
-			m.after(m.c.Way, func() { a.c.ended(a, aggregator.Reset) })
+	for _, a := range n.attempts {
+		if !a.ended {
+			m.after(m.config.Way, func() { a.coordinator.endAttempt(a, aggregator.Reset) })
 		}
 	}
 	n.shutDown()
 	n.silent = false
 }
 
-// listed tells all coordinators of a change, each when it hears of it.
-func (m *Model) listed(n *dataNode) {
+// announce tells all coordinators of a change of the endpoint list, each after a delay of its own.
+func (m *Model) announce(n *dataNode) {
 	state, started := n.state, n.started
-	for _, k := range m.coords {
-		m.after(time.Duration(float64(m.c.ListLag)*(0.5+m.rng.Float64())), func() {
+	for _, k := range m.coordinators {
+		m.after(time.Duration(float64(m.config.ListLag)*(0.5+m.rng.Float64())), func() {
 			if state == aggregator.Draining {
-				if _, known := k.drained[n.id]; !known {
-					k.drained[n.id] = m.now
+				if _, known := k.drainHeard[n.id]; !known {
+					k.drainHeard[n.id] = m.now
 				}
 			}
-			k.put(aggregator.Event{Kind: aggregator.ListChanged, Members: []aggregator.Member{k.member(n, state, started)}})
+			k.handle(aggregator.Event{Kind: aggregator.ListChanged, Members: []aggregator.Member{k.member(n, state, started)}})
 			if k.zones != nil {
-				k.zones.List(k.wall(), k.m.serving())
+				k.zones.List(k.wall(), k.model.serving())
 			}
-			if k.learned != nil && state == aggregator.Serving && started > 0 {
-				m.checkFact(k.learned.ObserveStart(m.now, k.wall(), n.id, m.now-started))
+			if k.observations != nil && state == aggregator.Serving && started > 0 {
+				m.checkFact(k.observations.ObserveStart(m.now, k.wall(), n.id, m.now-started))
 			}
 		})
 	}
 }
 
+// serving returns the zones of the data nodes that serve, by id.
 func (m *Model) serving() map[string]string {
 	list := map[string]string{}
 	for _, n := range m.nodes {
--- a/internal/lab/model/gossip.go
+++ b/internal/lab/model/gossip.go
@@ -9,36 +9,42 @@
 	"gullfall/aggregator"
 )
 
-// tell passes a coordinator's facts to two others, and what it holds by others' word to its own verdicts; once a period.
-func (m *Model) tell(k *coordinator) {
-	m.after(m.c.Period, func() { m.tell(k) })
-	k.learned.Step(m.now)
-	facts := k.learned.Facts(m.now, 55)
-	for range 2 {
-		to := m.coords[m.rng.IntN(len(m.coords))]
+// gossipFanout is to how many coordinators one sends its facts each period, and gossipFacts the most that it sends to each.
+const (
+	gossipFanout = 2
+	gossipFacts  = 55
+)
+
+// gossip sends a coordinator's facts to others, once a period.
+func (m *Model) gossip(k *coordinator) {
+	m.after(m.config.Period, func() { m.gossip(k) })
+	k.observations.Step(m.now)
+	facts := k.observations.Facts(m.now, gossipFacts)
+	for range gossipFanout {
+		to := m.coordinators[m.rng.IntN(len(m.coordinators))]
 		if to == k {
 			continue
 		}
-		m.after(m.c.Way, func() {
+		m.after(m.config.Way, func() {
 			for _, f := range facts {
-				m.checkFact(to.learned.Merge(m.now, to.wall(), f))
+				m.checkFact(to.observations.Merge(m.now, to.wall(), f))
 			}
-			to.hear()
+			to.applyObservations()
 		})
 	}
 }
 
-// hear makes use of what others have told, as core does.
-func (k *coordinator) hear() {
-	all := k.learned.All(k.m.now)
+// applyObservations hands what others have observed to the decision code and the judgement of zones, as in internal/coordinator.
+func (k *coordinator) applyObservations() {
+	all := k.observations.All(k.model.now)
 	e := aggregator.Event{Kind: aggregator.ListChanged}
 	for _, id := range slices.Sorted(maps.Keys(all)) {
 		v := all[id]
-		for _, n := range k.m.nodes {
+		for _, n := range k.model.nodes {
 			if n.id != id || n.state != aggregator.Serving {
 				continue
 			}
-			if v.WarmingFor > 0 && k.m.now-v.Started > n.started+2*time.Second {
+			if v.WarmingFor > 0 && k.model.now-v.Started > n.started+2*time.Second {
 				e.Members = append(e.Members, k.member(n, n.state, n.started))
 			}
 			if k.zones != nil && v.Suspect && v.FailedBy != fmt.Sprint("c", k.index) {
@@ -47,6 +53,6 @@
 		}
 	}
 	if len(e.Members) > 0 || k.zones != nil {
-		k.put(e)
+		k.handle(e)
 	}
 }
--- a/internal/lab/model/model.go
+++ b/internal/lab/model/model.go
@@ -1,10 +1,9 @@
-// Package model plays a fleet in virtual time with the decision code as it is in service: the module, the zones' verdicts and learned
-// state of each coordinator, before data nodes that queue, start cold and fall over, under clients that ask. It owns the virtual clock
-// and network, and the account of what came of queries. It must never decide what the code under test decides, use the real clock, or
-// let map order show in a result: the same configuration gives the same figures.
+// Package model simulates a fleet in virtual time around the decision code that is in service: package aggregator, the judgement of
+// zones and the shared observations of each coordinator, with data nodes that queue, warm up and fail, and clients that send queries. It
+// uses neither the real clock nor the order of maps: the same configuration gives the same figures.
 //
-// What it leaves out: connections (a part costs no handshake), clients that try again, the cost of probes and calls, and processes'
-// own processor time. So it tells causes, and ratios between two ways; a score it is not.
+// It leaves out connections (a part costs no handshake), clients' retries, the cost of health checks and calls, and the processor time of
+// coordinators. So its figures serve to find causes and to compare two configurations, not to forecast a deployment.
 package model
 
 import (
@@ -18,74 +17,82 @@
 	"gullfall/internal/observations"
 )
 
-// Model is a fleet at work.
+// Model is a running simulation.
 type Model struct {
-	c      Config
-	rng    *rand.Rand
-	now    time.Duration
-	queue  virtualtime.Queue[func()] // a turn, an answer, a change: whatever happens at a time
-	nodes  []*dataNode
-	coords []*coordinator
-	number int
+	config       Config
+	rng          *rand.Rand
+	now          time.Duration
+	queue        virtualtime.Queue[func()] // what happens at a time
+	nodes        []*dataNode
+	coordinators []*coordinator
+	lastQuery    int
 
-	figures Figures
-	asked   []int
-	served  []int
-	sent    int
-	err     error // the first fact that a table rejected as wrong; it makes the figures worthless
+	figures        Figures
+	arrivedBySlice []int
+	servedBySlice  []int
+	attemptsSent   int
+	err            error // why an observation was rejected, the first time; the figures are not valid then
 }
 
-// epoch is what virtual time counts from, for code that takes times.
+// dayStart is the virtual time at which a day starts: the decision code's clock is above 0.
+const dayStart = time.Hour
+
+// epoch is the wall-clock time at virtual time 0.
 var epoch = time.Unix(1_000_000_000, 0)
 
-// Run plays a day.
+// Run simulates a day. The error is of the configuration, or of an observation that was rejected.
 func Run(c Config) (Figures, error) {
-	m := &Model{c: c, rng: rand.New(rand.NewPCG(c.Seed, 0x30de1)), now: time.Hour} // the module's clock begins above 0
-	n := int(c.For/slice) + 1
-	m.asked, m.served = make([]int, n), make([]int, n)
+	m := &Model{config: c, rng: rand.New(rand.NewPCG(c.Seed, 0x30de1)), now: dayStart}
+	n := int(c.For/sliceLength) + 1
+	m.arrivedBySlice, m.servedBySlice = make([]int, n), make([]int, n)
 	for _, zone := range c.Zones {
-		for cell := range c.PerZone {
-			m.nodes = append(m.nodes, &dataNode{id: fmt.Sprintf("%s-%d", zone, cell), zone: zone, cell: cell})
+		for shardSet := range c.PerZone {
+			m.nodes = append(m.nodes, &dataNode{id: fmt.Sprintf("%s-%d", zone, shardSet), zone: zone, shardSet: shardSet})
 		}
 	}
 	for i := range c.Coordinators {
-		k := &coordinator{m: m, index: i}
+		k := &coordinator{model: m, index: i}
 		if err := k.start(); err != nil {
 			return Figures{}, err
 		}
-		m.coords = append(m.coords, k)
-		m.arrive(k)
+		m.coordinators = append(m.coordinators, k)
+		m.scheduleArrival(k)
 		if c.Share {
-			m.after(time.Duration(m.rng.Int64N(int64(c.Period))), func() { m.tell(k) })
+			m.after(time.Duration(m.rng.Int64N(int64(c.Period))), func() { m.gossip(k) })
 		}
 	}
 	for _, f := range c.Faults {
-		m.at(time.Hour+f.At, func() { m.begin(f) })
+		m.at(dayStart+f.At, func() { m.beginFault(f) })
 		if f.Until > 0 {
-			m.at(time.Hour+f.Until, func() { m.end(f) })
+			m.at(dayStart+f.Until, func() { m.endFault(f) })
 		}
 	}
-	end := time.Hour + c.For
-	for at, do, ok := m.queue.Next(end + limit + time.Second); ok; at, do, ok = m.queue.Next(end + limit + time.Second) {
+	end := dayStart + c.For + deadline + time.Second // by then all queries have ended
+	for at, do, ok := m.queue.Next(end); ok; at, do, ok = m.queue.Next(end) {
 		m.now = max(m.now, at)
 		do()
 	}
-	f := &m.figures
-	whole := 0
-	for i := range m.asked {
+	return m.summary(), m.err
+}
+
+// summary completes the figures at the end of the day.
+func (m *Model) summary() Figures {
+	f := m.figures
+	served := 0
+	for i := range m.arrivedBySlice {
 		share := math.NaN()
-		if m.asked[i] > 0 {
-			share = float64(m.served[i]) / float64(m.asked[i])
+		if m.arrivedBySlice[i] > 0 {
+			share = float64(m.servedBySlice[i]) / float64(m.arrivedBySlice[i])
 		}
-		if f.Asked, whole = f.Asked+m.asked[i], whole+m.served[i]; !math.IsNaN(share) {
+		if f.Asked, served = f.Asked+m.arrivedBySlice[i], served+m.servedBySlice[i]; !math.IsNaN(share) {
 			f.Over = append(f.Over, share)
 		}
 	}
-	f.Served, f.Attempts = float64(whole)/float64(f.Asked), float64(m.sent)/float64(f.Asked)
-	for _, k := range m.coords {
+	f.Served, f.Attempts = float64(served)/float64(f.Asked), float64(m.attemptsSent)/float64(f.Asked)
+	for _, k := range m.coordinators {
 		f.Lost += len(k.queries)
 	}
-	return *f, m.err
+	return f
 }
 
 // checkFact takes the result of writing a fact. Facts that are known or too old are rejected in the normal course of gossip; any
@@ -96,19 +103,21 @@
 	}
 }
 
+// at calls do at a virtual time.
 func (m *Model) at(t time.Duration, do func()) { m.queue.Put(t, do) }
 
+// after calls do after a delay.
 func (m *Model) after(d time.Duration, do func()) { m.at(m.now+d, do) }
 
-// elapsed is how long the day has gone on.
-func (m *Model) elapsed() time.Duration { return m.now - time.Hour }
+// elapsed is the time since the start of the day.
+func (m *Model) elapsed() time.Duration { return m.now - dayStart }
 
-// arrive lets a query come, and the next one after it.
-func (m *Model) arrive(k *coordinator) {
-	m.after(time.Duration(m.rng.ExpFloat64()/m.c.Rate*float64(time.Second)), func() {
-		if m.elapsed() < m.c.For {
-			k.ask()
-			m.arrive(k)
+// scheduleArrival lets the next query of a coordinator's clients arrive, and those after it.
+func (m *Model) scheduleArrival(k *coordinator) {
+	m.after(time.Duration(m.rng.ExpFloat64()/m.config.Rate*float64(time.Second)), func() {
+		if m.elapsed() < m.config.For {
+			k.startQuery()
+			m.scheduleArrival(k)
 		}
 	})
 }
--- a/internal/lab/model/queries.go
+++ b/internal/lab/model/queries.go
@@ -11,86 +11,90 @@
 	"gullfall/internal/zones"
 )
 
+// query is a client's query at one coordinator.
 type query struct {
 	id      string
 	arrived time.Duration
-	over    bool
+	ended   bool
 }
 
+// part is a part of a query, for one shard.
 type part struct {
-	id    string
-	q     *query
-	work  time.Duration
-	tries []*attempt
+	id       string
+	query    *query
+	work     time.Duration
+	attempts []*attempt
 }
 
+// attempt is one sending of a part to a data node.
 type attempt struct {
-	c      *coordinator
-	part   *part
-	number int
-	node   *dataNode
-	begun  time.Duration
-	over   bool
-	job    *job
+	coordinator *coordinator
+	part        *part
+	number      int
+	node        *dataNode
+	started     time.Duration
+	ended       bool
+	job         *job
 }
 
-// ask takes a query in.
-func (k *coordinator) ask() {
-	m := k.m
-	m.number++
-	q := &query{id: fmt.Sprint("q", m.number), arrived: m.elapsed()}
+// startQuery takes in a query of a client.
+func (k *coordinator) startQuery() {
+	m := k.model
+	m.lastQuery++
+	q := &query{id: fmt.Sprint("q", m.lastQuery), arrived: m.elapsed()}
 	k.queries[q.id] = q
-	m.asked[int(q.arrived/slice)]++
-	in := []aggregator.Event{{Kind: aggregator.QueryArrived, Query: q.id, Tenant: -1, Count: m.c.Parts, TimeLeft: limit}}
-	first := m.rng.IntN(m.c.PerZone)
-	for i := range m.c.Parts {
+	m.arrivedBySlice[int(q.arrived/sliceLength)]++
+	in := []aggregator.Event{{Kind: aggregator.QueryArrived, Query: q.id, Tenant: -1, Count: m.config.Parts, TimeLeft: deadline}}
+	first := m.rng.IntN(m.config.PerZone)
+	for i := range m.config.Parts {
 		// Work is drawn once for the part: it takes as long wherever it is done.
-		work := time.Duration(float64(m.c.Work) * math.Exp(0.5*m.rng.NormFloat64()))
-		p := &part{id: fmt.Sprint(q.id, ".", i), q: q, work: work}
+		work := time.Duration(float64(m.config.Work) * math.Exp(0.5*m.rng.NormFloat64()))
+		p := &part{id: fmt.Sprint(q.id, ".", i), query: q, work: work}
 		k.parts[p.id] = p
-		in = append(in, aggregator.Event{Kind: aggregator.PartArrived, Query: q.id, Part: p.id, Shard: (first + i) % m.c.PerZone, Weight: 1 / float64(m.c.Parts)})
+		in = append(in, aggregator.Event{Kind: aggregator.PartArrived, Query: q.id, Part: p.id, Shard: (first + i) % m.config.PerZone, Weight: 1 / float64(m.config.Parts)})
 	}
-	k.put(in...)
-	life := k.life
-	m.after(limit, func() {
-		if k.life == life && !q.over {
+	k.handle(in...)
+	incarnation := k.incarnation
+	m.after(deadline, func() {
+		if k.incarnation == incarnation && !q.ended {
 			m.figures.Lost++
 			k.forget(q)
 		}
 	})
 }
 
-// final takes in a query's one answer.
-func (k *coordinator) final(id string, whole bool) {
+// endQuery counts the answer of a query, which is complete or not.
+func (k *coordinator) endQuery(id string, complete bool) {
 	q := k.queries[id]
 	if q == nil {
 		return
 	}
 	switch {
-	case !whole:
-		k.m.figures.Refused++
-	case k.m.elapsed()-q.arrived <= aim:
-		k.m.served[int(q.arrived/slice)]++
+	case !complete:
+		k.model.figures.Refused++
+	case k.model.elapsed()-q.arrived <= latencyObjective:
+		k.model.servedBySlice[int(q.arrived/sliceLength)]++
 	default:
-		k.m.figures.Late++
+		k.model.figures.Late++
 	}
 	k.forget(q)
 }
 
+// forget ends a query, and drops those of its parts that have nothing in flight.
 func (k *coordinator) forget(q *query) {
-	q.over = true
+	q.ended = true
 	delete(k.queries, q.id)
-	for i := range k.m.c.Parts {
+	for i := range k.model.config.Parts {
 		id := fmt.Sprint(q.id, ".", i)
-		if p := k.parts[id]; p != nil && !slices.ContainsFunc(p.tries, func(a *attempt) bool { return !a.over }) {
+		if p := k.parts[id]; p != nil && !slices.ContainsFunc(p.attempts, func(a *attempt) bool { return !a.ended }) {
 			delete(k.parts, id)
 		}
 	}
 }
 
-// send carries an attempt to its data node.
+// send sends a part to a data node.
 func (k *coordinator) send(s aggregator.Action) {
-	m, p := k.m, k.parts[s.Part]
+	m, p := k.model, k.parts[s.Part]
 	var n *dataNode
 	for _, x := range m.nodes {
 		if x.id == s.Replica {
@@ -100,43 +104,43 @@
 	if p == nil || n == nil {
 		return
 	}
-	for _, t := range p.tries {
-		if !t.over {
+	for _, t := range p.attempts {
+		if !t.ended {
 			m.figures.Twins++
 		}
 	}
-	if at, told := k.drained[n.id]; told && m.now > at+grace {
+	if at, drains := k.drainHeard[n.id]; drains && m.now > at+drainGrace {
 		m.figures.After++
 	}
-	a := &attempt{c: k, part: p, number: len(p.tries), node: n, begun: m.now}
-	a.job = &job{a: a, work: p.work}
-	p.tries = append(p.tries, a)
-	if len(n.outs) > 64 {
-		n.outs = slices.DeleteFunc(n.outs, func(a *attempt) bool { return a.over })
+	a := &attempt{coordinator: k, part: p, number: len(p.attempts), node: n, started: m.now}
+	a.job = &job{attempt: a, work: p.work}
+	p.attempts = append(p.attempts, a)
+	if len(n.attempts) > 64 {
+		n.attempts = slices.DeleteFunc(n.attempts, func(a *attempt) bool { return a.ended })
 	}
-	n.outs = append(n.outs, a)
-	m.sent++
-	if n.lost {
+	n.attempts = append(n.attempts, a)
+	m.attemptsSent++
+	if n.down {
 		m.figures.Gone++
 	}
-	m.after(m.c.Way, func() { n.take(m, a.job) })
+	m.after(m.config.Way, func() { n.receive(m, a.job) })
 	m.after(max(s.After, tick), func() {
-		a.job.off = true
-		k.ended(a, aggregator.TimedOut)
+		a.job.cancelled = true
+		k.endAttempt(a, aggregator.TimedOut)
 	})
 }
 
-// ended takes in the end of an attempt, the first one told.
-func (k *coordinator) ended(a *attempt, end aggregator.Outcome) {
-	if a.over {
+// endAttempt hands the outcome of an attempt to the decision code and its observers; later outcomes of it are ignored.
+func (k *coordinator) endAttempt(a *attempt, end aggregator.Outcome) {
+	if a.ended {
 		return
 	}
-	a.over = true
-	if k.parts[a.part.id] != a.part { // of an earlier life
+	a.ended = true
+	if k.parts[a.part.id] != a.part { // of an earlier incarnation
 		return
 	}
-	m, n := k.m, a.node
-	if k.learned != nil {
+	m, n := k.model, a.node
+	if k.observations != nil {
 		switch end {
 		case aggregator.OK:
 			k.observe(n.id, observations.Answered)
@@ -150,20 +154,20 @@
 			k.zones.Observe(k.wall(), n.zone, n.id, zones.Good)
 		case end == aggregator.ConnectFailed || end == aggregator.Reset:
 			k.zones.Observe(k.wall(), n.zone, n.id, zones.Refused)
-		case end == aggregator.TimedOut, end == aggregator.Cancelled && k.heard[n.id] < a.begun:
+		case end == aggregator.TimedOut, end == aggregator.Cancelled && k.lastAnswer[n.id] < a.started:
 			k.zones.Observe(k.wall(), n.zone, n.id, zones.TimedOut)
 		}
 	}
 	if end == aggregator.OK {
-		k.heard[n.id] = m.now
+		k.lastAnswer[n.id] = m.now
 	}
-	k.put(aggregator.Event{Kind: aggregator.AttemptEnded, Part: a.part.id, Attempt: a.number, Replica: n.id, Outcome: end, Elapsed: m.now - a.begun})
-	if a.part.q.over {
-		k.forget(a.part.q)
+	k.handle(aggregator.Event{Kind: aggregator.AttemptEnded, Part: a.part.id, Attempt: a.number, Replica: n.id, Outcome: end, Elapsed: m.now - a.started})
+	if a.part.query.ended {
+		k.forget(a.part.query)
 	}
 }
 
 // observe writes a fact about a data node that the coordinator has just observed itself.
 func (k *coordinator) observe(id string, f observations.Field) {
-	k.m.checkFact(k.learned.Observe(k.m.now, k.wall(), id, f, 0))
+	k.model.checkFact(k.observations.Observe(k.model.now, k.wall(), id, f, 0))
 }
