--- a/internal/lab/fleetlog/fleetlog.go
+++ b/internal/lab/fleetlog/fleetlog.go
@@ -1,7 +1,6 @@
-// Package fleetlog counts what all coordinators of a played day have logged: how queries were refused, failed or left
-// incomplete, over the fleet and over time, and which data nodes the missing parts waited for. It owns the reading of text
-// logs (`log.format = "text"`); a line may begin with a bench's own time in seconds. It must never guess: what it can't read
-// is counted as such.
+// Package fleetlog summarizes the logs of a fleet's coordinators: how queries were rejected, failed or answered in part, over the fleet
+// and over time, and which data nodes the missing parts waited for. It reads text logs (`log.format = "text"`), whose lines may begin
+// with a time in seconds that a test bench adds. Lines that can't be read are counted as such.
 package fleetlog
 
 import (
@@ -21,19 +20,19 @@
 	"gullfall/internal/coordinator"
 )
 
-// Way is one way in which queries ended badly.
+// Way is one way in which queries were not answered completely.
 type Way struct {
 	End   string `json:"end"`   // rejected, failed, partial
-	Why   string `json:"why"`   // the module's reason
+	Why   string `json:"why"`   // the reason of the decision code
 	Parts string `json:"parts"` // unsent: no part was sent; else how the last attempt of most missing parts stood
 	Class string `json:"class"`
 }
 
-// Count is how many ended so, and how long they had taken.
+// Count is how many queries ended in one way, and after how long.
 type Count struct {
 	Way
 	Queries int     `json:"queries"`
-	Share   float64 `json:"share"` // of all queries that the logs tell of
+	Share   float64 `json:"share"` // of Report.Queries
 	P50MS   float64 `json:"p50_ms"`
 	P99MS   float64 `json:"p99_ms"`
 }
@@ -45,7 +44,7 @@
 	Ends  map[string]int `json:"ends"`
 }
 
-// Attempts are all attempts over the fleet (debug lines), by end.
+// Attempts are the attempts of the fleet that ended in one way. They are logged at debug level.
 type Attempts struct {
 	End   string  `json:"end"`
 	N     int     `json:"n"`
@@ -53,10 +52,10 @@
 	P99MS float64 `json:"p99_ms"`
 }
 
-// Report is what the logs of a day show.
+// Report is the summary of a day's logs.
 type Report struct {
 	Logs     int                    `json:"logs"`
-	Queries  int                    `json:"queries"` // all that ended, where debug lines tell; else those that ended badly
+	Queries  int                    `json:"queries"` // all that ended, where debug lines are logged; else those that were not answered completely
 	Ways     []Count                `json:"ways"`
 	Nodes    []Node                 `json:"nodes"`
 	Attempts []Attempts             `json:"attempts"`
@@ -65,14 +64,16 @@
 	Unread   int                    `json:"unread"`
 }
 
+// tally counts the queries of one Way.
 type tally struct {
 	queries int
-	took    *hdrhistogram.Histogram
+	latency *hdrhistogram.Histogram
 }
 
+// histogram returns a histogram of microseconds, up to two minutes.
 func histogram() *hdrhistogram.Histogram { return hdrhistogram.New(1, 120_000_000, 3) }
 
-// Read counts the *.log files of a folder.
+// Read summarizes the *.log files of a folder. The error names the folder or file.
 func Read(dir string) (*Report, error) {
 	names, err := filepath.Glob(filepath.Join(dir, "*.log"))
 	if err != nil {
@@ -82,8 +83,8 @@
 		return nil, fmt.Errorf("%s: no *.log file; give the folder that holds the coordinators' logs", dir)
 	}
 	slices.Sort(names)
-	c := counter{r: Report{Logs: len(names), Lines: map[string]int{}, Second: map[string]map[int]int{}}, ways: map[Way]*tally{},
-		nodes: map[string]map[string]int{}, ends: map[string]*hdrhistogram.Histogram{}, told: map[string]bool{}}
+	c := counter{report: Report{Logs: len(names), Lines: map[string]int{}, Second: map[string]map[int]int{}}, ways: map[Way]*tally{},
+		nodes: map[string]map[string]int{}, latencies: map[string]*hdrhistogram.Histogram{}, counted: map[string]bool{}}
 	for _, name := range names {
 		f, err := os.Open(name)
 		if err != nil {
@@ -95,17 +96,18 @@
 			return nil, fmt.Errorf("%s: %w", name, err)
 		}
 	}
-	return c.report(), nil
+	return c.finish(), nil
 }
 
+// counter adds up log lines.
 type counter struct {
-	r     Report
-	ways  map[Way]*tally
-	nodes map[string]map[string]int
-	ends  map[string]*hdrhistogram.Histogram
-	told  map[string]bool // queries whose bad end was counted by its own line
-	ended int             // by debug lines
-	first time.Time
+	report       Report
+	ways         map[Way]*tally
+	nodes        map[string]map[string]int
+	latencies    map[string]*hdrhistogram.Histogram
+	counted      map[string]bool // queries that were counted by the line of their rejection or failure
+	queriesEnded int             // by debug lines; it includes those answered completely
+	first        time.Time
 }
 
 func (c *counter) read(in io.Reader) error {
@@ -113,7 +115,7 @@
 	for {
 		line, err := lines.ReadString('\n')
 		if line = strings.TrimSpace(line); line != "" {
-			c.line(line)
+			c.addLine(line)
 		}
 		if errors.Is(err, io.EOF) {
 			return nil
@@ -123,7 +125,7 @@
 	}
 }
 
-// fields reads key=value pairs, values quoted where need be. What stands before the first is the bench's time.
+// fields reads key=value pairs, whose values may be quoted. at is the text before the first.
 func fields(line string) (at string, f map[string]string, ok bool) {
 	f = map[string]string{}
 	i := strings.Index(line, "time=")
@@ -152,19 +154,19 @@
 	return at, f, true
 }
 
-func (c *counter) line(line string) {
+func (c *counter) addLine(line string) {
 	at, f, ok := fields(line)
 	if !ok {
-		c.r.Unread++
+		c.report.Unread++
 		return
 	}
 	msg := current(f["msg"])
-	c.r.Lines[msg]++
+	c.report.Lines[msg]++
 	second, err := strconv.ParseFloat(at, 64)
 	if err != nil {
 		t, terr := time.Parse(time.RFC3339Nano, f["time"])
 		if terr != nil {
-			c.r.Unread++
+			c.report.Unread++
 			return
 		}
 		if c.first.IsZero() {
@@ -174,49 +176,51 @@
 	}
 	switch msg {
 	case coordinator.LogQueryRejected, coordinator.LogQueryFailed:
-		c.told[f["query"]] = true
+		c.counted[f["query"]] = true
 		end := strings.TrimPrefix(msg, "query ")
-		c.bad(Way{end, current(either(f, "reason", "why")), c.missing(f["missing"]), f["class"]}, duration(f["after"]), int(second))
+		c.addUnsuccessful(Way{end, current(either(f, "reason", "why")), c.countMissing(f["missing"]), f["class"]}, duration(f["after"]), int(second))
 	case coordinator.LogQueryEnded:
-		c.ended++
+		c.queriesEnded++
 		if current(either(f, "status", "verdict")) == coordinator.Answered.String() && either(f, "complete", "whole") == "false" {
-			c.bad(Way{"partial", "", "", f["class"]}, duration(f["took"]), int(second))
+			c.addUnsuccessful(Way{"partial", "", "", f["class"]}, duration(f["took"]), int(second))
 		}
 	case coordinator.LogAttemptEnded:
 		end := current(f["end"])
-		h := c.ends[end]
+		h := c.latencies[end]
 		if h == nil {
 			h = histogram()
-			c.ends[end] = h
+			c.latencies[end] = h
 		}
 		_ = h.RecordValue(max(1, duration(f["took"]).Microseconds()))
 	}
 }
 
+// duration reads a log field; 0 for one that is missing or malformed.
 func duration(s string) time.Duration {
 	d, _ := time.ParseDuration(s)
 	return d
 }
 
-func (c *counter) bad(w Way, took time.Duration, second int) {
+// addUnsuccessful counts a query that was not answered completely.
+func (c *counter) addUnsuccessful(w Way, took time.Duration, second int) {
 	t := c.ways[w]
 	if t == nil {
-		t = &tally{took: histogram()}
+		t = &tally{latency: histogram()}
 		c.ways[w] = t
 	}
 	t.queries++
-	_ = t.took.RecordValue(max(1, took.Microseconds()))
+	_ = t.latency.RecordValue(max(1, took.Microseconds()))
 	key := strings.TrimSpace(w.End + " " + w.Why)
-	if c.r.Second[key] == nil {
-		c.r.Second[key] = map[int]int{}
+	if c.report.Second[key] == nil {
+		c.report.Second[key] = map[int]int{}
 	}
-	c.r.Second[key][second]++
+	c.report.Second[key][second]++
 }
 
-// missing reads the parts that a query lacked, "[3 s-1 in flight 40ms 7 s-2 overloaded 9ms s-1 cancelled 4ms]": a shard, then its
+// countMissing reads the parts that a query lacked, "[3 s-1 in flight 40ms 7 s-2 overloaded 9ms s-1 cancelled 4ms]": a shard, then its
 // attempts, each a data node, how it stood and its age. It counts the last attempt of each part under its data node, and
 // returns how most of them stood.
-func (c *counter) missing(text string) string {
+func (c *counter) countMissing(text string) string {
 	stood := map[string]int{}
 	node, state, sent := "", []string{}, false
 	settle := func() {
@@ -283,7 +287,7 @@
 	"being given up": "cancelling",
 }
 
-// current is today's word for one that may be of an earlier version.
+// current translates a word of an earlier version's logs.
 func current(word string) string {
 	if now, ok := earlierWords[word]; ok {
 		return now
@@ -291,7 +295,7 @@
 	return word
 }
 
-// either is the value of a field, which an earlier version had under another key.
+// either returns the value of a field that had another key in earlier versions.
 func either(f map[string]string, key, earlier string) string {
 	if value, ok := f[key]; ok {
 		return value
@@ -299,17 +303,19 @@
 	return f[earlier]
 }
 
+// ms is a percentile of a histogram of microseconds, in milliseconds.
 func ms(h *hdrhistogram.Histogram, q float64) float64 { return float64(h.ValueAtQuantile(q)) / 1000 }
 
-func (c *counter) report() *Report {
-	r := &c.r
+// finish sorts the counts into the report, the most frequent first.
+func (c *counter) finish() *Report {
+	r := &c.report
 	total := 0
 	for _, t := range c.ways {
 		total += t.queries
 	}
-	r.Queries = max(c.ended, total)
+	r.Queries = max(c.queriesEnded, total)
 	for w, t := range c.ways {
-		r.Ways = append(r.Ways, Count{w, t.queries, float64(t.queries) / float64(r.Queries), ms(t.took, 50), ms(t.took, 99)})
+		r.Ways = append(r.Ways, Count{w, t.queries, float64(t.queries) / float64(r.Queries), ms(t.latency, 50), ms(t.latency, 99)})
 	}
 	slices.SortFunc(r.Ways, func(a, b Count) int {
 		if a.Queries != b.Queries {
@@ -330,7 +336,7 @@
 		}
 		return strings.Compare(a.ID, b.ID)
 	})
-	for end, h := range c.ends {
+	for end, h := range c.latencies {
 		r.Attempts = append(r.Attempts, Attempts{end, int(h.TotalCount()), ms(h, 50), ms(h, 99)})
 	}
 	slices.SortFunc(r.Attempts, func(a, b Attempts) int { return b.N - a.N })
--- a/internal/lab/virtualtime/virtualtime.go
+++ b/internal/lab/virtualtime/virtualtime.go
@@ -1,5 +1,4 @@
-// Package virtualtime owns the order of what happens in virtual time, for the lab's models. It must never let two things of one time change
-// places: they come in the order in which they were put.
+// Package virtualtime has the event queue of the lab's simulations. Events of one time come out in the order in which they were put in.
 package virtualtime
 
 import (
@@ -7,18 +6,20 @@
 	"time"
 )
 
-// Queue holds what is to come. The zero value is empty; it is not safe for concurrent use.
+// Queue holds future events. The zero value is empty; it is not safe for concurrent use.
 type Queue[E any] struct {
-	items items[E]
-	put   int
+	items     items[E]
+	lastOrder int
 }
 
+// item is an event; order tells events of one time apart.
 type item[E any] struct {
 	at    time.Duration
 	order int
-	e     E
+	value E
 }
 
+// items is a heap.Interface with the earliest event first.
 type items[E any] []item[E]
 
 func (q items[E]) Len() int { return len(q) }
@@ -35,17 +36,17 @@
 	return x
 }
 
-// Put adds what happens at a time.
+// Put adds an event at a virtual time.
 func (q *Queue[E]) Put(at time.Duration, e E) {
-	q.put++
-	heap.Push(&q.items, item[E]{at, q.put, e})
+	q.lastOrder++
+	heap.Push(&q.items, item[E]{at, q.lastOrder, e})
 }
 
-// Next takes what comes first out, where that is no later than until.
+// Next removes the earliest event and returns it with its time; ok is false where there is none until then, which is included.
 func (q *Queue[E]) Next(until time.Duration) (at time.Duration, e E, ok bool) {
 	if len(q.items) == 0 || q.items[0].at > until {
 		return 0, e, false
 	}
 	x := heap.Pop(&q.items).(item[E])
-	return x.at, x.e, true
+	return x.at, x.value, true
 }
--- a/internal/lab/workplan/workplan.go
+++ b/internal/lab/workplan/workplan.go
@@ -1,6 +1,6 @@
-// Package workplan measures the order in which machines go out for work: how many waves it has against the least there can be,
-// what it takes to find, and how much sooner a fleet is done by it than one machine at a time or zone by zone. It makes the
-// fleets; the orders are internal/maintenance's. It must never leave a limit out for one of the ways that it compares.
+// Package workplan measures the maintenance plans of internal/maintenance over random fleets: how many waves a plan has against the lower
+// bound, how long it takes to compute, and how many fewer waves it has than one machine at a time or zone by zone. All are held to the
+// same limits.
 package workplan
 
 import (
@@ -13,47 +13,47 @@
 	"gullfall/internal/maintenance"
 )
 
-// Row is what was measured of fleets of one size.
+// Row is the result for fleets of one size.
 type Row struct {
 	Machines   int     `json:"machines"`
 	Fleets     int     `json:"fleets"`
 	Waves      float64 `json:"waves"`        // mean
-	Bound      float64 `json:"bound"`        // mean; no order has fewer
+	Bound      float64 `json:"bound"`        // mean; no plan has fewer
 	WorstGap   float64 `json:"worst_gap"`    // waves over the bound, less one, of the worst fleet
-	Exact      int     `json:"exact"`        // fleets of which the order is proven to be as short as can be
-	PlanMS     float64 `json:"plan_ms"`      // worst
+	Exact      int     `json:"exact"`        // fleets of which the plan is proven to have the fewest waves
+	PlanMS     float64 `json:"plan_ms"`      // to compute, in milliseconds, of the worst fleet
 	OneByOne   float64 `json:"one_by_one"`   // waves, mean
 	ZoneByZone float64 `json:"zone_by_zone"` // waves, mean: each zone's machines by first fit in the order of the list
 	Sooner     float64 `json:"sooner"`       // zone by zone over waves
-	Broken     int     `json:"broken"`       // orders of which a wave breaks a limit
+	Broken     int     `json:"broken"`       // plans of which a wave breaks a limit
 }
 
-// zones of each fleet.
-const zones = 3
+// zoneCount is the number of zones of each fleet.
+const zoneCount = 3
 
-// draw makes a fleet: shards held by three neighbouring cells, machines of three models dealt out over cells and zones, one in
-// thirty not sound, all as busy as the seed says.
-func draw(n int, chance *rand.Rand) (*maintenance.Fleet, maintenance.Limits, []string, error) {
-	cells := max(4, n/6)
+// randomFleet returns a fleet, its limits, and its machines' ids in random order. Each shard is on three neighbouring shard sets; machines
+// of three sizes are spread over shard sets and zones, and one in thirty is unhealthy.
+func randomFleet(n int, random *rand.Rand) (*maintenance.Fleet, maintenance.Limits, []string, error) {
+	shardSets := max(4, n/6)
 	var list []maintenance.Machine
 	var ids []string
-	busy := 0.2 + 0.4*chance.Float64()
+	busy := 0.2 + 0.4*random.Float64()
 	for i := range n {
-		m := maintenance.Machine{ID: fmt.Sprint("m", i), Addr: fmt.Sprint("m", i), ShardSet: i % cells, Zone: string(rune('a' + (i/cells+i)%zones)),
-			Weight: []float64{1, 1, 2, 0.7}[chance.IntN(4)], Serving: true, Healthy: chance.IntN(30) > 0, Util: busy * (0.8 + 0.4*chance.Float64()), Started: 1}
+		m := maintenance.Machine{ID: fmt.Sprint("m", i), Addr: fmt.Sprint("m", i), ShardSet: i % shardSets, Zone: string(rune('a' + (i/shardSets+i)%zoneCount)),
+			Weight: []float64{1, 1, 2, 0.7}[random.IntN(4)], Serving: true, Healthy: random.IntN(30) > 0, Util: busy * (0.8 + 0.4*random.Float64()), Started: 1}
 		list, ids = append(list, m), append(ids, m.ID)
 	}
-	chance.Shuffle(len(ids), func(i, j int) { ids[i], ids[j] = ids[j], ids[i] })
-	f, err := maintenance.NewFleet(maintenance.Layout{ShardSets: cells, Shards: cells, Reach: 3}, list)
-	return f, maintenance.Limits{Floor: 1 + int((0.3+0.3*chance.Float64())*float64(3*(n/cells))), Share: 0.25 + 0.25*chance.Float64(), ZoneShare: 0.5, Room: 0.85}, ids, err
+	random.Shuffle(len(ids), func(i, j int) { ids[i], ids[j] = ids[j], ids[i] })
+	f, err := maintenance.NewFleet(maintenance.Layout{ShardSets: shardSets, Shards: shardSets, Reach: 3}, list)
+	return f, maintenance.Limits{Floor: 1 + int((0.3+0.3*random.Float64())*float64(3*(n/shardSets))), Share: 0.25 + 0.25*random.Float64(), ZoneShare: 0.5, Room: 0.85}, ids, err
 }
 
-// Measure plans a number of fleets of one size.
+// Measure plans maintenance of a number of random fleets of one size. The error is that of a fleet of which no machine can go.
 func Measure(machines, fleets int, seed uint64) (r Row, err error) {
 	r.Machines, r.Fleets = machines, fleets
-	chance := rand.New(rand.NewPCG(seed, uint64(machines)))
+	random := rand.New(rand.NewPCG(seed, uint64(machines)))
 	for range fleets {
-		f, l, ids, err := draw(machines, chance)
+		f, l, ids, err := randomFleet(machines, random)
 		if err != nil {
 			return r, err
 		}
@@ -87,8 +87,8 @@
 	return r, nil
 }
 
-// zoneByZone is what is done by hand: one zone after the other, in each the machines as the list names them, as many at once as
-// the limits let.
+// zoneByZone is the plan that is made by hand: one zone after the other, in each the machines in the order of their ids, as many at once as
+// the limits allow.
 func zoneByZone(f *maintenance.Fleet, l maintenance.Limits, ids []string) (waves [][]string) {
 	ids = slices.Clone(ids)
 	slices.SortFunc(ids, func(a, b string) int {
