--- a/internal/lab/fleetlog/fleetlog.go
+++ b/internal/lab/fleetlog/fleetlog.go
@@ -84,7 +84,7 @@
 	}
 	slices.Sort(names)
 	c := counter{report: Report{Logs: len(names), Lines: map[string]int{}, Second: map[string]map[int]int{}}, ways: map[Way]*tally{},
-		nodes: map[string]map[string]int{}, latencies: map[string]*hdrhistogram.Histogram{}, counted: map[string]bool{}}
+		nodes: map[string]map[string]int{}, latencies: map[string]*hdrhistogram.Histogram{}}
 	for _, name := range names {
 		f, err := os.Open(name)
 		if err != nil {
@@ -105,8 +105,7 @@
 	ways         map[Way]*tally
 	nodes        map[string]map[string]int
 	latencies    map[string]*hdrhistogram.Histogram
-	counted      map[string]bool // queries that were counted by the line of their rejection or failure
-	queriesEnded int             // by debug lines; it includes those answered completely
+	queriesEnded int // by debug lines; it includes those answered completely
 	first        time.Time
 }
 
@@ -176,7 +175,6 @@
 	}
 	switch msg {
 	case coordinator.LogQueryRejected, coordinator.LogQueryFailed:
-		c.counted[f["query"]] = true
 		end := strings.TrimPrefix(msg, "query ")
 		c.addUnsuccessful(Way{end, current(either(f, "reason", "why")), c.countMissing(f["missing"]), f["class"]}, duration(f["after"]), int(second))
 	case coordinator.LogQueryEnded:
