--- a/internal/kv/db_test.go
+++ b/internal/kv/db_test.go
@@ -296,7 +296,7 @@
 func TestFullStore(t *testing.T) {
 	for room := int64(3000); room < 30_000; room += 911 {
 		d := disk.New()
-		d.Room(room)
+		d.SetFreeSpace(room)
 		db, err := kv.Open(d, tiny)
 		if err != nil {
 			t.Fatal(err)
@@ -309,7 +309,7 @@
 				v := db.Snapshot()
 				agrees(t, v, want)
 				v.Close()
-				d.Room(1 << 20)
+				d.SetFreeSpace(1 << 20)
 				err = db.Write(change(n))
 			}
 			if err != nil {
@@ -317,7 +317,7 @@
 			}
 			want = want.apply(change(n))
 		}
-		d.Room(1 << 20)
+		d.SetFreeSpace(1 << 20)
 		for end := time.Now().Add(10 * time.Second); ; time.Sleep(5 * time.Millisecond) {
 			if err := db.Quiet(); err == nil {
 				break
--- a/internal/kv/log_test.go
+++ b/internal/kv/log_test.go
@@ -247,7 +247,7 @@
 func TestFull(t *testing.T) {
 	for room := int64(0); room < 1500; room += 7 {
 		d := disk.New()
-		d.Room(room)
+		d.SetFreeSpace(room)
 		l, _, err := kv.OpenLog(d, small)
 		if err != nil {
 			t.Fatal(err)
@@ -262,7 +262,7 @@
 				t.Fatalf("room %d, batch %d: %v", room, n, err)
 			default:
 				refused++
-				d.Room(1 << 20)
+				d.SetFreeSpace(1 << 20)
 			}
 		}
 		if err := l.Close(); err != nil {
@@ -278,7 +278,7 @@
 
 func testTogether(t *testing.T) {
 	d := disk.New()
-	d.Slow(time.Millisecond)
+	d.SetSyncTime(time.Millisecond)
 	l, _, err := kv.OpenLog(d, kv.Options{})
 	if err != nil {
 		t.Fatal(err)
--- a/internal/lab/disk/disk.go
+++ b/internal/lab/disk/disk.go
@@ -50,15 +50,15 @@
 	d.failures[d.operations+n] = err
 }
 
-// Slow sets how long each sync of a file takes.
-func (d *Disk) Slow(each time.Duration) {
+// SetSyncTime sets how long each sync of a file takes.
+func (d *Disk) SetSyncTime(each time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.syncTime = each
 }
 
-// Room sets how many bytes are free; below 0 for no limit.
-func (d *Disk) Room(bytes int64) {
+// SetFreeSpace sets how many bytes can be written; below 0 for no limit.
+func (d *Disk) SetFreeSpace(bytes int64) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.free = bytes
--- a/internal/store/disk_test.go
+++ b/internal/store/disk_test.go
@@ -382,7 +382,7 @@
 	d := openOn(t, full)
 	defer d.Close()
 	d.runs.Store(true)
-	full.Room(2000)
+	full.SetFreeSpace(2000)
 	var err error
 	last := uint64(0)
 	for err == nil {
@@ -392,7 +392,7 @@
 	if !errors.Is(err, kv.ErrFull) {
 		t.Fatal(err)
 	}
-	full.Room(10) // nor for less
+	full.SetFreeSpace(10) // nor for less
 	set := make(chan error, 1)
 	go func() { set <- d.SetUint64([]byte("CurrentTerm"), 7) }()
 	select {
@@ -400,11 +400,11 @@
 		t.Fatalf("on a full disk it returned %v", err)
 	case <-time.After(300 * time.Millisecond):
 	}
-	full.Room(1 << 20)
+	full.SetFreeSpace(1 << 20)
 	if err := <-set; err != nil {
 		t.Fatal(err)
 	}
-	full.Room(-1)
+	full.SetFreeSpace(-1)
 	d.part = partSize
 	values := map[string][]byte{} // of one batch of entries, more than one batch of internal/kv takes
 	for i := range 40 {
