--- a/internal/lab/explore/decisions.go
+++ b/internal/lab/explore/decisions.go
@@ -84,7 +84,7 @@
 	return w
 }
 
-// view is what the decision code is told of the fleet.
+// view is the fleet as the decision code sees it.
 func (m *model) view(q movesQuery, plans *maintenance.State) *maintenance.View {
 	v := &maintenance.View{Fleet: fleet(q.usable, q.started), Limits: limits, Wall: time.Unix(10, 0)}
 	turns := plans.Overlay().Turns
--- a/internal/lab/explore/successors.go
+++ b/internal/lab/explore/successors.go
@@ -7,7 +7,7 @@
 	edges []edge
 }
 
-// The order of these lists shows in reports: of two paths of one length the first found is told.
+// The order of these lists shows in reports: of two paths of one length the first found is reported.
 var (
 	coordinatorEvents = []func(s *successors, coordinator int){
 		(*successors).parts,
--- a/internal/lab/model/config.go
+++ b/internal/lab/model/config.go
@@ -10,19 +10,19 @@
 type Config struct {
 	Coordinators int
 	Zones        []string
-	PerZone      int           // data nodes in each zone
+	NodesPerZone int           // data nodes
 	Cores        int           // of each data node
 	Rate         float64       // queries a second at each coordinator
 	Parts        int           // of a query; there are as many shards as data nodes in a zone
 	Work         time.Duration // of a part on a warm data node, the median
-	Way          time.Duration // network delay, one way, between any two processes
+	NetworkDelay time.Duration // network delay, one way, between any two processes
 	ListLag      time.Duration // from a change of the endpoint list until coordinators hear of it, the mean
-	For          time.Duration
+	Duration     time.Duration
 	Seed         uint64
 
-	Verdicts bool // coordinators judge zones as a whole (internal/zones)
-	Share    bool // coordinators gossip their observations, each once a Period
-	Period   time.Duration
+	JudgeZones   bool // coordinators judge zones as a whole (internal/zones)
+	Gossip       bool // coordinators gossip their observations, each once a GossipPeriod
+	GossipPeriod time.Duration
 
 	Faults []Fault
 }
@@ -64,7 +64,7 @@
 
 // settings are those of all coordinators.
 func (c *Config) settings() aggregator.Settings {
-	return aggregator.Settings{Aggregators: c.Coordinators, Tick: tick, ShardSets: c.PerZone, Shards: c.PerZone, Reach: 1,
+	return aggregator.Settings{Aggregators: c.Coordinators, Tick: tick, ShardSets: c.NodesPerZone, Shards: c.NodesPerZone, Reach: 1,
 		Classes: []aggregator.Class{{Name: "lookup", LatencyObjective: latencyObjective, Deadline: deadline, Priority: 1, LateShare: 0.3, CompleteShare: 1, MinShare: 1}},
 		Rules:   aggregator.Rules{DrainGrace: drainGrace, OverloadMultiple: overloadMultiple, OverloadWindow: time.Second, InitialCapacity: initialCapacity, WarmupTime: warmupTime},
 		Limits:  aggregator.Limits{MaxAttempts: 3, MaxBatch: 1, CanCancel: true, Probes: true, SendRetryAfter: true, MaxRetryAfter: 2 * time.Second}}
--- a/internal/lab/model/coordinator.go
+++ b/internal/lab/model/coordinator.go
@@ -34,13 +34,13 @@
 	}
 	k.events, k.nextStep = nil, -1
 	k.parts, k.queries, k.lastAnswer, k.drainHeard = map[string]*part{}, map[string]*query{}, map[string]time.Duration{}, map[string]time.Duration{}
-	if m.config.Verdicts {
+	if m.config.JudgeZones {
 		if k.zones, err = zones.New(zones.Config{Seed: m.config.Seed*1000 + uint64(k.index)}); err != nil {
 			return err
 		}
 		k.zones.List(k.wall(), m.serving())
 	}
-	if m.config.Share {
+	if m.config.Gossip {
 		if k.observations, err = observations.New(observations.Config{Self: fmt.Sprint("c", k.index), WarmupTime: warmupTime}); err != nil {
 			return err
 		}
@@ -163,7 +163,7 @@
 		if n.id != replica {
 			continue
 		}
-		end, takes := aggregator.OK, 2*k.model.config.Way
+		end, takes := aggregator.OK, 2*k.model.config.NetworkDelay
 		if n.down || n.overloaded {
 			if end = aggregator.ConnectFailed; n.silent {
 				end, takes = aggregator.TimedOut, 250*time.Millisecond
--- a/internal/lab/model/datanode.go
+++ b/internal/lab/model/datanode.go
@@ -52,7 +52,7 @@
 	case n.down && n.silent:
 		return
 	case n.down || n.overloaded:
-		m.after(m.config.Way, func() { k.endAttempt(j.attempt, aggregator.ConnectFailed) })
+		m.after(m.config.NetworkDelay, func() { k.endAttempt(j.attempt, aggregator.ConnectFailed) })
 		return
 	}
 	if n.started > 0 && m.now < n.started+warmupTime {
@@ -88,7 +88,7 @@
 			}
 			n.busy--
 			if !j.cancelled {
-				m.after(m.config.Way, func() { j.attempt.coordinator.endAttempt(j.attempt, aggregator.OK) })
+				m.after(m.config.NetworkDelay, func() { j.attempt.coordinator.endAttempt(j.attempt, aggregator.OK) })
 			}
 			n.startJobs(m)
 		})
--- a/internal/lab/model/days.go
+++ b/internal/lab/model/days.go
@@ -19,19 +19,19 @@
 // the coordinators restarting in the 5 s after the failure; `roll`, in which all data nodes are replaced by newly started ones, five every
 // 6 s. Load is the utilization of the data nodes, 0 to 1, when all serve. Figures of days are compared over time, so days don't change.
 func Day(name, way string, coordinators int, load float64, seed uint64) (Config, error) {
-	c := Config{Coordinators: coordinators, Zones: []string{"a", "b", "c"}, PerZone: 8, Cores: 2, Parts: 3, Work: 25 * time.Millisecond,
-		Way: time.Millisecond, ListLag: time.Second, For: 20 * time.Second, Seed: seed, Period: time.Second}
+	c := Config{Coordinators: coordinators, Zones: []string{"a", "b", "c"}, NodesPerZone: 8, Cores: 2, Parts: 3, Work: 25 * time.Millisecond,
+		NetworkDelay: time.Millisecond, ListLag: time.Second, Duration: 20 * time.Second, Seed: seed, GossipPeriod: time.Second}
 	switch way {
 	case "alone":
 	case "verdicts":
-		c.Verdicts = true
+		c.JudgeZones = true
 	case "shared":
-		c.Verdicts, c.Share = true, true
+		c.JudgeZones, c.Gossip = true, true
 	default:
 		return c, fmt.Errorf("way %q is none of %v", way, Ways)
 	}
 	mean := c.Work.Seconds() * 1.133 // of work that varies by half an e-fold around its median
-	c.Rate = load * float64(len(c.Zones)*c.PerZone*c.Cores) / mean / float64(c.Parts*coordinators)
+	c.Rate = load * float64(len(c.Zones)*c.NodesPerZone*c.Cores) / mean / float64(c.Parts*coordinators)
 	switch name {
 	case "quiet":
 	case "fresh":
@@ -42,8 +42,8 @@
 	case "zone":
 		c.Faults = append(c.Faults, Fault{At: Lost, Until: Back, Zone: "a", Silent: true})
 	case "roll":
-		c.For = 40 * time.Second
-		for i := range len(c.Zones) * c.PerZone {
+		c.Duration = 40 * time.Second
+		for i := range len(c.Zones) * c.NodesPerZone {
 			at := 4*time.Second + time.Duration(i/5)*6*time.Second
 			c.Faults = append(c.Faults, Fault{At: at, Until: at + 3*time.Second, Node: i})
 		}
--- a/internal/lab/model/faults.go
+++ b/internal/lab/model/faults.go
@@ -60,7 +60,7 @@
 func (m *Model) refuse(n *dataNode) {
 	for _, a := range n.attempts {
 		if !a.ended {
-			m.after(m.config.Way, func() { a.coordinator.endAttempt(a, aggregator.Reset) })
+			m.after(m.config.NetworkDelay, func() { a.coordinator.endAttempt(a, aggregator.Reset) })
 		}
 	}
 	n.shutDown()
--- a/internal/lab/model/gossip.go
+++ b/internal/lab/model/gossip.go
@@ -17,7 +17,7 @@
 
 // gossip sends a coordinator's facts to others, once a period.
 func (m *Model) gossip(k *coordinator) {
-	m.after(m.config.Period, func() { m.gossip(k) })
+	m.after(m.config.GossipPeriod, func() { m.gossip(k) })
 	k.observations.Step(m.now)
 	facts := k.observations.Facts(m.now, gossipFacts)
 	for range gossipFanout {
@@ -25,7 +25,7 @@
 		if to == k {
 			continue
 		}
-		m.after(m.config.Way, func() {
+		m.after(m.config.NetworkDelay, func() {
 			for _, f := range facts {
 				m.checkFact(to.observations.Merge(m.now, to.wall(), f))
 			}
--- a/internal/lab/model/model.go
+++ b/internal/lab/model/model.go
@@ -43,10 +43,10 @@
 // Run simulates a day. The error is of the configuration, or of an observation that was rejected.
 func Run(c Config) (Figures, error) {
 	m := &Model{config: c, rng: rand.New(rand.NewPCG(c.Seed, 0x30de1)), now: dayStart}
-	n := int(c.For/sliceLength) + 1
+	n := int(c.Duration/sliceLength) + 1
 	m.arrivedBySlice, m.servedBySlice = make([]int, n), make([]int, n)
 	for _, zone := range c.Zones {
-		for shardSet := range c.PerZone {
+		for shardSet := range c.NodesPerZone {
 			m.nodes = append(m.nodes, &dataNode{id: fmt.Sprintf("%s-%d", zone, shardSet), zone: zone, shardSet: shardSet})
 		}
 	}
@@ -57,8 +57,8 @@
 		}
 		m.coordinators = append(m.coordinators, k)
 		m.scheduleArrival(k)
-		if c.Share {
-			m.after(time.Duration(m.rng.Int64N(int64(c.Period))), func() { m.gossip(k) })
+		if c.Gossip {
+			m.after(time.Duration(m.rng.Int64N(int64(c.GossipPeriod))), func() { m.gossip(k) })
 		}
 	}
 	for _, f := range c.Faults {
@@ -67,7 +67,7 @@
 			m.at(dayStart+f.Until, func() { m.endFault(f) })
 		}
 	}
-	end := dayStart + c.For + deadline + time.Second // by then all queries have ended
+	end := dayStart + c.Duration + deadline + time.Second // by then all queries have ended
 	for at, do, ok := m.queue.Next(end); ok; at, do, ok = m.queue.Next(end) {
 		m.now = max(m.now, at)
 		do()
@@ -115,7 +115,7 @@
 // scheduleArrival lets the next query of a coordinator's clients arrive, and those after it.
 func (m *Model) scheduleArrival(k *coordinator) {
 	m.after(time.Duration(m.rng.ExpFloat64()/m.config.Rate*float64(time.Second)), func() {
-		if m.elapsed() < m.config.For {
+		if m.elapsed() < m.config.Duration {
 			k.startQuery()
 			m.scheduleArrival(k)
 		}
--- a/internal/lab/model/queries.go
+++ b/internal/lab/model/queries.go
@@ -45,13 +45,13 @@
 	k.queries[q.id] = q
 	m.arrivedBySlice[int(q.arrived/sliceLength)]++
 	in := []aggregator.Event{{Kind: aggregator.QueryArrived, Query: q.id, Tenant: -1, Count: m.config.Parts, TimeLeft: deadline}}
-	first := m.rng.IntN(m.config.PerZone)
+	first := m.rng.IntN(m.config.NodesPerZone)
 	for i := range m.config.Parts {
 		// Work is drawn once for the part: it takes as long wherever it is done.
 		work := time.Duration(float64(m.config.Work) * math.Exp(0.5*m.rng.NormFloat64()))
 		p := &part{id: fmt.Sprint(q.id, ".", i), query: q, work: work}
 		k.parts[p.id] = p
-		in = append(in, aggregator.Event{Kind: aggregator.PartArrived, Query: q.id, Part: p.id, Shard: (first + i) % m.config.PerZone, Weight: 1 / float64(m.config.Parts)})
+		in = append(in, aggregator.Event{Kind: aggregator.PartArrived, Query: q.id, Part: p.id, Shard: (first + i) % m.config.NodesPerZone, Weight: 1 / float64(m.config.Parts)})
 	}
 	k.handle(in...)
 	incarnation := k.incarnation
@@ -123,7 +123,7 @@
 	if n.down {
 		m.figures.Gone++
 	}
-	m.after(m.config.Way, func() { n.receive(m, a.job) })
+	m.after(m.config.NetworkDelay, func() { n.receive(m, a.job) })
 	m.after(max(s.After, tick), func() {
 		a.job.cancelled = true
 		k.endAttempt(a, aggregator.TimedOut)
