--- a/internal/kv/db_test.go
+++ b/internal/kv/db_test.go
@@ -296,7 +296,7 @@
 func TestStoreOnFullDisk(t *testing.T) {
 	for room := int64(3000); room < 30_000; room += 911 {
 		d := disk.New()
-		d.Room(room)
+		d.SetFreeSpace(room)
 		db, err := kv.Open(d, tiny)
 		if err != nil {
 			t.Fatal(err)
@@ -309,7 +309,7 @@
 				v := db.Snapshot()
 				agrees(t, v, want)
 				v.Close()
-				d.Room(1 << 20)
+				d.SetFreeSpace(1 << 20)
 				err = db.Write(change(n))
 			}
 			if err != nil {
@@ -317,7 +317,7 @@
 			}
 			want = want.apply(change(n))
 		}
-		d.Room(1 << 20)
+		d.SetFreeSpace(1 << 20)
 		for end := time.Now().Add(10 * time.Second); ; time.Sleep(5 * time.Millisecond) {
 			if err := db.WaitIdle(); err == nil {
 				break
--- a/internal/store/disk_test.go
+++ b/internal/store/disk_test.go
@@ -382,7 +382,7 @@
 	d := openOn(t, full)
 	defer d.Close()
 	d.raftRunning.Store(true)
-	full.Room(2000)
+	full.SetFreeSpace(2000)
 	var err error
 	last := uint64(0)
 	for err == nil {
@@ -392,7 +392,7 @@
 	if !errors.Is(err, kv.ErrFull) {
 		t.Fatal(err)
 	}
-	full.Room(10) // nor for less
+	full.SetFreeSpace(10) // nor for less
 	set := make(chan error, 1)
 	go func() { set <- d.SetUint64([]byte("CurrentTerm"), 7) }()
 	select {
@@ -400,12 +400,17 @@
 		t.Fatalf("on a full disk it returned %v", err)
 	case <-time.After(300 * time.Millisecond):
 	}
-	full.Room(1 << 20)
+	full.SetFreeSpace(1 << 20)
 	if err := <-set; err != nil {
 		t.Fatal(err)
 	}
+<<<<<<< HEAD
 	full.Room(-1)
 	d.partSize = defaultPartSize
+=======
+	full.SetFreeSpace(-1)
+	d.part = partSize
+>>>>>>> read-models
 	values := map[string][]byte{} // of one batch of entries, more than one batch of internal/kv takes
 	for i := range 40 {
 		values[fmt.Sprint(i)] = bytes.Repeat([]byte{byte(i)}, defaultPartSize-1)
