--- a/internal/store/disk_test.go
+++ b/internal/store/disk_test.go
@@ -404,13 +404,8 @@
 	if err := <-set; err != nil {
 		t.Fatal(err)
 	}
-<<<<<<< HEAD
-	full.Room(-1)
-	d.partSize = defaultPartSize
-=======
 	full.SetFreeSpace(-1)
-	d.part = partSize
->>>>>>> read-models
+	d.partSize = defaultPartSize
 	values := map[string][]byte{} // of one batch of entries, more than one batch of internal/kv takes
 	for i := range 40 {
 		values[fmt.Sprint(i)] = bytes.Repeat([]byte{byte(i)}, defaultPartSize-1)
