--- a/cmd/gullfall-lab/duties.go
+++ b/cmd/gullfall-lab/duties.go
@@ -6,6 +6,7 @@
 
 import (
 	"context"
+	"errors"
 	"fmt"
 	"math/rand/v2"
 	"slices"
@@ -13,7 +14,6 @@
 	"time"
 
 	"gullfall/internal/lab/fleet"
-	"gullfall/internal/lab/proxy"
 )
 
 type dutiesCmd struct {
@@ -58,7 +58,7 @@
 }
 
 // Run plays.
-func (c *dutiesCmd) Run() error {
+func (c *dutiesCmd) Run() (err error) {
 	ctx, cancel := context.WithDeadline(context.Background(), time.Now().Add(time.Duration(c.Faults)*10*time.Second+2*time.Minute))
 	defer cancel()
 	r := dutiesReport{Kinds: map[string]int{}, WorstKindGap: map[string]int{}, Seed: c.Seed}
@@ -69,7 +69,7 @@
 	w, err := fleet.StartWorks(ctx, fleet.WorksOptions{Coordinators: c.Coordinators, Voters: c.Voters, PerZone: 4, Rate: 2, Floor: 2, Share: 0.35, Bound: time.Second,
 		Lease: c.Lease, Warm: workWarm, Heartbeat: dutiesBeat, Work: 400 * time.Millisecond, Binary: binary(c.Binary), Seed: c.Seed, Duties: names[1:], Skew: c.Skew})
 	if w != nil {
-		defer w.Stop()
+		defer func() { err = errors.Join(err, w.Stop()) }()
 	}
 	if err != nil {
 		return err
@@ -93,30 +93,45 @@
 	r.Faults = len(faults)
 	v := h.Check()
 	r.Claims, r.Accepted, r.Refused, r.Handovers, r.Double, r.Stale, r.Said = v.Claims, v.Accepted, v.Refused, len(v.Handovers), v.Double, v.Stale, v.Said
+	r.measureGaps(c.Lease, v.Handovers, faults, reigns)
+	r.print()
+	if err := writeJSON(c.JSON, r); err != nil {
+		return err
+	}
+	if r.Double+r.Stale+r.OverBound > 0 || r.Handovers == 0 {
+		return fmt.Errorf("%d double holders, %d stale writes taken, %d gaps over the bound, %d hand-overs", r.Double, r.Stale, r.OverBound, r.Handovers)
+	}
+	return nil
+}
+
+// print writes the report as a table.
+func (r *dutiesReport) print() {
+	fmt.Printf("%-28s %d %v\n", "faults", r.Faults, r.Kinds)
+	fmt.Printf("%-28s %d claims, %d writes taken, %d turned back\n", "asked to act", r.Claims, r.Accepted, r.Refused)
+	fmt.Printf("%-28s %d; nobody held it for %.0f ms at the median, %.0f ms at worst; bound %.0f ms, %d over it\n", "hand-overs", r.Handovers, r.P50GapMS, r.WorstGapMS, r.BoundMS, r.OverBound)
+	fmt.Printf("%-28s %v\n", "longest by fault, ms", r.WorstKindGap)
+	fmt.Printf("%-28s %d double holders, %d stale writes taken\n", "broken", r.Double, r.Stale)
+	for _, s := range r.Said {
+		fmt.Println("  " + s)
+	}
+}
+
+// measureGaps compares how long nobody held a duty, at each hand-over, with what a lease, the faults and the elections of that
+// time allow.
+func (r *dutiesReport) measureGaps(lease time.Duration, handovers []fleet.Handover, faults []dutyFault, reigns []fleet.Reign) {
 	// A lease that its holder no longer renews is over in the store within L (1 + E) of its last renewal, by a new leader's clock
 	// counted from its first moment; the next campaign comes within a quarter; a new leader is found within 4 heartbeats; and who is
 	// asked answers within two rounds of the asking. Each further election within the gap begins the lease anew.
-	again := time.Duration(1.01*float64(c.Lease)) + 4*dutiesBeat
-	bound := time.Duration(1.01*float64(c.Lease)) + c.Lease/4 + 4*dutiesBeat + 200*time.Millisecond
+	again := time.Duration(1.01*float64(lease)) + 4*dutiesBeat
+	bound := time.Duration(1.01*float64(lease)) + lease/4 + 4*dutiesBeat + 200*time.Millisecond
 	r.BoundMS = float64(bound.Milliseconds())
 	var gaps []time.Duration
-	for _, x := range v.Handovers {
+	for _, x := range handovers {
 		gaps = append(gaps, x.Gap)
-		allowed, kind := bound, "none"
-		for _, f := range faults {
-			if f.begun.Before(x.At.Add(x.Gap)) && f.end.After(x.At.Add(-dutiesBeat)) {
-				if kind = f.kind; f.quorumless {
-					allowed += f.end.Sub(f.begun)
-				}
-			}
-		}
+		kind, quorumless := during(faults, x)
+		allowed := bound + quorumless
 		r.WorstKindGap[kind] = max(r.WorstKindGap[kind], int(x.Gap.Milliseconds()))
-		elections := 0
-		for _, reign := range reigns {
-			if reign.At.After(x.At) && reign.At.Before(x.At.Add(x.Gap)) {
-				elections++
-			}
-		}
+		elections := elections(reigns, x)
 		allowed += time.Duration(max(0, elections-1)) * again
 		if x.Gap > allowed {
 			r.OverBound++
@@ -128,90 +143,37 @@
 	if len(gaps) > 0 {
 		r.P50GapMS, r.WorstGapMS = float64(gaps[len(gaps)/2].Milliseconds()), float64(gaps[len(gaps)-1].Milliseconds())
 	}
-	fmt.Printf("%-28s %d %v\n", "faults", r.Faults, r.Kinds)
-	fmt.Printf("%-28s %d claims, %d writes taken, %d turned back\n", "asked to act", r.Claims, r.Accepted, r.Refused)
-	fmt.Printf("%-28s %d; nobody held it for %.0f ms at the median, %.0f ms at worst; bound %.0f ms, %d over it\n", "hand-overs", r.Handovers, r.P50GapMS, r.WorstGapMS, r.BoundMS, r.OverBound)
-	fmt.Printf("%-28s %v\n", "longest by fault, ms", r.WorstKindGap)
-	fmt.Printf("%-28s %d double holders, %d stale writes taken\n", "broken", r.Double, r.Stale)
-	for _, s := range r.Said {
-		fmt.Println("  " + s)
-	}
-	if err := writeJSON(c.JSON, r); err != nil {
-		return err
+}
+
+// during is the kind of the last fault that overlaps a hand-over, "none" without any, and how long the store could not be written by
+// those that overlap it.
+func during(faults []dutyFault, x fleet.Handover) (kind string, quorumless time.Duration) {
+	kind = "none"
+	for _, f := range faults {
+		if f.begun.Before(x.At.Add(x.Gap)) && f.end.After(x.At.Add(-dutiesBeat)) {
+			if kind = f.kind; f.quorumless {
+				quorumless += f.end.Sub(f.begun)
+			}
+		}
 	}
-	if r.Double+r.Stale+r.OverBound > 0 || r.Handovers == 0 {
-		return fmt.Errorf("%d double holders, %d stale writes taken, %d gaps over the bound, %d hand-overs", r.Double, r.Stale, r.OverBound, r.Handovers)
+	return kind, quorumless
+}
+
+// elections counts the terms of the store that began while nobody held a duty.
+func elections(reigns []fleet.Reign, x fleet.Handover) (n int) {
+	for _, reign := range reigns {
+		if reign.At.After(x.At) && reign.At.Before(x.At.Add(x.Gap)) {
+			n++
+		}
 	}
-	return nil
+	return n
 }
 
 // play plays the faults, most of them on a duty's holder.
 func (c *dutiesCmd) play(ctx context.Context, w *fleet.Works, names []string, kinds map[string]int) (faults []dutyFault, err error) {
 	chance := rand.New(rand.NewPCG(c.Seed, 21))
-	n := c.Coordinators
 	for len(faults) < c.Faults && ctx.Err() == nil {
-		some := chance.IntN(n)
-		if h := w.HolderOf(ctx, names[chance.IntN(len(names))]); h >= 0 && chance.IntN(4) > 0 {
-			some = h
-		}
-		while := c.Lease/4 + time.Duration(chance.Int64N(int64(2*c.Lease)))
-		f := dutyFault{begun: time.Now()}
-		fault := []proxy.Fault{proxy.Drop, proxy.Cut, proxy.Reset, proxy.Delay, proxy.DropUp, proxy.DropDown}[chance.IntN(6)]
-		switch k := chance.IntN(20); {
-		case k < 6:
-			f.kind = "stall"
-			if err = w.Stall(some, true); err == nil {
-				time.Sleep(while)
-				err = w.Stall(some, false)
-			}
-		case k < 10:
-			f.kind = "kill"
-			if err = w.Kill(some); err == nil {
-				time.Sleep(while / 2)
-				err = w.Start(ctx, some)
-			}
-		case k < 14:
-			f.kind = "isolate " + fault.String()
-			w.Isolate(some, fault)
-			time.Sleep(while)
-			w.Isolate(some, proxy.Pass)
-		case k < 16:
-			f.kind = "hand on"
-			for _, name := range names {
-				w.HandOn(ctx, some, name) // refused where it does not hold it
-			}
-		case k < 18:
-			f.kind = "end"
-			if err = w.End(some); err == nil {
-				err = w.Start(ctx, some)
-			}
-		case k < 19:
-			f.kind, f.quorumless = "two stalled", true
-			other := (some + 1 + chance.IntN(n-1)) % n
-			err = w.Stall(some, true)
-			if err == nil {
-				err = w.Stall(other, true)
-			}
-			if err == nil {
-				time.Sleep(while)
-				err = w.Stall(some, false)
-			}
-			if err == nil {
-				err = w.Stall(other, false)
-			}
-		default:
-			f.kind, f.quorumless = "all killed", true
-			for i := range n {
-				if err == nil {
-					err = w.Kill(i)
-				}
-			}
-			for i := range n {
-				if err == nil {
-					err = w.Start(ctx, i)
-				}
-			}
-		}
+		f, err := c.fault(ctx, w, names, chance)
 		if err != nil {
 			return faults, fmt.Errorf("%s: %w", f.kind, err)
 		}
@@ -222,3 +184,43 @@
 	}
 	return faults, ctx.Err()
 }
+
+// fault plays one fault and undoes it.
+func (c *dutiesCmd) fault(ctx context.Context, w *fleet.Works, names []string, chance *rand.Rand) (f dutyFault, err error) {
+	n := c.Coordinators
+	some := chance.IntN(n)
+	if h := w.HolderOf(ctx, names[chance.IntN(len(names))]); h >= 0 && chance.IntN(4) > 0 {
+		some = h
+	}
+	while := c.Lease/4 + time.Duration(chance.Int64N(int64(2*c.Lease)))
+	f.begun = time.Now()
+	fault := drawLinkFault(chance)
+	inject := faultInjector{fleet: w, coordinators: n, restart: w.Start}
+	switch k := chance.IntN(20); {
+	case k < 6:
+		f.kind = "stall"
+		err = inject.stall(while, some)
+	case k < 10:
+		f.kind = "kill"
+		err = inject.kill(ctx, some, while/2)
+	case k < 14:
+		f.kind = "isolate " + fault.String()
+		err = inject.isolate(some, fault, while)
+	case k < 16:
+		f.kind = "hand on"
+		for _, name := range names {
+			_ = w.HandOn(ctx, some, name) // refused where it does not hold it
+		}
+	case k < 18:
+		f.kind = "end"
+		err = inject.end(ctx, some)
+	case k < 19:
+		f.kind, f.quorumless = "two stalled", true
+		other := (some + 1 + chance.IntN(n-1)) % n
+		err = inject.stall(while, some, other)
+	default:
+		f.kind, f.quorumless = "all killed", true
+		err = inject.killAll(ctx)
+	}
+	return f, err
+}
--- /dev/null
+++ b/cmd/gullfall-lab/peers_sizes.go
@@ -0,0 +1,161 @@
+package main
+
+import (
+	"fmt"
+	"math/rand/v2"
+	"os"
+	"path/filepath"
+	"runtime"
+	"time"
+
+	"golang.org/x/sync/errgroup"
+	"gonum.org/v1/plot"
+	"gonum.org/v1/plot/plotter"
+	"gonum.org/v1/plot/vg"
+
+	"gullfall/internal/lab/swimsim"
+	"gullfall/internal/swim"
+)
+
+// sizeRow is one fleet in virtual time.
+type sizeRow struct {
+	Members     int     `json:"members"`
+	Detect      string  `json:"detect"`
+	Loss        float64 `json:"loss"`
+	BearS       float64 `json:"bear_s"`
+	FalseDead   int     `json:"false_dead"`
+	DetectP50MS float64 `json:"detect_p50_ms"` // a crash known to half
+	DetectMS    float64 `json:"detect_all_ms"` // and to all
+	PacketsS    float64 `json:"packets_per_s"` // a member
+	BytesS      float64 `json:"bytes_per_s"`
+}
+
+// sizes plays fleets in virtual time: pauses and loss for two minutes, then three crashes.
+func (p *peersCmd) sizes() error {
+	var rows []sizeRow
+	fmt.Printf("%8s %-10s %5s %6s %10s %14s %14s %10s %9s\n", "members", "detect", "loss", "bear_s", "false_dead", "detect_p50_ms", "detect_all_ms", "packets/s", "bytes/s")
+	for _, n := range p.Sizes {
+		plan := p.sizePlan(n)
+		// Side by side, as far as memory goes: each member knows all others, some 500 bytes each and as much again for the collector.
+		var group errgroup.Group
+		group.SetLimit(max(1, min(runtime.GOMAXPROCS(0), 10_000_000/(n*n))))
+		for i := range plan {
+			group.Go(func() error { return p.size(&plan[i]) })
+		}
+		if err := group.Wait(); err != nil {
+			return err
+		}
+		runtime.GC()
+		for _, row := range plan {
+			fmt.Printf("%8d %-10s %5.2f %6.1f %10d %14.0f %14.0f %10.2f %9.0f\n", row.Members, row.Detect, row.Loss, row.BearS, row.FalseDead, row.DetectP50MS, row.DetectMS, row.PacketsS, row.BytesS)
+		}
+		rows = append(rows, plan...)
+	}
+	if p.Plots != "" {
+		if err := plotSizes(p.Plots, rows); err != nil {
+			return err
+		}
+	}
+	return writeJSON(p.JSON, map[string]any{"rows": rows, "seed": p.Seed})
+}
+
+// sizePlan lists the fleets of one size that are played.
+func (p *peersCmd) sizePlan(n int) (plan []sizeRow) {
+	if p.Curve {
+		for _, bear := range []float64{0.001, 0.5, 1, 2, 3, 5} {
+			plan = append(plan, sizeRow{Members: n, Detect: "swim", Loss: 0.2, BearS: bear})
+		}
+		return plan
+	}
+	losses := []float64{0, 0.1, 0.2, 0.4}
+	if n > 300 {
+		losses = []float64{0, 0.2}
+	}
+	if len(p.Loss) > 0 {
+		losses = p.Loss
+	}
+	for _, loss := range losses {
+		for _, detect := range []string{"swim", "plain", "heartbeat"} {
+			plan = append(plan, sizeRow{Members: n, Detect: detect, Loss: loss, BearS: 3})
+		}
+	}
+	return plan
+}
+
+// size plays the fleet of a row and fills it in.
+func (p *peersCmd) size(row *sizeRow) error {
+	n, detect, bear := row.Members, row.Detect, time.Duration(row.BearS*float64(time.Second))
+	// Heartbeats of all to all: beyond 300 members only some watch, and what is counted of them stands for all.
+	watchers, stands := n, 1.0
+	if detect == "heartbeat" && n > 300 {
+		watchers = 90_000 / n
+		stands = float64(n) / float64(watchers)
+	}
+	f, err := swimsim.New(swimsim.Config{Members: n, Watchers: watchers, Seed: p.Seed, Detect: detect, Fixed: 5 * time.Second, Delay: 2 * time.Millisecond,
+		Jitter: 5 * time.Millisecond, Swim: swim.Config{Period: time.Second, MaxPause: bear}})
+	if err != nil {
+		return err
+	}
+	f.Run(40 * time.Second)
+	rng := rand.New(rand.NewPCG(p.Seed, uint64(n)))
+	f.Lose(row.Loss)
+	packets, bytes, from, before := f.Packets, f.Bytes, f.Now(), f.FalseDead
+	for f.Now() < from+2*time.Minute {
+		for range max(1, n/20) { // one in twenty stands still for up to 3 s, every 10 s
+			f.Pause(rng.IntN(n), time.Duration(rng.Int64N(int64(3*time.Second))))
+		}
+		f.Run(f.Now() + 10*time.Second)
+	}
+	span := (f.Now() - from).Seconds()
+	row.FalseDead = int(float64(f.FalseDead-before) * stands)
+	row.PacketsS, row.BytesS = float64(f.Packets-packets)/span/float64(n)*stands, float64(f.Bytes-bytes)/span/float64(n)*stands
+	var half, all []time.Duration
+	crashes := min(3, n/3)
+	if n > 1000 {
+		crashes = 1
+	}
+	for k := range crashes {
+		h, a, _ := f.Detection(n-1-k, 3*time.Minute)
+		half, all = append(half, h), append(all, a)
+	}
+	row.DetectP50MS = float64(swimsim.Quantile(half, 0.5).Milliseconds())
+	row.DetectMS = float64(swimsim.Quantile(all, 0.5).Milliseconds())
+	return nil
+}
+
+// plotSizes draws false deaths and detection against loss, for each size.
+func plotSizes(dir string, rows []sizeRow) error {
+	if err := os.MkdirAll(dir, 0o755); err != nil {
+		return err
+	}
+	for _, of := range []struct {
+		name, label string
+		value       func(sizeRow) float64
+	}{{"false_dead", "members taken for dead that were not", func(r sizeRow) float64 { return float64(r.FalseDead) }},
+		{"detection", "crash known to all, s", func(r sizeRow) float64 { return r.DetectMS / 1000 }}} {
+		pic := plot.New()
+		pic.Title.Text, pic.X.Label.Text, pic.Y.Label.Text = of.name, "share of packets lost", of.label
+		lines := map[string]plotter.XYs{}
+		var names []string
+		for _, r := range rows {
+			name := fmt.Sprintf("%s, %d", r.Detect, r.Members)
+			if lines[name] == nil {
+				names = append(names, name)
+			}
+			lines[name] = append(lines[name], plotter.XY{X: r.Loss, Y: of.value(r)})
+		}
+		for i, name := range names {
+			line, points, err := plotter.NewLinePoints(lines[name])
+			if err != nil {
+				return err
+			}
+			line.Dashes = [][]vg.Length{nil, {vg.Points(4), vg.Points(2)}, {vg.Points(1), vg.Points(2)}}[i%3]
+			pic.Add(line, points)
+			pic.Legend.Add(name, line)
+		}
+		if err := pic.Save(18*vg.Centimeter, 12*vg.Centimeter, filepath.Join(dir, of.name+".png")); err != nil {
+			return err
+		}
+	}
+	return nil
+}
--- a/cmd/gullfall-lab/replicate.go
+++ b/cmd/gullfall-lab/replicate.go
@@ -6,6 +6,7 @@
 
 import (
 	"context"
+	"errors"
 	"fmt"
 	"math/rand/v2"
 	"slices"
@@ -14,7 +15,6 @@
 
 	"gullfall/internal/lab/fleet"
 	"gullfall/internal/lab/linearizability"
-	"gullfall/internal/lab/proxy"
 )
 
 type replicateCmd struct {
@@ -62,14 +62,14 @@
 }
 
 // Run plays.
-func (c *replicateCmd) Run() error {
+func (c *replicateCmd) Run() (err error) {
 	ctx, cancel := context.WithDeadline(context.Background(), time.Now().Add(time.Duration(c.Faults)*8*time.Second+3*time.Minute))
 	defer cancel()
 	r := replicateReport{Kinds: map[string]int{}, Seed: c.Seed}
 	w, err := fleet.StartWorks(ctx, fleet.WorksOptions{Coordinators: c.Coordinators, Voters: c.Voters, PerZone: 4, Rate: 1, Floor: 2, Share: 0.35, Bound: time.Second,
 		Lease: 2 * time.Second, Warm: workWarm, Heartbeat: 300 * time.Millisecond, Work: 400 * time.Millisecond, Binary: binary(c.Binary), Seed: c.Seed})
 	if w != nil {
-		defer w.Stop()
+		defer func() { err = errors.Join(err, w.Stop()) }()
 	}
 	if err != nil {
 		return err
@@ -118,6 +118,18 @@
 	r.Lost = len(r.Said)
 	r.Linearizable, r.Checked = clients.History.Check(2 * time.Minute)
 	r.P50CatchUpMS, r.P99CatchUpMS, r.P99StartMS = quantileMS(p.caught, 0.5), quantileMS(p.caught, 0.99), quantileMS(p.starts, 0.99)
+	r.print()
+	if err := writeJSON(c.JSON, r); err != nil {
+		return err
+	}
+	if r.Lost > 0 || !r.Linearizable || r.Committed == 0 {
+		return fmt.Errorf("%d acknowledged writes lost; linearizable %v, checked %v", r.Lost, r.Linearizable, r.Checked)
+	}
+	return nil
+}
+
+// print writes the report as a table.
+func (r *replicateReport) print() {
 	fmt.Printf("%-28s %d %v\n", "faults", r.Faults, r.Kinds)
 	fmt.Printf("%-28s %d, %d writes acknowledged, %d without an answer; %.0f bytes between members for each\n", "operations", r.Operations, r.Committed, r.Unknown, r.BytesPerOp)
 	fmt.Printf("%-28s linearizable %v (checked %v), %d acknowledged writes lost\n", "history", r.Linearizable, r.Checked, r.Lost)
@@ -129,13 +141,6 @@
 	for _, s := range r.Said[:min(len(r.Said), 10)] {
 		fmt.Println("  " + s)
 	}
-	if err := writeJSON(c.JSON, r); err != nil {
-		return err
-	}
-	if r.Lost > 0 || !r.Linearizable || r.Committed == 0 {
-		return fmt.Errorf("%d acknowledged writes lost; linearizable %v, checked %v", r.Lost, r.Linearizable, r.Checked)
-	}
-	return nil
 }
 
 func quantileMS(list []time.Duration, q float64) float64 {
@@ -156,6 +161,9 @@
 	caught []time.Duration
 }
 
+// errCatchUp is a member that does not catch up in its time.
+var errCatchUp = errors.New("too late")
+
 // start starts a member again, and notes how long that takes and until it has caught up with where the log is now.
 func (p *replicatePlay) start(ctx context.Context, i int) error {
 	var want uint64
@@ -178,7 +186,7 @@
 			return nil
 		}
 		if time.Now().After(end) {
-			return fmt.Errorf("%s has applied the log up to %d 15 s after its start, %d was there before: %v", fleet.PeerName(i), at, want, err)
+			return fmt.Errorf("%s has applied the log up to %d 15 s after its start, %d was there before: %w", fleet.PeerName(i), at, want, errors.Join(errCatchUp, err))
 		}
 	}
 }
@@ -233,6 +241,7 @@
 	return p.chance.IntN(p.c.Coordinators)
 }
 
+// fault plays one fault and undoes it.
 func (p *replicatePlay) fault(ctx context.Context) (err error) {
 	w, n := p.w, p.c.Coordinators
 	some := p.chance.IntN(n)
@@ -240,63 +249,25 @@
 		some = p.leader(ctx)
 	}
 	while := time.Duration(50+p.chance.IntN(900)) * time.Millisecond
-	f := []proxy.Fault{proxy.Drop, proxy.Cut, proxy.Reset, proxy.Delay, proxy.DropUp, proxy.DropDown}[p.chance.IntN(6)]
+	f := drawLinkFault(p.chance)
+	inject := faultInjector{fleet: w, coordinators: n, restart: p.start}
 	kind := ""
 	switch k := p.chance.IntN(20); {
 	case k < 5:
-		kind = "kill"
-		if err = w.Kill(some); err == nil {
-			time.Sleep(while / 2)
-			err = p.start(ctx, some)
-		}
+		kind, err = "kill", inject.kill(ctx, some, while/2)
 	case k < 9:
-		kind = "stall"
-		if err = w.Stall(some, true); err == nil {
-			time.Sleep(while)
-			err = w.Stall(some, false)
-		}
+		kind, err = "stall", inject.stall(while, some)
 	case k < 13:
-		kind = "isolate " + f.String()
-		w.Isolate(some, f)
-		time.Sleep(while)
-		w.Isolate(some, proxy.Pass)
+		kind, err = "isolate "+f.String(), inject.isolate(some, f, while)
 	case k < 16:
-		kind = "one way " + f.String()
 		to := (some + 1 + p.chance.IntN(n-1)) % n
-		w.Cut(some, to, f)
-		time.Sleep(while)
-		w.Cut(some, to, proxy.Pass)
+		kind, err = "one way "+f.String(), inject.cut(some, to, f, while)
 	case k < 18:
-		kind = "split"
-		set := func(f proxy.Fault) {
-			for i := range n {
-				for j := range n {
-					if i != j && (i < 2) != (j < 2) {
-						w.Cut(i, j, f)
-					}
-				}
-			}
-		}
-		set(proxy.Drop)
-		time.Sleep(while)
-		set(proxy.Pass)
+		kind, err = "split", inject.split(while)
 	case k < 19:
-		kind = "end"
-		if err = w.End(some); err == nil {
-			err = p.start(ctx, some)
-		}
+		kind, err = "end", inject.end(ctx, some)
 	default:
-		kind = "all killed"
-		for i := range n {
-			if err == nil {
-				err = w.Kill(i)
-			}
-		}
-		for i := range n {
-			if err == nil {
-				err = w.Start(ctx, i)
-			}
-		}
+		kind, err = "all killed", inject.killAll(ctx)
 	}
 	if err != nil {
 		return fmt.Errorf("%s: %w", kind, err)
--- a/cmd/gullfall-lab/work.go
+++ b/cmd/gullfall-lab/work.go
@@ -6,6 +6,7 @@
 
 import (
 	"context"
+	"errors"
 	"fmt"
 	"math/rand/v2"
 	"sync"
@@ -100,7 +101,7 @@
 		Bound: time.Second, Lease: 2 * time.Second, Warm: workWarm, Heartbeat: 500 * time.Millisecond, Work: 400 * time.Millisecond,
 		Binary: binary(c.Binary), Seed: c.Seed})
 	if w != nil {
-		defer w.Stop()
+		defer func() { err = errors.Join(err, w.Stop()) }()
 	}
 	if err != nil {
 		return r, err
@@ -126,23 +127,33 @@
 	close(stop)
 	asking.Wait()
 	if work {
-		err := w.Until(ctx, "every request ends", time.Now().Add(2*time.Minute), func(v agent.View) bool {
-			r.Requests, r.Completed = int(v.Plan.Next), int(v.Plan.Next)
-			for _, q := range v.Plan.Requests {
-				if q.State == maintenance.Finished || q.State == maintenance.GivenUp {
-					continue
-				}
-				if r.Completed--; q.State != maintenance.Open {
-					w.Order(ctx, 0, maintenance.Resume, q.ID)
-				}
-			}
-			return r.Completed == r.Requests && r.Requests > 0
-		})
-		if err != nil {
+		if err := p.complete(ctx, &r); err != nil {
 			r.Said = append(r.Said, err.Error())
 		}
 	}
 	time.Sleep(5 * time.Second) // the last faults' clients are not counted
+	r.measure(w)
+	return r, nil
+}
+
+// complete waits until every request has ended, and resumes those that were paused or stopped.
+func (p *workPlay) complete(ctx context.Context, r *workReport) error {
+	return p.w.Until(ctx, "every request ends", time.Now().Add(2*time.Minute), func(v agent.View) bool {
+		r.Requests, r.Completed = int(v.Plan.Next), int(v.Plan.Next)
+		for _, q := range v.Plan.Requests {
+			if q.State == maintenance.Finished || q.State == maintenance.GivenUp {
+				continue
+			}
+			if r.Completed--; q.State != maintenance.Open {
+				_ = p.w.Order(ctx, 0, maintenance.Resume, q.ID) // the next look repeats one that was refused
+			}
+		}
+		return r.Completed == r.Requests && r.Requests > 0
+	})
+}
+
+// measure ends the load and fills in what a fleet has counted.
+func (r *workReport) measure(w *fleet.Works) {
 	clean := w.Clean()
 	w.EndLoad()
 	f := w.Verdict()
@@ -158,7 +169,6 @@
 	}
 	r.StalledMS = float64(w.Stalled.Milliseconds())
 	r.Twins = w.Ledger.Account().Twins
-	return r, nil
 }
 
 // workPlay is one play's faults.
@@ -182,34 +192,39 @@
 		if !p.w.Up(i) {
 			continue
 		}
-		v, err := p.w.Look(ctx, i, false)
+		v, err := p.w.Look(ctx, i)
 		if err != nil || v.Plan == nil {
 			continue
 		}
 		open := 0
 		for _, r := range v.Plan.Requests {
-			switch {
-			case r.State == maintenance.Open:
+			switch r.State {
+			case maintenance.Open:
 				open++
-			case r.State == maintenance.Paused || r.State == maintenance.Stopped:
-				p.w.Order(ctx, i, maintenance.Resume, r.ID)
+			case maintenance.Paused, maintenance.Stopped:
+				_ = p.w.Order(ctx, i, maintenance.Resume, r.ID) // the next look repeats one that was refused
 			}
 		}
 		if open >= 2 {
 			if v.Plan.Moved%7 == 3 {
-				p.w.Order(ctx, i, maintenance.Pause, v.Plan.Requests[len(v.Plan.Requests)-1].ID)
+				_ = p.w.Order(ctx, i, maintenance.Pause, v.Plan.Requests[len(v.Plan.Requests)-1].ID) // as above
 			}
 			continue
 		}
-		a := agent.Request{By: fmt.Sprint("operator at ", i), Takes: time.Minute, Back: time.Minute, GoOn: true, Zone: []string{"a", "b", "c"}[chance.IntN(3)]}
-		if chance.IntN(3) == 0 {
-			a.Zone, a.All = "", true
-		}
-		p.w.Ask(ctx, i, a) // those that cross another are refused
+		p.request(ctx, i, chance)
+	}
+}
+
+// request asks a coordinator for work on a zone, or on all machines.
+func (p *workPlay) request(ctx context.Context, i int, chance *rand.Rand) {
+	a := agent.Request{By: fmt.Sprint("operator at ", i), Takes: time.Minute, Back: time.Minute, GoOn: true, Zone: []string{"a", "b", "c"}[chance.IntN(3)]}
+	if chance.IntN(3) == 0 {
+		a.Zone, a.All = "", true
 	}
+	_, _ = p.w.Ask(ctx, i, a) // requests that overlap another are refused
 }
 
-// fault lets one thing befall the fleet, and mends it.
+// fault plays one fault and undoes it.
 func (p *workPlay) fault(ctx context.Context) error {
 	w, n := p.w, p.c.Coordinators
 	some := p.chance.IntN(n)
@@ -217,76 +232,43 @@
 		some = h
 	}
 	while := time.Duration(500+p.chance.IntN(3000)) * time.Millisecond
-	f := []proxy.Fault{proxy.Drop, proxy.Cut, proxy.Reset, proxy.Delay, proxy.DropUp, proxy.DropDown}[p.chance.IntN(6)]
+	f := drawLinkFault(p.chance)
+	inject := faultInjector{fleet: w, coordinators: n, restart: w.Start}
 	switch kind := p.chance.IntN(20); {
 	case kind < 5:
 		p.kinds["kill"]++
-		if err := w.Kill(some); err != nil {
-			return err
-		}
-		time.Sleep(while / 2)
-		return w.Start(ctx, some)
+		return inject.kill(ctx, some, while/2)
 	case kind < 9:
 		p.kinds["stall"]++
-		if err := w.Stall(some, true); err != nil {
-			return err
-		}
-		time.Sleep(while)
-		return w.Stall(some, false)
+		return inject.stall(while, some)
 	case kind < 12:
 		p.kinds["isolate "+f.String()]++
-		w.Isolate(some, f)
-		time.Sleep(while)
-		w.Isolate(some, proxy.Pass)
+		return inject.isolate(some, f, while)
 	case kind < 14:
 		p.kinds["one way "+f.String()]++
 		to := (some + 1 + p.chance.IntN(n-1)) % n
-		w.Cut(some, to, f)
-		time.Sleep(while)
-		w.Cut(some, to, proxy.Pass)
+		return inject.cut(some, to, f, while)
 	case kind < 16:
 		p.kinds["split"]++
-		set := func(f proxy.Fault) {
-			for i := range n {
-				for j := range n {
-					if i != j && (i < 2) != (j < 2) { // two votes on one side, one on the other
-						w.Cut(i, j, f)
-					}
-				}
-			}
-		}
-		set(proxy.Drop)
-		time.Sleep(while)
-		set(proxy.Pass)
+		return inject.split(while)
 	case kind < 17:
 		p.kinds["end"]++
-		if err := w.End(some); err != nil {
-			return err
-		}
-		return w.Start(ctx, some)
+		return inject.end(ctx, some)
 	case kind < 19:
 		p.kinds["data node"]++
 		return w.Crash(p.chance.IntN(len(w.Nodes)), while/2)
 	default:
 		p.kinds["all killed"]++
-		for i := range n {
-			if err := w.Kill(i); err != nil {
-				return err
-			}
-		}
-		for i := range n {
-			if err := w.Start(ctx, i); err != nil {
-				return err
-			}
-		}
+		return inject.killAll(ctx)
 	}
-	return nil
 }
 
 // mend undoes what may be left.
 func (p *workPlay) mend(ctx context.Context) error {
 	for i := range p.c.Coordinators {
-		p.w.Isolate(i, proxy.Pass)
+		if err := p.w.Isolate(i, proxy.Pass); err != nil {
+			return err
+		}
 		if !p.w.Up(i) {
 			if err := p.w.Start(ctx, i); err != nil {
 				return err
--- a/internal/lab/fleet/coordinator.go
+++ b/internal/lab/fleet/coordinator.go
@@ -25,14 +25,15 @@
 
 	dir     string
 	cmd     *exec.Cmd
-	ended   chan error
 	stopped bool
+	ended   chan struct{} // closed once exit is set
+	exit    error         // of the process; nil for status 0
 }
 
 // Spawn writes config.json, deploy/gullfall.toml and whatever else files names into a new folder, starts the binary
 // there and returns once its front accepts. The caller stops it, also after an error if it is not nil.
 func Spawn(ctx context.Context, binary, front string, files map[string]string) (*Coordinator, error) {
-	c := &Coordinator{Front: front, ended: make(chan error, 1)}
+	c := &Coordinator{Front: front, ended: make(chan struct{})}
 	var err error
 	if c.dir, err = os.MkdirTemp("", "gullfall-lab-"); err != nil {
 		return c, err
@@ -62,22 +63,32 @@
 		c.cmd = nil
 		return c, fmt.Errorf("starting %s: %w; build it by go build -o bin/ ./cmd/... first", binary, err)
 	}
-	go func() { c.ended <- c.cmd.Wait() }()
+	go func() {
+		defer close(c.ended)
+		c.exit = c.cmd.Wait()
+	}()
 	for ctx.Err() == nil {
 		if nc, err := net.Dial("tcp", front); err == nil {
 			nc.Close()
 			break
 		}
 		select {
-		case err := <-c.ended:
-			c.ended <- err
-			return c, fmt.Errorf("gullfall ended at its start: %v\n%s", err, c.Log(1000))
+		case <-c.ended:
+			return c, fmt.Errorf("gullfall ended at its start: %w\n%s", c.startError(), c.Log(1000))
 		case <-time.After(10 * time.Millisecond):
 		}
 	}
 	return c, ctx.Err()
 }
 
+// startError says how a process ended that was to serve.
+func (c *Coordinator) startError() error {
+	if c.exit == nil {
+		return errors.New("exit status 0")
+	}
+	return c.exit
+}
+
 // Pid is the process's id, for figures read from /proc.
 func (c *Coordinator) Pid() int { return c.cmd.Process.Pid }
 
@@ -107,7 +118,7 @@
 		return nil
 	}
 	c.stopped = true
-	c.cmd.Process.Signal(syscall.SIGCONT)
+	_ = c.cmd.Process.Signal(syscall.SIGCONT) // it may have ended, or not be stalled
 	err := c.cmd.Process.Kill()
 	<-c.ended
 	return err
@@ -124,12 +135,13 @@
 	}
 	c.stopped = true
 	if c.cmd != nil {
-		c.cmd.Process.Signal(syscall.SIGCONT)
-		c.cmd.Process.Signal(syscall.SIGTERM)
+		_ = c.cmd.Process.Signal(syscall.SIGCONT) // where it has ended already, ended has its status
+		_ = c.cmd.Process.Signal(syscall.SIGTERM)
 		select {
-		case err = <-c.ended:
+		case <-c.ended:
+			err = c.exit
 		case <-time.After(30 * time.Second):
-			c.cmd.Process.Kill()
+			_ = c.cmd.Process.Kill()
 			<-c.ended
 			err = errors.New("gullfall did not end within 30 s of SIGTERM")
 		}
--- a/internal/lab/fleet/duties_test.go
+++ b/internal/lab/fleet/duties_test.go
@@ -69,21 +69,21 @@
 		t.Error("a duty that is none was handed on")
 	}
 	i = holder("two", -1)
-	must(w.Stall(i, true))
+	must(w.Stall(i))
 	time.Sleep(3 * lease)
-	must(w.Stall(i, false)) // it wakes, and acts on nothing
+	must(w.Resume(i)) // it wakes, and acts on nothing
 	i = holder("one", -1)
 	must(w.Kill(i))
 	holder("one", i)
 	must(w.Start(ctx, i))
 	i = holder("two", -1)
-	w.Isolate(i, proxy.DropUp) // what it says is lost, what it is told is not
+	must(w.Isolate(i, proxy.DropUp)) // what it says is lost, what it is told is not
 	holder("two", i)
-	w.Isolate(i, proxy.Pass)
+	must(w.Isolate(i, proxy.Pass))
 	i = holder("one", -1)
-	w.Isolate(i, proxy.DropDown) // it is heard, and hears nothing
+	must(w.Isolate(i, proxy.DropDown)) // it is heard, and hears nothing
 	holder("one", i)
-	w.Isolate(i, proxy.Pass)
+	must(w.Isolate(i, proxy.Pass))
 	i = holder("maintenance", -1)
 	must(w.End(i)) // it gives its duties back
 	must(w.Start(ctx, i))
--- a/internal/lab/fleet/fleet.go
+++ b/internal/lab/fleet/fleet.go
@@ -58,6 +58,9 @@
 	stopped bool
 }
 
+// nodePrefix stands before the number in a data node's name.
+const nodePrefix = "tabuleiro-"
+
 // Domain is the zone's.
 const Domain = "recife-centro.example."
 
@@ -78,12 +81,14 @@
 		}
 		f.Servers = append(f.Servers, s)
 		if !o.Transfer {
-			s.Do("transfer off")
+			if err := s.Do("transfer off"); err != nil {
+				return f, err
+			}
 		}
 	}
 	var instances []nameserver.Instance
 	for i := range o.Nodes {
-		n := &datanode.Node{ID: fmt.Sprintf("tabuleiro-%d", i), Cell: i % o.Cells, Proto: "frames", Ledger: f.Ledger, Takes: o.Takes}
+		n := &datanode.Node{ID: nodePrefix + strconv.Itoa(i), Cell: i % o.Cells, Proto: "frames", Ledger: f.Ledger, Takes: o.Takes}
 		if n.Fill = o.Fill; i%4 == 3 && i >= o.Listed || o.AllFlight {
 			n.Proto = "flight"
 		}
@@ -116,8 +121,7 @@
 		i.Text = append(i.Text, "state="+state)
 	}
 	if f.Hollow {
-		var number int
-		fmt.Sscanf(n.ID, "tabuleiro-%d", &number)
+		number, _ := strconv.Atoi(strings.TrimPrefix(n.ID, nodePrefix)) // Start has numbered them
 		i.Addr = netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 9, byte(number >> 8), byte(number)}), 7000)
 		return i
 	}
--- a/internal/lab/fleet/peers.go
+++ b/internal/lab/fleet/peers.go
@@ -149,34 +149,37 @@
 func (p *Peers) Way(from, to int) *proxy.Way { return p.ways[from][to] }
 
 // Set changes what befalls the packets of every way.
-func (p *Peers) Set(l proxy.Loss) {
+func (p *Peers) Set(l proxy.Loss) (err error) {
 	for _, row := range p.ways {
 		for _, w := range row {
 			if w != nil {
-				w.Set(l)
+				err = errors.Join(err, w.Set(l))
 			}
 		}
 	}
+	return err
 }
 
-// Cut cuts or mends the way from one to another; a connection needs both ways.
-func (p *Peers) Cut(from, to int, cut bool) {
-	p.ways[from][to].Set(proxy.Loss{Cut: cut})
-	if cut {
-		p.ways[to][from].Stream(proxy.DropDown)
-	} else {
-		p.ways[to][from].Stream(proxy.Pass)
-	}
+// Cut cuts the way from one to another; a connection needs both ways.
+func (p *Peers) Cut(from, to int) error {
+	return errors.Join(p.ways[from][to].Set(proxy.Loss{Cut: true}), p.ways[to][from].Stream(proxy.DropDown))
 }
 
-// Stall stops a coordinator by SIGSTOP, or lets it go on.
-func (p *Peers) Stall(i int, stall bool) error {
-	sig := syscall.SIGCONT
-	if stall {
-		sig = syscall.SIGSTOP
-	}
-	p.stalled[i] = stall
-	return syscall.Kill(p.Coords[i].Pid(), sig)
+// Mend undoes Cut.
+func (p *Peers) Mend(from, to int) error {
+	return errors.Join(p.ways[from][to].Set(proxy.Loss{}), p.ways[to][from].Stream(proxy.Pass))
+}
+
+// Stall stops a coordinator by SIGSTOP until Resume.
+func (p *Peers) Stall(i int) error {
+	p.stalled[i] = true
+	return syscall.Kill(p.Coords[i].Pid(), syscall.SIGSTOP)
+}
+
+// Resume lets a stalled coordinator go on.
+func (p *Peers) Resume(i int) error {
+	p.stalled[i] = false
+	return syscall.Kill(p.Coords[i].Pid(), syscall.SIGCONT)
 }
 
 // Kill ends a coordinator by SIGKILL.
@@ -241,7 +244,7 @@
 			continue
 		}
 		if p.down[i] {
-			c.Discard()
+			err = errors.Join(err, c.Discard())
 			continue
 		}
 		err = errors.Join(err, c.Stop())
--- a/internal/lab/fleet/peers_test.go
+++ b/internal/lab/fleet/peers_test.go
@@ -76,13 +76,13 @@
 
 	stall := func(who []int, d time.Duration) {
 		for _, i := range who {
-			if err := p.Stall(i, true); err != nil {
+			if err := p.Stall(i); err != nil {
 				t.Fatal(err)
 			}
 		}
 		time.Sleep(d)
 		for _, i := range who {
-			if err := p.Stall(i, false); err != nil {
+			if err := p.Resume(i); err != nil {
 				t.Fatal(err)
 			}
 		}
@@ -93,13 +93,13 @@
 	agree("all stalled")
 	noDeaths("stalls within the bound")
 
-	p.Set(proxy.Loss{Lost: 0.15, Twice: 0.1, Delay: time.Millisecond, Reorder: 15 * time.Millisecond})
+	must(t, p.Set(proxy.Loss{Lost: 0.15, Twice: 0.1, Delay: time.Millisecond, Reorder: 15 * time.Millisecond}))
 	time.Sleep(3 * time.Second)
-	p.Set(proxy.Loss{})
+	must(t, p.Set(proxy.Loss{}))
 	agree("lost and disordered packets")
 	noDeaths("15% lost")
 
-	p.Cut(1, 2, true) // 2 never hears 1
+	must(t, p.Cut(1, 2)) // 2 never hears 1
 	until("a cut one way", all, func(v fleet.View) bool {
 		for _, m := range v.Members {
 			if m.Name == "n1" && slices.Contains(m.CutTo, "n2") {
@@ -109,7 +109,7 @@
 		return false
 	})
 	noDeaths("a cut one way")
-	p.Cut(1, 2, false)
+	must(t, p.Mend(1, 2))
 	agree("the cut is mended")
 
 	if err := p.Kill(6); err != nil {
@@ -123,16 +123,16 @@
 
 	for i := range 5 {
 		for j := 5; j < n; j++ {
-			p.Cut(i, j, true)
-			p.Cut(j, i, true)
+			must(t, p.Cut(i, j))
+			must(t, p.Cut(j, i))
 		}
 	}
 	until("the larger side", []int{0, 1, 2, 3, 4}, func(v fleet.View) bool { return v.Verdict == "split" && v.Here == 5 && v.Majority })
 	until("the smaller side", []int{5, 6, 7}, func(v fleet.View) bool { return v.Verdict == "split" && v.Here == 3 && !v.Majority })
 	for i := range 5 {
 		for j := 5; j < n; j++ {
-			p.Cut(i, j, false)
-			p.Cut(j, i, false)
+			must(t, p.Mend(i, j))
+			must(t, p.Mend(j, i))
 		}
 	}
 	agree("the split has healed")
--- a/internal/lab/fleet/replicate_test.go
+++ b/internal/lab/fleet/replicate_test.go
@@ -58,25 +58,25 @@
 	time.Sleep(time.Second)
 	must(w.Start(ctx, i))
 	i = leader()
-	must(w.Stall(i, true)) // a leader that stands still, and goes on as one of the past
+	must(w.Stall(i)) // a leader that stands still, and goes on as one of the past
 	time.Sleep(1500 * time.Millisecond)
-	must(w.Stall(i, false))
+	must(w.Resume(i))
 	i = leader()
-	w.Isolate(i, proxy.DropUp) // it hears, and is not heard
+	must(w.Isolate(i, proxy.DropUp)) // it hears, and is not heard
 	time.Sleep(1500 * time.Millisecond)
-	w.Isolate(i, proxy.Pass)
+	must(w.Isolate(i, proxy.Pass))
 	i = leader()
 	for j := range 5 {
 		if j != i { // alone with its writes
-			w.Cut(i, j, proxy.Drop)
-			w.Cut(j, i, proxy.Drop)
+			must(w.Cut(i, j, proxy.Drop))
+			must(w.Cut(j, i, proxy.Drop))
 		}
 	}
 	time.Sleep(1500 * time.Millisecond)
 	for j := range 5 {
 		if j != i {
-			w.Cut(i, j, proxy.Pass)
-			w.Cut(j, i, proxy.Pass)
+			must(w.Cut(i, j, proxy.Pass))
+			must(w.Cut(j, i, proxy.Pass))
 		}
 	}
 	for i := range 5 {
--- a/internal/lab/fleet/work.go
+++ b/internal/lab/fleet/work.go
@@ -258,17 +258,22 @@
 // afterFault is how long after a fault its end may still be felt by clients.
 const afterFault = 4 * time.Second
 
-// Stall stops a coordinator by SIGSTOP, or lets it go on.
-func (w *Works) Stall(i int, stall bool) error {
+// Stall stops a coordinator by SIGSTOP until Resume.
+func (w *Works) Stall(i int) error {
 	w.touch(i, time.Now().Add(afterFault))
-	sig := syscall.SIGCONT
-	if stall {
-		sig = syscall.SIGSTOP
-	}
 	w.mu.Lock()
-	w.stalled[i] = stall
+	w.stalled[i] = true
 	w.mu.Unlock()
-	return syscall.Kill(w.Coords[i].Pid(), sig)
+	return syscall.Kill(w.Coords[i].Pid(), syscall.SIGSTOP)
+}
+
+// Resume lets a stalled coordinator go on.
+func (w *Works) Resume(i int) error {
+	w.touch(i, time.Now().Add(afterFault))
+	w.mu.Lock()
+	w.stalled[i] = false
+	w.mu.Unlock()
+	return syscall.Kill(w.Coords[i].Pid(), syscall.SIGCONT)
 }
 
 // Kill ends a coordinator by SIGKILL.
@@ -293,16 +298,18 @@
 }
 
 // Cut sets what befalls the store's traffic from one coordinator to another, connections that the other opens not included.
-func (w *Works) Cut(from, to int, f proxy.Fault) { w.ways[from][to].Set(f, 20*time.Millisecond) }
+func (w *Works) Cut(from, to int, f proxy.Fault) error {
+	return w.ways[from][to].Set(f, 20*time.Millisecond)
+}
 
 // Isolate cuts a coordinator's store from all others, or mends that.
-func (w *Works) Isolate(i int, f proxy.Fault) {
+func (w *Works) Isolate(i int, f proxy.Fault) (err error) {
 	for j := range w.Coords {
 		if j != i {
-			w.Cut(i, j, f)
-			w.Cut(j, i, f)
+			err = errors.Join(err, w.Cut(i, j, f), w.Cut(j, i, f))
 		}
 	}
+	return err
 }
 
 // Crash ends a data node that is not in work as a crash would, and starts it again after a while, as a new process.
@@ -354,15 +361,11 @@
 	return admin.Call(ctx, w.socket(i), "store change", store.MemberChange{What: store.Remove, Name: name}, &said)
 }
 
-// Look is the work as a coordinator knows it; asked of the store's leader first where fresh is set.
-func (w *Works) Look(ctx context.Context, i int, fresh bool) (v agent.View, err error) {
-	within := time.Second
-	if fresh {
-		within = 10 * time.Second
-	}
-	ctx, cancel := context.WithDeadline(ctx, time.Now().Add(within))
+// Look is the work as a coordinator knows it, without asking the store's leader.
+func (w *Works) Look(ctx context.Context, i int) (v agent.View, err error) {
+	ctx, cancel := context.WithDeadline(ctx, time.Now().Add(time.Second))
 	defer cancel()
-	return v, admin.Call(ctx, w.socket(i), "work look", map[string]any{"Fresh": fresh}, &v)
+	return v, admin.Call(ctx, w.socket(i), "work look", map[string]any{"Fresh": false}, &v)
 }
 
 // Holder is who holds the duty of the work on machines, as HolderOf.
@@ -376,7 +379,7 @@
 		if !w.Up(i) {
 			continue
 		}
-		v, err := w.Look(ctx, i, false)
+		v, err := w.Look(ctx, i)
 		if err != nil {
 			continue
 		}
@@ -397,7 +400,7 @@
 			if !w.Up(i) {
 				continue
 			}
-			v, err := w.Look(ctx, i, false)
+			v, err := w.Look(ctx, i)
 			if err != nil {
 				last = err.Error()
 				continue
@@ -429,7 +432,7 @@
 			if !w.Up(i) {
 				continue
 			}
-			v, err := w.Look(ctx, i, false)
+			v, err := w.Look(ctx, i)
 			if err != nil || v.Plan == nil {
 				continue
 			}
--- a/internal/lab/fleet/work_test.go
+++ b/internal/lab/fleet/work_test.go
@@ -71,15 +71,15 @@
 	must(w.Start(ctx, holder))
 
 	stalled := w.Holder(ctx)
-	must(w.Stall(stalled, true))
+	must(w.Stall(stalled))
 	time.Sleep(3 * time.Second)
-	must(w.Stall(stalled, false)) // it wakes with moves in mind
+	must(w.Resume(stalled)) // it wakes with moves in mind
 	until("the first request is done", done(p.Request))
 
 	cut := w.Holder(ctx)
-	w.Isolate(cut, proxy.Drop)
+	must(w.Isolate(cut, proxy.Drop))
 	time.Sleep(2500 * time.Millisecond)
-	w.Isolate(cut, proxy.Pass)
+	must(w.Isolate(cut, proxy.Pass))
 	until("the second request is done", done(second.Request))
 
 	// While a coordinator is cut off, what it has not seen yet waits for it.
@@ -88,16 +88,16 @@
 	if asked == away {
 		away = 3
 	}
-	w.Isolate(away, proxy.Cut)
+	must(w.Isolate(away, proxy.Cut))
 	third, err := w.Ask(ctx, asked, agent.Request{By: "c", Machines: []string{"c-0"}, Takes: 20 * time.Second, Back: 20 * time.Second})
 	must(err)
 	time.Sleep(4 * time.Second)
-	v, err := w.Look(ctx, asked, false)
+	v, err := w.Look(ctx, asked)
 	must(err)
 	if r := v.Plan.Request(third.Request); r.Steps[0].State != maintenance.Waiting {
 		t.Errorf("c-0 is %v while n%d has not seen the request", r.Steps[0].State, away)
 	}
-	w.Isolate(away, proxy.Pass)
+	must(w.Isolate(away, proxy.Pass))
 	until("it goes on once that has heard", done(third.Request))
 
 	// All are started anew in the middle of a plan.
--- a/internal/lab/fleet/zonecases.go
+++ b/internal/lab/fleet/zonecases.go
@@ -96,12 +96,12 @@
 	}
 }
 
-// never tells a coordinator that took a verdict which it must not, while something goes on.
-func (p *ZonePlay) never(ctx context.Context, zone, verdict string, during time.Duration, who ...int) error {
+// neverOut returns an error that names a coordinator which takes the zone out within a time.
+func (p *ZonePlay) neverOut(ctx context.Context, zone string, during time.Duration, who ...int) error {
 	for end := time.Now().Add(during); time.Now().Before(end); time.Sleep(50 * time.Millisecond) {
 		for _, i := range who {
-			if v, err := p.Verdicts(ctx, i); err == nil && v[zone].Verdict == verdict {
-				return fmt.Errorf("%s holds zone %s for %s (%s)", PeerName(i), zone, verdict, v[zone].Why)
+			if v, err := p.Verdicts(ctx, i); err == nil && v[zone].Verdict == "out" {
+				return fmt.Errorf("%s holds zone %s for out (%s)", PeerName(i), zone, v[zone].Why)
 			}
 		}
 	}
@@ -130,7 +130,7 @@
 		if err := p.left(ctx, zone, some...); err != nil {
 			return err
 		}
-		if err := p.never(ctx, zone, "out", 2*time.Second, others...); err != nil {
+		if err := p.neverOut(ctx, zone, 2*time.Second, others...); err != nil {
 			return err
 		}
 		if err := p.Set(proxy.Pass, zone, who...); err != nil {
@@ -168,7 +168,7 @@
 		if err := errors.Join(p.Set(proxy.Cut, "a"), p.left(ctx, "a", p.all()...), p.Set(proxy.Cut, "b")); err != nil {
 			return err
 		}
-		if err := p.never(ctx, "b", "out", 3*time.Second, p.all()...); err != nil {
+		if err := p.neverOut(ctx, "b", 3*time.Second, p.all()...); err != nil {
 			return fmt.Errorf("with one zone out the guard keeps the second: %w", err)
 		}
 		if err := errors.Join(p.Set(proxy.Pass, "a"), p.Set(proxy.Pass, "b")); err != nil {
@@ -183,7 +183,7 @@
 			}
 		}
 		for _, zone := range []string{"a", "b", "c"} {
-			if err := p.never(ctx, zone, "out", time.Second, p.all()...); err != nil {
+			if err := p.neverOut(ctx, zone, time.Second, p.all()...); err != nil {
 				return err
 			}
 		}
@@ -195,19 +195,19 @@
 		return nil
 	}},
 	{Name: "a single zone", Zones: []string{"a"}, Lossy: true, Play: func(ctx context.Context, p *ZonePlay) error {
-		if err := errors.Join(p.Set(proxy.Cut, "a"), p.never(ctx, "a", "out", 2*time.Second, p.all()...), p.Set(proxy.Pass, "a")); err != nil {
+		if err := errors.Join(p.Set(proxy.Cut, "a"), p.neverOut(ctx, "a", 2*time.Second, p.all()...), p.Set(proxy.Pass, "a")); err != nil {
 			return err
 		}
 		return p.Until(ctx, 0, "a", time.Now().Add(returnWithin), "healthy")
 	}},
 	{Name: "one stalled, one killed", Play: func(ctx context.Context, p *ZonePlay) error {
-		if err := errors.Join(p.Set(proxy.Drop, "a"), p.Stall(0, true), p.Kill(1)); err != nil {
+		if err := errors.Join(p.Set(proxy.Drop, "a"), p.Stall(0), p.Kill(1)); err != nil {
 			return err
 		}
 		if err := p.left(ctx, "a", 2, 3, 4); err != nil {
 			return err
 		}
-		if err := errors.Join(p.Stall(0, false), p.Start(ctx, 1)); err != nil {
+		if err := errors.Join(p.Resume(0), p.Start(ctx, 1)); err != nil {
 			return err
 		}
 		if err := p.left(ctx, "a", 0, 1); err != nil { // each from its own evidence, that which starts too
--- a/internal/lab/fleet/zones.go
+++ b/internal/lab/fleet/zones.go
@@ -167,14 +167,11 @@
 	return err
 }
 
-// Stall stops a coordinator by SIGSTOP, or lets it go on.
-func (z *Zones) Stall(i int, stall bool) error {
-	sig := syscall.SIGCONT
-	if stall {
-		sig = syscall.SIGSTOP
-	}
-	return syscall.Kill(z.Coords[i].Pid(), sig)
-}
+// Stall stops a coordinator by SIGSTOP until Resume.
+func (z *Zones) Stall(i int) error { return syscall.Kill(z.Coords[i].Pid(), syscall.SIGSTOP) }
+
+// Resume lets a stalled coordinator go on.
+func (z *Zones) Resume(i int) error { return syscall.Kill(z.Coords[i].Pid(), syscall.SIGCONT) }
 
 // Kill ends a coordinator by SIGKILL.
 func (z *Zones) Kill(i int) error { return errors.Join(z.Coords[i].Kill(), z.Coords[i].Discard()) }
