--- /dev/null
+++ b/cmd/gullfall-lab/flight_figures.go
@@ -0,0 +1,92 @@
+package main
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"sync"
+	"sync/atomic"
+	"time"
+
+	"github.com/HdrHistogram/hdrhistogram-go"
+
+	"gullfall/internal/lab/fleet"
+)
+
+// figure is one way of asking by so many clients.
+type figure struct {
+	Way     string  `json:"way"`
+	Clients int     `json:"clients"`
+	PerS    float64 `json:"queries_per_s"`
+	P50     float64 `json:"p50_ms"`
+	P99     float64 `json:"p99_ms"`
+	Refused int64   `json:"refused"` // and asked again when told
+	Failed  int64   `json:"failed"`
+	CPU     float64 `json:"cpu_us_per_query"`
+}
+
+// figures measures each way by 1, 16 and 256 clients, in turn on one coordinator.
+func (d flightCmd) figures(ctx context.Context, r *flightReport) (err error) {
+	f, err := fleet.Start(ctx, fleet.Options{Nodes: 16, Cells: 4, Shards: 16, TTL: 60, Transfer: true, Takes: 2 * time.Millisecond,
+		Binary: binary(d.Binary), Seed: 1, Flight: true})
+	defer func() { err = errors.Join(err, f.Stop()) }()
+	if err != nil {
+		return err
+	}
+	time.Sleep(time.Second)
+	fmt.Printf("%-12s %8s %10s %9s %9s %8s %7s %9s\n", "way", "clients", "queries/s", "p50 ms", "p99 ms", "refused", "failed", "us/query")
+	for _, clients := range []int{1, 16, 256} {
+		for _, way := range []string{"DoGet", "DoExchange", "platform"} {
+			a, err := newAsker(ctx, f, way, clients)
+			if err != nil {
+				return err
+			}
+			one := d.measure(ctx, f, a, clients)
+			a.close()
+			one.Way = way
+			r.Figures = append(r.Figures, one)
+			fmt.Printf("%-12s %8d %10.0f %9.2f %9.2f %8d %7d %9.0f\n", way, clients, one.PerS, one.P50, one.P99, one.Refused, one.Failed, one.CPU)
+		}
+	}
+	return checkAttempts(f)
+}
+
+// measure lets clients ask one query after another for a while.
+func (d flightCmd) measure(ctx context.Context, f *fleet.Fleet, a asker, clients int) figure {
+	took := hdrhistogram.New(1, 60_000_000, 3)
+	var mu sync.Mutex
+	var wg sync.WaitGroup
+	var refused, failed atomic.Int64
+	start, cpu := time.Now(), f.CPU()
+	end := start.Add(d.For)
+	for i := range clients {
+		wg.Go(func() {
+			own := hdrhistogram.New(1, 60_000_000, 3)
+			for n := i; time.Now().Before(end) && ctx.Err() == nil; n += clients {
+				begun := time.Now()
+				cctx, cancel := context.WithDeadline(ctx, begun.Add(5*time.Second))
+				var r refusal
+				if err := a.ask(cctx, n); errors.As(err, &r) {
+					refused.Add(1)
+					time.Sleep(r.after)
+				} else if err != nil {
+					failed.Add(1)
+				} else {
+					_ = own.RecordValue(time.Since(begun).Microseconds()) // fails beyond a minute, and each query has 5 s
+				}
+				cancel()
+			}
+			mu.Lock()
+			defer mu.Unlock()
+			took.Merge(own)
+		})
+	}
+	wg.Wait()
+	seconds := time.Since(start).Seconds()
+	one := figure{Clients: clients, PerS: float64(took.TotalCount()) / seconds, P50: float64(took.ValueAtQuantile(50)) / 1000,
+		P99: float64(took.ValueAtQuantile(99)) / 1000, Refused: refused.Load(), Failed: failed.Load()}
+	if n := took.TotalCount(); n > 0 {
+		one.CPU = float64((f.CPU() - cpu).Microseconds()) / float64(n)
+	}
+	return one
+}
--- /dev/null
+++ b/cmd/gullfall-lab/flight_slow.go
@@ -0,0 +1,126 @@
+package main
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"io"
+	"sync"
+	"sync/atomic"
+	"time"
+
+	arrowflight "github.com/apache/arrow-go/v18/arrow/flight"
+	"google.golang.org/grpc/codes"
+	"google.golang.org/grpc/status"
+
+	"gullfall/internal/lab/fleet"
+	"gullfall/internal/lab/flightsuite"
+)
+
+// slow is what became of readers that read nothing, and of one among them that reads.
+type slow struct {
+	Readers  int     `json:"readers"`
+	Refused  int64   `json:"refused"` // each told when to come back
+	Cut      int64   `json:"cut"`     // each told when to come back
+	Ended    int64   `json:"ended"`   // by their deadline
+	Other    int64   `json:"other"`
+	Served   int64   `json:"served_meanwhile"` // of one that reads
+	NotYet   int64   `json:"refused_meanwhile"`
+	MemoryMB float64 `json:"memory_mb"` // of its own, at most
+}
+
+// slowEnds counts how readers that read nothing ended.
+type slowEnds struct{ refused, cut, ended, other atomic.Int64 }
+
+// slow lets two hundred readers at once read nothing of large answers, at a coordinator of 32 MB, while one reads.
+func (d flightCmd) slow(ctx context.Context, r *flightReport) (err error) {
+	f, err := fleet.Start(ctx, fleet.Options{Nodes: 8, Cells: 4, Shards: 16, TTL: 60, Transfer: true, Takes: time.Millisecond,
+		Binary: binary(d.Binary), Seed: 1, Flight: true, AllFlight: true, Fill: 200 << 10, MemoryMB: 32})
+	defer func() { err = errors.Join(err, f.Stop()) }()
+	if err != nil {
+		return err
+	}
+	time.Sleep(time.Second)
+	const connections, readersEach = 10, 20
+	s := &slow{Readers: connections * readersEach}
+	r.Slow = s
+	end := time.Now().Add(6 * time.Second)
+	ctx, cancel := context.WithDeadline(ctx, end)
+	defer cancel()
+	var ends slowEnds
+	var wg sync.WaitGroup
+	for range connections {
+		c, err := flightsuite.Dial(env(f, nil))
+		if err != nil {
+			return err
+		}
+		defer c.Close()
+		for i := range readersEach {
+			wg.Go(func() { ends.add(readSlowly(ctx, c, i)) })
+		}
+	}
+	good, err := flightsuite.Dial(env(f, nil))
+	if err != nil {
+		return err
+	}
+	defer good.Close()
+	for n := 0; time.Now().Before(end.Add(-2 * time.Second)); n++ {
+		s.MemoryMB = max(s.MemoryMB, f.Anonymous())
+		s.read(ctx, good, n, &ends.other)
+		time.Sleep(5 * time.Millisecond)
+	}
+	wg.Wait()
+	s.Refused, s.Cut, s.Ended, s.Other = ends.refused.Load(), ends.cut.Load(), ends.ended.Load(), ends.other.Load()
+	fmt.Printf("slow readers: %d at once, %d refused, %d cut, %d ended by their time, %d else; one that reads was served %d times, refused %d; %.0f MB of 32\n",
+		s.Readers, s.Refused, s.Cut, s.Ended, s.Other, s.Served, s.NotYet, s.MemoryMB)
+	return nil
+}
+
+// read asks query n as a client that reads at once.
+func (s *slow) read(ctx context.Context, c *flightsuite.Client, n int, other *atomic.Int64) {
+	g, err := c.Get(ctx, c.Question("", n%16))
+	var wait refusal
+	switch {
+	case err == nil && g.Complete:
+		s.Served++
+	case errors.As(retryAfter(err), &wait):
+		s.NotYet++
+		time.Sleep(min(wait.after, 200*time.Millisecond))
+	default:
+		other.Add(1)
+	}
+}
+
+// readSlowly asks a query of four parts, reads one message of its answer and no more until the deadline. It returns whether a message
+// came, and the error by which the answer ended.
+func readSlowly(ctx context.Context, c *flightsuite.Client, i int) (begun bool, err error) {
+	ctx, cancel := context.WithDeadline(ctx, time.Now().Add(2*time.Second)) // the class's limit
+	defer cancel()
+	stream, err := c.DoGet(ctx, &arrowflight.Ticket{Ticket: c.Question("", fourShards(i)...)})
+	if err != nil {
+		return false, err
+	}
+	if _, err = stream.Recv(); err != nil {
+		return false, err
+	}
+	<-ctx.Done()
+	for err == nil {
+		_, err = stream.Recv()
+	}
+	return true, err
+}
+
+// add counts how a reader ended.
+func (e *slowEnds) add(begun bool, err error) {
+	var wait refusal
+	switch isRefusal := errors.As(retryAfter(err), &wait); {
+	case isRefusal && begun:
+		e.cut.Add(1)
+	case isRefusal:
+		e.refused.Add(1)
+	case status.Code(err) == codes.DeadlineExceeded || errors.Is(err, io.EOF): // or had all of it in its window
+		e.ended.Add(1)
+	default:
+		e.other.Add(1)
+	}
+}
