--- a/cmd/gullfall-lab/demo.go
+++ b/cmd/gullfall-lab/demo.go
@@ -5,6 +5,7 @@
 
 import (
 	"context"
+	"errors"
 	"fmt"
 	"os/signal"
 	"slices"
@@ -64,12 +65,12 @@
 }
 
 // Run runs the demo.
-func (d demoCmd) Run() error {
+func (d demoCmd) Run() (err error) {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
 	defer stop()
 	f, err := fleet.Start(ctx, fleet.Options{Nodes: 24, Listed: 8, Cells: 4, Shards: 16, TTL: 4500, Transfer: true, Notify: false,
 		Takes: 10 * time.Millisecond, Binary: binary(d.Binary), Seed: d.Seed})
-	defer f.Stop()
+	defer func() { err = errors.Join(err, f.Stop()) }()
 	if err != nil {
 		return err
 	}
--- a/cmd/gullfall-lab/model.go
+++ b/cmd/gullfall-lab/model.go
@@ -44,30 +44,9 @@
 	var rows []modelRow
 	fmt.Printf("%-10s %8s %10s %8s %10s %8s %6s\n", "way", "served", "first 10 s", "worst", "at lost", "pushed", "lost")
 	for _, way := range model.Ways {
-		row := modelRow{Way: way, Worst: 1}
-		for seed := range m.Seeds {
-			c, err := model.Day(m.Day, way, m.Coordinators, m.Load, uint64(seed+1))
-			if err != nil {
-				return err
-			}
-			f, err := model.Run(c)
-			if err != nil {
-				return err
-			}
-			n := float64(m.Seeds)
-			row.Served, row.Gone, row.Attempts = row.Served+f.Served/n, row.Gone+float64(f.Gone)/n, row.Attempts+f.Attempts/n
-			row.Fell, row.Lost, row.Twins, row.After = row.Fell+f.Fell, row.Lost+f.Lost, row.Twins+f.Twins, row.After+f.After
-			if row.Over == nil {
-				row.Over = make([]float64, len(f.Over))
-			}
-			for i := range min(len(row.Over), len(f.Over)) {
-				row.Over[i] += f.Over[i] / n
-			}
-		}
-		row.Worst = slices.Min(row.Over)
-		from := int(model.Lost.Seconds() * 2)
-		for _, x := range row.Over[from : from+20] {
-			row.First10 += x / 20
+		row, err := m.row(way)
+		if err != nil {
+			return err
 		}
 		rows = append(rows, row)
 		fmt.Printf("%-10s %8.4f %10.4f %8.3f %10.0f %8d %6d\n", way, row.Served, row.First10, row.Worst, row.Gone, row.Fell, row.Lost)
@@ -88,6 +67,37 @@
 	return nil
 }
 
+// row plays one way's day by every seed and returns the means.
+func (m *modelCmd) row(way string) (row modelRow, err error) {
+	row = modelRow{Way: way, Worst: 1}
+	for seed := range m.Seeds {
+		c, err := model.Day(m.Day, way, m.Coordinators, m.Load, uint64(seed+1))
+		if err != nil {
+			return row, err
+		}
+		f, err := model.Run(c)
+		if err != nil {
+			return row, err
+		}
+		n := float64(m.Seeds)
+		row.Served, row.Gone, row.Attempts = row.Served+f.Served/n, row.Gone+float64(f.Gone)/n, row.Attempts+f.Attempts/n
+		row.Fell, row.Lost, row.Twins, row.After = row.Fell+f.Fell, row.Lost+f.Lost, row.Twins+f.Twins, row.After+f.After
+		if row.Over == nil {
+			row.Over = make([]float64, len(f.Over))
+		}
+		for i := range min(len(row.Over), len(f.Over)) {
+			row.Over[i] += f.Over[i] / n
+		}
+	}
+	row.Worst = slices.Min(row.Over)
+	from := int(model.Lost.Seconds() * 2)
+	for _, x := range row.Over[from : from+20] {
+		row.First10 += x / 20
+	}
+	return row, nil
+}
+
+// draw plots what was served over time, a line for each way.
 func (m *modelCmd) draw(rows []modelRow) error {
 	p := plot.New()
 	p.Title.Text = fmt.Sprintf("%s: %d coordinators, load %.2f, mean of %d seeds", m.Day, m.Coordinators, m.Load, m.Seeds)
--- a/cmd/gullfall-lab/plan.go
+++ b/cmd/gullfall-lab/plan.go
@@ -32,7 +32,9 @@
 		rows, broken = append(rows, r), broken+r.Broken
 		fmt.Fprintf(t, "%d\t%d\t%.1f\t%.1f\t%.0f%%\t%d\t%.1f ms\t%.1f\t%.1f\t%.2f-fold\n", r.Machines, r.Fleets, r.Waves, r.Bound, 100*r.WorstGap, r.Exact, r.PlanMS,
 			r.ZoneByZone, r.OneByOne, r.Sooner)
-		t.Flush()
+		if err := t.Flush(); err != nil {
+			return err
+		}
 	}
 	if err := writeJSON(c.JSON, rows); err != nil {
 		return err
--- a/cmd/gullfall-lab/replicate.go
+++ b/cmd/gullfall-lab/replicate.go
@@ -105,12 +105,9 @@
 		}
 	}
 	if c.Remembered > 0 {
-		_, answers, err := fleet.Remembered(ctx, binary(c.Binary), c.Remembered, 20, c.Seed)
-		if err != nil {
+		if err := c.measureRemembered(ctx, &r); err != nil {
 			return err
 		}
-		r.Remembered, r.P50AnswerMS, r.P99AnswerMS = c.Remembered, quantileMS(answers, 0.5), quantileMS(answers, 0.99)
-		fmt.Printf("%-28s first answer %.0f ms after its start at the median, %.0f ms at worst of 20\n", fmt.Sprintf("alone, %d remembered", c.Remembered), r.P50AnswerMS, r.P99AnswerMS)
 	}
 	r.Operations, r.Committed, r.Unknown = clients.History.Counts()
 	r.BytesPerOp = float64(sent) / float64(max(r.Operations, 1))
@@ -128,6 +125,17 @@
 	return nil
 }
 
+// measureRemembered starts a coordinator alone, 20 times, and takes the times until its first answer.
+func (c *replicateCmd) measureRemembered(ctx context.Context, r *replicateReport) error {
+	_, answers, err := fleet.Remembered(ctx, binary(c.Binary), c.Remembered, 20, c.Seed)
+	if err != nil {
+		return err
+	}
+	r.Remembered, r.P50AnswerMS, r.P99AnswerMS = c.Remembered, quantileMS(answers, 0.5), quantileMS(answers, 0.99)
+	fmt.Printf("%-28s first answer %.0f ms after its start at the median, %.0f ms at worst of 20\n", fmt.Sprintf("alone, %d remembered", c.Remembered), r.P50AnswerMS, r.P99AnswerMS)
+	return nil
+}
+
 // print writes the report as a table.
 func (r *replicateReport) print() {
 	fmt.Printf("%-28s %d %v\n", "faults", r.Faults, r.Kinds)
--- a/cmd/gullfall-lab/work.go
+++ b/cmd/gullfall-lab/work.go
@@ -61,11 +61,11 @@
 
 // Run plays.
 func (c *workCmd) Run() error {
-	idle, err := c.play(c.Baseline, false)
+	idle, err := c.playIdle(c.Baseline)
 	if err != nil {
 		return err
 	}
-	r, err := c.play(c.For, true)
+	r, err := c.playWork(c.For)
 	if err != nil {
 		return err
 	}
@@ -93,7 +93,31 @@
 
 const workWarm = 5 * time.Second // that the lab's data nodes need
 
-func (c *workCmd) play(d time.Duration, work bool) (r workReport, err error) {
+// playIdle plays the faults without any work on machines.
+func (c *workCmd) playIdle(d time.Duration) (workReport, error) {
+	return c.play(d, func(ctx context.Context, p *workPlay) error { return p.faults(ctx, d) })
+}
+
+// playWork plays the faults while machines go out for work, and waits until every request has ended.
+func (c *workCmd) playWork(d time.Duration) (workReport, error) {
+	return c.play(d, func(ctx context.Context, p *workPlay) error {
+		var asking sync.WaitGroup
+		stop := make(chan struct{})
+		asking.Go(func() { p.ask(ctx, stop) })
+		if err := p.faults(ctx, d); err != nil {
+			return err
+		}
+		close(stop)
+		asking.Wait()
+		if err := p.complete(ctx); err != nil {
+			p.report.Said = append(p.report.Said, err.Error())
+		}
+		return nil
+	})
+}
+
+// play starts a fleet, lets body play on it for a time and reports what was seen.
+func (c *workCmd) play(d time.Duration, body func(context.Context, *workPlay) error) (r workReport, err error) {
 	ctx, cancel := context.WithDeadline(context.Background(), time.Now().Add(d+4*time.Minute))
 	defer cancel()
 	r.Coordinators, r.Kinds = c.Coordinators, map[string]int{}
@@ -108,36 +132,30 @@
 	}
 	time.Sleep(5 * time.Second) // all are present, and the load is steady
 	r.ColdBound = fleet.WorkColdBound(workWarm)
-	p := &workPlay{c: c, w: w, chance: rand.New(rand.NewPCG(c.Seed, 9)), kinds: r.Kinds}
-	var asking sync.WaitGroup
-	stop := make(chan struct{})
-	if work {
-		asking.Go(func() { p.ask(ctx, stop) })
+	p := &workPlay{c: c, w: w, chance: rand.New(rand.NewPCG(c.Seed, 9)), report: &r}
+	if err := body(ctx, p); err != nil {
+		return r, err
 	}
+	time.Sleep(5 * time.Second) // the last faults' clients are not counted
+	r.measure(w)
+	return r, nil
+}
+
+// faults plays one fault after the other for a time, and mends what may be left of them.
+func (p *workPlay) faults(ctx context.Context, d time.Duration) error {
 	for end := time.Now().Add(d); time.Now().Before(end) && ctx.Err() == nil; {
 		if err := p.fault(ctx); err != nil {
-			return r, err
+			return err
 		}
-		r.Faults++
+		p.report.Faults++
 		time.Sleep(time.Duration(300+p.chance.IntN(900)) * time.Millisecond)
 	}
-	if err := p.mend(ctx); err != nil {
-		return r, err
-	}
-	close(stop)
-	asking.Wait()
-	if work {
-		if err := p.complete(ctx, &r); err != nil {
-			r.Said = append(r.Said, err.Error())
-		}
-	}
-	time.Sleep(5 * time.Second) // the last faults' clients are not counted
-	r.measure(w)
-	return r, nil
+	return p.mend(ctx)
 }
 
 // complete waits until every request has ended, and resumes those that were paused or stopped.
-func (p *workPlay) complete(ctx context.Context, r *workReport) error {
+func (p *workPlay) complete(ctx context.Context) error {
+	r := p.report
 	return p.w.Until(ctx, "every request ends", time.Now().Add(2*time.Minute), func(v agent.View) bool {
 		r.Requests, r.Completed = int(v.Plan.Next), int(v.Plan.Next)
 		for _, q := range v.Plan.Requests {
@@ -176,7 +194,7 @@
 	c      *workCmd
 	w      *fleet.Works
 	chance *rand.Rand
-	kinds  map[string]int
+	report *workReport
 }
 
 // ask keeps requests open: two operators at two coordinators, whose requests cross.
@@ -236,29 +254,29 @@
 	inject := faultInjector{fleet: w, coordinators: n, restart: w.Start}
 	switch kind := p.chance.IntN(20); {
 	case kind < 5:
-		p.kinds["kill"]++
+		p.report.Kinds["kill"]++
 		return inject.kill(ctx, some, while/2)
 	case kind < 9:
-		p.kinds["stall"]++
+		p.report.Kinds["stall"]++
 		return inject.stall(while, some)
 	case kind < 12:
-		p.kinds["isolate "+f.String()]++
+		p.report.Kinds["isolate "+f.String()]++
 		return inject.isolate(some, f, while)
 	case kind < 14:
-		p.kinds["one way "+f.String()]++
+		p.report.Kinds["one way "+f.String()]++
 		to := (some + 1 + p.chance.IntN(n-1)) % n
 		return inject.cut(some, to, f, while)
 	case kind < 16:
-		p.kinds["split"]++
+		p.report.Kinds["split"]++
 		return inject.split(while)
 	case kind < 17:
-		p.kinds["end"]++
+		p.report.Kinds["end"]++
 		return inject.end(ctx, some)
 	case kind < 19:
-		p.kinds["data node"]++
+		p.report.Kinds["data node"]++
 		return w.Crash(p.chance.IntN(len(w.Nodes)), while/2)
 	default:
-		p.kinds["all killed"]++
+		p.report.Kinds["all killed"]++
 		return inject.killAll(ctx)
 	}
 }
--- a/cmd/gullfall-lab/zones.go
+++ b/cmd/gullfall-lab/zones.go
@@ -57,14 +57,23 @@
 
 var faults = map[string]proxy.Fault{"drop": proxy.Drop, "cut": proxy.Cut, "reset": proxy.Reset}
 
+// zoneNames are the zones of a play.
+var zoneNames = []string{"a", "b", "c"}
+
+// What a play judges as a whole, as the report has it.
+const (
+	judgedByNode = "node"
+	judgedByZone = "zone"
+)
+
 // Run plays.
 func (z *zonesCmd) Run() error {
 	if z.Cases || z.Case != "" {
 		return z.cases()
 	}
 	var plays []zonePlay
-	for _, on := range []bool{false, true} {
-		p, err := z.play(on)
+	for _, judged := range []string{judgedByNode, judgedByZone} {
+		p, err := z.play(judged)
 		if err != nil {
 			return err
 		}
@@ -123,58 +132,96 @@
 	return nil
 }
 
+// playOptions start the fleet of one play, judged by data node or by zone.
+func (z *zonesCmd) playOptions(judged string) fleet.ZonesOptions {
+	return fleet.ZonesOptions{Coordinators: z.Coordinators, Zones: zoneNames, PerZone: z.PerZone, Rate: z.Rate,
+		Deploy: fmt.Sprintf("enabled = %v\n", judged == judgedByZone), Binary: binary(z.Binary), Seed: z.Seed}
+}
+
 // play takes zone a away and gives it back.
-func (z *zonesCmd) play(on bool) (play zonePlay, err error) {
+func (z *zonesCmd) play(judged string) (play zonePlay, err error) {
 	ctx, cancel := context.WithDeadline(context.Background(), time.Now().Add(2*time.Minute))
 	defer cancel()
-	play = zonePlay{Judged: "node", Coordinators: z.Coordinators, ColdBound: fleet.ZoneColdBound(), Ends: map[string]int{}, load: map[string]plotter.XYs{}}
-	if on {
-		play.Judged = "zone"
-	}
-	names := []string{"a", "b", "c"}
-	f, err := fleet.StartZones(ctx, fleet.ZonesOptions{Coordinators: z.Coordinators, Zones: names, PerZone: z.PerZone, Rate: z.Rate,
-		Deploy: fmt.Sprintf("enabled = %v\n", on), Binary: binary(z.Binary), Seed: z.Seed})
+	play = zonePlay{Judged: judged, Coordinators: z.Coordinators, ColdBound: fleet.ZoneColdBound(), Ends: map[string]int{}, load: map[string]plotter.XYs{}}
+	f, err := fleet.StartZones(ctx, z.playOptions(judged))
 	if f != nil {
 		defer func() { err = errors.Join(err, f.Stop()) }()
 	}
 	if err != nil {
 		return play, err
 	}
-	// rates are the parts a second that begin at a data node of each zone, since the last look.
-	start := time.Now()
-	last, lastAt := map[string]map[string]int{}, start
-	rates := func() map[string]float64 {
-		now, r := time.Now(), map[string]float64{}
-		for _, zone := range names {
-			parts := f.Parts(zone)
-			for id, n := range parts {
-				r[zone] += float64(n-last[zone][id]) / now.Sub(lastAt).Seconds() / float64(z.PerZone)
-			}
-			last[zone] = parts
-			play.load[zone] = append(play.load[zone], plotter.XY{X: now.Sub(start).Seconds(), Y: r[zone]})
-		}
-		lastAt = now
-		return r
-	}
+	rates := newZoneRates(f, z.PerZone, &play)
 	steady := 0.0
 	const looks = 20
 	for range looks {
-		time.Sleep(250 * time.Millisecond)
-		steady += rates()["a"] / looks
+		time.Sleep(lookEvery)
+		steady += rates.look()["a"] / looks
 	}
 	began := time.Now()
 	if err := f.Set(faults[z.Fault], "a"); err != nil {
 		return play, err
 	}
 	for time.Since(began) < z.Away {
-		time.Sleep(250 * time.Millisecond)
-		rates()
+		time.Sleep(lookEvery)
+		rates.look()
 	}
 	back := time.Now()
 	if err := f.Set(proxy.Pass, "a"); err != nil {
 		return play, err
 	}
-	first, atFirst := map[string]time.Time{}, map[string]int{}
+	play.watchReturn(f, rates, back, steady)
+	f.EndLoad()
+	for i := range f.Coords {
+		t := f.Sum(i)
+		play.Asked += t.Asked
+		play.Lost += t.Failed + t.Lost + t.Wrong
+	}
+	play.Twins = f.Ledger.Account().Twins
+	for _, c := range f.Coords {
+		if err := play.readLog(c, began, back); err != nil {
+			return play, err
+		}
+	}
+	return play, nil
+}
+
+// lookEvery is how often the rates of parts are taken.
+const lookEvery = 250 * time.Millisecond
+
+// zoneRates takes the parts a second that begin at a data node of each zone.
+type zoneRates struct {
+	fleet   *fleet.Zones
+	perZone int
+	play    *zonePlay // whose load is filled in
+	start   time.Time
+	last    map[string]map[string]int // parts by zone and data node, at lastAt
+	lastAt  time.Time
+}
+
+func newZoneRates(f *fleet.Zones, perZone int, play *zonePlay) *zoneRates {
+	now := time.Now()
+	return &zoneRates{fleet: f, perZone: perZone, play: play, start: now, last: map[string]map[string]int{}, lastAt: now}
+}
+
+// look returns the rates by zone since the last look.
+func (l *zoneRates) look() map[string]float64 {
+	now, r := time.Now(), map[string]float64{}
+	for _, zone := range zoneNames {
+		parts := l.fleet.Parts(zone)
+		for id, n := range parts {
+			r[zone] += float64(n-l.last[zone][id]) / now.Sub(l.lastAt).Seconds() / float64(l.perZone)
+		}
+		l.last[zone] = parts
+		l.play.load[zone] = append(l.play.load[zone], plotter.XY{X: now.Sub(l.start).Seconds(), Y: r[zone]})
+	}
+	l.lastAt = now
+	return r
+}
+
+// watchReturn counts the parts that come to each data node of zone a in the second after its first one, and takes the time until the
+// zone has four fifths of its steady rate again, over a second.
+func (p *zonePlay) watchReturn(f *fleet.Zones, rates *zoneRates, back time.Time, steady float64) {
+	first, counted := map[string]time.Time{}, map[string]bool{}
 	before := f.Parts("a")
 	var lately []float64 // over a second
 	for time.Since(back) < 15*time.Second {
@@ -183,56 +230,56 @@
 		for id, n := range f.Parts("a") {
 			switch at, came := first[id]; {
 			case !came && n > before[id]:
-				first[id], atFirst[id] = now, n
-			case came && atFirst[id] >= 0 && now.Sub(at) >= time.Second:
-				got := n - before[id]
-				play.FirstSecond = max(play.FirstSecond, got)
-				if float64(got) > play.ColdBound {
-					play.OverColdBound++
-				}
-				atFirst[id] = -1
+				first[id] = now
+			case came && !counted[id] && now.Sub(at) >= time.Second:
+				p.countFirstSecond(n - before[id])
+				counted[id] = true
 			}
 		}
-		if now.Sub(lastAt) >= 250*time.Millisecond {
-			lately = append(lately, rates()["a"])
-			if lately = lately[max(0, len(lately)-4):]; play.ReturnMS == 0 && len(lately) == 4 && mean(lately) >= 0.8*steady {
-				play.ReturnMS = float64(now.Sub(back).Milliseconds())
+		if now.Sub(rates.lastAt) >= lookEvery {
+			lately = append(lately, rates.look()["a"])
+			if lately = lately[max(0, len(lately)-4):]; p.ReturnMS == 0 && len(lately) == 4 && mean(lately) >= 0.8*steady {
+				p.ReturnMS = float64(now.Sub(back).Milliseconds())
 			}
 		}
 	}
-	f.EndLoad()
-	for i := range f.Coords {
-		t := f.Sum(i)
-		play.Asked += t.Asked
-		play.Lost += t.Failed + t.Lost + t.Wrong
+}
+
+// countFirstSecond takes in the parts of one returning data node.
+func (p *zonePlay) countFirstSecond(parts int) {
+	p.FirstSecond = max(p.FirstSecond, parts)
+	if float64(parts) > p.ColdBound {
+		p.OverColdBound++
 	}
-	play.Twins = f.Ledger.Account().Twins
+}
+
+// readLog takes in what a coordinator has logged of zone a while it was away.
+func (p *zonePlay) readLog(c *fleet.Coordinator, began, back time.Time) error {
 	away := func(line string) (time.Duration, bool) {
 		t, err := time.Parse(time.RFC3339Nano, logValue(line, "time"))
 		return t.Sub(began), err == nil && !t.Before(began) && t.Before(back)
 	}
-	for _, c := range f.Coords {
-		for _, line := range c.Lines(fmt.Sprintf("msg=%q node=a-", coordinator.LogAttemptBegun)) {
-			if after, ok := away(line); ok {
-				play.IntoZone++
-				play.LeaveMS = max(play.LeaveMS, float64(after.Milliseconds()))
-			}
-		}
-		for _, line := range c.Lines(fmt.Sprintf("msg=%q node=a-", coordinator.LogAttemptEnded)) {
-			if _, ok := away(line); ok {
-				play.Ends[logValue(line, "end")]++
-			}
+	for _, line := range c.Lines(fmt.Sprintf("msg=%q node=a-", coordinator.LogAttemptBegun)) {
+		if after, ok := away(line); ok {
+			p.IntoZone++
+			p.LeaveMS = max(p.LeaveMS, float64(after.Milliseconds()))
 		}
-		if c.Logged(`msg="zone out" zone=a`) > 0 {
-			play.ZoneOut++
-		}
-		if n := c.Logged("panicked"); n > 0 {
-			return play, fmt.Errorf("a coordinator panicked:\n%s", c.Log(2000))
+	}
+	for _, line := range c.Lines(fmt.Sprintf("msg=%q node=a-", coordinator.LogAttemptEnded)) {
+		if _, ok := away(line); ok {
+			p.Ends[logValue(line, "end")]++
 		}
 	}
-	return play, nil
+	if c.Logged(`msg="zone out" zone=a`) > 0 {
+		p.ZoneOut++
+	}
+	if n := c.Logged("panicked"); n > 0 {
+		return fmt.Errorf("a coordinator panicked:\n%s", c.Log(2000))
+	}
+	return nil
 }
 
+// mean is the mean of a list; 0 for an empty one.
 func mean(list []float64) (sum float64) {
 	for _, x := range list {
 		sum += x / float64(len(list))
