--- a/internal/lab/fleet/clients.go
+++ b/internal/lab/fleet/clients.go
@@ -65,10 +65,10 @@
 		case k < 4:
 			c.get(ctx, client, i, key)
 		case k < 7:
-			c.put(ctx, client, i, linearizability.Op{Client: client, Kind: linearizability.Put, Key: key, Value: value}, nil)
+			c.put(ctx, i, linearizability.Op{Client: client, Kind: linearizability.Put, Key: key, Value: value}, nil)
 		default:
 			if old, ok := c.get(ctx, client, i, key); ok {
-				c.put(ctx, client, (i+chance.IntN(2))%len(c.Works.Coords), linearizability.Op{Client: client, Kind: linearizability.Swap, Key: key, Old: old.Value, Value: value}, &old.Revision)
+				c.put(ctx, (i+chance.IntN(2))%len(c.Works.Coords), linearizability.Op{Client: client, Kind: linearizability.Swap, Key: key, Old: old.Value, Value: value}, &old.Revision)
 			}
 		}
 		select {
@@ -86,7 +86,7 @@
 	return n, err == nil
 }
 
-func (c *StoreClients) put(ctx context.Context, client, i int, o linearizability.Op, revision *uint64) {
+func (c *StoreClients) put(ctx context.Context, i int, o linearizability.Op, revision *uint64) {
 	o.Call = time.Since(c.start)
 	n, err := c.Works.Note(ctx, i, "put", storeNote{Key: o.Key, Value: o.Value, If: revision}, time.Now().Add(c.Timeout))
 	o.End, o.Done, o.Unknown = time.Since(c.start), err == nil && n.Conflict == "", err != nil
--- a/internal/lab/fleet/duties.go
+++ b/internal/lab/fleet/duties.go
@@ -8,6 +8,7 @@
 	"context"
 	"encoding/json"
 	"fmt"
+	"maps"
 	"slices"
 	"sync"
 	"time"
@@ -48,38 +49,53 @@
 	Said      []string
 }
 
+// dutyHold is one token's holder, and when it was first and last seen to hold the duty, in nanoseconds since the epoch.
+type dutyHold struct {
+	who         string
+	token       uint64
+	first, last int64
+}
+
 // Check reads the history: for each duty, a token has one holder; from its first claim to its last nobody claims another; and in
 // the order of the store's log tokens only grow.
 func (h *DutyHistory) Check() (v DutyVerdict) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	type hold struct {
-		who         string
-		token       uint64
-		first, last int64
+	holds, taken := v.collect(h.all)
+	for duty, byToken := range holds {
+		v.checkHolders(duty, byToken)
+		v.checkWrites(duty, taken[duty])
 	}
-	say := func(format string, args ...any) {
-		if len(v.Said) < 20 {
-			v.Said = append(v.Said, fmt.Sprintf(format, args...))
-		}
+	slices.SortFunc(v.Handovers, func(a, b Handover) int { return a.At.Compare(b.At) })
+	return v
+}
+
+// say notes what broke, the first 20 times.
+func (v *DutyVerdict) say(format string, args ...any) {
+	if len(v.Said) < 20 {
+		v.Said = append(v.Said, fmt.Sprintf(format, args...))
 	}
-	holds, taken := map[string]map[uint64]*hold{}, map[string][]agent.DutyAttempt{}
-	for _, t := range h.all {
+}
+
+// collect counts the claims, and returns by duty who held each token and the writes that the store took.
+func (v *DutyVerdict) collect(all []agent.DutyAttempt) (holds map[string]map[uint64]*dutyHold, taken map[string][]agent.DutyAttempt) {
+	holds, taken = map[string]map[uint64]*dutyHold{}, map[string][]agent.DutyAttempt{}
+	for _, t := range all {
 		if !t.Holds {
 			continue
 		}
 		v.Claims++
 		if holds[t.Duty] == nil {
-			holds[t.Duty] = map[uint64]*hold{}
+			holds[t.Duty] = map[uint64]*dutyHold{}
 		}
 		x := holds[t.Duty][t.Token]
 		if x == nil {
-			x = &hold{t.Who, t.Token, t.At, t.At}
+			x = &dutyHold{t.Who, t.Token, t.At, t.At}
 			holds[t.Duty][t.Token] = x
 		}
 		if x.who != t.Who {
 			v.Double++
-			say("%s: token %d is held by %s and %s", t.Duty, t.Token, x.who, t.Who)
+			v.say("%s: token %d is held by %s and %s", t.Duty, t.Token, x.who, t.Who)
 		}
 		x.first, x.last = min(x.first, t.At), max(x.last, t.At)
 		switch {
@@ -90,32 +106,32 @@
 			v.Refused++
 		}
 	}
-	for duty, byToken := range holds {
-		var list []*hold
-		for _, x := range byToken {
-			list = append(list, x)
-		}
-		slices.SortFunc(list, func(a, b *hold) int { return cmp.Compare(a.token, b.token) })
-		for i := 1; i < len(list); i++ {
-			a, b := list[i-1], list[i]
-			if gap := time.Duration(b.first - a.last); gap < 0 {
-				v.Double++
-				say("%s: %s with token %d and %s with token %d both held it for %v", duty, a.who, a.token, b.who, b.token, -gap)
-			} else {
-				v.Handovers = append(v.Handovers, Handover{duty, a.who, b.who, b.token, time.Unix(0, a.last), gap})
-			}
+	return holds, taken
+}
+
+// checkHolders counts a duty's hand-overs, and the pairs of holders that held it at one moment.
+func (v *DutyVerdict) checkHolders(duty string, byToken map[uint64]*dutyHold) {
+	list := slices.SortedFunc(maps.Values(byToken), func(a, b *dutyHold) int { return cmp.Compare(a.token, b.token) })
+	for i := 1; i < len(list); i++ {
+		a, b := list[i-1], list[i]
+		if gap := time.Duration(b.first - a.last); gap < 0 {
+			v.Double++
+			v.say("%s: %s with token %d and %s with token %d both held it for %v", duty, a.who, a.token, b.who, b.token, -gap)
+		} else {
+			v.Handovers = append(v.Handovers, Handover{duty, a.who, b.who, b.token, time.Unix(0, a.last), gap})
 		}
-		writes := taken[duty]
-		slices.SortFunc(writes, func(a, b agent.DutyAttempt) int { return cmp.Compare(a.Index, b.Index) })
-		for i := 1; i < len(writes); i++ {
-			if writes[i].Token < writes[i-1].Token {
-				v.Stale++
-				say("%s: the store took token %d at %d after token %d at %d", duty, writes[i].Token, writes[i].Index, writes[i-1].Token, writes[i-1].Index)
-			}
+	}
+}
+
+// checkWrites counts the writes that the store took after it had taken one under a higher token.
+func (v *DutyVerdict) checkWrites(duty string, writes []agent.DutyAttempt) {
+	slices.SortFunc(writes, func(a, b agent.DutyAttempt) int { return cmp.Compare(a.Index, b.Index) })
+	for i := 1; i < len(writes); i++ {
+		if writes[i].Token < writes[i-1].Token {
+			v.Stale++
+			v.say("%s: the store took token %d at %d after token %d at %d", duty, writes[i].Token, writes[i].Index, writes[i-1].Token, writes[i-1].Index)
 		}
 	}
-	slices.SortFunc(v.Handovers, func(a, b Handover) int { return a.At.Compare(b.At) })
-	return v
 }
 
 // Try asks a coordinator to act on a duty; an error is an answer that did not come.
--- a/internal/lab/fleet/fleet.go
+++ b/internal/lab/fleet/fleet.go
@@ -74,17 +74,8 @@
 		return f, err
 	}
 	f.Zone = nameserver.NewZone(Domain, o.TTL)
-	for range 2 {
-		s, err := nameserver.Start(f.Zone, nil)
-		if err != nil {
-			return f, err
-		}
-		f.Servers = append(f.Servers, s)
-		if !o.Transfer {
-			if err := s.Do("transfer off"); err != nil {
-				return f, err
-			}
-		}
+	if err := f.startServers(); err != nil {
+		return f, err
 	}
 	var instances []nameserver.Instance
 	for i := range o.Nodes {
@@ -108,6 +99,24 @@
 	return f, f.run(ctx)
 }
 
+// startServers starts two name servers for the zone.
+func (f *Fleet) startServers() error {
+	for range 2 {
+		s, err := nameserver.Start(f.Zone, nil)
+		if err != nil {
+			return err
+		}
+		f.Servers = append(f.Servers, s)
+		if f.Transfer {
+			continue
+		}
+		if err := s.Do("transfer off"); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
 // Entry is what discovery tells of a data node.
 func Entry(n *datanode.Node, state string) discovery.Entry {
 	return discovery.Entry{ID: n.ID, Addr: n.Addr(), Zone: "a", Cell: n.Cell, State: state, Weight: 1, Started: n.Started.UnixMilli()}
--- a/internal/lab/fleet/work.go
+++ b/internal/lab/fleet/work.go
@@ -116,12 +116,38 @@
 	if w.folder, err = os.MkdirTemp("", "gullfall-works-"); err != nil {
 		return w, err
 	}
+	if err := w.startNodes(); err != nil {
+		return w, err
+	}
+	n := o.Coordinators
+	w.Coords, w.down, w.stalled = make([]*Coordinator, n), make([]bool, n), make([]bool, n)
+	w.busy, w.clean, w.mark = make([]time.Time, n), make([]Tallies, n), make([]load.Tally, n)
+	if err := w.connect(); err != nil {
+		return w, err
+	}
+	for i := range n {
+		if err := w.Start(ctx, i); err != nil {
+			return w, err
+		}
+	}
+	ctx, w.stop = context.WithCancel(ctx)
+	for i := range n {
+		l := &load.Load{Addr: w.fronts[i], Owner: "club", Rate: o.Rate, Shards: workShards, Classes: Classes, Open: 64, Ledger: w.Ledger, Seed: o.Seed*1000 + uint64(i)}
+		w.loads = append(w.loads, l)
+		w.wg.Go(func() { l.Run(ctx) })
+	}
+	w.wg.Go(func() { w.hands(ctx) })
+	return w, nil
+}
+
+// startNodes starts the data nodes of three zones and lists them.
+func (w *Works) startNodes() error {
 	var entries []discovery.Entry
 	for zi, zone := range []string{"a", "b", "c"} {
-		for i := range o.PerZone {
+		for i := range w.o.PerZone {
 			n := &datanode.Node{ID: fmt.Sprintf("%s-%d", zone, i), Cell: (zi + i) % workCells, Proto: "frames", Ledger: w.Ledger, Takes: WorkTakes}
 			if err := n.Start(); err != nil {
-				return w, err
+				return err
 			}
 			w.Nodes = append(w.Nodes, n)
 			n.Started = time.Now().Add(-time.Hour)
@@ -130,18 +156,21 @@
 	}
 	w.dir.Set(entries...)
 	w.hand = make([]sync.Mutex, len(w.Nodes))
-	n := o.Coordinators
-	w.Coords, w.down, w.stalled = make([]*Coordinator, n), make([]bool, n), make([]bool, n)
-	w.busy, w.clean, w.mark = make([]time.Time, n), make([]Tallies, n), make([]load.Tally, n)
+	return nil
+}
+
+// connect reserves the coordinators' addresses and starts a proxy from each to each other.
+func (w *Works) connect() (err error) {
+	n := w.o.Coordinators
 	for i := range n {
 		ln, err := net.Listen("tcp", fmt.Sprintf("127.0.8.%d:0", 1+i%250))
 		if err != nil {
-			return w, err
+			return err
 		}
 		w.addrs = append(w.addrs, ln.Addr().String())
 		ln.Close()
 		if ln, err = net.Listen("tcp", fmt.Sprintf("127.0.9.%d:0", 1+i%250)); err != nil {
-			return w, err
+			return err
 		}
 		w.fronts = append(w.fronts, ln.Addr().String())
 		ln.Close()
@@ -151,24 +180,12 @@
 		for j := range n {
 			if i != j {
 				if w.ways[i][j], err = proxy.Start(w.addrs[j]); err != nil {
-					return w, err
+					return err
 				}
 			}
 		}
 	}
-	for i := range n {
-		if err := w.Start(ctx, i); err != nil {
-			return w, err
-		}
-	}
-	ctx, w.stop = context.WithCancel(ctx)
-	for i := range n {
-		l := &load.Load{Addr: w.fronts[i], Owner: "club", Rate: o.Rate, Shards: workShards, Classes: Classes, Open: 64, Ledger: w.Ledger, Seed: o.Seed*1000 + uint64(i)}
-		w.loads = append(w.loads, l)
-		w.wg.Go(func() { l.Run(ctx) })
-	}
-	w.wg.Go(func() { w.hands(ctx) })
-	return w, nil
+	return nil
 }
 
 func (w *Works) entry(n *datanode.Node) discovery.Entry {
@@ -408,11 +425,7 @@
 			if met(v) {
 				return nil
 			}
-			if last = ""; v.Plan != nil {
-				for _, r := range v.Plan.Requests {
-					last += fmt.Sprintf("; request %d %s: %s", r.ID, r.State, r.Why)
-				}
-			}
+			last = describeRequests(v.Plan)
 		}
 		if !time.Now().Before(end) || ctx.Err() != nil {
 			return fmt.Errorf("%s: never%s", what, last)
@@ -421,6 +434,17 @@
 	}
 }
 
+// describeRequests says for an error what holds each request up; empty without a plan.
+func describeRequests(plan *maintenance.State) (text string) {
+	if plan == nil {
+		return ""
+	}
+	for _, r := range plan.Requests {
+		text += fmt.Sprintf("; request %d %s: %s", r.ID, r.State, r.Why)
+	}
+	return text
+}
+
 // hands work on the machines that are handed over: each is left running for a while, so that what is sent to it is seen, and is
 // then started anew.
 func (w *Works) hands(ctx context.Context) {
@@ -437,28 +461,38 @@
 				continue
 			}
 			w.check(v.Plan)
-			for _, r := range v.Plan.Requests {
-				for _, st := range r.Steps {
-					if st.State == maintenance.Out && at[st.Machine] < st.Turn {
-						at[st.Machine] = st.Turn
-						w.wg.Go(func() { w.work(ctx, st.Machine, st.Started) })
-					}
-					if st.State == maintenance.Returning && back[st.Machine] < st.Turn {
-						back[st.Machine] = st.Turn
-						before := w.Ledger.Account().Starts[st.Machine]
-						time.AfterFunc(time.Second, func() {
-							came := w.Ledger.Account().Starts[st.Machine] - before
-							w.mu.Lock()
-							defer w.mu.Unlock()
-							w.Returns = append(w.Returns, came)
-						})
-					}
-				}
+			w.follow(ctx, v.Plan, at, back)
+		}
+	}
+}
+
+// follow takes up the machines that a plan hands over and counts those that return, each turn once.
+func (w *Works) follow(ctx context.Context, plan *maintenance.State, at, back map[string]uint64) {
+	for _, r := range plan.Requests {
+		for _, st := range r.Steps {
+			if st.State == maintenance.Out && at[st.Machine] < st.Turn {
+				at[st.Machine] = st.Turn
+				w.wg.Go(func() { w.work(ctx, st.Machine, st.Started) })
+			}
+			if st.State == maintenance.Returning && back[st.Machine] < st.Turn {
+				back[st.Machine] = st.Turn
+				w.countReturn(st.Machine)
 			}
 		}
 	}
 }
 
+// countReturn adds the parts that come to a machine within the next second to Returns.
+func (w *Works) countReturn(machine string) {
+	before := w.Ledger.Account().Starts[machine]
+	time.AfterFunc(time.Second, func() {
+		came := w.Ledger.Account().Starts[machine] - before
+		w.mu.Lock()
+		defer w.mu.Unlock()
+		w.Returns = append(w.Returns, came)
+	})
+}
+
 func (w *Works) settleSometimes(i int) {
 	w.mu.Lock()
 	well := !time.Now().Before(w.busy[i])
@@ -505,7 +539,7 @@
 	}
 }
 
-// check looks whether a shard has fewer replicas outside work than its floor.
+// check takes in a plan: how it gets on, and whether a shard has fewer replicas outside work than its floor.
 func (w *Works) check(plan *maintenance.State) {
 	inWork := map[string]bool{}
 	for _, r := range plan.Requests {
@@ -515,17 +549,27 @@
 			}
 		}
 	}
+	w.noteProgress(plan, inWork)
+	w.checkFloors(inWork)
+}
+
+// noteProgress takes in which machines are in work, and how long an open request has seen no move.
+func (w *Works) noteProgress(plan *maintenance.State, inWork map[string]bool) {
 	open := false
 	for _, r := range plan.Requests {
 		open = open || r.State == maintenance.Open
 	}
 	w.mu.Lock()
+	defer w.mu.Unlock()
 	w.steps = inWork
 	if plan.Moved > w.moved || w.since.IsZero() || !open {
 		w.moved, w.since = max(w.moved, plan.Moved), time.Now()
 	}
 	w.Stalled = max(w.Stalled, time.Since(w.since))
-	w.mu.Unlock()
+}
+
+// checkFloors counts the shards that have fewer replicas outside work than their floor.
+func (w *Works) checkFloors(inWork map[string]bool) {
 	for shard := range workShards {
 		left := 0
 		for _, n := range w.Nodes {
