--- /dev/null
+++ b/internal/lab/fleet/work_operator.go
@@ -0,0 +1,107 @@
+package fleet
+
+import (
+	"context"
+	"fmt"
+	"strconv"
+	"strings"
+	"time"
+
+	"gullfall/internal/admin"
+	"gullfall/internal/maintenance"
+	"gullfall/internal/maintenance/agent"
+	"gullfall/internal/store"
+)
+
+// Ask asks for work at a coordinator.
+func (w *Works) Ask(ctx context.Context, i int, a agent.Request) (p agent.Planned, err error) {
+	ctx, cancel := context.WithDeadline(ctx, time.Now().Add(10*time.Second))
+	defer cancel()
+	return p, admin.Call(ctx, w.socket(i), "work start", a, &p)
+}
+
+// Order gives an operator's word on a request at a coordinator.
+func (w *Works) Order(ctx context.Context, i int, word string, request uint64) error {
+	ctx, cancel := context.WithDeadline(ctx, time.Now().Add(10*time.Second))
+	defer cancel()
+	var id uint64
+	return admin.Call(ctx, w.socket(i), "work order", map[string]any{"By": "lab", "Word": word, "Request": request}, &id)
+}
+
+// Forget says at a coordinator that another is gone for good, to the work and to the store.
+func (w *Works) Forget(ctx context.Context, i int, name string) error {
+	ctx, cancel := context.WithDeadline(ctx, time.Now().Add(10*time.Second))
+	defer cancel()
+	var said string
+	if err := admin.Call(ctx, w.socket(i), "work forget", map[string]any{"By": "lab", "Name": name}, &said); err != nil {
+		return err
+	}
+	return admin.Call(ctx, w.socket(i), "store change", store.MemberChange{What: store.Remove, Name: name}, &said)
+}
+
+// Look is the work as a coordinator knows it, without asking the store's leader.
+func (w *Works) Look(ctx context.Context, i int) (v agent.View, err error) {
+	ctx, cancel := context.WithDeadline(ctx, time.Now().Add(time.Second))
+	defer cancel()
+	return v, admin.Call(ctx, w.socket(i), "work look", map[string]any{"Fresh": false}, &v)
+}
+
+// Holder is who holds the duty of the work on machines, as HolderOf.
+func (w *Works) Holder(ctx context.Context) int { return w.HolderOf(ctx, maintenance.Duty) }
+
+// HolderOf is who holds a duty by the highest token that any coordinator knows, since one that is cut off still holds the past for
+// true; below 0 for nobody.
+func (w *Works) HolderOf(ctx context.Context, duty string) int {
+	holder, token := -1, uint64(0)
+	for i := range w.Coords {
+		if !w.Up(i) {
+			continue
+		}
+		v, err := w.Look(ctx, i)
+		if err != nil {
+			continue
+		}
+		for _, d := range v.Duties {
+			if n, err := strconv.Atoi(strings.TrimPrefix(d.Holder, "n")); err == nil && d.Duty == duty && d.Token >= token {
+				holder, token = n, d.Token
+			}
+		}
+	}
+	return holder
+}
+
+// Until waits until a coordinator that answers shows what is wanted.
+func (w *Works) Until(ctx context.Context, what string, end time.Time, met func(agent.View) bool) error {
+	var last string
+	for {
+		for i := range w.Coords {
+			if !w.Up(i) {
+				continue
+			}
+			v, err := w.Look(ctx, i)
+			if err != nil {
+				last = err.Error()
+				continue
+			}
+			if met(v) {
+				return nil
+			}
+			last = describeRequests(v.Plan)
+		}
+		if !time.Now().Before(end) || ctx.Err() != nil {
+			return fmt.Errorf("%s: never%s", what, last)
+		}
+		time.Sleep(20 * time.Millisecond)
+	}
+}
+
+// describeRequests says for an error what holds each request up; empty without a plan.
+func describeRequests(plan *maintenance.State) (text string) {
+	if plan == nil {
+		return ""
+	}
+	for _, r := range plan.Requests {
+		text += fmt.Sprintf("; request %d %s: %s", r.ID, r.State, r.Why)
+	}
+	return text
+}
