--- a/internal/lab/fleet/remember.go
+++ b/internal/lab/fleet/remember.go
@@ -18,96 +18,143 @@
 	"gullfall/internal/lab/discovery"
 )
 
+// The layout of a fleet that remembers: cells, one shard each, and coordinators.
+const (
+	rememberCells   = 64
+	rememberMembers = 3
+)
+
+// rememberFleet is coordinators with a store, and the list of data nodes that they hear before discovery is gone.
+type rememberFleet struct {
+	binary    string
+	seed      uint64
+	folder    string
+	directory *discovery.Directory
+	fronts    []string
+	addrs     []string // of the store's members
+	nodes     []*datanode.Node
+	running   []*Coordinator
+}
+
 // Remembered has three coordinators with a store hear a list of so many data nodes, ends all of them and discovery, and starts one again
 // and again. It returns how long each start took until its front took a connection, and until a query was answered whole.
 func Remembered(ctx context.Context, binary string, total, rounds int, seed uint64) (accepts, answers []time.Duration, err error) {
-	folder, err := os.MkdirTemp("", "gullfall-remember-")
-	if err != nil {
+	f := &rememberFleet{binary: binary, seed: seed}
+	defer func() { err = errors.Join(err, f.stop()) }()
+	if err := f.learn(ctx, total); err != nil {
 		return nil, nil, err
 	}
-	defer os.RemoveAll(folder)
-	d, err := discovery.Start()
+	for range rounds {
+		accepted, answer, err := f.startAlone(ctx)
+		if err != nil {
+			return nil, nil, err
+		}
+		accepts, answers = append(accepts, accepted), append(answers, answer)
+	}
+	return accepts, answers, nil
+}
+
+// learn starts the members and discovery with a list of data nodes, waits until the store has it, and ends all but the data nodes.
+func (f *rememberFleet) learn(ctx context.Context, total int) (err error) {
+	if f.folder, err = os.MkdirTemp("", "gullfall-remember-"); err != nil {
+		return err
+	}
+	if f.directory, err = discovery.Start(); err != nil {
+		return err
+	}
+	list, err := f.list(total)
 	if err != nil {
-		return nil, nil, err
+		return err
+	}
+	f.directory.Set(list...)
+	for range rememberMembers {
+		f.fronts, f.addrs = append(f.fronts, free("tcp")), append(f.addrs, free("tcp"))
+	}
+	for i := range rememberMembers {
+		if _, err := f.start(ctx, i); err != nil {
+			return err
+		}
+	}
+	if err := answered(ctx, f.fronts[0]); err != nil {
+		return err
+	}
+	time.Sleep(5 * time.Second) // the list is in the store, and each member has applied it
+	if err := f.kill(); err != nil {
+		return err
 	}
-	defer d.Close()
-	// Two that answer hold shard 0; all others are entries of the list and hold other shards.
-	const cells = 64
-	var list []discovery.Entry
+	f.directory.Close()
+	return nil
+}
+
+// list are the entries of discovery: the first two are data nodes that answer, of which one holds shard 0; all others hold other shards.
+func (f *rememberFleet) list(total int) (list []discovery.Entry, err error) {
 	for i := range total {
-		e := discovery.Entry{ID: fmt.Sprintf("node-%05d", i), Addr: fmt.Sprintf("127.0.%d.%d:1", 1+i/250, 1+i%250), Zone: []string{"a", "b", "c"}[i%3], Cell: 2 + i%(cells-2),
+		e := discovery.Entry{ID: fmt.Sprintf("node-%05d", i), Addr: fmt.Sprintf("127.0.%d.%d:1", 1+i/250, 1+i%250), Zone: []string{"a", "b", "c"}[i%3], Cell: 2 + i%(rememberCells-2),
 			State: "SERVING", Weight: 1, Started: time.Now().Add(-time.Hour).UnixMilli()}
 		if i < 2 {
 			n := &datanode.Node{ID: e.ID, Cell: i, Proto: "frames", Ledger: datanode.NewLedger(), Takes: time.Millisecond}
 			if err := n.Start(); err != nil {
-				return nil, nil, err
+				return nil, err
 			}
-			defer n.Kill()
+			f.nodes = append(f.nodes, n)
 			e.Addr, e.Cell = n.Addr(), i
 		}
 		list = append(list, e)
 	}
-	d.Set(list...)
-	const members = 3
-	fronts, addrs := make([]string, members), make([]string, members)
-	for i := range members {
-		fronts[i], addrs[i] = free("tcp"), free("tcp")
-	}
-	start := func(i int) (*Coordinator, error) {
-		deploy := fmt.Sprintf("[store]\ndirectory = %q\nlisten = %q\nheartbeat = \"500ms\"\n", filepath.Join(folder, PeerName(i)), addrs[i])
-		for j, addr := range addrs {
-			deploy += fmt.Sprintf("[[store.peer]]\nname = %q\naddr = %q\n", PeerName(j), addr)
-		}
-		return Spawn(ctx, binary, fronts[i], map[string]string{"config.json": Config(PeerName(i), fronts[i], d.Addr(), seed+uint64(i), 192, Settings(cells, cells, members)),
-			"deploy/gullfall.toml": deploy})
+	return list, nil
+}
+
+// start starts a member, which is among running also after an error.
+func (f *rememberFleet) start(ctx context.Context, i int) (*Coordinator, error) {
+	deploy := fmt.Sprintf("[store]\ndirectory = %q\nlisten = %q\nheartbeat = \"500ms\"\n", filepath.Join(f.folder, PeerName(i)), f.addrs[i])
+	for j, addr := range f.addrs {
+		deploy += fmt.Sprintf("[[store.peer]]\nname = %q\naddr = %q\n", PeerName(j), addr)
 	}
-	var running []*Coordinator
-	defer func() {
-		for _, c := range running {
-			err = errors.Join(err, c.Stop())
-		}
-	}()
-	for i := range members {
-		c, err := start(i)
-		if c != nil {
-			running = append(running, c)
-		}
-		if err != nil {
-			return nil, nil, err
-		}
+	config := Config(PeerName(i), f.fronts[i], f.directory.Addr(), f.seed+uint64(i), 192, Settings(rememberCells, rememberCells, rememberMembers))
+	c, err := Spawn(ctx, f.binary, f.fronts[i], map[string]string{"config.json": config, "deploy/gullfall.toml": deploy})
+	f.running = append(f.running, c)
+	return c, err
+}
+
+// startAlone starts the first member with nobody else there, and ends it once it has answered.
+func (f *rememberFleet) startAlone(ctx context.Context) (accepted, answer time.Duration, err error) {
+	begun := time.Now()
+	c, err := f.start(ctx, 0)
+	if err != nil {
+		return 0, 0, err
 	}
-	if err := answered(ctx, fronts[0]); err != nil {
-		return nil, nil, err
+	accepted = time.Since(begun)
+	if err := answered(ctx, f.fronts[0]); err != nil {
+		return 0, 0, fmt.Errorf("%w\n%s", err, c.Log(2000))
 	}
-	time.Sleep(5 * time.Second) // the list is in the store, and each member has applied it
-	for _, c := range running {
+	answer = time.Since(begun)
+	time.Sleep(200 * time.Millisecond)
+	return accepted, answer, f.kill()
+}
+
+// kill ends the running members by SIGKILL.
+func (f *rememberFleet) kill() error {
+	for _, c := range f.running {
 		if err := errors.Join(c.Kill(), c.Discard()); err != nil {
-			return nil, nil, err
+			return err
 		}
 	}
-	running = nil
-	d.Close()
-	for range rounds {
-		begun := time.Now()
-		c, err := start(0)
-		if c != nil {
-			running = []*Coordinator{c}
-		}
-		if err != nil {
-			return nil, nil, err
-		}
-		accepts = append(accepts, time.Since(begun))
-		if err := answered(ctx, fronts[0]); err != nil {
-			return nil, nil, fmt.Errorf("%w\n%s", err, c.Log(2000))
-		}
-		answers = append(answers, time.Since(begun))
-		time.Sleep(200 * time.Millisecond)
-		if err := errors.Join(c.Kill(), c.Discard()); err != nil {
-			return nil, nil, err
-		}
-		running = nil
+	f.running = nil
+	return nil
+}
+
+// stop ends what was started.
+func (f *rememberFleet) stop() (err error) {
+	for _, c := range f.running {
+		err = errors.Join(err, c.Stop())
 	}
-	return accepts, answers, nil
+	for _, n := range f.nodes {
+		n.Kill()
+	}
+	if f.directory != nil {
+		f.directory.Close()
+	}
+	return errors.Join(err, os.RemoveAll(f.folder))
 }
 
 // answered waits until a front answers a query of shard 0 whole.
