--- a/cmd/gullfall-lab/duties.go
+++ b/cmd/gullfall-lab/duties.go
@@ -1,8 +1,7 @@
 package main
 
-// This file owns `gullfall-lab duties`: several coordinators of the real program hold duties in turn, while their holders are
-// stalled, killed, cut off, ended and told to hand on, with clocks that run fast and slow; and the account of who held what. It
-// must never leave a process behind.
+// `gullfall-lab duties`: several coordinators of the real program hold duties in turn, while their holders are
+// stalled, killed, cut off, ended and told to hand on, with clocks that run fast and slow; and the account of who held what.
 
 import (
 	"context"
--- a/cmd/gullfall-lab/explore.go
+++ b/cmd/gullfall-lab/explore.go
@@ -1,6 +1,6 @@
 package main
 
-// This file owns `gullfall-lab explore`: every state of a small fleet whose machines go out for work, and the bugs that are
+// `gullfall-lab explore`: every state of a small fleet whose machines go out for work, and the bugs that are
 // seeded into the rules to see that the explorer finds them.
 
 import (
--- a/cmd/gullfall-lab/fleet.go
+++ b/cmd/gullfall-lab/fleet.go
@@ -1,6 +1,6 @@
 package main
 
-// This file owns `gullfall-lab fleet`: the table, JSON and plot of what all coordinators of a played day have logged.
+// `gullfall-lab fleet`: the table, JSON and plot of what all coordinators of a played day have logged.
 
 import (
 	"fmt"
--- a/cmd/gullfall-lab/model.go
+++ b/cmd/gullfall-lab/model.go
@@ -1,6 +1,6 @@
 package main
 
-// This file owns `gullfall-lab model`: days in small, in virtual time, for each way in which coordinators learn of a lost zone. It must
+// `gullfall-lab model`: days in small, in virtual time, for each way in which coordinators learn of a lost zone. It must
 // never compare figures of different loads or seeds.
 
 import (
--- a/cmd/gullfall-lab/peers.go
+++ b/cmd/gullfall-lab/peers.go
@@ -1,8 +1,8 @@
 package main
 
-// This file owns `gullfall-lab peers`: coordinators of the real program that watch each other behind fault proxies, stalled,
+// `gullfall-lab peers`: coordinators of the real program that watch each other behind fault proxies, stalled,
 // killed, cut one way and both, with lost, doubled and disordered packets; and with --sizes the same decisions in virtual
-// time against two baselines. It must never leave a process behind.
+// time against two baselines.
 
 import (
 	"context"
--- a/cmd/gullfall-lab/plan.go
+++ b/cmd/gullfall-lab/plan.go
@@ -1,6 +1,6 @@
 package main
 
-// This file owns `gullfall-lab plan`: how good the orders are in which machines go out for work, at several sizes, against what
+// `gullfall-lab plan`: how good the orders are in which machines go out for work, at several sizes, against what
 // is done by hand.
 
 import (
--- a/cmd/gullfall-lab/replicate.go
+++ b/cmd/gullfall-lab/replicate.go
@@ -1,8 +1,8 @@
 package main
 
-// This file owns `gullfall-lab replicate`: members of the coordinators' store, in processes of the real program, are killed, stalled and
+// `gullfall-lab replicate`: members of the coordinators' store, in processes of the real program, are killed, stalled and
 // cut off while clients read, put and swap values at all of them; and whether what the clients saw could have happened in one order.
-// It must never leave a process behind.
+//
 
 import (
 	"context"
--- a/cmd/gullfall-lab/work.go
+++ b/cmd/gullfall-lab/work.go
@@ -1,8 +1,8 @@
 package main
 
-// This file owns `gullfall-lab work`: several coordinators of the real program take machines out for work, again and again,
+// `gullfall-lab work`: several coordinators of the real program take machines out for work, again and again,
 // while they are killed, stalled and cut off from each other and data nodes crash. It plays the same faults without any work
-// first, for the share of queries that is served then. It must never leave a process behind.
+// first, for the share of queries that is served then.
 
 import (
 	"context"
--- a/cmd/gullfall-lab/zones.go
+++ b/cmd/gullfall-lab/zones.go
@@ -1,8 +1,8 @@
 package main
 
-// This file owns `gullfall-lab zones`: several coordinators of the real program before stand-in data nodes in three zones, a fault
+// `gullfall-lab zones`: several coordinators of the real program before stand-in data nodes in three zones, a fault
 // proxy on each way. One zone is taken away and given back, once with each data node judged alone and once with [zones] on; with
-// --cases the hard cases are played. It must never leave a process behind.
+// --cases the hard cases are played.
 
 import (
 	"context"
--- a/internal/lab/fleet/clients.go
+++ b/internal/lab/fleet/clients.go
@@ -1,6 +1,6 @@
 package fleet
 
-// This file owns the clients of the coordinators' store in the lab: they read, put and swap values at whichever coordinator, and
+// Here are the clients of the coordinators' store in the lab: they read, put and swap values at whichever coordinator, and
 // keep what came of it. It must never take an answer that did not come for a refusal.
 
 import (
--- a/internal/lab/fleet/coordinator.go
+++ b/internal/lab/fleet/coordinator.go
@@ -1,6 +1,6 @@
 package fleet
 
-// This file owns one process of the real program in a folder of its own: its files, its start, its signals and its
+// Here is one process of the real program in a folder of its own: its files, its start, its signals and its
 // end. It must never signal a process that it did not start, and gives the folder back in Stop.
 
 import (
--- a/internal/lab/fleet/duties.go
+++ b/internal/lab/fleet/duties.go
@@ -1,6 +1,6 @@
 package fleet
 
-// This file owns the history of who held which duty: what coordinators answered when they were asked to act on it, and the checker
+// Here are the history of who held which duty: what coordinators answered when they were asked to act on it, and the checker
 // that reads it. It must never take an answer that did not come for a refusal: what was asked may have been taken.
 
 import (
--- a/internal/lab/fleet/peers.go
+++ b/internal/lab/fleet/peers.go
@@ -1,6 +1,6 @@
 package fleet
 
-// This file owns several coordinators of the real program that watch each other, each pair behind a way of the fault proxy
+// Here are several coordinators of the real program that watch each other, each pair behind a way of the fault proxy
 // in each direction, and the views that they tell at their admin sockets. It must never end a process that it has not
 // started, and gives all back in Stop.
 
--- a/internal/lab/fleet/remember.go
+++ b/internal/lab/fleet/remember.go
@@ -1,6 +1,6 @@
 package fleet
 
-// This file owns how soon a coordinator serves that starts with nobody else there: discovery is gone, and so are the other members of
+// Here is measured how soon a coordinator serves that starts with nobody else there: discovery is gone, and so are the other members of
 // its store; what it has is its own copy. It must never count a start as one that was answered by anything else.
 
 import (
--- a/internal/lab/fleet/zonecases.go
+++ b/internal/lab/fleet/zonecases.go
@@ -1,6 +1,6 @@
 package fleet
 
-// This file owns the hard cases of zones, each as what befalls the fleet and what has to hold then. It must never wait for longer than
+// Here are the hard cases of zones, each as what befalls the fleet and what has to hold then. It must never wait for longer than
 // a case's own bounds say.
 
 import (
--- a/internal/lab/fleet/zones.go
+++ b/internal/lab/fleet/zones.go
@@ -1,6 +1,6 @@
 package fleet
 
-// This file owns coordinators of the real program before stand-in data nodes in several zones, with a fault proxy between each
+// Here are coordinators of the real program before stand-in data nodes in several zones, with a fault proxy between each
 // coordinator and each data node, so that a zone can be away for some of them only. It must never end a process that it has not
 // started, and gives all back in Stop.
 
