--- a/cmd/gullfall-lab/duties.go
+++ b/cmd/gullfall-lab/duties.go
@@ -65,7 +65,7 @@
 	for i := range c.Duties {
 		names = append(names, fmt.Sprint("duty-", i))
 	}
-	w, err := fleet.StartWorks(ctx, fleet.WorksOptions{Coordinators: c.Coordinators, Voters: c.Voters, PerZone: 4, Rate: 2, Floor: 2, Share: 0.35, Bound: time.Second,
+	w, err := fleet.StartMaintenanceFleet(ctx, fleet.MaintenanceOptions{Coordinators: c.Coordinators, Voters: c.Voters, PerZone: 4, Rate: 2, Floor: 2, Share: 0.35, Bound: time.Second,
 		Lease: c.Lease, Warm: workWarm, Heartbeat: dutiesBeat, Work: 400 * time.Millisecond, Binary: binary(c.Binary), Seed: c.Seed, Duties: names[1:], Skew: c.Skew})
 	if w != nil {
 		defer func() { err = errors.Join(err, w.Stop()) }()
@@ -169,7 +169,7 @@
 }
 
 // play plays the faults, most of them on a duty's holder.
-func (c *dutiesCmd) play(ctx context.Context, w *fleet.Works, names []string, kinds map[string]int) (faults []dutyFault, err error) {
+func (c *dutiesCmd) play(ctx context.Context, w *fleet.MaintenanceFleet, names []string, kinds map[string]int) (faults []dutyFault, err error) {
 	chance := rand.New(rand.NewPCG(c.Seed, 21))
 	for len(faults) < c.Faults && ctx.Err() == nil {
 		f, err := c.fault(ctx, w, names, chance)
@@ -185,7 +185,7 @@
 }
 
 // fault plays one fault and undoes it.
-func (c *dutiesCmd) fault(ctx context.Context, w *fleet.Works, names []string, chance *rand.Rand) (f dutyFault, err error) {
+func (c *dutiesCmd) fault(ctx context.Context, w *fleet.MaintenanceFleet, names []string, chance *rand.Rand) (f dutyFault, err error) {
 	n := c.Coordinators
 	some := chance.IntN(n)
 	if h := w.HolderOf(ctx, names[chance.IntN(len(names))]); h >= 0 && chance.IntN(4) > 0 {
--- a/cmd/gullfall-lab/faults.go
+++ b/cmd/gullfall-lab/faults.go
@@ -18,7 +18,7 @@
 
 // faultInjector plays faults on the coordinators of a fleet. Each method plays one fault and undoes it before it returns.
 type faultInjector struct {
-	fleet        *fleet.Works
+	fleet        *fleet.MaintenanceFleet
 	coordinators int
 	restart      func(ctx context.Context, i int) error // starts a coordinator that was killed or ended
 }
--- a/cmd/gullfall-lab/replicate.go
+++ b/cmd/gullfall-lab/replicate.go
@@ -2,7 +2,6 @@
 
 // `gullfall-lab replicate`: members of the coordinators' store, in processes of the real program, are killed, stalled and
 // cut off while clients read, put and swap values at all of them; and whether what the clients saw could have happened in one order.
-//
 
 import (
 	"context"
@@ -66,7 +65,7 @@
 	ctx, cancel := context.WithDeadline(context.Background(), time.Now().Add(time.Duration(c.Faults)*8*time.Second+3*time.Minute))
 	defer cancel()
 	r := replicateReport{Kinds: map[string]int{}, Seed: c.Seed}
-	w, err := fleet.StartWorks(ctx, fleet.WorksOptions{Coordinators: c.Coordinators, Voters: c.Voters, PerZone: 4, Rate: 1, Floor: 2, Share: 0.35, Bound: time.Second,
+	w, err := fleet.StartMaintenanceFleet(ctx, fleet.MaintenanceOptions{Coordinators: c.Coordinators, Voters: c.Voters, PerZone: 4, Rate: 1, Floor: 2, Share: 0.35, Bound: time.Second,
 		Lease: 2 * time.Second, Warm: workWarm, Heartbeat: 300 * time.Millisecond, Work: 400 * time.Millisecond, Binary: binary(c.Binary), Seed: c.Seed})
 	if w != nil {
 		defer func() { err = errors.Join(err, w.Stop()) }()
@@ -75,7 +74,7 @@
 		return err
 	}
 	time.Sleep(3 * time.Second)
-	clients := &fleet.StoreClients{Works: w, History: &linearizability.History{}, Clients: c.Clients, Keys: 12, Epoch: 4 * time.Second, Pause: 25 * time.Millisecond,
+	clients := &fleet.StoreClients{Fleet: w, History: &linearizability.History{}, Clients: c.Clients, Keys: 12, Epoch: 4 * time.Second, Pause: 25 * time.Millisecond,
 		Timeout: 2 * time.Second, Seed: c.Seed}
 	working, stop := context.WithCancel(ctx)
 	var wg sync.WaitGroup
@@ -162,7 +161,7 @@
 // replicatePlay is one play's faults.
 type replicatePlay struct {
 	c      *replicateCmd
-	w      *fleet.Works
+	w      *fleet.MaintenanceFleet
 	chance *rand.Rand
 	kinds  map[string]int
 	starts []time.Duration
--- a/cmd/gullfall-lab/work.go
+++ b/cmd/gullfall-lab/work.go
@@ -121,7 +121,7 @@
 	ctx, cancel := context.WithDeadline(context.Background(), time.Now().Add(d+4*time.Minute))
 	defer cancel()
 	r.Coordinators, r.Kinds = c.Coordinators, map[string]int{}
-	w, err := fleet.StartWorks(ctx, fleet.WorksOptions{Coordinators: c.Coordinators, Voters: c.Voters, PerZone: c.PerZone, Rate: c.Rate, Floor: 2, Share: 0.35,
+	w, err := fleet.StartMaintenanceFleet(ctx, fleet.MaintenanceOptions{Coordinators: c.Coordinators, Voters: c.Voters, PerZone: c.PerZone, Rate: c.Rate, Floor: 2, Share: 0.35,
 		Bound: time.Second, Lease: 2 * time.Second, Warm: workWarm, Heartbeat: 500 * time.Millisecond, Work: 400 * time.Millisecond,
 		Binary: binary(c.Binary), Seed: c.Seed})
 	if w != nil {
@@ -171,7 +171,7 @@
 }
 
 // measure ends the load and fills in what a fleet has counted.
-func (r *workReport) measure(w *fleet.Works) {
+func (r *workReport) measure(w *fleet.MaintenanceFleet) {
 	clean := w.Clean()
 	w.EndLoad()
 	f := w.Verdict()
@@ -192,7 +192,7 @@
 // workPlay is one play's faults.
 type workPlay struct {
 	c      *workCmd
-	w      *fleet.Works
+	w      *fleet.MaintenanceFleet
 	chance *rand.Rand
 	report *workReport
 }
--- a/internal/lab/fleet/clients.go
+++ b/internal/lab/fleet/clients.go
@@ -27,7 +27,7 @@
 
 // StoreClients work on the store until ctx ends. Keys change with each epoch, so that the history of each stays short enough to check.
 type StoreClients struct {
-	Works   *Works
+	Fleet   *MaintenanceFleet
 	History *linearizability.History
 	Clients int
 	Keys    int           // in an epoch
@@ -57,7 +57,7 @@
 func (c *StoreClients) client(ctx context.Context, client int) {
 	chance := rand.New(rand.NewPCG(c.Seed, uint64(client)+100))
 	for n := 0; ctx.Err() == nil; n++ {
-		i := chance.IntN(len(c.Works.Coords))
+		i := chance.IntN(len(c.Fleet.Coords))
 		epoch := int(time.Since(c.start) / c.Epoch)
 		key := fmt.Sprintf("%d-%d", epoch, chance.IntN(c.Keys))
 		value := fmt.Sprintf("%d.%d", client, n)
@@ -68,7 +68,7 @@
 			c.put(ctx, i, linearizability.Op{Client: client, Kind: linearizability.Put, Key: key, Value: value}, nil)
 		default:
 			if old, ok := c.get(ctx, client, i, key); ok {
-				c.put(ctx, (i+chance.IntN(2))%len(c.Works.Coords), linearizability.Op{Client: client, Kind: linearizability.Swap, Key: key, Old: old.Value, Value: value}, &old.Revision)
+				c.put(ctx, (i+chance.IntN(2))%len(c.Fleet.Coords), linearizability.Op{Client: client, Kind: linearizability.Swap, Key: key, Old: old.Value, Value: value}, &old.Revision)
 			}
 		}
 		select {
@@ -80,7 +80,7 @@
 
 func (c *StoreClients) get(ctx context.Context, client, i int, key string) (n storeNote, ok bool) {
 	o := linearizability.Op{Client: client, Kind: linearizability.Get, Key: key, Call: time.Since(c.start)}
-	n, err := c.Works.Note(ctx, i, "get", storeNote{Key: key}, time.Now().Add(c.Timeout))
+	n, err := c.Fleet.Note(ctx, i, "get", storeNote{Key: key}, time.Now().Add(c.Timeout))
 	o.End, o.Value, o.Unknown = time.Since(c.start), n.Value, err != nil
 	c.History.Add(o)
 	return n, err == nil
@@ -88,7 +88,7 @@
 
 func (c *StoreClients) put(ctx context.Context, i int, o linearizability.Op, revision *uint64) {
 	o.Call = time.Since(c.start)
-	n, err := c.Works.Note(ctx, i, "put", storeNote{Key: o.Key, Value: o.Value, If: revision}, time.Now().Add(c.Timeout))
+	n, err := c.Fleet.Note(ctx, i, "put", storeNote{Key: o.Key, Value: o.Value, If: revision}, time.Now().Add(c.Timeout))
 	o.End, o.Done, o.Unknown = time.Since(c.start), err == nil && n.Conflict == "", err != nil
 	c.History.Add(o)
 }
@@ -110,14 +110,14 @@
 }
 
 // Note puts or gets a note at a coordinator.
-func (w *Works) Note(ctx context.Context, i int, word string, n storeNote, end time.Time) (got storeNote, err error) {
+func (w *MaintenanceFleet) Note(ctx context.Context, i int, word string, n storeNote, end time.Time) (got storeNote, err error) {
 	ctx, cancel := context.WithDeadline(ctx, end)
 	defer cancel()
 	return got, admin.Call(ctx, w.socket(i), "store "+word, n, &got)
 }
 
 // Fill puts so many notes of a length under so many keys, by writers side by side at one coordinator.
-func (w *Works) Fill(ctx context.Context, i, notes, length, keys int) error {
+func (w *MaintenanceFleet) Fill(ctx context.Context, i, notes, length, keys int) error {
 	group, ctx := errgroup.WithContext(ctx)
 	value := strings.Repeat("x", length-8)
 	const writers = 6 // a coordinator takes 16 connections of operators at once
@@ -136,7 +136,7 @@
 }
 
 // Applied is up to which place in the store's log a coordinator has applied it, and who leads by it.
-func (w *Works) Applied(ctx context.Context, i int) (index uint64, leader string, err error) {
+func (w *MaintenanceFleet) Applied(ctx context.Context, i int) (index uint64, leader string, err error) {
 	ctx, cancel := context.WithDeadline(ctx, time.Now().Add(time.Second))
 	defer cancel()
 	var v struct {
@@ -154,7 +154,7 @@
 }
 
 // Reigns watches the store's terms at whoever answers, until ctx ends.
-func (w *Works) Reigns(ctx context.Context) (list []Reign) {
+func (w *MaintenanceFleet) Reigns(ctx context.Context) (list []Reign) {
 	for ctx.Err() == nil {
 		for i := range w.Coords {
 			if !w.Up(i) {
@@ -176,7 +176,7 @@
 }
 
 // Sent is how many bytes have passed between the members of the store.
-func (w *Works) Sent() (n int64) {
+func (w *MaintenanceFleet) Sent() (n int64) {
 	for _, row := range w.ways {
 		for _, p := range row {
 			if p != nil {
--- a/internal/lab/fleet/duties.go
+++ b/internal/lab/fleet/duties.go
@@ -135,21 +135,21 @@
 }
 
 // Try asks a coordinator to act on a duty; an error is an answer that did not come.
-func (w *Works) Try(ctx context.Context, i int, duty string) (t agent.DutyAttempt, err error) {
+func (w *MaintenanceFleet) Try(ctx context.Context, i int, duty string) (t agent.DutyAttempt, err error) {
 	ctx, cancel := context.WithDeadline(ctx, time.Now().Add(2*time.Second))
 	defer cancel()
 	return t, admin.Call(ctx, w.socket(i), "duties try", map[string]any{"Name": duty}, &t)
 }
 
 // HandOn has a coordinator give a duty back.
-func (w *Works) HandOn(ctx context.Context, i int, duty string) error {
+func (w *MaintenanceFleet) HandOn(ctx context.Context, i int, duty string) error {
 	ctx, cancel := context.WithDeadline(ctx, time.Now().Add(5*time.Second))
 	defer cancel()
 	return admin.Call(ctx, w.socket(i), "duties hand-on", map[string]any{"Name": duty}, new(json.RawMessage))
 }
 
 // Acts asks all coordinators to act on duties, again and again until ctx ends, and keeps what they answer.
-func (w *Works) Acts(ctx context.Context, h *DutyHistory, every time.Duration, duties ...string) {
+func (w *MaintenanceFleet) Acts(ctx context.Context, h *DutyHistory, every time.Duration, duties ...string) {
 	var wg sync.WaitGroup
 	for i := range w.Coords {
 		for _, duty := range duties {
--- a/internal/lab/fleet/duties_test.go
+++ b/internal/lab/fleet/duties_test.go
@@ -15,7 +15,7 @@
 
 // handOn has a duty handed on by its holder and returns that one. On a busy machine a lease may move between the look and the
 // word; whoever holds it then is told.
-func handOn(ctx context.Context, t *testing.T, w *fleet.Works, holder func(duty string, not int) int, duty string) int {
+func handOn(ctx context.Context, t *testing.T, w *fleet.MaintenanceFleet, holder func(duty string, not int) int, duty string) int {
 	t.Helper()
 	for end := time.Now().Add(20 * time.Second); ; time.Sleep(20 * time.Millisecond) {
 		i := holder(duty, -1)
@@ -34,7 +34,7 @@
 	ctx, cancel := context.WithDeadline(t.Context(), time.Now().Add(2*time.Minute))
 	defer cancel()
 	const lease = time.Second
-	w, err := fleet.StartWorks(ctx, fleet.WorksOptions{Coordinators: 5, Voters: 3, PerZone: 4, Rate: 2, Floor: 2, Share: 0.3, Bound: time.Second, Lease: lease,
+	w, err := fleet.StartMaintenanceFleet(ctx, fleet.MaintenanceOptions{Coordinators: 5, Voters: 3, PerZone: 4, Rate: 2, Floor: 2, Share: 0.3, Bound: time.Second, Lease: lease,
 		Warm: time.Second, Heartbeat: 500 * time.Millisecond, Work: 300 * time.Millisecond, Binary: binary, Seed: 2, Duties: []string{"one", "two"}, Skew: 0.009})
 	if w != nil {
 		defer func() {
--- a/internal/lab/fleet/replicate_test.go
+++ b/internal/lab/fleet/replicate_test.go
@@ -18,7 +18,7 @@
 	binary := program(t)
 	ctx, cancel := context.WithDeadline(t.Context(), time.Now().Add(2*time.Minute))
 	defer cancel()
-	w, err := fleet.StartWorks(ctx, fleet.WorksOptions{Coordinators: 5, Voters: 3, PerZone: 4, Rate: 1, Floor: 2, Share: 0.3, Bound: time.Second, Lease: 2 * time.Second,
+	w, err := fleet.StartMaintenanceFleet(ctx, fleet.MaintenanceOptions{Coordinators: 5, Voters: 3, PerZone: 4, Rate: 1, Floor: 2, Share: 0.3, Bound: time.Second, Lease: 2 * time.Second,
 		Warm: time.Second, Heartbeat: 300 * time.Millisecond, Work: 300 * time.Millisecond, Binary: binary, Seed: 4})
 	if w != nil {
 		defer func() {
@@ -31,7 +31,7 @@
 		t.Fatal(err)
 	}
 	must := func(err error) { t.Helper(); must(t, err) }
-	clients := &fleet.StoreClients{Works: w, History: &linearizability.History{}, Clients: 6, Keys: 8, Epoch: 3 * time.Second, Pause: 25 * time.Millisecond, Timeout: 2 * time.Second, Seed: 4}
+	clients := &fleet.StoreClients{Fleet: w, History: &linearizability.History{}, Clients: 6, Keys: 8, Epoch: 3 * time.Second, Pause: 25 * time.Millisecond, Timeout: 2 * time.Second, Seed: 4}
 	working, stop := context.WithCancel(ctx)
 	var wg sync.WaitGroup
 	wg.Go(func() { clients.Run(working) })
--- a/internal/lab/fleet/work.go
+++ b/internal/lab/fleet/work.go
@@ -39,8 +39,8 @@
 	return n + 3*math.Sqrt(n) + 3
 }
 
-// WorksOptions say what is started.
-type WorksOptions struct {
+// MaintenanceOptions say what is started.
+type MaintenanceOptions struct {
 	Coordinators, Voters int
 	PerZone              int
 	Rate                 float64 // queries a second at each coordinator
@@ -55,9 +55,9 @@
 	Seed                 uint64
 }
 
-// Works are the coordinators, the data nodes and the hands.
-type Works struct {
-	o      WorksOptions
+// MaintenanceFleet is the coordinators, the data nodes and the hands.
+type MaintenanceFleet struct {
+	o      MaintenanceOptions
 	dir    *discovery.Directory
 	folder string
 	Ledger *datanode.Ledger
@@ -99,9 +99,9 @@
 	Said         []string // the first of each
 }
 
-// StartWorks starts them. The caller stops them, also after an error if Works is not nil.
-func StartWorks(ctx context.Context, o WorksOptions) (w *Works, err error) {
-	w = &Works{o: o, Ledger: datanode.NewLedger(), orders: map[uint64]string{}}
+// StartMaintenanceFleet starts it. The caller stops it, also after an error if it is not nil.
+func StartMaintenanceFleet(ctx context.Context, o MaintenanceOptions) (w *MaintenanceFleet, err error) {
+	w = &MaintenanceFleet{o: o, Ledger: datanode.NewLedger(), orders: map[uint64]string{}}
 	if w.dir, err = discovery.Start(); err != nil {
 		return w, err
 	}
@@ -133,7 +133,7 @@
 }
 
 // startNodes starts the data nodes of three zones and lists them.
-func (w *Works) startNodes() error {
+func (w *MaintenanceFleet) startNodes() error {
 	var entries []discovery.Entry
 	for zi, zone := range []string{"a", "b", "c"} {
 		for i := range w.o.PerZone {
@@ -152,7 +152,7 @@
 }
 
 // connect reserves the coordinators' addresses and starts a proxy from each to each other.
-func (w *Works) connect() (err error) {
+func (w *MaintenanceFleet) connect() (err error) {
 	n := w.o.Coordinators
 	for i := range n {
 		ln, err := net.Listen("tcp", fmt.Sprintf("127.0.8.%d:0", 1+i%250))
@@ -180,16 +180,16 @@
 	return nil
 }
 
-func (w *Works) entry(n *datanode.Node) discovery.Entry {
+func (w *MaintenanceFleet) entry(n *datanode.Node) discovery.Entry {
 	e := Entry(n, "SERVING")
 	e.Zone, _, _ = strings.Cut(n.ID, "-")
 	return e
 }
 
-func (w *Works) socket(i int) string { return filepath.Join(w.folder, PeerName(i)) }
+func (w *MaintenanceFleet) socket(i int) string { return filepath.Join(w.folder, PeerName(i)) }
 
 // Start starts one coordinator, anew after Kill, with the store that it had.
-func (w *Works) Start(ctx context.Context, i int) (err error) {
+func (w *MaintenanceFleet) Start(ctx context.Context, i int) (err error) {
 	text := fmt.Sprintf("[log]\nlevel = \"info\"\n[admin]\nsocket = %q\n[work]\nenabled = true\nbound = %q\nlease = %q\nevery = \"50ms\"\nduties = [%s]\nfloor = %d\nshare = %g\nzone_share = 1\n[store]\ndirectory = %q\nlisten = %q\nheartbeat = %q\nskew = %g\n",
 		w.socket(i), w.o.Bound, w.o.Lease, quoted(w.o.Duties), w.o.Floor, w.o.Share, filepath.Join(w.folder, "store-"+PeerName(i)), w.addrs[i], w.o.Heartbeat, w.o.Skew*(1-2*float64(i)/float64(max(w.o.Coordinators-1, 1))))
 	for j, addr := range w.addrs {
@@ -218,14 +218,14 @@
 }
 
 // Up tells whether a coordinator runs and is not stalled.
-func (w *Works) Up(i int) bool {
+func (w *MaintenanceFleet) Up(i int) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return !w.down[i] && !w.stalled[i]
 }
 
 // touch settles a coordinator's tally up to now, and leaves out what befalls its clients from now on until it is well again.
-func (w *Works) touch(i int, until time.Time) {
+func (w *MaintenanceFleet) touch(i int, until time.Time) {
 	w.settle(i)
 	w.mu.Lock()
 	w.busy[i] = until
@@ -233,7 +233,7 @@
 }
 
 // settle adds what became of a coordinator's queries since the last time, if no fault of its own lay in between.
-func (w *Works) settle(i int) {
+func (w *MaintenanceFleet) settle(i int) {
 	if len(w.loads) <= i {
 		return
 	}
@@ -251,7 +251,7 @@
 }
 
 // Clean is what became of the queries of all coordinators outside their own faults.
-func (w *Works) Clean() (sum Tallies) {
+func (w *MaintenanceFleet) Clean() (sum Tallies) {
 	for i := range w.Coords {
 		w.settle(i)
 	}
@@ -268,7 +268,7 @@
 const afterFault = 4 * time.Second
 
 // Stall stops a coordinator by SIGSTOP until Resume.
-func (w *Works) Stall(i int) error {
+func (w *MaintenanceFleet) Stall(i int) error {
 	w.touch(i, time.Now().Add(afterFault))
 	w.mu.Lock()
 	w.stalled[i] = true
@@ -277,7 +277,7 @@
 }
 
 // Resume lets a stalled coordinator go on.
-func (w *Works) Resume(i int) error {
+func (w *MaintenanceFleet) Resume(i int) error {
 	w.touch(i, time.Now().Add(afterFault))
 	w.mu.Lock()
 	w.stalled[i] = false
@@ -286,7 +286,7 @@
 }
 
 // Kill ends a coordinator by SIGKILL.
-func (w *Works) Kill(i int) error {
+func (w *MaintenanceFleet) Kill(i int) error {
 	w.touch(i, time.Now().Add(time.Hour))
 	w.mu.Lock()
 	w.down[i] = true
@@ -297,7 +297,7 @@
 }
 
 // End ends a coordinator by SIGTERM.
-func (w *Works) End(i int) error {
+func (w *MaintenanceFleet) End(i int) error {
 	w.touch(i, time.Now().Add(time.Hour))
 	w.mu.Lock()
 	w.down[i] = true
@@ -307,12 +307,12 @@
 }
 
 // Cut sets what befalls the store's traffic from one coordinator to another, connections that the other opens not included.
-func (w *Works) Cut(from, to int, f proxy.Fault) error {
+func (w *MaintenanceFleet) Cut(from, to int, f proxy.Fault) error {
 	return w.ways[from][to].Set(f, 20*time.Millisecond)
 }
 
 // Isolate cuts a coordinator's store from all others, or mends that.
-func (w *Works) Isolate(i int, f proxy.Fault) (err error) {
+func (w *MaintenanceFleet) Isolate(i int, f proxy.Fault) (err error) {
 	for j := range w.Coords {
 		if j != i {
 			err = errors.Join(err, w.Cut(i, j, f), w.Cut(j, i, f))
@@ -322,7 +322,7 @@
 }
 
 // Crash ends a data node that is not in work as a crash would, and starts it again after a while, as a new process.
-func (w *Works) Crash(i int, d time.Duration) error {
+func (w *MaintenanceFleet) Crash(i int, d time.Duration) error {
 	w.mu.Lock()
 	inWork := w.steps[w.Nodes[i].ID]
 	w.mu.Unlock()
@@ -336,7 +336,7 @@
 }
 
 // startNode starts a data node anew, and lists it so.
-func (w *Works) startNode(i int) error {
+func (w *MaintenanceFleet) startNode(i int) error {
 	if err := w.Nodes[i].Start(); err != nil {
 		return err
 	}
@@ -345,7 +345,7 @@
 }
 
 // EndLoad lets the clients end.
-func (w *Works) EndLoad() {
+func (w *MaintenanceFleet) EndLoad() {
 	if w.stop != nil {
 		w.stop()
 		w.wg.Wait()
@@ -354,7 +354,7 @@
 }
 
 // Stop ends what was started.
-func (w *Works) Stop() (err error) {
+func (w *MaintenanceFleet) Stop() (err error) {
 	w.EndLoad()
 	for i, c := range w.Coords {
 		if c != nil && !w.down[i] {
--- a/internal/lab/fleet/work_hands.go
+++ b/internal/lab/fleet/work_hands.go
@@ -12,7 +12,7 @@
 
 // hands work on the machines that are handed over: each is left running for a while, so that what is sent to it is seen, and is
 // then started anew.
-func (w *Works) hands(ctx context.Context) {
+func (w *MaintenanceFleet) hands(ctx context.Context) {
 	at, back := map[string]uint64{}, map[string]uint64{} // turns that were taken up, and seen to return
 	for ctx.Err() == nil {
 		time.Sleep(20 * time.Millisecond)
@@ -32,7 +32,7 @@
 }
 
 // follow takes up the machines that a plan hands over and counts those that return, each turn once.
-func (w *Works) follow(ctx context.Context, plan *maintenance.State, at, back map[string]uint64) {
+func (w *MaintenanceFleet) follow(ctx context.Context, plan *maintenance.State, at, back map[string]uint64) {
 	for _, r := range plan.Requests {
 		for _, st := range r.Steps {
 			if st.State == maintenance.Out && at[st.Machine] < st.Turn {
@@ -48,7 +48,7 @@
 }
 
 // countReturn adds the parts that come to a machine within the next second to Returns.
-func (w *Works) countReturn(machine string) {
+func (w *MaintenanceFleet) countReturn(machine string) {
 	before := w.Ledger.Account().Starts[machine]
 	time.AfterFunc(time.Second, func() {
 		came := w.Ledger.Account().Starts[machine] - before
@@ -58,7 +58,7 @@
 	})
 }
 
-func (w *Works) settleSometimes(i int) {
+func (w *MaintenanceFleet) settleSometimes(i int) {
 	w.mu.Lock()
 	well := !time.Now().Before(w.busy[i])
 	w.mu.Unlock()
@@ -68,7 +68,7 @@
 }
 
 // work is the hands' part on one machine, whose process was started then as it was drained.
-func (w *Works) work(ctx context.Context, machine string, started int64) {
+func (w *MaintenanceFleet) work(ctx context.Context, machine string, started int64) {
 	for i, n := range w.Nodes {
 		if n.ID != machine {
 			continue
@@ -105,7 +105,7 @@
 }
 
 // check takes in a plan: how it gets on, and whether a shard has fewer replicas outside work than its floor.
-func (w *Works) check(plan *maintenance.State) {
+func (w *MaintenanceFleet) check(plan *maintenance.State) {
 	inWork := map[string]bool{}
 	for _, r := range plan.Requests {
 		for _, st := range r.Steps {
@@ -119,7 +119,7 @@
 }
 
 // noteProgress takes in which machines are in work, and how long an open request has seen no move.
-func (w *Works) noteProgress(plan *maintenance.State, inWork map[string]bool) {
+func (w *MaintenanceFleet) noteProgress(plan *maintenance.State, inWork map[string]bool) {
 	open := false
 	for _, r := range plan.Requests {
 		open = open || r.State == maintenance.Open
@@ -134,7 +134,7 @@
 }
 
 // checkFloors counts the shards that have fewer replicas outside work than their floor.
-func (w *Works) checkFloors(inWork map[string]bool) {
+func (w *MaintenanceFleet) checkFloors(inWork map[string]bool) {
 	for shard := range workShards {
 		left := 0
 		for _, n := range w.Nodes {
@@ -152,7 +152,7 @@
 }
 
 // history takes in the moves that a coordinator has logged, and compares them with those of the others.
-func (w *Works) history(c *Coordinator) {
+func (w *MaintenanceFleet) history(c *Coordinator) {
 	for _, line := range c.Lines(`msg="machine in work" `) {
 		_, rest, _ := strings.Cut(line, " n=")
 		number, rest, _ := strings.Cut(rest, " ")
@@ -173,7 +173,7 @@
 }
 
 // Verdict takes in what all running coordinators have logged and returns what must not have happened.
-func (w *Works) Verdict() WorkFaults {
+func (w *MaintenanceFleet) Verdict() WorkFaults {
 	for i, c := range w.Coords {
 		if c != nil && !w.down[i] {
 			w.history(c)
@@ -187,7 +187,7 @@
 }
 
 // Moves is how many moves were told.
-func (w *Works) Moves() int {
+func (w *MaintenanceFleet) Moves() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return len(w.orders)
--- a/internal/lab/fleet/work_operator.go
+++ b/internal/lab/fleet/work_operator.go
@@ -14,14 +14,14 @@
 )
 
 // Ask asks for work at a coordinator.
-func (w *Works) Ask(ctx context.Context, i int, a agent.Request) (p agent.Planned, err error) {
+func (w *MaintenanceFleet) Ask(ctx context.Context, i int, a agent.Request) (p agent.Planned, err error) {
 	ctx, cancel := context.WithDeadline(ctx, time.Now().Add(10*time.Second))
 	defer cancel()
 	return p, admin.Call(ctx, w.socket(i), "work start", a, &p)
 }
 
 // Order gives an operator's word on a request at a coordinator.
-func (w *Works) Order(ctx context.Context, i int, word string, request uint64) error {
+func (w *MaintenanceFleet) Order(ctx context.Context, i int, word string, request uint64) error {
 	ctx, cancel := context.WithDeadline(ctx, time.Now().Add(10*time.Second))
 	defer cancel()
 	var id uint64
@@ -29,7 +29,7 @@
 }
 
 // Forget says at a coordinator that another is gone for good, to the work and to the store.
-func (w *Works) Forget(ctx context.Context, i int, name string) error {
+func (w *MaintenanceFleet) Forget(ctx context.Context, i int, name string) error {
 	ctx, cancel := context.WithDeadline(ctx, time.Now().Add(10*time.Second))
 	defer cancel()
 	var said string
@@ -40,18 +40,18 @@
 }
 
 // Look is the work as a coordinator knows it, without asking the store's leader.
-func (w *Works) Look(ctx context.Context, i int) (v agent.View, err error) {
+func (w *MaintenanceFleet) Look(ctx context.Context, i int) (v agent.View, err error) {
 	ctx, cancel := context.WithDeadline(ctx, time.Now().Add(time.Second))
 	defer cancel()
 	return v, admin.Call(ctx, w.socket(i), "work look", map[string]any{"Fresh": false}, &v)
 }
 
 // Holder is who holds the duty of the work on machines, as HolderOf.
-func (w *Works) Holder(ctx context.Context) int { return w.HolderOf(ctx, maintenance.Duty) }
+func (w *MaintenanceFleet) Holder(ctx context.Context) int { return w.HolderOf(ctx, maintenance.Duty) }
 
 // HolderOf is who holds a duty by the highest token that any coordinator knows, since one that is cut off still holds the past for
 // true; below 0 for nobody.
-func (w *Works) HolderOf(ctx context.Context, duty string) int {
+func (w *MaintenanceFleet) HolderOf(ctx context.Context, duty string) int {
 	holder, token := -1, uint64(0)
 	for i := range w.Coords {
 		if !w.Up(i) {
@@ -71,7 +71,7 @@
 }
 
 // Until waits until a coordinator that answers shows what is wanted.
-func (w *Works) Until(ctx context.Context, what string, end time.Time, met func(agent.View) bool) error {
+func (w *MaintenanceFleet) Until(ctx context.Context, what string, end time.Time, met func(agent.View) bool) error {
 	var last string
 	for {
 		for i := range w.Coords {
--- a/internal/lab/fleet/work_test.go
+++ b/internal/lab/fleet/work_test.go
@@ -19,7 +19,7 @@
 	binary := program(t)
 	ctx, cancel := context.WithDeadline(t.Context(), time.Now().Add(4*time.Minute))
 	defer cancel()
-	w, err := fleet.StartWorks(ctx, fleet.WorksOptions{Coordinators: 5, Voters: 3, PerZone: 4, Rate: 20, Floor: 3, Share: 0.26, Bound: time.Second,
+	w, err := fleet.StartMaintenanceFleet(ctx, fleet.MaintenanceOptions{Coordinators: 5, Voters: 3, PerZone: 4, Rate: 20, Floor: 3, Share: 0.26, Bound: time.Second,
 		Lease: 2 * time.Second, Warm: time.Second, Heartbeat: 500 * time.Millisecond, Work: 300 * time.Millisecond, Binary: binary, Seed: 1})
 	if w != nil {
 		defer func() {
