--- a/cmd/gullfall-lab/replicate.go
+++ b/cmd/gullfall-lab/replicate.go
@@ -1,11 +1,11 @@
 package main
 
-// This file owns `gullfall-lab replicate`: members of the coordinators' store, in processes of the real program, are killed, stalled and
+// `gullfall-lab replicate`: members of the coordinators' store, in processes of the real program, are killed, stalled and
 // cut off while clients read, put and swap values at all of them; and whether what the clients saw could have happened in one order.
-// It must never leave a process behind.
 
 import (
 	"context"
+	"errors"
 	"fmt"
 	"math/rand/v2"
 	"slices"
@@ -14,7 +14,6 @@
 
 	"gullfall/internal/lab/fleet"
 	"gullfall/internal/lab/linearizability"
-	"gullfall/internal/lab/proxy"
 )
 
 type replicateCmd struct {
@@ -62,20 +61,20 @@
 }
 
 // Run plays.
-func (c *replicateCmd) Run() error {
+func (c *replicateCmd) Run() (err error) {
 	ctx, cancel := context.WithDeadline(context.Background(), time.Now().Add(time.Duration(c.Faults)*8*time.Second+3*time.Minute))
 	defer cancel()
 	r := replicateReport{Kinds: map[string]int{}, Seed: c.Seed}
-	w, err := fleet.StartWorks(ctx, fleet.WorksOptions{Coordinators: c.Coordinators, Voters: c.Voters, PerZone: 4, Rate: 1, Floor: 2, Share: 0.35, Bound: time.Second,
+	w, err := fleet.StartMaintenanceFleet(ctx, fleet.MaintenanceOptions{Coordinators: c.Coordinators, Voters: c.Voters, PerZone: 4, Rate: 1, Floor: 2, Share: 0.35, Bound: time.Second,
 		Lease: 2 * time.Second, Warm: workWarm, Heartbeat: 300 * time.Millisecond, Work: 400 * time.Millisecond, Binary: binary(c.Binary), Seed: c.Seed})
 	if w != nil {
-		defer w.Stop()
+		defer func() { err = errors.Join(err, w.Stop()) }()
 	}
 	if err != nil {
 		return err
 	}
 	time.Sleep(3 * time.Second)
-	clients := &fleet.StoreClients{Works: w, History: &linearizability.History{}, Clients: c.Clients, Keys: 12, Epoch: 4 * time.Second, Pause: 25 * time.Millisecond,
+	clients := &fleet.StoreClients{Fleet: w, History: &linearizability.History{}, Clients: c.Clients, Keys: 12, Epoch: 4 * time.Second, Pause: 25 * time.Millisecond,
 		Timeout: 2 * time.Second, Seed: c.Seed}
 	working, stop := context.WithCancel(ctx)
 	var wg sync.WaitGroup
@@ -105,12 +104,9 @@
 		}
 	}
 	if c.Remembered > 0 {
-		_, answers, err := fleet.Remembered(ctx, binary(c.Binary), c.Remembered, 20, c.Seed)
-		if err != nil {
+		if err := c.measureRemembered(ctx, &r); err != nil {
 			return err
 		}
-		r.Remembered, r.P50AnswerMS, r.P99AnswerMS = c.Remembered, quantileMS(answers, 0.5), quantileMS(answers, 0.99)
-		fmt.Printf("%-28s first answer %.0f ms after its start at the median, %.0f ms at worst of 20\n", fmt.Sprintf("alone, %d remembered", c.Remembered), r.P50AnswerMS, r.P99AnswerMS)
 	}
 	r.Operations, r.Committed, r.Unknown = clients.History.Counts()
 	r.BytesPerOp = float64(sent) / float64(max(r.Operations, 1))
@@ -118,6 +114,29 @@
 	r.Lost = len(r.Said)
 	r.Linearizable, r.Checked = clients.History.Check(2 * time.Minute)
 	r.P50CatchUpMS, r.P99CatchUpMS, r.P99StartMS = quantileMS(p.caught, 0.5), quantileMS(p.caught, 0.99), quantileMS(p.starts, 0.99)
+	r.print()
+	if err := writeJSON(c.JSON, r); err != nil {
+		return err
+	}
+	if r.Lost > 0 || !r.Linearizable || r.Committed == 0 {
+		return fmt.Errorf("%d acknowledged writes lost; linearizable %v, checked %v", r.Lost, r.Linearizable, r.Checked)
+	}
+	return nil
+}
+
+// measureRemembered starts a coordinator alone, 20 times, and takes the times until its first answer.
+func (c *replicateCmd) measureRemembered(ctx context.Context, r *replicateReport) error {
+	_, answers, err := fleet.Remembered(ctx, binary(c.Binary), c.Remembered, 20, c.Seed)
+	if err != nil {
+		return err
+	}
+	r.Remembered, r.P50AnswerMS, r.P99AnswerMS = c.Remembered, quantileMS(answers, 0.5), quantileMS(answers, 0.99)
+	fmt.Printf("%-28s first answer %.0f ms after its start at the median, %.0f ms at worst of 20\n", fmt.Sprintf("alone, %d remembered", c.Remembered), r.P50AnswerMS, r.P99AnswerMS)
+	return nil
+}
+
+// print writes the report as a table.
+func (r *replicateReport) print() {
 	fmt.Printf("%-28s %d %v\n", "faults", r.Faults, r.Kinds)
 	fmt.Printf("%-28s %d, %d writes acknowledged, %d without an answer; %.0f bytes between members for each\n", "operations", r.Operations, r.Committed, r.Unknown, r.BytesPerOp)
 	fmt.Printf("%-28s linearizable %v (checked %v), %d acknowledged writes lost\n", "history", r.Linearizable, r.Checked, r.Lost)
@@ -129,13 +148,6 @@
 	for _, s := range r.Said[:min(len(r.Said), 10)] {
 		fmt.Println("  " + s)
 	}
-	if err := writeJSON(c.JSON, r); err != nil {
-		return err
-	}
-	if r.Lost > 0 || !r.Linearizable || r.Committed == 0 {
-		return fmt.Errorf("%d acknowledged writes lost; linearizable %v, checked %v", r.Lost, r.Linearizable, r.Checked)
-	}
-	return nil
 }
 
 func quantileMS(list []time.Duration, q float64) float64 {
@@ -149,13 +161,16 @@
 // replicatePlay is one play's faults.
 type replicatePlay struct {
 	c      *replicateCmd
-	w      *fleet.Works
+	w      *fleet.MaintenanceFleet
 	chance *rand.Rand
 	kinds  map[string]int
 	starts []time.Duration
 	caught []time.Duration
 }
 
+// errCatchUp is a member that does not catch up in its time.
+var errCatchUp = errors.New("too late")
+
 // start starts a member again, and notes how long that takes and until it has caught up with where the log is now.
 func (p *replicatePlay) start(ctx context.Context, i int) error {
 	var want uint64
@@ -178,7 +193,7 @@
 			return nil
 		}
 		if time.Now().After(end) {
-			return fmt.Errorf("%s has applied the log up to %d 15 s after its start, %d was there before: %v", fleet.PeerName(i), at, want, err)
+			return fmt.Errorf("%s has applied the log up to %d 15 s after its start, %d was there before: %w", fleet.PeerName(i), at, want, errors.Join(errCatchUp, err))
 		}
 	}
 }
@@ -233,6 +248,7 @@
 	return p.chance.IntN(p.c.Coordinators)
 }
 
+// fault plays one fault and undoes it.
 func (p *replicatePlay) fault(ctx context.Context) (err error) {
 	w, n := p.w, p.c.Coordinators
 	some := p.chance.IntN(n)
@@ -240,63 +256,25 @@
 		some = p.leader(ctx)
 	}
 	while := time.Duration(50+p.chance.IntN(900)) * time.Millisecond
-	f := []proxy.Fault{proxy.Drop, proxy.Cut, proxy.Reset, proxy.Delay, proxy.DropUp, proxy.DropDown}[p.chance.IntN(6)]
+	f := drawLinkFault(p.chance)
+	inject := faultInjector{fleet: w, coordinators: n, restart: p.start}
 	kind := ""
 	switch k := p.chance.IntN(20); {
 	case k < 5:
-		kind = "kill"
-		if err = w.Kill(some); err == nil {
-			time.Sleep(while / 2)
-			err = p.start(ctx, some)
-		}
+		kind, err = "kill", inject.kill(ctx, some, while/2)
 	case k < 9:
-		kind = "stall"
-		if err = w.Stall(some, true); err == nil {
-			time.Sleep(while)
-			err = w.Stall(some, false)
-		}
+		kind, err = "stall", inject.stall(while, some)
 	case k < 13:
-		kind = "isolate " + f.String()
-		w.Isolate(some, f)
-		time.Sleep(while)
-		w.Isolate(some, proxy.Pass)
+		kind, err = "isolate "+f.String(), inject.isolate(some, f, while)
 	case k < 16:
-		kind = "one way " + f.String()
 		to := (some + 1 + p.chance.IntN(n-1)) % n
-		w.Cut(some, to, f)
-		time.Sleep(while)
-		w.Cut(some, to, proxy.Pass)
+		kind, err = "one way "+f.String(), inject.cut(some, to, f, while)
 	case k < 18:
-		kind = "split"
-		set := func(f proxy.Fault) {
-			for i := range n {
-				for j := range n {
-					if i != j && (i < 2) != (j < 2) {
-						w.Cut(i, j, f)
-					}
-				}
-			}
-		}
-		set(proxy.Drop)
-		time.Sleep(while)
-		set(proxy.Pass)
+		kind, err = "split", inject.split(while)
 	case k < 19:
-		kind = "end"
-		if err = w.End(some); err == nil {
-			err = p.start(ctx, some)
-		}
+		kind, err = "end", inject.end(ctx, some)
 	default:
-		kind = "all killed"
-		for i := range n {
-			if err == nil {
-				err = w.Kill(i)
-			}
-		}
-		for i := range n {
-			if err == nil {
-				err = w.Start(ctx, i)
-			}
-		}
+		kind, err = "all killed", inject.killAll(ctx)
 	}
 	if err != nil {
 		return fmt.Errorf("%s: %w", kind, err)
--- a/internal/lab/fleet/fleet.go
+++ b/internal/lab/fleet/fleet.go
@@ -58,6 +58,9 @@
 	stopped bool
 }
 
+// nodePrefix stands before the number in a data node's name.
+const nodePrefix = "tabuleiro-"
+
 // Domain is the zone's.
 const Domain = "recife-centro.example."
 
@@ -71,19 +74,12 @@
 		return f, err
 	}
 	f.Zone = nameserver.NewZone(Domain, o.TTL)
-	for range 2 {
-		s, err := nameserver.Start(f.Zone, nil)
-		if err != nil {
-			return f, err
-		}
-		f.Servers = append(f.Servers, s)
-		if !o.Transfer {
-			s.Do("transfer off")
-		}
+	if err := f.startServers(); err != nil {
+		return f, err
 	}
 	var instances []nameserver.Instance
 	for i := range o.Nodes {
-		n := &datanode.Node{ID: fmt.Sprintf("tabuleiro-%d", i), Cell: i % o.Cells, Proto: "frames", Ledger: f.Ledger, Takes: o.Takes}
+		n := &datanode.Node{ID: nodePrefix + strconv.Itoa(i), Cell: i % o.Cells, Proto: "frames", Ledger: f.Ledger, Takes: o.Takes}
 		if n.Fill = o.Fill; i%4 == 3 && i >= o.Listed || o.AllFlight {
 			n.Proto = "flight"
 		}
@@ -103,6 +99,24 @@
 	return f, f.run(ctx)
 }
 
+// startServers starts two name servers for the zone.
+func (f *Fleet) startServers() error {
+	for range 2 {
+		s, err := nameserver.Start(f.Zone, nil)
+		if err != nil {
+			return err
+		}
+		f.Servers = append(f.Servers, s)
+		if f.Transfer {
+			continue
+		}
+		if err := s.Do("transfer off"); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
 // Entry is what discovery tells of a data node.
 func Entry(n *datanode.Node, state string) discovery.Entry {
 	return discovery.Entry{ID: n.ID, Addr: n.Addr(), Zone: "a", Cell: n.Cell, State: state, Weight: 1, Started: n.Started.UnixMilli()}
@@ -116,8 +130,7 @@
 		i.Text = append(i.Text, "state="+state)
 	}
 	if f.Hollow {
-		var number int
-		fmt.Sscanf(n.ID, "tabuleiro-%d", &number)
+		number, _ := strconv.Atoi(strings.TrimPrefix(n.ID, nodePrefix)) // Start has numbered them
 		i.Addr = netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 9, byte(number >> 8), byte(number)}), 7000)
 		return i
 	}
--- a/internal/lab/fleet/replicate_test.go
+++ b/internal/lab/fleet/replicate_test.go
@@ -18,7 +18,7 @@
 	binary := program(t)
 	ctx, cancel := context.WithDeadline(t.Context(), time.Now().Add(2*time.Minute))
 	defer cancel()
-	w, err := fleet.StartWorks(ctx, fleet.WorksOptions{Coordinators: 5, Voters: 3, PerZone: 4, Rate: 1, Floor: 2, Share: 0.3, Bound: time.Second, Lease: 2 * time.Second,
+	w, err := fleet.StartMaintenanceFleet(ctx, fleet.MaintenanceOptions{Coordinators: 5, Voters: 3, PerZone: 4, Rate: 1, Floor: 2, Share: 0.3, Bound: time.Second, Lease: 2 * time.Second,
 		Warm: time.Second, Heartbeat: 300 * time.Millisecond, Work: 300 * time.Millisecond, Binary: binary, Seed: 4})
 	if w != nil {
 		defer func() {
@@ -31,7 +31,7 @@
 		t.Fatal(err)
 	}
 	must := func(err error) { t.Helper(); must(t, err) }
-	clients := &fleet.StoreClients{Works: w, History: &linearizability.History{}, Clients: 6, Keys: 8, Epoch: 3 * time.Second, Pause: 25 * time.Millisecond, Timeout: 2 * time.Second, Seed: 4}
+	clients := &fleet.StoreClients{Fleet: w, History: &linearizability.History{}, Clients: 6, Keys: 8, Epoch: 3 * time.Second, Pause: 25 * time.Millisecond, Timeout: 2 * time.Second, Seed: 4}
 	working, stop := context.WithCancel(ctx)
 	var wg sync.WaitGroup
 	wg.Go(func() { clients.Run(working) })
@@ -58,25 +58,25 @@
 	time.Sleep(time.Second)
 	must(w.Start(ctx, i))
 	i = leader()
-	must(w.Stall(i, true)) // a leader that stands still, and goes on as one of the past
+	must(w.Stall(i)) // a leader that stands still, and goes on as one of the past
 	time.Sleep(1500 * time.Millisecond)
-	must(w.Stall(i, false))
+	must(w.Resume(i))
 	i = leader()
-	w.Isolate(i, proxy.DropUp) // it hears, and is not heard
+	must(w.Isolate(i, proxy.DropUp)) // it hears, and is not heard
 	time.Sleep(1500 * time.Millisecond)
-	w.Isolate(i, proxy.Pass)
+	must(w.Isolate(i, proxy.Pass))
 	i = leader()
 	for j := range 5 {
 		if j != i { // alone with its writes
-			w.Cut(i, j, proxy.Drop)
-			w.Cut(j, i, proxy.Drop)
+			must(w.Cut(i, j, proxy.Drop))
+			must(w.Cut(j, i, proxy.Drop))
 		}
 	}
 	time.Sleep(1500 * time.Millisecond)
 	for j := range 5 {
 		if j != i {
-			w.Cut(i, j, proxy.Pass)
-			w.Cut(j, i, proxy.Pass)
+			must(w.Cut(i, j, proxy.Pass))
+			must(w.Cut(j, i, proxy.Pass))
 		}
 	}
 	for i := range 5 {
--- a/internal/lab/fleet/zones.go
+++ b/internal/lab/fleet/zones.go
@@ -1,6 +1,6 @@
 package fleet
 
-// This file owns coordinators of the real program before stand-in data nodes in several zones, with a fault proxy between each
+// Here are coordinators of the real program before stand-in data nodes in several zones, with a fault proxy between each
 // coordinator and each data node, so that a zone can be away for some of them only. It must never end a process that it has not
 // started, and gives all back in Stop.
 
@@ -167,14 +167,11 @@
 	return err
 }
 
-// Stall stops a coordinator by SIGSTOP, or lets it go on.
-func (z *Zones) Stall(i int, stall bool) error {
-	sig := syscall.SIGCONT
-	if stall {
-		sig = syscall.SIGSTOP
-	}
-	return syscall.Kill(z.Coords[i].Pid(), sig)
-}
+// Stall stops a coordinator by SIGSTOP until Resume.
+func (z *Zones) Stall(i int) error { return syscall.Kill(z.Coords[i].Pid(), syscall.SIGSTOP) }
+
+// Resume lets a stalled coordinator go on.
+func (z *Zones) Resume(i int) error { return syscall.Kill(z.Coords[i].Pid(), syscall.SIGCONT) }
 
 // Kill ends a coordinator by SIGKILL.
 func (z *Zones) Kill(i int) error { return errors.Join(z.Coords[i].Kill(), z.Coords[i].Discard()) }
