--- a/internal/faults/standins_flight_test.go
+++ b/internal/faults/standins_flight_test.go
@@ -110,28 +110,8 @@
 }
 
 func (s *callNode) DoExchange(stream arrowflight.FlightService_DoExchangeServer) error {
-	var mu sync.Mutex
-	out := map[string]int{}
-	settle := func(id string, end func(number int)) bool {
-		mu.Lock()
-		defer mu.Unlock()
-		number, was := out[id]
-		if delete(out, id); was {
-			end(number)
-		}
-		return was
-	}
-	defer func() {
-		mu.Lock()
-		ids := []string{}
-		for id := range out {
-			ids = append(ids, id)
-		}
-		mu.Unlock()
-		for _, id := range ids {
-			settle(id, s.b.cancel)
-		}
-	}()
+	running := runningParts{numbers: map[string]int{}}
+	defer running.settleAll(s.b.cancel)
 	var writing sync.Mutex
 	w := arrowflight.NewRecordWriter(stream, ipc.WithSchema(flight.Schema))
 	tell := func(shard int, doc string, m flight.PartResponse) {
@@ -160,15 +140,13 @@
 			return status.Error(codes.InvalidArgument, err.Error())
 		}
 		if ask.Cancel != "" {
-			settle(ask.Cancel, s.b.cancel)
+			running.settle(ask.Cancel, s.b.cancel)
 		}
 		for _, p := range ask.Parts {
 			number, act := s.b.start(s.name, p.ID, p.Key)
-			mu.Lock()
-			out[p.ID] = number
-			mu.Unlock()
+			running.add(p.ID, number)
 			answer := func(m flight.PartResponse, doc string) {
-				if settle(p.ID, s.b.end) {
+				if running.settle(p.ID, s.b.end) {
 					m.ID = p.ID
 					tell(p.Shard, doc, m)
 				}
@@ -186,7 +164,7 @@
 					answer(flight.PartResponse{Last: true}, s.b.doc(p.ID))
 				}()
 			case "corrupt":
-				settle(p.ID, s.b.end)
+				running.settle(p.ID, s.b.end)
 				tell(p.Shard+100, s.b.doc(p.ID), flight.PartResponse{ID: p.ID, Last: true})
 			case "cut":
 				go func() {
--- a/internal/faults/standins_platform_test.go
+++ b/internal/faults/standins_platform_test.go
@@ -14,7 +14,6 @@
 	"net/textproto"
 	"strconv"
 	"strings"
-	"sync"
 	"syscall"
 	"testing"
 	"time"
@@ -46,28 +45,10 @@
 
 // serveFrames answers the frames on one connection.
 func serveFrames(nc net.Conn, l *cuttableListener, b *nodeScript, name string) {
-	var mu sync.Mutex
-	out := map[string]int{}
-	settle := func(id string, end func(number int)) bool {
-		mu.Lock()
-		defer mu.Unlock()
-		number, was := out[id]
-		if delete(out, id); was {
-			end(number)
-		}
-		return was
-	}
+	running := runningParts{numbers: map[string]int{}}
 	defer func() {
 		nc.Close()
-		mu.Lock()
-		ids := []string{}
-		for id := range out {
-			ids = append(ids, id)
-		}
-		mu.Unlock()
-		for _, id := range ids {
-			settle(id, b.end)
-		}
+		running.settleAll(b.end)
 	}()
 	write := func(id, end, value string) {
 		frame := binary.LittleEndian.AppendUint32(nil, 0)
@@ -86,7 +67,7 @@
 			return
 		}
 		if body[0] == 'X' {
-			settle(string(body[1:]), b.cancel)
+			running.settle(string(body[1:]), b.cancel)
 			continue
 		}
 		for rest := body[1:]; len(rest) > 0; {
@@ -97,11 +78,9 @@
 			_, key, _ := strings.Cut(words[2], ",k=")
 			rest = after[n:]
 			number, act := b.start(name, id, key)
-			mu.Lock()
-			out[id] = number
-			mu.Unlock()
+			running.add(id, number)
 			answer := func(end, value string) {
-				if settle(id, b.end) {
+				if running.settle(id, b.end) {
 					write(id, end, value)
 				}
 			}
@@ -114,7 +93,7 @@
 				go func() { <-b.release; answer("ok", b.doc(id)) }()
 			case "corrupt":
 				time.AfterFunc(cutAfter, func() {
-					settle(id, b.end)
+					running.settle(id, b.end)
 					nc.Write([]byte("\x10\x00\x00\x00Anoise\nnoise----"))
 				})
 			case "cut":
