--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -1,35 +1,39 @@
-// Package admission decides which calls and queries a front admits, how many bytes of answers they may hold, and which slow
-// reader is evicted when memory is short. It does no I/O, reads no clock, starts no goroutine and logs nothing: time comes in with each call, and the
-// same calls in the same order give the same results.
+// Package admission is the admission control of the Arrow Flight server. It decides which calls and queries are admitted, how many
+// bytes of answers they may hold, and which slow reader is evicted when memory is short. It does no I/O, reads no clock, starts no
+// goroutine and logs nothing: the current time is a parameter, and the same sequence of calls gives the same results.
 //
-// # The table
+// # Limits
 //
-// Each pass counts in four scopes: its connection, its owner, its network, and all. A request is checked in this order, and the
-// first scope whose limit is reached gives the rejection its scope and its Retry-After:
+// Each pass counts in four scopes: its connection, its owner, its network, and all clients together. A request is checked against
+// the scopes in the order of this table. The first scope whose limit is reached determines the scope and the Retry-After of the
+// rejection:
 //
-//	scope       streams   queries   queries a second   bytes
-//	connection  yes       yes       yes                yes
-//	owner       yes       yes       yes                yes
-//	network     yes       yes       yes                yes
-//	all         yes       yes       yes                yes
+//	scope       streams   queries   queries per second   bytes
+//	connection  yes       yes       yes                  yes
+//	owner       yes       yes       yes                  yes
+//	network     yes       yes       yes                  yes
+//	all         yes       yes       yes                  yes
 //
-// A figure of 0 sets no limit. A rejected request counts nowhere.
+// 0 means no limit. A rejected request counts in no scope.
 //
 // # Retry-After
 //
-// Over a rate: when the bucket has the token that was wanted (a token bucket: Rate a second, Burst at once). Over a
-// number: the expected time until as many passes as must were released, by how often one of that scope was released of late (an
-// exponentially weighted mean). Both within Config.MinRetryAfter and MaxRetryAfter, so that a client that waits as told is, on
-// average, admitted.
+// A query over the rate limit (a token bucket, refilled with Rate tokens per second up to Burst) is told the time until the bucket
+// holds the token it needs. A request over another limit is told the expected time until the next pass of its kind is released in
+// that scope, which is the exponentially weighted mean of the intervals between releases. Both stay between Config.MinRetryAfter and
+// MaxRetryAfter. A client that waits that long is admitted on average.
 //
-// # When memory is short
+// # Memory pressure
 //
-// A newcomer for which there is no memory evicts readers that have made no progress for SlowReaderGrace, the longest first; of
-// equals the one that holds more. Nobody is evicted for a newcomer that would still not be admitted, and nobody that makes
-// progress is ever evicted. A reader without progress for StallTimeout is evicted in any case.
+// A newcomer that exceeds the byte limit of all clients evicts readers that have made no progress for SlowReaderGrace: those without
+// progress for longest first and, among equals, those that hold more bytes first. If that would not free enough memory, the newcomer
+// is rejected and nobody is evicted. A reader that makes progress is never evicted. Tick evicts a reader without progress for
+// StallTimeout in any case.
 //
-// Memory is bounded: a scope without passes is kept only while its bucket is not full again or its mean is young, and of
-// those MaxIdleScopes at most.
+// # Memory use of the controller
+//
+// A scope without passes is kept only if its token bucket was not full or a pass had been released in it, and of these at most
+// MaxIdleScopes are kept. A connection's scope is dropped with its last pass.
 package admission
 
 import (
@@ -37,32 +41,32 @@
 	"time"
 )
 
-// Limits are the figures of one scope. 0 sets no limit.
+// Limits are the limits of one scope. 0 means no limit.
 type Limits struct {
-	Streams int     // calls that are open
-	Queries int     // queries that are open
-	Rate    float64 // queries a second, on average
-	Burst   float64 // queries at once after a pause; at least 1 where there is a rate
-	Bytes   int64   // held by answers that are being read
+	Streams int     // open calls
+	Queries int     // open queries
+	Rate    float64 // queries per second, on average
+	Burst   float64 // queries admitted at once after a pause; at least 1 where Rate is set
+	Bytes   int64   // bytes held by answers that are awaited or being read
 }
 
-// Config holds the limits of a Controller. The zero value of a duration or of MaxIdleScopes stands for its default.
+// Config holds the limits of a Controller. A duration or MaxIdleScopes of zero or less stands for its default, given in its comment.
 type Config struct {
 	Connection, Owner, Network, All Limits
 
-	MinRetryAfter, MaxRetryAfter time.Duration // 50 ms and 5 s
-	SlowReaderGrace              time.Duration // a reader without progress for as long may be cut for another; 1 s
-	StallTimeout                 time.Duration // and for as long is cut in any case; 20 s
-	MaxIdleScopes                int           // scopes kept without a pass; 4096
+	MinRetryAfter, MaxRetryAfter time.Duration // bounds of each Retry-After; 50 ms and 5 s
+	SlowReaderGrace              time.Duration // a reader without progress for this long may be evicted to free memory; 1 s
+	StallTimeout                 time.Duration // a reader without progress for this long is evicted in any case; 20 s
+	MaxIdleScopes                int           // scopes kept without passes; 4096
 }
 
 func (c Config) withDefaults() Config {
 	for _, d := range []struct {
-		to *time.Duration
-		by time.Duration
+		field    *time.Duration
+		fallback time.Duration
 	}{{&c.MinRetryAfter, 50 * time.Millisecond}, {&c.MaxRetryAfter, 5 * time.Second}, {&c.SlowReaderGrace, time.Second}, {&c.StallTimeout, 20 * time.Second}} {
-		if *d.to <= 0 {
-			*d.to = d.by
+		if *d.field <= 0 {
+			*d.field = d.fallback
 		}
 	}
 	if c.MaxIdleScopes <= 0 {
@@ -76,42 +80,42 @@
 	return c
 }
 
-// Check names the first figure that can't be worked with.
+// Check returns an error for the first limit that is out of range.
 func (c Config) Check() error {
 	for _, s := range []struct {
 		name string
 		l    Limits
 	}{{"connection", c.Connection}, {"owner", c.Owner}, {"network", c.Network}, {"all", c.All}} {
 		if s.l.Streams < 0 || s.l.Queries < 0 || s.l.Bytes < 0 || !(s.l.Rate >= 0 && s.l.Rate < 1e9) || !(s.l.Burst >= 0 && s.l.Burst < 1e9) {
-			return fmt.Errorf("%s: a figure is negative or not finite", s.name)
+			return fmt.Errorf("%s: a limit is negative, not finite or too large", s.name)
 		}
 	}
 	if c = c.withDefaults(); c.MinRetryAfter > c.MaxRetryAfter {
-		return fmt.Errorf("the least time to come back, %v, is above the most, %v", c.MinRetryAfter, c.MaxRetryAfter)
+		return fmt.Errorf("minimum Retry-After %v exceeds the maximum %v", c.MinRetryAfter, c.MaxRetryAfter)
 	}
 	if c.SlowReaderGrace > c.StallTimeout {
-		return fmt.Errorf("grace, %v, is above stall, %v", c.SlowReaderGrace, c.StallTimeout)
+		return fmt.Errorf("grace %v exceeds stall %v", c.SlowReaderGrace, c.StallTimeout)
 	}
 	return nil
 }
 
-// Kind is what is asked for.
+// Kind is the kind of request that a pass is for.
 type Kind uint8
 
 // The kinds of passes.
 const (
 	Stream Kind = iota // a call
-	Query              // a query within one
+	Query              // a query within a call
 )
 
-// Client is who asks.
+// Client identifies the sender of a request by the scopes in which the request counts.
 type Client struct {
 	Connection uint64
-	Owner      string // empty where nobody is known
-	Network    string // as the address sets name it; empty for none
+	Owner      string // empty if unknown
+	Network    string // name of the address prefix that the client connects from; empty if unknown
 }
 
-// Scope is where a limit was met.
+// Scope is the group of requests that share a limit.
 type Scope uint8
 
 // The scopes, in the order in which they are checked.
@@ -120,12 +124,12 @@
 	Owner
 	Network
 	All
-	scopes
+	scopeCount
 )
 
 func (s Scope) String() string { return [...]string{"connection", "owner", "network", "all"}[s] }
 
-// Measure is what was too much.
+// Measure is the quantity that a limit bounds.
 type Measure uint8
 
 // The measures.
@@ -138,7 +142,7 @@
 
 func (m Measure) String() string { return [...]string{"streams", "queries", "rate", "bytes"}[m] }
 
-// Rejection says which limit was reached, in which scope, and when to try again.
+// Rejection states which limit was reached, in which scope, and after what time to retry.
 type Rejection struct {
 	Scope      Scope
 	Measure    Measure
@@ -146,12 +150,12 @@
 	RetryAfter time.Duration
 }
 
-// Error is the rejection in words that a client can act on.
+// Error returns a message for the client that names the limit and the time to wait before a retry.
 func (r *Rejection) Error() string {
-	where := "this " + r.Scope.String()
+	subject := "this " + r.Scope.String()
 	if r.Scope == All {
-		where = "all clients together"
+		subject = "all clients together"
 	}
-	what := map[Measure]string{Streams: "open streams", Queries: "open queries", Rate: "queries a second", Bytes: "bytes of unread answers"}[r.Measure]
-	return fmt.Sprintf("the limit of %g %s for %s is reached; come back in %v", r.Limit, what, where, r.RetryAfter.Round(time.Millisecond))
+	unit := map[Measure]string{Streams: "open streams", Queries: "open queries", Rate: "queries per second", Bytes: "bytes of unread answers"}[r.Measure]
+	return fmt.Sprintf("limit of %g %s for %s reached; retry in %v", r.Limit, unit, subject, r.RetryAfter.Round(time.Millisecond))
 }
--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -1,6 +1,6 @@
 package admission
 
-// Table tests of the door's rules, a property test against a naive model, and benchmarks.
+// Table tests of the admission rules, a property test against a naive model, and a benchmark.
 
 import (
 	"fmt"
@@ -16,7 +16,7 @@
 
 func at(s float64) time.Time { return epoch.Add(time.Duration(s * float64(time.Second))) }
 
-func door(t testing.TB, cfg Config) *Controller {
+func newController(t testing.TB, cfg Config) *Controller {
 	t.Helper()
 	d, err := New(cfg)
 	if err != nil {
@@ -25,26 +25,26 @@
 	return d
 }
 
-// TestScopes: each limit holds in its scope alone, and the first scope that says no is named.
-func TestScopes(t *testing.T) {
+// TestLimitsByScope checks that each limit applies to its own scope only, and that the rejection names the first scope over its limit.
+func TestLimitsByScope(t *testing.T) {
 	for _, c := range []struct {
 		name string
 		cfg  Config
 		kind Kind
-		want string // the refusals of five, of connections 1 1 2 2 3, owners a a a b b, one network
+		want string // scopes of the rejections of five requests, of connections 1 1 2 2 3, owners a a a b b, one network; "-" is admitted
 	}{
-		{"none", Config{}, Stream, "- - - - -"},
-		{"connection", Config{Connection: Limits{Streams: 1}}, Stream, "- connection - connection -"},
-		{"owner", Config{Owner: Limits{Queries: 2}}, Query, "- - owner - -"},
-		{"network", Config{Network: Limits{Streams: 3}}, Stream, "- - - network network"},
-		{"all", Config{All: Limits{Queries: 4}}, Query, "- - - - all"},
+		{"no limit", Config{}, Stream, "- - - - -"},
+		{"streams of a connection", Config{Connection: Limits{Streams: 1}}, Stream, "- connection - connection -"},
+		{"queries of an owner", Config{Owner: Limits{Queries: 2}}, Query, "- - owner - -"},
+		{"streams of a network", Config{Network: Limits{Streams: 3}}, Stream, "- - - network network"},
+		{"queries of all clients", Config{All: Limits{Queries: 4}}, Query, "- - - - all"},
 		{"streams do not count as queries", Config{All: Limits{Queries: 1}}, Stream, "- - - - -"},
-		{"rate", Config{Owner: Limits{Rate: 1, Burst: 2}}, Query, "- - owner - -"},
-		{"rate of streams", Config{Owner: Limits{Rate: 1, Burst: 1}}, Stream, "- - - - -"},
-		{"the first", Config{Connection: Limits{Streams: 1}, All: Limits{Streams: 1}}, Stream, "- connection all all all"},
+		{"query rate of an owner", Config{Owner: Limits{Rate: 1, Burst: 2}}, Query, "- - owner - -"},
+		{"streams are not rate limited", Config{Owner: Limits{Rate: 1, Burst: 1}}, Stream, "- - - - -"},
+		{"the first scope over its limit is reported", Config{Connection: Limits{Streams: 1}, All: Limits{Streams: 1}}, Stream, "- connection all all all"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			d := door(t, c.cfg)
+			d := newController(t, c.cfg)
 			var got []string
 			for i, conn := range []uint64{1, 1, 2, 2, 3} {
 				_, r := d.Admit(at(0), Client{conn, []string{"a", "a", "a", "b", "b"}[i], "n"}, c.kind)
@@ -52,21 +52,22 @@
 					got = append(got, "-")
 				} else {
 					got = append(got, r.Scope.String())
-					if r.RetryAfter < 50*time.Millisecond || r.RetryAfter > 5*time.Second || !strings.Contains(r.Error(), "come back in") {
-						t.Errorf("refusal %+v: %v", r, r)
+					if r.RetryAfter < 50*time.Millisecond || r.RetryAfter > 5*time.Second || !strings.Contains(r.Error(), "retry in") {
+						t.Errorf("rejection %+v: %v", r, r)
 					}
 				}
 			}
-			if g := strings.Join(got, " "); g != c.want {
-				t.Errorf("got %s, want %s", g, c.want)
+			if joined := strings.Join(got, " "); joined != c.want {
+				t.Errorf("got %s, want %s", joined, c.want)
 			}
 		})
 	}
 }
 
-// TestComeBack: who comes back when told finds the door open: for a rate exactly, for a number on average.
-func TestComeBack(t *testing.T) {
-	d := door(t, Config{Owner: Limits{Rate: 4, Burst: 1}})
+// TestRetryAfter checks that a client that retries after Retry-After is admitted: exactly then under a rate limit, on average under a
+// limit on open calls.
+func TestRetryAfter(t *testing.T) {
+	d := newController(t, Config{Owner: Limits{Rate: 4, Burst: 1}})
 	now := at(0)
 	for range 20 {
 		p, r := d.Admit(now, Client{1, "a", ""}, Query)
@@ -75,12 +76,12 @@
 		}
 		d.Release(now, p)
 		if _, r = d.Admit(now, Client{1, "a", ""}, Query); r == nil || r.Measure != Rate {
-			t.Fatalf("the second at once: %v", r)
+			t.Fatalf("second query at once: rejection %v, want one for the rate", r)
 		}
 		now = now.Add(r.RetryAfter)
 	}
-	// One place, given back every 0.3 s: told about that, and no sooner than it has been of late.
-	d = door(t, Config{All: Limits{Streams: 1}})
+	// One stream is released every 0.3 s, so Retry-After is about that, and no less than the time since the last release.
+	d = newController(t, Config{All: Limits{Streams: 1}})
 	now = at(0)
 	p, _ := d.Admit(now, Client{Connection: 1}, Stream)
 	for range 40 {
@@ -89,29 +90,29 @@
 		p, _ = d.Admit(now, Client{Connection: 1}, Stream)
 	}
 	if _, r := d.Admit(now, Client{Connection: 2}, Stream); r == nil || math.Abs(r.RetryAfter.Seconds()-0.3) > 0.02 {
-		t.Errorf("told %v, places come every 300ms", r.RetryAfter)
+		t.Errorf("Retry-After %v with a release every 300ms", r.RetryAfter)
 	}
 	if _, r := d.Admit(now.Add(2*time.Second), Client{Connection: 2}, Stream); r == nil || r.RetryAfter < 2*time.Second {
-		t.Errorf("told %v though none has come for 2 s", r.RetryAfter)
+		t.Errorf("Retry-After %v though nothing was released for 2 s", r.RetryAfter)
 	}
 }
 
-// TestShort: when memory is short the reader that has stood still longest goes first, nobody is cut in vain, and
-// nobody that makes progress is.
-func TestShort(t *testing.T) {
+// TestSlowReaderEviction checks that memory pressure evicts the readers without progress for longest first, evicts nobody if that would
+// not free enough, and never evicts a reader that makes progress.
+func TestSlowReaderEviction(t *testing.T) {
 	for _, c := range []struct {
 		name string
 		need int64
-		want string // who is cut
+		want string // the evicted readers
 		ok   bool
 	}{
-		{"room", 10, "", true},
-		{"one goes", 40, "a", true},
-		{"two go", 70, "a b", true},
-		{"all that may go are too few", 100, "", false},
+		{"enough memory", 10, "", true},
+		{"one reader is evicted", 40, "a", true},
+		{"two readers are evicted", 70, "a b", true},
+		{"evicting all slow readers would not free enough", 100, "", false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			d := door(t, Config{All: Limits{Bytes: 100}})
+			d := newController(t, Config{All: Limits{Bytes: 100}})
 			names := map[*Pass]string{}
 			for i, name := range []string{"a", "b", "c"} {
 				p, _ := d.Admit(at(float64(i)), Client{Connection: uint64(i)}, Stream)
@@ -120,96 +121,97 @@
 				}
 				names[p] = name
 				if name == "c" {
-					d.Read(at(9.9), p, 1) // it reads
+					d.Read(at(9.9), p, 1) // makes progress
 				}
 			}
 			p, _ := d.Admit(at(10), Client{Connection: 9}, Stream)
-			cut, r := d.Hold(at(10), p, c.need)
+			evicted, r := d.Hold(at(10), p, c.need)
 			var got []string
-			for _, v := range cut {
-				got = append(got, names[v])
-				if v.Bytes() != 0 {
-					t.Error("one that was cut still holds")
+			for _, reader := range evicted {
+				got = append(got, names[reader])
+				if reader.Bytes() != 0 {
+					t.Error("an evicted reader still holds bytes")
 				}
 			}
-			if g := strings.Join(got, " "); g != c.want || (r == nil) != c.ok {
-				t.Errorf("cut %q, refused %v", g, r)
+			if joined := strings.Join(got, " "); joined != c.want || (r == nil) != c.ok {
+				t.Errorf("evicted %q, rejection %v", joined, r)
 			}
 			var total int64
-			for _, u := range d.Usage() {
-				if u.Scope == All {
-					total = u.Bytes
+			for _, usage := range d.Usage() {
+				if usage.Scope == All {
+					total = usage.Bytes
 				}
 			}
 			if total > 100 {
-				t.Errorf("%d bytes are held", total)
+				t.Errorf("%d bytes are held, over the limit of 100", total)
 			}
 		})
 	}
-	d := door(t, Config{StallTimeout: 5 * time.Second, Owner: Limits{Bytes: 50}})
+	d := newController(t, Config{StallTimeout: 5 * time.Second, Owner: Limits{Bytes: 50}})
 	p, _ := d.Admit(at(0), Client{1, "a", ""}, Stream)
 	d.Hold(at(0), p, 50)
 	if _, r := d.Hold(at(1), p, 1); r == nil || r.Scope != Owner || r.Measure != Bytes {
-		t.Errorf("over the owner's bytes: %v", r)
+		t.Errorf("over the owner's byte limit: rejection %v", r)
 	}
-	if cut := d.Tick(at(4.9)); len(cut) > 0 {
-		t.Error("cut too early")
+	if evicted := d.Tick(at(4.9)); len(evicted) > 0 {
+		t.Error("evicted before StallTimeout")
 	}
 	d.Read(at(4.95), p, 20)
-	if next := d.Next(); !next.Equal(at(9.95)) {
-		t.Errorf("next look at %v", next.Sub(epoch))
+	if next := d.NextTick(); !next.Equal(at(9.95)) {
+		t.Errorf("NextTick is %v, want 9.95s", next.Sub(epoch))
 	}
-	if cut := d.Tick(at(9.95)); len(cut) != 1 || cut[0] != p {
-		t.Errorf("not cut after its time: %v", cut)
+	if evicted := d.Tick(at(9.95)); len(evicted) != 1 || evicted[0] != p {
+		t.Errorf("not evicted after StallTimeout: %v", evicted)
 	}
 	d.Release(at(11), p)
 	d.Release(at(11), p)
-	if u := d.Usage(); len(u) > 0 {
-		t.Errorf("still in: %+v", u)
+	if usage := d.Usage(); len(usage) > 0 {
+		t.Errorf("usage after the release: %+v", usage)
 	}
 }
 
-// TestReserve: room for an answer that has not come is kept, and nobody is cut for not reading it.
-func TestReserve(t *testing.T) {
-	d := door(t, Config{All: Limits{Bytes: 100}, StallTimeout: 5 * time.Second})
+// TestReserveAndSizeEstimator checks that a reservation for an answer that has not arrived keeps its memory and is never evicted as a
+// slow reader, and how the estimates follow the sizes of answers.
+func TestReserveAndSizeEstimator(t *testing.T) {
+	d := newController(t, Config{All: Limits{Bytes: 100}, StallTimeout: 5 * time.Second})
 	a, _ := d.Admit(at(0), Client{Connection: 1}, Stream)
 	b, _ := d.Admit(at(0), Client{Connection: 2}, Stream)
 	if _, r := d.Reserve(at(0), a, 80); r != nil {
 		t.Fatal(r)
 	}
-	if cut, r := d.Hold(at(9), b, 30); r == nil || len(cut) > 0 {
-		t.Errorf("one that waits for its answer was cut: %v, %v", cut, r)
+	if evicted, r := d.Hold(at(9), b, 30); r == nil || len(evicted) > 0 {
+		t.Errorf("a pass that waits for its answer was evicted: %v, rejection %v", evicted, r)
 	}
-	if cut := d.Tick(at(9)); len(cut) > 0 || !d.Next().IsZero() {
-		t.Error("one that waits for its answer stalls")
+	if evicted := d.Tick(at(9)); len(evicted) > 0 || !d.NextTick().IsZero() {
+		t.Error("a pass that waits for its answer counts as stalled")
 	}
-	d.Hold(at(10), a, 1) // it has come
-	if cut, r := d.Hold(at(12), b, 30); r != nil || len(cut) != 1 {
-		t.Errorf("one that does not read stays: %v, %v", cut, r)
+	d.Hold(at(10), a, 1) // the answer has arrived
+	if evicted, r := d.Hold(at(12), b, 30); r != nil || len(evicted) != 1 {
+		t.Errorf("the slow reader was not evicted: %v, rejection %v", evicted, r)
 	}
-	var s SizeEstimator
-	if got := s.Expect("x", 2); got != 2*DefaultPartBytes {
-		t.Errorf("unknown: %d", got)
+	var sizes SizeEstimator
+	if got := sizes.Expect("x", 2); got != 2*DefaultPartBytes {
+		t.Errorf("estimate for an unknown class: %d", got)
 	}
-	s.Learn("x", 2, 2000)
-	if got := s.Expect("x", 4); got != 5001 {
-		t.Errorf("seen once: %d", got)
+	sizes.Learn("x", 2, 2000)
+	if got := sizes.Expect("x", 4); got != 5001 {
+		t.Errorf("estimate after one answer: %d", got)
 	}
-	s.Learn("x", 1, 8000)
-	if got := s.Expect("x", 1); got != 10001 {
-		t.Errorf("more: %d", got)
+	sizes.Learn("x", 1, 8000)
+	if got := sizes.Expect("x", 1); got != 10001 {
+		t.Errorf("estimate after a larger answer: %d", got)
 	}
 	for range 100 {
-		s.Learn("x", 1, 1000)
+		sizes.Learn("x", 1, 1000)
 	}
-	if got := s.Expect("x", 1); got > 1300 || got < 1250 {
-		t.Errorf("less, for long: %d", got)
+	if got := sizes.Expect("x", 1); got > 1300 || got < 1250 {
+		t.Errorf("estimate after 100 smaller answers: %d", got)
 	}
 }
 
-// TestBounds: however many ask, what is kept of them is bounded, and those who are in are never forgotten.
-func TestBounds(t *testing.T) {
-	d := door(t, Config{Owner: Limits{Rate: 1, Burst: 1}, MaxIdleScopes: 100})
+// TestMaxIdleScopes checks that the number of scopes stays bounded for any number of owners, and that a scope with a pass is never dropped.
+func TestMaxIdleScopes(t *testing.T) {
+	d := newController(t, Config{Owner: Limits{Rate: 1, Burst: 1}, MaxIdleScopes: 100})
 	kept, _ := d.Admit(at(0), Client{0, "kept", "n"}, Query)
 	for i := range 10_000 {
 		p, r := d.Admit(at(float64(i)/1000), Client{uint64(i + 1), fmt.Sprint("o", i), "n"}, Query)
@@ -217,46 +219,46 @@
 			t.Fatal(r)
 		}
 		d.Release(at(float64(i)/1000), p)
-		if len(d.scopes) > 104 || d.idle.Len() > 100 {
-			t.Fatalf("%d scopes, %d idle after %d owners", len(d.scopes), d.idle.Len(), i)
+		if len(d.scopes) > 104 || d.idleScopes.Len() > 100 {
+			t.Fatalf("%d scopes, %d idle after %d owners", len(d.scopes), d.idleScopes.Len(), i)
 		}
 	}
 	if d.scopes[scopeKey{scope: Owner, id: "kept"}] == nil {
-		t.Error("the scope of one that is in was forgotten")
+		t.Error("a scope with an open pass was dropped")
 	}
 	d.Release(at(11), kept)
 }
 
-// TestChange: other figures hold at once for who comes, and leave alone who is in.
-func TestChange(t *testing.T) {
-	d := door(t, Config{})
-	var in []*Pass
+// TestSetLimits checks that new limits apply to new requests at once and leave admitted ones alone, and that invalid limits are rejected.
+func TestSetLimits(t *testing.T) {
+	d := newController(t, Config{})
+	var admitted []*Pass
 	for i := range 5 {
 		p, _ := d.Admit(at(0), Client{uint64(i), "a", ""}, Stream)
-		in = append(in, p)
+		admitted = append(admitted, p)
 	}
 	if err := d.SetLimits(Config{Owner: Limits{Streams: 3}}); err != nil {
 		t.Fatal(err)
 	}
 	if _, r := d.Admit(at(1), Client{9, "a", ""}, Stream); r == nil {
-		t.Error("a sixth came in where three may")
+		t.Error("a sixth stream was admitted with a limit of three")
 	}
-	for _, p := range in[:3] {
+	for _, p := range admitted[:3] {
 		d.Release(at(2), p)
 	}
 	if _, r := d.Admit(at(3), Client{9, "a", ""}, Stream); r != nil {
 		t.Error(r)
 	}
 	if err := d.SetLimits(Config{Owner: Limits{Streams: -1}}); err == nil {
-		t.Error("a negative figure was taken")
+		t.Error("a negative limit was accepted")
 	}
 	if _, err := New(Config{SlowReaderGrace: time.Minute}); err == nil {
-		t.Error("a grace above the stall was taken")
+		t.Error("SlowReaderGrace above StallTimeout was accepted")
 	}
 }
 
-// TestAgainstModel: passes and bytes of every scope agree with a model that counts them anew each time.
-func TestAgainstModel(t *testing.T) {
+// TestControllerMatchesModel compares the passes and bytes of every scope with a model that recounts them after each step.
+func TestControllerMatchesModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		limit := func(name string) Limits {
 			return Limits{Streams: rapid.IntRange(0, 4).Draw(t, name+" streams"), Queries: rapid.IntRange(0, 4).Draw(t, name+" queries"),
@@ -267,23 +269,23 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		type in struct {
-			p     *Pass
-			who   Client
-			kind  Kind
-			held  int64
-			moved time.Time
+		type entry struct {
+			p            *Pass
+			client       Client
+			kind         Kind
+			held         int64
+			lastProgress time.Time
 		}
-		var open []*in
+		var open []*entry
 		now := at(0)
-		same := func(a, b Client, s Scope) bool {
+		sharesScope := func(a, b Client, s Scope) bool {
 			return s == All || s == Connection && a.Connection == b.Connection || s == Owner && a.Owner == b.Owner || s == Network && a.Network == b.Network
 		}
-		has := func(w Client, s Scope) bool { return s != Owner || w.Owner != "" }
+		inScope := func(client Client, s Scope) bool { return s != Owner || client.Owner != "" }
 		limits := []Limits{cfg.Connection, cfg.Owner, cfg.Network, cfg.All}
-		sum := func(w Client, s Scope) (streams, queries int, bytes int64) {
+		count := func(client Client, s Scope) (streams, queries int, bytes int64) {
 			for _, o := range open {
-				if same(o.who, w, s) {
+				if sharesScope(o.client, client, s) {
 					if bytes += o.held; o.kind == Stream {
 						streams++
 					} else {
@@ -295,49 +297,49 @@
 		}
 		for range rapid.IntRange(1, 80).Draw(t, "steps") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 1500).Draw(t, "ms")) * time.Millisecond)
-			switch what := rapid.SampledFrom([]string{"enter", "enter", "hold", "hold", "read", "leave", "tick"}).Draw(t, "what"); {
-			case what == "enter":
-				w := Client{uint64(rapid.IntRange(0, 2).Draw(t, "connection")), rapid.SampledFrom([]string{"", "a", "b"}).Draw(t, "owner"), rapid.SampledFrom([]string{"m", "n"}).Draw(t, "network")}
+			switch op := rapid.SampledFrom([]string{"admit", "admit", "hold", "hold", "read", "release", "tick"}).Draw(t, "operation"); {
+			case op == "admit":
+				client := Client{uint64(rapid.IntRange(0, 2).Draw(t, "connection")), rapid.SampledFrom([]string{"", "a", "b"}).Draw(t, "owner"), rapid.SampledFrom([]string{"m", "n"}).Draw(t, "network")}
 				k := Kind(rapid.IntRange(0, 1).Draw(t, "kind"))
 				want := -1
-				for s := Connection; s < scopes && want < 0; s++ {
-					streams, queries, _ := sum(w, s)
+				for s := Connection; s < scopeCount && want < 0; s++ {
+					streams, queries, _ := count(client, s)
 					l := limits[s]
-					if has(w, s) && (k == Stream && l.Streams > 0 && streams >= l.Streams || k == Query && l.Queries > 0 && queries >= l.Queries) {
+					if inScope(client, s) && (k == Stream && l.Streams > 0 && streams >= l.Streams || k == Query && l.Queries > 0 && queries >= l.Queries) {
 						want = int(s)
 					}
 				}
-				p, r := d.Admit(now, w, k)
+				p, r := d.Admit(now, client, k)
 				if (r == nil) != (want < 0) || r != nil && int(r.Scope) != want {
-					t.Fatalf("%+v: refused %v, want scope %d", w, r, want)
+					t.Fatalf("%+v: rejection %v, want scope %d", client, r, want)
 				}
 				if p != nil {
-					open = append(open, &in{p: p, who: w, kind: k})
+					open = append(open, &entry{p: p, client: client, kind: k})
 				}
-			case what == "tick":
-				cut := d.Tick(now)
+			case op == "tick":
+				evicted := d.Tick(now)
 				n := 0
 				for _, o := range open {
-					if o.held > 0 && now.Sub(o.moved) >= 9*time.Second {
+					if o.held > 0 && now.Sub(o.lastProgress) >= 9*time.Second {
 						o.held = 0
 						n++
 					}
 				}
-				if n != len(cut) {
-					t.Fatalf("%d are cut, want %d", len(cut), n)
+				if n != len(evicted) {
+					t.Fatalf("%d evicted, want %d", len(evicted), n)
 				}
 			case len(open) == 0:
 			default:
-				i := rapid.IntRange(0, len(open)-1).Draw(t, "which")
+				i := rapid.IntRange(0, len(open)-1).Draw(t, "pass")
 				o := open[i]
 				bytes := int64(rapid.IntRange(1, 30).Draw(t, "bytes"))
-				switch what {
-				case "leave":
+				switch op {
+				case "release":
 					d.Release(now, o.p)
 					open = append(open[:i], open[i+1:]...)
 				case "read":
 					if !o.p.evicted {
-						o.held, o.moved = max(0, o.held-bytes), now
+						o.held, o.lastProgress = max(0, o.held-bytes), now
 						d.Read(now, o.p, bytes)
 					}
 				case "hold":
@@ -345,53 +347,53 @@
 						break
 					}
 					before := o.held
-					cut, r := d.Hold(now, o.p, bytes)
+					evicted, r := d.Hold(now, o.p, bytes)
 					if r != nil {
-						if len(cut) > 0 {
-							t.Fatal("one was cut for a newcomer that was refused")
+						if len(evicted) > 0 {
+							t.Fatal("a reader was evicted for a request that was rejected")
 						}
 						break
 					}
-					for _, v := range cut {
+					for _, victim := range evicted {
 						for _, other := range open {
-							if other.p == v {
-								if now.Sub(other.moved) < time.Second {
-									t.Fatal("one that makes progress was cut")
+							if other.p == victim {
+								if now.Sub(other.lastProgress) < time.Second {
+									t.Fatal("a reader that makes progress was evicted")
 								}
 								other.held = 0
 							}
 						}
 					}
 					if o.held += bytes; before == 0 {
-						o.moved = now
+						o.lastProgress = now
 					}
 				}
 			}
 			for _, o := range open {
 				if o.p.Bytes() != o.held {
-					t.Fatalf("a pass holds %d, want %d", o.p.Bytes(), o.held)
+					t.Fatalf("a pass holds %d bytes, want %d", o.p.Bytes(), o.held)
 				}
-				for s := Connection; s < scopes; s++ {
-					if _, _, bytes := sum(o.who, s); has(o.who, s) && limits[s].Bytes > 0 && bytes > limits[s].Bytes {
-						t.Fatalf("%d bytes in scope %v, %d may be", bytes, s, limits[s].Bytes)
+				for s := Connection; s < scopeCount; s++ {
+					if _, _, bytes := count(o.client, s); inScope(o.client, s) && limits[s].Bytes > 0 && bytes > limits[s].Bytes {
+						t.Fatalf("%d bytes in scope %v, over its limit of %d", bytes, s, limits[s].Bytes)
 					}
 				}
 			}
 			for _, u := range d.Usage() {
-				streams, queries, bytes := sum(Client{Owner: u.ID, Network: u.ID}, u.Scope)
+				streams, queries, bytes := count(Client{Owner: u.ID, Network: u.ID}, u.Scope)
 				if u.Streams != streams || u.Queries != queries || u.Bytes != bytes {
-					t.Fatalf("usage %+v, want %d %d %d", u, streams, queries, bytes)
+					t.Fatalf("usage %+v, want %d streams, %d queries, %d bytes", u, streams, queries, bytes)
 				}
 			}
 		}
 	})
 }
 
-// BenchmarkEnter is the cost of one that comes, holds, reads and leaves, among n others that are in.
-func BenchmarkEnter(b *testing.B) {
+// BenchmarkAdmit measures a query that is admitted, holds and reads bytes and is released, while n others are open.
+func BenchmarkAdmit(b *testing.B) {
 	for _, n := range []int{100, 10_000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			d := door(b, Config{Owner: Limits{Rate: 1e6, Queries: 1e6}, All: Limits{Bytes: 1 << 40}})
+			d := newController(b, Config{Owner: Limits{Rate: 1e6, Queries: 1e6}, All: Limits{Bytes: 1 << 40}})
 			for i := range n {
 				d.Admit(at(0), Client{uint64(i), fmt.Sprint("o", i%1000), "n"}, Query)
 			}
--- a/internal/admission/controller.go
+++ b/internal/admission/controller.go
@@ -8,20 +8,20 @@
 	"time"
 )
 
-// Pass is what was admitted. It is given back by Release, once.
+// Pass is an admitted call or query. Release ends it, once.
 type Pass struct {
 	kind         Kind
-	scopes       [scopes]*scope
-	number       uint64
+	scopes       [scopeCount]*scope
+	seq          uint64
 	bytes        int64
-	lastProgress time.Time // when it last made progress, or began to hold
-	holderIndex  int       // its index among those that hold; -1 where it holds nothing
-	reading      bool      // something of what it holds is being read; else it is only reserved
+	lastProgress time.Time // when its reader last made progress, or when it began to hold bytes
+	holderIndex  int       // its index in Controller.holders; -1 if it holds nothing
+	reading      bool      // the client is reading the answer; false while the bytes are only reserved
 	released     bool
 	evicted      bool
 }
 
-// Bytes is how many bytes of answers it holds.
+// Bytes returns the bytes of answers that the pass holds.
 func (p *Pass) Bytes() int64 { return p.bytes }
 
 type scopeKey struct {
@@ -30,48 +30,48 @@
 	conn  uint64
 }
 
-// scope is the account of one connection, owner or network, or of all.
+// scope counts the usage of one connection, owner or network, or of all clients.
 type scope struct {
-	key        scopeKey
-	limits     *Limits
-	streams    int
-	queries    int
-	passes     int
-	bytes      int64
-	tokens     float64
-	refilled   time.Time
-	departures [2]departureRate // by Kind
-	idle       *list.Element
+	key              scopeKey
+	limits           *Limits
+	streams          int
+	queries          int
+	passes           int
+	bytes            int64
+	tokens           float64
+	refilled         time.Time
+	releaseIntervals [2]releaseInterval // indexed by Kind
+	idleElement      *list.Element
 }
 
-// departureRate is how often a pass is released: the exponentially weighted mean of the intervals between.
-type departureRate struct {
-	last     time.Time
-	interval float64 // seconds; 0 while not known
+// releaseInterval is the exponentially weighted mean of the intervals between releases of passes.
+type releaseInterval struct {
+	last time.Time // of the last release
+	mean float64   // in seconds; 0 until two passes have been released
 }
 
-// departureWeight is the weight of the latest interval in the mean.
-const departureWeight = 0.2
+// releaseIntervalWeight is the weight of the latest interval in the mean.
+const releaseIntervalWeight = 0.2
 
-// Controller admits and counts. It is not safe for use by several goroutines.
+// Controller admits requests and counts their usage. It is not safe for concurrent use.
 type Controller struct {
-	cfg     Config
-	scopes  map[scopeKey]*scope
-	idle    *list.List
-	holders []*Pass // those that hold bytes
-	count   uint64
+	cfg        Config
+	scopes     map[scopeKey]*scope
+	idleScopes *list.List
+	holders    []*Pass // passes that hold bytes
+	lastSeq    uint64
 }
 
-// New returns a controller that has admitted nothing. The error names the first limit that is out of its range.
+// New returns a controller without passes, or the error of Config.Check.
 func New(cfg Config) (*Controller, error) {
 	if err := cfg.Check(); err != nil {
 		return nil, err
 	}
-	d := &Controller{cfg: cfg.withDefaults(), scopes: map[scopeKey]*scope{}, idle: list.New()}
+	d := &Controller{cfg: cfg.withDefaults(), scopes: map[scopeKey]*scope{}, idleScopes: list.New()}
 	return d, nil
 }
 
-// SetLimits sets other limits; what was admitted stays admitted.
+// SetLimits replaces the configuration. Passes that were admitted before stay admitted, even above the new limits.
 func (d *Controller) SetLimits(cfg Config) error {
 	if err := cfg.Check(); err != nil {
 		return err
@@ -88,7 +88,7 @@
 	return [...]*Limits{&d.cfg.Connection, &d.cfg.Owner, &d.cfg.Network, &d.cfg.All}[s]
 }
 
-// scope finds or makes the account of a key.
+// scope returns the scope of a key and creates it if it does not exist.
 func (d *Controller) scope(now time.Time, k scopeKey) *scope {
 	s := d.scopes[k]
 	if s == nil {
@@ -99,8 +99,8 @@
 	return s
 }
 
-// keys are the scopes that somebody counts in; one without an owner or network has none of that scope.
-func keys(c Client) (list []scopeKey) {
+// scopeKeys returns the keys of the scopes that a client counts in. Without an owner or a network it counts in no scope of that kind.
+func scopeKeys(c Client) (list []scopeKey) {
 	list = append(list, scopeKey{scope: Connection, conn: c.Connection})
 	if c.Owner != "" {
 		list = append(list, scopeKey{scope: Owner, id: c.Owner})
@@ -111,12 +111,12 @@
 	return append(list, scopeKey{scope: All})
 }
 
-// Admit admits a call or a query. A rejected one counts nowhere.
+// Admit admits or rejects a call or a query. A rejected one counts in no scope.
 func (d *Controller) Admit(now time.Time, client Client, k Kind) (*Pass, *Rejection) {
-	d.count++
-	p := &Pass{kind: k, number: d.count, holderIndex: -1, lastProgress: now}
+	d.lastSeq++
+	p := &Pass{kind: k, seq: d.lastSeq, holderIndex: -1, lastProgress: now}
 	var rejection *Rejection
-	for _, key := range keys(client) {
+	for _, key := range scopeKeys(client) {
 		s := d.scope(now, key)
 		p.scopes[key.scope] = s
 		s.refill(now)
@@ -127,22 +127,22 @@
 	if rejection != nil {
 		for _, s := range p.scopes {
 			if s != nil {
-				d.retire(s)
+				d.markIdle(s)
 			}
 		}
 		return nil, rejection
 	}
 	for _, s := range p.scopes {
 		if s != nil {
-			d.activate(s)
-			s.charge(k)
+			d.removeFromIdle(s)
+			s.countPass(k)
 		}
 	}
 	return p, nil
 }
 
-// charge counts a pass of a kind in.
-func (s *scope) charge(k Kind) {
+// countPass counts a new pass of a kind and takes its token from the bucket.
+func (s *scope) countPass(k Kind) {
 	s.passes++
 	if k == Stream {
 		s.streams++
@@ -153,7 +153,7 @@
 	}
 }
 
-// exceeded is the rejection of one more in a scope; nil where it may be admitted.
+// exceeded returns the rejection of one more pass of a kind in a scope, or nil if the scope admits it.
 func (d *Controller) exceeded(now time.Time, s *scope, k Kind) *Rejection {
 	l := s.limits
 	switch {
@@ -167,7 +167,7 @@
 	return nil
 }
 
-// clampRetryAfter turns seconds into a Retry-After within the bounds.
+// clampRetryAfter converts seconds to a duration between MinRetryAfter and MaxRetryAfter.
 func (d *Controller) clampRetryAfter(seconds float64) time.Duration {
 	if !(seconds < d.cfg.MaxRetryAfter.Seconds()) {
 		return d.cfg.MaxRetryAfter
@@ -175,17 +175,18 @@
 	return max(d.cfg.MinRetryAfter, time.Duration(math.Ceil(seconds*1e9)))
 }
 
-// retryAfter is how long it should take until a pass of a kind was released in a scope. While nobody has left for longer than usual, the pause
-// that is under way counts in place of the mean.
+// retryAfter returns the expected time until the next pass of a kind is released in a scope: the mean interval between releases, or
+// the time since the last release where that is longer.
 func (d *Controller) retryAfter(now time.Time, s *scope, k Kind) time.Duration {
-	left := &s.departures[k]
-	if left.interval == 0 {
-		return d.clampRetryAfter(math.Sqrt(d.cfg.MinRetryAfter.Seconds() * d.cfg.MaxRetryAfter.Seconds())) // not known: between the bounds
+	releases := &s.releaseIntervals[k]
+	if releases.mean == 0 {
+		// No interval is known yet: the geometric mean of the bounds.
+		return d.clampRetryAfter(math.Sqrt(d.cfg.MinRetryAfter.Seconds() * d.cfg.MaxRetryAfter.Seconds()))
 	}
-	return d.clampRetryAfter(math.Max(left.interval, now.Sub(left.last).Seconds()))
+	return d.clampRetryAfter(math.Max(releases.mean, now.Sub(releases.last).Seconds()))
 }
 
-// refill adds the tokens of the time that has passed.
+// refill adds the tokens for the time since the last refill.
 func (s *scope) refill(now time.Time) {
 	if s.limits.Rate > 0 && now.After(s.refilled) {
 		s.tokens = math.Min(s.limits.Burst, s.tokens+s.limits.Rate*now.Sub(s.refilled).Seconds())
@@ -195,13 +196,13 @@
 	}
 }
 
-// Release gives a pass back, with all that it holds. A second time does nothing.
+// Release ends a pass and frees the bytes that it holds. A second call for the same pass does nothing.
 func (d *Controller) Release(now time.Time, p *Pass) {
 	if p.released {
 		return
 	}
 	p.released = true
-	d.uncharge(p, p.bytes)
+	d.releaseBytes(p, p.bytes)
 	for _, s := range p.scopes {
 		if s == nil {
 			continue
@@ -212,24 +213,25 @@
 		} else {
 			s.queries--
 		}
-		s.departures[p.kind].record(now)
-		d.retire(s)
+		s.releaseIntervals[p.kind].record(now)
+		d.markIdle(s)
 	}
 }
 
-func (l *departureRate) record(now time.Time) {
+// record adds the interval since the last release to the mean.
+func (l *releaseInterval) record(now time.Time) {
 	if !l.last.IsZero() {
-		if pause := math.Max(now.Sub(l.last).Seconds(), 1e-6); l.interval == 0 {
-			l.interval = pause
+		if interval := math.Max(now.Sub(l.last).Seconds(), 1e-6); l.mean == 0 {
+			l.mean = interval
 		} else {
-			l.interval += departureWeight * (pause - l.interval)
+			l.mean += releaseIntervalWeight * (interval - l.mean)
 		}
 	}
 	l.last = now
 }
 
-// Hold asks for memory for bytes of an answer that a pass is reading from now on. Slow readers may be evicted for it: they are
-// returned and hold nothing from now on, and their streams must be ended. A rejection evicts nobody.
+// Hold acquires memory for bytes of an answer that the client of a pass reads from now on. Slow readers may be evicted for it; they
+// are returned and hold nothing any more, and the caller must end their streams. A rejection evicts nobody.
 func (d *Controller) Hold(now time.Time, p *Pass, bytes int64) (evicted []*Pass, rejection *Rejection) {
 	if evicted, rejection = d.Reserve(now, p, bytes); rejection == nil && !p.reading && !p.evicted {
 		p.reading, p.lastProgress = p.bytes > 0, now
@@ -237,7 +239,8 @@
 	return evicted, rejection
 }
 
-// Reserve is Hold for an answer that has not come yet: nobody is evicted for not reading what is not there.
+// Reserve is like Hold, but for an answer that has not arrived yet. A pass that only has reservations is never evicted, since there is
+// nothing for its client to read.
 func (d *Controller) Reserve(now time.Time, p *Pass, bytes int64) (evicted []*Pass, rejection *Rejection) {
 	if p.released || p.evicted || bytes <= 0 {
 		return nil, nil
@@ -248,7 +251,7 @@
 		}
 		return nil, &Rejection{s.key.scope, Bytes, float64(s.limits.Bytes), d.retryAfter(now, s, p.kind)}
 	}
-	evicted, rejection = d.evictFor(now, p, bytes)
+	evicted, rejection = d.evictSlowReaders(now, p, bytes)
 	if rejection != nil {
 		return nil, rejection
 	}
@@ -265,55 +268,55 @@
 	return evicted, nil
 }
 
-// evictFor makes room for bytes that a pass is to hold, where the limit of all is reached. Those evicted hold nothing any more.
-// A rejection evicts nobody.
-func (d *Controller) evictFor(now time.Time, p *Pass, bytes int64) (evicted []*Pass, rejection *Rejection) {
+// evictSlowReaders evicts as many slow readers as are needed for a pass to hold more bytes within the byte limit of all clients.
+// Evicted passes hold nothing any more. A rejection evicts nobody.
+func (d *Controller) evictSlowReaders(now time.Time, p *Pass, bytes int64) (evicted []*Pass, rejection *Rejection) {
 	all := p.scopes[All]
 	limit := all.limits.Bytes
-	missing := all.bytes + bytes - limit
-	if limit <= 0 || missing <= 0 {
+	shortfall := all.bytes + bytes - limit
+	if limit <= 0 || shortfall <= 0 {
 		return nil, nil
 	}
 	for _, reader := range d.slowReaders(now, p) {
-		if missing <= 0 {
+		if shortfall <= 0 {
 			break
 		}
-		evicted, missing = append(evicted, reader), missing-reader.bytes
+		evicted, shortfall = append(evicted, reader), shortfall-reader.bytes
 	}
-	if missing > 0 {
+	if shortfall > 0 {
 		return nil, &Rejection{All, Bytes, float64(limit), d.retryAfter(now, all, p.kind)}
 	}
 	for _, reader := range evicted {
 		reader.evicted = true
-		d.uncharge(reader, reader.bytes)
+		d.releaseBytes(reader, reader.bytes)
 	}
 	return evicted, nil
 }
 
-// slowReaders are those that may be evicted for another, the first to go first.
-func (d *Controller) slowReaders(now time.Time, but *Pass) (list []*Pass) {
+// slowReaders returns the passes that may be evicted in favor of another one, in the order of eviction.
+func (d *Controller) slowReaders(now time.Time, except *Pass) (list []*Pass) {
 	for _, p := range d.holders {
-		if p != but && p.reading && now.Sub(p.lastProgress) >= d.cfg.SlowReaderGrace {
+		if p != except && p.reading && now.Sub(p.lastProgress) >= d.cfg.SlowReaderGrace {
 			list = append(list, p)
 		}
 	}
 	slices.SortFunc(list, func(a, b *Pass) int {
-		return cmp.Or(a.lastProgress.Compare(b.lastProgress), cmp.Compare(b.bytes, a.bytes), cmp.Compare(a.number, b.number))
+		return cmp.Or(a.lastProgress.Compare(b.lastProgress), cmp.Compare(b.bytes, a.bytes), cmp.Compare(a.seq, b.seq))
 	})
 	return list
 }
 
-// Read notes that a reader has taken bytes in: it holds them no more, and makes progress.
+// Read records that the client of a pass has read bytes: the pass no longer holds them, and its reader has made progress.
 func (d *Controller) Read(now time.Time, p *Pass, bytes int64) {
 	if p.released || p.evicted || bytes <= 0 {
 		return
 	}
 	p.lastProgress = now
-	d.uncharge(p, min(bytes, p.bytes))
+	d.releaseBytes(p, min(bytes, p.bytes))
 }
 
-// uncharge takes bytes off the accounts of a pass.
-func (d *Controller) uncharge(p *Pass, bytes int64) {
+// releaseBytes subtracts bytes from a pass and its scopes.
+func (d *Controller) releaseBytes(p *Pass, bytes int64) {
 	if bytes <= 0 {
 		return
 	}
@@ -331,23 +334,24 @@
 	}
 }
 
-// Tick returns those that have made no progress for Stall. They hold nothing from now on; their streams must be ended.
-func (d *Controller) Tick(now time.Time) (cut []*Pass) {
+// Tick evicts and returns the readers that have made no progress for StallTimeout. They hold nothing any more, and the caller must end
+// their streams.
+func (d *Controller) Tick(now time.Time) (evicted []*Pass) {
 	for _, p := range d.holders {
 		if p.reading && now.Sub(p.lastProgress) >= d.cfg.StallTimeout {
-			cut = append(cut, p)
+			evicted = append(evicted, p)
 		}
 	}
-	slices.SortFunc(cut, func(a, b *Pass) int { return cmp.Compare(a.number, b.number) })
-	for _, p := range cut {
+	slices.SortFunc(evicted, func(a, b *Pass) int { return cmp.Compare(a.seq, b.seq) })
+	for _, p := range evicted {
 		p.evicted = true
-		d.uncharge(p, p.bytes)
+		d.releaseBytes(p, p.bytes)
 	}
-	return cut
+	return evicted
 }
 
-// Next is when Tick must be called if nothing else happens before; zero where it need not be.
-func (d *Controller) Next() (at time.Time) {
+// NextTick returns when Tick must be called if nothing else happens before; zero if it need not be called.
+func (d *Controller) NextTick() (at time.Time) {
 	for _, p := range d.holders {
 		if due := p.lastProgress.Add(d.cfg.StallTimeout); p.reading && (at.IsZero() || due.Before(at)) {
 			at = due
@@ -356,34 +360,35 @@
 	return at
 }
 
-// activate takes a scope off the list of idle ones.
-func (d *Controller) activate(s *scope) {
-	if s.idle != nil {
-		d.idle.Remove(s.idle)
-		s.idle = nil
+// removeFromIdle removes a scope from the list of idle scopes, if it is on it.
+func (d *Controller) removeFromIdle(s *scope) {
+	if s.idleElement != nil {
+		d.idleScopes.Remove(s.idleElement)
+		s.idleElement = nil
 	}
 }
 
-// retire keeps or forgets a scope that has no passes.
-func (d *Controller) retire(s *scope) {
+// markIdle drops a scope without passes or, if its state still matters, puts it on the list of idle scopes. A list over MaxIdleScopes
+// loses the scope that became idle first.
+func (d *Controller) markIdle(s *scope) {
 	if s.passes > 0 || s.key.scope == All {
 		return
 	}
-	d.activate(s)
-	young := s.limits.Rate > 0 && s.tokens < s.limits.Burst
-	if s.key.scope == Connection || !young && s.departures[Stream].last.IsZero() && s.departures[Query].last.IsZero() {
-		delete(d.scopes, s.key) // nothing of it is worth knowing
+	d.removeFromIdle(s)
+	refilling := s.limits.Rate > 0 && s.tokens < s.limits.Burst
+	if s.key.scope == Connection || !refilling && s.releaseIntervals[Stream].last.IsZero() && s.releaseIntervals[Query].last.IsZero() {
+		delete(d.scopes, s.key) // its bucket is full and it has no release intervals, or its connection has no pass left
 		return
 	}
-	s.idle = d.idle.PushBack(s)
-	for d.idle.Len() > d.cfg.MaxIdleScopes {
-		old := d.idle.Front().Value.(*scope)
-		d.activate(old)
-		delete(d.scopes, old.key)
+	s.idleElement = d.idleScopes.PushBack(s)
+	for d.idleScopes.Len() > d.cfg.MaxIdleScopes {
+		oldest := d.idleScopes.Front().Value.(*scope)
+		d.removeFromIdle(oldest)
+		delete(d.scopes, oldest.key)
 	}
 }
 
-// Usage is what a scope has in it.
+// Usage is the current usage of one scope.
 type Usage struct {
 	Scope            Scope
 	ID               string
@@ -391,7 +396,7 @@
 	Bytes            int64
 }
 
-// Usage is what owners, networks and all have in them, by scope and name.
+// Usage returns the usage of each owner and network with passes and of all clients, sorted by scope and name.
 func (d *Controller) Usage() (list []Usage) {
 	for k, s := range d.scopes {
 		if k.scope != Connection && s.passes > 0 {
--- a/internal/admission/sizeestimator.go
+++ b/internal/admission/sizeestimator.go
@@ -1,37 +1,37 @@
 package admission
 
-// DefaultPartBytes is what a part of a class is taken to need before any was answered.
+// DefaultPartBytes is the estimated answer size of a part, in bytes, before the first answer of its class.
 const DefaultPartBytes = 256 << 10
 
 const (
-	sizeDecay = 0.1  // of what is expected too much, forgotten with each answer
-	sizeSlack = 1.25 // of what was seen, kept free besides
+	decreaseRate   = 0.1  // fraction of an overestimate that each answer removes
+	headroomFactor = 1.25 // estimates exceed the learned size by this factor
 )
 
-// SizeEstimator learns how many bytes a part of each class needs. Its zero value knows nothing. It grows by the classes that it
-// is told of, which are the settings'.
-type SizeEstimator struct{ part map[string]float64 }
+// SizeEstimator learns how many bytes the answer of a part takes, by class. The zero value is ready to use. It keeps one entry per
+// class, so its size is bounded by the classes in the settings.
+type SizeEstimator struct{ bytesPerPart map[string]float64 }
 
-// Expect is the room to ask for, for a query of so many parts.
+// Expect returns the bytes to reserve for the answer of a query of the given number of parts.
 func (s *SizeEstimator) Expect(class string, parts int) int64 {
-	each, known := s.part[class]
+	perPart, known := s.bytesPerPart[class]
 	if !known {
 		return int64(parts) * DefaultPartBytes
 	}
-	return int64(each*sizeSlack*float64(parts)) + 1
+	return int64(perPart*headroomFactor*float64(parts)) + 1
 }
 
-// Learn takes in the size of an answer. More than was expected counts at once, less slowly.
+// Learn records the size of an answer. A size above the estimate replaces it at once; a smaller one lowers it gradually.
 func (s *SizeEstimator) Learn(class string, parts int, bytes int64) {
 	if parts <= 0 {
 		return
 	}
-	if s.part == nil {
-		s.part = map[string]float64{}
+	if s.bytesPerPart == nil {
+		s.bytesPerPart = map[string]float64{}
 	}
-	seen := float64(bytes) / float64(parts)
-	if each, known := s.part[class]; known && seen < each {
-		seen = each - sizeDecay*(each-seen)
+	observed := float64(bytes) / float64(parts)
+	if perPart, known := s.bytesPerPart[class]; known && observed < perPart {
+		observed = perPart - decreaseRate*(perPart-observed)
 	}
-	s.part[class] = seen
+	s.bytesPerPart[class] = observed
 }
