--- a/internal/session/flights.go
+++ b/internal/session/flights.go
@@ -1,25 +1,25 @@
-// Package session keeps what clients of the second front refer to between calls: queries whose answer is fetched by
-// ranges or asked after (flights), and sessions. It decides who may have what, for how long, and what goes when there is
-// too much. It does no I/O, reads no clock, starts no goroutine and logs nothing; values of answers are not here, only
-// their sizes.
+// Package session keeps the state that clients of the Arrow Flight server refer to between calls: flights, which are queries whose
+// answer is fetched by ranges or polled for, and sessions. It decides who may access what, for how long, and what is evicted when
+// there is too much. It does no I/O, reads no clock, starts no goroutine and logs nothing. It holds the sizes of answers, not their
+// values.
 //
-// # The life of a flight
+// # Flight states
 //
-//	state    comes by                          ends by
-//	planned  Open                              Claim: running; UnclaimedTTL over: removed
-//	running  the first Claim                   Complete: ready; Fail: failed; Cancel: cancelled
-//	ready    Complete                          TTL over, or all ranges fetched and FetchedTTL over: removed
-//	failed   Fail, or Complete without room    TTL over: removed
-//	cancelled Cancel                           TTL over: removed
+//	state      entered by                      left by
+//	planned    Open                            Claim: running; Cancel: cancelled; after UnclaimedTTL: removed
+//	running    the first Claim                 Complete: ready; Fail: failed; Cancel: cancelled
+//	ready      Complete                        after TTL, or FetchedTTL once all ranges are fetched: removed
+//	failed     Fail, or Complete without room  after TTL: removed
+//	cancelled  Cancel                          after TTL: removed
 //
-// A flight is asked once, whoever claims whichever of its ranges, and however often: its final answer is one. A range
-// may be fetched again for as long as the flight is kept. Renew moves the end of TTL, to MaxTTL after the query's end at the
-// latest.
+// The query of a flight is executed once, however often and by whomever its ranges are claimed, so all of them come from the same
+// final answer. A range may be fetched again as long as the flight is kept. Renew extends its time, up to MaxTTL after the end of the
+// query, or after Open while it is planned.
 //
 // # Eviction
 //
-// Where there are too many, flights that are over go first, the oldest first, then planned ones. One that is running, or whose
-// answer was not fetched yet, is never evicted for another: the newcomer is rejected.
+// When a limit is reached, ended flights are evicted first, the oldest first, then planned ones. A flight that is running or
+// being sent, or whose answer has not been fetched whole, is never evicted for another; the new one is rejected.
 package session
 
 import (
@@ -30,32 +30,32 @@
 	"time"
 )
 
-// The errors of flights. They are wrapped with what was asked for.
+// Errors of flights and sessions. Returned errors wrap them.
 var (
-	ErrUnknown    = errors.New("not known, or no longer kept")
+	ErrUnknown    = errors.New("unknown or expired")
 	ErrOtherOwner = errors.New("belongs to another owner")
 	ErrCancelled  = errors.New("was cancelled")
-	ErrFull       = errors.New("too many are kept")
+	ErrFull       = errors.New("limit reached")
 )
 
-// FlightConfig bounds what Flights keeps. The zero value of a field stands for its default.
+// FlightConfig holds the limits of Flights. A field of zero or less stands for its default, given in its comment.
 type FlightConfig struct {
-	MaxFlights   int           // flights kept in all; 1024
-	MaxPerOwner  int           // flights kept of one owner; 128
-	MaxBytes     int64         // of all answers that are kept; 16 MiB
-	UnclaimedTTL time.Duration // how long a planned flight waits for its first Claim; 30 s
-	TTL          time.Duration // how long one that is over is kept; 30 s
-	MaxTTL       time.Duration // how long it can be kept by Renew; 5 min
-	FetchedTTL   time.Duration // how long one is kept whose ranges were all fetched; 2 s
+	MaxFlights   int           // flights of all owners; 1024
+	MaxPerOwner  int           // flights of one owner; 128
+	MaxBytes     int64         // bytes of all kept answers; 16 MiB
+	UnclaimedTTL time.Duration // how long a planned flight is kept without a Claim; 30 s
+	TTL          time.Duration // how long a flight is kept after its query has ended; 30 s
+	MaxTTL       time.Duration // the most that Renew can keep it after its query has ended or, while planned, after Open; 5 min
+	FetchedTTL   time.Duration // how long it is kept once all ranges have been fetched; 2 s
 }
 
 func (c FlightConfig) withDefaults() FlightConfig {
 	for _, v := range []struct {
-		to *time.Duration
-		by time.Duration
+		field    *time.Duration
+		fallback time.Duration
 	}{{&c.UnclaimedTTL, 30 * time.Second}, {&c.TTL, 30 * time.Second}, {&c.MaxTTL, 5 * time.Minute}, {&c.FetchedTTL, 2 * time.Second}} {
-		if *v.to <= 0 {
-			*v.to = v.by
+		if *v.field <= 0 {
+			*v.field = v.fallback
 		}
 	}
 	if c.MaxFlights <= 0 {
@@ -70,10 +70,10 @@
 	return c
 }
 
-// Phase is where a flight stands.
+// Phase is the state of a flight.
 type Phase uint8
 
-// The phases.
+// The phases, as in the table of the package comment.
 const (
 	Planned Phase = iota
 	Running
@@ -86,21 +86,21 @@
 	return [...]string{"planned", "running", "ready", "failed", "cancelled"}[p]
 }
 
-// flight is one query.
+// flight is a query and the state of its answer.
 type flight struct {
 	id, owner string
 	ranges    int
 	phase     Phase
 	fetched   []bool
-	readers   int // ranges that are being sent just now
+	readers   int // ranges being sent
 	bytes     int64
 	opened    time.Time
 	deadline  time.Time // of the query
 	finished  time.Time
-	expires   time.Time // when it is dropped, unless something is being sent
+	expires   time.Time // when Tick removes it, unless it runs or a range is being sent
 }
 
-// Flights are those that are kept. They are not safe for use by several goroutines.
+// Flights is the set of flights that are kept. It is not safe for concurrent use.
 type Flights struct {
 	cfg      FlightConfig
 	flights  map[string]*flight
@@ -108,35 +108,35 @@
 	bytes    int64
 }
 
-// NewFlights returns an empty account.
+// NewFlights returns an empty set of flights.
 func NewFlights(cfg FlightConfig) *Flights {
 	return &Flights{cfg: cfg.withDefaults(), flights: map[string]*flight{}, perOwner: map[string]int{}}
 }
 
-// Open plans a flight of so many ranges; its query ends at the deadline. Flights that were evicted to make room are returned. The
-// error wraps ErrFull where there is no room.
+// Open plans a flight with the given number of ranges; its query ends at the deadline. It returns the flights evicted to make room.
+// The error wraps ErrFull if there is no room.
 func (f *Flights) Open(now time.Time, id, owner string, ranges int, deadline time.Time) (evicted []string, err error) {
 	if ranges < 1 {
-		return nil, fmt.Errorf("flight of %d ranges", ranges)
+		return nil, fmt.Errorf("open flight: %d ranges; at least 1 is needed", ranges)
 	}
 	if f.flights[id] != nil {
-		return nil, fmt.Errorf("flight %s: there is one", id)
+		return nil, fmt.Errorf("open flight %s: it already exists", id)
 	}
 	for f.perOwner[owner] >= f.cfg.MaxPerOwner {
-		other, ok := f.evictable(owner)
+		victim, ok := f.evictable(owner)
 		if !ok {
-			return evicted, fmt.Errorf("flights of owner %q: %w", owner, ErrFull)
+			return evicted, fmt.Errorf("open flight of owner %q: %w", owner, ErrFull)
 		}
-		evicted = append(evicted, other)
-		f.remove(f.flights[other])
+		evicted = append(evicted, victim)
+		f.remove(f.flights[victim])
 	}
 	for len(f.flights) >= f.cfg.MaxFlights {
-		other, ok := f.evictable("")
+		victim, ok := f.evictable("")
 		if !ok {
-			return evicted, fmt.Errorf("flights: %w", ErrFull)
+			return evicted, fmt.Errorf("open flight: %w", ErrFull)
 		}
-		evicted = append(evicted, other)
-		f.remove(f.flights[other])
+		evicted = append(evicted, victim)
+		f.remove(f.flights[victim])
 	}
 	f.flights[id] = &flight{id: id, owner: owner, ranges: ranges, fetched: make([]bool, ranges), opened: now, deadline: deadline,
 		expires: now.Add(f.cfg.UnclaimedTTL)}
@@ -144,7 +144,7 @@
 	return evicted, nil
 }
 
-// evictable finds the flight that is evicted first where there are too many; of one owner where one is named.
+// evictable returns the flight to evict first, of one owner only if owner is set.
 func (f *Flights) evictable(owner string) (id string, ok bool) {
 	var first *flight
 	for _, x := range f.flights {
@@ -161,13 +161,13 @@
 	return first.id, true
 }
 
-// evictionRank orders flights for eviction: of a higher rank, sooner.
+// evictionRank orders flights for eviction: a higher rank is evicted first.
 type evictionRank int
 
 const (
-	neverEvicted evictionRank = iota // it runs, is being read, or has an answer that was not fetched yet
-	evictedLast                      // nobody has claimed it
-	evictedFirst                     // it is over
+	neverEvicted evictionRank = iota // running, being sent, or ready with ranges that were not fetched yet
+	evictedLast                      // planned and not claimed
+	evictedFirst                     // failed, cancelled, or fetched whole
 )
 
 func (x *flight) evictionRank() evictionRank {
@@ -180,10 +180,10 @@
 	return evictedFirst
 }
 
-// allFetched tells whether all ranges were fetched.
+// allFetched reports whether all ranges have been fetched.
 func (x *flight) allFetched() bool { return !slices.Contains(x.fetched, false) }
 
-// remove forgets a flight.
+// remove removes a flight and its bytes from the counts.
 func (f *Flights) remove(x *flight) {
 	delete(f.flights, x.id)
 	f.bytes -= x.bytes
@@ -192,7 +192,7 @@
 	}
 }
 
-// find is the flight of an id, if it is the owner's and not over.
+// find returns the flight of an id, if it belongs to the owner and has not expired.
 func (f *Flights) find(now time.Time, id, owner string) (*flight, error) {
 	x := f.flights[id]
 	switch {
@@ -204,18 +204,19 @@
 	return x, nil
 }
 
-// Next says what somebody who wants an answer is to do.
+// Next is what the caller of Claim has to do.
 type Next uint8
 
 // The next steps.
 const (
-	Start  Next = iota + 1 // ask the query, then Finish
-	Wait                   // another does
-	Send                   // the answer is there: send the range, then Sent
-	Report                 // there is none: tell how it failed
+	Start  Next = iota + 1 // execute the query, then call Complete or Fail
+	Wait                   // wait: another caller executes the query
+	Send                   // send the range, then call Sent or Interrupted
+	Report                 // report the error: the query failed
 )
 
-// Claim asks for one range of a flight; range -1 asks for none, only that the query be asked (Start).
+// Claim claims range r of a flight, and returns Start to the first caller. With r of -1 it claims no range, only the execution of the
+// query.
 func (f *Flights) Claim(now time.Time, id, owner string, r int) (Next, error) {
 	x, err := f.find(now, id, owner)
 	if err != nil {
@@ -241,31 +242,31 @@
 	return Send, nil
 }
 
-// Complete notes that the query was answered, by an answer of a size in bytes. Where there is no room for it ok is false: the
-// flight has failed, and the caller keeps no answer. Flights that were evicted to make room are returned.
+// Complete records that the query has an answer of the given size in bytes. It returns the flights evicted to make room. ok is false
+// if there is no room or the flight does not run: without room the flight has failed, and the caller must not keep the answer.
 func (f *Flights) Complete(now time.Time, id string, bytes int64) (evicted []string, ok bool) {
-	x := f.end(now, id)
+	x := f.finish(now, id)
 	if x == nil {
 		return nil, false
 	}
 	for f.bytes+bytes > f.cfg.MaxBytes {
-		other, found := f.evictableAnswer()
+		victim, found := f.evictableAnswer()
 		if !found {
 			return evicted, false
 		}
-		evicted = append(evicted, other)
-		f.remove(f.flights[other])
+		evicted = append(evicted, victim)
+		f.remove(f.flights[victim])
 	}
 	x.phase, x.bytes = Ready, bytes
 	f.bytes += bytes
 	return evicted, true
 }
 
-// Fail notes that the query ended without an answer. It returns false for a flight that does not run, as it was cancelled.
-func (f *Flights) Fail(now time.Time, id string) bool { return f.end(now, id) != nil }
+// Fail records that the query ended without an answer. It returns false if the flight does not run, for example after Cancel.
+func (f *Flights) Fail(now time.Time, id string) bool { return f.finish(now, id) != nil }
 
-// end ends a running flight as one that has failed; nil where it does not run.
-func (f *Flights) end(now time.Time, id string) *flight {
+// finish marks a running flight as failed and returns it, or nil if it does not run.
+func (f *Flights) finish(now time.Time, id string) *flight {
 	x := f.flights[id]
 	if x == nil || x.phase != Running {
 		return nil
@@ -274,38 +275,38 @@
 	return x
 }
 
-// evictableAnswer finds the answer that is evicted first to make room for another.
+// evictableAnswer returns the ready flight to evict first for the bytes of its answer.
 func (f *Flights) evictableAnswer() (id string, ok bool) {
-	var best *flight
+	var oldest *flight
 	for _, x := range f.flights {
 		if x.phase == Ready && x.readers == 0 && x.allFetched() &&
-			(best == nil || cmp.Or(x.finished.Compare(best.finished), cmp.Compare(x.id, best.id)) < 0) {
-			best = x
+			(oldest == nil || cmp.Or(x.finished.Compare(oldest.finished), cmp.Compare(x.id, oldest.id)) < 0) {
+			oldest = x
 		}
 	}
-	if best == nil {
+	if oldest == nil {
 		return "", false
 	}
-	return best.id, true
+	return oldest.id, true
 }
 
-// Sent notes that a range was sent whole.
+// Sent records that a claimed range has been sent whole.
 func (f *Flights) Sent(now time.Time, id string, r int) {
-	if x := f.endRead(id, r); x != nil {
+	if x := f.removeReader(id, r); x != nil {
 		x.fetched[r] = true
 		f.expireFetched(now, x)
 	}
 }
 
-// Interrupted notes that the sending of a range has ended before all of it was sent.
+// Interrupted records that sending a claimed range ended before all of it was sent.
 func (f *Flights) Interrupted(now time.Time, id string, r int) {
-	if x := f.endRead(id, r); x != nil {
+	if x := f.removeReader(id, r); x != nil {
 		f.expireFetched(now, x)
 	}
 }
 
-// endRead counts a reader of a range off; nil where none was counted.
-func (f *Flights) endRead(id string, r int) *flight {
+// removeReader uncounts a reader of a range and returns its flight, or nil if the flight has no reader.
+func (f *Flights) removeReader(id string, r int) *flight {
 	x := f.flights[id]
 	if x == nil || x.readers == 0 || r < 0 || r >= x.ranges {
 		return nil
@@ -314,14 +315,14 @@
 	return x
 }
 
-// expireFetched lets a flight whose ranges were all fetched expire sooner.
+// expireFetched makes a flight expire after FetchedTTL if all its ranges have been fetched.
 func (f *Flights) expireFetched(now time.Time, x *flight) {
 	if expires := now.Add(f.cfg.FetchedTTL); x.allFetched() && expires.Before(x.expires) {
 		x.expires = expires
 	}
 }
 
-// Renew keeps a flight for longer; it returns until when.
+// Renew keeps a flight for longer and returns the time until which it is kept.
 func (f *Flights) Renew(now time.Time, id, owner string) (until time.Time, err error) {
 	x, err := f.find(now, id, owner)
 	if err != nil {
@@ -336,9 +337,9 @@
 			x.expires = end
 		}
 	case Ready, Failed:
-		end, last := now.Add(f.cfg.TTL), x.finished.Add(f.cfg.MaxTTL)
-		if end.After(last) {
-			end = last
+		end, latest := now.Add(f.cfg.TTL), x.finished.Add(f.cfg.MaxTTL)
+		if end.After(latest) {
+			end = latest
 		}
 		if end.After(x.expires) {
 			x.expires = end
@@ -347,19 +348,20 @@
 	return x.expires, nil
 }
 
-// Cancel gives a flight up. running tells that its query must be given up now; one that is over stays over.
-func (f *Flights) Cancel(now time.Time, id, owner string) (running bool, was Phase, err error) {
+// Cancel cancels a planned or running flight; a flight that has ended keeps its phase. It returns the phase before, and whether the
+// query was running, so that the caller must cancel it.
+func (f *Flights) Cancel(now time.Time, id, owner string) (running bool, phase Phase, err error) {
 	x, err := f.find(now, id, owner)
 	if err != nil {
 		return false, 0, err
 	}
-	if was = x.phase; was == Planned || was == Running {
+	if phase = x.phase; phase == Planned || phase == Running {
 		x.phase, x.finished, x.expires = Cancelled, now, now.Add(f.cfg.TTL)
 	}
-	return was == Running, was, nil
+	return phase == Running, phase, nil
 }
 
-// Status is how a flight stands.
+// Status returns the phase of a flight and when it expires.
 func (f *Flights) Status(now time.Time, id, owner string) (p Phase, until time.Time, err error) {
 	x, err := f.find(now, id, owner)
 	if err != nil {
@@ -368,7 +370,8 @@
 	return x.phase, x.expires, nil
 }
 
-// Tick drops what is over and returns it, by id. A running flight whose deadline has passed stays until Finish.
+// Tick removes expired flights and returns their ids, sorted. A running flight whose deadline has passed stays until Complete, Fail or
+// Cancel.
 func (f *Flights) Tick(now time.Time) (dropped []string) {
 	for _, x := range f.flights {
 		if x.readers == 0 && x.phase != Running && !now.Before(x.expires) {
@@ -380,5 +383,5 @@
 	return dropped
 }
 
-// Len is how many flights are kept, and the bytes of their answers.
+// Len returns the number of flights that are kept and the bytes of their answers.
 func (f *Flights) Len() (flights int, bytes int64) { return len(f.flights), f.bytes }
--- a/internal/session/sessions.go
+++ b/internal/session/sessions.go
@@ -9,32 +9,32 @@
 	"time"
 )
 
-// ErrInvalidOption marks an option that is not known, or a value that it can't have.
-var ErrInvalidOption = errors.New("option")
+// ErrInvalidOption marks an unknown option or an invalid value of one.
+var ErrInvalidOption = errors.New("invalid option")
 
-// Option describes one that a session may have.
+// Option describes an option that a session may have.
 type Option struct {
 	Name   string
-	Values []string // those that it may have; empty where Check says
-	Check  func(value string) error
+	Values []string                 // valid values; empty if any value that passes Check is valid
+	Check  func(value string) error // validates a value; may be nil
 }
 
-// Config bounds what Sessions keeps. The zero value of a field stands for its default.
+// Config holds the options and limits of Sessions. A limit of zero or less stands for its default, given in its comment.
 type Config struct {
-	Options     []Option      // those that a session may have
-	MaxSessions int           // sessions kept in all; 4096
-	MaxPerOwner int           // sessions kept of one owner; 256
-	IdleTimeout time.Duration // after which a session that nobody uses ends; 10 min
+	Options     []Option      // options that a session may have
+	MaxSessions int           // sessions of all owners; 4096
+	MaxPerOwner int           // sessions of one owner; 256
+	IdleTimeout time.Duration // how long an unused session is kept; 10 min
 }
 
-// session is the options that a client has set once for its further calls.
+// session holds the options that a client has set for its later calls.
 type session struct {
 	id, owner string
 	options   map[string]string
 	lastUsed  time.Time
 }
 
-// Sessions are those that are open. They are not safe for use by several goroutines.
+// Sessions is the set of open sessions. It is not safe for concurrent use.
 type Sessions struct {
 	cfg      Config
 	options  map[string]Option
@@ -42,7 +42,7 @@
 	perOwner map[string]int
 }
 
-// NewSessions returns an empty account.
+// NewSessions returns an empty set of sessions.
 func NewSessions(cfg Config) *Sessions {
 	if cfg.MaxSessions <= 0 {
 		cfg.MaxSessions = 4096
@@ -60,12 +60,12 @@
 	return s
 }
 
-// Open begins a session. Where there are too many, the one of the same owner that was used longest ago ends for it; of
-// other owners none does.
+// Open opens a session. At a limit, the owner's least recently used session is closed for it; sessions of other owners never are. The
+// error wraps ErrFull if the owner has none to close.
 func (s *Sessions) Open(now time.Time, id, owner string) error {
 	s.Tick(now)
 	if s.sessions[id] != nil {
-		return fmt.Errorf("session %s: there is one", id)
+		return fmt.Errorf("open session %s: it already exists", id)
 	}
 	if s.perOwner[owner] >= s.cfg.MaxPerOwner || len(s.sessions) >= s.cfg.MaxSessions {
 		var oldest *session
@@ -75,7 +75,7 @@
 			}
 		}
 		if oldest == nil {
-			return fmt.Errorf("sessions: %w", ErrFull)
+			return fmt.Errorf("open session: %w", ErrFull)
 		}
 		s.remove(oldest)
 	}
@@ -84,7 +84,7 @@
 	return nil
 }
 
-// remove forgets a session.
+// remove removes a session and uncounts it for its owner.
 func (s *Sessions) remove(x *session) {
 	delete(s.sessions, x.id)
 	if s.perOwner[x.owner]--; s.perOwner[x.owner] == 0 {
@@ -92,7 +92,7 @@
 	}
 }
 
-// find is the session of an id, if it is the owner's; it counts as used.
+// find returns the session of an id, if it belongs to the owner and has not expired, and marks it as used.
 func (s *Sessions) find(now time.Time, id, owner string) (*session, error) {
 	x := s.sessions[id]
 	switch {
@@ -105,34 +105,33 @@
 	return x, nil
 }
 
-// Set sets options, each by itself: those that can't be set are returned with their errors, by name. An empty value
-// takes one back.
-func (s *Sessions) Set(now time.Time, id, owner string, options map[string]string) (faults map[string]error, err error) {
+// Set sets the valid ones among the options and returns the errors of the others by name. An empty value removes an option.
+func (s *Sessions) Set(now time.Time, id, owner string, options map[string]string) (invalid map[string]error, err error) {
 	x, err := s.find(now, id, owner)
 	if err != nil {
 		return nil, err
 	}
-	faults = map[string]error{}
+	invalid = map[string]error{}
 	for _, name := range slices.Sorted(maps.Keys(options)) {
 		value := options[name]
 		o, known := s.options[name]
 		switch {
 		case !known:
-			faults[name] = fmt.Errorf("%w %s: not known", ErrInvalidOption, name)
+			invalid[name] = fmt.Errorf("%w %s: unknown name", ErrInvalidOption, name)
 		case value == "":
 			delete(x.options, name)
 		case len(o.Values) > 0 && !slices.Contains(o.Values, value):
-			faults[name] = fmt.Errorf("%w %s: %q is none of %q", ErrInvalidOption, name, value, o.Values)
+			invalid[name] = fmt.Errorf("%w %s: value %q is not one of %q", ErrInvalidOption, name, value, o.Values)
 		case o.Check != nil && o.Check(value) != nil:
-			faults[name] = fmt.Errorf("%w %s: %w", ErrInvalidOption, name, o.Check(value))
+			invalid[name] = fmt.Errorf("%w %s: %w", ErrInvalidOption, name, o.Check(value))
 		default:
 			x.options[name] = value
 		}
 	}
-	return faults, nil
+	return invalid, nil
 }
 
-// Options are those that a session has.
+// Options returns a copy of the options of a session.
 func (s *Sessions) Options(now time.Time, id, owner string) (map[string]string, error) {
 	x, err := s.find(now, id, owner)
 	if err != nil {
@@ -141,7 +140,7 @@
 	return maps.Clone(x.options), nil
 }
 
-// Close ends a session.
+// Close closes a session.
 func (s *Sessions) Close(now time.Time, id, owner string) error {
 	x, err := s.find(now, id, owner)
 	if err != nil {
@@ -151,7 +150,7 @@
 	return nil
 }
 
-// Tick ends those that nobody has used for long.
+// Tick removes the sessions that have been unused for IdleTimeout.
 func (s *Sessions) Tick(now time.Time) {
 	for _, x := range s.sessions {
 		if now.Sub(x.lastUsed) >= s.cfg.IdleTimeout {
@@ -160,5 +159,5 @@
 	}
 }
 
-// Len is how many are open.
+// Len returns the number of open sessions.
 func (s *Sessions) Len() int { return len(s.sessions) }
