--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -27,7 +27,7 @@
 //
 // A newcomer that exceeds the byte limit of all clients evicts readers that have made no progress for SlowReaderGrace: those without
 // progress for longest first and, among equals, those that hold more bytes first. If that would not free enough memory, the newcomer
-// is rejected and nobody is evicted. A reader that makes progress is never evicted. Tick evicts a reader without progress for
+// is rejected and no reader is evicted. A reader that makes progress is never evicted. Tick evicts a reader without progress for
 // StallTimeout in any case.
 //
 // # Memory use of the controller
--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -97,7 +97,7 @@
 	}
 }
 
-// TestSlowReaderEviction checks that memory pressure evicts the readers without progress for longest first, evicts nobody if that would
+// TestSlowReaderEviction checks that memory pressure evicts the readers without progress for longest first, evicts none if that would
 // not free enough, and never evicts a reader that makes progress.
 func TestSlowReaderEviction(t *testing.T) {
 	for _, c := range []struct {
--- a/internal/admission/controller.go
+++ b/internal/admission/controller.go
@@ -231,7 +231,7 @@
 }
 
 // Hold acquires memory for bytes of an answer that the client of a pass reads from now on. Slow readers may be evicted for it; they
-// are returned and hold nothing any more, and the caller must end their streams. A rejection evicts nobody.
+// are returned and hold nothing any more, and the caller must end their streams. A rejection evicts no reader.
 func (d *Controller) Hold(now time.Time, p *Pass, bytes int64) (evicted []*Pass, rejection *Rejection) {
 	if evicted, rejection = d.Reserve(now, p, bytes); rejection == nil && !p.reading && !p.evicted {
 		p.reading, p.lastProgress = p.bytes > 0, now
@@ -269,7 +269,7 @@
 }
 
 // evictSlowReaders evicts as many slow readers as are needed for a pass to hold more bytes within the byte limit of all clients.
-// Evicted passes hold nothing any more. A rejection evicts nobody.
+// Evicted passes hold nothing any more. A rejection evicts no reader.
 func (d *Controller) evictSlowReaders(now time.Time, p *Pass, bytes int64) (evicted []*Pass, rejection *Rejection) {
 	all := p.scopes[All]
 	limit := all.limits.Bytes
--- a/internal/observations/clock.go
+++ b/internal/observations/clock.go
@@ -5,25 +5,25 @@
 	"time"
 )
 
-// Stamp is a timestamp of a hybrid logical clock. It orders the writes of all coordinators.
+// Stamp is a timestamp of a hybrid logical clock, which orders the writes of all coordinators.
 type Stamp struct {
-	Physical    int64  // milliseconds, of the wall clock or of a stamp that was received and is beyond it
-	Logical     uint32 // counts stamps of equal Physical
-	Coordinator string // breaks ties; empty in the zero value, which no write has
+	Physical    int64  // milliseconds of the wall clock, or of a received stamp that is ahead of it
+	Logical     uint32 // orders stamps of equal Physical
+	Coordinator string // breaks ties; empty only in the zero value, which marks an unwritten register
 }
 
-// Compare orders stamps.
+// Compare returns -1, 0 or 1 if s is before, equal to or after o.
 func (s Stamp) Compare(o Stamp) int {
 	return cmp.Or(cmp.Compare(s.Physical, o.Physical), cmp.Compare(s.Logical, o.Logical), cmp.Compare(s.Coordinator, o.Coordinator))
 }
 
-// clock is the hybrid logical clock of this coordinator.
+// clock is this coordinator's hybrid logical clock.
 type clock struct {
 	self string
 	last Stamp
 }
 
-// next is the stamp of a write at a time of the wall clock: beyond all that were made or received.
+// next returns the stamp of a write at a time of the wall clock. It is later than every stamp that was issued or received before.
 func (c *clock) next(wall time.Time) Stamp {
 	s := Stamp{wall.UnixMilli(), 0, c.self}
 	if s.Physical <= c.last.Physical {
@@ -33,7 +33,7 @@
 	return s
 }
 
-// receive takes the clock beyond a stamp of another coordinator.
+// receive advances the clock past the stamp of another coordinator.
 func (c *clock) receive(s Stamp) {
 	if s.Physical > c.last.Physical || s.Physical == c.last.Physical && s.Logical > c.last.Logical {
 		c.last = Stamp{s.Physical, s.Logical, c.self}
--- a/internal/observations/observations.go
+++ b/internal/observations/observations.go
@@ -1,29 +1,28 @@
-// Package observations merges what coordinators observe of data nodes: who failed and who answered, how long answers take, how
-// busy a data node says that it is, and since when it warms up. It does no I/O and reads no clock.
+// Package observations merges what coordinators observe of data nodes: failures and answers, latency, the utilization that a data node
+// reports, and since when it warms up. It does no I/O and reads no clock.
 //
-// A Table is one coordinator's replica of a map of last-writer-wins registers, one for each data node and field; a replica
-// sends its registers to others as facts. Merging is commutative, associative and idempotent, so replicas that have received
-// the same facts hold the same writes, whatever the order, until these expire (a state-based CRDT, Shapiro and others 2011).
-// Writes are ordered by hybrid logical clocks (Kulkarni and others 2014): a stamp follows the coordinator's wall clock,
-// never goes back, and is beyond every stamp that was received, so that a write made in the knowledge of another is later
-// than it.
+// A Table is one coordinator's replica of a map of last-writer-wins registers, one for each data node and field. Replicas send each
+// other their registers as facts. Merging is commutative, associative and idempotent, so replicas that have received the same facts
+// hold the same writes, whatever the order, until these expire (a state-based CRDT, Shapiro et al. 2011). Writes are ordered by hybrid
+// logical clocks (Kulkarni et al. 2014): a stamp follows the coordinator's wall clock, never goes back, and is later than every stamp
+// received before, so a write made in the knowledge of another is later than it.
 //
-// A fact has an age beside its stamp: how long ago something was observed. It is counted by each holder's own monotonic
-// clock, and goes with the fact, so that no two clocks are compared to tell whether something is fresh. The time on the way
-// is not counted: an age is too low by that, and of two starts that close to each other replicas may hold different ones.
+// Besides its stamp a fact has an age: the time since the observation. Each holder measures it with its own monotonic clock and sends
+// it with the fact, so no two clocks are compared to decide whether a fact is fresh. The time in transit is not counted: ages are too
+// low by that much, and of two starts that close to each other replicas may hold different ones.
 //
-// The rule of each field, where two writes differ:
+// Where two writes differ, the rule of each field is:
 //
 //	failed, answered   the later stamp
 //	latency, busy      the later stamp
-//	started            the lower age, which is the more cautious: it warms up for longer; of equal ages the later stamp
+//	started            the lower age, which is the more cautious, as it makes the warm-up last longer; of equal ages the later stamp
 //
-// A data node is suspect where its last failure is younger than SuspectFor and no answer clears it: one that the same
-// coordinator got later, or one whose stamp is later by more than MaxSkew. So of two coordinators that see different things
-// at one time the more cautious counts. What is older than MaxAge is forgotten.
+// A data node is suspect if its last failure is younger than SuspectFor and no answer clears it. An answer clears a failure of the
+// same coordinator if its stamp is later, and a failure of another coordinator if its stamp is later by more than MaxSkew. So where
+// coordinators observe different things at the same time, the failure counts. Facts older than MaxAge are removed.
 //
-// Work: merging a fact costs the lookup of its data node; Facts and Step look over all. Memory: MaxNodes data nodes with five
-// registers each; beyond them the one updated longest ago is dropped.
+// Cost: merging a fact takes one map lookup; Facts and Step visit all data nodes. Memory: at most MaxNodes data nodes with five
+// registers each; beyond that the least recently updated one is dropped.
 package observations
 
 import (
@@ -34,16 +33,16 @@
 	"time"
 )
 
-// Field is what a fact is about. The numbers are on the wire.
+// Field is the kind of observation that a fact holds. Its numbers are part of the wire format.
 type Field uint8
 
 // The fields.
 const (
-	Failed      Field = iota // a refused or reset connection, a silence
-	Answered                 // any answer
-	Latency                  // seconds that a part takes
-	Utilization              // share of its cores, by its own report
-	Started                  // it started, or came back, and warms up since
+	Failed      Field = iota // a refused or reset connection, or no answer
+	Answered                 // any answer of the data node
+	Latency                  // time that a part takes, in seconds
+	Utilization              // share of its cores in use, as it reports
+	Started                  // it started or came back, and has been warming up since
 	fieldCount
 )
 
@@ -56,7 +55,7 @@
 	return fieldNames[f]
 }
 
-// opposite is the field whose fact contradicts one of this field.
+// opposite returns the field whose facts contradict those of f, if there is one.
 func (f Field) opposite() (Field, bool) {
 	switch f {
 	case Failed:
@@ -72,11 +71,11 @@
 	Node  string
 	Field Field
 	Stamp Stamp
-	Age   time.Duration // when it was sent
-	Value float64       // of Latency, in seconds, and Utilization, from 0 to 1
+	Age   time.Duration // time since the observation, when the fact was sent
+	Value float64       // Latency in seconds, or Utilization from 0 to 1; unused by other fields
 }
 
-const maxNameBytes = 255 // of data nodes and coordinators
+const maxNameBytes = 255 // of a data node or coordinator
 
 func (f *Fact) valid() bool {
 	return validName(f.Node) && validName(f.Stamp.Coordinator) && f.Field < fieldCount && f.Age >= 0 &&
@@ -85,24 +84,24 @@
 
 func validName(name string) bool { return name != "" && len(name) <= maxNameBytes }
 
-// Why a fact was not taken.
+// Reasons for not merging a fact.
 var (
-	ErrMalformed = errors.New("not a fact: its node, field, age, value or coordinator is out of range")
-	ErrAhead     = errors.New("its stamp is ahead of this clock by more than clocks may differ")
-	ErrOld       = errors.New("too old to count")
-	ErrKnown     = errors.New("known, or a later one is")
+	ErrMalformed = errors.New("malformed fact: node, field, age, value or coordinator out of range")
+	ErrAhead     = errors.New("stamp of the fact is ahead of the local clock by more than MaxAhead")
+	ErrOld       = errors.New("fact has reached MaxAge")
+	ErrKnown     = errors.New("fact is known or superseded")
 )
 
-// Config holds the bounds. The zero value of each field but Self stands for its default.
+// Config configures a Table. The zero value of a field other than Self stands for its default, given in its comment.
 type Config struct {
-	Self        string        // this coordinator
-	MaxSkew     time.Duration // by which the coordinators' clocks differ at most; 500 ms
-	MaxAhead    time.Duration // a stamp further ahead of this clock is of one that has jumped, and rejected; 1 min
-	SuspectFor  time.Duration // for which a failure makes suspect; 5 s
-	MaxAge      time.Duration // for which a fact counts; 1 min
-	WarmupTime  time.Duration // of a data node; 10 s
-	MinInterval time.Duration // between two facts that this coordinator makes of one field; 500 ms
-	MaxNodes    int           // 10,000
+	Self        string        // name of this coordinator
+	MaxSkew     time.Duration // maximum difference between the coordinators' wall clocks; 500 ms
+	MaxAhead    time.Duration // a stamp further ahead of the local clock is rejected, as its coordinator's clock has jumped; 1 min
+	SuspectFor  time.Duration // how long a failure makes a data node suspect; 5 s
+	MaxAge      time.Duration // how long a fact counts; 1 min
+	WarmupTime  time.Duration // how long a data node warms up after its start; 10 s
+	MinInterval time.Duration // minimum time between two facts of this coordinator on one field of a data node; 500 ms
+	MaxNodes    int           // data nodes that a Table holds; 10,000
 }
 
 func (c Config) withDefaults() Config {
@@ -116,14 +115,14 @@
 	return c
 }
 
-// Check returns an error where a bound is out of range, after defaults.
+// Check returns an error if a field is out of range once defaults are applied.
 func (c Config) Check() error {
 	c = c.withDefaults()
-	clocks := c.MaxSkew >= 0 && c.MaxAhead > c.MaxSkew
-	ages := c.SuspectFor > 0 && c.MaxAge >= c.SuspectFor && c.MaxAge >= c.WarmupTime
-	if c.Self == "" || !clocks || !ages || c.MaxNodes < 1 {
-		return fmt.Errorf("observations: %+v: Self is named, MaxAhead is above MaxSkew, "+
-			"MaxAge is not under SuspectFor and WarmupTime, MaxNodes is 1 at least", c)
+	clocksValid := c.MaxSkew >= 0 && c.MaxAhead > c.MaxSkew
+	agesValid := c.SuspectFor > 0 && c.MaxAge >= c.SuspectFor && c.MaxAge >= c.WarmupTime
+	if c.Self == "" || !clocksValid || !agesValid || c.MaxNodes < 1 {
+		return fmt.Errorf("observations: invalid configuration %+v: Self must be set, MaxAhead must exceed MaxSkew, "+
+			"MaxAge must be at least SuspectFor and WarmupTime, and MaxNodes at least 1", c)
 	}
 	return nil
 }
--- a/internal/observations/observations_test.go
+++ b/internal/observations/observations_test.go
@@ -16,7 +16,7 @@
 
 var wall = time.UnixMilli(1_000_000)
 
-func table(t testing.TB, c Config) *Table {
+func newTable(t testing.TB, c Config) *Table {
 	t.Helper()
 	if c.Self == "" {
 		c.Self = "me"
@@ -28,11 +28,11 @@
 	return tab
 }
 
-func fact(f Field, by string, at int64, age time.Duration, value float64) Fact {
-	return Fact{Node: "n", Field: f, Stamp: Stamp{Physical: wall.UnixMilli() + at, Coordinator: by}, Age: age, Value: value}
+func newFact(f Field, coordinator string, offsetMS int64, age time.Duration, value float64) Fact {
+	return Fact{Node: "n", Field: f, Stamp: Stamp{Physical: wall.UnixMilli() + offsetMS, Coordinator: coordinator}, Age: age, Value: value}
 }
 
-// TestOf: the view of a data node, where facts differ and as time goes on.
+// TestOf checks the view of a data node for conflicting facts and as time passes, whatever the order in which the facts are merged.
 func TestOf(t *testing.T) {
 	none := View{Answered: -1, Latency: -1, Utilization: -1}
 	with := func(change func(*View)) View { v := none; change(&v); return v }
@@ -47,21 +47,21 @@
 		want  View
 	}{
 		{"nothing", nil, 0, none},
-		{"a failure", []Fact{fact(Failed, "a", 0, 0, 0)}, 0, suspect(0)},
-		{"a failure that came late", []Fact{fact(Failed, "a", 0, 6*s, 0)}, 0, none},
-		{"a failure, and time", []Fact{fact(Failed, "a", 0, 2*s, 0)}, 3 * s, none},
-		{"answered later to the same", []Fact{fact(Failed, "a", 0, s, 0), fact(Answered, "a", 1, s, 0)}, 0, answered(none)},
-		{"answered before", []Fact{fact(Answered, "a", -1, s, 0), fact(Failed, "a", 0, s, 0)}, 0, answered(suspect(s))},
-		{"answered to another within the skew: the more cautious counts", []Fact{fact(Answered, "b", 400, s, 0), fact(Failed, "a", 0, s, 0)}, 0, answered(suspect(s))},
-		{"answered to another, clearly later", []Fact{fact(Answered, "b", 600, s, 0), fact(Failed, "a", 0, s, 0)}, 0, answered(none)},
-		{"of two latencies the later", []Fact{fact(Latency, "a", 5, 0, 0.2), fact(Latency, "b", 3, 0, 0.7)}, 0, with(func(v *View) { v.Latency = 0.2 })},
-		{"too old to count", []Fact{fact(Utilization, "a", 0, 59*s, 0.5)}, 2 * s, none},
-		{"of two starts the younger, though its stamp is earlier", []Fact{fact(Started, "a", 9, 8*s, 0), fact(Started, "b", 1, 3*s, 0)}, s,
+		{"a failure", []Fact{newFact(Failed, "a", 0, 0, 0)}, 0, suspect(0)},
+		{"a failure received after SuspectFor", []Fact{newFact(Failed, "a", 0, 6*s, 0)}, 0, none},
+		{"a failure that reaches SuspectFor", []Fact{newFact(Failed, "a", 0, 2*s, 0)}, 3 * s, none},
+		{"answered the same coordinator later", []Fact{newFact(Failed, "a", 0, s, 0), newFact(Answered, "a", 1, s, 0)}, 0, answered(none)},
+		{"answered before the failure", []Fact{newFact(Answered, "a", -1, s, 0), newFact(Failed, "a", 0, s, 0)}, 0, answered(suspect(s))},
+		{"answered another coordinator within MaxSkew: the failure counts", []Fact{newFact(Answered, "b", 400, s, 0), newFact(Failed, "a", 0, s, 0)}, 0, answered(suspect(s))},
+		{"answered another coordinator later by more than MaxSkew", []Fact{newFact(Answered, "b", 600, s, 0), newFact(Failed, "a", 0, s, 0)}, 0, answered(none)},
+		{"the later of two latencies counts", []Fact{newFact(Latency, "a", 5, 0, 0.2), newFact(Latency, "b", 3, 0, 0.7)}, 0, with(func(v *View) { v.Latency = 0.2 })},
+		{"reached MaxAge", []Fact{newFact(Utilization, "a", 0, 59*s, 0.5)}, 2 * s, none},
+		{"the younger of two starts counts, though its stamp is earlier", []Fact{newFact(Started, "a", 9, 8*s, 0), newFact(Started, "b", 1, 3*s, 0)}, s,
 			with(func(v *View) { v.WarmingFor, v.WarmingSeenBy, v.Started = 6*s, "b", 4*s })},
-		{"warm", []Fact{fact(Started, "a", 0, 8*s, 0)}, 2 * s, none},
+		{"warm-up is over", []Fact{newFact(Started, "a", 0, 8*s, 0)}, 2 * s, none},
 	} {
 		for _, backwards := range []bool{false, true} {
-			tab := table(t, Config{})
+			tab := newTable(t, Config{})
 			for i := range c.facts {
 				if backwards {
 					i = len(c.facts) - 1 - i
@@ -77,42 +77,43 @@
 	}
 }
 
-// TestNotTaken: what is no fact, of a clock that has jumped, too old, or known.
-func TestNotTaken(t *testing.T) {
+// TestMergeErrors checks which facts are rejected: malformed ones, those of a clock that has jumped, too old and known ones.
+func TestMergeErrors(t *testing.T) {
 	for _, c := range []struct {
 		name string
 		f    Fact
 		want error
 	}{
-		{"taken", fact(Failed, "a", 0, 0, 0), nil},
-		{"twice", fact(Failed, "a", 0, 0, 0), ErrKnown},
-		{"an earlier one", fact(Failed, "a", -5, 0, 0), ErrKnown},
+		{"merged", newFact(Failed, "a", 0, 0, 0), nil},
+		{"the same fact again", newFact(Failed, "a", 0, 0, 0), ErrKnown},
+		{"an earlier fact", newFact(Failed, "a", -5, 0, 0), ErrKnown},
 		{"no data node", Fact{Field: Failed, Stamp: Stamp{1, 0, "a"}}, ErrMalformed},
 		{"no coordinator", Fact{Node: "n", Stamp: Stamp{1, 0, ""}}, ErrMalformed},
-		{"no field", Fact{Node: "n", Field: fieldCount, Stamp: Stamp{1, 0, "a"}}, ErrMalformed},
-		{"from the future", fact(Failed, "a", 0, -s, 0), ErrMalformed},
-		{"no number", fact(Latency, "a", 0, 0, math.NaN()), ErrMalformed},
-		{"without end", fact(Latency, "a", 0, 0, math.Inf(1)), ErrMalformed},
-		{"a clock that is a little ahead", fact(Utilization, "a", 59_000, 0, 0), nil},
-		{"a clock that has jumped", fact(Utilization, "a", 61_000, 0, 0), ErrAhead},
-		{"too old", fact(Utilization, "b", 59_500, time.Minute, 0), ErrOld},
+		{"unknown field", Fact{Node: "n", Field: fieldCount, Stamp: Stamp{1, 0, "a"}}, ErrMalformed},
+		{"negative age", newFact(Failed, "a", 0, -s, 0), ErrMalformed},
+		{"value is not a number", newFact(Latency, "a", 0, 0, math.NaN()), ErrMalformed},
+		{"infinite value", newFact(Latency, "a", 0, 0, math.Inf(1)), ErrMalformed},
+		{"a clock ahead by less than MaxAhead", newFact(Utilization, "a", 59_000, 0, 0), nil},
+		{"a clock ahead by more than MaxAhead", newFact(Utilization, "a", 61_000, 0, 0), ErrAhead},
+		{"as old as MaxAge", newFact(Utilization, "b", 59_500, time.Minute, 0), ErrOld},
 	} {
-		tab := table(t, Config{})
+		tab := newTable(t, Config{})
 		if errors.Is(c.want, ErrKnown) {
-			tab.Merge(0, wall, fact(Failed, "a", 0, 0, 0))
+			tab.Merge(0, wall, newFact(Failed, "a", 0, 0, 0))
 		}
 		if err := tab.Merge(0, wall, c.f); !errors.Is(err, c.want) {
 			t.Errorf("%s: %v, want %v", c.name, err, c.want)
 		}
 	}
 	if _, err := New(Config{Self: "me", MaxAge: s}); err == nil {
-		t.Error("MaxAge under SuspectFor was taken")
+		t.Error("MaxAge below SuspectFor was accepted")
 	}
 }
 
-// TestStamps: our own stamps only grow, whatever our clock does, and go beyond what was heard.
-func TestStamps(t *testing.T) {
-	tab := table(t, Config{MinInterval: time.Nanosecond})
+// TestStampsIncrease checks that a coordinator's own stamps always increase, even if its wall clock goes back, and are later than every
+// stamp that it has received.
+func TestStampsIncrease(t *testing.T) {
+	tab := newTable(t, Config{MinInterval: time.Nanosecond})
 	var last Stamp
 	for i, at := range []time.Duration{0, 0, -time.Hour, 5 * s, 4 * s} {
 		if err := tab.Observe(time.Duration(i), wall.Add(at), "n", Failed, 0); err != nil {
@@ -120,61 +121,61 @@
 		}
 		got := tab.nodes["n"].registers[Failed].stamp
 		if got.Compare(last) <= 0 {
-			t.Errorf("step %d: %+v is not after %+v", i, got, last)
+			t.Errorf("step %d: stamp %+v is not after %+v", i, got, last)
 		}
 		last = got
 	}
-	heard := fact(Failed, "other", 30_000, 0, 0)
-	tab.Merge(0, wall, heard)
+	received := newFact(Failed, "other", 30_000, 0, 0)
+	tab.Merge(0, wall, received)
 	tab.Observe(0, wall, "n", Answered, 0)
-	if got := tab.nodes["n"].registers[Answered].stamp; got.Compare(heard.Stamp) <= 0 {
-		t.Errorf("%+v is not after what was heard, %+v", got, heard.Stamp)
+	if got := tab.nodes["n"].registers[Answered].stamp; got.Compare(received.Stamp) <= 0 {
+		t.Errorf("stamp %+v is not after the received one, %+v", got, received.Stamp)
 	}
 }
 
-// TestCopiesConverge: whatever order, doubling and relaying facts come by, all copies come to the view of a naive model that has every
-// fact, and nothing is younger than it is.
-func TestCopiesConverge(t *testing.T) {
+// TestReplicasConverge checks that all replicas reach the state of a naive model that has every fact, whatever the order, duplication and
+// relaying of facts, and that no fact seems younger than it is.
+func TestReplicasConverge(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
-		chance := rand.New(rand.NewPCG(rapid.Uint64().Draw(r, "seed"), 1))
+		rng := rand.New(rand.NewPCG(rapid.Uint64().Draw(r, "seed"), 1))
 		n := rapid.IntRange(2, 5).Draw(r, "coordinators")
 		var tabs []*Table
 		for i := range n {
-			tabs = append(tabs, table(t, Config{Self: fmt.Sprint("c", i), MinInterval: time.Nanosecond}))
+			tabs = append(tabs, newTable(t, Config{Self: fmt.Sprint("c", i), MinInterval: time.Nanosecond}))
 		}
 		type observed struct {
 			Fact
-			seen time.Duration
+			observedAt time.Duration
 		}
 		var all []observed
 		now := time.Duration(0)
-		skew := func(i int) time.Time { return wall.Add(now + time.Duration(i)*50*time.Millisecond) } // clocks differ by 200 ms at most
-		tell := func(from, to int) {
+		wallClock := func(i int) time.Time { return wall.Add(now + time.Duration(i)*50*time.Millisecond) } // clocks differ by at most 200 ms
+		sendFacts := func(from, to int) {
 			for _, f := range tabs[from].Facts(now, 1000) {
-				if err := tabs[to].Merge(now, skew(to), f); err != nil && !errors.Is(err, ErrKnown) {
+				if err := tabs[to].Merge(now, wallClock(to), f); err != nil && !errors.Is(err, ErrKnown) {
 					r.Fatal(err)
 				}
 			}
 		}
 		for range rapid.IntRange(1, 60).Draw(r, "steps") {
-			now += time.Duration(chance.IntN(400)) * time.Millisecond
-			i := chance.IntN(n)
-			if chance.IntN(2) == 0 {
-				now++ // two sights at one moment are one
-				id, f := fmt.Sprint("n", chance.IntN(3)), Field(chance.IntN(int(fieldCount)))
-				if err := tabs[i].Observe(now, skew(i), id, f, float64(chance.IntN(9))); err != nil {
+			now += time.Duration(rng.IntN(400)) * time.Millisecond
+			i := rng.IntN(n)
+			if rng.IntN(2) == 0 {
+				now++ // two observations at the same time would be one
+				id, f := fmt.Sprint("n", rng.IntN(3)), Field(rng.IntN(int(fieldCount)))
+				if err := tabs[i].Observe(now, wallClock(i), id, f, float64(rng.IntN(9))); err != nil {
 					r.Fatal(err)
 				}
 				h := tabs[i].nodes[id].registers[f]
 				all = append(all, observed{Fact{id, f, h.stamp, 0, h.value}, now})
 			} else {
-				tell(i, chance.IntN(n))
+				sendFacts(i, rng.IntN(n))
 			}
 		}
-		for range n { // everybody to everybody, often enough
+		for range n { // n full exchanges spread every fact to every replica
 			for i := range n {
 				for j := range n {
-					tell(i, j)
+					sendFacts(i, j)
 				}
 			}
 		}
@@ -188,7 +189,7 @@
 				}
 				b := best[f.Field]
 				if b == nil || f.Field != Started && f.Stamp.Compare(b.Stamp) > 0 ||
-					f.Field == Started && (f.seen > b.seen || f.seen == b.seen && f.Stamp.Compare(b.Stamp) > 0) {
+					f.Field == Started && (f.observedAt > b.observedAt || f.observedAt == b.observedAt && f.Stamp.Compare(b.Stamp) > 0) {
 					best[f.Field] = f
 				}
 			}
@@ -200,9 +201,9 @@
 					}
 					switch b := best[f]; {
 					case b == nil && h.stamp.Coordinator != "":
-						r.Fatalf("c%d holds %s of %s, which nobody saw", i, f, id)
-					case b != nil && (h.stamp != b.Stamp || h.seen != b.seen || h.value != b.Value):
-						r.Fatalf("c%d holds %+v for %s of %s; %+v seen at %v is right", i, h, f, id, b.Fact, b.seen)
+						r.Fatalf("c%d holds %s of %s, which nobody observed", i, f, id)
+					case b != nil && (h.stamp != b.Stamp || h.observedAt != b.observedAt || h.value != b.Value):
+						r.Fatalf("c%d holds %+v for %s of %s, want %+v observed at %v", i, h, f, id, b.Fact, b.observedAt)
 					}
 				}
 				if d := cmp.Diff(tabs[0].Of(now, id), tab.Of(now, id)); d != "" {
@@ -212,15 +213,16 @@
 		}
 		for _, tab := range tabs {
 			if tab.Step(now + time.Minute); len(tab.nodes) != 0 {
-				r.Fatalf("%d data nodes are held a minute later", len(tab.nodes))
+				r.Fatalf("%d data nodes are held after MaxAge", len(tab.nodes))
 			}
 		}
 	})
 }
 
-// TestObservationsAreThinnedOut: what is seen again and again is one fact in MinInterval; a failure after an answer, or an answer after a failure, at once.
-func TestObservationsAreThinnedOut(t *testing.T) {
-	tab := table(t, Config{})
+// TestObserveRateLimit checks that repeated observations become one fact per MinInterval, except that a failure after an answer and an
+// answer after a failure become facts at once.
+func TestObserveRateLimit(t *testing.T) {
+	tab := newTable(t, Config{})
 	ms := time.Millisecond
 	for i, c := range []struct {
 		at   time.Duration
@@ -234,14 +236,15 @@
 		}
 		held := tab.nodes["n"].registers[c.f].stamp == tab.clock.last && tab.clock.last != before
 		if held != c.want {
-			t.Errorf("sight %d, %s after %v: a fact %v, want %v", i, c.f, c.at, held, c.want)
+			t.Errorf("observation %d, %s after %v: became a fact: %v, want %v", i, c.f, c.at, held, c.want)
 		}
 	}
 }
 
-// TestBounds: no more data nodes than may be, the one updated longest ago goes; what was sent least is sent first.
-func TestBounds(t *testing.T) {
-	tab := table(t, Config{MaxNodes: 3})
+// TestMaxNodesAndFactOrder checks that beyond MaxNodes the least recently updated data node is dropped, and that the least often sent facts
+// are sent first.
+func TestMaxNodesAndFactOrder(t *testing.T) {
+	tab := newTable(t, Config{MaxNodes: 3})
 	for i := range 5 {
 		tab.Observe(time.Duration(i)*s, wall, fmt.Sprint("n", i), Failed, 0)
 	}
@@ -259,11 +262,11 @@
 	}
 }
 
-// BenchmarkTake grows with nothing; BenchmarkFacts with the facts that are held.
-func BenchmarkTake(b *testing.B) {
+// BenchmarkMerge measures merging a fact, which does not depend on the number of data nodes.
+func BenchmarkMerge(b *testing.B) {
 	for _, n := range []int{100, 1000, 10_000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			tab := table(b, Config{})
+			tab := newTable(b, Config{})
 			for i := range b.N {
 				tab.Merge(0, wall, Fact{Node: fmt.Sprint("n", i%n), Field: Latency, Stamp: Stamp{wall.UnixMilli(), uint32(i), "a"}, Value: 1})
 			}
@@ -271,10 +274,11 @@
 	}
 }
 
+// BenchmarkFacts measures selecting the facts to send, which grows with the number of held facts.
 func BenchmarkFacts(b *testing.B) {
 	for _, n := range []int{100, 1000, 10_000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			tab := table(b, Config{})
+			tab := newTable(b, Config{})
 			for i := range n {
 				tab.Observe(0, wall, fmt.Sprint("n", i), Latency, 1)
 			}
@@ -285,25 +289,25 @@
 	}
 }
 
-// TestObserveStart: a start that the list states is one fact, with its age, and another one later.
+// TestObserveStart checks that a start reported repeatedly is one fact with its age, and that a later start is another.
 func TestObserveStart(t *testing.T) {
-	tab := table(t, Config{})
+	tab := newTable(t, Config{})
 	for _, c := range []struct {
-		now, ago time.Duration
-		cold     time.Duration
-		facts    int
-		err      error
+		now, ago   time.Duration
+		warmingFor time.Duration
+		facts      int
+		err        error
 	}{
 		{0, 2 * time.Minute, 0, 0, ErrOld},
 		{0, 3 * time.Second, 7 * time.Second, 1, nil},
-		{time.Second, 4 * time.Second, 6 * time.Second, 1, nil}, // the same
+		{time.Second, 4 * time.Second, 6 * time.Second, 1, nil}, // the same start
 		{5 * time.Second, 0, 10 * time.Second, 1, nil},
 	} {
 		if err := tab.ObserveStart(c.now, wall, "n", c.ago); !errors.Is(err, c.err) {
-			t.Errorf("at %v: %v", c.now, err)
+			t.Errorf("at %v: error %v", c.now, err)
 		}
-		if v := tab.Of(c.now, "n"); v.WarmingFor != c.cold || v.Started != c.ago && c.cold > 0 {
-			t.Errorf("at %v it is cold for %v since %v, want %v since %v", c.now, v.WarmingFor, v.Started, c.cold, c.ago)
+		if v := tab.Of(c.now, "n"); v.WarmingFor != c.warmingFor || v.Started != c.ago && c.warmingFor > 0 {
+			t.Errorf("at %v it warms up for %v since %v, want %v since %v", c.now, v.WarmingFor, v.Started, c.warmingFor, c.ago)
 		}
 		if n := len(tab.Facts(c.now, 9)); n != c.facts {
 			t.Errorf("at %v there are %d facts, want %d", c.now, n, c.facts)
--- a/internal/observations/table.go
+++ b/internal/observations/table.go
@@ -7,70 +7,71 @@
 	"time"
 )
 
-// register is the last write of one field of a data node; none where the stamp is zero.
+// register holds the last write of one field of a data node; a zero stamp means that there is none.
 type register struct {
-	stamp Stamp
-	seen  time.Duration // when it was observed, by this coordinator's monotonic clock
-	value float64
-	sent  int // how often it was sent since it was written
+	stamp      Stamp
+	observedAt time.Duration // time of the observation, on this coordinator's monotonic clock
+	value      float64
+	sendCount  int // how often it has been sent since it was written
 }
 
 func (r *register) written() bool { return r.stamp.Coordinator != "" }
 
-// younger tells whether a register is written and its age is below a bound.
-func (r *register) younger(than, now time.Duration) bool {
-	return r.written() && now-r.seen < than
+// youngerThan reports whether the register holds a write whose age is below a limit.
+func (r *register) youngerThan(limit, now time.Duration) bool {
+	return r.written() && now-r.observedAt < limit
 }
 
-// node is the registers of one data node.
+// node holds the registers of one data node.
 type node struct {
 	registers [fieldCount]register
-	updated   time.Duration // when a fact on it was last merged or observed
+	updated   time.Duration // when a fact about it was last received or written
 }
 
-// Table is one coordinator's replica. It is not safe for concurrent use. Times are of the coordinator's monotonic clock,
-// except where they are called wall.
+// Table is one coordinator's replica of the observations. It is not safe for concurrent use. Parameters named now are times of the
+// coordinator's monotonic clock, and those named wall are times of its wall clock.
 type Table struct {
 	cfg   Config
 	clock clock
 	nodes map[string]*node
 }
 
-// New returns an empty replica, or what Check says of the configuration.
+// New returns an empty replica, or the error of Config.Check.
 func New(cfg Config) (*Table, error) {
 	cfg = cfg.withDefaults()
 	return &Table{cfg: cfg, clock: clock{self: cfg.Self}, nodes: map[string]*node{}}, cfg.Check()
 }
 
-// Observe writes what this coordinator has observed itself just now. Of what it observes again and again only some becomes
-// a fact. The error is ErrMalformed.
+// Observe records an observation that this coordinator has just made. Repeated observations are rate limited: not every one becomes a
+// fact. The error is ErrMalformed.
 func (t *Table) Observe(now time.Duration, wall time.Time, id string, f Field, value float64) error {
-	if !t.becomesFact(now, id, f) {
+	if !t.shouldRecord(now, id, f) {
 		return nil
 	}
 	return t.write(now, wall, Fact{Node: id, Field: f, Value: value})
 }
 
-// becomesFact tells whether what was observed just now becomes a fact: each field once in MinInterval, and at once where a
-// failure follows an answer or an answer a failure.
-func (t *Table) becomesFact(now time.Duration, id string, f Field) bool {
+// shouldRecord reports whether an observation made now becomes a fact: if this coordinator's last fact on the field is MinInterval old
+// or another coordinator's has replaced it, and at once for a failure after an answer or an answer after a failure.
+func (t *Table) shouldRecord(now time.Duration, id string, f Field) bool {
 	n := t.nodes[id]
 	if n == nil || f >= fieldCount {
 		return true
 	}
 	r := &n.registers[f]
-	if r.stamp.Coordinator != t.cfg.Self || now-r.seen >= t.cfg.MinInterval {
+	if r.stamp.Coordinator != t.cfg.Self || now-r.observedAt >= t.cfg.MinInterval {
 		return true
 	}
 	o, exists := f.opposite()
 	return exists && n.registers[o].written() && n.registers[o].stamp.Compare(r.stamp) > 0
 }
 
-// ObserveStart writes that a data node started, or came back, some time ago. The error is ErrOld or ErrMalformed.
+// ObserveStart records that a data node started or came back some time ago. It ignores a start that is not later than the known one by
+// at least MaxSkew. The error is ErrOld or ErrMalformed.
 func (t *Table) ObserveStart(now time.Duration, wall time.Time, id string, ago time.Duration) error {
 	f := Fact{Node: id, Field: Started, Age: max(ago, 0)}
-	if n := t.nodes[id]; n != nil && n.registers[Started].written() && now-f.Age-n.registers[Started].seen < t.cfg.MaxSkew {
-		return nil // the same start, or an earlier one
+	if n := t.nodes[id]; n != nil && n.registers[Started].written() && now-f.Age-n.registers[Started].observedAt < t.cfg.MaxSkew {
+		return nil // the same start or an earlier one
 	}
 	if f.Age >= t.cfg.MaxAge {
 		return ErrOld
@@ -78,7 +79,7 @@
 	return t.write(now, wall, f)
 }
 
-// write stamps a fact of this coordinator's own and merges it.
+// write stamps one of this coordinator's own facts and merges it.
 func (t *Table) write(now time.Duration, wall time.Time, f Fact) error {
 	f.Stamp = t.clock.next(wall)
 	if !f.valid() {
@@ -88,8 +89,8 @@
 	return nil
 }
 
-// Merge merges a fact of another coordinator. The error is one of those of the package; ErrKnown is the usual one, as facts
-// come by several ways.
+// Merge merges a fact received from another coordinator. It returns ErrMalformed, ErrAhead, ErrOld or ErrKnown if the fact is not
+// merged. ErrKnown is common, since facts arrive over several paths.
 func (t *Table) Merge(now time.Duration, wall time.Time, f Fact) error {
 	switch {
 	case !f.valid():
@@ -106,7 +107,7 @@
 	return nil
 }
 
-// merge writes a fact where the rule of its field prefers it to what is held, and tells whether it did.
+// merge writes a fact if the rule of its field prefers it to the held one, and reports whether it did.
 func (t *Table) merge(now time.Duration, f Fact) bool {
 	n := t.nodes[f.Node]
 	if n == nil {
@@ -115,7 +116,7 @@
 		t.nodes[f.Node] = n
 	}
 	n.updated = now
-	r, w := &n.registers[f.Field], register{stamp: f.Stamp, seen: now - f.Age, value: f.Value}
+	r, w := &n.registers[f.Field], register{stamp: f.Stamp, observedAt: now - f.Age, value: f.Value}
 	if !w.supersedes(r, f.Field) {
 		return false
 	}
@@ -123,40 +124,40 @@
 	return true
 }
 
-// supersedes is the rule of a field: whether a write replaces what is held.
+// supersedes reports whether a write replaces the held one, by the rule of field f.
 func (r *register) supersedes(held *register, f Field) bool {
 	if !held.written() {
 		return true
 	}
-	later := r.stamp.Compare(held.stamp)
+	order := r.stamp.Compare(held.stamp)
 	if f != Started {
-		return later > 0
+		return order > 0
 	}
-	// The same write that comes by a slower way has a lower age than it should: it is the same.
-	return later != 0 && (r.seen > held.seen || r.seen == held.seen && later > 0)
+	// The same write received over a slower path seems younger than it is, so equal stamps never replace each other.
+	return order != 0 && (r.observedAt > held.observedAt || r.observedAt == held.observedAt && order > 0)
 }
 
-// evictOldest drops the data node updated longest ago, where there are MaxNodes.
+// evictOldest drops the least recently updated data node if there are MaxNodes.
 func (t *Table) evictOldest() {
 	if len(t.nodes) < t.cfg.MaxNodes {
 		return
 	}
-	oldest, at := "", time.Duration(math.MaxInt64)
+	oldest, updated := "", time.Duration(math.MaxInt64)
 	for id, n := range t.nodes {
-		if n.updated < at || n.updated == at && id < oldest {
-			oldest, at = id, n.updated
+		if n.updated < updated || n.updated == updated && id < oldest {
+			oldest, updated = id, n.updated
 		}
 	}
 	delete(t.nodes, oldest)
 }
 
-// Step forgets what is older than MaxAge.
+// Step removes facts that have reached MaxAge, and data nodes without facts.
 func (t *Table) Step(now time.Duration) {
 	for id, n := range t.nodes {
 		empty := true
 		for f := range n.registers {
 			r := &n.registers[f]
-			if r.written() && !r.younger(t.cfg.MaxAge, now) {
+			if r.written() && !r.youngerThan(t.cfg.MaxAge, now) {
 				*r = register{}
 			}
 			empty = empty && !r.written()
@@ -167,28 +168,28 @@
 	}
 }
 
-// Facts are those to be sent next, limit of them at most: what was sent least first, and of that the youngest. Each counts
-// as sent.
+// Facts returns at most limit facts to send next, the least often sent first and among those the youngest first. It counts each as
+// sent.
 func (t *Table) Facts(now time.Duration, limit int) []Fact {
 	type entry struct {
 		Fact
 		register *register
 	}
-	var list []entry
+	var entries []entry
 	for id, n := range t.nodes {
 		for f := range n.registers {
-			if r := &n.registers[f]; r.younger(t.cfg.MaxAge, now) {
-				list = append(list, entry{Fact{id, Field(f), r.stamp, max(now-r.seen, 0), r.value}, r})
+			if r := &n.registers[f]; r.youngerThan(t.cfg.MaxAge, now) {
+				entries = append(entries, entry{Fact{id, Field(f), r.stamp, max(now-r.observedAt, 0), r.value}, r})
 			}
 		}
 	}
-	slices.SortFunc(list, func(a, b entry) int {
-		return cmp.Or(cmp.Compare(a.register.sent, b.register.sent), cmp.Compare(a.Age, b.Age),
+	slices.SortFunc(entries, func(a, b entry) int {
+		return cmp.Or(cmp.Compare(a.register.sendCount, b.register.sendCount), cmp.Compare(a.Age, b.Age),
 			cmp.Compare(a.Node, b.Node), cmp.Compare(a.Field, b.Field))
 	})
 	var facts []Fact
-	for _, e := range list[:min(limit, len(list))] {
-		e.register.sent++
+	for _, e := range entries[:min(limit, len(entries))] {
+		e.register.sendCount++
 		facts = append(facts, e.Fact)
 	}
 	return facts
--- a/internal/session/flights.go
+++ b/internal/session/flights.go
@@ -12,8 +12,8 @@
 //	failed     Fail, or Complete without room  after TTL: removed
 //	cancelled  Cancel                          after TTL: removed
 //
-// The query of a flight is executed once, however often and by whomever its ranges are claimed, so all of them come from the same
-// final answer. A range may be fetched again as long as the flight is kept. Renew extends its time, up to MaxTTL after the end of the
+// The query of a flight is executed once, however often and by whomever its ranges are claimed, and all of them are ranges of the
+// same final answer. A range may be fetched again as long as the flight is kept. Renew extends its time, up to MaxTTL after the end of the
 // query, or after Open while it is planned.
 //
 // # Eviction
@@ -204,7 +204,7 @@
 	return x, nil
 }
 
-// Next is what the caller of Claim has to do.
+// Next is the next step for the caller of Claim.
 type Next uint8
 
 // The next steps.
@@ -372,15 +372,15 @@
 
 // Tick removes expired flights and returns their ids, sorted. A running flight whose deadline has passed stays until Complete, Fail or
 // Cancel.
-func (f *Flights) Tick(now time.Time) (dropped []string) {
+func (f *Flights) Tick(now time.Time) (expired []string) {
 	for _, x := range f.flights {
 		if x.readers == 0 && x.phase != Running && !now.Before(x.expires) {
-			dropped = append(dropped, x.id)
+			expired = append(expired, x.id)
 			f.remove(x)
 		}
 	}
-	slices.Sort(dropped)
-	return dropped
+	slices.Sort(expired)
+	return expired
 }
 
 // Len returns the number of flights that are kept and the bytes of their answers.
