--- a/internal/coordinator/attempt.go
+++ b/internal/coordinator/attempt.go
@@ -6,49 +6,49 @@
 	"gullfall/aggregator"
 )
 
-// Outcome is how an attempt or a probe ended.
+// Outcome is the result of an attempt or a probe.
 type Outcome int
 
 // The outcomes that a dispatcher reports.
 const (
 	OK             Outcome = iota + 1
-	Errored                // it may have run
-	Overloaded             // rejected by the data node, or turned back here, and never begun
-	NotConnected           // never written in full
-	Reset                  // the connection ended after it was written
-	Cancelled              // cancelled on command
-	NotSent                // never sent, and no fault of the data node: nothing was left to send it with
-	ConnectionLost         // its connection was lost or can't be used any more, but the data node is there
-	ConnectTimeout         // never written in full: its connection did not come up in time
+	Errored                // the data node returned an error; the part may have run
+	Overloaded             // rejected by the data node or held back by this process; the part never started
+	NotConnected           // no connection: the request was never written in full
+	Reset                  // the connection ended after the request was written
+	Cancelled              // cancelled by a Cancel command
+	NotSent                // never sent for a local reason, such as no free file descriptor; not the data node's fault
+	ConnectionLost         // the connection was lost or is no longer usable, but the data node is alive
+	ConnectTimeout         // the connection was not established in time: the request was never written in full
 )
 
-// Result is what a dispatcher reports of an attempt or a probe.
+// Result is a dispatcher's report about an attempt or a probe.
 type Result struct {
 	Outcome    Outcome
-	Docs       [][]byte           // of an attempt that is OK
-	LoadReport map[string]float64 // by name; nil where the data node sent none
+	Docs       [][]byte           // the part's value, if an attempt ended OK
+	LoadReport map[string]float64 // load metrics by name; nil if the data node sent none
 }
 
-// Attempt is one sending of a part to a data node.
+// Attempt is one request for a part to a data node.
 type Attempt struct {
-	ID             string // of the part
+	ID             string // ID of the part
 	Shard          int
 	Text           string
-	IdempotencyKey string    // of the query; empty where its class is not keyed
-	Deadline       time.Time // an answer after it is of no use
-	sendBefore     time.Time // it may not be sent later; zero for no such bound
+	IdempotencyKey string    // the query's key; empty if its class is not keyed
+	Deadline       time.Time // an answer after it is useless: the attempt is cancelled then
+	sendBefore     time.Time // latest time at which it may be sent; zero for no limit
 
-	number       int // counts the attempts of its part from 0
+	number       int // index among the attempts of its part, from 0
 	part         *part
 	node         *Node
-	listVersion  uint64 // of the endpoints that the module decided by
+	listVersion  uint64 // version of the endpoint list that the module's decision is based on
 	sentAt       time.Time
-	cancelReason aggregator.Outcome // Unknown while it is not to be cancelled
+	cancelReason aggregator.Outcome // Unknown until it is cancelled
 	ended        bool
 	outcome      Outcome
 }
 
-// newAttempt makes the next attempt of a part, with the bounds that the action of the module sets.
+// newAttempt returns the next attempt of a part, with the time limits that the module's action sets.
 func (c *Coordinator) newAttempt(now time.Time, p *part, n *Node, action aggregator.Action) *Attempt {
 	q := p.query
 	a := &Attempt{ID: p.id, Shard: p.shard, Text: q.Text, IdempotencyKey: q.IdempotencyKey, Deadline: now.Add(action.After),
@@ -62,13 +62,13 @@
 	return a
 }
 
-// Sendable decides, at the moment in which an attempt's frame is written, whether it may still go out; much may have happened while it
-// waited for a connection. One that may not is to be reported with the outcome returned.
+// Sendable reports whether an attempt may still be sent. The dispatcher calls it right before it writes the request, since conditions
+// may have changed while the attempt waited for a connection. If ok is false, the attempt must be reported with the returned outcome:
 //
-//	its query has ended, or its client has left        NotSent
-//	the data node is excluded                          Overloaded
-//	it restarted, and the module did not know          NotSent: a data node that is warming up must not get a full share
-//	its holders may have forgotten its key             Overloaded
+//	the query has ended, or its client has left         NotSent
+//	the data node is excluded                           Overloaded
+//	the data node restarted after the module's decision NotSent: a data node that is warming up must not get a full share
+//	data nodes may no longer remember the query's key   Overloaded
 func (a *Attempt) Sendable(now time.Time) (outcome Outcome, ok bool) {
 	switch {
 	case a.part.query.closed.Load():
@@ -83,19 +83,19 @@
 	return 0, true
 }
 
-// moduleOutcomes maps the outcomes to the module's.
+// moduleOutcomes maps outcomes to those of the module.
 var moduleOutcomes = map[Outcome]aggregator.Outcome{
 	OK: aggregator.OK, Errored: aggregator.Errored, Overloaded: aggregator.Rejected,
 	NotConnected: aggregator.ConnectFailed, Reset: aggregator.Reset, Cancelled: aggregator.TimedOut,
 	NotSent: aggregator.NotSent, ConnectionLost: aggregator.ConnectionLost, ConnectTimeout: aggregator.ConnectTimeout,
 }
 
-// settleDelay is how long the message that ends an attempt may be on its way to the data node, or lie unread there.
+// settleDelay is the time allowed for the message that ends an attempt to reach the data node and be read there.
 const settleDelay = 5 * time.Millisecond
 
-// Report takes in how an attempt ended; only the first report of an attempt counts. Where the data node learns of the end from us, by a
-// cancellation or by a connection that we closed, the loop takes the report in later: a retry on another connection must not overtake
-// that message, or the part would run twice at once.
+// Report records the result of an attempt; only the first report of an attempt counts. If the data node learns of the end from this
+// process, through a cancellation or a closed connection, the loop processes the report after a delay: a retry on another connection
+// must not overtake that message, or the part would run twice at the same time.
 func (c *Coordinator) Report(a *Attempt, r Result) {
 	var due time.Time
 	if r.Outcome == Cancelled || r.Outcome == Reset || r.Outcome == ConnectionLost {
@@ -105,7 +105,7 @@
 		Attempt: a.number, Replica: a.node.id, Outcome: moduleOutcomes[r.Outcome], LoadReport: r.LoadReport}})
 }
 
-// ReportProbe takes in how a probe ended.
+// ReportProbe records the result of a probe.
 func (c *Coordinator) ReportProbe(n *Node, r Result) {
 	c.observeOutcome(n, nil, r.Outcome, r.LoadReport, time.Now())
 	c.log.Debug("probe ended", "node", n.id, "end", r.Outcome.String())
@@ -113,7 +113,7 @@
 		LoadReport: r.LoadReport}})
 }
 
-// observeOutcome passes the end of an attempt, or of a probe where a is nil, to all that judge data nodes.
+// observeOutcome passes the outcome of an attempt, or of a probe if a is nil, to everything that tracks the health of data nodes.
 func (c *Coordinator) observeOutcome(n *Node, a *Attempt, outcome Outcome, load map[string]float64, now time.Time) {
 	c.observeForMembership(n, outcome)
 	c.observeForZones(n, a, outcome, now)
--- a/internal/coordinator/coordinator.go
+++ b/internal/coordinator/coordinator.go
@@ -1,7 +1,7 @@
-// Package coordinator puts the decision module behind a blocking facade. A front calls Execute and waits for the answer of its
-// query; a dispatcher takes the commands for one data node (Pick) and reports how each attempt ended (Report). One event loop (Run)
-// feeds what has happened to the module and carries out the actions that it returns. The package knows no wire and takes no decision
-// of its own on replicas, retries or load; callers never see the module's events and actions.
+// Package coordinator wraps the decision module (package aggregator) in a blocking API. A protocol server calls Execute and waits for
+// the answer to its query; a dispatcher receives the commands for one data node (Pick) and reports the outcome of each attempt (Report).
+// One event loop (Run) passes events to the module and executes the actions that it returns. The package is independent of the wire
+// protocols and makes no decisions about replicas, retries or load; callers never see the module's events and actions.
 package coordinator
 
 import (
@@ -14,40 +14,41 @@
 	"gullfall/internal/membership"
 )
 
-// input is something that has happened since the last step of the module, with its event.
+// input is an event that waits to be passed to the module, with the data that the event loop needs to process it.
 type input struct {
 	event   aggregator.Event
-	attempt *Attempt  // AttemptEnded: which
-	outcome Outcome   // AttemptEnded: how
+	attempt *Attempt  // AttemptEnded: the attempt
+	outcome Outcome   // AttemptEnded: its outcome
 	docs    [][]byte  // AttemptEnded: the part's value
-	query   *query    // QueryArrived, PartArrived, ClientGone: which
-	due     time.Time // the loop takes it in no sooner; zero for at once
+	query   *query    // QueryArrived, PartArrived, ClientGone: the query
+	due     time.Time // earliest time at which the loop processes it; zero for immediately
 }
 
-// Coordinator is the facade. Its methods may be called from any goroutine; Run, and Tick in its place, from one only.
+// Coordinator executes queries on the listed data nodes. Its methods are safe for concurrent use, except that only one goroutine may
+// call Run, or Tick instead of it.
 type Coordinator struct {
 	settings aggregator.Settings
-	seed     uint64 // of the module's random choices
+	seed     uint64 // for the module's random choices
 	log      *slog.Logger
 	start    time.Time
 	classes  map[string]int // index in settings.Classes, by name
 	tenants  map[string]int // index in settings.Tenants, by name
-	notify   chan struct{}  // holds one token while the loop has something to look at
+	notify   chan struct{}  // capacity 1: holds a token while the loop has work
 	observer atomic.Pointer[func(Observation)]
 
-	// mu guards what follows up to loop, and the fields of each Node that are not atomic. It is never held over the module's Step.
+	// mu guards the following fields up to loop, and the non-atomic fields of each Node. It is not held while the module's Step runs.
 	mu          sync.Mutex
 	inbox       []input
-	open        int // queries and parts in progress, those in the inbox included
+	open        int // queries and parts in progress, including those in the inbox
 	endpoints   endpoints
-	zones       *zoneState        // set before Run; nil where zones are not watched
-	maintenance *maintenanceState // set before Run; nil where machines are not taken out for maintenance
+	zones       *zoneState        // set before Run; nil if zones are not watched
+	maintenance *maintenanceState // set before Run; nil if maintenance is not enabled
 
-	loop eventLoop // used by the loop's goroutine only
+	loop eventLoop // only used by the goroutine of the event loop
 }
 
-// New returns a coordinator for the settings. The seed determines the module's random choices. damping says who counts as present;
-// its shard sets, shards and reach are taken from the settings.
+// New returns a coordinator for the settings. The seed determines the module's random choices. membershipConfig configures the
+// membership table; its ShardSets, Shards and Reach are overwritten from the settings.
 func New(set aggregator.Settings, seed uint64, log *slog.Logger, damping membership.Config) (*Coordinator, error) {
 	module, err := aggregator.New(set, seed)
 	if err != nil {
@@ -78,11 +79,11 @@
 	return c, nil
 }
 
-// moduleClock turns a time into the module's clock. That begins at one hour, so that a data node that started before this
-// process still has a start above 0.
+// moduleClock converts a time to the module's clock. That clock starts at one hour, so that a data node that started up to an hour
+// before this process still has a positive start time.
 func (c *Coordinator) moduleClock(t time.Time) time.Duration { return t.Sub(c.start) + time.Hour }
 
-// enqueue adds inputs, all for the same step of the module.
+// enqueue adds inputs to the inbox; all of them reach the module in the same step.
 func (c *Coordinator) enqueue(inputs ...input) {
 	c.mu.Lock()
 	c.inbox = append(c.inbox, inputs...)
@@ -90,7 +91,7 @@
 	c.wakeUp()
 }
 
-// wakeUp lets the loop look at its inbox. It never blocks.
+// wakeUp makes the event loop run its next tick. It never blocks.
 func (c *Coordinator) wakeUp() {
 	select {
 	case c.notify <- struct{}{}:
--- a/internal/coordinator/coordinator_test.go
+++ b/internal/coordinator/coordinator_test.go
@@ -18,7 +18,7 @@
 	"gullfall/internal/membership"
 )
 
-// testbed is a coordinator with one data node whose dispatcher does as the test says, in virtual time.
+// testbed is a coordinator in virtual time whose dispatcher calls a function of the test for each command. It starts with one data node.
 type testbed struct {
 	*Coordinator
 	list     *Source
@@ -29,7 +29,7 @@
 
 var tick = 5 * time.Millisecond
 
-func newTestbed(t *testing.T, maxOpen int, act func(s *testbed, o *Command), first ...func(*Coordinator)) *testbed {
+func newTestbed(t *testing.T, maxOpen int, act func(s *testbed, cmd *Command), first ...func(*Coordinator)) *testbed {
 	t.Helper()
 	set := aggregator.Settings{Aggregators: 1, Tick: tick, ShardSets: 1, Shards: 4, Reach: 1,
 		Classes: []aggregator.Class{{Name: "report", LatencyObjective: time.Second, Deadline: 3 * time.Second, Priority: 1, CompleteShare: 1, MinShare: 1}},
@@ -46,22 +46,22 @@
 	}
 	s := &testbed{Coordinator: c}
 	c.RegisterDispatcher("", func(n *Node) {
-		for o := n.Pick(context.Background()); o != nil; o = n.Pick(context.Background()) {
+		for cmd := n.Pick(context.Background()); cmd != nil; cmd = n.Pick(context.Background()) {
 			s.mu.Lock()
 			switch {
-			case o.Call != nil:
+			case cmd.Call != nil:
 				line := "call"
-				for _, a := range o.Call {
+				for _, a := range cmd.Call {
 					line += " " + a.ID
 				}
 				s.commands = append(s.commands, line)
-			case o.Cancel != nil:
-				s.commands = append(s.commands, "cancel "+o.Cancel.ID)
-			case o.RejectQueued:
+			case cmd.Cancel != nil:
+				s.commands = append(s.commands, "cancel "+cmd.Cancel.ID)
+			case cmd.RejectQueued:
 				s.commands = append(s.commands, "reject queued")
 			}
 			s.mu.Unlock()
-			act(s, o)
+			act(s, cmd)
 		}
 	})
 	ctx, stop := context.WithCancel(t.Context())
@@ -88,18 +88,18 @@
 	return fmt.Sprint(a.Status, a.Complete, len(a.Values), a.RetryAfter > 0)
 }
 
-// serve answers every call and every drop.
-func serve(s *testbed, o *Command) {
-	for _, a := range o.Call {
+// serve answers all attempts of a call, and confirms cancellations.
+func serve(s *testbed, cmd *Command) {
+	for _, a := range cmd.Call {
 		s.Report(a, Result{Outcome: OK, Docs: [][]byte{[]byte("v")}})
 		s.Report(a, Result{Outcome: Reset}) // only the first report of an attempt counts
 	}
-	if o.Cancel != nil {
-		s.Report(o.Cancel, Result{Outcome: Cancelled})
+	if cmd.Cancel != nil {
+		s.Report(cmd.Cancel, Result{Outcome: Cancelled})
 	}
 }
 
-// TestPartsShareCalls: a query's parts go out in one step, in calls of at most MaxBatch.
+// TestPartsShareCalls checks that the parts of a query are sent in one step, in calls of at most MaxBatch parts.
 func TestPartsShareCalls(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newTestbed(t, 0, serve)
@@ -114,13 +114,13 @@
 	})
 }
 
-// TestTimeoutIsCancelledAtDataNode: an attempt whose time is over is cancelled at the data node before its query ends, and a
-// client that leaves has its part cancelled.
+// TestTimeoutIsCancelledAtDataNode checks that an attempt that times out is cancelled at the data node before its query ends, and that the
+// attempts of a query are cancelled when its client leaves.
 func TestTimeoutIsCancelledAtDataNode(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := newTestbed(t, 0, func(s *testbed, o *Command) {
-			if o.Cancel != nil {
-				serve(s, o)
+		s := newTestbed(t, 0, func(s *testbed, cmd *Command) {
+			if cmd.Cancel != nil {
+				serve(s, cmd)
 			}
 		})
 		if got := s.execute(t.Context(), "q", 0); got != "rejected false 0 true" {
@@ -143,7 +143,7 @@
 	})
 }
 
-// TestMaxOpen: with as much open as the settings allow, a query is rejected at once, with a time to come back.
+// TestMaxOpen checks that a query that arrives when MaxOpen is reached is rejected immediately, with a RetryAfter.
 func TestMaxOpen(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newTestbed(t, 6, serve)
@@ -152,54 +152,54 @@
 		s.Coordinator.mu.Unlock()
 		start := time.Now()
 		if got := s.execute(t.Context(), "q", 0); got != "rejected false 0 true" || time.Since(start) > 0 {
-			t.Errorf("full: got %s after %v", got, time.Since(start))
+			t.Errorf("at MaxOpen: got %s after %v", got, time.Since(start))
 		}
 		s.Coordinator.mu.Lock()
 		s.open -= 6
 		s.Coordinator.mu.Unlock()
 		if got := s.execute(t.Context(), "q", 0); got != "answered true 1 false" {
-			t.Errorf("with capacity again: got %s", got)
+			t.Errorf("below MaxOpen: got %s", got)
 		}
 		s.end()
 	})
 }
 
-// TestSameIDTwice: a second query under an id that is open fails and leaves the first alone; parts are known by
-// their query's id, so both could not be told apart.
+// TestDuplicateOpenIDFails checks that a query with the ID of an open query fails and does not affect the open one. Part IDs contain the
+// query's ID, so the parts of the two would be indistinguishable.
 func TestSameIDTwice(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := newTestbed(t, 0, func(s *testbed, o *Command) {
+		s := newTestbed(t, 0, func(s *testbed, cmd *Command) {
 			time.Sleep(100 * time.Millisecond)
-			serve(s, o)
+			serve(s, cmd)
 		})
 		first := make(chan string)
 		go func() { first <- s.execute(t.Context(), "q", 0) }()
 		synctest.Wait()
 		if got := s.execute(t.Context(), "q", 0); got != "failed false 0 false" {
-			t.Errorf("second: %s", got)
+			t.Errorf("duplicate: %s", got)
 		}
 		if got := <-first; got != "answered true 1 false" {
 			t.Errorf("first: %s", got)
 		}
-		// Nor does one come between a part that is being given up and its end.
+		// The ID is also rejected while an attempt of the query is being cancelled.
 		ctx, leave := context.WithCancel(t.Context())
 		go func() { s.execute(ctx, "q", 0) }()
 		time.Sleep(50 * time.Millisecond)
 		leave()
 		time.Sleep(20 * time.Millisecond)
 		if got := s.execute(t.Context(), "q", 0); got != "failed false 0 false" {
-			t.Errorf("while a part is out: %s", got)
+			t.Errorf("duplicate while an attempt is being cancelled: %s", got)
 		}
 		time.Sleep(time.Second)
 		if got := s.execute(t.Context(), "q", 0); got != "answered true 1 false" {
-			t.Errorf("afterwards: %s", got)
+			t.Errorf("same ID after the cancellation: %s", got)
 		}
 		s.end()
 	})
 }
 
-// TestPanickingModule: a module that panics costs the queries it held, each still with its one answer, and the
-// program goes on with a new one.
+// TestModulePanicFailsOpenQueries checks that a panic of the module fails the open queries, each with exactly one answer, and that queries
+// are served by a new module afterwards.
 func TestPanickingModule(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newTestbed(t, 0, serve)
@@ -207,17 +207,17 @@
 		synctest.Wait()
 		s.loop.module = nil // its next Step panics
 		if got := s.execute(t.Context(), "q", 0); got != "failed false 0 false" {
-			t.Errorf("held as it panicked: %s", got)
+			t.Errorf("query open during the panic: %s", got)
 		}
 		time.Sleep(time.Second)
 		if got := s.execute(t.Context(), "r", 0); got != "answered true 1 false" {
-			t.Errorf("after it: %s", got)
+			t.Errorf("query after the panic: %s", got)
 		}
 		s.end()
 	})
 }
 
-// TestInvalidQueries: what can't be executed never reaches the module.
+// TestInvalidQueries checks that invalid queries fail with ErrInput and never reach the module.
 func TestInvalidQueries(t *testing.T) {
 	c, err := New(aggregator.Settings{ShardSets: 1, Shards: 2, Reach: 1, Tenants: []aggregator.Tenant{{Name: "club"}},
 		Classes: []aggregator.Class{{Name: "report", LatencyObjective: 1, Deadline: 1}}}, 1, slog.New(slog.DiscardHandler), membership.Config{})
@@ -225,20 +225,20 @@
 		t.Fatal(err)
 	}
 	for name, spoil := range map[string]func(*Query){
-		"class":    func(q *Query) { q.Class = "other" },
-		"owner":    func(q *Query) { q.Tenant = "other" },
-		"no id":    func(q *Query) { q.ID = "" },
-		"id":       func(q *Query) { q.ID = "a b" },
-		"no parts": func(q *Query) { q.Parts = nil },
-		"shard":    func(q *Query) { q.Parts[0].Shard = 2 },
-		"negative": func(q *Query) { q.Parts[0].Shard = -1 },
-		"twice":    func(q *Query) { q.Parts = append(q.Parts, q.Parts[0]) },
-		"weight":   func(q *Query) { q.Parts[0].Weight = -1 },
-		"too much": func(q *Query) { q.Parts[0].Weight = 1.5 },
-		"no sum":   func(q *Query) { q.Parts = []Part{{Shard: 0, Weight: 0.5}, {Shard: 1, Weight: 0.49}} },
-		"below 0":  func(q *Query) { q.Parts = []Part{{Shard: 0, Weight: 1.5}, {Shard: 1, Weight: -0.5}} },
-		"not a no": func(q *Query) { q.Parts[0].Weight = math.NaN() },
-		"deadline": func(q *Query) { q.Deadline = time.Now().Add(-time.Second) },
+		"unknown class":                func(q *Query) { q.Class = "other" },
+		"unknown tenant":               func(q *Query) { q.Tenant = "other" },
+		"empty ID":                     func(q *Query) { q.ID = "" },
+		"ID with a space":              func(q *Query) { q.ID = "a b" },
+		"no parts":                     func(q *Query) { q.Parts = nil },
+		"unknown shard":                func(q *Query) { q.Parts[0].Shard = 2 },
+		"negative shard":               func(q *Query) { q.Parts[0].Shard = -1 },
+		"repeated shard":               func(q *Query) { q.Parts = append(q.Parts, q.Parts[0]) },
+		"negative weight":              func(q *Query) { q.Parts[0].Weight = -1 },
+		"weight above 1":               func(q *Query) { q.Parts[0].Weight = 1.5 },
+		"sum of weights below 1":       func(q *Query) { q.Parts = []Part{{Shard: 0, Weight: 0.5}, {Shard: 1, Weight: 0.49}} },
+		"sum of 1 with a negative one": func(q *Query) { q.Parts = []Part{{Shard: 0, Weight: 1.5}, {Shard: 1, Weight: -0.5}} },
+		"weight is NaN":                func(q *Query) { q.Parts[0].Weight = math.NaN() },
+		"deadline has passed":          func(q *Query) { q.Deadline = time.Now().Add(-time.Second) },
 	} {
 		q := Query{ID: "q", Class: "report", Tenant: "club", Deadline: time.Now().Add(time.Second), Parts: []Part{{Shard: 1, Weight: 1}}}
 		spoil(&q)
@@ -251,12 +251,12 @@
 	}
 }
 
-// TestClassLimitBindsDeadlines: a deadline past the class's limit does not hold a query for longer.
+// TestDeadlineIsCappedByClassLimit checks that a query ends within the limit of its class even if its own deadline is later.
 func TestClassLimitBindsDeadlines(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := newTestbed(t, 0, func(s *testbed, o *Command) {
-			if o.Cancel != nil {
-				serve(s, o)
+		s := newTestbed(t, 0, func(s *testbed, cmd *Command) {
+			if cmd.Cancel != nil {
+				serve(s, cmd)
 			}
 		})
 		start := time.Now()
@@ -269,41 +269,41 @@
 	})
 }
 
-// TestRetryWaitsForCancellation: after a cancellation or a reset the next attempt of a part goes out no sooner than 5 ms
-// later, however short the tick, so that it can't overtake what tells the data node, or its machine, of the end of
-// the one before.
+// TestRetryWaitsForCancellation checks that after a cancellation or a reset the next attempt of a part is sent no sooner than 5 ms later,
+// however short the tick, so that it can't overtake the message that tells the data node, or its operating system, about the end of the
+// previous attempt.
 func TestRetryWaitsForCancellation(t *testing.T) {
 	for _, end := range []Outcome{Cancelled, Reset, ConnectionLost, Errored} {
 		synctest.Test(t, func(t *testing.T) {
 			var ended, again time.Time
 			tick = time.Millisecond
 			defer func() { tick = 5 * time.Millisecond }()
-			s := newTestbed(t, 0, func(s *testbed, o *Command) {
+			s := newTestbed(t, 0, func(s *testbed, cmd *Command) {
 				switch {
-				case o.Call != nil && ended.IsZero():
-					time.Sleep(100 * time.Millisecond) // long after the last tick
+				case cmd.Call != nil && ended.IsZero():
+					time.Sleep(100 * time.Millisecond) // well after the last tick
 					ended = time.Now()
-					s.Report(o.Call[0], Result{Outcome: end})
-				case o.Call != nil && again.IsZero():
+					s.Report(cmd.Call[0], Result{Outcome: end})
+				case cmd.Call != nil && again.IsZero():
 					again = time.Now()
-					serve(s, o)
+					serve(s, cmd)
 				default:
-					serve(s, o)
+					serve(s, cmd)
 				}
 			})
 			if got := s.execute(t.Context(), "q", 0); got != "answered true 1 false" {
 				t.Errorf("got %s", got)
 			}
 			if wait := again.Sub(ended); end != Errored && wait < 5*time.Millisecond {
-				t.Errorf("outcome %d: the next attempt went out after %v", end, wait)
+				t.Errorf("outcome %d: the next attempt was sent after %v", end, wait)
 			}
 			s.end()
 		})
 	}
 }
 
-// TestNodesAreForgotten: data nodes come under new names for as long as the program runs. What is kept of one ends
-// with it, its dispatcher included (or the test would not end).
+// TestRemovedNodesAreReleased checks that everything kept for a data node is released once it has left the list, since data nodes with new
+// names appear for as long as the program runs. This includes its dispatcher; otherwise the test would not end.
 func TestNodesAreForgotten(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newTestbed(t, 0, serve)
@@ -315,7 +315,7 @@
 		}
 		synctest.Wait()
 		if len(s.endpoints.nodes) != 2 || len(s.list.Claims()) != 2 {
-			t.Errorf("%d data nodes are known, %d of the source", len(s.endpoints.nodes), len(s.list.Claims()))
+			t.Errorf("%d data nodes are listed, %d by the source; want 2 and 2", len(s.endpoints.nodes), len(s.list.Claims()))
 		}
 		if len(s.loop.queries.open)+len(s.loop.queries.parts)+len(s.loop.queries.attempts)+len(s.loop.delayed)+s.Open() > 0 {
 			t.Errorf("still held: %d queries, %d parts, %d attempts", len(s.loop.queries.open), len(s.loop.queries.parts), len(s.loop.queries.attempts))
--- a/internal/coordinator/deployments_test.go
+++ b/internal/coordinator/deployments_test.go
@@ -1,6 +1,6 @@
 package coordinator_test
 
-// The same checks over the settings of deployments that differ in kind, in the form that the platform hands them over.
+// Checks that must hold in deployments with different settings, which are given in the platform's format.
 
 import (
 	"context"
@@ -16,23 +16,23 @@
 	"gullfall/internal/membership"
 )
 
-// deployments are made up here; each differs from the others in what the settings can say.
+// deployments are invented for this test; they differ in all major settings.
 var deployments = []struct {
 	name, settings string
 	cells, reach   int
-	perCell        int // data nodes of a cell
+	perCell        int // data nodes per shard set
 	shards         int
 	owner          string
 	grace          time.Duration
 }{
-	{"sets, pushed, shared calls, tenants", `{"Az":"a","Balancers":3,"TickS":0.005,"Discovery":"automatic",
+	{"three shard sets, automatic discovery, shared calls, tenants", `{"Az":"a","Balancers":3,"TickS":0.005,"Discovery":"automatic",
 		"Classes":[{"Name":"board","Effect":"safe","AimS":1,"HardLimitS":3,"Gain":3,"LateWorth":0.1},
 			{"Name":"entry","Effect":"keyed","MemorySpanS":2,"AimS":1,"HardLimitS":3,"Gain":1}],
 		"Parties":[{"Name":"club","QuotaPerS":100}],"OverShareWorth":0.05,
 		"FamilyInfo":{"Sets":3,"Slabs":12,"Width":1,"BundleMax":8,"CallCostS":0.05,"FloorByClass":[0.5,1],"PartialEarns":[0.9,0]},
 		"Limits":{"Cancel":true,"SendCap":3,"ConnectTimeoutS":0.25,"ConnIdleS":30,"RetryAfter":true,"MaxRetryAfterS":2},
 		"Rules":{"DrainGraceS":2,"FallMultiple":2,"TipAfterS":1.5,"StartCapacity":0.3,"WarmAfterS":17}}`, 3, 1, 3, 12, "club", 2 * time.Second},
-	{"ring, asked, second copies, no tenants, classes in another order", `{"Az":"b","Balancers":2,"TickS":0.005,"Discovery":"subscribe",
+	{"overlapping shard sets, subscribed discovery, duplicate attempts, no tenants, classes in another order", `{"Az":"b","Balancers":2,"TickS":0.005,"Discovery":"subscribe",
 		"Classes":[{"Name":"entry","Effect":"keyed","MemorySpanS":2,"AimS":1,"HardLimitS":3,"Gain":1},
 			{"Name":"board","Effect":"safe","AimS":1,"HardLimitS":3,"Gain":3,"LateWorth":0.1}],"WorthBy":"work",
 		"FamilyInfo":{"Sets":9,"Slabs":9,"Width":3,"BundleMax":1,"FloorByClass":[1,0.5],"PartialEarns":[0,0.9]},
@@ -40,9 +40,10 @@
 		"Rules":{"DrainGraceS":0.5,"FallMultiple":2.5,"TipAfterS":1,"StartCapacity":0.24,"WarmAfterS":17,"AskEveryS":10}}`, 9, 3, 1, 9, "", 500 * time.Millisecond},
 }
 
-// TestDeployments: each part goes to a holder of its shard, with its query's key where its class is keyed; a call holds what
-// it may; a query of all shards is answered whole; what drains gets nothing new from the moment it is told, well within any
-// grace; and a class that may be answered from half is, once the other half has no holder.
+// TestDeployments checks that each part is sent to a data node that holds its shard, with the query's idempotency key if its class is
+// keyed; that calls respect the maximum batch size; that a query of all shards gets a complete answer; that a draining data node gets no
+// new parts from the moment it is marked, well within the drain grace; and that only a class that allows partial answers is answered when
+// half of the shards have no data node.
 func TestDeployments(t *testing.T) {
 	for _, d := range deployments {
 		t.Run(d.name, func(t *testing.T) {
@@ -60,14 +61,14 @@
 				var mu sync.Mutex
 				cell, drained, last := map[string]int{}, map[string]bool{}, time.Time{}
 				c.RegisterDispatcher("", func(n *coordinator.Node) {
-					for o := n.Pick(context.Background()); o != nil; o = n.Pick(context.Background()) {
+					for cmd := n.Pick(context.Background()); cmd != nil; cmd = n.Pick(context.Background()) {
 						mu.Lock()
-						if len(o.Call) > max(1, set.Limits.MaxBatch) {
-							t.Errorf("a call of %d parts", len(o.Call))
+						if len(cmd.Call) > max(1, set.Limits.MaxBatch) {
+							t.Errorf("a call of %d parts", len(cmd.Call))
 						}
-						for _, a := range o.Call {
+						for _, a := range cmd.Call {
 							if off := (cell[n.ID()] - a.Shard%d.cells + d.cells) % d.cells; off >= d.reach {
-								t.Errorf("shard %d went to cell %d", a.Shard, cell[n.ID()])
+								t.Errorf("shard %d was sent to shard set %d", a.Shard, cell[n.ID()])
 							}
 							if keyed := a.ID[0] == 'e'; keyed != (a.IdempotencyKey == "k7") || !keyed && a.IdempotencyKey != "" {
 								t.Errorf("part %s carries key %q", a.ID, a.IdempotencyKey)
@@ -78,10 +79,10 @@
 							c.Report(a, coordinator.Result{Outcome: coordinator.OK, Docs: [][]byte{[]byte("v")}})
 						}
 						mu.Unlock()
-						if o.Cancel != nil {
-							c.Report(o.Cancel, coordinator.Result{Outcome: coordinator.Cancelled})
+						if cmd.Cancel != nil {
+							c.Report(cmd.Cancel, coordinator.Result{Outcome: coordinator.Cancelled})
 						}
-						if o.Probe {
+						if cmd.Probe {
 							c.ReportProbe(n, coordinator.Result{Outcome: coordinator.OK})
 						}
 					}
@@ -114,11 +115,11 @@
 				for range 20 {
 					for _, class := range []string{"board", "entry"} {
 						if a := ask(class, all...); a.Status != coordinator.Answered || !a.Complete || len(a.Values) != d.shards {
-							t.Errorf("%s: verdict %v, whole %v, %d of %d parts", class, a.Status, a.Complete, len(a.Values), d.shards)
+							t.Errorf("%s: status %v, complete %v, %d of %d parts", class, a.Status, a.Complete, len(a.Values), d.shards)
 						}
 					}
 				}
-				// All holders of shard 0 drain.
+				// From here on, all data nodes that hold shard 0 are draining.
 				mu.Lock()
 				for i := range list {
 					if off := (list[i].ShardSet + d.cells) % d.cells; off < d.reach {
@@ -129,16 +130,16 @@
 				source.Change(list)
 				told := time.Now()
 				if a := ask("board", 0, d.cells-1); a.Status != coordinator.Answered || a.Complete || len(a.Values) != 1 {
-					t.Errorf("half of a board: verdict %v, whole %v, %d parts", a.Status, a.Complete, len(a.Values))
+					t.Errorf("board with half of its parts: status %v, complete %v, %d parts", a.Status, a.Complete, len(a.Values))
 				}
 				if a := ask("entry", 0, d.cells-1); a.Status == coordinator.Answered {
-					t.Errorf("an entry without one of its parts was answered")
+					t.Errorf("entry was answered without one of its parts")
 				}
 				if !last.IsZero() {
-					t.Errorf("a drained data node got a part %v after it was told; the grace is %v", last.Sub(told), d.grace)
+					t.Errorf("a draining data node got a part %v after it was marked; the drain grace is %v", last.Sub(told), d.grace)
 				}
 				if covered := c.CoveredShards(); covered >= d.shards || covered == 0 {
-					t.Errorf("%d of %d shards count as held", covered, d.shards)
+					t.Errorf("%d of %d shards are covered", covered, d.shards)
 				}
 				source.Replace(nil, false)
 				time.Sleep(time.Minute)
--- a/internal/coordinator/dispatch.go
+++ b/internal/coordinator/dispatch.go
@@ -8,59 +8,59 @@
 	"gullfall/aggregator"
 )
 
-// Command is one thing that a dispatcher is to do at a data node; one field is set.
+// Command is an instruction to a dispatcher for one data node. Exactly one field is set.
 type Command struct {
-	Call         []*Attempt // send these as one call
-	Cancel       *Attempt   // cancel it at the data node, then report it as Cancelled
-	RejectQueued bool       // report what is not sent yet as Overloaded
-	Probe        bool       // check its health, then call ReportProbe
+	Call         []*Attempt // send these attempts as one call
+	Cancel       *Attempt   // cancel this attempt at the data node, then report it as Cancelled
+	RejectQueued bool       // report all attempts that are not sent yet as Overloaded
+	Probe        bool       // check the data node's health, then call ReportProbe
 	CloseIdle    bool       // close idle connections
 }
 
-// Dispatcher serves one data node: it takes commands until Pick returns nil.
+// Dispatcher executes the commands for one data node until Pick returns nil.
 type Dispatcher func(*Node)
 
-// RegisterDispatcher sets what serves the data nodes of a protocol, in one goroutine for each that is sent something. It is called
-// before the first list.
+// RegisterDispatcher sets the dispatcher for the data nodes of a protocol. It runs in one goroutine for each data node that receives
+// commands. RegisterDispatcher must be called before the first list update.
 func (c *Coordinator) RegisterDispatcher(proto string, dispatch Dispatcher) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.endpoints.dispatchers[proto] = dispatch
 }
 
-// Node is a data node as its dispatcher sees it. Its fields are guarded by Coordinator.mu, but for the atomic ones.
+// Node is a data node, as passed to its dispatcher. Coordinator.mu guards its non-atomic fields.
 type Node struct {
 	id          string
 	c           *Coordinator
 	member      Member
 	dispatch    Dispatcher
-	dispatching bool // dispatch runs
+	dispatching bool // the dispatcher has been started
 	commands    []*Command
-	ready       chan struct{} // holds one token while Pick has something to look at
-	inFlight    int           // attempts without an end
-	retired     bool          // it has left the list; its dispatcher ends once nothing is in flight
+	ready       chan struct{} // capacity 1: holds a token while Pick must check again
+	inFlight    int           // attempts that have not ended
+	retired     bool          // it has left the list; its dispatcher ends when no attempt is in flight
 
 	excluded       atomic.Bool
-	restartVersion atomic.Uint64 // version of the endpoints that brought its last start, where one was known before
-	announced      atomic.Bool   // may go out for maintenance: usable only while this coordinator is present
+	restartVersion atomic.Uint64 // version of the endpoint list with which its latest restart became known; 0 for none
+	announced      atomic.Bool   // announced for maintenance: only usable while this coordinator is present
 }
 
-// ID is the data node's name in its list.
+// ID returns the data node's ID in the list.
 func (n *Node) ID() string { return n.id }
 
-// Addr is where the data node listens now.
+// Addr returns the address at which the data node currently listens.
 func (n *Node) Addr() string {
 	n.c.mu.Lock()
 	defer n.c.mu.Unlock()
 	return n.member.Addr
 }
 
-// Excluded reports whether the data node is draining, gone or out for maintenance: nothing more may be written to it, queued calls
-// included.
+// Excluded reports whether the data node is draining, gone or in maintenance, so that nothing more may be written to it, including
+// queued calls.
 func (n *Node) Excluded() bool { return n.excluded.Load() || n.announced.Load() && n.c.absent() }
 
-// Pick waits for the next command. It returns nil once ctx has ended, or the data node has left the list and nothing there is in
-// flight.
+// Pick waits for the next command and returns it. It returns nil when ctx is done, or when the data node has left the list and no
+// attempt is in flight there.
 func (n *Node) Pick(ctx context.Context) *Command {
 	for {
 		n.c.mu.Lock()
@@ -83,8 +83,8 @@
 	}
 }
 
-// post queues commands for the dispatcher, which is started by the first: a list may name far more data nodes than are ever used. It
-// never blocks.
+// post queues commands for the dispatcher. The first command starts the dispatcher, since a list may contain far more data nodes than
+// are ever used. It never blocks.
 func (n *Node) post(commands ...*Command) {
 	n.c.mu.Lock()
 	n.commands = append(n.commands, commands...)
@@ -96,7 +96,7 @@
 	n.signal()
 }
 
-// addInFlight changes the number of attempts in flight.
+// addInFlight adds to the number of attempts in flight.
 func (n *Node) addInFlight(by int) {
 	n.c.mu.Lock()
 	n.inFlight += by
@@ -107,7 +107,7 @@
 	n.signal()
 }
 
-// signal lets Pick look again. It never blocks.
+// signal makes Pick check for commands again. It never blocks.
 func (n *Node) signal() {
 	select {
 	case n.ready <- struct{}{}:
@@ -115,43 +115,43 @@
 	}
 }
 
-// exclude lets nothing new begin at the data node; what is queued there is turned back. The caller holds Coordinator.mu.
+// exclude prevents new attempts at the data node and rejects those that are queued. The caller holds Coordinator.mu.
 func (n *Node) exclude() {
 	if !n.excluded.Swap(true) && n.dispatching {
 		n.rejectQueued()
 	}
 }
 
-// rejectQueued has the dispatcher turn back what it has not sent yet. The caller holds Coordinator.mu.
+// rejectQueued makes the dispatcher reject all attempts that it has not sent yet. The caller holds Coordinator.mu.
 func (n *Node) rejectQueued() {
 	n.commands = append(n.commands, &Command{RejectQueued: true})
 	n.signal()
 }
 
-// node finds a listed data node; nil for none.
+// node returns the listed data node with an ID, or nil.
 func (c *Coordinator) node(id string) *Node {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.endpoints.nodes[id]
 }
 
-// commandBatch gathers the commands of one step of the module, so that attempts at one data node share a call.
+// commandBatch collects the commands of one step of the module, so that attempts at the same data node share a call.
 type commandBatch struct {
-	maxCall  int                  // most attempts in a call
-	calls    map[*Node]*Command   // the call that takes further attempts
-	commands map[*Node][]*Command // in order
+	maxCall  int                  // maximum number of attempts in a call
+	calls    map[*Node]*Command   // the latest call of each data node, to which attempts are added
+	commands map[*Node][]*Command // in the order of execution
 }
 
 func newCommandBatch(maxCall int) *commandBatch {
 	return &commandBatch{maxCall: max(1, maxCall), calls: map[*Node]*Command{}, commands: map[*Node][]*Command{}}
 }
 
-// add appends a command for a data node.
+// add adds a command for a data node.
 func (b *commandBatch) add(n *Node, command *Command) {
 	b.commands[n] = append(b.commands[n], command)
 }
 
-// addAttempt puts an attempt into the open call to its data node, or into a new one.
+// addAttempt adds an attempt to the latest call to its data node, or to a new call if there is none or it is full.
 func (b *commandBatch) addAttempt(a *Attempt) {
 	call := b.calls[a.node]
 	if call == nil || len(call.Call) >= b.maxCall {
@@ -162,15 +162,15 @@
 	call.Call = append(call.Call, a)
 }
 
-// post hands the commands to the dispatchers.
+// post queues the commands for their dispatchers.
 func (b *commandBatch) post() {
 	for n, commands := range b.commands {
 		n.post(commands...)
 	}
 }
 
-// send makes an attempt of a part, as the module decided. At a data node that has left the list since, it ends at once as not
-// connected.
+// send starts an attempt of a part, as the module decided. If the data node has left the list since that decision, the attempt ends
+// immediately with NotConnected.
 func (c *Coordinator) send(now time.Time, action aggregator.Action, batch *commandBatch) {
 	p, n := c.loop.queries.parts[action.Part], c.node(action.Replica)
 	if p == nil {
@@ -191,7 +191,7 @@
 	batch.addAttempt(a)
 }
 
-// cancel has an attempt cancelled at its data node; its end is reported once the data node has been told.
+// cancel requests the cancellation of an attempt. Its dispatcher reports its end after it has notified the data node.
 func (c *Coordinator) cancel(a *Attempt, reason aggregator.Outcome) {
 	if a.ended || a.cancelReason != aggregator.Unknown {
 		return
@@ -200,7 +200,7 @@
 	a.node.post(&Command{Cancel: a})
 }
 
-// probe has the health of a data node checked; the probe of one that has left the list fails at once.
+// probe requests a health check of a data node. If the data node has left the list, the probe fails immediately.
 func (c *Coordinator) probe(id string, batch *commandBatch) {
 	n := c.node(id)
 	if n == nil {
--- a/internal/coordinator/endpointlog.go
+++ b/internal/coordinator/endpointlog.go
@@ -7,10 +7,11 @@
 	"gullfall/internal/membership"
 )
 
-// maxNoteLines is how many notes of one update of the list are logged one by one; of more, those alike are logged as one line.
+// maxNoteLines is the number of notes about one list update up to which each is logged on its own line. If there are more, notes with
+// the same cause and source share one line.
 const maxNoteLines = 50
 
-// logNotes logs why the list changes, or does not.
+// logNotes logs the reasons why an update changed the list or was not applied.
 func (c *Coordinator) logNotes(notes []membership.Note) {
 	if len(notes) <= maxNoteLines {
 		for _, n := range notes {
@@ -34,7 +35,7 @@
 			c.logNote(n)
 		case count[k] > 1:
 			c.log.Log(context.Background(), noteLevel(n), "data nodes "+string(n.Cause), "count", count[k], "source", n.Source, "first", n.ID)
-			count[k] = 0 // its line is written
+			count[k] = 0 // this group has been logged
 		}
 	}
 }
@@ -55,7 +56,7 @@
 	c.log.Log(context.Background(), noteLevel(n), message, args...)
 }
 
-// noteLevel is a warning for what an operator should look at.
+// noteLevel returns the log level of a note: a warning if an operator should look into it, otherwise info.
 func noteLevel(n membership.Note) slog.Level {
 	switch n.Cause {
 	case membership.Held, membership.Emptied, membership.WentBack, membership.Stale, membership.Lapsed, membership.Suppressed,
--- a/internal/coordinator/endpoints.go
+++ b/internal/coordinator/endpoints.go
@@ -7,10 +7,10 @@
 	"gullfall/internal/membership"
 )
 
-// Member is one record of a list of data nodes.
+// Member is one entry of the list of data nodes.
 type Member = membership.Record
 
-// State is what a list says of a data node.
+// State is the listed state of a data node.
 type State = membership.State
 
 // The states of a data node.
@@ -20,34 +20,34 @@
 	Gone     = membership.Gone
 )
 
-// endpoints is the list of data nodes as joined from all sources. Its fields are guarded by Coordinator.mu.
+// endpoints is the list of data nodes, merged from all sources. Coordinator.mu guards its fields.
 type endpoints struct {
 	table          *membership.Table
 	dispatchers    map[string]Dispatcher // by protocol
-	nodes          map[string]*Node      // those listed, by id
-	complete       bool                  // some source has sent a complete list that was not cached
-	reportedStarts map[string]time.Time  // by id, as peers report them
-	version        uint64                // counts the updates
+	nodes          map[string]*Node      // the listed data nodes, by ID
+	complete       bool                  // a source has sent a complete list that was not cached
+	reportedStarts map[string]time.Time  // start times reported by peers, by data node ID
+	version        uint64                // number of updates
 }
 
 func newEndpoints(table *membership.Table) endpoints {
 	return endpoints{table: table, dispatchers: map[string]Dispatcher{}, nodes: map[string]*Node{}, reportedStarts: map[string]time.Time{}}
 }
 
-// Source is one of the sources of the list of data nodes.
+// Source is one source of the list of data nodes.
 type Source struct {
 	c      *Coordinator
 	source *membership.Source
 }
 
-// Source adds a source; the list is joined from all.
+// Source adds a source. The list is merged from all sources.
 func (c *Coordinator) Source(spec membership.Spec) *Source {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return &Source{c, c.endpoints.table.Source(spec)}
 }
 
-// Update takes in a message of the source.
+// Update applies an update from the source.
 func (s *Source) Update(u membership.Update) {
 	kind := partialUpdate
 	switch {
@@ -60,18 +60,19 @@
 	s.c.updateTable(kind, func(now time.Time) membership.Result { return s.source.Update(now, u) })
 }
 
-// Change takes in the records that have changed.
+// Change applies changed records.
 func (s *Source) Change(members []Member) { s.Update(membership.Update{Records: members}) }
 
-// Replace takes in a complete list: what it lacks is gone. A cached list, of an earlier run, may be out of date.
+// Replace applies a complete list: data nodes that it does not contain are gone. A cached list was saved by an earlier run and may be
+// out of date.
 func (s *Source) Replace(members []Member, cached bool) {
 	s.Update(membership.Update{Full: true, Cached: cached, Records: members})
 }
 
-// Renew extends the lease of the source's records: nothing has changed there.
+// Renew extends the lease of the source's records after the source has confirmed that they are unchanged.
 func (s *Source) Renew() { s.c.updateTable(partialUpdate, s.source.Renew) }
 
-// SerialSeen takes in the serial that a DNS zone has now, and reports whether its list is to be fetched.
+// SerialSeen records the current serial of a DNS zone, and reports whether the zone's list must be fetched.
 func (s *Source) SerialSeen(serial uint32) (fetch bool) {
 	s.c.updateTable(partialUpdate, func(now time.Time) (r membership.Result) {
 		fetch, r = s.source.SerialSeen(now, serial)
@@ -80,14 +81,14 @@
 	return fetch
 }
 
-// Claims are the records that the source now stands for; a list to be cached.
+// Claims returns the records that the source currently contributes to the list, to be cached for the next run.
 func (s *Source) Claims() []Member {
 	s.c.mu.Lock()
 	defer s.c.mu.Unlock()
 	return s.source.Claims()
 }
 
-// CoveredShards is how many shards have a serving data node now.
+// CoveredShards returns the number of shards that have at least one serving data node.
 func (c *Coordinator) CoveredShards() (n int) {
 	serving := c.servingShardSets()
 	for shard := range c.settings.Shards {
@@ -101,7 +102,7 @@
 	return n
 }
 
-// servingShardSets are the shard sets with a serving data node.
+// servingShardSets returns the shard sets that have a serving data node.
 func (c *Coordinator) servingShardSets() map[int]bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -114,17 +115,17 @@
 	return serving
 }
 
-// updateKind says how much of the list an update covers.
+// updateKind is the scope of an update to the list.
 type updateKind int
 
 const (
 	partialUpdate  updateKind = iota // some records
-	cachedUpdate                     // all, from the cache of an earlier run
-	completeUpdate                   // all
+	cachedUpdate                     // the complete list, from the cache of an earlier run
+	completeUpdate                   // the complete list
 )
 
-// updateTable lets the membership table decide and applies the result at once, ahead of the module's next step: nothing more goes to a
-// data node that has just been excluded. The module gets the complete list where a source has sent one, else the changes.
+// updateTable updates the membership table and applies the result immediately, before the module's next step, so that nothing more is
+// sent to a data node that has just been excluded. The module receives the complete list if a source has sent one, otherwise the changes.
 func (c *Coordinator) updateTable(kind updateKind, decide func(now time.Time) membership.Result) {
 	c.mu.Lock()
 	now := time.Now()
@@ -157,7 +158,7 @@
 	c.logNotes(result.Notes)
 }
 
-// membershipEvidence is what the outcomes say of a data node's presence; those that are missing say nothing.
+// membershipEvidence maps outcomes to evidence of whether a data node is alive. Outcomes that are missing give no evidence.
 var membershipEvidence = map[Outcome]membership.Evidence{
 	OK:             membership.Answered,
 	Errored:        membership.Answered,
@@ -168,7 +169,8 @@
 	ConnectionLost: membership.ConnectionReopened,
 }
 
-// observeForMembership passes the end of an attempt or a probe to the membership table, unless the data node has moved or gone since.
+// observeForMembership passes the outcome of an attempt or a probe to the membership table, unless the data node has moved or left the
+// list since.
 func (c *Coordinator) observeForMembership(n *Node, outcome Outcome) {
 	e, known := membershipEvidence[outcome]
 	if !known || n.Excluded() || c.node(n.id) != n {
@@ -177,8 +179,8 @@
 	c.updateTable(partialUpdate, func(now time.Time) membership.Result { return c.endpoints.table.Observe(now, n.id, e) })
 }
 
-// applyRecord creates, updates or retires the data node of a record. One that has moved is served by a new dispatcher: nothing more goes
-// to the old address, and what is in flight there ends there. The caller holds the lock.
+// applyRecord creates, updates or retires the data node of a record. A data node whose address or protocol has changed gets a new
+// dispatcher: nothing more is sent to the old address, and attempts in flight there end there. The caller holds the lock.
 func (c *Coordinator) applyRecord(m Member) {
 	n := c.endpoints.nodes[m.ID]
 	if n != nil && (m.State == Gone || n.member.Addr != m.Addr || n.member.Proto != m.Proto) {
@@ -212,12 +214,12 @@
 	}
 }
 
-// completeList is the joined list of all sources. The caller holds the lock.
+// completeList returns an event with all listed data nodes. The caller holds the lock.
 func (c *Coordinator) completeList(kind aggregator.EventKind) aggregator.Event {
 	return c.listEvent(kind, func(Member) bool { return true })
 }
 
-// listEvent is an event with the listed records that are wanted. The caller holds the lock.
+// listEvent returns an event with the listed records that the filter accepts. The caller holds the lock.
 func (c *Coordinator) listEvent(kind aggregator.EventKind, wanted func(Member) bool) aggregator.Event {
 	event := aggregator.Event{Kind: kind}
 	for _, m := range c.endpoints.table.List() {
@@ -228,11 +230,11 @@
 	return event
 }
 
-// moduleStates maps the states of a record to the module's.
+// moduleStates maps the states of records to those of the module.
 var moduleStates = [...]aggregator.State{Serving: aggregator.Serving, Draining: aggregator.Draining, Gone: aggregator.Gone}
 
-// moduleMember turns a record into the module's terms, as changed by its zone, by maintenance and by what peers report. The caller holds
-// the lock.
+// moduleMember converts a record to the module's type, adjusted for start times that peers reported, for the state of its zone and for
+// maintenance. The caller holds the lock.
 func (c *Coordinator) moduleMember(m Member) aggregator.Member {
 	out := aggregator.Member{Replica: m.ID, ShardSet: m.ShardSet, Zone: m.Zone, Size: m.Weight, State: moduleStates[m.State]}
 	if !m.Started.IsZero() {
--- a/internal/coordinator/endpoints_bench_test.go
+++ b/internal/coordinator/endpoints_bench_test.go
@@ -11,7 +11,7 @@
 	"gullfall/internal/membership"
 )
 
-// BenchmarkCachedList: a coordinator that starts takes in a cached list of 10,000 data nodes.
+// BenchmarkCachedList measures how a new coordinator processes a cached list of 10,000 data nodes.
 func BenchmarkCachedList(b *testing.B) {
 	var list []Member
 	for i := range 10_000 {
@@ -26,7 +26,7 @@
 		}
 		ctx, stop := context.WithCancel(b.Context())
 		c.RegisterDispatcher("", func(n *Node) {
-			for o := n.Pick(ctx); o != nil; o = n.Pick(ctx) {
+			for cmd := n.Pick(ctx); cmd != nil; cmd = n.Pick(ctx) {
 			}
 		})
 		src := c.Source(membership.Spec{Name: "list"})
--- a/internal/coordinator/endpoints_test.go
+++ b/internal/coordinator/endpoints_test.go
@@ -1,6 +1,6 @@
 package coordinator
 
-// The list as it is joined from several sources: what reaches dispatchers and the module, in virtual time.
+// Tests of the list that is merged from several sources: the effect on dispatchers and the module, in virtual time.
 
 import (
 	"context"
@@ -14,25 +14,25 @@
 	"gullfall/internal/membership"
 )
 
-// TestRemovalWithPartsOut: a data node that leaves the list while a part is out there may still answer it; the part
-// does not go out twice, and nothing new goes there.
+// TestRemovalWithPartsInFlight checks that a data node that leaves the list while a part is in flight there may still answer it, that the
+// part is not sent twice, and that nothing new is sent there.
 func TestRemovalWithPartsOut(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := newTestbed(t, 0, func(s *testbed, o *Command) {
-			if o.Call != nil {
+		s := newTestbed(t, 0, func(s *testbed, cmd *Command) {
+			if cmd.Call != nil {
 				time.Sleep(300 * time.Millisecond)
 			}
-			serve(s, o)
+			serve(s, cmd)
 		})
 		done := make(chan string)
 		go func() { done <- s.execute(t.Context(), "q", 0) }()
 		time.Sleep(100 * time.Millisecond)
 		s.list.Replace([]Member{{ID: "n2"}}, false)
 		if got := <-done; got != "answered true 1 false" {
-			t.Errorf("the query that was in progress: %s", got)
+			t.Errorf("query in progress during the removal: %s", got)
 		}
 		if got := s.execute(t.Context(), "r", 0); got != "answered true 1 false" {
-			t.Errorf("a later one: %s", got)
+			t.Errorf("query after the removal: %s", got)
 		}
 		if got := fmt.Sprint(s.commands); got != "[call q.0 reject queued call r.0]" && got != "[call q.0 call r.0 reject queued]" {
 			t.Errorf("dispatchers got %s", got)
@@ -41,7 +41,7 @@
 	})
 }
 
-// log is what dispatchers have seen, as "address: order".
+// commandLog records the calls that dispatchers received, as "protocol:address".
 type commandLog struct {
 	mu       sync.Mutex
 	commands []string
@@ -50,13 +50,13 @@
 func (l *commandLog) dispatcher(s *testbed, name string) Dispatcher {
 	return func(n *Node) {
 		addr := n.Addr()
-		for o := n.Pick(context.Background()); o != nil; o = n.Pick(context.Background()) {
+		for cmd := n.Pick(context.Background()); cmd != nil; cmd = n.Pick(context.Background()) {
 			l.mu.Lock()
-			if o.Call != nil {
+			if cmd.Call != nil {
 				l.commands = append(l.commands, name+addr)
 			}
 			l.mu.Unlock()
-			serve(s, o)
+			serve(s, cmd)
 		}
 	}
 }
@@ -69,12 +69,12 @@
 	return out
 }
 
-// TestSourcesJoined: one data node in two sources is one; the owner says where it is and by which protocol it is
-// reached; a drain that either tells holds; and one that has moved is served by a new dispatcher.
+// TestSourcesAreMerged checks that a data node in two sources is listed once: the source of higher rank determines its address and
+// protocol, a drain by either source applies, and a data node that has moved gets a new dispatcher.
 func TestSourcesJoined(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newTestbed(t, 0, serve)
-		s.list.Replace(nil, false) // only what follows
+		s.list.Replace(nil, false) // remove the data node of the testbed
 		var l commandLog
 		s.RegisterDispatcher("x", l.dispatcher(s, "x:"))
 		s.RegisterDispatcher("y", l.dispatcher(s, "y:"))
@@ -89,30 +89,31 @@
 			}
 		}
 		dir.Change([]Member{{ID: "a", Addr: "1", Proto: "x"}})
-		expect("named by one", "x:1")
+		expect("listed by one source", "x:1")
 		zone.Change([]Member{{ID: "a", Addr: "2", Proto: "y"}})
-		expect("the owner has another address", "y:2")
+		expect("another address in the source of higher rank", "y:2")
 		dir.Change([]Member{{ID: "a", Addr: "1", Proto: "x", State: Draining}})
-		expect("the other drains it", "")
+		expect("drained by the other source", "")
 		dir.Change([]Member{{ID: "a", Addr: "1", Proto: "x"}})
-		expect("and serves again", "y:2")
+		expect("serving again", "y:2")
 		zone.Change([]Member{{ID: "a", Addr: "3", Proto: "y"}})
-		expect("it has moved", "y:3")
+		expect("moved to another address", "y:3")
 		zone.Update(membership.Update{Basis: membership.Failed, Cause: "REFUSED"})
-		expect("its owner is in trouble", "y:3")
+		expect("failed update of the source of higher rank", "y:3")
 		zone.Replace(nil, false)
-		expect("its owner has removed it", "")
+		expect("removed by the source of higher rank", "")
 		dir.Change([]Member{{ID: "a", Addr: "1", Proto: "x", Started: time.Now()}})
-		expect("the other tells of a new start", "x:1")
+		expect("new start reported by the other source", "x:1")
 		dir.Change([]Member{{ID: "a", State: Gone}})
-		zone.Change([]Member{{ID: "b", Addr: "4", Proto: "smoke"}})
-		expect("no dispatcher knows the protocol", "")
+		zone.Change([]Member{{ID: "b", Addr: "4", Proto: "unknown"}})
+		expect("no dispatcher for the protocol", "")
 		zone.Replace(nil, false)
 		s.end()
 	})
 }
 
-// TestEvidence: what is seen of a data node lets records of a higher SRV priority figure in, and out again.
+// TestStandbyServesWhileFirstPriorityFails checks that a data node with a higher SRV priority value serves while the data node with the
+// lower value fails, and becomes a standby again after the failure.
 func TestEvidence(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		down := true
@@ -120,14 +121,14 @@
 		s := newTestbed(t, 0, serve)
 		s.list.Replace(nil, false)
 		s.RegisterDispatcher("first", func(n *Node) {
-			for o := n.Pick(context.Background()); o != nil; o = n.Pick(context.Background()) {
+			for cmd := n.Pick(context.Background()); cmd != nil; cmd = n.Pick(context.Background()) {
 				mu.Lock()
-				if o.Call != nil && down {
-					for _, a := range o.Call {
+				if cmd.Call != nil && down {
+					for _, a := range cmd.Call {
 						s.Report(a, Result{Outcome: NotConnected})
 					}
 				} else {
-					serve(s, o)
+					serve(s, cmd)
 				}
 				mu.Unlock()
 			}
@@ -140,20 +141,20 @@
 			return s.endpoints.table.List()[1].State.String()
 		}
 		if got := state(); got != "draining" {
-			t.Errorf("while the first is sound the second is %s", got)
+			t.Errorf("before the failure the standby is %s", got)
 		}
 		if got := s.execute(t.Context(), "q", 0); got != "answered true 1 false" {
-			t.Errorf("a query while the first is down: %s", got)
+			t.Errorf("query while the first data node is down: %s", got)
 		}
 		if got := state(); got != "serving" {
-			t.Errorf("with the first in doubt the second is %s", got)
+			t.Errorf("while the first data node is suspected the standby is %s", got)
 		}
 		mu.Lock()
 		down = false
 		mu.Unlock()
-		time.Sleep(11 * time.Second) // doubt ends
+		time.Sleep(11 * time.Second) // until the first data node is no longer suspected
 		if got := state(); got != "draining" {
-			t.Errorf("once doubt has ended the second is %s", got)
+			t.Errorf("after the suspicion has ended the standby is %s", got)
 		}
 		zone.Replace(nil, false)
 		s.end()
--- a/internal/coordinator/gossip.go
+++ b/internal/coordinator/gossip.go
@@ -7,22 +7,22 @@
 	"gullfall/aggregator"
 )
 
-// PeerReport is what other coordinators report of a data node. Its times are ages.
+// PeerReport summarizes the reports of other coordinators about a data node. Its durations are ages.
 type PeerReport struct {
 	Node      string
-	Failing   bool          // for another coordinator
-	Failed    time.Duration // since it failed
-	Answered  time.Duration // since it last answered any coordinator; below 0 where not known
-	WarmingUp bool          // it started, or came back
-	Started   time.Duration // since it did
+	Failing   bool          // it fails for another coordinator
+	Failed    time.Duration // time since that failure
+	Answered  time.Duration // time since it last answered any coordinator; negative if not known
+	WarmingUp bool          // it started or returned recently
+	Started   time.Duration // time since that start or return
 }
 
-// startTolerance is by how much a reported start has to be later than the known one to be another start. A report counts the age when it
-// was sent, so the same start seems later by the time that the report took.
+// startTolerance is the minimum by which a reported start must be later than the known start to count as a different start. A report
+// contains the age at the time of sending, so the same start appears later by the delay of the report.
 const startTolerance = 2 * time.Second
 
-// ApplyPeerReports takes in what other coordinators report. A start later than the known one makes a data node warm up here too.
-// Failures go to the tracker of zones, which weighs them against what was seen here.
+// ApplyPeerReports applies reports of other coordinators. A data node with a later start than the known one warms up at this coordinator
+// too. Failures are passed to the zone tracker, which weighs them against this coordinator's own evidence.
 func (c *Coordinator) ApplyPeerReports(reports []PeerReport) {
 	now := time.Now()
 	c.mu.Lock()
@@ -54,7 +54,7 @@
 	}
 }
 
-// forgetReportedStarts drops the reported starts of data nodes that are no longer listed or have warmed up.
+// forgetReportedStarts removes the reported starts of data nodes that are no longer listed or have warmed up.
 func (e *endpoints) forgetReportedStarts(now time.Time, listed map[string]Member, warmup time.Duration) {
 	maps.DeleteFunc(e.reportedStarts, func(id string, at time.Time) bool {
 		_, ok := listed[id]
@@ -62,8 +62,8 @@
 	})
 }
 
-// isNewStart reports whether a report is of a start that neither the list nor another report has brought, and that is so recent that the data
-// node is still warming up. The caller holds the lock.
+// isNewStart reports whether a report contains a start that neither the list nor an earlier report contained, and that is so recent that
+// the data node is still warming up. The caller holds the lock.
 func (c *Coordinator) isNewStart(now time.Time, m Member, r PeerReport) bool {
 	if !r.WarmingUp || r.Started >= c.settings.Rules.WarmupTime {
 		return false
@@ -72,7 +72,7 @@
 	return at.After(m.Started.Add(startTolerance)) && at.After(c.endpoints.reportedStarts[m.ID].Add(startTolerance))
 }
 
-// adjustForReportedStart makes a data node start when peers report it, if that is later than listed. The caller holds the lock.
+// adjustForReportedStart replaces the start of a data node by the start that peers reported, if that is later. The caller holds the lock.
 func (c *Coordinator) adjustForReportedStart(m Member, out aggregator.Member) aggregator.Member {
 	if at, ok := c.endpoints.reportedStarts[m.ID]; ok {
 		out.Started = max(out.Started, c.moduleClock(at))
--- a/internal/coordinator/gossip_test.go
+++ b/internal/coordinator/gossip_test.go
@@ -1,7 +1,7 @@
 package coordinator
 
-// What others tell: a start makes a data node cold here too, and failures of a zone are evidence only where this coordinator knows
-// nothing itself and nobody says otherwise.
+// Tests of reports from peers: a reported start makes a data node warm up at this coordinator too, and reported failures in a zone count
+// only if this coordinator has no evidence of its own and no peer reports otherwise.
 
 import (
 	"fmt"
@@ -15,8 +15,9 @@
 	"gullfall/internal/zones"
 )
 
+// TestPeerReportsOfFailures checks when failures reported by peers make a zone go out.
 func TestPeerReportsOfFailures(t *testing.T) {
-	failing := func(failed, answered time.Duration) (list []PeerReport) { // all four data nodes of zone a
+	failing := func(failed, answered time.Duration) (list []PeerReport) { // for all four data nodes of zone a
 		for i := range 4 {
 			list = append(list, PeerReport{Node: fmt.Sprint("a", i), Failing: true, Failed: failed, Answered: answered})
 		}
@@ -26,16 +27,16 @@
 	for _, c := range []struct {
 		name  string
 		told  []PeerReport
-		heard bool // this coordinator has answers from the zone itself
+		heard bool // the zone answers this coordinator
 		want  zones.State
 	}{
-		{"it fails for another", failing(2*s, -1), false, zones.Out},
-		{"it answered somebody before", failing(2*s, 3*s), false, zones.Out},
-		{"it answered somebody since", failing(2*s, s), false, zones.Healthy},
-		{"it answers here", failing(2*s, -1), true, zones.Healthy},
-		{"it answered somebody just before", failing(s/2, s), false, zones.Healthy},
-		{"one data node is no zone", failing(2*s, -1)[:1], false, zones.Healthy},
-		{"of nobody that is listed", []PeerReport{{Node: "x", Failing: true, Failed: 2 * s}, {Node: "y", Failing: true, Failed: 2 * s}}, false, zones.Healthy},
+		{"zone fails for a peer", failing(2*s, -1), false, zones.Out},
+		{"zone answered a peer before the failure", failing(2*s, 3*s), false, zones.Out},
+		{"zone answered a peer after the failure", failing(2*s, s), false, zones.Healthy},
+		{"zone answers this coordinator", failing(2*s, -1), true, zones.Healthy},
+		{"zone answered a peer just before the failure", failing(s/2, s), false, zones.Healthy},
+		{"only one data node fails", failing(2*s, -1)[:1], false, zones.Healthy},
+		{"data nodes are not listed", []PeerReport{{Node: "x", Failing: true, Failed: 2 * s}, {Node: "y", Failing: true, Failed: 2 * s}}, false, zones.Healthy},
 	} {
 		synctest.Test(t, func(t *testing.T) {
 			rules := aggregator.Rules{DrainGrace: 2 * time.Second, WarmupTime: 5 * time.Second}
@@ -49,7 +50,7 @@
 				t.Fatal(err)
 			}
 			coord.RegisterDispatcher("", func(n *Node) {
-				for o := n.Pick(t.Context()); o != nil; o = n.Pick(t.Context()) {
+				for cmd := n.Pick(t.Context()); cmd != nil; cmd = n.Pick(t.Context()) {
 				}
 			})
 			go coord.Run(t.Context())
@@ -61,7 +62,7 @@
 				}
 			}
 			src.Replace(list, false)
-			for range 5 { // longer than it takes to leave a zone, and shorter than to return
+			for range 5 { // long enough for the zone to go out, and too short for it to recover
 				if c.heard {
 					for i := range 4 {
 						coord.observeForZones(coord.node(fmt.Sprint("a", i)), nil, OK, time.Now())
@@ -81,7 +82,8 @@
 	}
 }
 
-// TestLongListIsLoggedByKind: a list of thousands costs a line of each kind; a few are told one by one.
+// TestLongListIsLoggedByCause checks that a list of thousands of data nodes is logged with one line per cause, and a short list with one
+// line per data node.
 func TestLongListIsLoggedByKind(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		for _, c := range []struct{ nodes, single, byKind int }{{maxNoteLines, maxNoteLines, 0}, {10_000, 0, 1}} {
@@ -98,14 +100,14 @@
 			}
 			coord.Source(membership.Spec{Name: "list"}).Change(list)
 			if single, byKind := logged.count("msg=\"data node listed\""), logged.count("msg=\"data nodes listed\" count=10000"); single != c.single || byKind != c.byKind {
-				t.Errorf("%d data nodes: %d lines of one, %d of a kind; want %d and %d", c.nodes, single, byKind, c.single, c.byKind)
+				t.Errorf("%d data nodes: %d lines for one data node, %d for many; want %d and %d", c.nodes, single, byKind, c.single, c.byKind)
 			}
 		}
 	})
 }
 
-// TestPeerReportsOfStarts: a start that the list has not brought yet makes a data node warm up; the known one reported again does not,
-// nor does one long ago.
+// TestPeerReportsOfStarts checks that a reported start that the list does not contain yet makes a data node warm up, and that a report of a
+// known or an old start does not.
 func TestPeerReportsOfStarts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		coord, err := New(aggregator.Settings{Aggregators: 2, Tick: tick, ShardSets: 1, Shards: 1, Reach: 1, Rules: aggregator.Rules{WarmupTime: 5 * time.Second},
@@ -114,7 +116,7 @@
 			t.Fatal(err)
 		}
 		coord.RegisterDispatcher("", func(n *Node) {
-			for o := n.Pick(t.Context()); o != nil; o = n.Pick(t.Context()) {
+			for cmd := n.Pick(t.Context()); cmd != nil; cmd = n.Pick(t.Context()) {
 			}
 		})
 		var seen []Observation
@@ -125,7 +127,7 @@
 		fresh := Member{ID: "b", Addr: "b", Weight: 1, Started: begun.Add(-time.Second)}
 		src.Replace([]Member{old, fresh}, false)
 		if len(seen) != 1 || !seen[0].Started || seen[0].Node != "b" || seen[0].Ago != time.Second {
-			t.Errorf("told on: %+v", seen)
+			t.Errorf("observations: %+v", seen)
 		}
 		for _, c := range []struct {
 			name string
@@ -133,10 +135,10 @@
 			m    Member
 			want time.Time
 		}{
-			{"long ago", PeerReport{Node: "a", WarmingUp: true, Started: 6 * time.Second}, old, old.Started},
-			{"the start that is known, grown younger on its way", PeerReport{Node: "b", WarmingUp: true, Started: 500 * time.Millisecond}, fresh, fresh.Started},
-			{"another start", PeerReport{Node: "a", WarmingUp: true, Started: time.Second}, old, begun.Add(-time.Second)},
-			{"that again, younger", PeerReport{Node: "a", WarmingUp: true, Started: 0}, old, begun.Add(-time.Second)},
+			{"old start", PeerReport{Node: "a", WarmingUp: true, Started: 6 * time.Second}, old, old.Started},
+			{"known start, made later by the delay of the report", PeerReport{Node: "b", WarmingUp: true, Started: 500 * time.Millisecond}, fresh, fresh.Started},
+			{"new start", PeerReport{Node: "a", WarmingUp: true, Started: time.Second}, old, begun.Add(-time.Second)},
+			{"the same new start, made later by the delay of the report", PeerReport{Node: "a", WarmingUp: true, Started: 0}, old, begun.Add(-time.Second)},
 		} {
 			coord.ApplyPeerReports([]PeerReport{c.told})
 			coord.mu.Lock()
@@ -149,7 +151,7 @@
 		time.Sleep(6 * time.Second)
 		coord.ApplyPeerReports(nil)
 		if len(coord.endpoints.reportedStarts) > 0 {
-			t.Errorf("%v is kept of starts that count no more", coord.endpoints.reportedStarts)
+			t.Errorf("reported starts of data nodes that have warmed up are kept: %v", coord.endpoints.reportedStarts)
 		}
 		src.Replace(nil, false)
 	})
--- a/internal/coordinator/logline.go
+++ b/internal/coordinator/logline.go
@@ -2,7 +2,7 @@
 
 import "gullfall/aggregator"
 
-// Messages of the log lines that programs read, such as gullfall-lab fleet.
+// Log messages that other programs parse, such as gullfall-lab fleet.
 const (
 	LogQueryRejected = "query rejected"
 	LogQueryFailed   = "query failed"
@@ -11,7 +11,7 @@
 	LogAttemptEnded  = "attempt ended"
 )
 
-// How an attempt without an end stands, in the field missing of a query that was rejected or failed.
+// States of an attempt that has not ended, as they appear in the log attribute "missing" of a rejected or failed query.
 const (
 	attemptInFlight   = "in flight"
 	attemptCancelling = "cancelling"
@@ -19,7 +19,7 @@
 
 var statusText = [...]string{Answered: "answered", Rejected: "rejected", Failed: "failed"}
 
-// String is the status in the log.
+// String returns the status as it appears in the log.
 func (s Status) String() string {
 	if s < 0 || int(s) >= len(statusText) {
 		return ""
@@ -39,7 +39,7 @@
 	ConnectTimeout: "connect timeout",
 }
 
-// String is the outcome in the log.
+// String returns the outcome as it appears in the log.
 func (o Outcome) String() string {
 	if o < 0 || int(o) >= len(outcomeText) {
 		return ""
@@ -47,7 +47,8 @@
 	return outcomeText[o]
 }
 
-// reasonText is why the module ends a query without an answer, in the log; empty for a query of an unknown class.
+// reasonText returns the reason for which the module ends a query without an answer, as it appears in the log. It is empty for a query
+// of an unknown class.
 func reasonText(reason aggregator.Reason) string {
 	if reason == 0 {
 		return ""
@@ -55,7 +56,7 @@
 	return reason.String()
 }
 
-// AttemptStates are all words for how an attempt stands, in the field missing of a query that was rejected or failed.
+// AttemptStates returns all attempt states that can appear in the log attribute "missing" of a rejected or failed query.
 func AttemptStates() []string {
 	states := []string{attemptInFlight, attemptCancelling}
 	for o := OK; int(o) < len(outcomeText); o++ {
@@ -64,7 +65,7 @@
 	return states
 }
 
-// state is how an attempt stands.
+// state returns the attempt's outcome if it has ended, otherwise whether it is in flight or being cancelled.
 func (a *Attempt) state() string {
 	switch {
 	case a.ended:
--- a/internal/coordinator/loop.go
+++ b/internal/coordinator/loop.go
@@ -8,21 +8,21 @@
 	"gullfall/aggregator"
 )
 
-// idleInterval is the longest time between two ticks.
+// idleInterval is the maximum time between two ticks.
 const idleInterval = time.Minute
 
-// eventLoop is the state of the loop; only the goroutine of Run touches it.
+// eventLoop is the state of the event loop. Only the goroutine that runs the loop accesses it.
 type eventLoop struct {
 	module      *aggregator.Aggregator
-	actions     []aggregator.Action // of the last step; its memory is used again
+	actions     []aggregator.Action // result of the last step; its memory is reused by the next
 	queries     queryTable
-	delayed     []input   // not due yet
-	wakeAt      time.Time // when the module wants to be called; zero for never
+	delayed     []input   // inputs that are not due yet
+	wakeAt      time.Time // time at which the module asked to be called; zero for none
 	lastTick    time.Time
-	listVersion uint64 // of the endpoints that the module knows
+	listVersion uint64 // version of the endpoint list that the module knows
 }
 
-// Run is the event loop: it ticks about once per settings.Tick while there is something to take in, until ctx ends.
+// Run runs the event loop until ctx is done. It calls Tick at most once per settings.Tick, when inputs have arrived or a timer is due.
 func (c *Coordinator) Run(ctx context.Context) {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
@@ -33,7 +33,7 @@
 		case <-c.notify:
 		case <-timer.C:
 		}
-		// What arrives within a tick is gathered, so that parts of several queries can share a call.
+		// Inputs that arrive within a tick are processed together, so that parts of several queries can share a call.
 		if wait := time.Until(c.loop.lastTick.Add(c.settings.Tick)); wait > 0 {
 			time.Sleep(wait)
 		}
@@ -41,14 +41,15 @@
 	}
 }
 
-// Tick takes in what has happened, steps the module and carries out its actions. It returns when it must be called again if nothing
-// happens before. Only one goroutine may call it.
+// Tick processes the inputs that are due, steps the module and executes its actions. It returns the time by which it must be called
+// again if nothing arrives before. Only one goroutine may call it.
 func (c *Coordinator) Tick(now time.Time) (next time.Time) {
 	c.loop.lastTick = now
 	c.expireRecords(now)
 	listEvents, events := splitListEvents(c.acceptInputs(now))
 	listEvents = append(listEvents, c.takeListEvents()...)
-	// Zones and maintenance follow the lists, which were made before: the latest state of a data node counts.
+	// The events of zones and maintenance come after the list events, which were created earlier: the module uses the latest state of a
+	// data node that it is given.
 	zoneEvents, zoneNext := c.stepZones(now)
 	listEvents = append(listEvents, zoneEvents...)
 	maintenanceEvents, maintenanceNext := c.stepMaintenance(now)
@@ -65,7 +66,7 @@
 	return c.nextTick(now, zoneNext, maintenanceNext)
 }
 
-// expireRecords lets the membership table expire what is due.
+// expireRecords runs the timers of the membership table that are due.
 func (c *Coordinator) expireRecords(now time.Time) {
 	c.mu.Lock()
 	due := c.endpoints.table.Next()
@@ -75,7 +76,7 @@
 	}
 }
 
-// acceptInputs takes in the inputs that are due, and returns the events that the module is to see, in the order of their arrival.
+// acceptInputs processes the inputs that are due, and returns the events to pass to the module, in order of arrival.
 func (c *Coordinator) acceptInputs(now time.Time) (events []aggregator.Event) {
 	c.mu.Lock()
 	inbox := append(c.loop.delayed, c.inbox...)
@@ -91,7 +92,7 @@
 	return events
 }
 
-// splitListEvents separates changes of the endpoint list from all other events; both keep their order.
+// splitListEvents separates changes of the endpoint list from all other events; both results keep the order of events.
 func splitListEvents(events []aggregator.Event) (lists, others []aggregator.Event) {
 	for _, e := range events {
 		if isListEvent(e.Kind) {
@@ -103,8 +104,8 @@
 	return lists, others
 }
 
-// takeListEvents takes out of the inbox the changes that the inputs of this very tick have caused: a retry of an attempt that failed
-// just now is to go by them.
+// takeListEvents removes the list events from the inbox and returns them. Inputs of the current tick may have caused them, and a retry of
+// an attempt that just failed must already take them into account.
 func (c *Coordinator) takeListEvents() (events []aggregator.Event) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -123,8 +124,8 @@
 	return k == aggregator.ListChanged || k == aggregator.ListReplaced || k == aggregator.ListCached
 }
 
-// failOverdueQueries fails the queries whose deadline has passed. The module ends them earlier; this guards against a loop that runs
-// so late that a client would get no answer at all, and shows as an error in the log.
+// failOverdueQueries fails the queries whose deadline has passed. The module normally ends them earlier; this guards against a loop that
+// runs so late that a client would get no answer at all. It is logged as an error.
 func (c *Coordinator) failOverdueQueries(now time.Time) (events []aggregator.Event) {
 	for _, q := range c.loop.queries.open {
 		if !now.Before(q.Deadline) {
@@ -145,7 +146,7 @@
 	}
 }
 
-// takeWakeup reports whether the module's own wakeup is due, and clears it.
+// takeWakeup reports whether the wakeup that the module requested is due, and if so clears it.
 func (c *Coordinator) takeWakeup(now time.Time) bool {
 	if c.loop.wakeAt.IsZero() || now.Before(c.loop.wakeAt) {
 		return false
@@ -154,7 +155,8 @@
 	return true
 }
 
-// nextTick is the earliest time at which something falls due: of the two given, where not zero, and of all that the loop waits for.
+// nextTick returns the time by which the next tick must run: the earliest of the given times, if not zero, and of all times that the loop
+// itself waits for, at most idleInterval from now.
 func (c *Coordinator) nextTick(now, zoneNext, maintenanceNext time.Time) time.Time {
 	next := now.Add(idleInterval)
 	earlier := func(t time.Time) {
@@ -184,7 +186,7 @@
 	return next
 }
 
-// accept applies an input to the loop's tables and reports whether the module is to see its event.
+// accept applies an input to the loop's tables and reports whether its event must be passed to the module.
 func (c *Coordinator) accept(in *input, now time.Time) bool {
 	switch in.event.Kind {
 	case aggregator.QueryArrived:
@@ -199,8 +201,8 @@
 	return true
 }
 
-// acceptQuery opens a query. One whose id is that of an open query, or whose parts have the id of one still in flight, fails: answers
-// of data nodes are matched by id, and those of the two could not be told apart.
+// acceptQuery opens a query. A query fails if its ID is that of an open query, or if one of its parts has the ID of a part that is still
+// in flight: answers of data nodes are matched by ID, so the answers of the two would be indistinguishable.
 func (c *Coordinator) acceptQuery(in *input, now time.Time) bool {
 	q, table := in.query, &c.loop.queries
 	if table.open[q.ID] != nil || slices.ContainsFunc(q.parts, func(p *part) bool { return table.parts[p.id] != nil }) {
@@ -234,7 +236,7 @@
 	return true
 }
 
-// acceptAttemptEnd records how an attempt ended; only its first end counts.
+// acceptAttemptEnd records the outcome of an attempt; only the first report counts.
 func (c *Coordinator) acceptAttemptEnd(in *input, now time.Time) bool {
 	a := in.attempt
 	if a.ended {
@@ -255,8 +257,8 @@
 	return true
 }
 
-// stepModule calls the module and carries out its actions. A module that panics is replaced by a new one with the current list, so that
-// a fault in a decision costs the open queries and not the process.
+// stepModule steps the module and executes its actions. If the module panics, it is replaced by a new one with the current list, so that
+// a bug in the module fails the open queries but does not crash the process.
 func (c *Coordinator) stepModule(now time.Time, events []aggregator.Event) {
 	defer func() {
 		if r := recover(); r != nil {
@@ -274,7 +276,7 @@
 // restartModule fails all open queries, cancels their attempts and starts a new module.
 func (c *Coordinator) restartModule(cause any) {
 	c.log.Error("decision module panicked; restarted", "cause", cause)
-	c.loop.module, _ = aggregator.New(c.settings, c.seed) // New took the same settings before
+	c.loop.module, _ = aggregator.New(c.settings, c.seed) // no error: New has validated the same settings
 	for _, q := range c.loop.queries.open {
 		c.finish(q, Answer{Status: Failed})
 	}
@@ -288,7 +290,7 @@
 	c.wakeUp()
 }
 
-// apply does what one action of the module says; commands to data nodes are added to the batch.
+// apply executes one action of the module; commands to data nodes are added to the batch.
 func (c *Coordinator) apply(now time.Time, action aggregator.Action, batch *commandBatch) {
 	switch action.Kind {
 	case aggregator.Send:
--- a/internal/coordinator/maintenance.go
+++ b/internal/coordinator/maintenance.go
@@ -9,53 +9,54 @@
 	"gullfall/aggregator"
 )
 
-// Maintenance is what this coordinator knows of machines that go out for maintenance. The zero value lets everything be used.
+// Maintenance describes which data nodes are in maintenance or announced for it, as far as this coordinator knows. The zero value allows
+// the use of all data nodes.
 type Maintenance struct {
-	Excluded  map[string]bool   // by id: nothing may be sent there
-	Addrs     map[string]bool   // by address, under whatever id: nothing may be sent there
-	Announced map[string]bool   // by id: may be excluded any time, so usable only while this coordinator is present
-	Returned  map[string]uint64 // by id, in which turn it came back; it warms up since this coordinator learned of it
-	Unknown   bool              // nothing is known yet: all data nodes are usable only while this coordinator is present
+	Excluded  map[string]bool   // by ID: nothing may be sent there
+	Addrs     map[string]bool   // by address, whatever the ID: nothing may be sent there
+	Announced map[string]bool   // by ID: may be excluded at any time, so only usable while this coordinator is present
+	Returned  map[string]uint64 // by ID: number of the maintenance that it returned from; it warms up from when this coordinator learns of it
+	Unknown   bool              // nothing is known yet: all data nodes are only usable while this coordinator is present
 }
 
-// maintenanceState is the coordinator's part in maintenance. Its fields are guarded by Coordinator.mu, but for the atomic ones.
+// maintenanceState is what the coordinator tracks for maintenance. Coordinator.mu guards its non-atomic fields.
 type maintenanceState struct {
 	Maintenance
 	returned     map[string]nodeReturn
-	inFlight     map[string]int // attempts without an end, by data node; they outlive its record
+	inFlight     map[string]int // attempts that have not ended, by data node; kept after its record is removed
 	health       map[string]*nodeEvidence
-	absenceKnown bool // the module knows announced data nodes as not usable
+	absenceKnown bool // the module was told that announced data nodes are not usable
 
-	presentUntil atomic.Int64 // by the module's clock
-	lastOverload atomic.Int64 // by the module's clock, when a query was rejected for want of capacity; 0 for never
+	presentUntil atomic.Int64 // time on the module's clock until which this coordinator is present
+	lastOverload atomic.Int64 // time on the module's clock at which a query was last rejected for lack of capacity; 0 for never
 }
 
 // nodeReturn is the return of a data node from maintenance.
 type nodeReturn struct {
-	turn uint64
-	at   time.Time // when this coordinator learned of it
+	turn uint64    // number of the maintenance, from Maintenance.Returned
+	at   time.Time // when this coordinator learned of the return
 }
 
-// nodeEvidence is what attempts and probes last showed of a data node.
+// nodeEvidence is the recent evidence that attempts and probes gave about a data node.
 type nodeEvidence struct {
-	failures    int // in a row
+	failures    int // consecutive
 	lastFailure time.Time
 	utilization float64
 }
 
-// A data node is suspect after so many failures in a row, for so long after the last.
+// A data node is suspect after suspectAfter consecutive failures, until suspectFor after the last of them.
 const (
 	suspectAfter = 3
 	suspectFor   = 5 * time.Second
 )
 
-// suspect reports whether the data node failed repeatedly just now.
+// suspect reports whether the data node has recently failed several times in a row.
 func (e *nodeEvidence) suspect(now time.Time) bool {
 	return e.failures >= suspectAfter && now.Sub(e.lastFailure) < suspectFor
 }
 
-// EnableMaintenance lets machines be taken out for maintenance. It is called before Run; nothing is sent anywhere until SetMaintenance
-// and ExtendPresence have said more.
+// EnableMaintenance enables the maintenance of machines. It must be called before Run. Nothing is sent to any data node until
+// SetMaintenance or ExtendPresence allows it.
 func (c *Coordinator) EnableMaintenance() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -68,48 +69,50 @@
 	}
 }
 
-// ExtendPresence lets announced data nodes be used until then. Every attempt that is sent by then ends within its class's limit.
+// ExtendPresence allows the use of announced data nodes until the given time. Attempts sent before then end within the limit of their
+// class.
 func (c *Coordinator) ExtendPresence(until time.Time) {
 	c.maintenance.presentUntil.Store(int64(c.moduleClock(until)))
 	c.wakeUp()
 }
 
-// overloadWindow is how long a rejection counts as overload. It spans the gaps of a burst, which would else look like free capacity.
+// overloadWindow is how long a rejection counts as overload. It bridges the gaps within a burst, which would otherwise look like free
+// capacity.
 const overloadWindow = 2 * time.Second
 
-// Overloaded reports whether a query was rejected for want of capacity just now.
+// Overloaded reports whether a query was rejected for lack of capacity within overloadWindow.
 func (c *Coordinator) Overloaded() bool {
 	at := c.maintenance.lastOverload.Load()
 	return at > 0 && c.moduleClock(time.Now())-time.Duration(at) < overloadWindow
 }
 
-// noteOverload records that a query was rejected for want of capacity.
+// noteOverload records that a query was rejected for lack of capacity.
 func (c *Coordinator) noteOverload(now time.Time) {
 	if c.maintenance != nil {
 		c.maintenance.lastOverload.Store(int64(c.moduleClock(now)))
 	}
 }
 
-// IsPresent reports whether announced data nodes may be used now.
+// IsPresent reports whether this coordinator is present, so that announced data nodes may be used.
 func (c *Coordinator) IsPresent() bool { return !c.absent() }
 
-// absent reports whether announced data nodes may not be used now.
+// absent reports whether this coordinator is not present, so that announced data nodes must not be used.
 func (c *Coordinator) absent() bool {
 	return c.maintenance != nil && int64(c.moduleClock(time.Now())) >= c.maintenance.presentUntil.Load()
 }
 
-// isAnnounced reports whether a data node may go out for maintenance. The caller holds the lock.
+// isAnnounced reports whether a data node may be excluded for maintenance at any time. The caller holds the lock.
 func (c *Coordinator) isAnnounced(m Member) bool {
 	return c.maintenance != nil && (c.maintenance.Unknown || c.maintenance.Announced[m.ID])
 }
 
-// isExcluded reports whether a data node is out for maintenance. The caller holds the lock.
+// isExcluded reports whether a data node is in maintenance. The caller holds the lock.
 func (c *Coordinator) isExcluded(m Member) bool {
 	return c.maintenance != nil && (c.maintenance.Excluded[m.ID] || c.maintenance.Addrs[m.Addr])
 }
 
-// SetMaintenance takes in what is known now. Once it returns nothing new begins at a machine that it excludes; what is in flight there
-// ends there.
+// SetMaintenance replaces what is known about maintenance. After it has returned, no new attempt starts at an excluded machine; attempts
+// that are in flight there end there.
 func (c *Coordinator) SetMaintenance(m Maintenance) {
 	c.mu.Lock()
 	now := time.Now()
@@ -130,15 +133,15 @@
 	c.wakeUp()
 }
 
-// alike reports whether both say the same of a data node.
+// alike reports whether both treat a data node in the same way.
 func (m *Maintenance) alike(o *Maintenance, member Member) bool {
 	id, addr := member.ID, member.Addr
 	return m.Excluded[id] == o.Excluded[id] && m.Addrs[addr] == o.Addrs[addr] && m.Announced[id] == o.Announced[id] &&
 		m.Unknown == o.Unknown && m.Returned[id] == o.Returned[id]
 }
 
-// updateReturns notes when this coordinator learned of each return, and forgets those that are no longer named once their data node has
-// warmed up.
+// updateReturns records when this coordinator learned of each return, and removes returns that are no longer listed once their data node
+// has warmed up.
 func (s *maintenanceState) updateReturns(now time.Time, warmup time.Duration) {
 	for id, turn := range s.Returned {
 		if s.returned[id].turn != turn {
@@ -148,8 +151,8 @@
 	maps.DeleteFunc(s.returned, func(id string, r nodeReturn) bool { return now.Sub(r.at) > warmup && s.Returned[id] == 0 })
 }
 
-// stepMaintenance notices that this coordinator's presence has ended, or begun. It returns the event that tells the module, if anything
-// changed, and when presence is to be looked at again.
+// stepMaintenance checks whether this coordinator's presence has ended or begun. It returns an event that tells the module, if there was a
+// change, and the time of the next check.
 func (c *Coordinator) stepMaintenance(now time.Time) (events []aggregator.Event, next time.Time) {
 	if c.maintenance == nil {
 		return nil, time.Time{}
@@ -179,8 +182,8 @@
 	return []aggregator.Event{event}, next
 }
 
-// adjustForMaintenance makes a data node that is out for maintenance draining, and one that came back a data node that started with its
-// return. The caller holds the lock.
+// adjustForMaintenance marks a data node as draining if maintenance makes it unusable, and sets its start to its return from maintenance
+// if that is later. The caller holds the lock.
 func (c *Coordinator) adjustForMaintenance(m Member, out aggregator.Member) aggregator.Member {
 	if c.maintenance == nil {
 		return out
@@ -194,14 +197,14 @@
 	return out
 }
 
-// addInFlight changes the number of attempts in flight at a data node. The caller holds Coordinator.mu.
+// addInFlight adds to the number of attempts in flight at a data node. The caller holds Coordinator.mu.
 func (s *maintenanceState) addInFlight(id string, by int) {
 	if s.inFlight[id] += by; s.inFlight[id] == 0 {
 		delete(s.inFlight, id)
 	}
 }
 
-// observeForMaintenance notes what the end of an attempt or a probe says of a data node.
+// observeForMaintenance records the outcome of an attempt or a probe as evidence about the data node.
 func (c *Coordinator) observeForMaintenance(n *Node, outcome Outcome, load map[string]float64, now time.Time) {
 	if c.maintenance == nil {
 		return
@@ -224,7 +227,7 @@
 	}
 }
 
-// DrainedForMaintenance reports whether a data node is out for maintenance and nothing is in flight there, whatever became of its record.
+// DrainedForMaintenance reports whether a data node is in maintenance and no attempt is in flight there, even if its record was removed.
 func (c *Coordinator) DrainedForMaintenance(id string) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -235,15 +238,15 @@
 	return c.maintenance.inFlight[id] == 0 && (n == nil || n.excluded.Load())
 }
 
-// NodeHealth is a data node as this coordinator sees it.
+// NodeHealth is the record of a data node and its health as seen by this coordinator.
 type NodeHealth struct {
 	Member
-	Suspect     bool // it failed several times in a row just now, or its zone is out
+	Suspect     bool // it recently failed several times in a row, or its zone is out
 	WarmingUp   bool
-	Utilization float64 // as it reported last
+	Utilization float64 // last value that it reported
 }
 
-// DataNodes is all data nodes as this coordinator sees them.
+// DataNodes returns all listed data nodes with their health as seen by this coordinator.
 func (c *Coordinator) DataNodes() []NodeHealth {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -260,7 +263,7 @@
 	return slices.Clip(list)
 }
 
-// nodeHealth is a data node as this coordinator sees it. The caller holds the lock.
+// nodeHealth returns the health of a data node as seen by this coordinator. The caller holds the lock.
 func (c *Coordinator) nodeHealth(now time.Time, m Member) NodeHealth {
 	warmup := c.settings.Rules.WarmupTime
 	health := NodeHealth{Member: m, WarmingUp: !m.Started.IsZero() && now.Sub(m.Started) < warmup}
--- a/internal/coordinator/maintenance_test.go
+++ b/internal/coordinator/maintenance_test.go
@@ -10,10 +10,11 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// TestMaintenance: what is sent to a data node that goes out for maintenance and comes back, with and without presence.
+// TestMaintenance checks which queries a data node serves before, during and after its maintenance, with and without the coordinator's
+// presence, and the state that the coordinator reports.
 func TestMaintenance(t *testing.T) {
 	type told struct {
-		Query                 string // verdict of one that is asked then; empty for none
+		Query                 string // result of a query executed then; empty for no query
 		Quiet, Present, Press bool
 	}
 	announced := Maintenance{Announced: map[string]bool{"n1": true}}
@@ -24,41 +25,41 @@
 		change func(s *testbed)
 		want   told
 	}{
-		{"nothing is known", func(s *testbed) {}, told{Query: failed}},
-		{"no plan", func(s *testbed) { s.SetMaintenance(Maintenance{}) }, told{Query: served}},
-		{"called, and not present", func(s *testbed) { s.SetMaintenance(announced) }, told{Query: failed}},
-		{"called, and present", func(s *testbed) { s.SetMaintenance(announced); s.ExtendPresence(time.Now().Add(time.Hour)) }, told{Query: served, Present: true}},
-		{"called, and present until just now", func(s *testbed) {
+		{"maintenance not known yet", func(s *testbed) {}, told{Query: failed}},
+		{"no maintenance", func(s *testbed) { s.SetMaintenance(Maintenance{}) }, told{Query: served}},
+		{"announced, not present", func(s *testbed) { s.SetMaintenance(announced) }, told{Query: failed}},
+		{"announced, present", func(s *testbed) { s.SetMaintenance(announced); s.ExtendPresence(time.Now().Add(time.Hour)) }, told{Query: served, Present: true}},
+		{"announced, presence just ended", func(s *testbed) {
 			s.SetMaintenance(announced)
 			s.ExtendPresence(time.Now().Add(time.Second))
 			time.Sleep(time.Second)
 		}, told{Query: failed}},
 		{"excluded", func(s *testbed) { s.SetMaintenance(excluded); s.ExtendPresence(time.Now().Add(time.Hour)) }, told{Query: failed, Quiet: true, Present: true}},
-		{"excluded by its address", func(s *testbed) { s.SetMaintenance(Maintenance{Addrs: map[string]bool{"127.0.0.1:1": true}}) }, told{Query: failed}},
-		{"excluded with a part out", func(s *testbed) {
+		{"excluded by address", func(s *testbed) { s.SetMaintenance(Maintenance{Addrs: map[string]bool{"127.0.0.1:1": true}}) }, told{Query: failed}},
+		{"excluded with a part in flight", func(s *testbed) {
 			s.SetMaintenance(Maintenance{})
 			go s.execute(context.Background(), "held", 3)
 			time.Sleep(100 * time.Millisecond)
 			s.SetMaintenance(excluded)
 		}, told{}},
-		{"and once that has ended", func(s *testbed) {
+		{"excluded, after the part in flight has ended", func(s *testbed) {
 			s.SetMaintenance(Maintenance{})
 			go s.execute(context.Background(), "held", 3)
 			time.Sleep(100 * time.Millisecond)
 			s.SetMaintenance(excluded)
 			time.Sleep(3 * time.Second)
 		}, told{Quiet: true}},
-		{"back", func(s *testbed) {
+		{"returned", func(s *testbed) {
 			s.SetMaintenance(excluded)
 			s.SetMaintenance(Maintenance{Returned: map[string]uint64{"n1": 1}})
 		}, told{Query: served}},
-		{"one turned away", func(s *testbed) {
+		{"query rejected just now", func(s *testbed) {
 			s.SetMaintenance(Maintenance{})
 			free := s.fill()
 			s.execute(context.Background(), "r", 0)
 			free()
 		}, told{Query: served, Press: true}},
-		{"one turned away some seconds ago", func(s *testbed) {
+		{"query rejected some seconds ago", func(s *testbed) {
 			s.SetMaintenance(Maintenance{})
 			free := s.fill()
 			s.execute(context.Background(), "r", 0)
@@ -67,11 +68,11 @@
 		}, told{Query: served}},
 	} {
 		synctest.Test(t, func(t *testing.T) {
-			s := newTestbed(t, 20, func(s *testbed, o *Command) {
-				if len(o.Call) > 0 && o.Call[0].ID == "held.3" {
-					return // no answer; it ends as it is given up
+			s := newTestbed(t, 20, func(s *testbed, cmd *Command) {
+				if len(cmd.Call) > 0 && cmd.Call[0].ID == "held.3" {
+					return // never answered; it ends when it is cancelled
 				}
-				serve(s, o)
+				serve(s, cmd)
 			}, (*Coordinator).EnableMaintenance)
 			s.list.Replace([]Member{{ID: "n1", Addr: "127.0.0.1:1"}}, false)
 			time.Sleep(10 * tick)
@@ -89,13 +90,13 @@
 	}
 }
 
-// TestObservations: what the observer gets of the ends of attempts; of a cancelled one, nothing.
+// TestObservations checks that the observer receives the outcomes of attempts, except of cancelled ones.
 func TestObservations(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ends := map[string]Result{"ok.0": {Outcome: OK, Docs: [][]byte{[]byte("v")}, LoadReport: map[string]float64{"util": 0.5}}, "bad.1": {Outcome: NotConnected},
 			"gone.2": {Outcome: Cancelled}}
-		s := newTestbed(t, 0, func(s *testbed, o *Command) {
-			for _, a := range o.Call {
+		s := newTestbed(t, 0, func(s *testbed, cmd *Command) {
+			for _, a := range cmd.Call {
 				time.Sleep(20 * time.Millisecond)
 				s.Report(a, ends[a.ID])
 			}
@@ -128,7 +129,7 @@
 	})
 }
 
-// fill has as much open as the settings allow, until free is called.
+// fill uses up MaxOpen until free is called.
 func (s *testbed) fill() (free func()) {
 	const maxOpen = 20
 	add := func(n int) {
--- a/internal/coordinator/observation.go
+++ b/internal/coordinator/observation.go
@@ -4,21 +4,21 @@
 	"time"
 )
 
-// Observation is something seen of a data node that peers may want to know: how an attempt or a probe ended, that it started lately, or
-// that it failed while its zone went out.
+// Observation is an event at a data node that is reported to peers: the outcome of an attempt or a probe, a recent start, or its failure
+// as part of a zone that went out.
 type Observation struct {
 	Node        string
-	Failed      bool          // its connection was refused or reset, or its zone is out; else it answered
-	Latency     time.Duration // of an answered attempt; 0 where not known
-	Utilization float64       // as it reported; below 0 where it did not
-	Started     bool          // it started lately; then only Ago counts
-	Ago         time.Duration // since its start
+	Failed      bool          // a connection was refused or reset, or the zone is out; otherwise the data node answered
+	Latency     time.Duration // of an answered attempt; 0 if not known
+	Utilization float64       // as reported by the data node; negative if it reported none
+	Started     bool          // the data node started recently; only Ago is set then
+	Ago         time.Duration // time since that start
 }
 
-// OnObservation has f called for each from now on. It runs on the coordinator's own goroutines and must not block.
+// OnObservation sets the function that is called for each observation. It runs in the coordinator's goroutines and must not block.
 func (c *Coordinator) OnObservation(f func(Observation)) { c.observer.Store(&f) }
 
-// observed hands observations to the observer, if there is one.
+// observed passes observations to the observer, if one is set.
 func (c *Coordinator) observed(observations ...Observation) {
 	if f := c.observer.Load(); f != nil {
 		for _, o := range observations {
@@ -27,7 +27,8 @@
 	}
 }
 
-// notifyObserver passes on how an attempt or a probe ended; a is nil for a probe. An attempt that was cancelled says nothing.
+// notifyObserver passes the outcome of an attempt, or of a probe if a is nil, to the observer. Cancelled attempts are not reported, since
+// they say nothing about the data node.
 func (c *Coordinator) notifyObserver(n *Node, a *Attempt, outcome Outcome, load map[string]float64, now time.Time) {
 	o := Observation{Node: n.id, Utilization: -1}
 	switch outcome {
@@ -46,7 +47,7 @@
 	c.observed(o)
 }
 
-// notifyStarts passes on which data nodes have started so lately that they warm up.
+// notifyStarts tells the observer about data nodes that started so recently that they are still warming up.
 func (c *Coordinator) notifyStarts(changes []Member, now time.Time) {
 	for _, m := range changes {
 		if ago := now.Sub(m.Started); m.State == Serving && !m.Started.IsZero() && ago < c.settings.Rules.WarmupTime {
--- a/internal/coordinator/queries.go
+++ b/internal/coordinator/queries.go
@@ -12,84 +12,84 @@
 	"gullfall/aggregator"
 )
 
-// ErrInput marks a query that can't be understood; it never reaches the module.
+// ErrInput is wrapped by the errors for invalid queries. Such queries never reach the module.
 var ErrInput = errors.New("bad query")
 
-// ErrGone says that the client left before the answer.
+// ErrGone is returned if the client leaves before the query is answered.
 var ErrGone = errors.New("client gone")
 
-// Query is a client's query, as a front read it.
+// Query is a client's query, as parsed by a protocol server.
 type Query struct {
 	ID       string
 	Class    string
 	Tenant   string
-	Retry    bool // the client says that it sends the query again
+	Retry    bool // the client marked the query as a retry
 	Deadline time.Time
-	// IdempotencyKey goes with each attempt of each part of a keyed class, so that a data node can drop a repeat. The client makes
-	// it, and it is passed on unread; other classes need none.
+	// IdempotencyKey is sent with each attempt of each part if the class is keyed, so that data nodes can discard duplicates. The client
+	// generates it, and it is passed on unchanged; other classes don't need one.
 	IdempotencyKey string
-	Text           string // what each part carries
+	Text           string // sent with each part
 	Parts          []Part
-	Received       *atomic.Int32 // counts the parts that a data node has answered; may be nil
+	Received       *atomic.Int32 // incremented for each part that is answered; may be nil
 }
 
 // Part is one shard's part of a query.
 type Part struct {
 	Shard  int
 	Weight float64       // share of the answer, 0 to 1
-	Work   time.Duration // expected; 0 where not known
+	Work   time.Duration // expected processing time; 0 if not known
 	Key    string
 }
 
-// Status says how a query ended.
+// Status is the final status of a query.
 type Status int
 
 // The statuses of a query.
 const (
 	Answered Status = iota + 1
-	Rejected        // nothing was lost: it may be sent again
+	Rejected        // not answered, and nothing was lost: the client may send it again
 	Failed
 )
 
-// Answer is the one final answer of a query.
+// Answer is the final answer to a query; each query gets exactly one.
 type Answer struct {
 	Status     Status
-	Complete   bool // the share of the weight that its class wants complete is there
+	Complete   bool // the answered parts reach the share of the weight that the class requires for a complete answer
 	Values     []PartValue
-	RetryAfter time.Duration // of a rejected one: when to come back; 0 for no advice
+	RetryAfter time.Duration // if rejected: how long to wait before a retry; 0 for no advice
 }
 
-// PartValue is the value of one part, as a data node gave it: its documents.
+// PartValue is the value of one part: the documents that a data node returned.
 type PartValue struct {
 	Shard int
 	Docs  [][]byte
 }
 
-// query is a Query that was accepted. Its fields belong to the event loop once it is enqueued, but for closed.
+// query is a Query that was accepted. Once it is enqueued, only the event loop may access its fields, except closed.
 type query struct {
 	Query
 	parts      []*part
 	reply      chan Answer
 	receivedAt time.Time
-	finished   bool        // its answer is out
-	closed     atomic.Bool // it is finished, or its client has left: nothing of it may be sent any more
+	finished   bool        // its answer has been delivered
+	closed     atomic.Bool // it is finished or its client has left; no further attempts of it may be sent
 }
 
-// part is a Part of an admitted query. Its id is the query's, a dot and the shard.
+// part is a Part of an accepted query. Its ID consists of the query's ID, a dot and the shard.
 type part struct {
 	id       string
 	query    *query
 	shard    int
 	docs     [][]byte
-	received bool // a data node has answered it
+	received bool // it has been answered
 	attempts []*Attempt
 }
 
-// queryTable holds what is in progress. It belongs to the event loop.
+// queryTable holds the queries, parts and attempts in progress. Only the event loop accesses it.
 type queryTable struct {
-	open     map[string]*query // by id
-	parts    map[string]*part  // by id; a part outlives its query until none of its attempts is in flight
-	attempts map[*Attempt]bool // in flight
+	open     map[string]*query // unfinished queries, by ID
+	parts    map[string]*part  // by ID; a part is kept after its query has finished until none of its attempts is in flight
+	attempts map[*Attempt]bool // attempts in flight
 }
 
 func newQueryTable() queryTable {
@@ -102,7 +102,7 @@
 	t.attempts[a] = true
 }
 
-// receive takes in the value of a part, the first time that it is answered while its query is open.
+// receive stores the value of a part. Only the first answer that arrives before the query is finished counts.
 func (p *part) receive(docs [][]byte) {
 	if p.query.finished || p.received {
 		return
@@ -113,8 +113,8 @@
 	}
 }
 
-// Execute takes a query and waits for its final answer. An error wraps ErrInput where the query was not taken, or is ErrGone where
-// ctx ended first.
+// Execute executes a query and waits for its final answer. The error wraps ErrInput if the query is invalid, and is ErrGone if ctx is
+// done before there is an answer.
 func (c *Coordinator) Execute(ctx context.Context, request Query) (Answer, error) {
 	if err := c.Validate(&request); err != nil {
 		return Answer{}, err
@@ -122,7 +122,7 @@
 	if !request.Deadline.After(time.Now()) {
 		return Answer{}, fmt.Errorf("%w: deadline has passed", ErrInput)
 	}
-	// No client waits for longer than its class's limit, whatever it says.
+	// The class limits the deadline that a client may ask for.
 	if end := time.Now().Add(c.settings.Classes[c.classes[request.Class]].Deadline); request.Deadline.After(end) {
 		request.Deadline = end
 	}
@@ -145,10 +145,10 @@
 	}
 }
 
-// size is what a query counts for in Limits.MaxOpen: itself and each of its parts.
+// size returns how much a query counts towards Limits.MaxOpen: one for itself and one for each part.
 func (q *query) size() int { return 1 + len(q.Parts) }
 
-// reserve counts a query as open, unless as much is open as the settings allow.
+// reserve counts a query as open. It returns false and counts nothing if Limits.MaxOpen is already reached.
 func (c *Coordinator) reserve(q *query) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -159,14 +159,14 @@
 	return true
 }
 
-// release ends what reserve began.
+// release undoes reserve.
 func (c *Coordinator) release(q *query) {
 	c.mu.Lock()
 	c.open -= q.size()
 	c.mu.Unlock()
 }
 
-// arrivals makes the parts of a query, and the inputs that tell the module of it and of them.
+// arrivals creates the parts of a query and returns the inputs that announce the query and its parts to the module.
 func (c *Coordinator) arrivals(q *query) []input {
 	tenant, known := c.tenants[q.Tenant]
 	if !known {
@@ -185,7 +185,8 @@
 	return inputs
 }
 
-// RetryAfter is when a client that is rejected on arrival may come back; 0 where the settings allow no such advice.
+// RetryAfter returns how long a client whose query is rejected on arrival should wait before a retry; 0 if the settings don't allow such
+// advice.
 func (c *Coordinator) RetryAfter() time.Duration {
 	if !c.settings.Limits.SendRetryAfter {
 		return 0
@@ -193,14 +194,14 @@
 	return c.settings.Limits.MaxRetryAfter / 2
 }
 
-// Open counts the queries and parts in progress.
+// Open returns the number of queries and parts in progress.
 func (c *Coordinator) Open() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.open
 }
 
-// conclude ends a query as an action of the module says.
+// conclude finishes a query with the result that the module's action specifies.
 func (c *Coordinator) conclude(now time.Time, q *query, action aggregator.Action) {
 	switch action.Kind {
 	case aggregator.Answer:
@@ -214,7 +215,7 @@
 	}
 }
 
-// values are the parts that have been answered, in the order of the query.
+// values returns the values of the parts that have been answered, in the order of the query.
 func (q *query) values() (values []PartValue) {
 	for _, p := range q.parts {
 		if p.received {
@@ -224,7 +225,7 @@
 	return values
 }
 
-// finish gives a query its one final answer and forgets it. Attempts that are still in flight are the module's to cancel.
+// finish delivers the final answer of a query and removes the query. It leaves the cancellation of attempts in flight to the module.
 func (c *Coordinator) finish(q *query, answer Answer) {
 	if q.finished {
 		return
@@ -234,21 +235,21 @@
 	c.log.Debug(LogQueryEnded, "query", q.ID, "class", q.Class, "status", answer.Status.String(), "complete", answer.Complete,
 		"parts", len(q.parts), "took", time.Since(q.receivedAt))
 	delete(c.loop.queries.open, q.ID)
-	c.release(q) // before the reply: whoever has the answer finds nothing open
+	c.release(q) // before the reply, so that the query no longer counts as open when its caller has the answer
 	q.reply <- answer
 	for _, p := range q.parts {
 		c.forget(p)
 	}
 }
 
-// forget drops a part once its query is finished and none of its attempts is in flight.
+// forget removes a part if its query is finished and none of its attempts is in flight.
 func (c *Coordinator) forget(p *part) {
 	if p.query.finished && !slices.ContainsFunc(p.attempts, func(a *Attempt) bool { return !a.ended }) {
 		delete(c.loop.queries.parts, p.id)
 	}
 }
 
-// logUnanswered logs a query that ends without an answer, with the parts that it lacks and their attempts.
+// logUnanswered logs a query that ends without an answer, with its missing parts and their attempts.
 func (c *Coordinator) logUnanswered(message string, q *query, reason aggregator.Reason, now time.Time) {
 	if reason == aggregator.OverCapacity || reason == aggregator.ForecastTooLate {
 		c.noteOverload(now)
@@ -257,7 +258,7 @@
 		"left", q.Deadline.Sub(now).Round(time.Millisecond), "parts", len(q.parts), "missing", q.missing(now))
 }
 
-// missing describes the parts without an answer, one string each: the shard, then data node, state and age of each attempt.
+// missing describes each unanswered part in one string: the shard, followed by the data node, state and age of each attempt.
 func (q *query) missing(now time.Time) (missing []string) {
 	for _, p := range q.parts {
 		if p.received {
--- a/internal/coordinator/slowstart_test.go
+++ b/internal/coordinator/slowstart_test.go
@@ -1,7 +1,7 @@
 package coordinator
 
-// A data node that comes back cold under the id that it had, from its record to what it is sent: the module's rule holds
-// for starts that the membership table has worked out.
+// End-to-end test of slow start, from the record of a data node that returns with the same ID to the attempts sent to it: the module must
+// apply slow start also to starts that the membership table has inferred.
 
 import (
 	"context"
@@ -17,8 +17,9 @@
 	"gullfall/internal/membership"
 )
 
-// TestSlowStartAfterReturn: under a flood, a data node that was away for long and came back under its id without saying since when
-// it runs gets no more in the rule's window than one that warms up can stand; one whose record only flapped gets its full share.
+// TestSlowStartAfterReturn checks, under high load, how much is sent to a data node that returns with the same ID and without a stated
+// start time. After a long absence it gets no more within the overload window than a data node that is warming up can handle; after a
+// short absence, when only its record flapped, it gets its full share.
 func TestSlowStartAfterReturn(t *testing.T) {
 	const work, window = 100 * time.Millisecond, time.Second
 	rules := aggregator.Rules{DrainGrace: 2 * time.Second, OverloadMultiple: 2, OverloadWindow: window, InitialCapacity: 0.3, WarmupTime: 5 * time.Second}
@@ -35,15 +36,15 @@
 			var mu sync.Mutex
 			begun := map[string]int{}
 			c.RegisterDispatcher("", func(n *Node) {
-				for o := n.Pick(context.Background()); o != nil; o = n.Pick(context.Background()) {
-					for _, a := range o.Call {
+				for cmd := n.Pick(context.Background()); cmd != nil; cmd = n.Pick(context.Background()) {
+					for _, a := range cmd.Call {
 						mu.Lock()
 						begun[n.ID()]++
 						mu.Unlock()
 						time.AfterFunc(work, func() { c.Report(a, Result{Outcome: OK, Docs: [][]byte{[]byte("v")}}) })
 					}
-					if o.Cancel != nil {
-						c.Report(o.Cancel, Result{Outcome: Cancelled})
+					if cmd.Cancel != nil {
+						c.Report(cmd.Cancel, Result{Outcome: Cancelled})
 					}
 				}
 			})
@@ -63,7 +64,7 @@
 				}
 				return wg
 			}
-			flood(20).Wait() // it learns how long parts take
+			flood(20).Wait() // lets the module learn how long parts take
 			zone.Replace([]Member{stays}, false)
 			away := 500 * time.Millisecond
 			if long {
@@ -80,7 +81,7 @@
 			got := begun["returns"]
 			mu.Unlock()
 			if long && (got > most || got == 0) || !long && got <= most {
-				t.Errorf("away for long %v: %d parts begun in its first second; a cold one stands %d", long, got, most)
+				t.Errorf("long absence %v: %d parts started in the first second; a cold data node can handle %d", long, got, most)
 			}
 			wg.Wait()
 			zone.Replace(nil, false)
--- a/internal/coordinator/validate.go
+++ b/internal/coordinator/validate.go
@@ -7,14 +7,14 @@
 	"gullfall/aggregator"
 )
 
-// What a query may hold.
+// Limits on the fields of a query.
 const (
-	weightTolerance = 1e-3 // weights are rounded: their sum may miss 1 by this
+	weightTolerance = 1e-3 // clients round weights, so their sum may differ from 1 by this much
 	maxIDLength     = 128  // bytes
-	maxKeyLength    = 128  // bytes of an idempotency key
+	maxKeyLength    = 128  // length of an idempotency key, in bytes
 )
 
-// Validate finds what can't be executed, whatever its deadline. The error wraps ErrInput; its message is for the client.
+// Validate checks everything about a query but its deadline. The error wraps ErrInput; its message is sent to the client.
 func (c *Coordinator) Validate(q *Query) error {
 	if _, known := c.classes[q.Class]; !known {
 		return fmt.Errorf("%w: unknown class %q", ErrInput, q.Class)
@@ -33,11 +33,11 @@
 
 func validateID(id string) error {
 	if id == "" || len(id) > maxIDLength {
-		return fmt.Errorf("%w: id of %d bytes", ErrInput, len(id))
+		return fmt.Errorf("%w: invalid id length of %d bytes", ErrInput, len(id))
 	}
 	for _, r := range id {
 		if !isVisibleASCII(r) {
-			return fmt.Errorf("%w: id %q", ErrInput, id)
+			return fmt.Errorf("%w: invalid id %q; visible ASCII is allowed", ErrInput, id)
 		}
 	}
 	return nil
@@ -45,7 +45,7 @@
 
 func isVisibleASCII(r rune) bool { return r > ' ' && r <= '~' }
 
-// validateParts checks that the shards exist, each once, and that the weights add up to 1.
+// validateParts checks that the shards exist and are not repeated, and that the weights add up to 1.
 func (c *Coordinator) validateParts(parts []Part) error {
 	if len(parts) == 0 {
 		return fmt.Errorf("%w: no shards", ErrInput)
@@ -55,24 +55,24 @@
 		if p.Shard < 0 || p.Shard >= c.settings.Shards || seen[p.Shard] {
 			return fmt.Errorf("%w: unknown or repeated shard %d", ErrInput, p.Shard)
 		}
-		if !(p.Weight >= 0 && p.Weight <= 1) || p.Work < 0 { // also a weight that is not a number
-			return fmt.Errorf("%w: weight or cost of shard %d", ErrInput, p.Shard)
+		if !(p.Weight >= 0 && p.Weight <= 1) || p.Work < 0 { // the negated condition also rejects a weight that is NaN
+			return fmt.Errorf("%w: invalid weight or cost of shard %d", ErrInput, p.Shard)
 		}
 		seen[p.Shard], sum = true, sum+p.Weight
 	}
 	if math.Abs(sum-1) > weightTolerance {
-		return fmt.Errorf("%w: weights add up to %g", ErrInput, sum)
+		return fmt.Errorf("%w: weights add up to %g instead of 1", ErrInput, sum)
 	}
 	return nil
 }
 
-// isKeyed reports whether data nodes drop a repeat of a part of the class by the query's idempotency key.
+// isKeyed reports whether data nodes use the query's idempotency key to discard duplicates of parts of the class.
 func (c *Coordinator) isKeyed(class string) bool {
 	return c.settings.Classes[c.classes[class]].Effect == aggregator.Keyed
 }
 
-// validateKey checks that a query of a keyed class has a key, and one that every protocol passes on unchanged: in a frame the list of a
-// part ends at a space, and its entries at a comma. A key in another class is not looked at.
+// validateKey checks that a query of a keyed class has an idempotency key that every protocol can carry unchanged: in a frame, a space
+// ends the list of a part, and a comma separates its entries. Keys of other classes are ignored.
 func (c *Coordinator) validateKey(q *Query) error {
 	if !c.isKeyed(q.Class) {
 		return nil
--- a/internal/coordinator/zones.go
+++ b/internal/coordinator/zones.go
@@ -11,30 +11,32 @@
 	"gullfall/internal/zones"
 )
 
-// zoneInterval is how often the states of zones are updated while some zone is not healthy or some data node fails. Their rules then
-// hold to a tenth of a second, and a healthy fleet costs nothing.
+// zoneInterval is the interval at which zone states are updated while a zone is not healthy or a data node fails. The durations in their
+// rules are therefore accurate to 0.1 s, and a healthy fleet causes no updates.
 const zoneInterval = 100 * time.Millisecond
 
-// zoneLogInterval is the shortest time between two log lines of one zone and state, so that a zone that flaps does not fill the log.
+// zoneLogInterval is the minimum time between two log lines for the same zone and new state, so that a flapping zone does not flood the
+// log.
 const zoneLogInterval = time.Second
 
-// zoneState is the coordinator's part in the states of zones. Its fields are guarded by Coordinator.mu.
+// zoneState is what the coordinator tracks about the states of zones. Coordinator.mu guards its fields.
 type zoneState struct {
 	tracker            *zones.Tracker
-	loggedAt           map[zoneLine]time.Time // when such a change was last logged
-	suppressed         map[zoneLine]int       // changes since that were not logged
-	lastAnswer         map[string]time.Time   // by data node: of an attempt or a probe
-	lastConnectionLoss map[string]time.Time   // by data node: of a connection that could be opened again
+	loggedAt           map[zoneLine]time.Time // when a change of this kind was last logged
+	suppressed         map[zoneLine]int       // number of changes of this kind since then that were not logged
+	lastAnswer         map[string]time.Time   // last answer to an attempt or a probe, by data node
+	lastConnectionLoss map[string]time.Time   // last loss of a connection that could be reopened, by data node
 }
 
-// zoneLine is a kind of log line: a zone went into a state.
+// zoneLine identifies a kind of log line: the change of a zone to a state.
 type zoneLine struct {
 	zone string
 	to   zones.State
 }
 
-// WatchZones lets zones that fail as a whole be left, and returned to at the pace of slow start. It is called before Run. Without it each
-// data node is judged alone, as on the platform.
+// WatchZones enables the detection of zones that fail as a whole: nothing is sent to such a zone, and after its recovery its load grows at
+// the rate of slow start. It must be called before Run. Without it, as on the platform, the health of each data node is
+// tracked individually.
 func (c *Coordinator) WatchZones(cfg zones.Config) error {
 	tracker, err := zones.New(cfg)
 	if err != nil {
@@ -52,7 +54,7 @@
 	return nil
 }
 
-// Zones gives the states of all zones; nil where zones are not watched.
+// Zones returns the status of all zones, or nil if zones are not watched.
 func (c *Coordinator) Zones() []zones.Status {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -62,8 +64,8 @@
 	return c.zones.tracker.All(time.Now())
 }
 
-// DrainZones makes the zones that an operator has drained exactly those named. They are left whatever the evidence says; those that are
-// no longer named return at the pace of slow start. Naming a zone is an error where zones are not watched.
+// DrainZones sets the zones that an operator has drained to exactly those named. They are out whatever the evidence says; zones that are
+// no longer named return at the rate of slow start. It is an error to name a zone if zones are not watched.
 func (c *Coordinator) DrainZones(names []string) error {
 	c.mu.Lock()
 	if c.zones == nil {
@@ -85,7 +87,7 @@
 	return nil
 }
 
-// setDrained drains the zones named and undrains all others.
+// setDrained drains the named zones and undrains all others.
 func (z *zoneState) setDrained(now time.Time, names []string) (changes []zones.Change) {
 	named := map[string]bool{}
 	for _, name := range names {
@@ -104,7 +106,7 @@
 	return changes
 }
 
-// zoneEvidence is what the outcomes alone say of a zone; those that are missing depend on what else was seen.
+// zoneEvidence maps outcomes to evidence about a zone. For outcomes that are missing, the evidence depends on earlier observations.
 var zoneEvidence = map[Outcome]zones.Evidence{
 	OK:             zones.Good,
 	Errored:        zones.Good,
@@ -113,7 +115,7 @@
 	Reset:          zones.Refused,
 }
 
-// observeForZones passes the end of an attempt, or of a probe where a is nil, to the tracker of zones. The caller does not hold the lock.
+// observeForZones passes the outcome of an attempt, or of a probe if a is nil, to the zone tracker. The caller does not hold the lock.
 func (c *Coordinator) observeForZones(n *Node, a *Attempt, outcome Outcome, now time.Time) {
 	if c.zones == nil {
 		return
@@ -125,14 +127,16 @@
 	}
 }
 
-// evidence is what the end of an attempt or a probe at a data node says of its zone; not known where it says nothing.
+// evidence returns the evidence that the outcome of an attempt or a probe at a data node gives about its zone; known is false if it gives
+// none.
 //
-// A cancelled attempt is a timeout where its time ran out. It is one too where the module cancelled it and the data node has answered
-// nothing since it was sent: the module sends the part elsewhere before its time runs out, so a zone that swallows what it is sent would
-// else give no evidence at all. While the data node answers others, a cancellation says nothing: most come with the end of a query.
+// A cancelled attempt counts as a timeout if its deadline passed. It also counts as a timeout if the module cancelled it and the data node
+// has answered nothing since it was sent: the module retries a part on another data node before its deadline, so a zone that accepts
+// requests but never answers would otherwise give no evidence at all. While the data node answers other attempts, a cancellation gives no
+// evidence, since most attempts are cancelled because their query ended.
 //
-// A lost connection that can be opened again is a refusal only where what was sent on the new one is lost too, with no answer between:
-// such a data node takes connections and resets each.
+// The loss of a connection that can be reopened counts as a refusal only if an attempt sent on the new connection is lost too, with no
+// answer in between: such a data node accepts connections and resets each of them.
 func (z *zoneState) evidence(node string, a *Attempt, outcome Outcome, now time.Time) (e zones.Evidence, known bool) {
 	e, known = zoneEvidence[outcome]
 	switch {
@@ -152,7 +156,7 @@
 	return e, known
 }
 
-// updateZoneMembers tells the tracker which data nodes serve, by zone. The caller holds the lock.
+// updateZoneMembers passes the serving data nodes and their zones to the tracker. The caller holds the lock.
 func (c *Coordinator) updateZoneMembers(now time.Time) {
 	if c.zones == nil {
 		return
@@ -172,8 +176,8 @@
 	maps.DeleteFunc(c.zones.lastConnectionLoss, left)
 }
 
-// stepZones updates the states of zones. It returns the event that hands the module what changed, if anything, and when the states must
-// be updated again. The caller does not hold the lock.
+// stepZones updates the states of zones. It returns an event that tells the module about changes, if there are any, and the time at which
+// the states must be updated again. The caller does not hold the lock.
 func (c *Coordinator) stepZones(now time.Time) (events []aggregator.Event, next time.Time) {
 	if c.zones == nil {
 		return nil, time.Time{}
@@ -192,18 +196,18 @@
 	for _, line := range lines {
 		line.log(c.log)
 	}
-	// Peers hear of failures only once their zone is out: one attempt without an answer proves nothing.
+	// Failures are reported to peers only once their zone is out, since a single unanswered attempt is no proof of a failure.
 	c.observed(failures...)
 	return events, next
 }
 
-// zoneChange is a change that is to be logged, with how many of its kind were not.
+// zoneChange is a change to be logged, with the number of earlier changes of the same kind that were not logged.
 type zoneChange struct {
 	zones.Change
 	suppressed int
 }
 
-// logLines are the changes to be logged; the others are counted.
+// logLines returns the changes to be logged, and counts the others.
 func (z *zoneState) logLines(now time.Time, changes []zones.Change) (lines []zoneChange) {
 	for _, ch := range changes {
 		kind := zoneLine{ch.Zone, ch.To}
@@ -227,7 +231,7 @@
 		"untold", ch.suppressed)
 }
 
-// failures are the data nodes that fail in the zones that have just gone out.
+// failures returns an observation for each failing data node of the zones that have just gone out.
 func (z *zoneState) failures(now time.Time, changes []zones.Change) (failures []Observation) {
 	for _, ch := range changes {
 		if ch.To != zones.Out {
@@ -240,7 +244,7 @@
 	return failures
 }
 
-// settled reports whether all zones are healthy and no data node fails.
+// settled reports whether all zones are healthy and no data node is failing.
 func (z *zoneState) settled(now time.Time) bool {
 	for _, s := range z.tracker.All(now) {
 		if s.State != zones.Healthy || s.Failing > 0 {
@@ -250,7 +254,7 @@
 	return true
 }
 
-// zoneListEvent hands the module the data nodes of the zones that changed. The caller holds the lock.
+// zoneListEvent returns an event with the data nodes of the changed zones. The caller holds the lock.
 func (c *Coordinator) zoneListEvent(changes []zones.Change) aggregator.Event {
 	changed := map[string]bool{}
 	for _, ch := range changes {
@@ -259,8 +263,8 @@
 	return c.listEvent(aggregator.ListChanged, func(m Member) bool { return changed[m.Zone] })
 }
 
-// adjustForZone makes a data node of a zone that is out draining, and one of a zone that returns a data node that started with the
-// return. What is in flight there goes on under the module's rules. The caller holds the lock.
+// adjustForZone marks a data node as draining if its zone is out, and sets its start to the start of the recovery if its zone is
+// recovering. The module's rules for draining data nodes apply to attempts in flight there. The caller holds the lock.
 func (c *Coordinator) adjustForZone(m Member, out aggregator.Member) aggregator.Member {
 	if c.zones == nil {
 		return out
--- a/internal/coordinator/zones_test.go
+++ b/internal/coordinator/zones_test.go
@@ -1,7 +1,8 @@
 package coordinator
 
-// A zone that fails as a whole, from the dispatcher's reports to what the module sends: it is left within Confirm of the
-// evidence, nothing new goes there while it is out, and it is returned to at the pace of a warming-up data node.
+// End-to-end tests of a zone that fails as a whole, from the dispatcher's reports to the attempts that the module sends: the zone goes out
+// within Confirm of the evidence, no new attempts are sent there while it is out, and after its recovery its data nodes get load at the
+// rate of slow start.
 
 import (
 	"context"
@@ -21,23 +22,24 @@
 )
 
 type zoneRun struct {
-	lastSentWhileLost time.Duration // from the loss of the zone to the last attempt begun there while it was dead
-	lateAttempts      int           // attempts begun at the dead zone from a second after its loss until it answered again
-	returns           int           // returns begun while it was dead, by the log
-	outLines          int           // lines that told the zone out
-	firstSecond       int           // attempts begun at its busiest data node in the first second of its return
-	answered          int
-	executed          int
+	lastSentWhileLost time.Duration // from the loss of the zone to the last attempt sent there while it was down
+	lateAttempts      int           // attempts sent to the zone while it was down, except in the first second after its loss
+	returns           int           // recoveries that began while the zone was down, counted in the log
+	outLines          int           // log lines "zone out"
+	firstSecond       int           // attempts at its busiest data node in the first second of its recovery
+	answered          int           // queries with a complete answer
+	executed          int           // all queries
 }
 
-// judgement sets how the coordinator judges data nodes.
+// zoneSetup configures whether the coordinator watches zones.
 type judgement func(*Coordinator) error
 
 func byNode(*Coordinator) error   { return nil }
 func byZone(c *Coordinator) error { return c.WatchZones(zones.Config{Seed: 3}) }
 
-// playZoneLoss plays zone a lost for 10 s under 20 queries a second. how is the outcome of what is sent there: NotConnected where
-// it refuses connections, ConnectionLost where it takes and resets them, Cancelled where it is silent and takes what it is sent.
+// simulateZoneLoss runs 20 queries per second for 30 s, during which zone a is down for 10 s. lossOutcome is the outcome of attempts there:
+// NotConnected if the zone refuses connections, ConnectionLost if it accepts and resets them, Cancelled if it accepts requests and never
+// answers.
 func playZoneLoss(t *testing.T, judge judgement, how Outcome) (run zoneRun, maxWarmingUp int) {
 	t.Helper()
 	const work, window = 50 * time.Millisecond, time.Second
@@ -63,8 +65,8 @@
 		var died, back time.Time
 		perNode := map[string]int{}
 		c.RegisterDispatcher("", func(n *Node) {
-			for o := n.Pick(context.Background()); o != nil; o = n.Pick(context.Background()) {
-				for _, a := range o.Call {
+			for cmd := n.Pick(context.Background()); cmd != nil; cmd = n.Pick(context.Background()) {
+				for _, a := range cmd.Call {
 					inA := n.ID()[0] == 'a'
 					mu.Lock()
 					now := time.Now()
@@ -86,8 +88,8 @@
 					}
 					time.AfterFunc(work, func() { c.Report(a, Result{Outcome: OK, Docs: [][]byte{[]byte("v")}}) })
 				}
-				if o.Cancel != nil {
-					c.Report(o.Cancel, Result{Outcome: Cancelled})
+				if cmd.Cancel != nil {
+					c.Report(cmd.Cancel, Result{Outcome: Cancelled})
 				}
 			}
 		})
@@ -104,7 +106,7 @@
 		src.Replace(list, false)
 		var wg sync.WaitGroup
 		var answered atomic.Int64
-		for i := range 600 { // 20 a second for 30 s
+		for i := range 600 { // 20 per second for 30 s
 			q := Query{ID: fmt.Sprint("q", i), Class: "report", Deadline: time.Now().Add(2 * time.Second),
 				Parts: []Part{{Shard: i % 4, Weight: 1, Work: work}}}
 			wg.Go(func() {
@@ -121,14 +123,14 @@
 			case 300:
 				dead.Store(false)
 				mu.Lock()
-				back = time.Now().Add(1500 * time.Millisecond) // at the earliest: quiet, wait and draw
+				back = time.Now().Add(1500 * time.Millisecond) // earliest start of a recovery after Quiet, Wait and the random spread
 				run.returns = logged.count("msg=\"zone returning\"")
 				mu.Unlock()
 			}
 			time.Sleep(50 * time.Millisecond)
 		}
 		wg.Wait()
-		src.Replace(nil, false) // the dispatchers end
+		src.Replace(nil, false) // ends the dispatchers
 		time.Sleep(10 * time.Second)
 		stop()
 		for _, n := range perNode {
@@ -140,7 +142,7 @@
 	return run, maxWarmingUp
 }
 
-// lines keeps what was logged, for counting.
+// logBuffer records log lines, so that a test can count them.
 type lines struct {
 	mu  sync.Mutex
 	all []string
@@ -164,49 +166,51 @@
 	return n
 }
 
-func TestZoneLeftAndReturned(t *testing.T) {
+// TestFailedZoneGoesOutAndRecovers compares zone watching with tracking each data node alone when a zone refuses connections.
+func TestFailedZoneGoesOutAndRecovers(t *testing.T) {
 	off, _ := playZoneLoss(t, byNode, NotConnected)
 	on, maxWarmingUp := playZoneLoss(t, byZone, NotConnected)
-	t.Logf("judged by data node: %+v", off)
-	t.Logf("judged by zone:      %+v (a cold data node stands %d in its first second)", on, maxWarmingUp)
-	// While out nothing goes there. A return that finds the zone still dead costs an attempt at each of its 4 data
-	// nodes, and what is begun before the next verdict: a zone tick of 20 queries a second, 3 attempts each at most.
+	t.Logf("zones not watched: %+v", off)
+	t.Logf("zones watched:     %+v (a cold data node can handle %d in its first second)", on, maxWarmingUp)
+	// Nothing is sent to a zone that is out. A recovery that begins while the zone is still down costs one attempt at each of its 4 data
+	// nodes, plus the attempts until the zone goes out again: those of one zoneInterval at 20 queries per second, up to 3 for each query.
 	perReturn := 4 + 3*int(math.Ceil(20*zoneInterval.Seconds()))
 	if on.lateAttempts > on.returns*perReturn || on.lateAttempts >= off.lateAttempts {
-		t.Errorf("%d attempts went to the dead zone more than a second after its loss, in %d returns; %d judged by data node",
+		t.Errorf("%d attempts were sent to the lost zone more than a second after its loss, in %d recoveries; %d with zones not watched",
 			on.lateAttempts, on.returns, off.lateAttempts)
 	}
 	if on.firstSecond > maxWarmingUp {
-		t.Errorf("a returning data node got %d attempts in its first second; a cold one stands %d", on.firstSecond, maxWarmingUp)
+		t.Errorf("a recovering data node got %d attempts in its first second; a cold one can handle %d", on.firstSecond, maxWarmingUp)
 	}
-	// A zone goes doubtful and then out within a second; the line that tells it out must not be held back by the one
-	// that told it doubtful.
+	// A zone becomes doubtful and then goes out within a second; the limit on log lines for "doubtful" must not suppress the line for
+	// "out".
 	if on.outLines == 0 {
-		t.Errorf("the zone went out %d times, and no line told it", on.returns+1)
+		t.Errorf("the zone went out %d times, but this was not logged", on.returns+1)
 	}
 	if on.answered < off.answered {
-		t.Errorf("whole answers: %d judged by zone, %d by data node", on.answered, off.answered)
+		t.Errorf("complete answers: %d with zones watched, %d without", on.answered, off.answered)
 	}
 }
 
-// A zone that swallows what it is sent gives no refusal and no timeout: the module gives its attempts up and tries the
-// parts elsewhere. That nothing was heard from a data node since an attempt was sent is the evidence. One that takes connections
-// and resets each gives none either but that nothing is heard between two of them.
-func TestZoneWithoutRefusalsLeft(t *testing.T) {
+// TestSilentOrResettingZoneGoesOut guards against zone failures that cause neither refusals nor timeouts. In a zone that accepts requests
+// and never answers, the module cancels the attempts and retries the parts elsewhere; the evidence is that a data node has answered
+// nothing since an attempt was sent. In a zone that accepts connections and resets each of them, the evidence is that there is no answer
+// between two resets.
+func TestSilentOrResettingZoneGoesOut(t *testing.T) {
 	for how, name := range map[Outcome]string{Cancelled: "silent", ConnectionLost: "resetting"} {
 		off, _ := playZoneLoss(t, byNode, how)
 		on, _ := playZoneLoss(t, byZone, how)
-		t.Logf("%s, judged by data node: %+v", name, off)
-		t.Logf("%s, judged by zone:      %+v", name, on)
+		t.Logf("%s, zones not watched: %+v", name, off)
+		t.Logf("%s, zones watched:     %+v", name, on)
 		if on.outLines == 0 {
-			t.Errorf("a %s zone was never told out", name)
+			t.Errorf("a %s zone was never logged as out", name)
 		}
 		if on.lateAttempts >= off.lateAttempts {
-			t.Errorf("%d attempts went to the %s zone more than a second after its loss; %d judged by data node",
+			t.Errorf("%d attempts were sent to the %s zone more than a second after its loss; %d with zones not watched",
 				on.lateAttempts, name, off.lateAttempts)
 		}
 		if on.answered < off.answered {
-			t.Errorf("%s: whole answers: %d judged by zone, %d by data node", name, on.answered, off.answered)
+			t.Errorf("%s: complete answers: %d with zones watched, %d without", name, on.answered, off.answered)
 		}
 	}
 }
