--- a/internal/coordinator/coordinator.go
+++ b/internal/coordinator/coordinator.go
@@ -49,31 +49,31 @@
 
 // New returns a coordinator for the settings. The seed determines the module's random choices. membershipConfig configures the
 // membership table; its ShardSets, Shards and Reach are overwritten from the settings.
-func New(set aggregator.Settings, seed uint64, log *slog.Logger, damping membership.Config) (*Coordinator, error) {
-	module, err := aggregator.New(set, seed)
+func New(settings aggregator.Settings, seed uint64, log *slog.Logger, membershipConfig membership.Config) (*Coordinator, error) {
+	module, err := aggregator.New(settings, seed)
 	if err != nil {
 		return nil, err
 	}
-	damping.ShardSets, damping.Shards, damping.Reach = set.ShardSets, set.Shards, set.Reach
-	table, err := membership.New(damping)
+	membershipConfig.ShardSets, membershipConfig.Shards, membershipConfig.Reach = settings.ShardSets, settings.Shards, settings.Reach
+	table, err := membership.New(membershipConfig)
 	if err != nil {
 		return nil, err
 	}
 	c := &Coordinator{
-		settings:  set,
+		settings:  settings,
 		seed:      seed,
 		log:       log,
 		start:     time.Now(),
-		classes:   make(map[string]int, len(set.Classes)),
-		tenants:   make(map[string]int, len(set.Tenants)),
+		classes:   make(map[string]int, len(settings.Classes)),
+		tenants:   make(map[string]int, len(settings.Tenants)),
 		notify:    make(chan struct{}, 1),
 		endpoints: newEndpoints(table),
 		loop:      eventLoop{module: module, queries: newQueryTable()},
 	}
-	for i, class := range set.Classes {
+	for i, class := range settings.Classes {
 		c.classes[class.Name] = i
 	}
-	for i, tenant := range set.Tenants {
+	for i, tenant := range settings.Tenants {
 		c.tenants[tenant.Name] = i
 	}
 	return c, nil
--- a/internal/coordinator/coordinator_test.go
+++ b/internal/coordinator/coordinator_test.go
@@ -24,12 +24,12 @@
 	list     *Source
 	mu       sync.Mutex
 	commands []string
-	end      func()
+	shutdown func()
 }
 
 var tick = 5 * time.Millisecond
 
-func newTestbed(t *testing.T, maxOpen int, act func(s *testbed, cmd *Command), first ...func(*Coordinator)) *testbed {
+func newTestbed(t *testing.T, maxOpen int, handle func(s *testbed, cmd *Command), configure ...func(*Coordinator)) *testbed {
 	t.Helper()
 	set := aggregator.Settings{Aggregators: 1, Tick: tick, ShardSets: 1, Shards: 4, Reach: 1,
 		Classes: []aggregator.Class{{Name: "report", LatencyObjective: time.Second, Deadline: 3 * time.Second, Priority: 1, CompleteShare: 1, MinShare: 1}},
@@ -41,7 +41,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, f := range first {
+	for _, f := range configure {
 		f(c)
 	}
 	s := &testbed{Coordinator: c}
@@ -61,14 +61,14 @@
 				s.commands = append(s.commands, "reject queued")
 			}
 			s.mu.Unlock()
-			act(s, cmd)
+			handle(s, cmd)
 		}
 	})
 	ctx, stop := context.WithCancel(t.Context())
 	go c.Run(ctx)
 	s.list = c.Source(membership.Spec{Name: "list"})
 	s.list.Replace([]Member{{ID: "n1"}}, false)
-	s.end = func() {
+	s.shutdown = func() {
 		s.list.Replace(nil, false)
 		time.Sleep(10 * time.Second)
 		stop()
@@ -110,7 +110,7 @@
 		if diff := cmp.Diff([]string{"call q.0 q.1", "call q.2"}, s.commands); diff != "" {
 			t.Errorf("(-want +got)\n%s", diff)
 		}
-		s.end()
+		s.shutdown()
 	})
 }
 
@@ -139,7 +139,7 @@
 		if len(s.loop.queries.open)+len(s.loop.queries.parts)+len(s.loop.queries.attempts)+s.Open() > 0 {
 			t.Errorf("still held: %d queries, %d parts, %d attempts", len(s.loop.queries.open), len(s.loop.queries.parts), len(s.loop.queries.attempts))
 		}
-		s.end()
+		s.shutdown()
 	})
 }
 
@@ -160,13 +160,13 @@
 		if got := s.execute(t.Context(), "q", 0); got != "answered true 1 false" {
 			t.Errorf("below MaxOpen: got %s", got)
 		}
-		s.end()
+		s.shutdown()
 	})
 }
 
 // TestDuplicateOpenIDFails checks that a query with the ID of an open query fails and does not affect the open one. Part IDs contain the
 // query's ID, so the parts of the two would be indistinguishable.
-func TestSameIDTwice(t *testing.T) {
+func TestDuplicateOpenIDFails(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newTestbed(t, 0, func(s *testbed, cmd *Command) {
 			time.Sleep(100 * time.Millisecond)
@@ -194,13 +194,13 @@
 		if got := s.execute(t.Context(), "q", 0); got != "answered true 1 false" {
 			t.Errorf("same ID after the cancellation: %s", got)
 		}
-		s.end()
+		s.shutdown()
 	})
 }
 
 // TestModulePanicFailsOpenQueries checks that a panic of the module fails the open queries, each with exactly one answer, and that queries
 // are served by a new module afterwards.
-func TestPanickingModule(t *testing.T) {
+func TestModulePanicFailsOpenQueries(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newTestbed(t, 0, serve)
 		time.Sleep(time.Second)
@@ -213,7 +213,7 @@
 		if got := s.execute(t.Context(), "r", 0); got != "answered true 1 false" {
 			t.Errorf("query after the panic: %s", got)
 		}
-		s.end()
+		s.shutdown()
 	})
 }
 
@@ -224,7 +224,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for name, spoil := range map[string]func(*Query){
+	for name, invalidate := range map[string]func(*Query){
 		"unknown class":                func(q *Query) { q.Class = "other" },
 		"unknown tenant":               func(q *Query) { q.Tenant = "other" },
 		"empty ID":                     func(q *Query) { q.ID = "" },
@@ -241,7 +241,7 @@
 		"deadline has passed":          func(q *Query) { q.Deadline = time.Now().Add(-time.Second) },
 	} {
 		q := Query{ID: "q", Class: "report", Tenant: "club", Deadline: time.Now().Add(time.Second), Parts: []Part{{Shard: 1, Weight: 1}}}
-		spoil(&q)
+		invalidate(&q)
 		if _, err := c.Execute(t.Context(), q); !errors.Is(err, ErrInput) {
 			t.Errorf("%s: error %v", name, err)
 		}
@@ -252,7 +252,7 @@
 }
 
 // TestDeadlineIsCappedByClassLimit checks that a query ends within the limit of its class even if its own deadline is later.
-func TestClassLimitBindsDeadlines(t *testing.T) {
+func TestDeadlineIsCappedByClassLimit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newTestbed(t, 0, func(s *testbed, cmd *Command) {
 			if cmd.Cancel != nil {
@@ -265,7 +265,7 @@
 		if err != nil || a.Status != Rejected || time.Since(start) > 3*time.Second {
 			t.Errorf("got %+v, %v after %v", a, err, time.Since(start))
 		}
-		s.end()
+		s.shutdown()
 	})
 }
 
@@ -273,19 +273,19 @@
 // however short the tick, so that it can't overtake the message that tells the data node, or its operating system, about the end of the
 // previous attempt.
 func TestRetryWaitsForCancellation(t *testing.T) {
-	for _, end := range []Outcome{Cancelled, Reset, ConnectionLost, Errored} {
+	for _, outcome := range []Outcome{Cancelled, Reset, ConnectionLost, Errored} {
 		synctest.Test(t, func(t *testing.T) {
-			var ended, again time.Time
+			var endedAt, retriedAt time.Time
 			tick = time.Millisecond
 			defer func() { tick = 5 * time.Millisecond }()
 			s := newTestbed(t, 0, func(s *testbed, cmd *Command) {
 				switch {
-				case cmd.Call != nil && ended.IsZero():
+				case cmd.Call != nil && endedAt.IsZero():
 					time.Sleep(100 * time.Millisecond) // well after the last tick
-					ended = time.Now()
-					s.Report(cmd.Call[0], Result{Outcome: end})
-				case cmd.Call != nil && again.IsZero():
-					again = time.Now()
+					endedAt = time.Now()
+					s.Report(cmd.Call[0], Result{Outcome: outcome})
+				case cmd.Call != nil && retriedAt.IsZero():
+					retriedAt = time.Now()
 					serve(s, cmd)
 				default:
 					serve(s, cmd)
@@ -294,17 +294,17 @@
 			if got := s.execute(t.Context(), "q", 0); got != "answered true 1 false" {
 				t.Errorf("got %s", got)
 			}
-			if wait := again.Sub(ended); end != Errored && wait < 5*time.Millisecond {
-				t.Errorf("outcome %d: the next attempt was sent after %v", end, wait)
+			if wait := retriedAt.Sub(endedAt); outcome != Errored && wait < 5*time.Millisecond {
+				t.Errorf("outcome %d: the next attempt was sent after %v", outcome, wait)
 			}
-			s.end()
+			s.shutdown()
 		})
 	}
 }
 
 // TestRemovedNodesAreReleased checks that everything kept for a data node is released once it has left the list, since data nodes with new
 // names appear for as long as the program runs. This includes its dispatcher; otherwise the test would not end.
-func TestNodesAreForgotten(t *testing.T) {
+func TestRemovedNodesAreReleased(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newTestbed(t, 0, serve)
 		for i := range 100 {
@@ -320,6 +320,6 @@
 		if len(s.loop.queries.open)+len(s.loop.queries.parts)+len(s.loop.queries.attempts)+len(s.loop.delayed)+s.Open() > 0 {
 			t.Errorf("still held: %d queries, %d parts, %d attempts", len(s.loop.queries.open), len(s.loop.queries.parts), len(s.loop.queries.attempts))
 		}
-		s.end()
+		s.shutdown()
 	})
 }
--- a/internal/coordinator/deployments_test.go
+++ b/internal/coordinator/deployments_test.go
@@ -18,12 +18,12 @@
 
 // deployments are invented for this test; they differ in all major settings.
 var deployments = []struct {
-	name, settings string
-	cells, reach   int
-	perCell        int // data nodes per shard set
-	shards         int
-	owner          string
-	grace          time.Duration
+	name, settings   string
+	shardSets, reach int
+	nodesPerShardSet int // data nodes per shard set
+	shards           int
+	tenant           string
+	drainGrace       time.Duration
 }{
 	{"three shard sets, automatic discovery, shared calls, tenants", `{"Az":"a","Balancers":3,"TickS":0.005,"Discovery":"automatic",
 		"Classes":[{"Name":"board","Effect":"safe","AimS":1,"HardLimitS":3,"Gain":3,"LateWorth":0.1},
@@ -59,7 +59,7 @@
 				ctx, stop := context.WithCancel(t.Context())
 				go c.Run(ctx)
 				var mu sync.Mutex
-				cell, drained, last := map[string]int{}, map[string]bool{}, time.Time{}
+				shardSet, drained, lastSent := map[string]int{}, map[string]bool{}, time.Time{}
 				c.RegisterDispatcher("", func(n *coordinator.Node) {
 					for cmd := n.Pick(context.Background()); cmd != nil; cmd = n.Pick(context.Background()) {
 						mu.Lock()
@@ -67,14 +67,14 @@
 							t.Errorf("a call of %d parts", len(cmd.Call))
 						}
 						for _, a := range cmd.Call {
-							if off := (cell[n.ID()] - a.Shard%d.cells + d.cells) % d.cells; off >= d.reach {
-								t.Errorf("shard %d was sent to shard set %d", a.Shard, cell[n.ID()])
+							if offset := (shardSet[n.ID()] - a.Shard%d.shardSets + d.shardSets) % d.shardSets; offset >= d.reach {
+								t.Errorf("shard %d was sent to shard set %d", a.Shard, shardSet[n.ID()])
 							}
 							if keyed := a.ID[0] == 'e'; keyed != (a.IdempotencyKey == "k7") || !keyed && a.IdempotencyKey != "" {
 								t.Errorf("part %s carries key %q", a.ID, a.IdempotencyKey)
 							}
 							if drained[n.ID()] {
-								last = time.Now()
+								lastSent = time.Now()
 							}
 							c.Report(a, coordinator.Result{Outcome: coordinator.OK, Docs: [][]byte{[]byte("v")}})
 						}
@@ -88,17 +88,17 @@
 					}
 				})
 				var list []coordinator.Member
-				for i := range d.cells * d.perCell {
-					m := coordinator.Member{ID: fmt.Sprint("n", i), ShardSet: i % d.cells, Zone: string('a' + rune(i/d.cells%2)), Weight: 1}
-					cell[m.ID] = m.ShardSet
+				for i := range d.shardSets * d.nodesPerShardSet {
+					m := coordinator.Member{ID: fmt.Sprint("n", i), ShardSet: i % d.shardSets, Zone: string('a' + rune(i/d.shardSets%2)), Weight: 1}
+					shardSet[m.ID] = m.ShardSet
 					list = append(list, m)
 				}
 				source := c.Source(membership.Spec{Name: "list"})
 				source.Replace(list, false)
 				number := 0
-				ask := func(class string, shards ...int) coordinator.Answer {
+				execute := func(class string, shards ...int) coordinator.Answer {
 					number++
-					q := coordinator.Query{ID: fmt.Sprint(class[:1], number), Class: class, Tenant: d.owner, IdempotencyKey: "k7", Deadline: time.Now().Add(2 * time.Second)}
+					q := coordinator.Query{ID: fmt.Sprint(class[:1], number), Class: class, Tenant: d.tenant, IdempotencyKey: "k7", Deadline: time.Now().Add(2 * time.Second)}
 					for _, s := range shards {
 						q.Parts = append(q.Parts, coordinator.Part{Shard: s, Weight: 1 / float64(len(shards))})
 					}
@@ -108,13 +108,13 @@
 					}
 					return answer
 				}
-				var all []int
+				var allShards []int
 				for s := range d.shards {
-					all = append(all, s)
+					allShards = append(allShards, s)
 				}
 				for range 20 {
 					for _, class := range []string{"board", "entry"} {
-						if a := ask(class, all...); a.Status != coordinator.Answered || !a.Complete || len(a.Values) != d.shards {
+						if a := execute(class, allShards...); a.Status != coordinator.Answered || !a.Complete || len(a.Values) != d.shards {
 							t.Errorf("%s: status %v, complete %v, %d of %d parts", class, a.Status, a.Complete, len(a.Values), d.shards)
 						}
 					}
@@ -122,21 +122,21 @@
 				// From here on, all data nodes that hold shard 0 are draining.
 				mu.Lock()
 				for i := range list {
-					if off := (list[i].ShardSet + d.cells) % d.cells; off < d.reach {
+					if offset := (list[i].ShardSet + d.shardSets) % d.shardSets; offset < d.reach {
 						list[i].State, drained[list[i].ID] = coordinator.Draining, true
 					}
 				}
 				mu.Unlock()
 				source.Change(list)
-				told := time.Now()
-				if a := ask("board", 0, d.cells-1); a.Status != coordinator.Answered || a.Complete || len(a.Values) != 1 {
+				markedAt := time.Now()
+				if a := execute("board", 0, d.shardSets-1); a.Status != coordinator.Answered || a.Complete || len(a.Values) != 1 {
 					t.Errorf("board with half of its parts: status %v, complete %v, %d parts", a.Status, a.Complete, len(a.Values))
 				}
-				if a := ask("entry", 0, d.cells-1); a.Status == coordinator.Answered {
+				if a := execute("entry", 0, d.shardSets-1); a.Status == coordinator.Answered {
 					t.Errorf("entry was answered without one of its parts")
 				}
-				if !last.IsZero() {
-					t.Errorf("a draining data node got a part %v after it was marked; the drain grace is %v", last.Sub(told), d.grace)
+				if !lastSent.IsZero() {
+					t.Errorf("a draining data node got a part %v after it was marked; the drain grace is %v", lastSent.Sub(markedAt), d.drainGrace)
 				}
 				if covered := c.CoveredShards(); covered >= d.shards || covered == 0 {
 					t.Errorf("%d of %d shards are covered", covered, d.shards)
--- a/internal/coordinator/dispatch.go
+++ b/internal/coordinator/dispatch.go
@@ -97,11 +97,11 @@
 }
 
 // addInFlight adds to the number of attempts in flight.
-func (n *Node) addInFlight(by int) {
+func (n *Node) addInFlight(delta int) {
 	n.c.mu.Lock()
-	n.inFlight += by
+	n.inFlight += delta
 	if m := n.c.maintenance; m != nil {
-		m.addInFlight(n.id, by)
+		m.addInFlight(n.id, delta)
 	}
 	n.c.mu.Unlock()
 	n.signal()
--- a/internal/coordinator/endpointlog.go
+++ b/internal/coordinator/endpointlog.go
@@ -19,18 +19,18 @@
 		}
 		return
 	}
-	type kind struct {
+	type noteGroup struct {
 		cause  membership.Cause
 		source string
 	}
-	count := map[kind]int{}
+	count := map[noteGroup]int{}
 	for _, n := range notes {
 		if n.ID != "" {
-			count[kind{n.Cause, n.Source}]++
+			count[noteGroup{n.Cause, n.Source}]++
 		}
 	}
 	for _, n := range notes {
-		switch k := (kind{n.Cause, n.Source}); {
+		switch k := (noteGroup{n.Cause, n.Source}); {
 		case n.ID == "" || count[k] == 1:
 			c.logNote(n)
 		case count[k] > 1:
--- a/internal/coordinator/endpoints.go
+++ b/internal/coordinator/endpoints.go
@@ -126,10 +126,10 @@
 
 // updateTable updates the membership table and applies the result immediately, before the module's next step, so that nothing more is
 // sent to a data node that has just been excluded. The module receives the complete list if a source has sent one, otherwise the changes.
-func (c *Coordinator) updateTable(kind updateKind, decide func(now time.Time) membership.Result) {
+func (c *Coordinator) updateTable(kind updateKind, update func(now time.Time) membership.Result) {
 	c.mu.Lock()
 	now := time.Now()
-	result := decide(now)
+	result := update(now)
 	changed := kind != partialUpdate || len(result.Changes) > 0
 	if changed {
 		c.updateZoneMembers(now)
@@ -220,10 +220,10 @@
 }
 
 // listEvent returns an event with the listed records that the filter accepts. The caller holds the lock.
-func (c *Coordinator) listEvent(kind aggregator.EventKind, wanted func(Member) bool) aggregator.Event {
+func (c *Coordinator) listEvent(kind aggregator.EventKind, include func(Member) bool) aggregator.Event {
 	event := aggregator.Event{Kind: kind}
 	for _, m := range c.endpoints.table.List() {
-		if wanted(m) {
+		if include(m) {
 			event.Members = append(event.Members, c.moduleMember(m))
 		}
 	}
--- a/internal/coordinator/endpoints_test.go
+++ b/internal/coordinator/endpoints_test.go
@@ -16,7 +16,7 @@
 
 // TestRemovalWithPartsInFlight checks that a data node that leaves the list while a part is in flight there may still answer it, that the
 // part is not sent twice, and that nothing new is sent there.
-func TestRemovalWithPartsOut(t *testing.T) {
+func TestRemovalWithPartsInFlight(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newTestbed(t, 0, func(s *testbed, cmd *Command) {
 			if cmd.Call != nil {
@@ -37,7 +37,7 @@
 		if got := fmt.Sprint(s.commands); got != "[call q.0 reject queued call r.0]" && got != "[call q.0 call r.0 reject queued]" {
 			t.Errorf("dispatchers got %s", got)
 		}
-		s.end()
+		s.shutdown()
 	})
 }
 
@@ -71,7 +71,7 @@
 
 // TestSourcesAreMerged checks that a data node in two sources is listed once: the source of higher rank determines its address and
 // protocol, a drain by either source applies, and a data node that has moved gets a new dispatcher.
-func TestSourcesJoined(t *testing.T) {
+func TestSourcesAreMerged(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newTestbed(t, 0, serve)
 		s.list.Replace(nil, false) // remove the data node of the testbed
@@ -108,13 +108,13 @@
 		zone.Change([]Member{{ID: "b", Addr: "4", Proto: "unknown"}})
 		expect("no dispatcher for the protocol", "")
 		zone.Replace(nil, false)
-		s.end()
+		s.shutdown()
 	})
 }
 
 // TestStandbyServesWhileFirstPriorityFails checks that a data node with a higher SRV priority value serves while the data node with the
 // lower value fails, and becomes a standby again after the failure.
-func TestEvidence(t *testing.T) {
+func TestStandbyServesWhileFirstPriorityFails(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		down := true
 		var mu sync.Mutex
@@ -157,6 +157,6 @@
 			t.Errorf("after the suspicion has ended the standby is %s", got)
 		}
 		zone.Replace(nil, false)
-		s.end()
+		s.shutdown()
 	})
 }
--- a/internal/coordinator/gossip.go
+++ b/internal/coordinator/gossip.go
@@ -35,7 +35,7 @@
 			listed[m.ID] = m
 		}
 	}
-	c.endpoints.forgetReportedStarts(now, listed, c.settings.Rules.WarmupTime)
+	c.endpoints.pruneReportedStarts(now, listed, c.settings.Rules.WarmupTime)
 	for _, r := range reports {
 		m, ok := listed[r.Node]
 		if !ok {
@@ -54,8 +54,8 @@
 	}
 }
 
-// forgetReportedStarts removes the reported starts of data nodes that are no longer listed or have warmed up.
-func (e *endpoints) forgetReportedStarts(now time.Time, listed map[string]Member, warmup time.Duration) {
+// pruneReportedStarts removes the reported starts of data nodes that are no longer listed or have warmed up.
+func (e *endpoints) pruneReportedStarts(now time.Time, listed map[string]Member, warmup time.Duration) {
 	maps.DeleteFunc(e.reportedStarts, func(id string, at time.Time) bool {
 		_, ok := listed[id]
 		return !ok || now.Sub(at) > warmup
--- a/internal/coordinator/gossip_test.go
+++ b/internal/coordinator/gossip_test.go
@@ -25,10 +25,10 @@
 	}
 	const s = time.Second
 	for _, c := range []struct {
-		name  string
-		told  []PeerReport
-		heard bool // the zone answers this coordinator
-		want  zones.State
+		name        string
+		reports     []PeerReport
+		answersHere bool // the zone answers this coordinator
+		want        zones.State
 	}{
 		{"zone fails for a peer", failing(2*s, -1), false, zones.Out},
 		{"zone answered a peer before the failure", failing(2*s, 3*s), false, zones.Out},
@@ -57,18 +57,18 @@
 			src := coord.Source(membership.Spec{Name: "list"})
 			var list []Member
 			for _, z := range []string{"a", "b", "c"} {
-				for cell := range 4 {
-					list = append(list, Member{ID: fmt.Sprint(z, cell), Addr: fmt.Sprint(z, cell), Zone: z, ShardSet: cell, Weight: 1, Started: time.Now().Add(-time.Hour)})
+				for shardSet := range 4 {
+					list = append(list, Member{ID: fmt.Sprint(z, shardSet), Addr: fmt.Sprint(z, shardSet), Zone: z, ShardSet: shardSet, Weight: 1, Started: time.Now().Add(-time.Hour)})
 				}
 			}
 			src.Replace(list, false)
 			for range 5 { // long enough for the zone to go out, and too short for it to recover
-				if c.heard {
+				if c.answersHere {
 					for i := range 4 {
 						coord.observeForZones(coord.node(fmt.Sprint("a", i)), nil, OK, time.Now())
 					}
 				}
-				coord.ApplyPeerReports(c.told)
+				coord.ApplyPeerReports(c.reports)
 				time.Sleep(250 * time.Millisecond)
 			}
 			for _, z := range coord.Zones() {
@@ -84,10 +84,10 @@
 
 // TestLongListIsLoggedByCause checks that a list of thousands of data nodes is logged with one line per cause, and a short list with one
 // line per data node.
-func TestLongListIsLoggedByKind(t *testing.T) {
+func TestLongListIsLoggedByCause(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		for _, c := range []struct{ nodes, single, byKind int }{{maxNoteLines, maxNoteLines, 0}, {10_000, 0, 1}} {
-			var logged lines
+		for _, c := range []struct{ nodes, single, grouped int }{{maxNoteLines, maxNoteLines, 0}, {10_000, 0, 1}} {
+			var logged logBuffer
 			coord, err := New(aggregator.Settings{Aggregators: 1, Tick: tick, ShardSets: 1, Shards: 1, Reach: 1,
 				Classes: []aggregator.Class{{Name: "report", LatencyObjective: time.Second, Deadline: 2 * time.Second, Priority: 1, CompleteShare: 1, MinShare: 1}}}, 7, slog.New(slog.NewTextHandler(&logged, nil)), membership.Config{})
 			if err != nil {
@@ -99,8 +99,8 @@
 				list = append(list, Member{ID: fmt.Sprint("n", i), Addr: fmt.Sprint("n", i), Weight: 1})
 			}
 			coord.Source(membership.Spec{Name: "list"}).Change(list)
-			if single, byKind := logged.count("msg=\"data node listed\""), logged.count("msg=\"data nodes listed\" count=10000"); single != c.single || byKind != c.byKind {
-				t.Errorf("%d data nodes: %d lines for one data node, %d for many; want %d and %d", c.nodes, single, byKind, c.single, c.byKind)
+			if single, grouped := logged.count("msg=\"data node listed\""), logged.count("msg=\"data nodes listed\" count=10000"); single != c.single || grouped != c.grouped {
+				t.Errorf("%d data nodes: %d lines for one data node, %d for many; want %d and %d", c.nodes, single, grouped, c.single, c.grouped)
 			}
 		}
 	})
@@ -122,25 +122,25 @@
 		var seen []Observation
 		coord.OnObservation(func(s Observation) { seen = append(seen, s) })
 		src := coord.Source(membership.Spec{Name: "list"})
-		begun := time.Now()
-		old := Member{ID: "a", Addr: "a", Weight: 1, Started: begun.Add(-time.Minute)}
-		fresh := Member{ID: "b", Addr: "b", Weight: 1, Started: begun.Add(-time.Second)}
+		testStart := time.Now()
+		old := Member{ID: "a", Addr: "a", Weight: 1, Started: testStart.Add(-time.Minute)}
+		fresh := Member{ID: "b", Addr: "b", Weight: 1, Started: testStart.Add(-time.Second)}
 		src.Replace([]Member{old, fresh}, false)
 		if len(seen) != 1 || !seen[0].Started || seen[0].Node != "b" || seen[0].Ago != time.Second {
 			t.Errorf("observations: %+v", seen)
 		}
 		for _, c := range []struct {
-			name string
-			told PeerReport
-			m    Member
-			want time.Time
+			name   string
+			report PeerReport
+			m      Member
+			want   time.Time
 		}{
 			{"old start", PeerReport{Node: "a", WarmingUp: true, Started: 6 * time.Second}, old, old.Started},
 			{"known start, made later by the delay of the report", PeerReport{Node: "b", WarmingUp: true, Started: 500 * time.Millisecond}, fresh, fresh.Started},
-			{"new start", PeerReport{Node: "a", WarmingUp: true, Started: time.Second}, old, begun.Add(-time.Second)},
-			{"the same new start, made later by the delay of the report", PeerReport{Node: "a", WarmingUp: true, Started: 0}, old, begun.Add(-time.Second)},
+			{"new start", PeerReport{Node: "a", WarmingUp: true, Started: time.Second}, old, testStart.Add(-time.Second)},
+			{"the same new start, made later by the delay of the report", PeerReport{Node: "a", WarmingUp: true, Started: 0}, old, testStart.Add(-time.Second)},
 		} {
-			coord.ApplyPeerReports([]PeerReport{c.told})
+			coord.ApplyPeerReports([]PeerReport{c.report})
 			coord.mu.Lock()
 			got := coord.moduleMember(c.m).Started
 			coord.mu.Unlock()
--- a/internal/coordinator/loop.go
+++ b/internal/coordinator/loop.go
@@ -93,15 +93,15 @@
 }
 
 // splitListEvents separates changes of the endpoint list from all other events; both results keep the order of events.
-func splitListEvents(events []aggregator.Event) (lists, others []aggregator.Event) {
+func splitListEvents(events []aggregator.Event) (listEvents, others []aggregator.Event) {
 	for _, e := range events {
 		if isListEvent(e.Kind) {
-			lists = append(lists, e)
+			listEvents = append(listEvents, e)
 		} else {
 			others = append(others, e)
 		}
 	}
-	return lists, others
+	return listEvents, others
 }
 
 // takeListEvents removes the list events from the inbox and returns them. Inputs of the current tick may have caused them, and a retry of
@@ -253,7 +253,7 @@
 	if in.event.Outcome == aggregator.OK {
 		a.part.receive(in.docs)
 	}
-	c.forget(a.part)
+	c.removeIfDone(a.part)
 	return true
 }
 
@@ -301,7 +301,7 @@
 		}
 	case aggregator.Answer, aggregator.Reject, aggregator.Fail:
 		if q := c.loop.queries.open[action.Query]; q != nil {
-			c.conclude(now, q, action)
+			c.applyResult(now, q, action)
 		}
 	case aggregator.Probe:
 		c.probe(action.Replica, batch)
--- a/internal/coordinator/maintenance.go
+++ b/internal/coordinator/maintenance.go
@@ -19,13 +19,13 @@
 	Unknown   bool              // nothing is known yet: all data nodes are only usable while this coordinator is present
 }
 
-// maintenanceState is what the coordinator tracks for maintenance. Coordinator.mu guards its non-atomic fields.
+// maintenanceState holds the current Maintenance and the coordinator's own data about it. Coordinator.mu guards its non-atomic fields.
 type maintenanceState struct {
 	Maintenance
-	returned     map[string]nodeReturn
-	inFlight     map[string]int // attempts that have not ended, by data node; kept after its record is removed
-	health       map[string]*nodeEvidence
-	absenceKnown bool // the module was told that announced data nodes are not usable
+	returned        map[string]nodeReturn
+	inFlight        map[string]int // attempts that have not ended, by data node; kept after its record is removed
+	health          map[string]*nodeEvidence
+	absenceReported bool // the module was told that announced data nodes are not usable
 
 	presentUntil atomic.Int64 // time on the module's clock until which this coordinator is present
 	lastOverload atomic.Int64 // time on the module's clock at which a query was last rejected for lack of capacity; 0 for never
@@ -33,8 +33,8 @@
 
 // nodeReturn is the return of a data node from maintenance.
 type nodeReturn struct {
-	turn uint64    // number of the maintenance, from Maintenance.Returned
-	at   time.Time // when this coordinator learned of the return
+	number uint64    // number of the maintenance, from Maintenance.Returned
+	at     time.Time // when this coordinator learned of the return
 }
 
 // nodeEvidence is the recent evidence that attempts and probes gave about a data node.
@@ -44,15 +44,15 @@
 	utilization float64
 }
 
-// A data node is suspect after suspectAfter consecutive failures, until suspectFor after the last of them.
+// A data node is suspect after suspectFailures consecutive failures, until suspectDuration after the last of them.
 const (
-	suspectAfter = 3
-	suspectFor   = 5 * time.Second
+	suspectFailures = 3
+	suspectDuration = 5 * time.Second
 )
 
 // suspect reports whether the data node has recently failed several times in a row.
 func (e *nodeEvidence) suspect(now time.Time) bool {
-	return e.failures >= suspectAfter && now.Sub(e.lastFailure) < suspectFor
+	return e.failures >= suspectFailures && now.Sub(e.lastFailure) < suspectDuration
 }
 
 // EnableMaintenance enables the maintenance of machines. It must be called before Run. Nothing is sent to any data node until
@@ -61,11 +61,11 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.maintenance = &maintenanceState{
-		Maintenance:  Maintenance{Unknown: true},
-		returned:     map[string]nodeReturn{},
-		inFlight:     map[string]int{},
-		health:       map[string]*nodeEvidence{},
-		absenceKnown: true,
+		Maintenance:     Maintenance{Unknown: true},
+		returned:        map[string]nodeReturn{},
+		inFlight:        map[string]int{},
+		health:          map[string]*nodeEvidence{},
+		absenceReported: true,
 	}
 }
 
@@ -76,8 +76,8 @@
 	c.wakeUp()
 }
 
-// overloadWindow is how long a rejection counts as overload. It bridges the gaps within a burst, which would otherwise look like free
-// capacity.
+// overloadWindow is the time for which a rejection counts as overload. It bridges the gaps within a burst, which would otherwise
+// look like free capacity.
 const overloadWindow = 2 * time.Second
 
 // Overloaded reports whether a query was rejected for lack of capacity within overloadWindow.
@@ -86,8 +86,8 @@
 	return at > 0 && c.moduleClock(time.Now())-time.Duration(at) < overloadWindow
 }
 
-// noteOverload records that a query was rejected for lack of capacity.
-func (c *Coordinator) noteOverload(now time.Time) {
+// recordOverload records that a query was rejected for lack of capacity.
+func (c *Coordinator) recordOverload(now time.Time) {
 	if c.maintenance != nil {
 		c.maintenance.lastOverload.Store(int64(c.moduleClock(now)))
 	}
@@ -111,8 +111,8 @@
 	return c.maintenance != nil && (c.maintenance.Excluded[m.ID] || c.maintenance.Addrs[m.Addr])
 }
 
-// SetMaintenance replaces what is known about maintenance. After it has returned, no new attempt starts at an excluded machine; attempts
-// that are in flight there end there.
+// SetMaintenance replaces the maintenance information. After it has returned, no new attempt starts at an excluded machine; attempts that
+// are in flight there end there.
 func (c *Coordinator) SetMaintenance(m Maintenance) {
 	c.mu.Lock()
 	now := time.Now()
@@ -121,7 +121,7 @@
 	c.maintenance.updateReturns(now, c.settings.Rules.WarmupTime)
 	event := aggregator.Event{Kind: aggregator.ListChanged}
 	for _, member := range c.endpoints.table.List() {
-		if !old.alike(&m, member) {
+		if !old.equalFor(&m, member) {
 			c.applyRecord(member)
 			event.Members = append(event.Members, c.moduleMember(member))
 		}
@@ -133,19 +133,19 @@
 	c.wakeUp()
 }
 
-// alike reports whether both treat a data node in the same way.
-func (m *Maintenance) alike(o *Maintenance, member Member) bool {
+// equalFor reports whether both treat a data node in the same way.
+func (m *Maintenance) equalFor(other *Maintenance, member Member) bool {
 	id, addr := member.ID, member.Addr
-	return m.Excluded[id] == o.Excluded[id] && m.Addrs[addr] == o.Addrs[addr] && m.Announced[id] == o.Announced[id] &&
-		m.Unknown == o.Unknown && m.Returned[id] == o.Returned[id]
+	return m.Excluded[id] == other.Excluded[id] && m.Addrs[addr] == other.Addrs[addr] && m.Announced[id] == other.Announced[id] &&
+		m.Unknown == other.Unknown && m.Returned[id] == other.Returned[id]
 }
 
 // updateReturns records when this coordinator learned of each return, and removes returns that are no longer listed once their data node
 // has warmed up.
 func (s *maintenanceState) updateReturns(now time.Time, warmup time.Duration) {
-	for id, turn := range s.Returned {
-		if s.returned[id].turn != turn {
-			s.returned[id] = nodeReturn{turn, now}
+	for id, number := range s.Returned {
+		if s.returned[id].number != number {
+			s.returned[id] = nodeReturn{number, now}
 		}
 	}
 	maps.DeleteFunc(s.returned, func(id string, r nodeReturn) bool { return now.Sub(r.at) > warmup && s.Returned[id] == 0 })
@@ -164,10 +164,10 @@
 	if !absent {
 		next = now.Add(until - c.moduleClock(now))
 	}
-	if absent == c.maintenance.absenceKnown {
+	if absent == c.maintenance.absenceReported {
 		return nil, next
 	}
-	c.maintenance.absenceKnown = absent
+	c.maintenance.absenceReported = absent
 	event := c.listEvent(aggregator.ListChanged, c.isAnnounced)
 	if len(event.Members) == 0 {
 		return nil, next
@@ -188,7 +188,7 @@
 	if c.maintenance == nil {
 		return out
 	}
-	if out.State == aggregator.Serving && (c.isExcluded(m) || c.isAnnounced(m) && c.maintenance.absenceKnown) {
+	if out.State == aggregator.Serving && (c.isExcluded(m) || c.isAnnounced(m) && c.maintenance.absenceReported) {
 		out.State = aggregator.Draining
 	}
 	if r, ok := c.maintenance.returned[m.ID]; ok {
@@ -198,8 +198,8 @@
 }
 
 // addInFlight adds to the number of attempts in flight at a data node. The caller holds Coordinator.mu.
-func (s *maintenanceState) addInFlight(id string, by int) {
-	if s.inFlight[id] += by; s.inFlight[id] == 0 {
+func (s *maintenanceState) addInFlight(id string, delta int) {
+	if s.inFlight[id] += delta; s.inFlight[id] == 0 {
 		delete(s.inFlight, id)
 	}
 }
--- a/internal/coordinator/maintenance_test.go
+++ b/internal/coordinator/maintenance_test.go
@@ -13,59 +13,59 @@
 // TestMaintenance checks which queries a data node serves before, during and after its maintenance, with and without the coordinator's
 // presence, and the state that the coordinator reports.
 func TestMaintenance(t *testing.T) {
-	type told struct {
-		Query                 string // result of a query executed then; empty for no query
-		Quiet, Present, Press bool
+	type reportedState struct {
+		Query                        string // result of a query executed then; empty for no query
+		Drained, Present, Overloaded bool
 	}
 	announced := Maintenance{Announced: map[string]bool{"n1": true}}
 	excluded := Maintenance{Announced: announced.Announced, Excluded: map[string]bool{"n1": true}}
 	const served, failed = "answered true 1 false", "rejected false 0 true"
 	for _, c := range []struct {
-		what   string
-		change func(s *testbed)
-		want   told
+		name    string
+		prepare func(s *testbed)
+		want    reportedState
 	}{
-		{"maintenance not known yet", func(s *testbed) {}, told{Query: failed}},
-		{"no maintenance", func(s *testbed) { s.SetMaintenance(Maintenance{}) }, told{Query: served}},
-		{"announced, not present", func(s *testbed) { s.SetMaintenance(announced) }, told{Query: failed}},
-		{"announced, present", func(s *testbed) { s.SetMaintenance(announced); s.ExtendPresence(time.Now().Add(time.Hour)) }, told{Query: served, Present: true}},
+		{"maintenance not known yet", func(s *testbed) {}, reportedState{Query: failed}},
+		{"no maintenance", func(s *testbed) { s.SetMaintenance(Maintenance{}) }, reportedState{Query: served}},
+		{"announced, not present", func(s *testbed) { s.SetMaintenance(announced) }, reportedState{Query: failed}},
+		{"announced, present", func(s *testbed) { s.SetMaintenance(announced); s.ExtendPresence(time.Now().Add(time.Hour)) }, reportedState{Query: served, Present: true}},
 		{"announced, presence just ended", func(s *testbed) {
 			s.SetMaintenance(announced)
 			s.ExtendPresence(time.Now().Add(time.Second))
 			time.Sleep(time.Second)
-		}, told{Query: failed}},
-		{"excluded", func(s *testbed) { s.SetMaintenance(excluded); s.ExtendPresence(time.Now().Add(time.Hour)) }, told{Query: failed, Quiet: true, Present: true}},
-		{"excluded by address", func(s *testbed) { s.SetMaintenance(Maintenance{Addrs: map[string]bool{"127.0.0.1:1": true}}) }, told{Query: failed}},
+		}, reportedState{Query: failed}},
+		{"excluded", func(s *testbed) { s.SetMaintenance(excluded); s.ExtendPresence(time.Now().Add(time.Hour)) }, reportedState{Query: failed, Drained: true, Present: true}},
+		{"excluded by address", func(s *testbed) { s.SetMaintenance(Maintenance{Addrs: map[string]bool{"127.0.0.1:1": true}}) }, reportedState{Query: failed}},
 		{"excluded with a part in flight", func(s *testbed) {
 			s.SetMaintenance(Maintenance{})
 			go s.execute(context.Background(), "held", 3)
 			time.Sleep(100 * time.Millisecond)
 			s.SetMaintenance(excluded)
-		}, told{}},
+		}, reportedState{}},
 		{"excluded, after the part in flight has ended", func(s *testbed) {
 			s.SetMaintenance(Maintenance{})
 			go s.execute(context.Background(), "held", 3)
 			time.Sleep(100 * time.Millisecond)
 			s.SetMaintenance(excluded)
 			time.Sleep(3 * time.Second)
-		}, told{Quiet: true}},
+		}, reportedState{Drained: true}},
 		{"returned", func(s *testbed) {
 			s.SetMaintenance(excluded)
 			s.SetMaintenance(Maintenance{Returned: map[string]uint64{"n1": 1}})
-		}, told{Query: served}},
+		}, reportedState{Query: served}},
 		{"query rejected just now", func(s *testbed) {
 			s.SetMaintenance(Maintenance{})
-			free := s.fill()
+			release := s.fill()
 			s.execute(context.Background(), "r", 0)
-			free()
-		}, told{Query: served, Press: true}},
+			release()
+		}, reportedState{Query: served, Overloaded: true}},
 		{"query rejected some seconds ago", func(s *testbed) {
 			s.SetMaintenance(Maintenance{})
-			free := s.fill()
+			release := s.fill()
 			s.execute(context.Background(), "r", 0)
-			free()
+			release()
 			time.Sleep(overloadWindow)
-		}, told{Query: served}},
+		}, reportedState{Query: served}},
 	} {
 		synctest.Test(t, func(t *testing.T) {
 			s := newTestbed(t, 20, func(s *testbed, cmd *Command) {
@@ -76,16 +76,16 @@
 			}, (*Coordinator).EnableMaintenance)
 			s.list.Replace([]Member{{ID: "n1", Addr: "127.0.0.1:1"}}, false)
 			time.Sleep(10 * tick)
-			c.change(s)
+			c.prepare(s)
 			time.Sleep(10 * tick)
-			got := told{Quiet: s.DrainedForMaintenance("n1"), Present: s.IsPresent(), Press: s.Overloaded()}
+			got := reportedState{Drained: s.DrainedForMaintenance("n1"), Present: s.IsPresent(), Overloaded: s.Overloaded()}
 			if c.want.Query != "" {
 				got.Query = s.execute(t.Context(), "q", 0)
 			}
 			if d := cmp.Diff(c.want, got); d != "" {
-				t.Errorf("%s (-want +got)\n%s", c.what, d)
+				t.Errorf("%s (-want +got)\n%s", c.name, d)
 			}
-			s.end()
+			s.shutdown()
 		})
 	}
 }
@@ -125,12 +125,12 @@
 			t.Errorf("(-want +got)\n%s", d)
 		}
 		mu.Unlock()
-		s.end()
+		s.shutdown()
 	})
 }
 
-// fill uses up MaxOpen until free is called.
-func (s *testbed) fill() (free func()) {
+// fill uses up MaxOpen until release is called.
+func (s *testbed) fill() (release func()) {
 	const maxOpen = 20
 	add := func(n int) {
 		s.Coordinator.mu.Lock()
--- a/internal/coordinator/observation.go
+++ b/internal/coordinator/observation.go
@@ -18,8 +18,8 @@
 // OnObservation sets the function that is called for each observation. It runs in the coordinator's goroutines and must not block.
 func (c *Coordinator) OnObservation(f func(Observation)) { c.observer.Store(&f) }
 
-// observed passes observations to the observer, if one is set.
-func (c *Coordinator) observed(observations ...Observation) {
+// emitObservations passes observations to the observer, if one is set.
+func (c *Coordinator) emitObservations(observations ...Observation) {
 	if f := c.observer.Load(); f != nil {
 		for _, o := range observations {
 			(*f)(o)
@@ -44,14 +44,14 @@
 	default:
 		return
 	}
-	c.observed(o)
+	c.emitObservations(o)
 }
 
 // notifyStarts tells the observer about data nodes that started so recently that they are still warming up.
 func (c *Coordinator) notifyStarts(changes []Member, now time.Time) {
 	for _, m := range changes {
 		if ago := now.Sub(m.Started); m.State == Serving && !m.Started.IsZero() && ago < c.settings.Rules.WarmupTime {
-			c.observed(Observation{Node: m.ID, Started: true, Ago: ago, Utilization: -1})
+			c.emitObservations(Observation{Node: m.ID, Started: true, Ago: ago, Utilization: -1})
 		}
 	}
 }
--- a/internal/coordinator/queries.go
+++ b/internal/coordinator/queries.go
@@ -131,10 +131,10 @@
 	}
 	q := &query{Query: request, receivedAt: time.Now(), reply: make(chan Answer, 1)}
 	if !c.reserve(q) {
-		c.noteOverload(q.receivedAt)
+		c.recordOverload(q.receivedAt)
 		return Answer{Status: Rejected, RetryAfter: c.RetryAfter()}, nil
 	}
-	c.enqueue(c.arrivals(q)...)
+	c.enqueue(c.arrivalInputs(q)...)
 	select {
 	case answer := <-q.reply:
 		return answer, nil
@@ -166,8 +166,8 @@
 	c.mu.Unlock()
 }
 
-// arrivals creates the parts of a query and returns the inputs that announce the query and its parts to the module.
-func (c *Coordinator) arrivals(q *query) []input {
+// arrivalInputs creates the parts of a query and returns the inputs that announce the query and its parts to the module.
+func (c *Coordinator) arrivalInputs(q *query) []input {
 	tenant, known := c.tenants[q.Tenant]
 	if !known {
 		tenant = -1
@@ -177,10 +177,10 @@
 		Tenant: tenant, Count: len(q.Parts), Retry: q.Retry, TimeLeft: time.Until(q.Deadline)}})
 	q.parts = make([]*part, 0, len(q.Parts))
 	for _, p := range q.Parts {
-		made := &part{id: q.ID + "." + strconv.Itoa(p.Shard), query: q, shard: p.Shard}
-		q.parts = append(q.parts, made)
+		newPart := &part{id: q.ID + "." + strconv.Itoa(p.Shard), query: q, shard: p.Shard}
+		q.parts = append(q.parts, newPart)
 		inputs = append(inputs, input{query: q, event: aggregator.Event{Kind: aggregator.PartArrived, Query: q.ID,
-			Part: made.id, Shard: p.Shard, Weight: p.Weight, Work: p.Work, Key: p.Key}})
+			Part: newPart.id, Shard: p.Shard, Weight: p.Weight, Work: p.Work, Key: p.Key}})
 	}
 	return inputs
 }
@@ -201,8 +201,8 @@
 	return c.open
 }
 
-// conclude finishes a query with the result that the module's action specifies.
-func (c *Coordinator) conclude(now time.Time, q *query, action aggregator.Action) {
+// applyResult finishes a query with the result that the module's action specifies.
+func (c *Coordinator) applyResult(now time.Time, q *query, action aggregator.Action) {
 	switch action.Kind {
 	case aggregator.Answer:
 		c.finish(q, Answer{Status: Answered, Complete: action.Complete, Values: q.values()})
@@ -238,12 +238,12 @@
 	c.release(q) // before the reply, so that the query no longer counts as open when its caller has the answer
 	q.reply <- answer
 	for _, p := range q.parts {
-		c.forget(p)
+		c.removeIfDone(p)
 	}
 }
 
-// forget removes a part if its query is finished and none of its attempts is in flight.
-func (c *Coordinator) forget(p *part) {
+// removeIfDone removes a part if its query is finished and none of its attempts is in flight.
+func (c *Coordinator) removeIfDone(p *part) {
 	if p.query.finished && !slices.ContainsFunc(p.attempts, func(a *Attempt) bool { return !a.ended }) {
 		delete(c.loop.queries.parts, p.id)
 	}
@@ -252,14 +252,14 @@
 // logUnanswered logs a query that ends without an answer, with its missing parts and their attempts.
 func (c *Coordinator) logUnanswered(message string, q *query, reason aggregator.Reason, now time.Time) {
 	if reason == aggregator.OverCapacity || reason == aggregator.ForecastTooLate {
-		c.noteOverload(now)
+		c.recordOverload(now)
 	}
 	c.log.Info(message, "query", q.ID, "class", q.Class, "reason", reasonText(reason), "after", now.Sub(q.receivedAt).Round(time.Millisecond),
-		"left", q.Deadline.Sub(now).Round(time.Millisecond), "parts", len(q.parts), "missing", q.missing(now))
+		"left", q.Deadline.Sub(now).Round(time.Millisecond), "parts", len(q.parts), "missing", q.describeMissing(now))
 }
 
-// missing describes each unanswered part in one string: the shard, followed by the data node, state and age of each attempt.
-func (q *query) missing(now time.Time) (missing []string) {
+// describeMissing describes each unanswered part in one string: the shard, followed by the data node, state and age of each attempt.
+func (q *query) describeMissing(now time.Time) (missing []string) {
 	for _, p := range q.parts {
 		if p.received {
 			continue
--- a/internal/coordinator/slowstart_test.go
+++ b/internal/coordinator/slowstart_test.go
@@ -23,8 +23,8 @@
 func TestSlowStartAfterReturn(t *testing.T) {
 	const work, window = 100 * time.Millisecond, time.Second
 	rules := aggregator.Rules{DrainGrace: 2 * time.Second, OverloadMultiple: 2, OverloadWindow: window, InitialCapacity: 0.3, WarmupTime: 5 * time.Second}
-	most := int(rules.OverloadMultiple * rules.InitialCapacity * float64(window/work))
-	for _, long := range []bool{true, false} {
+	maxStarted := int(rules.OverloadMultiple * rules.InitialCapacity * float64(window/work))
+	for _, longAbsence := range []bool{true, false} {
 		synctest.Test(t, func(t *testing.T) {
 			set := aggregator.Settings{Aggregators: 1, Tick: tick, ShardSets: 1, Shards: 4, Reach: 1, CallCost: time.Millisecond, Rules: rules,
 				Classes: []aggregator.Class{{Name: "report", LatencyObjective: 4 * time.Second, Deadline: 8 * time.Second, Priority: 1, CompleteShare: 1, MinShare: 1}},
@@ -34,12 +34,12 @@
 				t.Fatal(err)
 			}
 			var mu sync.Mutex
-			begun := map[string]int{}
+			started := map[string]int{}
 			c.RegisterDispatcher("", func(n *Node) {
 				for cmd := n.Pick(context.Background()); cmd != nil; cmd = n.Pick(context.Background()) {
 					for _, a := range cmd.Call {
 						mu.Lock()
-						begun[n.ID()]++
+						started[n.ID()]++
 						mu.Unlock()
 						time.AfterFunc(work, func() { c.Report(a, Result{Outcome: OK, Docs: [][]byte{[]byte("v")}}) })
 					}
@@ -53,35 +53,35 @@
 			zone := c.Source(membership.Spec{Name: "zone", Damped: true})
 			stays, returns := Member{ID: "stays", Addr: "1", Weight: 1, Unstated: true}, Member{ID: "returns", Addr: "2", Weight: 1, Unstated: true}
 			zone.Replace([]Member{stays, returns}, false)
-			asked := 0
-			flood := func(n int) (wg *sync.WaitGroup) {
+			executed := 0
+			startQueries := func(n int) (wg *sync.WaitGroup) {
 				wg = new(sync.WaitGroup)
 				for range n {
-					asked++
-					q := Query{ID: fmt.Sprint("q", asked), Class: "report", Deadline: time.Now().Add(8 * time.Second),
-						Parts: []Part{{Shard: asked % 4, Weight: 1, Work: work}}}
+					executed++
+					q := Query{ID: fmt.Sprint("q", executed), Class: "report", Deadline: time.Now().Add(8 * time.Second),
+						Parts: []Part{{Shard: executed % 4, Weight: 1, Work: work}}}
 					wg.Go(func() { c.Execute(t.Context(), q) })
 				}
 				return wg
 			}
-			flood(20).Wait() // lets the module learn how long parts take
+			startQueries(20).Wait() // lets the module learn how long parts take
 			zone.Replace([]Member{stays}, false)
-			away := 500 * time.Millisecond
-			if long {
-				away = 11 * time.Second
+			absence := 500 * time.Millisecond
+			if longAbsence {
+				absence = 11 * time.Second
 			}
-			time.Sleep(away)
+			time.Sleep(absence)
 			mu.Lock()
-			begun["returns"] = 0
+			started["returns"] = 0
 			mu.Unlock()
 			zone.Replace([]Member{stays, returns}, false)
-			wg := flood(60)
+			wg := startQueries(60)
 			time.Sleep(window)
 			mu.Lock()
-			got := begun["returns"]
+			got := started["returns"]
 			mu.Unlock()
-			if long && (got > most || got == 0) || !long && got <= most {
-				t.Errorf("long absence %v: %d parts started in the first second; a cold data node can handle %d", long, got, most)
+			if longAbsence && (got > maxStarted || got == 0) || !longAbsence && got <= maxStarted {
+				t.Errorf("long absence %v: %d parts started in the first second; the limit while warming up is %d", longAbsence, got, maxStarted)
 			}
 			wg.Wait()
 			zone.Replace(nil, false)
--- a/internal/coordinator/zones.go
+++ b/internal/coordinator/zones.go
@@ -19,17 +19,17 @@
 // log.
 const zoneLogInterval = time.Second
 
-// zoneState is what the coordinator tracks about the states of zones. Coordinator.mu guards its fields.
+// zoneState holds the zone tracker and the coordinator's own data about zones. Coordinator.mu guards its fields.
 type zoneState struct {
 	tracker            *zones.Tracker
-	loggedAt           map[zoneLine]time.Time // when a change of this kind was last logged
-	suppressed         map[zoneLine]int       // number of changes of this kind since then that were not logged
-	lastAnswer         map[string]time.Time   // last answer to an attempt or a probe, by data node
-	lastConnectionLoss map[string]time.Time   // last loss of a connection that could be reopened, by data node
+	loggedAt           map[zoneLogKey]time.Time // when a change of this kind was last logged
+	suppressed         map[zoneLogKey]int       // number of changes of this kind since then that were not logged
+	lastAnswer         map[string]time.Time     // last answer to an attempt or a probe, by data node
+	lastConnectionLoss map[string]time.Time     // last loss of a connection that could be reopened, by data node
 }
 
-// zoneLine identifies a kind of log line: the change of a zone to a state.
-type zoneLine struct {
+// zoneLogKey identifies a kind of log line: the change of a zone to a state.
+type zoneLogKey struct {
 	zone string
 	to   zones.State
 }
@@ -46,8 +46,8 @@
 	defer c.mu.Unlock()
 	c.zones = &zoneState{
 		tracker:            tracker,
-		loggedAt:           map[zoneLine]time.Time{},
-		suppressed:         map[zoneLine]int{},
+		loggedAt:           map[zoneLogKey]time.Time{},
+		suppressed:         map[zoneLogKey]int{},
 		lastAnswer:         map[string]time.Time{},
 		lastConnectionLoss: map[string]time.Time{},
 	}
@@ -168,12 +168,12 @@
 		}
 	}
 	c.zones.tracker.List(now, serving)
-	left := func(id string, _ time.Time) bool {
+	notServing := func(id string, _ time.Time) bool {
 		_, serves := serving[id]
 		return !serves
 	}
-	maps.DeleteFunc(c.zones.lastAnswer, left)
-	maps.DeleteFunc(c.zones.lastConnectionLoss, left)
+	maps.DeleteFunc(c.zones.lastAnswer, notServing)
+	maps.DeleteFunc(c.zones.lastConnectionLoss, notServing)
 }
 
 // stepZones updates the states of zones. It returns an event that tells the module about changes, if there are any, and the time at which
@@ -187,9 +187,9 @@
 	if len(changes) > 0 {
 		events = append(events, c.zoneListEvent(changes))
 	}
-	lines := c.zones.logLines(now, changes)
+	lines := c.zones.changesToLog(now, changes)
 	failures := c.zones.failures(now, changes)
-	if !c.zones.settled(now) {
+	if !c.zones.allHealthy(now) {
 		next = now.Add(zoneInterval)
 	}
 	c.mu.Unlock()
@@ -197,32 +197,32 @@
 		line.log(c.log)
 	}
 	// Failures are reported to peers only once their zone is out, since a single unanswered attempt is no proof of a failure.
-	c.observed(failures...)
+	c.emitObservations(failures...)
 	return events, next
 }
 
-// zoneChange is a change to be logged, with the number of earlier changes of the same kind that were not logged.
-type zoneChange struct {
+// loggedChange is a change to be logged, with the number of earlier changes of the same kind that were not logged.
+type loggedChange struct {
 	zones.Change
 	suppressed int
 }
 
-// logLines returns the changes to be logged, and counts the others.
-func (z *zoneState) logLines(now time.Time, changes []zones.Change) (lines []zoneChange) {
+// changesToLog returns the changes to be logged, and counts the others.
+func (z *zoneState) changesToLog(now time.Time, changes []zones.Change) (lines []loggedChange) {
 	for _, ch := range changes {
-		kind := zoneLine{ch.Zone, ch.To}
+		kind := zoneLogKey{ch.Zone, ch.To}
 		if now.Sub(z.loggedAt[kind]) < zoneLogInterval {
 			z.suppressed[kind]++
 			continue
 		}
 		z.loggedAt[kind] = now
-		lines = append(lines, zoneChange{ch, z.suppressed[kind]})
+		lines = append(lines, loggedChange{ch, z.suppressed[kind]})
 		delete(z.suppressed, kind)
 	}
 	return lines
 }
 
-func (ch zoneChange) log(log *slog.Logger) {
+func (ch loggedChange) log(log *slog.Logger) {
 	level := slog.LevelInfo
 	if ch.To == zones.Out {
 		level = slog.LevelWarn
@@ -244,8 +244,8 @@
 	return failures
 }
 
-// settled reports whether all zones are healthy and no data node is failing.
-func (z *zoneState) settled(now time.Time) bool {
+// allHealthy reports whether all zones are healthy and no data node is failing.
+func (z *zoneState) allHealthy(now time.Time) bool {
 	for _, s := range z.tracker.All(now) {
 		if s.State != zones.Healthy || s.Failing > 0 {
 			return false
--- a/internal/coordinator/zones_test.go
+++ b/internal/coordinator/zones_test.go
@@ -21,26 +21,26 @@
 	"gullfall/internal/zones"
 )
 
-type zoneRun struct {
+type zoneLossResult struct {
 	lastSentWhileLost time.Duration // from the loss of the zone to the last attempt sent there while it was down
 	lateAttempts      int           // attempts sent to the zone while it was down, except in the first second after its loss
-	returns           int           // recoveries that began while the zone was down, counted in the log
-	outLines          int           // log lines "zone out"
+	recoveries        int           // recoveries that began while the zone was down, counted in the log
+	outLogLines       int           // log lines "zone out"
 	firstSecond       int           // attempts at its busiest data node in the first second of its recovery
 	answered          int           // queries with a complete answer
 	executed          int           // all queries
 }
 
 // zoneSetup configures whether the coordinator watches zones.
-type judgement func(*Coordinator) error
+type zoneSetup func(*Coordinator) error
 
-func byNode(*Coordinator) error   { return nil }
-func byZone(c *Coordinator) error { return c.WatchZones(zones.Config{Seed: 3}) }
+func withoutZoneWatch(*Coordinator) error { return nil }
+func withZoneWatch(c *Coordinator) error  { return c.WatchZones(zones.Config{Seed: 3}) }
 
 // simulateZoneLoss runs 20 queries per second for 30 s, during which zone a is down for 10 s. lossOutcome is the outcome of attempts there:
 // NotConnected if the zone refuses connections, ConnectionLost if it accepts and resets them, Cancelled if it accepts requests and never
 // answers.
-func playZoneLoss(t *testing.T, judge judgement, how Outcome) (run zoneRun, maxWarmingUp int) {
+func simulateZoneLoss(t *testing.T, setup zoneSetup, lossOutcome Outcome) (result zoneLossResult, maxWarmingUp int) {
 	t.Helper()
 	const work, window = 50 * time.Millisecond, time.Second
 	rules := aggregator.Rules{DrainGrace: 2 * time.Second, OverloadMultiple: 2, OverloadWindow: window, InitialCapacity: 0.3,
@@ -51,18 +51,18 @@
 			Rules: rules, Classes: []aggregator.Class{{Name: "report", LatencyObjective: time.Second, Deadline: 2 * time.Second, Priority: 1,
 				CompleteShare: 1, MinShare: 1}},
 			Limits: aggregator.Limits{MaxAttempts: 3, MaxBatch: 8, CanCancel: true, SendRetryAfter: true, MaxRetryAfter: time.Second}}
-		var logged lines
+		var logged logBuffer
 		c, err := New(set, 7, slog.New(slog.NewTextHandler(&logged, nil)), membership.Config{})
 		if err != nil {
 			t.Fatal(err)
 		}
-		if err := judge(c); err != nil {
+		if err := setup(c); err != nil {
 			t.Fatal(err)
 		}
-		var dead atomic.Bool
+		var zoneDown atomic.Bool
 		var mu sync.Mutex
 		start := time.Now()
-		var died, back time.Time
+		var lostAt, recoveryAt time.Time
 		perNode := map[string]int{}
 		c.RegisterDispatcher("", func(n *Node) {
 			for cmd := n.Pick(context.Background()); cmd != nil; cmd = n.Pick(context.Background()) {
@@ -71,18 +71,18 @@
 					mu.Lock()
 					now := time.Now()
 					switch {
-					case inA && dead.Load():
-						run.lastSentWhileLost = now.Sub(died)
-						if now.Sub(died) > time.Second {
-							run.lateAttempts++
+					case inA && zoneDown.Load():
+						result.lastSentWhileLost = now.Sub(lostAt)
+						if now.Sub(lostAt) > time.Second {
+							result.lateAttempts++
 						}
-					case inA && !back.IsZero() && now.Sub(back) < window:
+					case inA && !recoveryAt.IsZero() && now.Sub(recoveryAt) < window:
 						perNode[n.ID()]++
 					}
 					mu.Unlock()
-					if inA && dead.Load() {
-						if how != Cancelled {
-							c.Report(a, Result{Outcome: how})
+					if inA && zoneDown.Load() {
+						if lossOutcome != Cancelled {
+							c.Report(a, Result{Outcome: lossOutcome})
 						}
 						continue
 					}
@@ -98,8 +98,8 @@
 		src := c.Source(membership.Spec{Name: "zones"})
 		var list []Member
 		for _, z := range []string{"a", "b", "c"} {
-			for cell := range 4 {
-				list = append(list, Member{ID: fmt.Sprint(z, cell), Addr: fmt.Sprint(z, cell), Zone: z, ShardSet: cell,
+			for shardSet := range 4 {
+				list = append(list, Member{ID: fmt.Sprint(z, shardSet), Addr: fmt.Sprint(z, shardSet), Zone: z, ShardSet: shardSet,
 					Weight: 1, Started: start.Add(-time.Hour)})
 			}
 		}
@@ -117,14 +117,14 @@
 			switch i {
 			case 100:
 				mu.Lock()
-				died = time.Now()
+				lostAt = time.Now()
 				mu.Unlock()
-				dead.Store(true)
+				zoneDown.Store(true)
 			case 300:
-				dead.Store(false)
+				zoneDown.Store(false)
 				mu.Lock()
-				back = time.Now().Add(1500 * time.Millisecond) // earliest start of a recovery after Quiet, Wait and the random spread
-				run.returns = logged.count("msg=\"zone returning\"")
+				recoveryAt = time.Now().Add(1500 * time.Millisecond) // earliest start of a recovery after Quiet, Wait and the random spread
+				result.recoveries = logged.count("msg=\"zone returning\"")
 				mu.Unlock()
 			}
 			time.Sleep(50 * time.Millisecond)
@@ -134,31 +134,31 @@
 		time.Sleep(10 * time.Second)
 		stop()
 		for _, n := range perNode {
-			run.firstSecond = max(run.firstSecond, n)
+			result.firstSecond = max(result.firstSecond, n)
 		}
-		run.answered, run.executed = int(answered.Load()), 600
-		run.outLines = logged.count("msg=\"zone out\"")
+		result.answered, result.executed = int(answered.Load()), 600
+		result.outLogLines = logged.count("msg=\"zone out\"")
 	})
-	return run, maxWarmingUp
+	return result, maxWarmingUp
 }
 
-// logBuffer records log lines, so that a test can count them.
-type lines struct {
-	mu  sync.Mutex
-	all []string
+// logBuffer records log logBuffer, so that a test can count them.
+type logBuffer struct {
+	mu    sync.Mutex
+	lines []string
 }
 
-func (l *lines) Write(p []byte) (int, error) {
+func (l *logBuffer) Write(p []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.all = append(l.all, string(p))
+	l.lines = append(l.lines, string(p))
 	return len(p), nil
 }
 
-func (l *lines) count(sub string) (n int) {
+func (l *logBuffer) count(sub string) (n int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for _, s := range l.all {
+	for _, s := range l.lines {
 		if strings.Contains(s, sub) {
 			n++
 		}
@@ -168,27 +168,27 @@
 
 // TestFailedZoneGoesOutAndRecovers compares zone watching with tracking each data node alone when a zone refuses connections.
 func TestFailedZoneGoesOutAndRecovers(t *testing.T) {
-	off, _ := playZoneLoss(t, byNode, NotConnected)
-	on, maxWarmingUp := playZoneLoss(t, byZone, NotConnected)
-	t.Logf("zones not watched: %+v", off)
-	t.Logf("zones watched:     %+v (a cold data node can handle %d in its first second)", on, maxWarmingUp)
+	unwatched, _ := simulateZoneLoss(t, withoutZoneWatch, NotConnected)
+	watched, maxWarmingUp := simulateZoneLoss(t, withZoneWatch, NotConnected)
+	t.Logf("zones not watched: %+v", unwatched)
+	t.Logf("zones watched:     %+v (the limit while warming up is %d in the first second)", watched, maxWarmingUp)
 	// Nothing is sent to a zone that is out. A recovery that begins while the zone is still down costs one attempt at each of its 4 data
 	// nodes, plus the attempts until the zone goes out again: those of one zoneInterval at 20 queries per second, up to 3 for each query.
 	perReturn := 4 + 3*int(math.Ceil(20*zoneInterval.Seconds()))
-	if on.lateAttempts > on.returns*perReturn || on.lateAttempts >= off.lateAttempts {
+	if watched.lateAttempts > watched.recoveries*perReturn || watched.lateAttempts >= unwatched.lateAttempts {
 		t.Errorf("%d attempts were sent to the lost zone more than a second after its loss, in %d recoveries; %d with zones not watched",
-			on.lateAttempts, on.returns, off.lateAttempts)
+			watched.lateAttempts, watched.recoveries, unwatched.lateAttempts)
 	}
-	if on.firstSecond > maxWarmingUp {
-		t.Errorf("a recovering data node got %d attempts in its first second; a cold one can handle %d", on.firstSecond, maxWarmingUp)
+	if watched.firstSecond > maxWarmingUp {
+		t.Errorf("a recovering data node got %d attempts in its first second; the limit while warming up is %d", watched.firstSecond, maxWarmingUp)
 	}
 	// A zone becomes doubtful and then goes out within a second; the limit on log lines for "doubtful" must not suppress the line for
 	// "out".
-	if on.outLines == 0 {
-		t.Errorf("the zone went out %d times, but this was not logged", on.returns+1)
+	if watched.outLogLines == 0 {
+		t.Errorf("the zone went out %d times, but this was not logged", watched.recoveries+1)
 	}
-	if on.answered < off.answered {
-		t.Errorf("complete answers: %d with zones watched, %d without", on.answered, off.answered)
+	if watched.answered < unwatched.answered {
+		t.Errorf("complete answers: %d with zones watched, %d without", watched.answered, unwatched.answered)
 	}
 }
 
@@ -197,20 +197,20 @@
 // nothing since an attempt was sent. In a zone that accepts connections and resets each of them, the evidence is that there is no answer
 // between two resets.
 func TestSilentOrResettingZoneGoesOut(t *testing.T) {
-	for how, name := range map[Outcome]string{Cancelled: "silent", ConnectionLost: "resetting"} {
-		off, _ := playZoneLoss(t, byNode, how)
-		on, _ := playZoneLoss(t, byZone, how)
-		t.Logf("%s, zones not watched: %+v", name, off)
-		t.Logf("%s, zones watched:     %+v", name, on)
-		if on.outLines == 0 {
+	for lossOutcome, name := range map[Outcome]string{Cancelled: "silent", ConnectionLost: "resetting"} {
+		unwatched, _ := simulateZoneLoss(t, withoutZoneWatch, lossOutcome)
+		watched, _ := simulateZoneLoss(t, withZoneWatch, lossOutcome)
+		t.Logf("%s, zones not watched: %+v", name, unwatched)
+		t.Logf("%s, zones watched:     %+v", name, watched)
+		if watched.outLogLines == 0 {
 			t.Errorf("a %s zone was never logged as out", name)
 		}
-		if on.lateAttempts >= off.lateAttempts {
+		if watched.lateAttempts >= unwatched.lateAttempts {
 			t.Errorf("%d attempts were sent to the %s zone more than a second after its loss; %d with zones not watched",
-				on.lateAttempts, name, off.lateAttempts)
+				watched.lateAttempts, name, unwatched.lateAttempts)
 		}
-		if on.answered < off.answered {
-			t.Errorf("%s: complete answers: %d with zones watched, %d without", name, on.answered, off.answered)
+		if watched.answered < unwatched.answered {
+			t.Errorf("%s: complete answers: %d with zones watched, %d without", name, watched.answered, unwatched.answered)
 		}
 	}
 }
