--- a/internal/coordinator/maintenance.go
+++ b/internal/coordinator/maintenance.go
@@ -10,7 +10,7 @@
 )
 
 // Maintenance describes which data nodes are in maintenance or announced for it, as far as this coordinator knows. The zero value allows
-// the use of all data nodes.
+// the use of all data nodes. The coordinator is present until the time that ExtendPresence sets.
 type Maintenance struct {
 	Excluded  map[string]bool   // by ID: nothing may be sent there
 	Addrs     map[string]bool   // by address, whatever the ID: nothing may be sent there
