--- a/internal/membership/address.go
+++ b/internal/membership/address.go
@@ -5,20 +5,20 @@
 	"time"
 )
 
-// address is who claims to be at an address.
+// address holds the nodes that claim one address.
 type address struct {
 	claimants []*node
-	holder    *node // the one that stands there; the others are aliases
+	holder    *node // the claimant that is listed; the others are aliases
 }
 
-// claimAddress notes at which address a node claims to be; "" for none.
+// claimAddress records the address that a node claims; "" for none.
 func (t *Table) claimAddress(now time.Time, n *node, addr string) {
 	if a := t.addrs[n.addr]; a != nil && n.addr != addr {
 		a.claimants = slices.DeleteFunc(a.claimants, func(o *node) bool { return o == n })
 		t.chooseHolder(n.addr, a)
 	}
 	if addr != n.addr {
-		n.arrived = now
+		n.addrSince = now
 	}
 	if n.addr = addr; addr == "" {
 		return
@@ -34,7 +34,7 @@
 	t.chooseHolder(addr, a)
 }
 
-// chooseHolder settles which of those that claim an address stands there.
+// chooseHolder selects the claimant of an address that is listed.
 func (t *Table) chooseHolder(addr string, a *address) {
 	var best *node
 	for _, n := range a.claimants {
@@ -48,7 +48,7 @@
 			t.toEvaluate.add(former)
 		}
 		if former != nil && best != nil {
-			t.note(Replaced, best.owner.src, best.id, "takes the place of "+former.id+" at "+addr)
+			t.note(Replaced, best.owner.src, best.id, "replaces "+former.id+" at "+addr)
 		}
 		if best != nil {
 			t.toEvaluate.add(best)
@@ -59,7 +59,7 @@
 	}
 }
 
-// outranks tells whether n stands rather than o where both claim an address.
+// outranks reports whether n rather than o is listed if both claim an address.
 func (n *node) outranks(o *node) bool {
 	if a, b := n.owner.freshness(), o.owner.freshness(); a != b {
 		return a > b
@@ -67,14 +67,14 @@
 	if n.owner.src.Rank != o.owner.src.Rank {
 		return n.owner.src.Rank > o.owner.src.Rank
 	}
-	if !n.arrived.Equal(o.arrived) {
-		return n.arrived.After(o.arrived)
+	if !n.addrSince.Equal(o.addrSince) {
+		return n.addrSince.After(o.addrSince)
 	}
 	return n.id < o.id
 }
 
-// alias tells whether another node stands at the address of n.
-func (t *Table) alias(n *node) bool {
+// isAlias reports whether another node is listed at the address of n.
+func (t *Table) isAlias(n *node) bool {
 	a := t.addrs[n.addr]
 	return n.owner != nil && a != nil && a.holder != n
 }
--- a/internal/membership/claims.go
+++ b/internal/membership/claims.go
@@ -6,36 +6,36 @@
 	"time"
 )
 
-// claim is what one source last reported of a data node.
+// claim holds the last report of one source about a data node.
 type claim struct {
-	src     *source
-	rec     Record
-	since   time.Time // when its state, address or start last changed
-	cached  bool      // from the list of an earlier run
-	drained bool      // where it is Gone: it was draining before
+	src         *source
+	rec         Record
+	changedAt   time.Time // when its state, address or start last changed
+	cached      bool      // from the list of an earlier run
+	wasDraining bool      // of one that is Gone: it was draining before
 }
 
-// freshness is how far a claim counts.
+// freshness is the reliability of a claim by its age.
 type freshness uint8
 
 // The kinds of claims, the least reliable first.
 const (
-	remembered freshness = iota // from the cached list of an earlier run
-	stale                       // the lease of its source has run out
-	fresh                       // reported, and within the lease
+	fromCache freshness = iota // from the cached list of an earlier run
+	stale                      // the lease of its source has expired
+	fresh                      // reported, and within the lease
 )
 
 func (c *claim) freshness() freshness {
 	switch {
 	case c.cached:
-		return remembered
+		return fromCache
 	case c.src.stale:
 		return stale
 	}
 	return fresh
 }
 
-// precedes tells whether claim c owns a node rather than d, which may be nil.
+// precedes reports whether claim c rather than d owns a node; d may be nil.
 func (c *claim) precedes(d *claim) bool {
 	if d == nil {
 		return true
@@ -49,7 +49,7 @@
 	return c.src.index < d.src.index
 }
 
-// update takes over a record, and tells whether it says anything new.
+// update applies a record and reports whether it changes the claim.
 func (c *claim) update(now time.Time, rec Record, cached bool) (changed bool) {
 	stillGone := rec.State == Gone && c.rec.State == Gone
 	switch {
@@ -59,30 +59,30 @@
 		c.cached = cached
 		return true
 	case rec.State != c.rec.State || rec.Addr != c.rec.Addr || !rec.Started.Equal(c.rec.Started):
-		c.since = now
+		c.changedAt = now
 	}
 	if rec.State == Gone {
-		c.drained = c.rec.State == Draining
-		c.rec.State = Gone // the other fields still describe what it was
+		c.wasDraining = c.rec.State == Draining
+		c.rec.State = Gone // the other fields keep their last values
 	} else {
-		c.rec, c.drained = rec, false
+		c.rec, c.wasDraining = rec, false
 	}
 	c.cached = cached
 	return true
 }
 
-// applyRecord notes what an update of a source says of one data node.
+// applyRecord applies one record of a source's update to the source's claim.
 func (t *Table) applyRecord(now time.Time, src *source, rec Record, u *Update) {
 	c := src.claims[rec.ID]
 	if rec.ID == "" || c == nil && rec.State == Gone {
 		return
 	}
 	if rec.State != Gone && (rec.ShardSet < 0 || rec.ShardSet >= t.cfg.ShardSets) {
-		t.note(Unfit, src, rec.ID, fmt.Sprintf("cell %d is not within 0 and %d", rec.ShardSet, t.cfg.ShardSets-1))
+		t.note(Unfit, src, rec.ID, fmt.Sprintf("cell %d is not in the range 0 to %d", rec.ShardSet, t.cfg.ShardSets-1))
 		if c == nil {
 			return
 		}
-		rec = c.rec // which shards it holds now is not known, so it gets nothing new
+		rec = c.rec // the shards that it holds are unknown, so it gets no new parts
 		rec.State = Draining
 	}
 	if c == nil {
@@ -95,27 +95,26 @@
 	}
 }
 
-// addClaim adds a claim of a source on a node, and the node where it is new. It returns nil where the source names too
-// many.
+// addClaim adds a claim of a source on a node, and the node if it is new. It returns nil if the source names too many.
 func (t *Table) addClaim(now time.Time, src *source, id string) *claim {
 	if len(src.claims) >= src.MaxNodes {
-		t.note(Excess, src, id, fmt.Sprintf("over %d data nodes", src.MaxNodes))
+		t.note(Excess, src, id, fmt.Sprintf("more than %d data nodes", src.MaxNodes))
 		return nil
 	}
-	c := &claim{src: src, since: now}
+	c := &claim{src: src, changedAt: now}
 	src.claims[id] = c
 	n := t.nodes[id]
 	if n == nil {
-		n = &node{id: id, published: Record{ID: id, State: Gone}, dependsOn: -1, timer: timer{position: -1}}
+		n = &node{id: id, published: Record{ID: id, State: Gone}, dependsOn: -1, timer: timer{heapIndex: -1}}
 		t.nodes[id] = n
 	}
-	t.leavePast(n)
+	t.leaveUnclaimed(n)
 	n.claims = append(n.claims, c)
 	return c
 }
 
-// unclaim drops what a source says of a node. One that nobody names any more becomes one of the past.
-func (t *Table) unclaim(n *node, src *source) {
+// dropClaim removes the claim of a source on a node. schedule moves a node without claims to the unclaimed ones.
+func (t *Table) dropClaim(n *node, src *source) {
 	n.claims = slices.DeleteFunc(n.claims, func(c *claim) bool { return c.src == src })
 	delete(src.claims, n.id)
 }
@@ -124,26 +123,26 @@
 	return !slices.ContainsFunc(claims, func(c *claim) bool { return c.rec.State.present() })
 }
 
-// resolve joins the claims on a node by the first table of the package's comment. It returns the claim that describes
-// the node, nil where it is gone, and the state. It looks at no other node, at no damping and at no evidence.
-func resolve(claims []*claim) (by *claim, state State) {
-	by = owner(claims)
+// resolve merges the claims on a node by the first table of the package comment. It returns the claim that describes the
+// node, nil if it is gone, and the state. It considers no other node, no damping and no evidence.
+func resolve(claims []*claim) (ownerClaim *claim, state State) {
+	ownerClaim = owner(claims)
 	switch {
-	case by == nil:
+	case ownerClaim == nil:
 		return nil, Gone
-	case by.rec.State == Draining:
-		return by, Draining
+	case ownerClaim.rec.State == Draining:
+		return ownerClaim, Draining
 	}
 	for _, c := range claims {
-		if c != by && c.drains(by) {
-			return by, Draining
+		if c != ownerClaim && c.drains(ownerClaim) {
+			return ownerClaim, Draining
 		}
 	}
-	return by, Serving
+	return ownerClaim, Serving
 }
 
-// owner is the claim that describes a node: the one that precedes all others or, where that says gone, the first of
-// the fresh ones that changed after it. It is nil where the node is gone.
+// owner returns the claim that describes a node: the one that precedes all others or, if its state is gone, the first of
+// the fresh ones that changed after it. It returns nil if the node is gone.
 func owner(claims []*claim) *claim {
 	var first *claim
 	for _, c := range claims {
@@ -156,31 +155,30 @@
 	}
 	var later *claim
 	for _, c := range claims {
-		if c.rec.State.present() && c.freshness() == fresh && c.since.After(first.since) && c.precedes(later) {
+		if c.rec.State.present() && c.freshness() == fresh && c.changedAt.After(first.changedAt) && c.precedes(later) {
 			later = c
 		}
 	}
 	return later
 }
 
-// drains tells whether another claim than the describing one drains the node.
-func (c *claim) drains(by *claim) bool {
-	if c.freshness() != fresh || startedBefore(c.rec, by.rec) {
+// drains reports whether c drains a node that another claim, its owner, describes as serving.
+func (c *claim) drains(ownerClaim *claim) bool {
+	if c.freshness() != fresh || startedBefore(c.rec, ownerClaim.rec) {
 		return false
 	}
-	return c.rec.State == Draining || c.rec.State == Gone && c.drained && !c.since.Before(by.since)
+	return c.rec.State == Draining || c.rec.State == Gone && c.wasDraining && !c.changedAt.Before(ownerClaim.changedAt)
 }
 
-// startedBefore tells whether a speaks of a process that ran before the one that b speaks of.
+// startedBefore reports whether a describes a process that started before the one that b describes.
 func startedBefore(a, b Record) bool {
 	return !a.Unstated && !b.Unstated && a.Started.Before(b.Started)
 }
 
-// statedStart is the start of the node as its claims have it: the describing one's, or else the latest that any other
-// states.
-func statedStart(claims []*claim, by *claim) (at time.Time, stated bool) {
-	if !by.rec.Unstated {
-		return by.rec.Started, true
+// statedStart returns the start of a node as its claims state it: the owner's, or else the latest that any other states.
+func statedStart(claims []*claim, ownerClaim *claim) (at time.Time, stated bool) {
+	if !ownerClaim.rec.Unstated {
+		return ownerClaim.rec.Started, true
 	}
 	for _, c := range claims {
 		if c.rec.State.present() && !c.rec.Unstated && (!stated || c.rec.Started.After(at)) {
--- a/internal/membership/config.go
+++ b/internal/membership/config.go
@@ -5,32 +5,32 @@
 	"time"
 )
 
-// Config holds the thresholds and times of a Table. The zero value of a field stands for its default.
+// Config holds the thresholds and durations of a Table. A field of value zero takes its default.
 type Config struct {
-	// Shard s is held by the shard sets s, s+1, ... s+Reach-1, modulo ShardSets. Each is 1 by default.
+	// Shard s is held by the shard sets s, s+1, ... s+Reach-1, modulo ShardSets. Each field is 1 by default.
 	ShardSets, Shards, Reach int
 
-	// Damping of returns, after RFC 2439. HalfLife is the half-life of a penalty, 15 s by default. A return is held back
-	// from the penalty Suppress, 2500, down to Reuse, 800, for MaxSuppress at most, 60 s.
+	// Damping of returns (RFC 2439). HalfLife is the half-life of a penalty, 15 s by default. A return is suppressed once
+	// the penalty reaches Suppress, 2500, until it has decayed to Reuse, 800, but for MaxSuppress at most, 60 s.
 	HalfLife        time.Duration
 	Suppress, Reuse float64
 	MaxSuppress     time.Duration
 
-	// ShortAbsence is the longest absence after which a data node without a stated start is taken for the same process;
+	// ShortAbsence is the longest absence after which a data node without a stated start is assumed to be the same process;
 	// 10 s by default.
 	ShortAbsence time.Duration
 
-	// A data node is suspect after SuspectAfter connections refused or reset in a row, 2 by default, or after
-	// RejectsToSuspect parts rejected in a row, 16. Without news it is cleared after SuspectFor, 10 s.
-	SuspectFor       time.Duration
-	SuspectAfter     int
-	RejectsToSuspect int
+	// A data node is suspect after SuspectAfterFailures consecutive connections refused or reset, 2 by default, or after
+	// SuspectAfterRejections consecutive parts rejected, 16. Without new evidence it is cleared after SuspectFor, 10 s.
+	SuspectFor             time.Duration
+	SuspectAfterFailures   int
+	SuspectAfterRejections int
 
-	// SerialHold is how long only older serials must be reported until one is believed; 30 s by default.
+	// SerialHold is the time for which a source must report only older serials until one is accepted; 30 s by default.
 	SerialHold time.Duration
 
-	// MaxForgotten is how many data nodes that nobody names any more are remembered at most; 1024 by default.
-	MaxForgotten int
+	// MaxUnclaimed is the maximum number of data nodes kept that no source claims any more; 1024 by default.
+	MaxUnclaimed int
 }
 
 func (c Config) withDefaults() Config {
@@ -43,14 +43,14 @@
 	c.MaxSuppress = orDefault(c.MaxSuppress, time.Minute)
 	c.ShortAbsence = orDefault(c.ShortAbsence, 10*time.Second)
 	c.SuspectFor = orDefault(c.SuspectFor, 10*time.Second)
-	c.SuspectAfter = orDefault(c.SuspectAfter, 2)
-	c.RejectsToSuspect = orDefault(c.RejectsToSuspect, 16)
+	c.SuspectAfterFailures = orDefault(c.SuspectAfterFailures, 2)
+	c.SuspectAfterRejections = orDefault(c.SuspectAfterRejections, 16)
 	c.SerialHold = orDefault(c.SerialHold, 30*time.Second)
-	c.MaxForgotten = orDefault(c.MaxForgotten, 1024)
+	c.MaxUnclaimed = orDefault(c.MaxUnclaimed, 1024)
 	return c
 }
 
-// orDefault is the value, or its default where the value is not above 0.
+// orDefault returns value if it is above 0, else fallback.
 func orDefault[T int | float64 | time.Duration](value, fallback T) T {
 	if value <= 0 {
 		return fallback
@@ -58,7 +58,7 @@
 	return value
 }
 
-// Check returns an error that names the first field that is out of range, after defaults.
+// Check returns an error that names the first field that is out of range, with defaults applied.
 func (c Config) Check() error {
 	c = c.withDefaults()
 	switch {
--- a/internal/membership/coverage.go
+++ b/internal/membership/coverage.go
@@ -6,35 +6,35 @@
 	"time"
 )
 
-// level is how many sound data nodes of one priority a shard set has.
+// level is the number of healthy data nodes of one priority in a shard set.
 type level struct {
 	priority uint16
 	count    int
 }
 
-// coverageEntry is how a node was counted in the coverage.
+// coverageEntry records how a node is counted in the coverage.
 type coverageEntry struct {
 	counted  bool
 	shardSet int
 	priority uint16
 }
 
-// coverage counts the sound data nodes of each shard set by priority. One that is listed only because a shard has no
-// other is not counted: what is needed would else depend on the order of evaluation.
+// coverage counts the healthy data nodes of each shard set by priority. One that is listed only because a shard has no
+// other is not counted: otherwise the result would depend on the order of evaluation.
 type coverage struct {
 	shardSets, shards, reach int
 	levels                   map[int][]level // by shard set, by ascending priority
 }
 
-// add counts data nodes in or out. It tells whether the priorities that a shard set offers have changed.
-func (v *coverage) add(shardSet int, priority uint16, by int) (changed bool) {
+// add changes the number of data nodes of one priority. It reports whether the set of priorities in the shard set changed.
+func (v *coverage) add(shardSet int, priority uint16, delta int) (changed bool) {
 	levels := v.levels[shardSet]
 	i, found := slices.BinarySearchFunc(levels, priority, func(l level, p uint16) int { return cmp.Compare(l.priority, p) })
 	if !found {
-		v.levels[shardSet] = slices.Insert(levels, i, level{priority, by})
+		v.levels[shardSet] = slices.Insert(levels, i, level{priority, delta})
 		return true
 	}
-	if levels[i].count += by; levels[i].count > 0 {
+	if levels[i].count += delta; levels[i].count > 0 {
 		return false
 	}
 	if levels = slices.Delete(levels, i, i+1); len(levels) == 0 {
@@ -45,8 +45,8 @@
 	return true
 }
 
-// lacks tells whether some shard that a shard set holds has no sound data node of a priority below the bound.
-func (v *coverage) lacks(shardSet int, bound int) bool {
+// hasUncoveredShard reports whether some shard of a shard set has no healthy data node of a priority below the bound.
+func (v *coverage) hasUncoveredShard(shardSet int, bound int) bool {
 	for back := range v.reach {
 		shard := v.wrap(shardSet - back)
 		if shard < v.shards && !v.covers(shard, bound) {
@@ -56,7 +56,7 @@
 	return false
 }
 
-// covers tells whether a shard has a sound data node of a priority below the bound.
+// covers reports whether a shard has a healthy data node of a priority below the bound.
 func (v *coverage) covers(shard int, bound int) bool {
 	for i := range v.reach {
 		if levels := v.levels[v.wrap(shard+i)]; len(levels) > 0 && int(levels[0].priority) < bound {
@@ -66,8 +66,8 @@
 	return false
 }
 
-// near are the shard sets that hold a shard together with the given one.
-func (v *coverage) near(shardSet int) (list []int) {
+// overlapping returns the shard sets that share a shard with the given one, itself included.
+func (v *coverage) overlapping(shardSet int) (list []int) {
 	seen := map[int]bool{}
 	for d := 1 - v.reach; d < v.reach; d++ {
 		s := v.wrap(shardSet + d)
@@ -78,12 +78,12 @@
 	return list
 }
 
-// wrap takes an index that is less than one round off into the range of shard sets.
+// wrap returns an index modulo the number of shard sets, never below 0.
 func (v *coverage) wrap(i int) int { return (i%v.shardSets + v.shardSets) % v.shardSets }
 
-// updateCoverage counts a node where it is sound, and marks those whose use the change may concern.
+// updateCoverage counts a node if it is healthy, and marks the nodes whose use the change may affect.
 func (t *Table) updateCoverage(now time.Time, n *node) {
-	entry := coverageEntry{counted: t.sound(now, n)}
+	entry := coverageEntry{counted: t.healthy(now, n)}
 	if n.owner != nil {
 		entry.shardSet, entry.priority = n.owner.rec.ShardSet, n.owner.rec.Priority
 	}
@@ -101,15 +101,15 @@
 
 // markDependents marks the nodes whose use depends on the coverage of a shard set.
 func (t *Table) markDependents(shardSet int) {
-	for _, s := range t.coverage.near(shardSet) {
+	for _, s := range t.coverage.overlapping(shardSet) {
 		for n := range t.dependents[s] {
 			t.toPublish.add(n)
 		}
 	}
 }
 
-// depend notes on which shard set's coverage the use of a node depends; -1 for none.
-func (t *Table) depend(n *node, shardSet int) {
+// setDependency records the shard set whose coverage decides whether a node is used; -1 for none.
+func (t *Table) setDependency(n *node, shardSet int) {
 	if n.dependsOn == shardSet {
 		return
 	}
--- a/internal/membership/damping.go
+++ b/internal/membership/damping.go
@@ -5,49 +5,49 @@
 	"time"
 )
 
-// Penalties in the units of RFC 2439: a withdrawal counts 1000, a change of an attribute half of it.
+// Penalties in the units of RFC 2439: 1000 for a withdrawal, half of it for a change of an attribute.
 const (
 	withdrawalPenalty = 1000
 	drainPenalty      = 500
 )
 
-// damping is the figure of merit of one data node after RFC 2439, route flap damping. It holds back only a return, never
-// a removal or a drain. Its zero value is a node without a penalty.
+// damping is the figure of merit of one data node by RFC 2439 (route flap damping). It delays only a return, never a
+// removal or a drain. The zero value has no penalty.
 type damping struct {
-	penalty float64 // at asOf; it halves with each Config.HalfLife
-	asOf    time.Time
-	until   time.Time // a return is held back until then; zero where it is not
+	penalty         float64 // at asOf; it halves every Config.HalfLife
+	asOf            time.Time
+	suppressedUntil time.Time // a return is suppressed until then; zero if it never was
 }
 
-// at is the penalty at a time.
-func (d *damping) at(cfg *Config, now time.Time) float64 {
+// penaltyAt returns the penalty after its decay until now.
+func (d *damping) penaltyAt(cfg *Config, now time.Time) float64 {
 	if d.penalty == 0 {
 		return 0
 	}
 	return d.penalty * math.Exp2(-float64(now.Sub(d.asOf))/float64(cfg.HalfLife))
 }
 
-// add counts an event against a data node. It tells whether its return is held back from now on and was not before. The
-// penalty is capped, so that a return is never held back for longer than Config.MaxSuppress.
+// add adds the penalty of an event and reports whether this starts to suppress the data node's return. The penalty is
+// capped, so that a return is never suppressed for longer than Config.MaxSuppress.
 func (d *damping) add(cfg *Config, now time.Time, penalty float64) (begun bool) {
 	ceiling := cfg.Reuse * math.Exp2(float64(cfg.MaxSuppress)/float64(cfg.HalfLife))
-	d.penalty, d.asOf = math.Min(d.at(cfg, now)+penalty, ceiling), now
-	former := d.suppressed(now)
-	if former || d.penalty >= cfg.Suppress {
-		d.until = now.Add(decayTime(cfg, d.penalty, cfg.Reuse))
+	d.penalty, d.asOf = math.Min(d.penaltyAt(cfg, now)+penalty, ceiling), now
+	wasSuppressed := d.suppressed(now)
+	if wasSuppressed || d.penalty >= cfg.Suppress {
+		d.suppressedUntil = now.Add(decayTime(cfg, d.penalty, cfg.Reuse))
 	}
-	return !former && d.suppressed(now)
+	return !wasSuppressed && d.suppressed(now)
 }
 
-// suppressed tells whether a return is held back at a time.
-func (d *damping) suppressed(now time.Time) bool { return now.Before(d.until) }
+// suppressed reports whether a return is suppressed at a time.
+func (d *damping) suppressed(now time.Time) bool { return now.Before(d.suppressedUntil) }
 
-// decayedAt is when the penalty has no effect any more: at half of the reuse threshold, as in RFC 2439.
+// decayedAt returns when the penalty stops having an effect: at half of the reuse threshold, as in RFC 2439.
 func (d *damping) decayedAt(cfg *Config) time.Time {
 	return d.asOf.Add(decayTime(cfg, d.penalty, cfg.Reuse/2))
 }
 
-// decayTime is how long a penalty takes to decay to a figure.
+// decayTime returns how long a penalty takes to decay from one value to another.
 func decayTime(cfg *Config, from, to float64) time.Duration {
 	if from <= to {
 		return 0
--- a/internal/membership/identity.go
+++ b/internal/membership/identity.go
@@ -2,34 +2,34 @@
 
 import "time"
 
-// process is what is known of the process behind a data node's id: since when it runs and whether a return may be
-// another one's.
+// process holds what is known of the process behind a data node's id: when it started, and whether a data node that returns
+// may be another process.
 type process struct {
-	seen     bool   // it was listed before; the other fields hold from then
-	lastAddr string // where it was listed last
-	start    time.Time
-	stated   time.Time // the start as a source stated it
-	isStated bool
-	statedBy *source // nil where the statement was cached
-	goneAt   time.Time
-	lost     bool // its connections failed, and it has not answered since
+	seen           bool   // it was listed before; the other fields are valid only then
+	lastAddr       string // address at which it was last listed
+	start          time.Time
+	statedStart    time.Time // the start as a source stated it
+	hasStatedStart bool
+	statedBy       *source // nil if the claim that stated it was cached
+	goneAt         time.Time
+	connLost       bool // its connections failed, and it has not answered since
 }
 
-// identify settles since when a node runs, by the second table of the package's comment.
-func (t *Table) identify(now time.Time, n *node, former State) {
+// updateStart determines when a node's process started, by the second table of the package comment.
+func (t *Table) updateStart(now time.Time, n *node, former State) {
 	p, rec := &n.process, n.owner.rec
 	moved := p.lastAddr != "" && p.lastAddr != rec.Addr
 	formerStart, seen := p.start, p.seen
 	if at, stated := statedStart(n.claims, n.owner); stated {
-		p.takeStatement(now, at, n.owner)
+		p.applyStatedStart(now, at, n.owner)
 	} else if !seen {
-		p.start = t.unstatedStart(now, n)
-	} else if moved || t.mayBeAnother(now, p, former) {
-		p.start, p.lost = now, false
+		p.start = t.assumedStart(now, n)
+	} else if moved || t.mayHaveRestarted(now, p, former) {
+		p.start, p.connLost = now, false
 	}
 	p.seen = true
 	if seen && p.start.After(formerStart) {
-		n.suspicion, p.lost = suspicion{}, false
+		n.suspicion, p.connLost = suspicion{}, false
 		t.note(Restarted, n.owner.src, n.id, "")
 	}
 	if moved && former.present() {
@@ -38,40 +38,40 @@
 	p.lastAddr = rec.Addr
 }
 
-// takeStatement takes over a stated start. Where the same source states an earlier one than before, its clock went
-// back, and the start is now.
-func (p *process) takeStatement(now, at time.Time, by *claim) {
-	from := by.src
-	if by.cached {
-		from = nil
+// applyStatedStart applies a stated start. If a source states an earlier start than it did before, its clock went back,
+// and the start is now.
+func (p *process) applyStatedStart(now, at time.Time, ownerClaim *claim) {
+	src := ownerClaim.src
+	if ownerClaim.cached {
+		src = nil
 	}
-	known := p.seen && p.isStated
+	known := p.seen && p.hasStatedStart
 	switch {
-	case known && at.Equal(p.stated): // the same process
-	case known && at.Before(p.stated) && from != nil && from == p.statedBy:
+	case known && at.Equal(p.statedStart): // the same process
+	case known && at.Before(p.statedStart) && src != nil && src == p.statedBy:
 		p.start = now
 	default:
 		p.start = at
 	}
-	p.stated, p.isStated, p.statedBy = at, true, from
+	p.statedStart, p.hasStatedStart, p.statedBy = at, true, src
 }
 
-// mayBeAnother tells whether a node that has come back to its address, and whose start nobody states, may be another
-// process than the one that was listed before.
-func (t *Table) mayBeAnother(now time.Time, p *process, former State) bool {
-	return !former.present() && (p.lost || now.Sub(p.goneAt) > t.cfg.ShortAbsence)
+// mayHaveRestarted reports whether a node that has returned to its address, and whose start no claim states, may be
+// another process than the one listed before.
+func (t *Table) mayHaveRestarted(now time.Time, p *process, former State) bool {
+	return !former.present() && (p.connLost || now.Sub(p.goneAt) > t.cfg.ShortAbsence)
 }
 
-// unstatedStart is the start of a node that was not known before and whose start nobody states.
-func (t *Table) unstatedStart(now time.Time, n *node) time.Time {
+// assumedStart returns the assumed start of a node that was not listed before and whose start no claim states.
+func (t *Table) assumedStart(now time.Time, n *node) time.Time {
 	if a := t.addrs[n.owner.rec.Addr]; a != nil && a.holder != nil && a.holder != n {
-		if by, _ := resolve(a.holder.claims); by != nil && by.src != n.owner.src {
-			return a.holder.process.start // two sources have two names for one process
+		if ownerClaim, _ := resolve(a.holder.claims); ownerClaim != nil && ownerClaim.src != n.owner.src {
+			return a.holder.process.start // two sources name one process by two ids
 		}
 		return now
 	}
-	if n.owner.src.complete {
+	if n.owner.src.fullListSeen {
 		return now
 	}
-	return time.Time{} // it may have run for long before this coordinator
+	return time.Time{} // it may have started long before this coordinator
 }
--- a/internal/membership/past.go
+++ b/internal/membership/past.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// schedule sets when a node is looked at next, moves one that nobody names to the past, and keeps the past within
-// Config.MaxForgotten.
+// schedule sets the timer of a node, adds it to the list of unclaimed nodes if no source claims it, and keeps that list
+// within Config.MaxUnclaimed.
 func (t *Table) schedule(now time.Time, n *node) {
 	if len(n.claims) > 0 {
 		t.setTimer(n, n.nextChange(now))
@@ -14,19 +14,19 @@
 		t.forget(n)
 		return
 	}
-	if n.past == nil {
-		n.past = t.past.PushBack(n)
+	if n.unclaimedElem == nil {
+		n.unclaimedElem = t.unclaimed.PushBack(n)
 	}
 	t.setTimer(n, at)
-	if t.past.Len() > t.cfg.MaxForgotten {
-		t.forget(t.past.Front().Value.(*node))
+	if t.unclaimed.Len() > t.cfg.MaxUnclaimed {
+		t.forget(t.unclaimed.Front().Value.(*node))
 	}
 }
 
-// nextChange is when suppression or suspicion of a node ends; zero where neither lies ahead.
+// nextChange returns when the suppression or the suspicion of a node ends, whichever is first; zero if there is neither.
 func (n *node) nextChange(now time.Time) (at time.Time) {
-	if n.damping.until.After(now) {
-		at = n.damping.until
+	if n.damping.suppressedUntil.After(now) {
+		at = n.damping.suppressedUntil
 	}
 	if s := n.suspicion; s.suspect && s.until.After(now) && (at.IsZero() || s.until.Before(at)) {
 		at = s.until
@@ -34,8 +34,8 @@
 	return at
 }
 
-// forgetAt is when nothing needs to be known of a node of the past any more: a return after that is a new process's, and
-// its penalty has decayed.
+// forgetAt returns when an unclaimed node can be forgotten: a return after that counts as a new process, and the penalty
+// has decayed.
 func (t *Table) forgetAt(n *node) time.Time {
 	at := n.process.goneAt.Add(t.cfg.ShortAbsence)
 	if decayed := n.damping.decayedAt(&t.cfg); decayed.After(at) {
@@ -44,19 +44,19 @@
 	return at
 }
 
-// forget drops a node of the past.
+// forget removes an unclaimed node from the table.
 func (t *Table) forget(n *node) {
-	t.leavePast(n)
+	t.leaveUnclaimed(n)
 	t.setTimer(n, time.Time{})
 	delete(t.nodes, n.id)
 }
 
-// leavePast takes a node out of the past, where it is one. A node that is named again leaves at once, before any other
-// is published: the bound of the past would else forget it while it has claims, and the next change of them would end
-// the process with a nil node.
-func (t *Table) leavePast(n *node) {
-	if n.past != nil {
-		t.past.Remove(n.past)
-		n.past = nil
+// leaveUnclaimed removes a node from the list of unclaimed nodes, if it is in it. A node that is claimed again must leave
+// it at once, before any other is published: otherwise the bound of that list could forget the node while it has claims,
+// and the next change of a claim would panic on a nil node.
+func (t *Table) leaveUnclaimed(n *node) {
+	if n.unclaimedElem != nil {
+		t.unclaimed.Remove(n.unclaimedElem)
+		n.unclaimedElem = nil
 	}
 }
--- a/internal/membership/publish.go
+++ b/internal/membership/publish.go
@@ -2,24 +2,24 @@
 
 import "time"
 
-// anyPriority is above each priority.
+// anyPriority is a bound above all priorities.
 const anyPriority = 1 << 16
 
-// listing is what the list is to say of a node.
+// listing is the intended list entry of a node.
 type listing struct {
 	rec       Record
-	reason    Cause // why it differs from the claims; empty where it does not
+	reason    Cause // why it differs from the claims; empty if it does not
 	dependsOn int   // the shard set whose coverage decides on it; -1 for none
 }
 
-// decideListing settles what the list says of a node: a serving one is listed as draining while its return is damped or
-// while better priorities suffice, unless a shard would be left without a sound data node.
+// decideListing returns how a node is to be listed: a serving one is listed as draining while its return is suppressed or
+// while data nodes of lower priority values suffice, unless a shard would be left without a healthy data node.
 func (t *Table) decideListing(now time.Time, n *node) listing {
 	l := listing{rec: Record{ID: n.id, State: Gone}, dependsOn: -1}
 	switch {
 	case n.owner == nil:
 		return l
-	case t.alias(n):
+	case t.isAlias(n):
 		l.reason = Aliased
 		return l
 	}
@@ -28,26 +28,26 @@
 	if n.state != Serving {
 		return l
 	}
-	suppressed, ranked := n.damping.suppressed(now), l.rec.Priority > 0
-	if suppressed || ranked {
+	suppressed, hasPriority := n.damping.suppressed(now), l.rec.Priority > 0
+	if suppressed || hasPriority {
 		l.dependsOn = l.rec.ShardSet
 	}
 	switch {
-	case suppressed && t.coverage.lacks(l.rec.ShardSet, anyPriority):
+	case suppressed && t.coverage.hasUncoveredShard(l.rec.ShardSet, anyPriority):
 		l.reason = Needed
 	case suppressed:
 		l.reason, l.rec.State = Suppressed, Draining
-	case ranked && !t.coverage.lacks(l.rec.ShardSet, int(l.rec.Priority)):
+	case hasPriority && !t.coverage.hasUncoveredShard(l.rec.ShardSet, int(l.rec.Priority)):
 		l.reason, l.rec.State = Standby, Draining
 	}
 	return l
 }
 
-// publish brings the list up to date for one node, and sets when it is looked at next.
+// publish updates the list for one node and sets the node's timer.
 func (t *Table) publish(now time.Time, n *node) {
 	l := t.decideListing(now, n)
-	t.depend(n, l.dependsOn)
-	t.explainChange(n, l)
+	t.setDependency(n, l.dependsOn)
+	t.noteChange(n, l)
 	if l.rec != n.published {
 		switch former, present := n.published.State.present(), l.rec.State.present(); {
 		case present && !former:
@@ -61,8 +61,8 @@
 	t.schedule(now, n)
 }
 
-// explainChange notes a change of the list and its reason.
-func (t *Table) explainChange(n *node, l listing) {
+// noteChange adds notes on a change of how a node is listed, with the reason.
+func (t *Table) noteChange(n *node, l listing) {
 	var src *source
 	if n.owner != nil {
 		src = n.owner.src
--- a/internal/membership/table.go
+++ b/internal/membership/table.go
@@ -9,53 +9,53 @@
 	"time"
 )
 
-// node is one data node that some source names, or one of the past.
+// node is one data node that some source claims, or an unclaimed one that is still known.
 type node struct {
 	id     string
 	claims []*claim // one for each source that names it
 	owner  *claim   // describes the node; nil while it is gone
-	state  State    // by the claims
+	state  State    // resolved from the claims
 
 	process   process
-	addr      string // where it claims to be; empty while it is gone
-	arrived   time.Time
+	addr      string    // address that it claims; empty while it is gone
+	addrSince time.Time // when addr last changed
 	suspicion suspicion
 	damping   damping
 	counted   coverageEntry
-	dependsOn int // the shard set whose coverage decides on its use; -1 for none
+	dependsOn int // the shard set whose coverage decides whether it is used; -1 for none
 
-	published Record // as the list has it; Gone where it is not listed
-	reason    Cause  // why the list differs from the claims; empty where it does not
+	published Record // as it is listed; Gone if it is not
+	reason    Cause  // why the list differs from the claims; empty if it does not
 
-	queued uint8 // bits of the sets that hold it
-	timer  timer
-	past   *list.Element // in Table.past while nobody names it
+	queued        uint8 // bits of the node sets that contain it
+	timer         timer
+	unclaimedElem *list.Element // in Table.unclaimed while no source claims it
 }
 
-// present tells whether a node with this state by its claims is there.
+// present reports whether a data node in this state is serving or draining.
 func (s State) present() bool { return s != Gone }
 
-// Table is the joined list. Each call first takes in what was said and marks the nodes concerned, then evaluates each
-// marked node (claims, identity, coverage), and only then publishes, so that no result depends on the order of nodes.
-// A list that was handed out is not changed any more. It is not safe for use by several goroutines.
+// Table holds the merged list. Each call first applies its input and marks the affected nodes, then evaluates each marked
+// node (claims, identity, coverage), and only then publishes, so that no result depends on the order of nodes. A list that
+// was returned is not modified afterwards. A Table is not safe for concurrent use.
 type Table struct {
-	cfg     Config
-	sources []*source
-	nodes   map[string]*node
-	addrs   map[string]*address
-	past    *list.List // of *node that nobody names, the longest gone first
-	timers  timers
-	listed  int // nodes that the list holds
+	cfg       Config
+	sources   []*source
+	nodes     map[string]*node
+	addrs     map[string]*address
+	unclaimed *list.List // of *node without claims, the longest unclaimed first
+	timers    timers
+	listed    int // number of nodes in the list
 
 	coverage   coverage
 	dependents map[int]map[*node]bool // by shard set: the nodes whose use depends on its coverage
 
 	toEvaluate nodeSet
 	toPublish  nodeSet
-	result     Result // of the call at hand
+	result     Result // of the current call
 }
 
-// New returns an empty table, or an error that names the first field of the configuration that is out of range.
+// New returns an empty table, or an error that names the first field of cfg that is out of range.
 func New(cfg Config) (*Table, error) {
 	if err := cfg.Check(); err != nil {
 		return nil, err
@@ -65,7 +65,7 @@
 		cfg:        cfg,
 		nodes:      map[string]*node{},
 		addrs:      map[string]*address{},
-		past:       list.New(),
+		unclaimed:  list.New(),
 		coverage:   coverage{shardSets: cfg.ShardSets, shards: cfg.Shards, reach: cfg.Reach, levels: map[int][]level{}},
 		dependents: map[int]map[*node]bool{},
 		toEvaluate: nodeSet{bit: 1},
@@ -73,26 +73,26 @@
 	}, nil
 }
 
-// Tick applies what time alone brings about up to now: leases, suspicion, damping and expiry.
+// Tick applies the changes that are due by now: those of leases, suspicion, damping and expiry.
 func (t *Table) Tick(now time.Time) Result {
 	t.advance(now)
 	return t.finish(now)
 }
 
-// Next is when Tick must be called if nothing else happens before; zero where it need not be.
+// Next returns when Tick must be called unless another call comes before; zero if no change is due.
 func (t *Table) Next() (at time.Time) {
 	if len(t.timers) > 0 {
 		at = t.timers[0].timer.at
 	}
 	for _, src := range t.sources {
-		if due := src.due(); !due.IsZero() && (at.IsZero() || due.Before(at)) {
+		if due := src.expiresAt(); !due.IsZero() && (at.IsZero() || due.Before(at)) {
 			at = due
 		}
 	}
 	return at
 }
 
-// advance begins a call: it applies what time alone brings about up to now.
+// advance starts a call: it clears the result and applies the changes that are due by now.
 func (t *Table) advance(now time.Time) {
 	t.result = Result{}
 	for _, src := range t.sources {
@@ -101,7 +101,7 @@
 	t.runTimers(now)
 }
 
-// finish evaluates the marked nodes, publishes those concerned, and returns what the call has decided.
+// finish evaluates the marked nodes, publishes them and the nodes they affect, and returns the result of the call.
 func (t *Table) finish(now time.Time) Result {
 	for len(t.toEvaluate.nodes) > 0 {
 		for _, n := range t.toEvaluate.take() {
@@ -116,8 +116,7 @@
 	return t.result
 }
 
-// evaluate settles what the claims of a node come to, where it stands, since when it runs, and whether it counts in
-// the coverage.
+// evaluate resolves the claims of a node, and updates its start, its address and its count in the coverage.
 func (t *Table) evaluate(now time.Time, n *node) {
 	formerState, formerOwner := n.state, n.owner
 	if !n.process.seen {
@@ -125,52 +124,52 @@
 	}
 	n.owner, n.state = resolve(n.claims)
 	if n.owner == nil {
-		t.depart(now, n, formerState, formerOwner)
+		t.withdraw(now, n, formerState, formerOwner)
 	} else {
 		if formerState == Serving && n.state == Draining && n.owner.src.Damped && formerOwner != nil {
 			t.penalise(now, n, drainPenalty)
 		}
-		t.identify(now, n, formerState)
+		t.updateStart(now, n, formerState)
 		t.claimAddress(now, n, n.owner.rec.Addr)
 	}
 	t.updateCoverage(now, n)
 }
 
-// depart applies that no claim holds a node in the list any more.
-func (t *Table) depart(now time.Time, n *node, formerState State, formerOwner *claim) {
+// withdraw handles a node that no claim keeps in the list any more.
+func (t *Table) withdraw(now time.Time, n *node, formerState State, formerOwner *claim) {
 	t.claimAddress(now, n, "")
-	n.suspicion = suspicion{} // the evidence was of a process that is gone
+	n.suspicion = suspicion{} // the evidence concerned a process that is gone
 	if formerState.present() && formerOwner != nil {
 		n.process.goneAt = now
 		if formerOwner.src.Damped {
 			penalty := float64(withdrawalPenalty)
 			if formerState == Draining {
-				penalty = drainPenalty // the drain before it has counted for the other half
+				penalty = drainPenalty // the drain before it has already counted the other half
 			}
 			t.penalise(now, n, penalty)
 		}
 	}
 	if allGone(n.claims) {
 		for _, c := range slices.Clone(n.claims) {
-			t.unclaim(n, c.src)
+			t.dropClaim(n, c.src)
 		}
 	}
 }
 
-// penalise counts a withdrawal or a drain against a node.
+// penalise adds the penalty of a withdrawal or a drain to a node.
 func (t *Table) penalise(now time.Time, n *node, penalty float64) {
 	if n.damping.add(&t.cfg, now, penalty) {
-		held := n.damping.until.Sub(now).Round(time.Second)
-		t.note(Suppressed, nil, n.id, fmt.Sprintf("penalty %.0f, for %v", n.damping.penalty, held))
+		suppressedFor := n.damping.suppressedUntil.Sub(now).Round(time.Second)
+		t.note(Suppressed, nil, n.id, fmt.Sprintf("penalty %.0f, for %v", n.damping.penalty, suppressedFor))
 	}
 }
 
-// sound tells whether a node serves so well that others may be left unused for it.
-func (t *Table) sound(now time.Time, n *node) bool {
-	return n.owner != nil && n.state == Serving && !t.alias(n) && !n.damping.suppressed(now) && !n.suspicion.suspect
+// healthy reports whether a node counts in the coverage, so that others may be left on standby.
+func (t *Table) healthy(now time.Time, n *node) bool {
+	return n.owner != nil && n.state == Serving && !t.isAlias(n) && !n.damping.suppressed(now) && !n.suspicion.suspect
 }
 
-// note adds a note to the result of the call at hand; src is nil where no source is meant.
+// note adds a note to the result of the current call; src is nil if the note concerns no source.
 func (t *Table) note(cause Cause, src *source, id, detail string) {
 	n := Note{Cause: cause, ID: id, Detail: detail}
 	if src != nil {
@@ -179,10 +178,10 @@
 	t.result.Notes = append(t.result.Notes, n)
 }
 
-// Len is how many data nodes the list holds.
+// Len returns the number of data nodes in the list.
 func (t *Table) Len() int { return t.listed }
 
-// List is the whole list, by id, without those that are gone.
+// List returns the list, by id, without data nodes that are gone.
 func (t *Table) List() (all []Record) {
 	for _, id := range slices.Sorted(maps.Keys(t.nodes)) {
 		if n := t.nodes[id]; n.published.State.present() {
@@ -192,7 +191,7 @@
 	return all
 }
 
-// Explain says in words how the list has come to what it says of a data node.
+// Explain describes, for operators, how a data node is listed, why, and what each source claims.
 func (t *Table) Explain(id string) string {
 	n := t.nodes[id]
 	if n == nil {
@@ -214,7 +213,7 @@
 	return text
 }
 
-// nodeSet is a set of nodes that keeps no memory once it is emptied; a map would keep the size of the longest list.
+// nodeSet is a set of nodes that releases its memory when emptied; a map would keep that of its largest size.
 type nodeSet struct {
 	bit   uint8 // its bit in node.queued
 	nodes []*node
@@ -227,7 +226,7 @@
 	}
 }
 
-// take empties the set and returns its nodes by id.
+// take empties the set and returns its nodes, sorted by id.
 func (s *nodeSet) take() []*node {
 	nodes := s.nodes
 	s.nodes = nil
