--- a/internal/zones/config.go
+++ b/internal/zones/config.go
@@ -6,27 +6,27 @@
 	"time"
 )
 
-// Config holds the thresholds. Shares are of data nodes, from 0 to 1. The names are those of the keys under [zones] in the
-// deploy file. The zero value of a field stands for its default; Check tells what is wrong with the rest.
+// Config holds the thresholds. Shares are fractions of data nodes, from 0 to 1. The field names match the keys under [zones]
+// in the deploy file. A zero field takes its default; Check validates the others.
 type Config struct {
-	Window     time.Duration // evidence older than this is forgotten
-	Doubt      float64       // share of failing data nodes from which a zone is suspect
-	Clear      float64       // share under which a suspect zone is healthy again
-	Leave      float64       // share from which a suspect zone goes out
-	Margin     float64       // how far a zone's share must be above that of the other zones
-	MinFailing int           // fewer failing data nodes never make a zone suspect
-	Confirm    time.Duration // how long the share must be at Leave before the zone goes out
-	Quiet      time.Duration // how long nothing must fail before recovery begins
-	Wait       time.Duration // least time out; it doubles with each recovery that fails
-	MaxWait    time.Duration // most time out before recovery is tried
-	Spread     time.Duration // the start of a recovery is drawn within this, so that coordinators do not start in step
-	Ramp       time.Duration // how long a zone recovers
-	Keep       float64       // share of all data nodes that must remain outside zones that are out
-	Seed       uint64        // of this coordinator's draws
+	Window     time.Duration // how long evidence counts
+	Doubt      float64       // share of failing data nodes at which a zone becomes suspect
+	Clear      float64       // share below which a suspect zone is healthy again
+	Leave      float64       // share at which a suspect zone goes out
+	Margin     float64       // least difference between a zone's share and that of the other zones
+	MinFailing int           // least number of failing data nodes that makes a zone suspect
+	Confirm    time.Duration // how long the share must stay at Leave or above before the zone goes out
+	Quiet      time.Duration // time without a failure before a recovery begins
+	Wait       time.Duration // shortest time out; doubled with each failed recovery
+	MaxWait    time.Duration // upper limit of the doubled Wait
+	Spread     time.Duration // range of the random delay of a recovery, so that coordinators do not start together
+	Ramp       time.Duration // duration of a recovery
+	Keep       float64       // share of all data nodes that must remain in zones that are not out
+	Seed       uint64        // seed of this coordinator's random delays
 }
 
-// Defaults are the thresholds of a site with a few data nodes per zone: a zone goes out only when most of it fails
-// together, within a second and a half of evidence, which the per-node handling alone takes longer to learn.
+// Defaults are the thresholds for a site with a few data nodes per zone: a zone goes out only if most of it fails together,
+// within 1.5 seconds of the first evidence. Per-node handling alone takes longer to react.
 var Defaults = Config{
 	Window: 3 * time.Second, Doubt: 0.34, Clear: 0.2, Leave: 0.6, Margin: 0.3, MinFailing: 2,
 	Confirm: 500 * time.Millisecond, Quiet: time.Second, Wait: time.Second, MaxWait: 30 * time.Second,
@@ -50,7 +50,7 @@
 	return c
 }
 
-// Check returns an error that names the first field that is out of range, after defaults.
+// Check returns an error that names the first field that is out of range once defaults are applied.
 func (c Config) Check() error {
 	c = c.withDefaults()
 	for _, f := range []struct {
@@ -72,7 +72,7 @@
 	}
 	switch {
 	case c.Clear >= c.Doubt:
-		return fmt.Errorf("zones: Clear (%v) must be under Doubt (%v), or a zone flips on one data node", c.Clear, c.Doubt)
+		return fmt.Errorf("zones: Clear (%v) must be under Doubt (%v), or one data node can toggle a zone", c.Clear, c.Doubt)
 	case c.Leave < c.Doubt:
 		return fmt.Errorf("zones: Leave (%v) must not be under Doubt (%v)", c.Leave, c.Doubt)
 	case c.MinFailing < 1:
--- a/internal/zones/evidence.go
+++ b/internal/zones/evidence.go
@@ -5,11 +5,11 @@
 	"time"
 )
 
-// node is the evidence on one data node.
+// node is the record of the evidence on one data node.
 type node struct {
 	lastFailure time.Time
 	lastGood    time.Time
-	fromPeer    bool // the last failure was reported by another coordinator
+	fromPeer    bool // lastFailure was reported by another coordinator
 	listed      bool
 }
 
@@ -17,16 +17,16 @@
 	return !n.lastFailure.IsZero() && now.Sub(n.lastFailure) < window && !n.lastGood.After(n.lastFailure)
 }
 
-// expired tells whether a data node that is not listed any more has no evidence within the window.
+// expired reports whether a data node is no longer listed and has no evidence within the window.
 func (n *node) expired(now time.Time, window time.Duration) bool {
 	return !n.listed && now.Sub(n.lastFailure) >= window && now.Sub(n.lastGood) >= window
 }
 
-// node returns the evidence on a data node, which begins here where there is none. Evidence on one that moved to another
-// zone is dropped.
+// node returns the record of a data node and creates it if needed. The record of a data node that moved from another zone
+// is dropped.
 func (t *Tracker) node(zoneName, id string) *node {
-	if former, known := t.zoneOf[id]; known && former != zoneName {
-		delete(t.zones[former].nodes, id)
+	if formerZone, known := t.zoneOf[id]; known && formerZone != zoneName {
+		delete(t.zones[formerZone].nodes, id)
 	}
 	t.zoneOf[id] = zoneName
 	z := t.zone(zoneName)
@@ -38,8 +38,8 @@
 	return n
 }
 
-// List takes over the data nodes that the list names now, by id to zone. Those that it no longer names count as Removed; a
-// list that comes late and still names a failed zone clears nothing, as only Good evidence clears.
+// List replaces the set of listed data nodes, given as a map of ids to zones. Those no longer listed are observed as
+// Removed. A stale list that still names a failed zone clears nothing, since only Good evidence does.
 func (t *Tracker) List(now time.Time, members map[string]string) {
 	for id, zoneName := range members {
 		t.node(zoneName, id).listed = true
@@ -55,8 +55,8 @@
 	}
 }
 
-// Observe applies evidence on one data node of a zone, as it was seen at a time. Evidence older than what is known of its
-// kind changes nothing.
+// Observe records evidence on one data node of a zone, seen at the given time. A failure no later than the last known
+// failure, or an answer no later than the last known answer, changes nothing.
 func (t *Tracker) Observe(at time.Time, zoneName, id string, e Evidence) {
 	n := t.node(zoneName, id)
 	if e == Good {
@@ -73,15 +73,15 @@
 	}
 }
 
-// minUnanswered is for how long no coordinator may have reported an answer of a data node for a reported failure to
-// count: a data node that others reach answers one of them all the time, which reports that too.
+// minUnanswered is the least time since a data node's last answer to any coordinator for a reported failure to count: a
+// data node that others can reach answers one of them all the time, and those answers are reported too.
 const minUnanswered = 1500 * time.Millisecond
 
-// ObservePeer applies a report of another coordinator: a data node failed there, failed ago, and last answered any
-// coordinator answered ago; below 0 where that is not known. It counts as evidence from now on, where the zone is not out
-// already, this coordinator has no answer of the data node within Window, and no coordinator reports an answer since. The
-// last condition keeps a coordinator that is itself cut off from a zone from taking it out at all others, which would
-// show as `zone out` at the whole fleet after one coordinator lost its network.
+// ObservePeer applies a report from another coordinator: failed is how long ago the data node failed there, and answered
+// how long ago it last answered any coordinator, negative if unknown. The report counts as evidence at now if the zone is
+// not already out, this coordinator got no answer from the data node within Window, and no coordinator reports an answer
+// since the failure. The last condition keeps a coordinator that is itself cut off from a zone from taking the zone out at
+// all others: without it, one coordinator losing its network shows as `zone out` across the whole fleet.
 func (t *Tracker) ObservePeer(now time.Time, zoneName, id string, failed, answered time.Duration) {
 	z := t.zones[zoneName]
 	if z == nil || z.nodes[id] == nil || !t.Usable(zoneName) || now.Sub(z.nodes[id].lastGood) < t.cfg.Window {
@@ -92,8 +92,8 @@
 	}
 }
 
-// Failing lists, by id, the data nodes of a zone that fail by this coordinator's own evidence. What others reported is
-// left out: it is not to be reported back to them.
+// Failing returns the sorted ids of a zone's data nodes that are failing by this coordinator's own evidence. Failures
+// reported by other coordinators are left out, so that they are not reported back.
 func (t *Tracker) Failing(now time.Time, zoneName string) (ids []string) {
 	if z := t.zones[zoneName]; z != nil {
 		for id, n := range z.nodes {
--- a/internal/zones/tracker.go
+++ b/internal/zones/tracker.go
@@ -6,39 +6,39 @@
 	"time"
 )
 
-// zone is the state of one zone.
+// zone holds the data nodes and the state of one zone.
 type zone struct {
 	name        string
 	nodes       map[string]*node
-	lastFailure time.Time // of any of its data nodes
+	lastFailure time.Time // the latest of all its data nodes
 
 	state             State
 	since             time.Time
 	reason            string
-	drained           bool      // by hand
-	exceedsLeaveSince time.Time // of a suspect zone: since when it exceeds Leave; zero while it does not
+	drained           bool      // by an operator
+	exceedsLeaveSince time.Time // Suspect: since when it exceeds Leave; zero while it does not
 	healthyAt         time.Time // when it last became healthy
 
 	share    shares
 	recovery recovery
 }
 
-// shares are the failing data nodes of a zone, as of the last Step.
+// shares holds a zone's failing data nodes and the shares they make up, as of the last Step.
 type shares struct {
 	failing int
-	own     float64 // of the zone's data nodes
-	others  float64 // of the data nodes of all other zones
+	own     float64 // share of the zone's data nodes
+	others  float64 // share over all other zones together
 }
 
-// Tracker holds the states of all zones at one coordinator. It is not safe for use by several goroutines.
+// Tracker holds the states of all zones at one coordinator. It is not safe for concurrent use.
 type Tracker struct {
 	cfg    Config
 	zones  map[string]*zone
-	zoneOf map[string]string // by data node
-	panic  bool              // every zone is suspect
+	zoneOf map[string]string // zone names by data node id
+	panic  bool              // panic mode: every zone is suspect
 }
 
-// New returns a tracker, or what Check says of the configuration.
+// New returns a tracker, or the error from cfg.Check.
 func New(cfg Config) (*Tracker, error) {
 	if err := cfg.Check(); err != nil {
 		return nil, err
@@ -55,8 +55,8 @@
 	return z
 }
 
-// set changes the state of a zone.
-func (t *Tracker) set(now time.Time, z *zone, to State, reason string) Change {
+// setState changes the state of a zone and returns the change.
+func (t *Tracker) setState(now time.Time, z *zone, to State, reason string) Change {
 	c := Change{Zone: z.name, From: z.state, To: to, Reason: reason}
 	z.state, z.since, z.reason = to, now, reason
 	z.exceedsLeaveSince, z.recovery.startAt = time.Time{}, time.Time{}
@@ -66,9 +66,9 @@
 	return c
 }
 
-// Step makes the changes of state that are due at now and returns them, in the order of the zones' names.
+// Step makes the state changes that are due at now and returns them, sorted by zone name.
 func (t *Tracker) Step(now time.Time) (changes []Change) {
-	total := t.count(now)
+	total := t.updateShares(now)
 	names := make([]string, 0, len(t.zones))
 	for name := range t.zones {
 		names = append(names, name)
@@ -76,16 +76,16 @@
 	sort.Strings(names)
 	t.panic = t.allSuspect()
 	for _, name := range names {
-		if c, changed := t.step(now, t.zones[name], total); changed {
+		if c, changed := t.stepZone(now, t.zones[name], total); changed {
 			changes = append(changes, c)
 		}
 	}
 	return changes
 }
 
-// count forgets data nodes and zones without evidence, and brings the shares up to date. It returns how many data nodes
-// there are.
-func (t *Tracker) count(now time.Time) (total int) {
+// updateShares drops expired data nodes and the healthy zones left without any, updates all shares, and returns the number of
+// data nodes.
+func (t *Tracker) updateShares(now time.Time) (total int) {
 	failing := 0
 	for name, z := range t.zones {
 		z.share.failing = 0
@@ -113,7 +113,7 @@
 	return total
 }
 
-// ratio is a over b; 0 where b is not above 0.
+// ratio returns a/b, or 0 if b is not positive.
 func ratio(a, b int) float64 {
 	if b <= 0 {
 		return 0
@@ -121,18 +121,18 @@
 	return float64(a) / float64(b)
 }
 
-// exceeds tells whether so much of a zone fails, and so much more than of the others, that a threshold is reached.
+// exceeds reports whether a zone's failures reach the threshold and are at least Margin above those of the other zones.
 func (t *Tracker) exceeds(z *zone, threshold float64) bool {
 	return z.share.failing >= t.cfg.MinFailing && z.share.own >= threshold && z.share.own-z.share.others >= t.cfg.Margin
 }
 
-// explain gives a reason with the figures behind it.
+// explain returns a reason with the figures behind it.
 func (z *zone) explain(reason string) string {
 	return fmt.Sprintf("%s: %d of %d data nodes failing (%.2f), others %.2f", reason, z.share.failing, len(z.nodes),
 		z.share.own, z.share.others)
 }
 
-// Usable tells whether new parts may go to a zone's data nodes. A zone the tracker does not know is usable.
+// Usable reports whether new parts may go to a zone's data nodes. An unknown zone is usable.
 func (t *Tracker) Usable(zoneName string) bool {
 	z := t.zones[zoneName]
 	if z == nil || z.state != Out {
@@ -141,7 +141,7 @@
 	return t.panic && !z.drained
 }
 
-// All gives the status of every zone, in the order of their names.
+// All returns the status of every zone, sorted by name.
 func (t *Tracker) All(now time.Time) []Status {
 	all := make([]Status, 0, len(t.zones))
 	for _, z := range t.zones {
--- a/internal/zones/transitions.go
+++ b/internal/zones/transitions.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// step makes the change of one zone's state that is due, by the table of the package's comment. total is how many data
-// nodes there are in all zones.
-func (t *Tracker) step(now time.Time, z *zone, total int) (c Change, changed bool) {
+// stepZone makes the state change of one zone that is due by the table in the package comment. total is the number of data nodes
+// in all zones.
+func (t *Tracker) stepZone(now time.Time, z *zone, total int) (c Change, changed bool) {
 	if z.drained {
 		return Change{}, false
 	}
@@ -31,16 +31,16 @@
 	if t.panic || !t.exceeds(z, t.cfg.Doubt) {
 		return Change{}, false
 	}
-	c = t.set(now, z, Suspect, z.explain("suspect"))
+	c = t.setState(now, z, Suspect, z.explain("suspect"))
 	if t.exceeds(z, t.cfg.Leave) {
-		z.exceedsLeaveSince = now // Confirm counts from the first evidence that would take it out
+		z.exceedsLeaveSince = now // Confirm runs from the first evidence that would take it out
 	}
 	return c, true
 }
 
 func (t *Tracker) stepSuspect(now time.Time, z *zone, total int) (c Change, changed bool) {
 	if z.share.failing < t.cfg.MinFailing || z.share.own < t.cfg.Clear || t.panic {
-		return t.set(now, z, Healthy, z.explain("cleared")), true
+		return t.setState(now, z, Healthy, z.explain("cleared")), true
 	}
 	if !t.exceeds(z, t.cfg.Leave) {
 		z.exceedsLeaveSince = time.Time{}
@@ -52,11 +52,11 @@
 	if now.Sub(z.exceedsLeaveSince) < t.cfg.Confirm {
 		return Change{}, false
 	}
-	if remaining, enough := t.remaining(z, total); !enough {
-		z.reason = z.explain(fmt.Sprintf("kept by the guard, %d of %d would remain", remaining, total))
+	if remaining, enough := t.remainingNodes(z, total); !enough {
+		z.reason = z.explain(fmt.Sprintf("kept by the guard, %d of %d data nodes would remain", remaining, total))
 		return Change{}, false
 	}
-	return t.takeOut(now, z, z.explain("left")), true
+	return t.takeOut(now, z, z.explain("taken out")), true
 }
 
 func (t *Tracker) stepOut(now time.Time, z *zone) (c Change, changed bool) {
@@ -72,7 +72,7 @@
 	if now.Before(r.startAt) {
 		return Change{}, false
 	}
-	return t.set(now, z, Recovering, fmt.Sprintf("quiet for %v after a wait of %v", quiet, r.wait)), true
+	return t.setState(now, z, Recovering, fmt.Sprintf("no failures for %v after a wait of %v", quiet, r.wait)), true
 }
 
 func (t *Tracker) stepRecovering(now time.Time, z *zone, total int) (c Change, changed bool) {
@@ -82,16 +82,16 @@
 			failedAgain++
 		}
 	}
-	// Fewer are left to the per-node handling: a zone with one faulty data node must still recover in full.
+	// Fewer failures are left to per-node handling: a zone with one faulty data node must still recover in full.
 	if failedAgain >= t.cfg.MinFailing {
 		z.recovery.failed++
-		if _, enough := t.remaining(z, total); !enough {
-			return t.set(now, z, Suspect, z.explain("failed again while returning, kept by the guard")), true
+		if _, enough := t.remainingNodes(z, total); !enough {
+			return t.setState(now, z, Suspect, z.explain("failed again while returning, kept by the guard")), true
 		}
 		return t.takeOut(now, z, z.explain("failed again while returning")), true
 	}
 	if now.Sub(z.since) >= t.cfg.Ramp {
-		return t.set(now, z, Healthy, "returned in full"), true
+		return t.setState(now, z, Healthy, "returned in full"), true
 	}
 	return Change{}, false
 }
--- a/internal/zones/zones.go
+++ b/internal/zones/zones.go
@@ -1,38 +1,38 @@
-// Package zones decides, for one coordinator, whether a zone of data nodes has failed as a whole, and how fast work
-// goes back to it once it answers again. It does no I/O, reads no clock, starts no goroutine and logs nothing: time
-// comes in with each call, evidence comes in as it is seen, and what was decided goes out as changes with their
-// reasons. The same calls in the same order, with the same seed, give the same results.
+// Package zones decides, for one coordinator, whether a whole zone of data nodes has failed, and how fast load returns to
+// it after it answers again. It does no I/O, reads no clock, starts no goroutine and logs nothing: the caller passes in the
+// time and the evidence, and gets back state changes with their reasons. The same calls in the same order, with the same
+// seed, give the same results.
 //
 // # States
 //
-// A data node is failing while its last evidence within Window was bad (a refused or reset connection, a timeout, a
-// silent answer, its removal from the list, a drain, a report of another coordinator) and nothing good came after it. A
-// zone's share is its failing data nodes over those it has; the others' share is the same over all other zones together.
-// A zone exceeds a threshold where at least MinFailing of its data nodes fail, its share is at least the threshold, and
-// it is Margin above the others' share: what fails everywhere alike is no zone's fault.
+// A data node is failing if its latest evidence within Window was bad (a refused or reset connection, a timeout, a missing
+// answer, removal from the list, draining, a report from another coordinator) and no good evidence followed. A zone's share
+// is the fraction of its data nodes that are failing; the others' share is that fraction over all other zones together. A
+// zone exceeds a threshold if at least MinFailing of its data nodes are failing, its share is at least the threshold, and
+// the share is at least Margin above the others' share: failures that hit all zones alike are attributed to none.
 //
 //	state       printed as  becomes     when
 //	Healthy     healthy     Suspect     it exceeds Doubt
-//	Suspect     doubtful    Healthy     share under Clear, or fewer than MinFailing fail (hysteresis: Clear < Doubt)
-//	Suspect     doubtful    Out         it exceeds Leave for Confirm, and the guard allows it
-//	Out         out         Recovering  nothing failed for Quiet, the wait is over, and the coordinator's own draw has passed
-//	Recovering  returning   Out         MinFailing of its data nodes fail again; the next wait is twice the last, up to MaxWait
+//	Suspect     doubtful    Healthy     share below Clear, or fewer than MinFailing failing (hysteresis: Clear < Doubt)
+//	Suspect     doubtful    Out         it has exceeded Leave for Confirm, and the guard allows it
+//	Out         out         Recovering  no failure for Quiet, the wait is over, and this coordinator's random delay has passed
+//	Recovering  returning   Out         MinFailing of its data nodes fail again; the next wait is doubled, up to MaxWait
 //	Recovering  returning   Healthy     Ramp has passed since recovery began
 //
-// No new part goes to a zone that is out (Usable). The data nodes of a recovering zone are warming up since recovery
-// began (WarmingSince): the module paces them by slow start, whose limit it divides among all coordinators, so that the
-// fleet's sum stays within what a data node that warms up bears however many coordinators there are. The start of a
-// recovery is drawn per coordinator within Spread from the seed, so that coordinators do not start in step. The count of
-// failed recoveries is forgotten after MaxWait in Healthy.
+// A zone that is out gets no new parts (Usable). The data nodes of a recovering zone count as warming up since the recovery
+// began (WarmingSince): the module paces them by slow start and divides its limit among all coordinators, so that the total
+// load of the fleet stays within what a warming data node can take, however many coordinators there are. Each coordinator
+// draws the start of a recovery at random within Spread, from its seed, so that coordinators do not start together. The
+// count of failed recoveries is reset after MaxWait in Healthy.
 //
 // # The guard
 //
-// A zone does not go out where the data nodes that remain outside zones that are out would be under the share Keep of all;
-// it stays suspect, and per-node handling goes on there. So a site of one zone never loses it. Where every zone is
-// suspect at once, no state is believed: all zones are usable (panic mode) until one is no longer suspect. A zone drained
-// by hand is out whatever the guard says, and recovers at the same pace when undrained.
+// A zone does not go out if the data nodes outside zones that are out would fall below the share Keep of all data nodes; it
+// stays suspect, and per-node handling continues there. A site with a single zone therefore never loses it. If every zone
+// is suspect at once, no state is trusted: all zones are usable (panic mode) until one is no longer suspect. A zone drained
+// by an operator is out regardless of the guard, and recovers at the same pace when undrained.
 //
-// Memory is bounded by the data nodes that are listed or were seen within Window, and by the zones they name.
+// Memory is bounded by the data nodes that are listed or were seen within Window, and by the zones they belong to.
 package zones
 
 import "time"
@@ -43,45 +43,45 @@
 // The states of a zone.
 const (
 	Healthy    State = iota
-	Suspect          // more of it fails than elsewhere
-	Out              // no new part goes there
-	Recovering       // its data nodes warm up
+	Suspect          // it fails clearly more than the other zones
+	Out              // it gets no new parts
+	Recovering       // its data nodes are warming up
 )
 
-// String is the word that logs and the command line print, which alerts match on.
+// String returns the word that logs and the command line print, and that alerts match.
 func (s State) String() string { return [...]string{"healthy", "doubtful", "out", "returning"}[s] }
 
-// Evidence is what was seen of one data node.
+// Evidence is one kind of observation of a data node.
 type Evidence uint8
 
-// The kinds of evidence. Good clears a data node; each other kind makes it failing for Window.
+// The kinds of evidence. Good clears the failure of a data node; every other kind makes it failing for Window.
 const (
-	Good       Evidence = iota // an answer, also one that tells an error
+	Good       Evidence = iota // an answer, including an error answer
 	Refused                    // a connection refused or reset
-	TimedOut                   // a part got no answer in its time
-	Removed                    // the list no longer names it, or says that it drains
-	Drained                    // reserved: a draining data node comes as Removed
-	PeerReport                 // another coordinator saw it fail
+	TimedOut                   // no answer to a part within its time
+	Removed                    // no longer in the list, or listed as draining
+	Drained                    // reserved: a draining data node is observed as Removed
+	PeerReport                 // a failure seen by another coordinator
 )
 
-// Status describes one zone, for the module's inputs, the log and the command line.
+// Status describes one zone, for the decision module's inputs, the log and the command line.
 type Status struct {
 	Zone             string
 	State            State
-	Since            time.Time // when it took this state
-	Nodes            int       // data nodes known
-	Failing          int       // of these
-	Share            float64   // of failing data nodes
-	Others           float64   // share of failing data nodes in all other zones
-	FailedRecoveries int       // recoveries that failed in a row
-	Return           time.Time // drawn start of the next recovery; zero where none is drawn
-	Drained          bool      // by hand
-	Panic            bool      // every zone is suspect: no state is believed
-	Reason           string    // of the state
-	Returned         float64   // of a recovering zone: the share of the ramp that has passed
+	Since            time.Time // start of the current state
+	Nodes            int       // known data nodes
+	Failing          int       // failing data nodes among them
+	Share            float64   // Failing over Nodes
+	Others           float64   // share of failing data nodes over all other zones together
+	FailedRecoveries int       // consecutive failed recoveries
+	Return           time.Time // scheduled start of the next recovery; zero if none is scheduled
+	Drained          bool      // by an operator
+	Panic            bool      // panic mode: every zone is suspect, and no state is trusted
+	Reason           string    // why the zone took its state
+	Returned         float64   // Recovering: the share of Ramp that has passed, up to 1
 }
 
-// Change is one change of a zone's state.
+// Change is a change of a zone's state.
 type Change struct {
 	Zone     string
 	From, To State
--- a/internal/zones/zones_test.go
+++ b/internal/zones/zones_test.go
@@ -12,8 +12,8 @@
 
 var t0 = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// site lists n data nodes in each of the named zones, as "zone/i".
-func site(n int, names ...string) map[string]string {
+// zoneMembers returns n data nodes in each of the named zones, as a map of ids of the form "zone/i" to zones.
+func zoneMembers(n int, names ...string) map[string]string {
 	m := map[string]string{}
 	for _, z := range names {
 		for i := 0; i < n; i++ {
@@ -23,8 +23,8 @@
 	return m
 }
 
-// fail gives bad evidence of the first k data nodes of a zone and good evidence of the rest.
-func fail(tr *Tracker, now time.Time, zone string, k, n int) {
+// observeFailures records a timeout for the first k of a zone's n data nodes and an answer for the others.
+func observeFailures(tr *Tracker, now time.Time, zone string, k, n int) {
 	for i := 0; i < n; i++ {
 		e := Good
 		if i < k {
@@ -37,7 +37,7 @@
 type step struct {
 	at      time.Duration
 	zone    string
-	failing int // of 4 data nodes; -1 gives no evidence
+	failing int // how many of 4 data nodes fail; -1 records no evidence
 }
 
 func states(tr *Tracker, now time.Time) map[string]string {
@@ -48,7 +48,7 @@
 	return m
 }
 
-func TestStates(t *testing.T) {
+func TestStateTransitions(t *testing.T) {
 	cfg := Config{Seed: 7, Spread: time.Millisecond}
 	cases := []struct {
 		name  string
@@ -56,47 +56,47 @@
 		steps []step
 		want  map[string]string
 	}{
-		{"one slow data node is no zone failure", []string{"a", "b", "c"},
+		{"one failing data node does not make its zone suspect", []string{"a", "b", "c"},
 			[]step{{0, "a", 1}, {time.Second, "a", 1}, {2 * time.Second, "a", 1}},
 			map[string]string{"a": "healthy", "b": "healthy", "c": "healthy"}},
-		{"a zone that fails together is left after Confirm", []string{"a", "b", "c"},
+		{"a zone whose data nodes all fail goes out after Confirm", []string{"a", "b", "c"},
 			[]step{{0, "a", 4}, {300 * time.Millisecond, "a", 4}, {600 * time.Millisecond, "a", 4}},
 			map[string]string{"a": "out", "b": "healthy", "c": "healthy"}},
-		{"not before Confirm", []string{"a", "b", "c"},
+		{"a zone whose data nodes all fail is not out before Confirm", []string{"a", "b", "c"},
 			[]step{{0, "a", 4}, {300 * time.Millisecond, "a", 4}},
 			map[string]string{"a": "doubtful", "b": "healthy", "c": "healthy"}},
-		{"half failing is doubtful, not out", []string{"a", "b", "c"},
+		{"a zone with half of its data nodes failing is suspect, not out", []string{"a", "b", "c"},
 			[]step{{0, "a", 2}, {time.Second, "a", 2}, {2 * time.Second, "a", 2}},
 			map[string]string{"a": "doubtful", "b": "healthy", "c": "healthy"}},
-		{"a single zone is never left", []string{"a"},
+		{"the only zone never goes out", []string{"a"},
 			[]step{{0, "a", 4}, {time.Second, "a", 4}, {2 * time.Second, "a", 4}},
 			map[string]string{"a": "doubtful"}},
-		{"what fails everywhere alike is no zone's fault", []string{"a", "b", "c"},
+		{"failures in all zones make none of them suspect", []string{"a", "b", "c"},
 			[]step{{0, "a", 4}, {0, "b", 3}, {0, "c", 3}, {time.Second, "a", 4}, {time.Second, "b", 3},
 				{time.Second, "c", 3}},
 			map[string]string{"a": "healthy", "b": "healthy", "c": "healthy"}},
-		{"the guard keeps the second of two zones", []string{"a", "b"},
+		{"one of two zones goes out, as half of the data nodes remain", []string{"a", "b"},
 			[]step{{0, "a", 4}, {time.Second, "a", 4}},
 			map[string]string{"a": "out", "b": "healthy"}},
-		{"two of three zones at once: one is left, the guard keeps the other", []string{"a", "b", "c"},
+		{"two of three zones fail at once: one goes out, the guard keeps the other", []string{"a", "b", "c"},
 			[]step{{0, "a", 4}, {0, "b", 4}, {time.Second, "a", 4}, {time.Second, "b", 4}},
 			map[string]string{"a": "out", "b": "doubtful", "c": "healthy"}},
-		{"the guard keeps a second zone while the first is still returning", []string{"a", "b", "c"},
+		{"the guard keeps a second zone while the first is still recovering", []string{"a", "b", "c"},
 			[]step{{0, "a", 4}, {time.Second, "a", 4}, {3 * time.Second, "a", -1}, {4 * time.Second, "a", -1}, {4500 * time.Millisecond, "b", 4},
 				{5500 * time.Millisecond, "b", 4}},
 			map[string]string{"a": "returning", "b": "doubtful", "c": "healthy"}},
-		{"a zone that answers again returns after the wait", []string{"a", "b", "c"},
+		{"a zone that answers again recovers after the wait", []string{"a", "b", "c"},
 			[]step{{0, "a", 4}, {time.Second, "a", 4}, {2 * time.Second, "a", -1}, {3 * time.Second, "a", -1}},
 			map[string]string{"a": "returning", "b": "healthy", "c": "healthy"}},
-		{"and is healthy after the ramp", []string{"a", "b", "c"},
+		{"a recovering zone is healthy after Ramp", []string{"a", "b", "c"},
 			[]step{{0, "a", 4}, {time.Second, "a", 4}, {3 * time.Second, "a", -1}, {4 * time.Second, "a", -1},
 				{15 * time.Second, "a", -1}},
 			map[string]string{"a": "healthy", "b": "healthy", "c": "healthy"}},
-		{"failures while returning send it out again", []string{"a", "b", "c"},
+		{"failures during recovery take the zone out again", []string{"a", "b", "c"},
 			[]step{{0, "a", 4}, {time.Second, "a", 4}, {3 * time.Second, "a", -1}, {4 * time.Second, "a", -1},
 				{5 * time.Second, "a", 2}},
 			map[string]string{"a": "out", "b": "healthy", "c": "healthy"}},
-		{"one bad data node does not keep a zone from returning", []string{"a", "b", "c"},
+		{"one failing data node does not stop a recovery", []string{"a", "b", "c"},
 			[]step{{0, "a", 4}, {time.Second, "a", 4}, {3 * time.Second, "a", -1}, {4 * time.Second, "a", -1},
 				{5 * time.Second, "a", 1}, {10 * time.Second, "a", 1}, {15 * time.Second, "a", 1}},
 			map[string]string{"a": "healthy", "b": "healthy", "c": "healthy"}},
@@ -107,14 +107,14 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			tr.List(t0, site(4, c.zones...))
+			tr.List(t0, zoneMembers(4, c.zones...))
 			for i, s := range c.steps {
 				now := t0.Add(s.at)
 				if s.failing >= 0 {
-					fail(tr, now, s.zone, s.failing, 4)
+					observeFailures(tr, now, s.zone, s.failing, 4)
 				}
 				if i == len(c.steps)-1 || c.steps[i+1].at != s.at {
-					tr.Step(now) // evidence of one moment is applied before the states change
+					tr.Step(now) // all evidence of one time is applied before the states change
 				}
 			}
 			if d := cmp.Diff(c.want, states(tr, t0.Add(c.steps[len(c.steps)-1].at))); d != "" {
@@ -124,34 +124,34 @@
 	}
 }
 
-func TestUsableAndCold(t *testing.T) {
+func TestUsableAndWarmingSince(t *testing.T) {
 	tr, _ := New(Config{Spread: time.Millisecond})
-	tr.List(t0, site(4, "a", "b", "c"))
+	tr.List(t0, zoneMembers(4, "a", "b", "c"))
 	for _, at := range []time.Duration{0, time.Second} {
-		fail(tr, t0.Add(at), "a", 4, 4)
+		observeFailures(tr, t0.Add(at), "a", 4, 4)
 		tr.Step(t0.Add(at))
 	}
 	if tr.Usable("a") || !tr.Usable("b") || !tr.Usable("unknown") {
 		t.Fatalf("usable a, b, unknown: %v %v %v", tr.Usable("a"), tr.Usable("b"), tr.Usable("unknown"))
 	}
-	tr.Step(t0.Add(2500 * time.Millisecond)) // the return is drawn
-	back := t0.Add(3 * time.Second)
-	tr.Step(back)
-	if since, ok := tr.WarmingSince("a"); !ok || !since.Equal(back) {
-		t.Fatalf("cold since %v %v, want %v", since, ok, back)
+	tr.Step(t0.Add(2500 * time.Millisecond)) // draws the start of the recovery
+	recoveryStart := t0.Add(3 * time.Second)
+	tr.Step(recoveryStart)
+	if since, ok := tr.WarmingSince("a"); !ok || !since.Equal(recoveryStart) {
+		t.Fatalf("warming since %v %v, want %v", since, ok, recoveryStart)
 	}
 	if _, ok := tr.WarmingSince("b"); ok {
-		t.Fatal("a healthy zone is not cold")
+		t.Fatal("a healthy zone counts as warming up")
 	}
 }
 
-func TestDrainByHand(t *testing.T) {
+func TestDrainAndUndrain(t *testing.T) {
 	tr, _ := New(Config{})
-	tr.List(t0, site(4, "a"))
+	tr.List(t0, zoneMembers(4, "a"))
 	tr.Drain(t0, "a")
 	tr.Step(t0.Add(time.Minute))
 	if tr.Usable("a") {
-		t.Fatal("a zone drained by hand stays out, even as the only one")
+		t.Fatal("the only zone is usable although it is drained")
 	}
 	if c := tr.Undrain(t0.Add(time.Minute), "a"); c.To != Recovering {
 		t.Fatalf("undrained: %+v", c)
@@ -161,9 +161,9 @@
 	}
 }
 
-func TestListRemovalIsEvidence(t *testing.T) {
+func TestRemovalFromListIsEvidence(t *testing.T) {
 	tr, _ := New(Config{})
-	all := site(4, "a", "b", "c")
+	all := zoneMembers(4, "a", "b", "c")
 	tr.List(t0, all)
 	without := map[string]string{}
 	for id, z := range all {
@@ -176,54 +176,54 @@
 		tr.Step(t0.Add(at))
 	}
 	if tr.Usable("a") {
-		t.Fatalf("a zone removed from the list is left: %+v", tr.All(t0.Add(time.Second)))
+		t.Fatalf("a zone whose data nodes were all removed from the list is usable: %+v", tr.All(t0.Add(time.Second)))
 	}
-	// a list that comes late and still names the dead zone clears nothing
+	// A stale list that still names the failed zone clears nothing.
 	tr.List(t0.Add(1200*time.Millisecond), all)
 	tr.Step(t0.Add(1200 * time.Millisecond))
 	if tr.Usable("a") {
-		t.Fatal("a late list brought the zone back")
+		t.Fatal("a stale list made the zone usable again")
 	}
 }
 
-// A zone that flaps goes out for longer each time, MaxWait at most.
-func TestFlapBacksOff(t *testing.T) {
+// A flapping zone stays out for twice as long each time, up to MaxWait.
+func TestWaitDoublesForFlappingZone(t *testing.T) {
 	cfg := Config{Spread: time.Millisecond, Wait: time.Second, MaxWait: 8 * time.Second}
 	tr, _ := New(cfg)
-	tr.List(t0, site(4, "a", "b", "c"))
+	tr.List(t0, zoneMembers(4, "a", "b", "c"))
 	now := t0
-	var outs []time.Duration
+	var outDurations []time.Duration
 	for round := 0; round < 6; round++ {
 		for tr.Usable("a") {
-			fail(tr, now, "a", 4, 4)
+			observeFailures(tr, now, "a", 4, 4)
 			tr.Step(now)
 			now = now.Add(100 * time.Millisecond)
 		}
-		left := now
+		outAt := now
 		for !tr.Usable("a") {
 			now = now.Add(100 * time.Millisecond)
 			tr.Step(now)
 		}
-		outs = append(outs, now.Sub(left).Round(time.Second))
-		now = now.Add(100 * time.Millisecond) // fails again within its ramp
+		outDurations = append(outDurations, now.Sub(outAt).Round(time.Second))
+		now = now.Add(100 * time.Millisecond) // fails again within Ramp
 	}
 	want := []time.Duration{time.Second, 2 * time.Second, 4 * time.Second, 8 * time.Second, 8 * time.Second, 8 * time.Second}
-	if d := cmp.Diff(want, outs); d != "" {
-		t.Errorf("times out (-want +got):\n%s", d)
+	if d := cmp.Diff(want, outDurations); d != "" {
+		t.Errorf("durations in Out (-want +got):\n%s", d)
 	}
 }
 
-// Three hundred coordinators that see the same evidence do not return in step: their starts spread over Spread.
-func TestReturnsDoNotCoincide(t *testing.T) {
+// Three hundred coordinators that see the same evidence do not start their recoveries together: the starts spread over Spread.
+func TestRecoveryStartsAreSpread(t *testing.T) {
 	const fleet, buckets = 300, 10
 	cfg := Config{Spread: 2 * time.Second}
 	var starts []time.Time
 	for seed := uint64(0); seed < fleet; seed++ {
 		cfg.Seed = seed
 		tr, _ := New(cfg)
-		tr.List(t0, site(4, "a", "b", "c"))
+		tr.List(t0, zoneMembers(4, "a", "b", "c"))
 		for _, at := range []time.Duration{0, time.Second} {
-			fail(tr, t0.Add(at), "a", 4, 4)
+			observeFailures(tr, t0.Add(at), "a", 4, 4)
 			tr.Step(t0.Add(at))
 		}
 		for now := t0.Add(time.Second); ; now = now.Add(10 * time.Millisecond) {
@@ -246,26 +246,26 @@
 	}
 	for i, c := range count {
 		if c > 2*fleet/buckets {
-			t.Errorf("%d of %d coordinators start their return in tenth %d of the spread: %v", c, fleet, i, count)
+			t.Errorf("%d of %d coordinators start their recovery in tenth %d of Spread: %v", c, fleet, i, count)
 		}
 	}
 }
 
-// Against a naive model: whatever the evidence, a site of one zone is never left, the data nodes outside zones that
-// are out (unless in panic) never fall under Keep by a decision of the tracker, and a zone with fewer than MinFailing
-// failing data nodes is never left.
+// TestGuardProperty checks invariants under random evidence: the only zone of a site never goes out, the data nodes outside
+// zones that are out or recovering never fall below the share Keep, and a zone with fewer than MinFailing data nodes never
+// goes out.
 func TestGuardProperty(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		zonesN := rapid.IntRange(1, 4).Draw(rt, "zones")
-		per := rapid.IntRange(1, 6).Draw(rt, "per zone")
-		names := []string{"a", "b", "c", "d"}[:zonesN]
+		zoneCount := rapid.IntRange(1, 4).Draw(rt, "zones")
+		perZone := rapid.IntRange(1, 6).Draw(rt, "per zone")
+		names := []string{"a", "b", "c", "d"}[:zoneCount]
 		tr, _ := New(Config{Seed: rapid.Uint64().Draw(rt, "seed")})
-		tr.List(t0, site(per, names...))
+		tr.List(t0, zoneMembers(perZone, names...))
 		now := t0
 		for i := rapid.IntRange(1, 60).Draw(rt, "steps"); i > 0; i-- {
 			now = now.Add(time.Duration(rapid.IntRange(1, 2000).Draw(rt, "gap")) * time.Millisecond)
 			z := rapid.SampledFrom(names).Draw(rt, "zone")
-			fail(tr, now, z, rapid.IntRange(0, per).Draw(rt, "failing"), per)
+			observeFailures(tr, now, z, rapid.IntRange(0, perZone).Draw(rt, "failing"), perZone)
 			tr.Step(now)
 			out := 0
 			for _, s := range tr.All(now) {
@@ -273,26 +273,26 @@
 					out += s.Nodes
 				}
 			}
-			total := zonesN * per
-			if zonesN == 1 && out > 0 {
-				rt.Fatalf("the only zone was left")
+			total := zoneCount * perZone
+			if zoneCount == 1 && out > 0 {
+				rt.Fatalf("the only zone went out")
 			}
 			if float64(total-out)/float64(total) < Defaults.Keep {
-				rt.Fatalf("%d of %d data nodes are in zones that are out or return", out, total)
+				rt.Fatalf("%d of %d data nodes are in zones that are out or recovering", out, total)
 			}
-			if per < Defaults.MinFailing && out > 0 {
-				rt.Fatalf("a zone of %d data nodes was left", per)
+			if perZone < Defaults.MinFailing && out > 0 {
+				rt.Fatalf("a zone of %d data nodes went out", perZone)
 			}
 		}
 	})
 }
 
-func TestCheckNamesTheField(t *testing.T) {
+func TestCheckNamesInvalidField(t *testing.T) {
 	for _, c := range []struct {
 		cfg  Config
 		want string
 	}{
-		{Config{Clear: 0.5, Doubt: 0.4}, "zones: Clear (0.5) must be under Doubt (0.4), or a zone flips on one data node"},
+		{Config{Clear: 0.5, Doubt: 0.4}, "zones: Clear (0.5) must be under Doubt (0.4), or one data node can toggle a zone"},
 		{Config{Keep: 2}, "zones: Keep is 2; it must be within 0 and 1"},
 		{Config{Wait: -time.Second}, "zones: Wait is -1s; it must not be negative"},
 		{Config{Wait: time.Minute}, "zones: MaxWait (30s) must not be under Wait (1m0s)"},
@@ -304,12 +304,12 @@
 	}
 }
 
-// BenchmarkStep grows with the data nodes that are known: each step looks at each once.
+// BenchmarkStep measures Step by the number of known data nodes; each step visits every one of them once.
 func BenchmarkStep(b *testing.B) {
 	for _, n := range []int{10, 100, 1000} {
 		b.Run(fmt.Sprint(n*3), func(b *testing.B) {
 			tr, _ := New(Config{})
-			tr.List(t0, site(n, "a", "b", "c"))
+			tr.List(t0, zoneMembers(n, "a", "b", "c"))
 			now := t0
 			for i := 0; i < b.N; i++ {
 				now = now.Add(time.Millisecond)
@@ -320,8 +320,7 @@
 	}
 }
 
-// TestPeerReportsAreNotReportedBack: what others reported of a data node is not reported back to them; what is seen here
-// later is reported.
+// A failure reported by another coordinator is not reported back, until this coordinator sees the data node fail itself.
 func TestPeerReportsAreNotReportedBack(t *testing.T) {
 	tr, err := New(Config{})
 	if err != nil {
@@ -334,9 +333,9 @@
 	tr.ObservePeer(now, "a", "a2", 0, -1)
 	tr.Observe(now.Add(time.Millisecond), "a", "a2", TimedOut)
 	if got := tr.Failing(now.Add(time.Second), "a"); !slices.Equal(got, []string{"a0", "a2"}) {
-		t.Errorf("reported: %v, want what was seen here: a0 and a2", got)
+		t.Errorf("failing: %v, want those seen failing here: a0 and a2", got)
 	}
 	if got := tr.Failing(now.Add(time.Hour), "a"); len(got) > 0 {
-		t.Errorf("an hour later: %v", got)
+		t.Errorf("failing an hour later: %v, want none", got)
 	}
 }
