--- a/internal/swim/broadcast.go
+++ b/internal/swim/broadcast.go
@@ -6,19 +6,19 @@
 	"slices"
 )
 
-// broadcastQueue holds the updates and link reports that are passed on with packets, each a limited number of times.
+// broadcastQueue holds the updates and link reports to send with packets, each a limited number of times.
 type broadcastQueue struct {
-	items    []*broadcast   // by how often each was sent, then the newest first
-	byMember map[string]int // updates among them
-	added    int            // since the start
+	items           []*broadcast   // sorted by how often each was sent, then newest first
+	updatesByMember map[string]int // number of queued updates by member
+	added           int            // total since the start
 }
 
-// broadcast is one update or one link report.
+// broadcast is a queued update or link report.
 type broadcast struct {
-	update *Update
-	link   *Link
-	sent   int
-	number int // in the order of being added
+	update    *Update
+	link      *Link
+	sendCount int
+	sequence  int // increases in the order of adding
 }
 
 func (b *broadcast) size() int {
@@ -28,7 +28,7 @@
 	return b.link.size()
 }
 
-// overriddenBy tells whether an update makes this one obsolete. Suspicions by several members are kept beside each other.
+// overriddenBy reports whether an update makes this broadcast obsolete. Suspicions by different members do not.
 func (b *broadcast) overriddenBy(u *Update) bool {
 	if b.update == nil || b.update.Name != u.Name {
 		return false
@@ -37,9 +37,9 @@
 	return !confirms
 }
 
-// addUpdate queues an update in place of those that it makes obsolete.
+// addUpdate queues an update and removes those that it makes obsolete.
 func (q *broadcastQueue) addUpdate(u Update) {
-	if q.byMember[u.Name] > 0 { // most updates are on members of which none is queued
+	if q.updatesByMember[u.Name] > 0 { // usually no update on the member is queued
 		q.items = slices.DeleteFunc(q.items, func(b *broadcast) bool {
 			overridden := b.overriddenBy(&u)
 			if overridden {
@@ -51,7 +51,7 @@
 	q.add(&broadcast{update: &u})
 }
 
-// addLink queues a link report in place of an earlier one by the same member.
+// addLink queues a link report and removes an earlier one on the same link by the same member.
 func (q *broadcastQueue) addLink(l Link) {
 	q.items = slices.DeleteFunc(q.items, func(b *broadcast) bool { return b.link != nil && b.link.key() == l.key() })
 	q.add(&broadcast{link: &l})
@@ -59,10 +59,10 @@
 
 func (q *broadcastQueue) add(b *broadcast) {
 	q.added++
-	b.number = q.added
+	b.sequence = q.added
 	q.items = slices.Insert(q.items, 0, b)
 	if b.update != nil {
-		q.byMember[b.update.Name]++
+		q.updatesByMember[b.update.Name]++
 	}
 	for len(q.items) > maxMembers {
 		last := len(q.items) - 1
@@ -71,24 +71,24 @@
 	}
 }
 
-// dequeued notes that a broadcast is no longer queued.
+// dequeued updates the counts by member for a broadcast that is no longer queued.
 func (q *broadcastQueue) dequeued(b *broadcast) {
 	if b.update == nil {
 		return
 	}
-	if q.byMember[b.update.Name]--; q.byMember[b.update.Name] == 0 {
-		delete(q.byMember, b.update.Name)
+	if q.updatesByMember[b.update.Name]--; q.updatesByMember[b.update.Name] == 0 {
+		delete(q.updatesByMember, b.update.Name)
 	}
 }
 
-// fill adds to a message what was sent least, up to a number of bytes. What was sent limit times is done.
-func (q *broadcastQueue) fill(msg *Message, bytes, limit int) {
+// fill adds the least sent broadcasts to a message, up to a number of bytes. It drops those that were sent maxSends times.
+func (q *broadcastQueue) fill(msg *Message, bytes, maxSends int) {
 	taken := 0
 	for _, b := range q.items {
 		if bytes -= b.size(); bytes < 0 {
 			break
 		}
-		b.sent++
+		b.sendCount++
 		taken++
 		if b.update != nil {
 			msg.Updates = append(msg.Updates, *b.update)
@@ -97,27 +97,27 @@
 		}
 	}
 	sent := slices.Clone(q.items[:taken])
-	q.items = q.items[taken:] // in order already
+	q.items = q.items[taken:] // still sorted
 	for _, b := range sent {
-		if b.sent >= limit {
+		if b.sendCount >= maxSends {
 			q.dequeued(b)
 			continue
 		}
-		at, _ := slices.BinarySearchFunc(q.items, b, func(a, b *broadcast) int {
-			return cmp.Or(cmp.Compare(a.sent, b.sent), cmp.Compare(b.number, a.number))
+		index, _ := slices.BinarySearchFunc(q.items, b, func(a, b *broadcast) int {
+			return cmp.Or(cmp.Compare(a.sendCount, b.sendCount), cmp.Compare(b.sequence, a.sequence))
 		})
-		q.items = slices.Insert(q.items, at, b)
+		q.items = slices.Insert(q.items, index, b)
 	}
 }
 
-// withUpdates adds updates to a message for a member; first, where it is taken for suspect or dead, that (Lifeguard, buddy
-// system).
+// withUpdates adds updates to a message for a member. If the member is considered suspect or dead, that update comes first
+// (Lifeguard, buddy system).
 func (s *Swim) withUpdates(msg Message, to *member) Message {
 	bytes := s.cfg.MaxUpdateBytes
 	if to.State != Alive {
 		msg.Updates = append(msg.Updates, to.Update)
 		bytes -= to.size()
 	}
-	s.broadcasts.fill(&msg, bytes, s.cfg.RetransmitMult*int(math.Ceil(s.logMembers())))
+	s.broadcasts.fill(&msg, bytes, s.cfg.RetransmitMult*int(math.Ceil(s.log10Members())))
 	return msg
 }
--- a/internal/swim/config.go
+++ b/internal/swim/config.go
@@ -6,63 +6,63 @@
 	"time"
 )
 
-// Config holds who this member is, and the times and thresholds. The zero value of each field but Self and Addr stands for
-// its default.
+// Config holds the identity of this member, and the times and thresholds. A zero field other than Self and Addr takes its
+// default.
 type Config struct {
-	Self       string // name
-	Addr       string // where it takes packets
-	Process    uint64 // tells this process from earlier ones under the name
+	Self       string // this member's name
+	Addr       string // address at which it receives packets
+	Process    uint64 // distinguishes this process from earlier ones under the name
 	RandomSeed uint64
-	Seeds      []string // addresses to join by
+	Seeds      []string // addresses of the members to join through
 
-	// Period is the time between probes, 1 s by default. Timeout is how long a direct ack may take before Indirect others
-	// are asked to probe, a quarter of Period and 3 by default; Timeout is half of Period at most.
+	// Period is the time between probes, 1 s by default. Timeout is how long a direct ack may take before Indirect other
+	// members are asked to probe: a quarter of Period by default, half of it at most. Indirect is 3 by default.
 	Period   time.Duration
 	Timeout  time.Duration
 	Indirect int
 
-	// MaxPause is the longest pause of a member that must not make it dead; 3 s by default. Where it is too short, a member
-	// that collects garbage or is starved is declared dead and comes back.
+	// MaxPause is the longest pause after which a member must not be declared dead; 3 s by default. If it is too short, a
+	// member that collects garbage or gets no CPU is declared dead and comes back.
 	MaxPause time.Duration
 
 	Suspicion SuspicionConfig
 
-	// RetransmitMult is how often an update is passed on, times log10 of the members; 4 by default.
+	// RetransmitMult times log10 of the number of members is how often an update is sent; 4 by default.
 	RetransmitMult int
-	// MaxUpdateBytes bounds the updates of one packet; 1,100 by default.
+	// MaxUpdateBytes bounds the updates and link reports of one packet; 1,100 by default.
 	MaxUpdateBytes int
-	// MaxHealth bounds the local health multiplier of Lifeguard, beside 1; 4 by default, below 0 it is off.
+	// MaxHealth bounds the local health multiplier of Lifeguard, minus 1; 4 by default, negative turns it off.
 	MaxHealth int
 
 	SyncInterval time.Duration // between exchanges of the full state; 15 periods by default
-	ForgetAfter  time.Duration // how long a member that has left is remembered; 10 min by default
-	CutAfter     int           // direct acks missed in a row after which a link is reported as cut; 4 by default
+	ForgetAfter  time.Duration // how long a record of a member that has left is kept; 10 min by default
+	CutAfter     int           // consecutive missed direct acks after which a link is reported as cut; 4 by default
 }
 
-// SuspicionConfig holds how a member comes under suspicion and how long that lasts.
+// SuspicionConfig holds what makes a member suspect and how long a suspicion lasts.
 type SuspicionConfig struct {
-	// MinMult is the least time of a suspicion, in periods times log10 of the members; 4 by default.
+	// MinMult is the shortest suspicion, in periods times log10 of the number of members; 4 by default.
 	MinMult float64
-	// MaxMult is how many times the least a suspicion lasts without confirmations; 4 by default, 1 at least.
+	// MaxMult is the duration of a suspicion without confirmations, as a multiple of the shortest; 4 by default, at least 1.
 	MaxMult float64
-	// MinPhi is the phi of a silence below which suspicion needs a second missed probe; 1 by default, below 0 it is off.
+	// MinPhi is the phi below which a member is suspected only after a second missed probe; 1 by default, negative turns it off.
 	MinPhi float64
 }
 
 const (
 	maxMembers         = 10_000
 	maxLinks           = 8192
-	maxIncarnationJump = 1 << 16 // the most that an update may raise an incarnation: a false one can't use the numbers up
-	maxRecheck         = 64      // members that wait to be probed again out of turn
-	maxRelays          = 1024    // indirect probes for others
-	maxFormer          = 8       // processes remembered that had a name before
-	pickTries          = 16      // random members looked at before all are
+	maxIncarnationJump = 1 << 16 // most by which an update may raise an incarnation: a false update must not exhaust the numbers
+	maxQueuedRechecks  = 64      // queued members to be probed again out of turn
+	maxRelays          = 1024    // open indirect probes for other members
+	maxFormerProcesses = 8       // earlier processes remembered per name
+	maxRandomTries     = 16      // random members tried before all are searched
 )
 
-// setDefaults fills in what is zero and returns an error where a time or threshold is out of range.
+// setDefaults replaces zero fields by their defaults and returns an error if a time or threshold is out of range.
 func (c *Config) setDefaults() error {
 	if c.Self == "" || c.Addr == "" {
-		return fmt.Errorf("swim: Self, Addr: both must be given")
+		return fmt.Errorf("swim: Self and Addr must both be set")
 	}
 	c.Period = cmp.Or(c.Period, time.Second)
 	c.Timeout = cmp.Or(c.Timeout, c.Period/4)
@@ -80,7 +80,7 @@
 	s := c.Suspicion
 	if c.Period <= 0 || c.Timeout <= 0 || c.Timeout > c.Period/2 || c.MaxPause < 0 || s.MaxMult < 1 || s.MinMult < 0 {
 		return fmt.Errorf("swim: Period %v, Timeout %v, MaxPause %v, MinMult %v, MaxMult %v: "+
-			"Timeout is above 0 and at most half of Period, MaxMult 1 at least, none below 0",
+			"Timeout must be above 0 and at most half of Period, MaxMult at least 1, none negative",
 			c.Period, c.Timeout, c.MaxPause, s.MinMult, s.MaxMult)
 	}
 	return nil
--- a/internal/swim/fleet_test.go
+++ b/internal/swim/fleet_test.go
@@ -1,6 +1,6 @@
 package swim_test
 
-// Whole fleets in virtual time: crashes, pauses, lost and doubled packets, cuts one way and both, restarts, splits.
+// Simulated fleets in virtual time: crashes, pauses, packet loss and duplication, one-way and two-way cuts, restarts, splits.
 
 import (
 	"fmt"
@@ -14,7 +14,7 @@
 	"gullfall/internal/swim"
 )
 
-func fleet(t testing.TB, c swimsim.Config) *swimsim.Fleet {
+func newFleet(t testing.TB, c swimsim.Config) *swimsim.Fleet {
 	t.Helper()
 	if c.Detect == "" {
 		c.Detect = "swim"
@@ -27,8 +27,8 @@
 	return f
 }
 
-// settled runs until all views are equal and true, or fails.
-func settled(t testing.TB, f *swimsim.Fleet, within time.Duration, what string) {
+// waitUntilAgreed runs the fleet until all views are equal and true, and fails the test if that takes too long.
+func waitUntilAgreed(t testing.TB, f *swimsim.Fleet, within time.Duration, what string) {
 	t.Helper()
 	from := f.Now()
 	for f.Now() < from+within {
@@ -40,25 +40,25 @@
 	t.Errorf("%s: views still differ after %v", what, within)
 }
 
-// maxPause is the longest pause that must do no harm by the defaults.
+// maxPause is the longest pause that must have no effect under the default configuration.
 const maxPause = 3 * time.Second
 
-// TestCrashIsKnownToAll: all start at once, a member dies, and all know it within the bound: a round of probes in which
-// it must have its turn, and a suspicion without confirmations.
-func TestCrashIsKnownToAll(t *testing.T) {
+// A crashed member is known to be dead by all others within the bound: one round of probes, plus a suspicion without
+// confirmations. It is a member again once restarted.
+func TestCrashIsDetectedByAll(t *testing.T) {
 	for _, n := range []int{2, 3, 10, 100} {
 		t.Run(fmt.Sprint(n), func(t *testing.T) {
-			f := fleet(t, swimsim.Config{Members: n, Seed: uint64(n)})
-			settled(t, f, 30*time.Second, "start")
+			f := newFleet(t, swimsim.Config{Members: n, Seed: uint64(n)})
+			waitUntilAgreed(t, f, 30*time.Second, "start")
 			bound := time.Duration(n)*time.Second + 4*f.View(0).MinSuspicion()
 			_, all, ok := f.Detection(n-1, bound)
 			if !ok || f.FalseDead > 0 {
-				t.Errorf("known to all after %v (bound %v): %v; %d false deaths", all, bound, ok, f.FalseDead)
+				t.Errorf("crash detected by all after %v (bound %v): %v; %d false deaths", all, bound, ok, f.FalseDead)
 			}
 			if err := f.Restart(n-1, 2); err != nil {
 				t.Fatal(err)
 			}
-			settled(t, f, 40*time.Second, "return under a new process")
+			waitUntilAgreed(t, f, 40*time.Second, "return under a new process")
 			if n > 2 {
 				if v := f.View(0).Quorum(); v.Kind != swim.Connected || v.Here != n || !v.Majority {
 					t.Errorf("quorum %+v", v)
@@ -68,12 +68,12 @@
 	}
 }
 
-// TestPausesMakeNobodyDead: a pause within the bound makes nobody dead, of one, of a fifth, and of all at once; one beyond it
-// does, and the member is back soon after it wakes.
-func TestPausesMakeNobodyDead(t *testing.T) {
+// A pause within MaxPause of one member, of a fifth of them, or of all at once has no member declared dead. A longer one does,
+// and the member is back soon after it resumes.
+func TestPausesCauseNoFalseDeaths(t *testing.T) {
 	for seed := range uint64(8) {
-		f := fleet(t, swimsim.Config{Members: 20, Seed: seed, Loss: 0.05})
-		settled(t, f, 40*time.Second, "start")
+		f := newFleet(t, swimsim.Config{Members: 20, Seed: seed, Loss: 0.05})
+		waitUntilAgreed(t, f, 40*time.Second, "start")
 		f.Pause(3, maxPause)
 		f.Run(f.Now() + 20*time.Second)
 		for i := range 4 {
@@ -90,19 +90,19 @@
 		f.Pause(7, time.Minute)
 		f.Run(f.Now() + 55*time.Second)
 		if f.KnownDead(7) < 15 {
-			t.Errorf("seed %d: %d take one for dead that was paused for 55 s", seed, f.KnownDead(7))
+			t.Errorf("seed %d: %d members consider the one dead that was paused for 55 s, want at least 15", seed, f.KnownDead(7))
 		}
 		f.Run(f.Now() + 5*time.Second)
-		settled(t, f, 20*time.Second, "after a long pause")
+		waitUntilAgreed(t, f, 20*time.Second, "after a long pause")
 	}
 }
 
-// TestClockJumps: clocks that jump ahead by minutes, or back by less than is borne, make nobody dead, though one stands still and is
-// suspected just then: of one member, and of all.
-func TestClockJumps(t *testing.T) {
+// Clocks that jump ahead by minutes, or back by up to MaxPause, have no member declared dead, even while one is paused and
+// suspected. The clock of one member jumps, or those of all.
+func TestClockJumpsCauseNoFalseDeaths(t *testing.T) {
 	for seed := range uint64(4) {
-		f := fleet(t, swimsim.Config{Members: 20, Seed: seed, Loss: 0.05})
-		settled(t, f, 40*time.Second, "start")
+		f := newFleet(t, swimsim.Config{Members: 20, Seed: seed, Loss: 0.05})
+		waitUntilAgreed(t, f, 40*time.Second, "start")
 		for _, by := range []time.Duration{5 * time.Minute, -maxPause, time.Hour} {
 			for _, who := range []int{1, 20} {
 				f.Pause(19, maxPause)
@@ -119,10 +119,10 @@
 	}
 }
 
-// TestLossMakesNobodyDead: a fifth of all packets lost both ways, some doubled, all out of order.
-func TestLossMakesNobodyDead(t *testing.T) {
+// No member is declared dead when a fifth of all packets are lost, a tenth are duplicated, and packets are reordered.
+func TestPacketLossCausesNoFalseDeaths(t *testing.T) {
 	for seed := range uint64(4) {
-		f := fleet(t, swimsim.Config{Members: 16, Seed: seed, Loss: 0.2, Twice: 0.1, Jitter: 100 * time.Millisecond})
+		f := newFleet(t, swimsim.Config{Members: 16, Seed: seed, Loss: 0.2, Twice: 0.1, Jitter: 100 * time.Millisecond})
 		f.Run(5 * time.Minute)
 		if f.FalseDead > 0 || !f.Agreed() {
 			t.Errorf("seed %d: %d false deaths; agreed %v", seed, f.FalseDead, f.Agreed())
@@ -130,11 +130,12 @@
 	}
 }
 
-// TestOneSidedCut: A hears B and B never hears A. Nobody dies of it, all come to the same report, and it is taken back.
-func TestOneSidedCut(t *testing.T) {
+// A link that is cut one way has no member declared dead; all members hold the report of the cut, and it is retracted once the
+// link works again.
+func TestOneWayCut(t *testing.T) {
 	for seed := range uint64(4) {
-		f := fleet(t, swimsim.Config{Members: 8, Seed: seed})
-		settled(t, f, 30*time.Second, "start")
+		f := newFleet(t, swimsim.Config{Members: 8, Seed: seed})
+		waitUntilAgreed(t, f, 30*time.Second, "start")
 		f.Cut(1, 2, true)
 		f.Run(f.Now() + 2*time.Minute)
 		if f.FalseDead > 0 {
@@ -143,32 +144,33 @@
 		for i := range 8 {
 			v := f.View(i)
 			if v.Reachable(swimsim.Name(1), swimsim.Name(2)) || !v.Reachable(swimsim.Name(2), swimsim.Name(1)) {
-				t.Errorf("seed %d: member %d holds 1 to 2 for %v and 2 to 1 for %v", seed, i, v.Reachable(swimsim.Name(1), swimsim.Name(2)), v.Reachable(swimsim.Name(2), swimsim.Name(1)))
+				t.Errorf("seed %d: at member %d the link 1 to 2 is reachable: %v, 2 to 1: %v; want false, true", seed, i, v.Reachable(swimsim.Name(1), swimsim.Name(2)), v.Reachable(swimsim.Name(2), swimsim.Name(1)))
 			}
 			for _, m := range v.Members() {
 				if want := m.Name == swimsim.Name(1) || m.Name == swimsim.Name(2); m.Partly != want {
-					t.Errorf("seed %d: member %d holds %s for partly reachable: %v", seed, i, m.Name, m.Partly)
+					t.Errorf("seed %d: at member %d, %s is partly reachable: %v", seed, i, m.Name, m.Partly)
 				}
 			}
 			if got := v.Quorum(); got.Kind != swim.Connected || got.Here != 8 {
-				t.Errorf("seed %d: member %d: quorum %+v: the others reach both", seed, i, got)
+				t.Errorf("seed %d: member %d: quorum %+v, want all 8 connected, as the others reach both", seed, i, got)
 			}
 		}
 		f.Cut(1, 2, false)
 		f.Run(f.Now() + 40*time.Second)
 		for i := range 8 {
 			if !f.View(i).Reachable(swimsim.Name(1), swimsim.Name(2)) {
-				t.Errorf("seed %d: member %d still holds the link for cut", seed, i)
+				t.Errorf("seed %d: member %d still holds the link as cut", seed, i)
 			}
 		}
 	}
 }
 
-// TestSplitAndHealing: five and three apart. Each side knows which is the majority, and all views are equal again soon.
-func TestSplitAndHealing(t *testing.T) {
+// A fleet is split into five and three members. Each side knows whether it is the majority, and all views agree again after the
+// split ends.
+func TestSplitAndRecovery(t *testing.T) {
 	for seed := range uint64(4) {
-		f := fleet(t, swimsim.Config{Members: 8, Seed: seed})
-		settled(t, f, 30*time.Second, "start")
+		f := newFleet(t, swimsim.Config{Members: 8, Seed: seed})
+		waitUntilAgreed(t, f, 30*time.Second, "start")
 		split := func(cut bool) {
 			for i := range 5 {
 				for j := 5; j < 8; j++ {
@@ -192,34 +194,34 @@
 			}
 		}
 		split(false)
-		settled(t, f, 40*time.Second, "healing")
+		waitUntilAgreed(t, f, 40*time.Second, "end of the split")
 	}
 }
 
-// TestUpdatesOnAnotherProcess: a restarted process's own update counts from its start; what others still say of the one
-// before does not bring that one back, and what they say of a later one does count.
-func TestUpdatesOnAnotherProcess(t *testing.T) {
-	const before, after, later = 1, 2, 3
+// After a restart, the new process's own updates count from its start. Updates by others on the previous process do not bring
+// that one back, but updates by others on a later process count.
+func TestUpdatesOnReplacedProcess(t *testing.T) {
+	const previousProcess, newProcess, laterProcess = 1, 2, 3
 	update := func(process, incarnation uint64) swim.Update {
 		return swim.Update{Name: "a", Addr: "1", Process: process, Incarnation: incarnation}
 	}
-	own := func(u swim.Update) swim.Event {
+	ownUpdate := func(u swim.Update) swim.Event {
 		return swim.Event{Packet: &swim.Message{Kind: swim.Updates, From: u}}
 	}
-	others := func(u swim.Update) swim.Event {
+	updateByOthers := func(u swim.Update) swim.Event {
 		return swim.Event{Packet: &swim.Message{Kind: swim.Updates, From: swim.Update{Name: "b", Addr: "2", Process: 9, Incarnation: 1}, Updates: []swim.Update{u}}}
 	}
 	for _, c := range []struct {
 		name   string
 		events []swim.Event
-		want   uint64 // the incarnation that is held in the end
+		want   uint64 // incarnation stored in the end
 	}{
-		{"its own word goes on to count after hearsay on the one before", []swim.Event{own(update(after, 1)), others(update(before, 1)), own(update(after, 3))}, 3},
-		{"also after newer hearsay on the one before", []swim.Event{own(update(after, 1)), others(update(before, 5)), own(update(after, 7))}, 7},
-		{"its own word counts though it has less behind it", []swim.Event{others(update(before, 5)), own(update(after, 1))}, 6},
-		{"the one before says no more by a packet sent anew", []swim.Event{own(update(before, 5)), own(update(after, 1)), own(update(before, 5))}, 6},
-		{"hearsay on a later one", []swim.Event{own(update(after, 1)), others(update(later, 2))}, 2},
-		{"an incarnation that is no more than a lie", []swim.Event{own(update(after, 1)), others(update(after, 1<<40))}, 1},
+		{"own updates count after an update by others on the previous process", []swim.Event{ownUpdate(update(newProcess, 1)), updateByOthers(update(previousProcess, 1)), ownUpdate(update(newProcess, 3))}, 3},
+		{"own updates count after a newer update by others on the previous process", []swim.Event{ownUpdate(update(newProcess, 1)), updateByOthers(update(previousProcess, 5)), ownUpdate(update(newProcess, 7))}, 7},
+		{"own update counts although its incarnation is lower", []swim.Event{updateByOthers(update(previousProcess, 5)), ownUpdate(update(newProcess, 1))}, 6},
+		{"a replayed packet of the previous process does not count", []swim.Event{ownUpdate(update(previousProcess, 5)), ownUpdate(update(newProcess, 1)), ownUpdate(update(previousProcess, 5))}, 6},
+		{"update by others on a later process counts", []swim.Event{ownUpdate(update(newProcess, 1)), updateByOthers(update(laterProcess, 2))}, 2},
+		{"an implausibly high incarnation does not count", []swim.Event{ownUpdate(update(newProcess, 1)), updateByOthers(update(newProcess, 1<<40))}, 1},
 	} {
 		s, err := swim.New(swim.Config{Self: "x", Addr: "0", Process: 7}, 0)
 		if err != nil {
@@ -230,19 +232,19 @@
 		}
 		for _, m := range s.Members() {
 			if m.Name == "a" && m.Incarnation != c.want {
-				t.Errorf("%s: incarnation %d is held, want %d", c.name, m.Incarnation, c.want)
+				t.Errorf("%s: stored incarnation %d, want %d", c.name, m.Incarnation, c.want)
 			}
 		}
 	}
 }
 
-// TestProperties: over random schedules of crashes, restarts, pauses, loss and cuts, incarnations only grow, packets stay
-// bounded, and once all is whole again every view is equal and true within the bound.
-func TestProperties(t *testing.T) {
+// Under random crashes, restarts, pauses, packet loss and cuts, incarnations never decrease; once all faults end, all views
+// become equal and true within two minutes.
+func TestViewsConvergeAfterRandomFaults(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		n := rapid.IntRange(2, 9).Draw(r, "members")
-		f := fleet(t, swimsim.Config{Members: n, Seed: rapid.Uint64().Draw(r, "seed"), Twice: 0.05})
-		seen := map[string]uint64{}
+		f := newFleet(t, swimsim.Config{Members: n, Seed: rapid.Uint64().Draw(r, "seed"), Twice: 0.05})
+		lastIncarnation := map[string]uint64{}
 		down, process := map[int]bool{}, uint64(1)
 		for range rapid.IntRange(1, 12).Draw(r, "faults") {
 			i, j := rapid.IntRange(0, n-1).Draw(r, "who"), rapid.IntRange(0, n-1).Draw(r, "whom")
@@ -271,10 +273,10 @@
 					continue
 				}
 				for _, m := range f.View(k).Members() {
-					if key := fmt.Sprint(k, process, m.Name); m.Incarnation < seen[key] {
-						r.Fatalf("%s fell back from incarnation %d to %d at %d", m.Name, seen[key], m.Incarnation, k)
+					if key := fmt.Sprint(k, process, m.Name); m.Incarnation < lastIncarnation[key] {
+						r.Fatalf("%s went back from incarnation %d to %d at member %d", m.Name, lastIncarnation[key], m.Incarnation, k)
 					} else {
-						seen[key] = m.Incarnation
+						lastIncarnation[key] = m.Incarnation
 					}
 				}
 			}
@@ -294,17 +296,17 @@
 		f.Run(f.Now() + 31*time.Second) // the longest pause
 		for from := f.Now(); !f.Agreed(); f.Run(f.Now() + time.Second) {
 			if f.Now() > from+2*time.Minute {
-				r.Fatalf("views still differ two minutes after all was whole")
+				r.Fatalf("views still differ two minutes after all faults ended")
 			}
 		}
 	})
 }
 
-// TestLoadIsFlat: what a member sends in a period does not grow with the fleet beyond what updates and acks take.
-func TestLoadIsFlat(t *testing.T) {
+// The packets that a member sends in a period do not grow with the size of the fleet, apart from updates and acks.
+func TestPacketRateDoesNotGrowWithFleet(t *testing.T) {
 	var rates []float64
 	for _, n := range []int{10, 100} {
-		f := fleet(t, swimsim.Config{Members: n, Seed: 1})
+		f := newFleet(t, swimsim.Config{Members: n, Seed: 1})
 		f.Run(60 * time.Second)
 		f.Packets = 0
 		f.Run(120 * time.Second)
@@ -315,9 +317,9 @@
 	}
 }
 
-// TestLateLinkReport: a member has left, and a report on a link to it comes late. Once the member is forgotten the report
-// is on nobody, and the list of members must leave it out.
-func TestLateLinkReport(t *testing.T) {
+// A link report that arrives after the member has left may outlive the record of the member. Members must then ignore the
+// report.
+func TestLateLinkReportIsIgnored(t *testing.T) {
 	s, err := swim.New(swim.Config{Self: "x", Addr: "0", Process: 7, ForgetAfter: time.Second}, 0)
 	if err != nil {
 		t.Fatal(err)
@@ -336,7 +338,7 @@
 	}
 	for _, m := range s.Members() {
 		if m.Partly || len(m.CutTo)+len(m.CutFrom) > 0 {
-			t.Errorf("%s is held for partly reachable: %+v", m.Name, m)
+			t.Errorf("%s is partly reachable: %+v", m.Name, m)
 		}
 	}
 }
--- a/internal/swim/health.go
+++ b/internal/swim/health.go
@@ -2,19 +2,19 @@
 
 import "time"
 
-// Health is the local health multiplier beside 1: by how many times own times are lengthened now.
+// Health returns the local health multiplier minus 1; at 0 this member's timeouts are not lengthened.
 func (s *Swim) Health() int { return s.health }
 
-// degrade and improve move the local health multiplier, between 0 and MaxHealth.
+// degrade and improve raise and lower the local health multiplier, minus 1, between 0 and MaxHealth.
 func (s *Swim) degrade(by int) { s.health = min(s.health+by, max(s.cfg.MaxHealth, 0)) }
 func (s *Swim) improve()       { s.health = max(s.health-1, 0) }
 
-// scaled is a time lengthened by the local health multiplier.
+// scaled returns a duration lengthened by the local health multiplier.
 func (s *Swim) scaled(d time.Duration) time.Duration { return d * time.Duration(1+s.health) }
 
-// checkPause detects that this step comes late: the process stood still or is starved. It guards against blaming others
-// for what was not received meanwhile, which would show as `coordinator dead` for many members at once after a pause of
-// one: open probes are void, and no time of the pause counts against anybody.
+// checkPause detects that this step comes late because the process was paused or got no CPU. It drops all open probes and
+// moves all times by the pause, so that other members are not blamed for packets not received meanwhile. Without it, a pause
+// of one member shows as `coordinator dead` for many members at once.
 func (s *Swim) checkPause() {
 	lag := s.now - s.wakeAt
 	if lag < s.cfg.Period/2 || s.cfg.MaxHealth < 0 {
@@ -28,18 +28,18 @@
 		if m == s.self {
 			continue
 		}
-		if m.heard > 0 {
-			m.heard += lag
+		if m.lastHeard > 0 {
+			m.lastHeard += lag
 		}
-		m.missed, m.unanswered = 0, 0
+		m.missedAcks, m.unansweredProbes = 0, 0
 		if m.State == Suspect {
 			m.deadAt += lag
 			m.suspectedAt += lag
 		}
 	}
-	s.members.checkAt = s.now + time.Millisecond // the times above have moved
-	// A member that was away is the first to be suspected: it pings others at once, and learns so with the acks.
+	s.members.nextCheckAt = s.now + time.Millisecond // deadlines above have moved
+	// A member that was paused may be suspected itself: it pings others at once and learns that with the acks.
 	for range s.cfg.Indirect {
-		s.pingAny(reachable)
+		s.pingAny(aliveOrSuspect)
 	}
 }
--- a/internal/swim/members.go
+++ b/internal/swim/members.go
@@ -7,108 +7,108 @@
 	"time"
 )
 
-// member is what is known of one member. Times are of this member's clock.
+// member is the record of one member. Times are on this member's clock.
 type member struct {
 	Update
-	announced bool          // a Change was emitted for it
-	since     time.Duration // of its state
-	enrolled  bool          // it is in the order of probes
+	announced    bool          // a Change was emitted for this member
+	since        time.Duration // start of its state
+	inProbeOrder bool          // it is in memberList.probeOrder
 
-	suspectedAt time.Duration // Suspect: when that began
-	deadAt      time.Duration // Suspect: when it is declared dead
-	suspectors  []string      // Suspect: who says so
+	suspectedAt time.Duration // Suspect: start of the suspicion
+	deadAt      time.Duration // Suspect: when it is declared dead if it does not refute
+	suspectors  []string      // Suspect: the members that suspect it
 
-	heard     time.Duration // last packet of its own; 0 for never
-	reached   time.Duration // last direct ack; 0 for never
-	rtt       time.Duration // of that
-	intervals intervalStats // between its packets
+	lastHeard time.Duration // last packet from the member itself; 0 for never
+	lastAck   time.Duration // last direct ack from it; 0 for never
+	rtt       time.Duration // round-trip time of that ack
+	intervals intervalStats // of its packets
 
-	missed     int           // direct acks in a row
-	missedAt   time.Duration // the first of them
-	unanswered int           // probes in a row that nobody answered, direct or indirect
+	missedAcks       int           // consecutive probes without a direct ack
+	firstMissedAt    time.Duration // when the first of them was sent
+	unansweredProbes int           // consecutive probes without any ack, direct or indirect
 
-	formerProcesses []uint64 // under this name: updates on them that still go round are old
-	reportedCut     string   // From of the link to or from it that this member reports as cut; empty for none
+	formerProcesses []uint64 // earlier processes under this name: updates on them are outdated
+	reportedCut     string   // Link.From of the link to or from it that this member reports as cut; empty for none
 }
 
-// reachable tells whether a member is to be talked to: it is alive or suspect.
-func reachable(m *member) bool { return m.State <= Suspect }
+// aliveOrSuspect reports whether a member is alive or suspect; only such members are probed and sent updates.
+func aliveOrSuspect(m *member) bool { return m.State <= Suspect }
 
 func dead(m *member) bool { return m.State == Dead }
 
 // memberList holds the members and the order in which they are probed.
 type memberList struct {
-	byName  map[string]*member // this one included
-	order   []string           // of probes: all but this one and those that have left
-	next    int                // in order: whose turn it is
-	counts  [Left + 1]int      // other members by state
-	checkAt time.Duration      // when a suspicion ends, or one that has left is forgotten; 0 for never
+	byName      map[string]*member // this member included
+	probeOrder  []string           // names of all members but this one and those that have left
+	nextIndex   int                // index in probeOrder of the next member to probe
+	counts      [Left + 1]int      // number of other members by state
+	nextCheckAt time.Duration      // when the next suspicion ends or the next member that has left is forgotten; 0 for never
 }
 
-// size counts the members that have not left, this one included.
-func (l *memberList) size() int { return len(l.order) + 1 }
+// size returns the number of members that have not left, this one included.
+func (l *memberList) size() int { return len(l.probeOrder) + 1 }
 
-// enrol gives a member a random place in the order of probes, so that no two members probe in step.
-func (l *memberList) enrol(m *member, rng *rand.Rand) {
-	if m.enrolled {
+// addToProbeOrder inserts a member at a random place in the probe order, so that no two members probe in the same order.
+func (l *memberList) addToProbeOrder(m *member, rng *rand.Rand) {
+	if m.inProbeOrder {
 		return
 	}
-	m.enrolled = true
-	i := rng.IntN(len(l.order) + 1)
-	if l.order = slices.Insert(l.order, i, m.Name); i < l.next {
-		l.next++
+	m.inProbeOrder = true
+	i := rng.IntN(len(l.probeOrder) + 1)
+	if l.probeOrder = slices.Insert(l.probeOrder, i, m.Name); i < l.nextIndex {
+		l.nextIndex++
 	}
 }
 
-// withdraw takes a member that has left out of the order of probes.
-func (l *memberList) withdraw(m *member) {
-	i := slices.Index(l.order, m.Name)
+// removeFromProbeOrder removes a member that has left from the probe order.
+func (l *memberList) removeFromProbeOrder(m *member) {
+	i := slices.Index(l.probeOrder, m.Name)
 	if i < 0 {
 		return
 	}
-	m.enrolled = false
-	if l.order = slices.Delete(l.order, i, i+1); i < l.next {
-		l.next--
+	m.inProbeOrder = false
+	if l.probeOrder = slices.Delete(l.probeOrder, i, i+1); i < l.nextIndex {
+		l.nextIndex--
 	}
 }
 
-// pick draws one of the enrolled members that fits; nil for none.
-func (l *memberList) pick(rng *rand.Rand, fits func(*member) bool) *member {
-	if len(l.order) == 0 {
+// pick returns a random member of the probe order that matches; nil if there is none.
+func (l *memberList) pick(rng *rand.Rand, matches func(*member) bool) *member {
+	if len(l.probeOrder) == 0 {
 		return nil
 	}
-	for range pickTries {
-		if m := l.byName[l.order[rng.IntN(len(l.order))]]; fits(m) {
+	for range maxRandomTries {
+		if m := l.byName[l.probeOrder[rng.IntN(len(l.probeOrder))]]; matches(m) {
 			return m
 		}
 	}
-	from := rng.IntN(len(l.order))
-	for i := range l.order {
-		if m := l.byName[l.order[(from+i)%len(l.order)]]; fits(m) {
+	from := rng.IntN(len(l.probeOrder))
+	for i := range l.probeOrder {
+		if m := l.byName[l.probeOrder[(from+i)%len(l.probeOrder)]]; matches(m) {
 			return m
 		}
 	}
 	return nil
 }
 
-// checkBy notes that suspicions must be looked at by a time.
-func (l *memberList) checkBy(at time.Duration) {
-	if l.checkAt == 0 || at < l.checkAt {
-		l.checkAt = at
+// scheduleCheck schedules the next check of suspicions at a time or earlier.
+func (l *memberList) scheduleCheck(at time.Duration) {
+	if l.nextCheckAt == 0 || at < l.nextCheckAt {
+		l.nextCheckAt = at
 	}
 }
 
-// origin is who states an update.
+// origin tells who stated an update.
 type origin uint8
 
 const (
 	fromOther  origin = iota
-	fromItself        // the member that it is about
+	fromItself        // the member that the update is about
 )
 
-// sender finds the sender of a message and adds it where it is new; nil where it can't be a member: it
-// gets a Reject then.
-func (s *Swim) sender(from *Update) *member {
+// resolveSender applies the statement of a message's sender on itself and returns the record of the sender. It returns nil for
+// this process itself, and for a process that can't be a member, to which it sends a Reject.
+func (s *Swim) resolveSender(from *Update) *member {
 	reason := s.nameConflict(from)
 	if from.Name == s.cfg.Self && from.Process == s.cfg.Process {
 		return nil
@@ -118,14 +118,14 @@
 		s.send(from.Addr, Message{Kind: Reject, Reason: reason})
 		return nil
 	}
-	s.applyUpdate(*from, fromItself, "it says so itself")
+	s.applyUpdate(*from, fromItself, "announced by the member itself")
 	return s.members.byName[from.Name]
 }
 
-// nameConflict tells why a process can't be the member that it says it is; empty where it can. One address has one
-// process: one that comes from the address of the former has taken its place. From elsewhere the name is free once the
-// former is dead or has left. It guards against two coordinators under one name that each refute what the other says,
-// which shows at the second one as `refused by the other coordinators`.
+// nameConflict returns why a process can't be the member that it claims to be; empty if it can. A process at the address of the
+// former one has replaced it, since one address has one process. At another address, the name is free once the former one is
+// dead or has left. This guards against two coordinators under one name that keep refuting each other; the second one shows
+// `refused by the other coordinators`.
 func (s *Swim) nameConflict(u *Update) string {
 	m := s.members.byName[u.Name]
 	if m == nil || m.Process == u.Process || m != s.self && (m.Addr == u.Addr || m.State >= Dead) {
@@ -134,7 +134,7 @@
 	return fmt.Sprintf("the name %q is in use by another process at %s; stop that one, or give this one a name of its own", u.Name, m.Addr)
 }
 
-// applyAll applies the updates and link reports of a packet or exchange.
+// applyAll applies the updates and link reports of a packet or of a full state.
 func (s *Swim) applyAll(updates []Update, links []Link) {
 	for _, u := range updates {
 		switch {
@@ -151,21 +151,21 @@
 	}
 }
 
-// reason is why an update that came from another member counts.
+// reason returns the cause given in the Change for an update received from another member.
 func (u *Update) reason() string {
 	switch {
 	case u.State == Alive || u.State > Left:
-		return "heard of it"
+		return "learned from another member"
 	case u.By == "":
-		return "it has said so"
+		return "announced by the member itself"
 	}
-	return "so says " + u.By
+	return "reported by " + u.By
 }
 
-// refute answers what is wrong of this member itself, under a higher incarnation.
+// refute answers a wrong update on this member with a higher incarnation.
 func (s *Swim) refute(u Update) {
 	if u.Process != s.cfg.Process && u.State == Alive && u.Incarnation <= s.self.Incarnation {
-		return // the process before this one, or another that will be rejected
+		return // on the previous process, or on another one that will be rejected
 	}
 	if !u.newer(&s.self.Update) || s.leaving {
 		return
@@ -182,63 +182,63 @@
 	s.broadcasts.addUpdate(s.self.Update)
 }
 
-// applyUpdate applies an update on another member.
-func (s *Swim) applyUpdate(u Update, by origin, why string) {
+// applyUpdate applies an update on another member; reason is the cause given in the Change.
+func (s *Swim) applyUpdate(u Update, source origin, reason string) {
 	m := s.members.byName[u.Name]
 	switch {
 	case m == nil:
-		s.addMember(u, why)
+		s.addMember(u, reason)
 	case u.Incarnation > m.Incarnation+maxIncarnationJump:
 		s.counts.Dropped++
 	case u.Process != m.Process:
-		s.replaceProcess(m, u, by)
+		s.replaceProcess(m, u, source)
 	case u.newer(&m.Update):
 		if m.State == Left {
-			s.members.enrol(m, s.rng)
+			s.members.addToProbeOrder(m, s.rng)
 		}
-		s.setState(m, u, why)
+		s.setState(m, u, reason)
 	case u.State == Suspect && m.State == Suspect && u.Incarnation == m.Incarnation:
 		s.confirm(m, u.By)
 	}
 }
 
-// addMember adds a member that was not known. One that has left already is not missed.
-func (s *Swim) addMember(u Update, why string) {
+// addMember adds an unknown member. One that has already left is not added.
+func (s *Swim) addMember(u Update, reason string) {
 	if u.State == Left || len(s.members.byName) >= maxMembers {
 		return
 	}
 	m := &member{Update: u, since: s.now}
-	m.State, m.Incarnation = Left, 0 // as it was to this member
+	m.State, m.Incarnation = Left, 0 // an unknown member counts as one that has left
 	s.members.byName[u.Name] = m
 	s.members.counts[Left]++
-	s.members.enrol(m, s.rng)
-	s.setState(m, u, why)
+	s.members.addToProbeOrder(m, s.rng)
+	s.setState(m, u, reason)
 }
 
-// replaceProcess applies an update on another process under the name of a member. Its own statement counts from its start,
-// when its incarnation may be lower than that of the process before; what others state counts where it is newer, else the
-// process before would come back by the updates on it that still go round.
-func (s *Swim) replaceProcess(m *member, u Update, by origin) {
-	former := by == fromOther || slices.Contains(m.formerProcesses, u.Process)
-	if u.State != Alive || u.Incarnation <= m.Incarnation && former {
-		if by == fromItself {
-			s.broadcasts.addUpdate(m.Update) // it learns what is held of it, and refutes that
+// replaceProcess applies an update on another process under the name of a member. The process's own statement counts from its
+// start, when its incarnation may be lower than that of the previous process. Statements of others count only if they are
+// newer: otherwise updates on the previous process that are still being gossiped would bring it back.
+func (s *Swim) replaceProcess(m *member, u Update, source origin) {
+	mustBeNewer := source == fromOther || slices.Contains(m.formerProcesses, u.Process)
+	if u.State != Alive || u.Incarnation <= m.Incarnation && mustBeNewer {
+		if source == fromItself {
+			s.broadcasts.addUpdate(m.Update) // the process learns the stored update, and refutes it
 		}
 		return
 	}
-	if m.formerProcesses = append(m.formerProcesses, m.Process); len(m.formerProcesses) > maxFormer {
+	if m.formerProcesses = append(m.formerProcesses, m.Process); len(m.formerProcesses) > maxFormerProcesses {
 		m.formerProcesses = m.formerProcesses[1:]
 	}
 	u.Incarnation = max(u.Incarnation, m.Incarnation+1)
-	m.intervals, m.missed, m.unanswered, m.heard, m.reached = intervalStats{}, 0, 0, 0, 0
+	m.intervals, m.missedAcks, m.unansweredProbes, m.lastHeard, m.lastAck = intervalStats{}, 0, 0, 0, 0
 	if m.State == Left {
-		s.members.enrol(m, s.rng)
+		s.members.addToProbeOrder(m, s.rng)
 	}
-	s.setState(m, u, "another process has taken its place")
+	s.setState(m, u, "replaced by another process")
 }
 
-// setState makes an update the one that is held of a member, and passes it on.
-func (s *Swim) setState(m *member, u Update, why string) {
+// setState stores an update as the current one on a member, and gossips it.
+func (s *Swim) setState(m *member, u Update, reason string) {
 	former, isNew := m.State, !m.announced
 	s.members.counts[former]--
 	s.members.counts[u.State]++
@@ -250,20 +250,20 @@
 	}
 	switch u.State {
 	case Alive:
-		m.unanswered = 0
+		m.unansweredProbes = 0
 	case Suspect:
 		m.suspectedAt = s.now
 		s.confirm(m, u.By)
-		s.prober.recheckSoon(m.Name) // so that this member comes to its own judgement
+		s.prober.queueRecheck(m.Name) // so that this member confirms or clears the suspicion itself
 	case Dead:
 		s.dropLinks(m)
 	case Left:
-		s.members.checkBy(s.now + s.cfg.ForgetAfter)
-		s.members.withdraw(m)
+		s.members.scheduleCheck(s.now + s.cfg.ForgetAfter)
+		s.members.removeFromProbeOrder(m)
 		s.dropLinks(m)
 	}
 	s.broadcasts.addUpdate(u)
 	if former != u.State {
-		s.emitChange(Change{Name: u.Name, State: u.State, Was: former, New: isNew, Why: why})
+		s.emitChange(Change{Name: u.Name, State: u.State, Was: former, New: isNew, Why: reason})
 	}
 }
--- a/internal/swim/message.go
+++ b/internal/swim/message.go
@@ -3,7 +3,7 @@
 // State is the state of a member.
 type State uint8
 
-// The states. Of the same incarnation the later one overrides the earlier.
+// The states. At the same incarnation, a later one in this list overrides an earlier one.
 const (
 	Alive State = iota
 	Suspect
@@ -13,7 +13,7 @@
 
 var stateNames = [...]string{"alive", "suspect", "dead", "left"}
 
-// String is the state in a word.
+// String returns the name of the state; logs print it.
 func (s State) String() string {
 	if int(s) < len(stateNames) {
 		return stateNames[s]
@@ -21,107 +21,107 @@
 	return "unknown"
 }
 
-// Update is one statement on a member, passed on from member to member.
+// Update is a gossiped statement on a member.
 type Update struct {
 	Name        string
-	Addr        string // where it takes packets
-	Process     uint64 // tells two processes under one name apart
-	Incarnation uint64 // only the member itself raises it
+	Addr        string // address at which it receives packets
+	Process     uint64 // distinguishes processes under one name
+	Incarnation uint64 // raised only by the member itself
 	State       State
-	By          string // who says so, of Suspect and Dead
+	By          string // Suspect, Dead: the member that states it
 }
 
-// newer tells whether an update overrides another on the same member.
-func (u *Update) newer(than *Update) bool {
-	if u.Incarnation != than.Incarnation {
-		return u.Incarnation > than.Incarnation
+// newer reports whether an update overrides another on the same member.
+func (u *Update) newer(other *Update) bool {
+	if u.Incarnation != other.Incarnation {
+		return u.Incarnation > other.Incarnation
 	}
-	return u.State > than.State
+	return u.State > other.State
 }
 
-// Link is one statement on whether packets of From reach To.
+// Link is a report on whether packets of From reach To.
 type Link struct {
 	From, To string
-	By       string // one of the two
-	Version  uint32 // of the reporter's statements on links; a later one overrides an earlier
+	By       string // the reporter: From or To
+	Version  uint32 // grows with each report of the reporter; a later one overrides an earlier one
 	Cut      bool
 }
 
-// Kind is what a message is for. The numbers are on the wire.
+// Kind is the type of a message. The numbers are on the wire.
 type Kind uint8
 
-// The kinds of messages.
+// The message types.
 const (
-	Ping    Kind = iota + 1 // probe, to be answered with Ack
-	Ack                     // of Seq; Via is set where another member was asked to probe
+	Ping    Kind = iota + 1 // probe, answered with Ack
+	Ack                     // acknowledges Seq; Via is set on the ack of an indirect probe
 	PingReq                 // indirect probe: probe Target for the sender
-	Nack                    // Target has not answered the indirect probe, but the sender is there
-	Reject                  // the receiver can't be a member, for Reason
-	Updates                 // gossip: nothing but updates and links
+	Nack                    // Target has not answered the indirect probe so far, but the sender is up
+	Reject                  // the receiver can't be a member, because of Reason
+	Updates                 // gossip: only updates and link reports
 )
 
-// Message is one packet.
+// Message is the content of one packet.
 type Message struct {
 	Kind    Kind
 	Seq     uint32
-	From    Update // the sender's own statement on itself
-	Target  string // Ping, PingReq: who is meant
-	Addr    string // PingReq: where it is
-	Via     string // Ack: the member that passes it on
+	From    Update // the sender's statement on itself
+	Target  string // Ping, PingReq: the member to be probed
+	Addr    string // PingReq: address of Target
+	Via     string // Ack of an indirect probe: the member that acked
 	Reason  string
 	Updates []Update
 	Links   []Link
 }
 
-// Full is the full state of a member, for an exchange with another.
+// Full is the full state of a member, exchanged with another one.
 type Full struct {
 	From    Update
-	Reply   bool // the answer to another's
+	Reply   bool // it answers the other's full state
 	Members []Update
 	Links   []Link
-	Refused string // why the other can't be a member; nothing else counts then
+	Refused string // why the other can't be a member; if set, the rest is ignored
 }
 
-// Event is one thing that happened; one field is set.
+// Event is an input to Step; exactly one field is set.
 type Event struct {
 	Packet *Message
 	Full   *Full
 	Leave  bool
-	Forget string // an operator's statement that this member is gone for good
+	Forget string // name of a dead member that an operator declares gone for good
 }
 
-// Action is one thing to be done; one field beside To is set.
+// Action is an output of Step; exactly one field beside To is set.
 type Action struct {
-	To     string   // an address
-	Packet *Message // to be sent
-	Full   *Full    // to be exchanged, or sent back where it is a Reply
-	Change *Change  // to be notified
+	To     string   // address of the receiver
+	Packet *Message // to send
+	Full   *Full    // to exchange, or to send back if it is a Reply
+	Change *Change  // to notify the caller of
 }
 
 // Change is a change of a member, of a link or of the quorum.
 type Change struct {
-	Name     string // the member; empty where Quorum is meant
+	Name     string // of the member; empty for a change of the quorum
 	State    State
-	Was      State
-	New      bool // the member was not known before
-	Why      string
-	Quorum   Quorum // with Name empty
-	LinkFrom string // of a link to Name; empty otherwise
-	Cut      bool   // of a link
+	Was      State  // previous state
+	New      bool   // the member was unknown before
+	Why      string // cause, for the log
+	Quorum   Quorum // the new quorum, if Name is empty
+	LinkFrom string // start of the link to Name that changed; empty otherwise
+	Cut      bool   // the link is now cut
 }
 
-// size is the most bytes that an update takes in a packet, see docs/formats/gossip.md.
+// size returns the most bytes that an update takes in a packet, see docs/formats/gossip.md.
 func (u *Update) size() int { return 24 + len(u.Name) + len(u.Addr) + len(u.By) }
 
 func (l *Link) size() int { return 12 + len(l.From) + len(l.To) + len(l.By) }
 
-// Size is the most bytes that a message takes on the wire, without its seal.
+// Size returns the most bytes that a message takes on the wire, without its seal.
 func (m *Message) Size() int {
 	n := 16 + m.From.size() + len(m.Target) + len(m.Addr) + len(m.Via) + len(m.Reason)
 	return n + sizeOf(m.Updates, m.Links)
 }
 
-// Size is the most bytes that a full state takes on the wire, without its seal.
+// Size returns the most bytes that a full state takes on the wire, without its seal.
 func (f *Full) Size() int {
 	return 16 + f.From.size() + len(f.Refused) + sizeOf(f.Members, f.Links)
 }
--- a/internal/swim/probe.go
+++ b/internal/swim/probe.go
@@ -5,40 +5,40 @@
 	"time"
 )
 
-// prober holds the open probes and when the next begins.
+// prober holds the open probes and the schedule of the next ones.
 type prober struct {
-	probes     []*probe
-	relays     []relay
-	seq        uint32        // of the last probe, direct or indirect
-	nextAt     time.Duration // when the next probe begins
-	gossipAt   time.Duration // when updates are next sent beside probes
-	recheck    []string      // members to be probed again, between those of the round
-	rechecking bool          // the last probe was one of these
+	probes       []*probe
+	relays       []relay
+	seq          uint32        // sequence number of the last probe, direct or indirect
+	nextAt       time.Duration // when the next probe begins
+	gossipAt     time.Duration // when updates are next sent without a probe
+	recheckQueue []string      // members to be probed again, in every second turn
+	rechecking   bool          // alternates: in the turns where it is set, recheckQueue comes first
 }
 
-// probe is an open probe of this member's own.
+// probe is an open probe started by this member.
 type probe struct {
 	seq        uint32
 	target     string
 	sentAt     time.Duration
-	indirectAt time.Duration // when others are asked; 0 once they were
+	indirectAt time.Duration // when other members are asked to probe; 0 once they were
 	endAt      time.Duration
-	requested  int  // members asked to probe
-	nacks      int  // of them that answered without an ack
-	relayed    bool // an ack came by one of them
-	acked      bool // the target's own ack came
+	requested  int  // other members asked to probe
+	nacks      int  // nacks received from them
+	relayedAck bool // one of them relayed an ack
+	directAck  bool // the target acked directly
 }
 
-// relay is an indirect probe for another member.
+// relay is an open indirect probe on behalf of another member.
 type relay struct {
-	seq          uint32 // of the ping sent for it
-	requesterSeq uint32 // of the request
-	requester    string // address
+	seq          uint32 // of the ping sent to the target
+	requesterSeq uint32 // of the requester's PingReq
+	requester    string // address of the requester
 	nackAt       time.Duration
 	endAt        time.Duration
 }
 
-// wakeAt is when something is due next.
+// wakeAt returns when the next timer is due.
 func (p *prober) wakeAt() time.Duration {
 	at := min(p.nextAt, p.gossipAt)
 	for _, open := range p.probes {
@@ -55,47 +55,47 @@
 	return at
 }
 
-// recheckSoon lets a member be probed again out of turn.
-func (p *prober) recheckSoon(name string) {
-	if len(p.recheck) < maxRecheck && !slices.Contains(p.recheck, name) {
-		p.recheck = append(p.recheck, name)
+// queueRecheck queues a member to be probed again out of turn.
+func (p *prober) queueRecheck(name string) {
+	if len(p.recheckQueue) < maxQueuedRechecks && !slices.Contains(p.recheckQueue, name) {
+		p.recheckQueue = append(p.recheckQueue, name)
 	}
 }
 
-// runProbes does what is due of probes: indirect ones, ends, nacks, gossip, and the next.
+// runProbes does what is due: indirect probes, the end of probes, nacks, gossip, and the next probe.
 func (s *Swim) runProbes() {
-	s.startIndirect()
+	s.startIndirectProbes()
 	s.endProbes()
 	s.runRelays()
 	s.gossip()
 	s.startProbe()
 }
 
-// startIndirect asks others to probe the targets whose direct ack is late.
-func (s *Swim) startIndirect() {
+// startIndirectProbes asks other members to probe the targets whose direct ack is late.
+func (s *Swim) startIndirectProbes() {
 	for _, p := range s.prober.probes {
-		if p.indirectAt > 0 && s.now >= p.indirectAt && !p.acked && !p.relayed {
+		if p.indirectAt > 0 && s.now >= p.indirectAt && !p.directAck && !p.relayedAck {
 			s.requestIndirect(p)
 		}
 	}
 }
 
-// endProbes closes the probes that are acked or whose time is over.
+// endProbes closes the probes that were acked or have timed out.
 func (s *Swim) endProbes() {
 	var ended []*probe
 	s.prober.probes = slices.DeleteFunc(s.prober.probes, func(p *probe) bool {
-		over := p.acked || s.now >= p.endAt
-		if over {
+		done := p.directAck || s.now >= p.endAt
+		if done {
 			ended = append(ended, p)
 		}
-		return over
+		return done
 	})
 	for _, p := range ended {
-		s.judge(p)
+		s.evaluateProbe(p)
 	}
 }
 
-// runRelays sends the nacks that are due, and drops the indirect probes whose time is over.
+// runRelays sends the nacks that are due, and drops the indirect probes that have timed out.
 func (s *Swim) runRelays() {
 	for i := range s.prober.relays {
 		if r := &s.prober.relays[i]; r.nackAt > 0 && s.now >= r.nackAt {
@@ -106,8 +106,8 @@
 	s.prober.relays = slices.DeleteFunc(s.prober.relays, func(r relay) bool { return s.now >= r.endAt })
 }
 
-// gossip sends updates to some members once a period, also while own probes are slowed down by the local health
-// multiplier: refutations would else come too late.
+// gossip sends updates to some members once a period, even while this member's probes are slowed down by the local health
+// multiplier: otherwise refutations come too late.
 func (s *Swim) gossip() {
 	if s.now < s.prober.gossipAt || s.leaving {
 		return
@@ -117,13 +117,13 @@
 		if len(s.broadcasts.items) == 0 {
 			break
 		}
-		if m := s.members.pick(s.rng, reachable); m != nil {
+		if m := s.members.pick(s.rng, aliveOrSuspect); m != nil {
 			s.send(m.Addr, s.withUpdates(Message{Kind: Updates}, m))
 		}
 	}
 }
 
-// startProbe begins the probe of a period. One of the dead is pinged beside it, so that sides of a split find each other.
+// startProbe starts the probe of a period. It also pings a dead member, so that the sides of a split find each other again.
 func (s *Swim) startProbe() {
 	if s.now < s.prober.nextAt || s.leaving {
 		return
@@ -135,42 +135,42 @@
 	if s.members.counts[Dead] > 0 {
 		s.pingAny(dead)
 	}
-	s.quorum.stale = true // a link report may have expired, of which no event tells
+	s.quorum.stale = true // a link report may have expired, for which there is no event
 }
 
-// nextTarget is whose turn it is: every second time one of those to be rechecked, else the next of the round.
+// nextTarget returns the member to probe next: every second time one to be rechecked, else the next in the probe order.
 func (s *Swim) nextTarget() *member {
 	p, l := &s.prober, &s.members
 	p.rechecking = !p.rechecking
-	if p.rechecking && len(p.recheck) > 0 {
-		name := p.recheck[0]
-		p.recheck = p.recheck[1:]
-		if m := l.byName[name]; m != nil && reachable(m) {
+	if p.rechecking && len(p.recheckQueue) > 0 {
+		name := p.recheckQueue[0]
+		p.recheckQueue = p.recheckQueue[1:]
+		if m := l.byName[name]; m != nil && aliveOrSuspect(m) {
 			return m
 		}
 	}
-	for range l.order {
-		if l.next >= len(l.order) {
-			l.next = 0
-			s.rng.Shuffle(len(l.order), func(i, j int) { l.order[i], l.order[j] = l.order[j], l.order[i] })
+	for range l.probeOrder {
+		if l.nextIndex >= len(l.probeOrder) {
+			l.nextIndex = 0
+			s.rng.Shuffle(len(l.probeOrder), func(i, j int) { l.probeOrder[i], l.probeOrder[j] = l.probeOrder[j], l.probeOrder[i] })
 		}
-		m := l.byName[l.order[l.next]]
-		l.next++
-		if reachable(m) {
+		m := l.byName[l.probeOrder[l.nextIndex]]
+		l.nextIndex++
+		if aliveOrSuspect(m) {
 			return m
 		}
 	}
 	return nil
 }
 
-// pingAny begins a probe of a random member that fits.
-func (s *Swim) pingAny(fits func(*member) bool) {
-	if m := s.members.pick(s.rng, fits); m != nil {
+// pingAny starts a probe of a random member that matches.
+func (s *Swim) pingAny(matches func(*member) bool) {
+	if m := s.members.pick(s.rng, matches); m != nil {
 		s.ping(m)
 	}
 }
 
-// ping begins a probe of a member.
+// ping starts a probe of a member.
 func (s *Swim) ping(m *member) {
 	s.prober.seq++
 	s.counts.Probes++
@@ -184,11 +184,11 @@
 	s.send(m.Addr, s.withUpdates(Message{Kind: Ping, Seq: s.prober.seq, Target: m.Name}, m))
 }
 
-// requestIndirect asks others to probe.
+// requestIndirect asks up to Indirect random live members to probe the target of p.
 func (s *Swim) requestIndirect(p *probe) {
 	p.indirectAt = 0
 	m := s.members.byName[p.target]
-	if m == nil || !reachable(m) {
+	if m == nil || !aliveOrSuspect(m) {
 		return
 	}
 	s.counts.Indirect++
@@ -204,40 +204,40 @@
 	}
 }
 
-// judge draws the conclusion from a probe that has ended.
-func (s *Swim) judge(p *probe) {
+// evaluateProbe updates the target of a probe that has ended: it may report the link as cut, or suspect the target.
+func (s *Swim) evaluateProbe(p *probe) {
 	m := s.members.byName[p.target]
-	if m == nil || !reachable(m) {
+	if m == nil || !aliveOrSuspect(m) {
 		return
 	}
-	if p.acked {
+	if p.directAck {
 		s.improve()
 		return
 	}
 	s.counts.Missed++
-	if m.missed++; m.missed == 1 {
-		m.missedAt = p.sentAt
+	if m.missedAcks++; m.missedAcks == 1 {
+		m.firstMissedAt = p.sentAt
 	}
-	s.prober.recheckSoon(m.Name)
-	if p.relayed || m.heard > p.sentAt {
-		m.unanswered = 0 // it is there: what fails is the link
+	s.prober.queueRecheck(m.Name)
+	if p.relayedAck || m.lastHeard > p.sentAt {
+		m.unansweredProbes = 0 // the member is up, the link fails
 		s.reportCut(m)
 		return
 	}
 	if 2*p.nacks < p.requested || p.requested == 0 {
-		s.degrade(1) // most of those asked did not answer either: the fault may be here
+		s.degrade(1) // most of the members asked did not answer either: the fault may be local
 	}
-	m.unanswered++
-	if m.unanswered < 2 && s.cfg.Suspicion.MinPhi > 0 && m.phi(s.now) < s.cfg.Suspicion.MinPhi {
+	m.unansweredProbes++
+	if m.unansweredProbes < 2 && s.cfg.Suspicion.MinPhi > 0 && m.phi(s.now) < s.cfg.Suspicion.MinPhi {
 		return
 	}
 	u := m.Update
-	u.State, u.By = Suspect, s.cfg.Self // or a confirmation, where others suspect it
+	u.State, u.By = Suspect, s.cfg.Self // a confirmation if others already suspect it
 	if m.State == Alive {
 		s.counts.Suspicions++
 	}
-	s.applyUpdate(u, fromOther, "it answered neither us nor those we asked")
+	s.applyUpdate(u, fromOther, "no answer to direct and indirect probes")
 }
 
-// ProbeTimeout is how long a direct ack may take before others are asked, as lengthened by the local health multiplier.
+// ProbeTimeout returns how long a direct ack may take before indirect probes, lengthened by the local health multiplier.
 func (s *Swim) ProbeTimeout() time.Duration { return s.scaled(s.cfg.Timeout) }
--- a/internal/swim/quorum.go
+++ b/internal/swim/quorum.go
@@ -5,79 +5,79 @@
 	"time"
 )
 
-// Quorum is how much of the fleet this member is together with.
+// Quorum describes how much of the fleet this member is connected to.
 type Quorum struct {
 	Kind     QuorumKind
-	Here     int  // members that are there and reached, by others where need be, this one included
+	Here     int  // live members connected to this one, directly or through others, this one included
 	Known    int  // members that have not left
 	Majority bool // Here is more than half of Known
 }
 
-// QuorumKind is the state of the fleet in a word.
+// QuorumKind classifies how the fleet is connected.
 type QuorumKind uint8
 
-// The kinds.
+// The kinds of quorum.
 const (
 	Connected QuorumKind = iota
-	Split                // several were lost together, or live ones are out of reach: there is another side
-	Alone                // nobody else is there
+	Split                // several members died together, or live ones are out of reach: the fleet is partitioned
+	Alone                // no other member is connected
 )
 
 var quorumNames = [...]string{"connected", "split", "alone"}
 
 func (k QuorumKind) String() string { return quorumNames[k] }
 
-// quorumWatch is the quorum that was last notified.
+// quorumWatch tracks changes of the quorum.
 type quorumWatch struct {
-	last  Quorum
-	stale bool // it may have changed since
+	notified Quorum // last notified
+	stale    bool   // the quorum may have changed since
 }
 
-// checkQuorum notifies of a quorum that has changed.
+// checkQuorum emits a change if the kind or the majority of the quorum has changed.
 func (s *Swim) checkQuorum() {
 	if !s.quorum.stale {
 		return
 	}
 	s.quorum.stale = false
-	if q := s.Quorum(); q.Kind != s.quorum.last.Kind || q.Majority != s.quorum.last.Majority {
-		s.quorum.last = q
+	if q := s.Quorum(); q.Kind != s.quorum.notified.Kind || q.Majority != s.quorum.notified.Majority {
+		s.quorum.notified = q
 		s.emitChange(Change{Quorum: q})
 	}
 }
 
-// Quorum tells how much of the fleet this member is together with, counted along links that carry both ways.
+// Quorum returns how much of the fleet this member is connected to, over links that work both ways.
 func (s *Swim) Quorum() Quorum {
 	q := Quorum{Known: s.members.size(), Here: 1}
 	cuts := s.cutsByMember()
-	if len(cuts) == 0 && s.members.counts[Dead] == 0 { // as it is nearly always
+	if len(cuts) == 0 && s.members.counts[Dead] == 0 { // the usual case, which needs no search
 		q.Here, q.Majority = q.Known, true
 		return q
 	}
 	live := 1
-	var lost []time.Duration
-	for _, name := range s.members.order {
+	var diedAt []time.Duration
+	for _, name := range s.members.probeOrder {
 		if m := s.members.byName[name]; dead(m) {
-			lost = append(lost, m.since)
+			diedAt = append(diedAt, m.since)
 		} else {
 			live++
 		}
 	}
-	q.Here = s.countReached(cuts)
+	q.Here = s.countConnected(cuts)
 	q.Majority = 2*q.Here > q.Known
 	switch {
 	case q.Here == 1 && q.Known > 1:
 		q.Kind = Alone
-	case q.Here < live || s.lostTogether(lost):
+	case q.Here < live || s.diedTogether(diedAt):
 		q.Kind = Split
 	}
 	return q
 }
 
-// cutsByMember counts the reports of cut links by the members at their ends.
+// cutsByMember returns the number of valid reports of cut links by the members at their ends.
 func (s *Swim) cutsByMember() map[string]int {
 	cuts := map[string]int{}
-	for k, l := range s.links.held {
-		if s.holds(l) {
+	for k, l := range s.links.reports {
+		if s.activeCut(l) {
 			cuts[k.from]++
 			cuts[k.to]++
 		}
@@ -85,46 +85,46 @@
 	return cuts
 }
 
-// countReached counts the live members that are reached along links that carry both ways, this one included. A member
-// without a cut link is reached by every other that has none; only the others need a search.
-func (s *Swim) countReached(cuts map[string]int) int {
-	var uncut, rest []string
-	for _, name := range s.members.order {
+// countConnected returns the number of live members that are connected over links that work both ways, this one included. All
+// members without a cut link reach each other; only the others need a search.
+func (s *Swim) countConnected(cuts map[string]int) int {
+	var withoutCuts, withCuts []string
+	for _, name := range s.members.probeOrder {
 		switch {
 		case dead(s.members.byName[name]):
 		case cuts[name] == 0:
-			uncut = append(uncut, name)
+			withoutCuts = append(withoutCuts, name)
 		default:
-			rest = append(rest, name)
+			withCuts = append(withCuts, name)
 		}
 	}
 	bothWays := func(a, b string) bool { return s.Reachable(a, b) && s.Reachable(b, a) }
-	reached := 1
+	connected := 1
 	seen := map[string]bool{s.cfg.Self: true}
 	for queue := []string{s.cfg.Self}; len(queue) > 0; {
-		at := queue[0]
+		current := queue[0]
 		queue = queue[1:]
-		if len(uncut) > 0 && (cuts[at] == 0 || bothWays(at, uncut[0])) {
-			reached += len(uncut)
-			queue, uncut = append(queue, uncut...), nil
+		if len(withoutCuts) > 0 && (cuts[current] == 0 || bothWays(current, withoutCuts[0])) {
+			connected += len(withoutCuts)
+			queue, withoutCuts = append(queue, withoutCuts...), nil
 		}
-		for _, name := range rest {
-			if !seen[name] && bothWays(at, name) {
+		for _, name := range withCuts {
+			if !seen[name] && bothWays(current, name) {
 				seen[name] = true
-				reached++
+				connected++
 				queue = append(queue, name)
 			}
 		}
 	}
-	return reached
+	return connected
 }
 
-// lostTogether tells whether two members died so shortly after each other that a split is more likely than two crashes.
-func (s *Swim) lostTogether(lost []time.Duration) bool {
-	slices.Sort(lost)
+// diedTogether reports whether two members died so shortly after each other that a split is likelier than two crashes.
+func (s *Swim) diedTogether(diedAt []time.Duration) bool {
+	slices.Sort(diedAt)
 	within := time.Duration(s.cfg.Suspicion.MaxMult * float64(s.MinSuspicion()))
-	for i := 1; i < len(lost); i++ {
-		if lost[i]-lost[i-1] < within {
+	for i := 1; i < len(diedAt); i++ {
+		if diedAt[i]-diedAt[i-1] < within {
 			return true
 		}
 	}
--- a/internal/swim/receive.go
+++ b/internal/swim/receive.go
@@ -4,7 +4,7 @@
 
 // receive applies one packet.
 func (s *Swim) receive(msg *Message) {
-	from := s.sender(&msg.From)
+	from := s.resolveSender(&msg.From)
 	if msg.Kind == Reject {
 		s.rejection = msg.Reason
 		return
@@ -15,10 +15,10 @@
 	if from.Process == msg.From.Process {
 		s.markHeard(from)
 	}
-	s.applyAll(msg.Updates, msg.Links) // first, as answers depend on it
+	s.applyAll(msg.Updates, msg.Links) // first, since answers depend on them
 	switch msg.Kind {
 	case Ping:
-		if msg.Target == s.cfg.Self { // else it means a member that had this address before
+		if msg.Target == s.cfg.Self { // else it is meant for a member that had this address before
 			s.send(msg.From.Addr, s.withUpdates(Message{Kind: Ack, Seq: msg.Seq}, from))
 		}
 	case PingReq:
@@ -31,11 +31,11 @@
 				p.nacks++
 			}
 		}
-	case Reject, Updates: // nothing further
+	case Reject, Updates: // nothing more to do
 	}
 }
 
-// receivePingReq probes a member for another.
+// receivePingReq probes a member on behalf of the sender.
 func (s *Swim) receivePingReq(msg *Message) {
 	if msg.Target == s.cfg.Self {
 		return
@@ -46,7 +46,7 @@
 		seq:          p.seq,
 		requesterSeq: msg.Seq,
 		requester:    msg.From.Addr,
-		nackAt:       s.now + s.cfg.Timeout*4/5, // before the requester's own time is over
+		nackAt:       s.now + s.cfg.Timeout*4/5, // before the requester's own probe ends
 		endAt:        s.now + s.cfg.Period,
 	})
 	if len(p.relays) > maxRelays {
@@ -55,19 +55,19 @@
 	s.send(msg.Addr, Message{Kind: Ping, Seq: p.seq, Target: msg.Target})
 }
 
-// receiveAck applies an ack of a probe of this member's own, or passes on one of another's.
+// receiveAck applies an ack to this member's own probe, or relays it to the member that asked for the probe.
 func (s *Swim) receiveAck(msg *Message, from *member) {
 	for _, p := range s.prober.probes {
 		if p.seq != msg.Seq {
 			continue
 		}
 		if msg.Via == "" && from.Name == p.target {
-			p.acked = true
-			from.rtt, from.reached = s.now-p.sentAt, s.now
-			from.missed, from.unanswered = 0, 0
+			p.directAck = true
+			from.rtt, from.lastAck = s.now-p.sentAt, s.now
+			from.missedAcks, from.unansweredProbes = 0, 0
 			s.retractCut(from)
 		} else if msg.Via != "" {
-			p.relayed = true
+			p.relayedAck = true
 		}
 		return
 	}
@@ -80,13 +80,13 @@
 	}
 }
 
-// markHeard notes a packet of a member's own.
+// markHeard records that a packet from a member itself has arrived.
 func (s *Swim) markHeard(m *member) {
-	if m.heard > 0 && s.now > m.heard {
-		m.intervals.add((s.now - m.heard).Seconds())
+	if m.lastHeard > 0 && s.now > m.lastHeard {
+		m.intervals.add((s.now - m.lastHeard).Seconds())
 	}
-	m.heard = s.now
-	if m.reportedCut == m.Name { // it was reported not to reach this member
+	m.lastHeard = s.now
+	if m.reportedCut == m.Name { // this member reported the link from it as cut
 		s.retractCut(m)
 	}
 }
--- a/internal/swim/seed_test.go
+++ b/internal/swim/seed_test.go
@@ -3,8 +3,8 @@
 import (
 	"flag"
 
-	_ "pgregory.net/rapid" // registers the flag
+	_ "pgregory.net/rapid" // registers the flag rapid.seed
 )
 
-// The random histories are the same each time, so that a verdict is; -rapid.seed on the command line tries others.
+// A fixed seed makes test results reproducible; -rapid.seed on the command line overrides it.
 func init() { flag.Set("rapid.seed", "20261201") }
--- a/internal/swim/suspicion.go
+++ b/internal/swim/suspicion.go
@@ -8,42 +8,42 @@
 	"time"
 )
 
-// MinSuspicion is the least time of a suspicion: what a member may be paused for, and the time in which the suspicion
-// reaches all and its refutation comes back.
+// MinSuspicion returns the shortest duration of a suspicion: at least the longest tolerated pause, plus the time for the
+// suspicion to reach all members and for the refutation to come back.
 func (s *Swim) MinSuspicion() time.Duration {
-	// Gossip multiplies those that know an update by about three in a period.
+	// Gossip about triples the number of members that know an update in each period.
 	rounds := 1 + int(math.Ceil(math.Log(float64(s.members.size()+1))/math.Log(3)))
-	least := time.Duration(s.cfg.Suspicion.MinMult * s.logMembers() * float64(s.cfg.Period))
-	return max(least, s.cfg.MaxPause+time.Duration(rounds)*s.cfg.Period)
+	scaledMin := time.Duration(s.cfg.Suspicion.MinMult * s.log10Members() * float64(s.cfg.Period))
+	return max(scaledMin, s.cfg.MaxPause+time.Duration(rounds)*s.cfg.Period)
 }
 
-// confirm adds a member that suspects m, and sets when m is declared dead. The time shrinks with the logarithm of the
-// confirmations, from MaxMult times the least to the least (Lifeguard, LHA-Suspicion).
+// confirm adds a member that suspects m, and sets when m is declared dead. The timeout shrinks with the logarithm of the number
+// of confirmations, from MaxMult times the minimum to the minimum (Lifeguard, LHA-Suspicion).
 func (s *Swim) confirm(m *member, by string) {
-	needed := max(min(s.cfg.Indirect, s.members.size()-2), 0) // confirmations that take the time down to the least
+	needed := max(min(s.cfg.Indirect, s.members.size()-2), 0) // confirmations that shrink the timeout to the minimum
 	if !slices.Contains(m.suspectors, by) && len(m.suspectors) <= needed {
 		if m.suspectors = append(m.suspectors, by); len(m.suspectors) > 1 {
 			u := m.Update
 			u.By = by
-			s.broadcasts.addUpdate(u) // each confirmation is passed on, so that all come to the same time
+			s.broadcasts.addUpdate(u) // each confirmation is gossiped, so that all members compute the same timeout
 		}
 	}
-	least := float64(s.MinSuspicion())
-	longest := s.cfg.Suspicion.MaxMult * least
-	lasts := longest - (longest-least)*math.Log(float64(len(m.suspectors)))/math.Log(float64(needed+1))
+	minTimeout := float64(s.MinSuspicion())
+	maxTimeout := s.cfg.Suspicion.MaxMult * minTimeout
+	timeout := maxTimeout - (maxTimeout-minTimeout)*math.Log(float64(len(m.suspectors)))/math.Log(float64(needed+1))
 	if needed == 0 {
-		lasts = least
+		timeout = minTimeout
 	}
-	m.deadAt = m.suspectedAt + time.Duration(max(least, lasts))
-	s.members.checkBy(m.deadAt)
+	m.deadAt = m.suspectedAt + time.Duration(max(minTimeout, timeout))
+	s.members.scheduleCheck(m.deadAt)
 }
 
-// endSuspicions declares dead those whose suspicion was not refuted in its time, and forgets those that left long ago.
+// endSuspicions declares members dead whose suspicion was not refuted in time, and forgets those that left ForgetAfter ago.
 func (s *Swim) endSuspicions() {
-	if s.members.checkAt == 0 || s.now < s.members.checkAt {
+	if s.members.nextCheckAt == 0 || s.now < s.members.nextCheckAt {
 		return
 	}
-	s.members.checkAt = 0
+	s.members.nextCheckAt = 0
 	var due []*member
 	for _, m := range s.members.byName {
 		var at time.Duration
@@ -58,7 +58,7 @@
 		if s.now >= at {
 			due = append(due, m)
 		} else {
-			s.members.checkBy(at)
+			s.members.scheduleCheck(at)
 		}
 	}
 	slices.SortFunc(due, func(m, o *member) int { return cmp.Compare(m.Name, o.Name) })
@@ -72,6 +72,6 @@
 		u.State, u.By = Dead, s.cfg.Self
 		s.counts.Deaths++
 		lasted := (s.now - m.suspectedAt).Round(time.Millisecond)
-		s.applyUpdate(u, fromOther, fmt.Sprintf("suspected for %v by %d, and not refuted", lasted, len(m.suspectors)))
+		s.applyUpdate(u, fromOther, fmt.Sprintf("suspected for %v by %d members, and not refuted", lasted, len(m.suspectors)))
 	}
 }
--- a/internal/swim/swim.go
+++ b/internal/swim/swim.go
@@ -1,27 +1,31 @@
-// Package swim decides which coordinators are there, and who reaches whom. It follows SWIM (Das, Gupta and Motivala 2002)
-// with what Lifeguard (Dadgar, Phillips and Currey 2018) adds. It does no I/O, reads no clock, starts no goroutine and logs
-// nothing: the same seed, times and events give the same actions, independent of map order. The rules:
+// Package swim keeps one coordinator's view of which coordinators are alive and which of them reach each other. It implements
+// SWIM (Das, Gupta and Motivala 2002) with the extensions of Lifeguard (Dadgar, Phillips and Currey 2018). It does no I/O,
+// reads no clock, starts no goroutine and logs nothing: the same seed, times and events give the same actions, independent of
+// map order. The rules:
 //
-//	probe       each period one member, in an order shuffled anew each round; without an ack in time Indirect others are
+//	probe       one member each period, in an order reshuffled every round; if its ack is late, Indirect other members are
 //	            asked to probe it (indirect probe)
-//	suspect     no ack by the period's end and no packet meanwhile, and it is silent for longer than usual (phi accrual,
-//	            Hayashibara 2004) or has missed a second probe
-//	refute      a member that learns that it is suspected or dead says alive under a higher incarnation
-//	dead        a suspicion that was not refuted in its time, which shrinks with independent confirmations
-//	left        stated by the member itself, or by an operator of one that is gone for good
-//	health      missed acks, nacks, refutations and late steps of this member raise its local health multiplier, which
-//	            lengthens its own times before others are blamed (Lifeguard, LHA-Probe)
-//	buddy       a suspected member learns of it with the next ping (Lifeguard)
-//	pause       a step that comes later than a period was a pause of this member: open probes are void, no time counts
+//	suspect     a member that sent no ack by the end of the period and no packet meanwhile, and that either has been silent
+//	            for unusually long (phi accrual, Hayashibara 2004) or has missed a second probe
+//	refute      a member that learns that it is suspected or dead announces that it is alive under a higher incarnation
+//	dead        a member whose suspicion was not refuted in time; the timeout shrinks with independent confirmations
+//	left        announced by the member itself, or by an operator for a dead member that is gone for good
+//	health      missed acks, missing nacks, refutations and late steps of this member raise its local health multiplier, which
+//	            lengthens its own timeouts before it blames others (Lifeguard, LHA-Probe)
+//	buddy       a suspected member learns of the suspicion with the next ping (Lifeguard)
+//	pause       a step that comes late by half a period or more means that this member was paused: open probes are dropped,
+//	            and the time of the pause does not count
 //
-// Of two updates on a member the one of the higher incarnation counts; of the same, left over dead over suspect over alive.
+// Of two updates on a member, the one with the higher incarnation wins; at the same incarnation, left overrides dead, dead
+// overrides suspect, and suspect overrides alive.
 //
-// A link that is cut one way is no death. A member that misses acks of one that others reach reports the link: "I do not
-// reach it" where the member's packets still come, else "it does not reach me". Reports are gossiped like updates, carry
-// their reporter's version, and are retracted by the first ack, or by the first packet that comes.
+// A link that is cut one way makes no member dead. A member that misses acks of another one that others reach reports the
+// link: as cut from itself to the other while the other's packets still arrive, else as cut from the other to itself. Reports
+// are gossiped like updates, carry a version number of their reporter, and are retracted by the first ack, or by the first
+// packet that arrives.
 //
-// Memory: a record for each member (maxMembers at most), a link report for each pair that is cut (maxLinks), and open
-// probes. Work: a step costs what its events cost, and the updates of one packet; once a period it looks over the suspects.
+// Memory: a record for each member (at most maxMembers), a report for each cut link and reporter (at most maxLinks), and the
+// open probes. Work: a step costs what its events and the updates of one packet cost; once a period it checks the suspects.
 package swim
 
 import (
@@ -30,34 +34,34 @@
 	"time"
 )
 
-// Swim is one member's view. It is not safe for concurrent use.
+// Swim is one member's view of the fleet. It is not safe for concurrent use.
 type Swim struct {
 	cfg     Config
 	rng     *rand.Rand
 	now     time.Duration
 	wakeAt  time.Duration // when Step is due
-	actions []Action      // of the step at hand
+	actions []Action      // of the current step
 	counts  Counts
 
 	self      *member
 	leaving   bool
-	rejection string // why the others reject this process; empty where they don't
-	health    int    // the local health multiplier of Lifeguard, beside 1
+	rejection string // why the other members reject this process; empty if they do not
+	health    int    // local health multiplier of Lifeguard, minus 1
 
 	members    memberList
 	prober     prober
 	broadcasts broadcastQueue
-	links      linkReports
+	links      linkTable
 	sync       syncSchedule
 	quorum     quorumWatch
 }
 
-// Counts are totals of what a member has done and seen, for metrics.
+// Counts holds totals since the start, for metrics.
 type Counts struct {
 	Probes, Missed, Indirect, Suspicions, Deaths, Refuted, Pauses, Dropped, Queued int
 }
 
-// New returns a view that holds nobody but itself, or an error that names what is out of range. Joining begins with the
+// New returns a view that holds only this member, or an error that names the settings out of range. Joining begins with the
 // first Step.
 func New(cfg Config, now time.Duration) (*Swim, error) {
 	if err := cfg.setDefaults(); err != nil {
@@ -69,12 +73,12 @@
 		now:        now,
 		wakeAt:     now,
 		members:    memberList{byName: map[string]*member{}},
-		broadcasts: broadcastQueue{byMember: map[string]int{}},
-		links:      linkReports{held: map[linkKey]*heldLink{}},
+		broadcasts: broadcastQueue{updatesByMember: map[string]int{}},
+		links:      linkTable{reports: map[linkKey]*linkReport{}},
 	}
 	s.self = &member{Update: Update{Name: cfg.Self, Addr: cfg.Addr, Process: cfg.Process, Incarnation: 1}, since: now}
 	s.members.byName[cfg.Self] = s.self
-	// Coordinators that start together do not probe in step.
+	// Random offsets keep coordinators that start together from probing at the same times.
 	s.prober.nextAt = now + s.randomUpTo(cfg.Period)
 	s.prober.gossipAt = now + s.randomUpTo(cfg.Period)
 	s.sync.nextAt = now
@@ -82,7 +86,7 @@
 	return s, nil
 }
 
-// Step applies what has happened and returns what is to be done.
+// Step applies events and the timers due at now, and returns the actions to take.
 func (s *Swim) Step(now time.Duration, events ...Event) []Action {
 	s.now, s.actions = max(now, s.now), nil
 	s.checkPause()
@@ -110,41 +114,41 @@
 	}
 }
 
-// nextWake is when something is due next.
+// nextWake returns when the next timer is due.
 func (s *Swim) nextWake() time.Duration {
 	at := min(s.prober.wakeAt(), s.sync.nextAt)
-	if s.members.checkAt > 0 {
-		at = min(at, s.members.checkAt)
+	if s.members.nextCheckAt > 0 {
+		at = min(at, s.members.nextCheckAt)
 	}
 	return max(at, s.now+time.Millisecond)
 }
 
-// Next is when Step must be called if nothing happens before.
+// Next returns when Step must be called if no event arrives before.
 func (s *Swim) Next() time.Duration { return s.wakeAt }
 
-// Counts are the totals so far.
+// Counts returns the totals so far.
 func (s *Swim) Counts() Counts {
 	c := s.counts
 	c.Queued = s.broadcasts.added
 	return c
 }
 
-// Self is this member's name.
+// Self returns this member's name.
 func (s *Swim) Self() string { return s.cfg.Self }
 
-// Incarnation is this member's.
+// Incarnation returns this member's incarnation.
 func (s *Swim) Incarnation() uint64 { return s.self.Incarnation }
 
-// Rejection tells why the others reject this process as a member; empty where they don't.
+// Rejection returns why the other members reject this process; empty if they do not.
 func (s *Swim) Rejection() string { return s.rejection }
 
-// randomUpTo draws a time from 0 up to d.
+// randomUpTo returns a random duration from 0 up to d.
 func (s *Swim) randomUpTo(d time.Duration) time.Duration {
 	return time.Duration(s.rng.Float64() * float64(d))
 }
 
-// logMembers is the logarithm that times and retransmissions grow by, 1 at least.
-func (s *Swim) logMembers() float64 { return math.Max(1, math.Log10(float64(s.members.size()))) }
+// log10Members returns log10 of the number of members, at least 1; suspicion times and retransmissions grow with it.
+func (s *Swim) log10Members() float64 { return math.Max(1, math.Log10(float64(s.members.size()))) }
 
 func (s *Swim) send(to string, m Message) {
 	m.From = s.self.Update
@@ -153,12 +157,12 @@
 
 func (s *Swim) emitChange(c Change) { s.actions = append(s.actions, Action{Change: &c}) }
 
-// leave pings some members, who pass on that this one has left.
+// leave marks this member as left and pings some others, which gossip that.
 func (s *Swim) leave() {
 	s.leaving = true
 	s.self.State = Left
 	for range 2 * s.cfg.Indirect {
-		s.pingAny(reachable)
+		s.pingAny(aliveOrSuspect)
 	}
 }
 
@@ -167,6 +171,6 @@
 	if m := s.members.byName[name]; m != nil && m != s.self && m.State == Dead {
 		u := m.Update
 		u.State, u.By = Left, s.cfg.Self
-		s.applyUpdate(u, fromOther, "an operator says that it is gone for good")
+		s.applyUpdate(u, fromOther, "declared gone for good by an operator")
 	}
 }
--- a/internal/swim/sync.go
+++ b/internal/swim/sync.go
@@ -5,14 +5,14 @@
 	"time"
 )
 
-// syncSchedule is when the full state is exchanged with another member.
+// syncSchedule holds when the full state is next exchanged with another member.
 type syncSchedule struct {
 	nextAt      time.Duration
-	seedBackoff time.Duration // last delay between exchanges with seeds that are no members
+	seedBackoff time.Duration // last delay between exchanges with unknown seeds
 }
 
-// startSync begins an exchange of the full state: with a seed that is no known member, as there may be a side of the fleet
-// that is not known, with a backoff; else now and then with any member, the dead included.
+// startSync begins an exchange of the full state. Unknown seeds come first, with exponential backoff, since they may belong to
+// an unknown part of the fleet. Otherwise it exchanges about once per SyncInterval with any member, dead ones included.
 func (s *Swim) startSync() {
 	if s.now < s.sync.nextAt || s.leaving {
 		return
@@ -34,12 +34,12 @@
 	s.actions = append(s.actions, Action{To: to, Full: &f})
 }
 
-// syncPartner tells whether a member is to be exchanged with: each that is reachable, and one in four of the dead.
+// syncPartner reports whether a member may be exchanged with: alive and suspect ones always, dead ones one time in four.
 func (s *Swim) syncPartner(m *member) bool {
-	return reachable(m) || dead(m) && s.rng.IntN(4) == 0
+	return aliveOrSuspect(m) || dead(m) && s.rng.IntN(4) == 0
 }
 
-// unknownSeeds are the seeds at whose address no reachable member is known.
+// unknownSeeds returns the seeds at whose address there is no alive or suspect member.
 func (s *Swim) unknownSeeds() (addrs []string) {
 	for _, addr := range s.cfg.Seeds {
 		if addr == s.cfg.Addr {
@@ -47,7 +47,7 @@
 		}
 		known := false
 		for _, m := range s.members.byName {
-			known = known || m.Addr == addr && reachable(m)
+			known = known || m.Addr == addr && aliveOrSuspect(m)
 		}
 		if !known {
 			addrs = append(addrs, addr)
@@ -56,7 +56,7 @@
 	return addrs
 }
 
-// fullState is all that this member knows.
+// fullState returns all updates and link reports that this member holds.
 func (s *Swim) fullState() Full {
 	f := Full{From: s.self.Update, Links: s.links.sorted()}
 	names := make([]string, 0, len(s.members.byName))
@@ -72,13 +72,13 @@
 	return f
 }
 
-// receiveFull applies another's full state, and answers with this member's where it is no reply.
+// receiveFull applies the full state of another member, and answers with this member's unless it is itself a reply.
 func (s *Swim) receiveFull(f *Full) {
 	if f.Refused != "" {
 		s.rejection = f.Refused
 		return
 	}
-	from := s.sender(&f.From)
+	from := s.resolveSender(&f.From)
 	if from == nil {
 		if reason := s.nameConflict(&f.From); reason != "" && !f.Reply {
 			s.reply(f, Full{From: s.self.Update, Refused: reason})
@@ -92,7 +92,7 @@
 	}
 }
 
-// reply answers another's full state.
+// reply answers the full state of another member.
 func (s *Swim) reply(to *Full, answer Full) {
 	answer.Reply = true
 	s.actions = append(s.actions, Action{To: to.From.Addr, Full: &answer})
--- a/internal/zones/config.go
+++ b/internal/zones/config.go
@@ -12,10 +12,10 @@
 	Window     time.Duration // how long evidence counts
 	Doubt      float64       // share of failing data nodes at which a zone becomes suspect
 	Clear      float64       // share below which a suspect zone is healthy again
-	Leave      float64       // share at which a suspect zone goes out
+	Leave      float64       // share at which a suspect zone is taken out
 	Margin     float64       // least difference between a zone's share and that of the other zones
 	MinFailing int           // least number of failing data nodes that makes a zone suspect
-	Confirm    time.Duration // how long the share must stay at Leave or above before the zone goes out
+	Confirm    time.Duration // how long the share must stay at Leave or above before the zone is taken out
 	Quiet      time.Duration // time without a failure before a recovery begins
 	Wait       time.Duration // shortest time out; doubled with each failed recovery
 	MaxWait    time.Duration // upper limit of the doubled Wait
@@ -25,7 +25,7 @@
 	Seed       uint64        // seed of this coordinator's random delays
 }
 
-// Defaults are the thresholds for a site with a few data nodes per zone: a zone goes out only if most of it fails together,
+// Defaults are the thresholds for a site with a few data nodes per zone: a zone is taken out only if most of it fails together,
 // within 1.5 seconds of the first evidence. Per-node handling alone takes longer to react.
 var Defaults = Config{
 	Window: 3 * time.Second, Doubt: 0.34, Clear: 0.2, Leave: 0.6, Margin: 0.3, MinFailing: 2,
--- a/internal/zones/fleet_test.go
+++ b/internal/zones/fleet_test.go
@@ -1,6 +1,6 @@
 package zones_test
 
-// Three hundred coordinators, each with its own tracker and its own decision module, step together: a zone that goes out and
+// Three hundred coordinators, each with its own tracker and its own decision module, step together: a zone that is taken out and
 // recovers, once or repeatedly, never gets more load from all of them than a warming data node can take.
 
 import (
--- a/internal/zones/guard.go
+++ b/internal/zones/guard.go
@@ -2,7 +2,7 @@
 
 // allSuspect reports whether there are several zones and all are suspect at once, which switches panic mode on. It guards
 // against a fault of the coordinator itself, such as a lost network, that makes all zones look failed: without it, zones
-// whose data nodes serve would go out, which shows as queries rejected with "no replica".
+// whose data nodes serve would be taken out, which shows as queries rejected with "no replica".
 func (t *Tracker) allSuspect() bool {
 	if len(t.zones) < 2 {
 		return false
@@ -15,8 +15,8 @@
 	return true
 }
 
-// remainingNodes returns how many of the total data nodes would be outside zones that are out if z went out, and whether that is
-// enough. It guards against overloading the remainingNodes data nodes: a second zone that fails stays in use, which shows as
+// remainingNodes returns how many of the total data nodes would be outside zones that are out if z were taken out, and whether that is
+// enough. It guards against overloading the remaining data nodes: a second zone that fails stays in use, which shows as
 // `zone doubtful` with "kept by the guard". A recovering zone counts as out until it is healthy, since it takes little load
 // and may fail again.
 func (t *Tracker) remainingNodes(z *zone, total int) (nodes int, enough bool) {
--- a/internal/zones/zones.go
+++ b/internal/zones/zones.go
@@ -27,7 +27,7 @@
 //
 // # The guard
 //
-// A zone does not go out if the data nodes outside zones that are out would fall below the share Keep of all data nodes; it
+// A zone is not taken out if the data nodes outside zones that are out would fall below the share Keep of all data nodes; it
 // stays suspect, and per-node handling continues there. A site with a single zone therefore never loses it. If every zone
 // is suspect at once, no state is trusted: all zones are usable (panic mode) until one is no longer suspect. A zone drained
 // by an operator is out regardless of the guard, and recovers at the same pace when undrained.
--- a/internal/zones/zones_test.go
+++ b/internal/zones/zones_test.go
@@ -59,7 +59,7 @@
 		{"one failing data node does not make its zone suspect", []string{"a", "b", "c"},
 			[]step{{0, "a", 1}, {time.Second, "a", 1}, {2 * time.Second, "a", 1}},
 			map[string]string{"a": "healthy", "b": "healthy", "c": "healthy"}},
-		{"a zone whose data nodes all fail goes out after Confirm", []string{"a", "b", "c"},
+		{"a zone whose data nodes all fail is taken out after Confirm", []string{"a", "b", "c"},
 			[]step{{0, "a", 4}, {300 * time.Millisecond, "a", 4}, {600 * time.Millisecond, "a", 4}},
 			map[string]string{"a": "out", "b": "healthy", "c": "healthy"}},
 		{"a zone whose data nodes all fail is not out before Confirm", []string{"a", "b", "c"},
@@ -68,17 +68,17 @@
 		{"a zone with half of its data nodes failing is suspect, not out", []string{"a", "b", "c"},
 			[]step{{0, "a", 2}, {time.Second, "a", 2}, {2 * time.Second, "a", 2}},
 			map[string]string{"a": "doubtful", "b": "healthy", "c": "healthy"}},
-		{"the only zone never goes out", []string{"a"},
+		{"the only zone is never taken out", []string{"a"},
 			[]step{{0, "a", 4}, {time.Second, "a", 4}, {2 * time.Second, "a", 4}},
 			map[string]string{"a": "doubtful"}},
 		{"failures in all zones make none of them suspect", []string{"a", "b", "c"},
 			[]step{{0, "a", 4}, {0, "b", 3}, {0, "c", 3}, {time.Second, "a", 4}, {time.Second, "b", 3},
 				{time.Second, "c", 3}},
 			map[string]string{"a": "healthy", "b": "healthy", "c": "healthy"}},
-		{"one of two zones goes out, as half of the data nodes remain", []string{"a", "b"},
+		{"one of two zones is taken out, as half of the data nodes remain", []string{"a", "b"},
 			[]step{{0, "a", 4}, {time.Second, "a", 4}},
 			map[string]string{"a": "out", "b": "healthy"}},
-		{"two of three zones fail at once: one goes out, the guard keeps the other", []string{"a", "b", "c"},
+		{"two of three zones fail at once: one is taken out, the guard keeps the other", []string{"a", "b", "c"},
 			[]step{{0, "a", 4}, {0, "b", 4}, {time.Second, "a", 4}, {time.Second, "b", 4}},
 			map[string]string{"a": "out", "b": "doubtful", "c": "healthy"}},
 		{"the guard keeps a second zone while the first is still recovering", []string{"a", "b", "c"},
@@ -251,9 +251,9 @@
 	}
 }
 
-// TestGuardProperty checks invariants under random evidence: the only zone of a site never goes out, the data nodes outside
-// zones that are out or recovering never fall below the share Keep, and a zone with fewer than MinFailing data nodes never
-// goes out.
+// TestGuardProperty checks invariants under random evidence: the only zone of a site is never taken out, the data nodes outside
+// zones that are out or recovering never fall below the share Keep, and a zone with fewer than MinFailing data nodes is
+// never taken out.
 func TestGuardProperty(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		zoneCount := rapid.IntRange(1, 4).Draw(rt, "zones")
@@ -275,13 +275,13 @@
 			}
 			total := zoneCount * perZone
 			if zoneCount == 1 && out > 0 {
-				rt.Fatalf("the only zone went out")
+				rt.Fatalf("the only zone was taken out")
 			}
 			if float64(total-out)/float64(total) < Defaults.Keep {
 				rt.Fatalf("%d of %d data nodes are in zones that are out or recovering", out, total)
 			}
 			if perZone < Defaults.MinFailing && out > 0 {
-				rt.Fatalf("a zone of %d data nodes went out", perZone)
+				rt.Fatalf("a zone of %d data nodes was taken out", perZone)
 			}
 		}
 	})
