--- a/aggregator/action.go
+++ b/aggregator/action.go
@@ -4,21 +4,21 @@
 	"time"
 )
 
-// ActionKind names what is to be done.
+// ActionKind is the kind of an action.
 type ActionKind uint8
 
-// The actions of Step, with the fields that each sets.
+// Action kinds and the fields that each sets.
 const (
-	Send          ActionKind = iota + 1 // Part, Replica, After: the attempt's time-out, BeginWithin
+	Send          ActionKind = iota + 1 // Part, Replica, After: the attempt's timeout, BeginWithin
 	Cancel                              // Part, Attempt
 	Answer                              // Query, Complete, Final
 	Reject                              // Query, Reason, After: when the client may retry
 	Fail                                // Query, Reason
 	Probe                               // Replica
-	Wake                                // After: when the next round is due
+	Wake                                // After: time until the next round
 	PollEndpoints                       // none
-	CloseIdle                           // Replica, whose idle connections are closed
-	SendGossip                          // Data: a message for all other aggregators, 256 bytes at most
+	CloseIdle                           // Replica: the one whose idle connections are closed
+	SendGossip                          // Data: a message for all other aggregators, at most 256 bytes
 )
 
 var actionNames = [...]string{
@@ -36,17 +36,17 @@
 
 func (a ActionKind) String() string { return valueName("ActionKind", actionNames[:], int(a)) }
 
-// Reason is why a query was rejected or failed.
+// Reason says why a query was rejected or failed.
 type Reason uint8
 
-// The reasons.
+// Reasons of Reject and Fail.
 const (
-	NoReplica         Reason = iota + 1 // a part that it needs has no replica that may be used
-	OverCapacity                        // too much is open
-	ForecastTooLate                     // it is not expected within its latency objective
-	DeadlineExceeded                    // its time is over, or what is left is of no use
-	AttemptsExhausted                   // a part that it needs may not be sent again
-	QueryOfDeath                        // replicas crashed under it
+	NoReplica         Reason = iota + 1 // a required part has no usable replica
+	OverCapacity                        // too many queries and parts are open
+	ForecastTooLate                     // the answer is expected after its latency objective
+	DeadlineExceeded                    // its time is over, or too little is left for a useful answer
+	AttemptsExhausted                   // a required part may not be sent again
+	QueryOfDeath                        // replicas crashed while running it
 )
 
 var reasonNames = [...]string{
@@ -60,7 +60,7 @@
 
 func (r Reason) String() string { return valueName("Reason", reasonNames[:], int(r)) }
 
-// Action is one thing to be done; Kind says which of the other fields are set.
+// Action is one output of Step; Kind says which other fields are set.
 type Action struct {
 	Kind        ActionKind
 	Query       string
@@ -68,9 +68,9 @@
 	Replica     string
 	Attempt     int    // index among the attempts of the part
 	Complete    bool   // the answer is complete
-	Final       bool   // no second step follows the answer
+	Final       bool   // no second phase follows the answer
 	Reason      Reason // of Reject and Fail
 	After       time.Duration
-	BeginWithin time.Duration // the part runs within it or not at all, as a repeat is no longer dropped afterwards
+	BeginWithin time.Duration // the part must begin within it or not run at all, as data nodes drop repeats only until then
 	Data        []byte
 }
--- a/aggregator/admission.go
+++ b/aggregator/admission.go
@@ -8,45 +8,46 @@
 )
 
 const (
-	// maxRecentPriorities is how many recent queries a new one is ranked among.
+	// maxRecentPriorities is the number of recent queries against which a new one is ranked.
 	maxRecentPriorities = 128
-	// samePriority is by which share two priorities may differ and count as equal.
+	// priorityTolerance is the relative difference up to which two priorities count as equal.
 	samePriority = 0.01
-	// admitShareLowest is the share of the time to the objective within which the query of lowest rank must be expected.
+	// admitShareLowest is the share of the time to the objective within which a query of the lowest rank must be expected.
 	admitShareLowest = 0.50
-	// admitShareHighest is the same for the query of highest rank.
+	// admitShareHighest is the same for a query of the highest rank.
 	admitShareHighest = 1.00
-	// secondStepForecast is how much longer a query with a second step takes than its first step.
+	// secondPhaseForecast is the duration of a query with a second phase, as a multiple of its first phase.
 	secondStepForecast = 1.5
-	// stragglerFactor is how many median excesses the last part comes later for each e-fold of parts. It is below 1, as the
-	// parts of one query are slow together.
+	// stragglerFactor is how much later the last part is expected for each e-fold of parts, in median excesses. It is below
+	// 1, as the parts of one query are slow together.
 	stragglerFactor = 0.75
-	// shedMultiple is how many base latencies a part must be expected to take for an answer to do without it.
+	// shedMultiple is the smallest forecast, in base latencies, with which a part is left out of an answer.
 	shedMultiple = 6.0
-	// uncontendedShare is the share of Limits.MaxOpen that any query may fill; the rest is for those of high rank.
+	// uncontendedShare is the share of Limits.MaxOpen that queries of any rank may fill; the rest is for those of high
+	// rank.
 	uncontendedShare = 0.8
-	// minWork is the least work, in seconds, that a priority is divided by.
+	// minWork is the smallest work, in seconds, by which a priority is divided.
 	minWork = 1e-3
-	// fetchPartWork is the work of a part of the second step, as a share of one of the first.
+	// fetchPartWork is the work of a part of the second phase, as a share of one of the first.
 	fetchPartWork = 0.5
-	// quotaWindow is over which time the queries of a tenant are counted.
+	// quotaWindow is the time window in which the queries of a tenant are counted.
 	quotaWindow = 2 * time.Second
-	// quotaBurst is how many queries within quotaWindow a tenant may send beyond its rate.
+	// quotaBurst is the number of queries per quotaWindow by which a tenant may exceed its rate.
 	quotaBurst = 3
-	// maxTenantRetries is how many retries within quotaWindow are never held against a tenant.
+	// maxTenantRetries is the number of retries per quotaWindow that are never held against a tenant.
 	maxTenantRetries = 2
 )
 
-// admissionState is what admission compares a new query with.
+// admissionState holds the recent queries with which admission compares a new one.
 type admissionState struct {
 	tenantQueries []slidingWindow // by tenant
-	tenantRetries []slidingWindow // by tenant; those of the queries that a client had sent before
+	tenantRetries []slidingWindow // by tenant; queries that a client had sent before
 	priorities    recentPriorities
 }
 
-// admit decides whether a new query is served, and sets the reason of its rejection otherwise. It sheds load early: a query
-// is admitted if it is expected within a share of its latency objective that grows with its rank, so the queries of least
-// priority for their work are rejected first, and more of them the longer the wait has grown.
+// admit decides whether a new query is served, and otherwise sets the reason of its rejection. It sheds load early: a query
+// is admitted if its answer is expected within a share of its latency objective that grows with its rank, so the queries of
+// lowest priority for their work are rejected first, and more of them the longer the wait is.
 func (a *Aggregator) admit(q *query) bool {
 	q.admitted = true
 	rank := a.priorityRank(q)
@@ -67,13 +68,13 @@
 	return false
 }
 
-// overCapacity tells whether too much is open for a query of the given rank.
+// overCapacity reports whether too many queries and parts are open to admit a query of the given rank.
 func (a *Aggregator) overCapacity(rank float64) bool {
 	limit := float64(a.settings.Limits.MaxOpen)
 	return limit > 0 && float64(a.openCount()) > limit*(uncontendedShare+(1-uncontendedShare)*rank)
 }
 
-// forecastParts forecasts each part of a query and returns the parts, those expected soonest first.
+// forecastParts sets the forecast of each part of a query and returns the parts in order of their forecasts, soonest first.
 func (a *Aggregator) forecastParts(q *query) []*part {
 	for _, p := range q.parts {
 		p.forecast = a.forecast(p)
@@ -83,8 +84,8 @@
 	return byForecast
 }
 
-// forecastQuery is how long a query may take, in seconds, until the weight that it needs is in; infinite where a part that
-// it needs has no replica.
+// forecastQuery returns how long a query is expected to take, in seconds, until the weight that it needs is answered; it is
+// infinite if a required part has no replica.
 func (a *Aggregator) forecastQuery(q *query, byForecast []*part) float64 {
 	wait, sum := 0.0, 0.0
 	for _, p := range byForecast {
@@ -102,7 +103,8 @@
 	return wait
 }
 
-// forecast is how long a part may take at its best holder, in seconds; an ejected one counts only where there is no other.
+// forecast returns the expected latency of a part at its best holder, in seconds. Ejected holders count only if there is no
+// other.
 func (a *Aggregator) forecast(p *part) float64 {
 	best, bestEjected := math.Inf(1), math.Inf(1)
 	for _, r := range a.holders(p.shard) {
@@ -120,17 +122,17 @@
 	return best
 }
 
-// stragglerWait is by how many seconds the last part that a query needs may come after a typical one. The largest of n
-// exponential waits is ln n means on average, and the forecast of a part holds one of them. It uses the median replica: a
-// few slow ones are no load that rejections would ease.
+// stragglerWait returns how many seconds later than a typical part the last part that a query needs may be answered. The
+// largest of n exponential waits averages ln n mean waits, and the forecast of a part already includes one of them. It uses
+// the median replica: rejections would not relieve a few slow ones.
 func (a *Aggregator) stragglerWait(q *query) float64 {
 	missableShare := max(1-a.requiredShare(q), 1/float64(max(len(q.parts), 1)))
 	return stragglerFactor * a.latency.medianExcess * math.Max(-math.Log(missableShare)-1, 0)
 }
 
-// shedParts leaves out the parts that the answer can do without and that are expected late, the slowest first: they would
-// take what queries need that must have all their parts. Half of the weight that may be missing is kept for parts that
-// fail. The fewer aggregators share the load, the better each knows it, and a part expected well within the objective is
+// shedParts abandons the parts that the answer can do without and that are expected late, the slowest first: they would
+// take capacity from queries that need all their parts. Half of the weight that may be missing is kept for parts that fail.
+// The fewer aggregators share the load, the better each of them knows it, so a part expected well within the objective is
 // then sent.
 func (a *Aggregator) shedParts(q *query, byForecast []*part) {
 	c, rest := &a.settings.Classes[q.class], 1.0
@@ -146,7 +148,7 @@
 	}
 }
 
-// priorityRank places a query among the recent ones by priority for its work, from 0 (lowest) to 1 (highest).
+// priorityRank returns the rank of a query among the recent ones by priority for its work, from 0 (lowest) to 1 (highest).
 func (a *Aggregator) priorityRank(q *query) float64 {
 	q.priority = a.settings.Classes[q.class].Priority
 	if !a.settings.PriorityPerWork {
@@ -162,7 +164,7 @@
 	return (position.lower + position.equal*a.rng.Float64()) / position.total
 }
 
-// queryWork is the work that a query is expected to bring over all its steps, in seconds.
+// queryWork returns the expected work of a query over all its phases, in seconds.
 func (a *Aggregator) queryWork(q *query) float64 {
 	work := float64(len(q.parts)) * a.baseLatency(q)
 	if fetch := a.settings.Classes[q.class].FetchParts; fetch > 0 {
@@ -171,8 +173,8 @@
 	return work
 }
 
-// countAgainstQuota counts a query of a tenant and tells whether it goes beyond the tenant's rate, or is a retry of one most of
-// whose queries are retries.
+// countAgainstQuota counts a query of a tenant and reports whether it exceeds the tenant's rate, or is a retry of a tenant
+// most of whose queries are retries.
 func (a *Aggregator) countAgainstQuota(q *query) bool {
 	if q.tenant < 0 || q.tenant >= len(a.admission.tenantQueries) {
 		return false
@@ -188,13 +190,13 @@
 	return queryCount > quotaWindow.Seconds()*rate+quotaBurst || mostlyRetries
 }
 
-// recentPriorities holds the priorities of the queries seen lately.
+// recentPriorities holds the priorities of the most recent queries.
 type recentPriorities struct {
 	values []float64
-	seen   int // queries so far
+	seen   int // number of queries so far
 }
 
-// priorityPosition is how many recent priorities lie below a new one and how many equal it, of how many.
+// priorityPosition holds the number of recent priorities below a new one, equal to it, and in total.
 type priorityPosition struct{ lower, equal, total float64 }
 
 // add adds a priority and returns its position among those before it.
--- a/aggregator/admission_test.go
+++ b/aggregator/admission_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// TestQueryWithoutUsableReplicaIsRejectedAtOnce checks that a query is rejected in its first round where a replica that it
+// TestQueryWithoutUsableReplicaIsRejectedAtOnce checks that a query is rejected in its first round if a replica that it
 // needs may not be used.
 func TestQueryWithoutUsableReplicaIsRejectedAtOnce(t *testing.T) {
 	set, all := fleetSettings(3, 1, 1000)
@@ -27,7 +27,7 @@
 func TestRetriesOfATenantThatMostlyRetriesRankLower(t *testing.T) {
 	for _, c := range []struct {
 		repeats int
-		first   bool // the other tenant is served first
+		first   bool // the other tenant's query has the higher priority
 	}{{1, false}, {6, true}} {
 		set := testSettings()
 		set.Tenants, set.OverQuotaFactor = []Tenant{{Name: "x", Rate: 100}, {Name: "y", Rate: 100}}, 0.05
@@ -50,8 +50,8 @@
 	}
 }
 
-// TestQueryOfManyPartsIsRejectedUnderLoad checks that, where the whole fleet has a queue, a query of many parts is rejected
-// that is not expected to have all of them in time, while one of a single part is admitted. Where only a few replicas are
+// TestQueryOfManyPartsIsRejectedUnderLoad checks that, if the whole fleet has queues, a query of many parts is rejected
+// because not all of them are expected in time, while a query of a single part is admitted. If only a few replicas are
 // slow, both are admitted.
 func TestQueryOfManyPartsIsRejectedUnderLoad(t *testing.T) {
 	for _, busy := range []bool{true, false} {
@@ -73,7 +73,7 @@
 		}
 		rejected := len(actionsOf(h.step(queryEvents("many", time.Second, many...)...), Reject)) == 1
 		if rejected != busy {
-			t.Errorf("busy %v: the query of many parts rejected %v", busy, rejected)
+			t.Errorf("busy %v: rejection of the query of many parts: %v", busy, rejected)
 		}
 		if len(actionsOf(h.step(queryEvents("one", time.Second, 1)...), Reject)) > 0 {
 			t.Errorf("busy %v: the query of one part was rejected", busy)
@@ -81,9 +81,9 @@
 	}
 }
 
-// TestLatePartIsShed checks that, where all holders of a shard are slow, a query that may be answered in part does without
-// its part there and is answered as soon as the others are in. A query that needs all its parts sends it; so do both where
-// no replica is slow, and where three aggregators know the load and expect the part within the objective.
+// TestLatePartIsShed checks that, if all holders of a shard are slow, a query that permits partial answers leaves out its
+// part there and is answered as soon as the others are in. The part is sent if the query needs all its parts, if no replica
+// is slow, or if only three aggregators share the load and so expect the part within the objective.
 func TestLatePartIsShed(t *testing.T) {
 	for _, c := range []struct {
 		minShare float64
@@ -96,7 +96,7 @@
 		set.Limits.Probes = false
 		set.Classes[0].MinShare, set.Classes[0].PartialShare = c.minShare, 0.9
 		h := newHarness(t, set, all...)
-		for i := range 20 { // one shard each, the last of which is slow
+		for i := range 20 { // one shard each; the last one is slow
 			h.step(queryEvents(fmt.Sprint(i), 3*time.Second, i%4)...)
 			if h.now += 20 * ms; i%4 == 3 && c.slow {
 				h.now += 400 * ms
@@ -116,7 +116,7 @@
 	}
 }
 
-// TestOverloadIsShedAndEnds checks that queries are rejected at once with a retry time under more load than can be served,
+// TestOverloadIsShedAndEnds checks that queries are rejected at once with a retry time while the load exceeds the capacity,
 // and that all are answered again when the load ends.
 func TestOverloadIsShedAndEnds(t *testing.T) {
 	load := 0
@@ -136,6 +136,6 @@
 	load = 0
 	f.run(5*time.Second, 20*ms)
 	if answers := actionsOf(f.run(2*time.Second, 20*ms), Answer); len(answers) < 90 {
-		t.Errorf("%d of 100 queries answered after the load has gone", len(answers))
+		t.Errorf("%d of 100 queries answered after the load ended", len(answers))
 	}
 }
--- a/aggregator/aggregator.go
+++ b/aggregator/aggregator.go
@@ -1,7 +1,7 @@
-// Package aggregator decides what a coordinator of sharded queries does with them: which replica gets each part, when to
-// retry, when to answer, and what to reject. It does no I/O, reads no clock, starts no goroutine and logs nothing: Step
-// takes in what happened and returns what is to be done, and the same events with the same seed give the same actions.
-// step.go lists the steps of a round; each rule stands in the file named for it, beside the state that it needs.
+// Package aggregator makes the decisions of a coordinator of sharded queries: which replica gets each part, when to retry
+// or hedge, when to answer, and what to reject. It does no I/O, reads no clock, starts no goroutine and logs nothing: Step
+// takes events and returns actions, and the same events with the same seed give the same actions. step.go lists the steps
+// of a round; each rule is in the file named after it, together with its state.
 package aggregator
 
 import (
@@ -12,17 +12,17 @@
 	"time"
 )
 
-// randomStream selects the sequence of the random generator; the seed selects where it begins.
+// randomStream is the second seed word of the random generator; the first is the seed given to New.
 const randomStream = 0x9e3779b97f4a7c15
 
-// Aggregator decides for one coordinator. It is not safe for concurrent use.
+// Aggregator holds the decision state of one coordinator. It is not safe for concurrent use.
 type Aggregator struct {
 	settings     Settings
 	rng          *rand.Rand
-	now          time.Duration // of the current round
-	round        int           // rounds so far
-	out          []Action      // of the current round
-	wakeAt       time.Duration // when the last wake asked for is due; below 0 for none
+	now          time.Duration // time of the current round
+	round        int           // number of rounds so far
+	out          []Action      // actions of the current round
+	wakeAt       time.Duration // due time of the last requested wake; negative for none
 	endpoints    endpointList
 	queries      queryTable
 	latency      fleetLatency
@@ -35,8 +35,8 @@
 	outbox       gossipOutbox
 }
 
-// New returns an aggregator for the settings; the seed determines its random choices. Settings that can't be served give a
-// *SettingsError that names the first of them.
+// New returns an aggregator for the settings; seed determines its random choices. Invalid settings give a *SettingsError
+// that names the first invalid one.
 func New(set Settings, seed uint64) (*Aggregator, error) {
 	if err := set.validate(); err != nil {
 		return nil, err
@@ -63,17 +63,17 @@
 	}, nil
 }
 
-// act appends an action to those of the round.
+// emit appends an action to those of the round.
 func (a *Aggregator) act(action Action) {
 	a.out = append(a.out, action)
 }
 
-// scale is a share or a multiple of a duration.
+// scale returns d multiplied by factor.
 func scale(factor float64, d time.Duration) time.Duration {
 	return time.Duration(factor * float64(d))
 }
 
-// quartile sorts the list and returns its first, second or third quartile; 0 for an empty list.
+// quartile sorts the list and returns its first, second or third quartile, or 0 for an empty list.
 func quartile(list []float64, quarters int) float64 {
 	if len(list) == 0 {
 		return 0
@@ -82,7 +82,7 @@
 	return list[len(list)*quarters/4]
 }
 
-// valueName is the name of a value of an enumeration, or the type with the number where the value has no name.
+// valueName returns the name of an enumeration value, or the type name with the number where the value has no name.
 func valueName(typeName string, names []string, value int) string {
 	if value >= len(names) || names[value] == "" {
 		return fmt.Sprintf("%s(%d)", typeName, value)
--- a/aggregator/answer.go
+++ b/aggregator/answer.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// weightTolerance is by how much the weights of all parts may fall short of 1, as the wire rounds them.
+// weightTolerance is the most by which the weights of all parts may fall short of 1, as the wire format rounds them.
 const weightTolerance = 5e-5
 
-// advance moves one query on and returns when it next needs attention.
+// advance advances one query and returns when it next needs attention.
 func (a *Aggregator) advance(q *query) time.Duration {
 	progress, times := q.progress(), a.timesOf(q)
 	complete := q.phase == 0 && progress.weight >= a.settings.Classes[q.class].CompleteShare-weightTolerance
@@ -38,8 +38,8 @@
 	return math.MaxInt64
 }
 
-// requiredShare is the least share of the weight that may be answered, less the tolerance. The second step of a class
-// without partial answers needs all its parts.
+// requiredShare returns the smallest share of the weight that may be answered, minus the tolerance. The second phase of a
+// class without partial answers needs all its parts.
 func (a *Aggregator) requiredShare(q *query) float64 {
 	c := &a.settings.Classes[q.class]
 	if q.phase > 0 && c.MinShare >= c.CompleteShare {
@@ -48,7 +48,8 @@
 	return min(c.CompleteShare, c.MinShare) - weightTolerance
 }
 
-// settle ends the step of a query with what is in: a complete answer, a partial one, or none for the given reason.
+// finishPhase ends the current phase of a query with the answers received so far: with a complete answer, a partial one, or
+// none for the given reason.
 func (a *Aggregator) settle(q *query, reason Reason) {
 	c := &a.settings.Classes[q.class]
 	progress := q.progress()
@@ -68,8 +69,8 @@
 	a.closeQuery(q)
 }
 
-// openSecondStep answers the first step of a query, which opens the second, or gives the query up where no time is left:
-// an answer would then open a step and never end the query.
+// openSecondPhase answers the first phase of a query, which opens the second. If no time is left it rejects or fails the
+// query instead: the answer would open a phase and never end the query.
 func (a *Aggregator) openSecondStep(q *query, complete bool) {
 	if q.deadline-a.now <= deadlineMarginTicks*a.settings.Tick {
 		a.giveUp(q, DeadlineExceeded)
@@ -87,8 +88,8 @@
 	a.act(Action{Kind: Answer, Query: q.id, Complete: complete})
 }
 
-// giveUp ends a query without an answer: rejected, which tells the client that it may send it again and when, or failed
-// where a part that must not run twice may have run.
+// rejectOrFail ends a query without an answer. It is rejected, which tells the client that and when it may retry, or failed
+// if a part that must not run twice may have run.
 func (a *Aggregator) giveUp(q *query, reason Reason) {
 	kind, retryAfter := Reject, time.Duration(0)
 	for _, p := range q.parts {
@@ -104,7 +105,7 @@
 	a.closeQuery(q)
 }
 
-// answerable tells whether the parts that are in or may still come suffice for an answer.
+// answerable reports whether the parts that are answered or may still be suffice for an answer.
 func (a *Aggregator) answerable(q *query) bool {
 	sum := 0.0
 	for _, p := range q.parts {
@@ -115,7 +116,7 @@
 	return sum >= a.requiredShare(q)
 }
 
-// prefersPartial tells whether a partial answer from the given weight earns more now than a complete one after the
+// prefersPartial reports whether a partial answer with the given weight earns more now than a complete one after the
 // latency objective.
 func (a *Aggregator) prefersPartial(q *query, weight float64) bool {
 	c := &a.settings.Classes[q.class]
--- a/aggregator/answer_test.go
+++ b/aggregator/answer_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// TestEveryQueryGetsOneFinalAnswerInTime checks that a query gets one final answer in time even where no attempt ever ends
-// and a late answer earns as much as one in time.
+// TestEveryQueryGetsOneFinalAnswerInTime checks that a query gets exactly one final answer in time, even if no attempt ever
+// ends and a late answer earns as much as one in time.
 func TestEveryQueryGetsOneFinalAnswerInTime(t *testing.T) {
 	set := testSettings()
 	set.Classes[0].LateShare = 1
@@ -48,8 +48,8 @@
 	}
 }
 
-// TestQueryIsFailedWhileAnUnsafePartIsOpen checks that a query whose unsafe part is still open is failed and not rejected
-// when its time is over.
+// TestQueryIsFailedWhileAnUnsafePartIsOpen checks that a query with an open unsafe part is failed and not rejected at its
+// deadline.
 func TestQueryIsFailedWhileAnUnsafePartIsOpen(t *testing.T) {
 	set := testSettings()
 	set.Classes[0].Effect = Unsafe
@@ -61,8 +61,8 @@
 	}
 }
 
-// TestAnswerStatesWhetherItIsComplete checks that no answer is given from less than the smallest share, and that only a
-// complete one is marked so.
+// TestAnswerStatesWhetherItIsComplete checks that no answer is given below the smallest share, and that only complete
+// answers are marked so.
 func TestAnswerStatesWhetherItIsComplete(t *testing.T) {
 	for _, c := range []struct {
 		name     string
@@ -71,9 +71,9 @@
 		kind     ActionKind
 		complete bool
 	}{
-		{"all in", 0.5, 4, Answer, true},
+		{"all answered", 0.5, 4, Answer, true},
 		{"above the smallest share", 0.5, 3, Answer, false},
-		{"under the smallest share", 0.5, 1, Reject, false},
+		{"below the smallest share", 0.5, 1, Reject, false},
 		{"no partial answers", 1, 3, Reject, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -95,7 +95,8 @@
 	}
 }
 
-// TestFirstAnswerOpensTheSecondStep checks that the first answer opens the second step and the second one ends the query.
+// TestFirstAnswerOpensTheSecondPhase checks that the first answer opens the second phase and that the second answer ends
+// the query.
 func TestFirstAnswerOpensTheSecondStep(t *testing.T) {
 	set := testSettings()
 	set.Classes[0].FetchParts = 1
@@ -105,12 +106,12 @@
 	h.step(Event{Kind: PartArrived, Query: "q", Part: "s", Shard: 0, Weight: 1})
 	second := actionsOf(h.step(attemptEnded("s", 0, OK)), Answer)
 	if len(first) != 1 || first[0].Final || len(second) != 1 || !second[0].Final || !second[0].Complete {
-		t.Errorf("answers %+v and %+v, want one that opens the second step and one final and complete", first, second)
+		t.Errorf("answers %+v and %+v, want one that opens the second phase and one that is final and complete", first, second)
 	}
 }
 
-// TestSecondStepWithoutAPartIsNotComplete checks that the answer of a second step that lacks a part is not marked complete,
-// though no more of its parts may come.
+// TestSecondPhaseWithoutAPartIsNotComplete checks that the answer of a second phase without one of its parts is not marked
+// complete, though that part can't be answered any more.
 func TestSecondStepWithoutAPartIsNotComplete(t *testing.T) {
 	set := testSettings()
 	set.Classes[0].MinShare, set.Classes[0].PartialShare, set.Classes[0].FetchParts = 0.5, 0.9, 2
@@ -125,12 +126,12 @@
 	all = append(all, h.after(2*time.Second)...)
 	answers := actionsOf(all, Answer)
 	if len(answers) != 1 || answers[0].Complete {
-		t.Errorf("got %+v, want one answer in part", answers)
+		t.Errorf("got %+v, want one partial answer", answers)
 	}
 }
 
-// TestPartialAnswerDespiteAShardWithoutReplicas checks that a query that may be answered in part is neither rejected for a
-// shard without replicas nor ended for a part that may not be retried, and that its second step gets its time.
+// TestPartialAnswerDespiteAShardWithoutReplicas checks that a query that permits partial answers is neither rejected for a
+// shard without replicas nor ended for a part that may not be retried, and that time is left for its second phase.
 func TestPartialAnswerDespiteAShardWithoutReplicas(t *testing.T) {
 	set := testSettings()
 	set.Shards, set.ShardSets, set.Reach = 4, 4, 1
@@ -149,21 +150,21 @@
 		answers = actionsOf(h.after(set.Tick), Answer)
 	}
 	if len(answers) != 1 || answers[0].Complete || answers[0].Final || h.now-start > 800*ms {
-		t.Errorf("after %v: %+v, want a first answer in part with time for the second step", h.now-start, answers)
+		t.Errorf("after %v: %+v, want a partial first answer with time left for the second phase", h.now-start, answers)
 	}
 	h.step(queryEvents("lost", 3*time.Second, 0, 1, 2, 0)...)
 	h.step(attemptEnded("lost/0", 0, Errored))
 	if len(actionsOf(h.last, Reject)) > 0 {
-		t.Error("ended for one part though the rest can make an answer")
+		t.Error("the query ended for one part though the others suffice for an answer")
 	}
 	h.step(attemptEnded("lost/1", 0, Errored))
 	if len(actionsOf(h.last, Reject)) != 1 {
-		t.Error("not ended though the rest can't make an answer")
+		t.Error("the query did not end though the other parts don't suffice for an answer")
 	}
 }
 
-// TestAnswerOpensNoStepAtTheEnd checks that a class with a second step is not answered where no time is left for it: such
-// an answer would end nothing, and the query would be lost.
+// TestNoSecondPhaseWithoutTimeLeft checks that the first phase of a query is not answered if no time is left for the
+// second: such an answer would not end the query, which would be lost.
 func TestAnswerOpensNoStepAtTheEnd(t *testing.T) {
 	set := testSettings()
 	set.Classes[0].FetchParts, set.Classes[0].MinShare, set.Classes[0].PartialShare = 2, 0.5, 0.9
@@ -177,8 +178,8 @@
 	}
 }
 
-// TestRoundedWeightsMakeACompleteAnswer checks that the answer from all of twelve parts is complete though a wire with six
-// decimals makes them weigh 0.999996 together, and that one from eleven is not.
+// TestRoundedWeightsMakeACompleteAnswer checks that the answer from all of twelve parts is complete though a wire format
+// with six decimals makes their weights sum to 0.999996, and that one from eleven parts is not.
 func TestRoundedWeightsMakeACompleteAnswer(t *testing.T) {
 	set := testSettings()
 	set.Shards = 12
--- a/aggregator/attempt.go
+++ b/aggregator/attempt.go
@@ -7,12 +7,12 @@
 
 // call is one request to a replica, which may carry attempts of several parts.
 type call struct {
-	round          int // the round that sends it
+	round          int // round that sent it
 	size           int // attempts that it carries
 	openAttempts   int
-	work           float64  // base latencies of its parts, in seconds
+	work           float64  // sum of the base latencies of its parts, in seconds
 	first          *attempt // the attempt that opened it
-	silenceCounted bool     // that it got no answer was counted as a failure
+	silenceCounted bool     // its missing answer was counted as a failure
 }
 
 // attempt is one send of a part to a replica.
@@ -22,24 +22,24 @@
 	call         *call
 	index        int // among the attempts of its part
 	sentAt       time.Duration
-	callPosition int           // open calls to the replica as it was sent, its own included
+	callPosition int           // open calls to the replica when it was sent, its own included
 	open         bool          // no outcome yet
 	newConn      bool          // sent on a new connection
-	connIdle     time.Duration // for how long the connections to the replica had not been used
-	cancelled    bool          // an answer to it is of no use
+	connIdle     time.Duration // how long the connections to the replica had been unused
+	cancelled    bool          // a Cancel was issued, so its answer is of no use
 }
 
-// replicaCalls are this aggregator's calls to one replica.
+// replicaCalls holds this aggregator's calls to one replica.
 type replicaCalls struct {
-	// inFlight are the attempts that the replica may be working on, in order of sending. Attempts that were given up stay
+	// inFlight holds the attempts that the replica may be working on, in order of sending. Abandoned attempts stay in it
 	// for a while.
 	inFlight []*attempt
 	open     int   // calls with at least one attempt in flight
-	current  *call // the last call, which further parts of its round may join
+	current  *call // last call, which further parts of its round may join
 }
 
-// joinsCall tells whether a part would share the call that this round already sends to r. A call may grow up to a share of
-// the time to the latency objective.
+// joinsCall reports whether a part would share the call that this round already sends to r. A call may grow up to
+// maxSharedCallShare of the time to the latency objective.
 func (a *Aggregator) joinsCall(p *part, r *replica) bool {
 	if r == nil || r.calls.current == nil {
 		return false
@@ -49,7 +49,7 @@
 		c.work < maxSharedCallShare*(p.query.objective-a.now).Seconds()
 }
 
-// needsNewCall tells whether a part sent to r can't be carried by the last call.
+// needsNewCall reports whether the last call can't carry a part sent to r.
 func (a *Aggregator) needsNewCall(p *part, r *replica) bool {
 	if a.joinsCall(p, r) {
 		return false
@@ -58,7 +58,7 @@
 	return c == nil || c.round != a.round || c.size >= a.settings.Limits.MaxBatch || a.settings.CallCost == 0
 }
 
-// recordAttempt records an attempt at r that is sent now. closedIdle says that the idle connections to r were closed.
+// recordAttempt records an attempt at r that is sent now. closedIdle says whether the idle connections to r were closed.
 func (a *Aggregator) recordAttempt(p *part, r *replica, closedIdle bool) *attempt {
 	if a.needsNewCall(p, r) {
 		r.calls.current = &call{round: a.round}
@@ -85,7 +85,7 @@
 	return t
 }
 
-// release counts an attempt as no longer in flight.
+// release removes an attempt from those in flight.
 func (a *Aggregator) release(t *attempt) {
 	calls := &t.replica.calls
 	i := slices.Index(calls.inFlight, t)
@@ -98,8 +98,8 @@
 	}
 }
 
-// releaseAnswered releases an attempt that was answered, and the given-up attempts that were sent no later: the replica has
-// gone past them.
+// releaseAnswered releases an answered attempt, and the abandoned attempts that were sent no later, which the replica has
+// processed by then.
 func (a *Aggregator) releaseAnswered(t *attempt) {
 	for _, o := range slices.Clone(t.replica.calls.inFlight) {
 		if o == t || !o.open && o.sentAt <= t.sentAt {
--- a/aggregator/bench_test.go
+++ b/aggregator/bench_test.go
@@ -8,7 +8,7 @@
 
 var sizes = []int{16, 60, 1000}
 
-// loadedAggregator returns an aggregator of a fleet of n replicas, three for each shard, each of which has answered once.
+// loadedAggregator returns an aggregator for a fleet of n replicas, three for each shard, after n answered queries.
 func loadedAggregator(b *testing.B, n int) (*Aggregator, time.Duration) {
 	b.Helper()
 	set := testSettings()
@@ -32,7 +32,7 @@
 	return a, now
 }
 
-// BenchmarkStep plays a query of twelve parts from its arrival to its answer, in two rounds.
+// BenchmarkStep runs a query of twelve parts from its arrival to its answer, in two rounds.
 func BenchmarkStep(b *testing.B) {
 	for _, n := range sizes {
 		b.Run(fmt.Sprint(n, " replicas"), func(b *testing.B) {
@@ -59,7 +59,7 @@
 	}
 }
 
-// BenchmarkList plays the change of one entry of the endpoint list.
+// BenchmarkList applies a change of one entry of the endpoint list.
 func BenchmarkList(b *testing.B) {
 	for _, n := range sizes {
 		b.Run(fmt.Sprint(n, " replicas"), func(b *testing.B) {
@@ -74,7 +74,7 @@
 	}
 }
 
-// BenchmarkWideStep plays an idle round with 120 replicas and hundreds of open parts.
+// BenchmarkWideStep runs an idle round with 120 replicas and hundreds of open parts.
 func BenchmarkWideStep(b *testing.B) {
 	set, all := fleetSettings(120, 3, 40)
 	a, err := New(set, 1)
@@ -93,7 +93,7 @@
 	}
 }
 
-// BenchmarkPart plays a part from its arrival to its answer.
+// BenchmarkPart runs a part from its arrival to its answer.
 func BenchmarkPart(b *testing.B) {
 	a, err := New(testSettings(), 1)
 	if err != nil {
--- a/aggregator/canary.go
+++ b/aggregator/canary.go
@@ -6,36 +6,36 @@
 )
 
 const (
-	// queryOfDeathResets is how many resets without any answer make a query a query of death.
+	// queryOfDeathResets is the number of resets without any answer that makes a query a query of death.
 	queryOfDeathResets = 2
-	// canaryFleetShare is the share of the replicas that a query may be sent to before its first answer.
+	// canaryFleetShare is the share of the replicas to which a query may be sent before its first answer.
 	canaryFleetShare = 0.12
-	// canaryWaitShare is for which share of the latency objective the other parts wait for that answer.
+	// canaryWaitShare is how long the other parts wait for that answer, as a share of the latency objective.
 	canaryWaitShare = 0.12
 )
 
-// queryOfDeathGuard notes the signs that queries crash the replicas that run them.
+// queryOfDeathGuard records the signs that queries crash the replicas that run them.
 type queryOfDeathGuard struct {
-	lastCrash time.Duration // a replica last died without draining; 0 for never
-	lastFound time.Duration // a query was last given up as a query of death; 0 for never
+	lastCrash time.Duration // when a replica last died without draining; 0 for never
+	lastFound time.Duration // when a query was last ended as a query of death; 0 for never
 }
 
-// queryCanary is what the first parts of a query have shown.
+// queryCanary holds the results of the first parts of a query.
 type queryCanary struct {
 	firstSend time.Duration // of any part; 0 for none
-	resets    int           // attempts that ended with the connection reset
+	resets    int           // attempts that ended with a connection reset
 	idleReset bool          // an attempt on an idle connection was reset
 	answered  bool          // a part was answered
 }
 
-// canaryLimit returns how many calls a query may open now, and until when that holds.
+// canaryLimit returns how many calls a query may open now, and until when the limit holds.
 //
-// It guards against a query of death (Beyer et al., "Site Reliability Engineering", chapter 22): a query that crashes each
+// It contains a query of death (Beyer et al., "Site Reliability Engineering", chapter 22): a query that crashes every
 // replica that runs it takes down one replica after another as its parts are retried. The engineer on call sees replicas of
 // several shards restart within a second, and clients that send the same query again. Until a part is answered, a query
-// therefore reaches a small share of the fleet only, and one replica at a time after a reset or while a query of death was
-// seen lately; after queryOfDeathResets it is given up. The limit costs the latency of one part, so it applies only
-// once a replica has crashed or the query has had a reset.
+// therefore reaches only a small share of the fleet, and one replica at a time after a reset or while a query of death was
+// found recently; after queryOfDeathResets resets it is rejected or failed. The limit costs the latency of one part, so it
+// applies only once a replica has crashed or the query has had a reset.
 func (a *Aggregator) canaryLimit(q *query) (calls int, until time.Duration) {
 	canary := &q.canary
 	until = canary.firstSend + scale(canaryWaitShare, a.settings.Classes[q.class].LatencyObjective)
@@ -51,7 +51,7 @@
 	return calls - q.openCalls(), until
 }
 
-// openCalls counts the calls of a query that are open, each by its first attempt.
+// openCalls returns the number of open calls of a query, each counted by its first attempt.
 func (q *query) openCalls() (n int) {
 	for _, p := range q.parts {
 		for _, t := range p.attempts {
--- a/aggregator/canary_test.go
+++ b/aggregator/canary_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// TestQueryOfDeathReachesFewReplicas tells of a query that crashes each replica that runs it: once replicas have died, it
-// reaches few more before it is given up, also when the client sends it again. A query that had an answer goes on after a
+// TestQueryOfDeathReachesFewReplicas checks that a query that crashes every replica that runs it reaches only a few more
+// replicas once some have crashed, also when the client sends it again. A query that has had an answer continues after a
 // reset.
 func TestQueryOfDeathReachesFewReplicas(t *testing.T) {
 	set, all := fleetSettings(30, 3, 40)
@@ -40,13 +40,13 @@
 			t.Errorf("round %d: %d rejections within a tenth of a second, want 1", try, rejected)
 		}
 		if h.now += 2 * time.Second; try == 0 {
-			clear(broken) // the first one comes without any sign
+			clear(broken) // the crashes of the first query don't count: nothing announces them
 		}
 	}
 	if len(broken) > 4 {
-		t.Errorf("the repeated query broke %d replicas", len(broken))
+		t.Errorf("the repeated query crashed %d replicas", len(broken))
 	}
-	// A sound query: one part answered, one reset, which is sent again.
+	// A harmless query: one part is answered, and one is reset and sent again.
 	h = newHarness(t, set, all...)
 	h.step(queryEvents("s", 3*time.Second, 0, 15)...)
 	h.step(attemptEnded("s/0", 0, OK))
--- a/aggregator/deadline.go
+++ b/aggregator/deadline.go
@@ -5,23 +5,23 @@
 )
 
 const (
-	// reserveShare is the share of the class's deadline that is kept back for a pause of this node.
+	// reserveShare is the share of the class's deadline that is kept in reserve for a pause of this node.
 	reserveShare = 0.2
-	// minLateShare is the share of the priority that a late answer must earn for a query to go on after its objective.
+	// minLateShare is the smallest Class.LateShare with which a query goes on after its objective.
 	minLateShare = 0.25
-	// secondStepMultiple is how many tail latencies of a part the second step is given: its slowest part decides.
+	// secondPhaseMultiple is the time given to the second phase, in tail latencies of a part, as its slowest part decides.
 	secondStepMultiple = 2.5
-	// objectiveMarginTicks is by how many ticks before the latency objective an answer leaves.
+	// objectiveMarginTicks is how many ticks before the latency objective an answer is sent.
 	objectiveMarginTicks = 3
-	// deadlineMarginTicks is by how many ticks before the deadline a query ends.
+	// deadlineMarginTicks is how many ticks before the deadline a query ends.
 	deadlineMarginTicks = 2
 )
 
-// queryTimes are the times of one query that its next step depends on.
+// queryTimes holds the times from which a query is handled differently.
 type queryTimes struct {
-	early time.Duration // from here a partial answer is given that leaves time for a second step
-	late  time.Duration // from here an answer comes after the latency objective
-	end   time.Duration // from here the query ends with what it has
+	early time.Duration // from then on a partial answer is given, as time must be left for a second phase
+	late  time.Duration // from then on an answer arrives after the latency objective
+	end   time.Duration // from then on the query ends with the answers it has
 }
 
 func (a *Aggregator) timesOf(q *query) queryTimes {
@@ -33,18 +33,19 @@
 	}
 }
 
-// reserve is how much of the time left to a query of the class is not used.
+// pauseReserve returns how much of the time left to a query of the class is not used.
 //
-// It guards against lost queries: a node that pauses past the end of a query answers too late, and the client has only its
-// own time-out. The first pause comes unannounced, so there is always a reserve; after a pause the next may be as long. It
-// costs the answers that would come in the last moment of a short deadline.
+// It prevents lost queries: a node that pauses past the end of a query answers too late, and the client sees only its own
+// timeout. The first pause comes without warning, so there is always a reserve; after a pause the next one may be as long.
+// The cost is the answers that would arrive in the last moment of a short deadline.
 func (a *Aggregator) reserve(class int, left time.Duration) time.Duration {
 	pause := a.pauses.longest + a.pauses.longest/8
 	return min(max(scale(reserveShare, a.settings.Classes[class].Deadline), pause), left/2)
 }
 
-// usefulUntil is until when an answer is worth its work: the deadline, or the latency objective where a late answer earns
-// little or the whole fleet is slow, as late answers then take what queries in time need and the overload feeds itself.
+// usefulUntil returns until when an answer is worth its work: the deadline, or the latency objective if a late answer earns
+// little or the whole fleet is slow, as late answers then take the capacity of queries that are in time and prolong the
+// overload.
 func (a *Aggregator) usefulUntil(q *query) time.Duration {
 	if c := &a.settings.Classes[q.class]; c.LateShare < minLateShare || a.latency.medianExcess > a.typicalLatency() {
 		return q.objective
@@ -52,8 +53,8 @@
 	return q.deadline
 }
 
-// secondStepTime is how long the second step of a query may take, 0 where none follows. A partial answer that leaves no
-// time for it earns nothing.
+// secondPhaseTime returns how long the second phase of a query may take, or 0 if none follows. A partial answer that leaves
+// no time for the second phase earns nothing.
 func (a *Aggregator) secondStepTime(q *query) time.Duration {
 	c := &a.settings.Classes[q.class]
 	if q.phase > 0 || c.FetchParts == 0 {
--- a/aggregator/deadline_test.go
+++ b/aggregator/deadline_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// TestQueryEndsEarlyEnoughForAPause checks that a query ends so early that a pause of the node of up to a fifth of the
-// deadline, or as long as one before, does not lose it.
+// TestQueryEndsEarlyEnoughForAPause checks that a query ends early enough to survive a pause of the node of up to a fifth
+// of the deadline, or as long as an earlier one.
 func TestQueryEndsEarlyEnoughForAPause(t *testing.T) {
 	for _, seen := range []time.Duration{0, 800 * ms} {
 		set := testSettings()
@@ -23,7 +23,7 @@
 			h.after(set.Tick)
 		}
 		if left := start + 2*time.Second - h.now; left < max(600*ms, seen) {
-			t.Errorf("seen %v: the query ended %v before its end", seen, left)
+			t.Errorf("earlier pause %v: the query ended %v before its deadline", seen, left)
 		}
 	}
 }
--- a/aggregator/dispatch.go
+++ b/aggregator/dispatch.go
@@ -6,16 +6,16 @@
 )
 
 const (
-	// noReplicaTicks is after how many ticks a part is tried again that no replica may take now.
+	// noReplicaRetryTicks is the number of ticks after which a part without a usable replica is tried again.
 	noReplicaTicks = 2
-	// cancelTicks is after how many ticks the outcome of a cancelled attempt is expected.
+	// cancelWaitTicks is the number of ticks after which the outcome of a cancelled attempt is expected.
 	cancelTicks = 2
-	// hedgeCheckTicks is after how many ticks it is asked again whether an overdue part is hedged.
+	// hedgeCheckTicks is the number of ticks after which hedging of an overdue part is reconsidered.
 	hedgeCheckTicks = 4
 )
 
-// dispatchParts sends what a query may send now, part by part, and returns when it next needs attention, at the latest at
-// next.
+// dispatchParts sends the parts of a query that may be sent now and returns when the query next needs attention, at next at
+// the latest.
 func (a *Aggregator) dispatchParts(q *query, next time.Duration) time.Duration {
 	canaries, until := a.canaryLimit(q)
 	hold := a.holdForProbes(q)
@@ -45,8 +45,8 @@
 	return next
 }
 
-// holdForProbes probes the holders of the parts that wait to be sent, where that is called for, and returns until when the
-// parts wait for the answers.
+// holdForProbes probes the holders of the parts that wait to be sent, where needed, and returns until when the parts wait
+// for the replies.
 func (a *Aggregator) holdForProbes(q *query) time.Duration {
 	hold := a.now
 	for _, p := range q.parts {
@@ -57,7 +57,7 @@
 	return hold
 }
 
-// dispatchPart sends a part that has no open attempt, from the time hold on, or hedges an overdue one. It returns when the
+// dispatchPart sends a part without an open attempt, no earlier than hold, or hedges an overdue one. It returns when the
 // part next needs attention, and whether its attempts are exhausted.
 func (a *Aggregator) dispatchPart(p *part, hold time.Duration) (next time.Duration, exhausted bool) {
 	if p.openAttempts() > 0 {
@@ -76,7 +76,7 @@
 	return a.now + noReplicaTicks*a.settings.Tick, false
 }
 
-// send sends a part to r. The attempt's time-out is how long an answer is of use; the replica may skip it afterwards.
+// send sends a part to r. The attempt's timeout is how long an answer is of use; afterwards the replica may skip the part.
 func (a *Aggregator) send(p *part, r *replica) {
 	closedIdle, beginWithin := a.closeIdleConns(p, r), a.beginWithin(p)
 	t := a.recordAttempt(p, r, closedIdle)
--- a/aggregator/endpoints.go
+++ b/aggregator/endpoints.go
@@ -7,18 +7,18 @@
 )
 
 const (
-	// removedLifetime is for how many longest latency objectives a replica that left the list is remembered.
+	// removedLifetime is how long a replica that left the list is remembered, in longest latency objectives.
 	removedLifetime = 40.0
-	// firstPollShare is the share of Rules.PollInterval over which the first poll is spread. It doubles with each failure.
+	// firstPollShare is the share of Rules.PollInterval over which the first poll is spread; it doubles with each failure.
 	firstPollShare = 0.06
-	// maxPollDoublings bounds the growth, so that the pause stays below a quarter of the interval.
+	// maxPollDoublings bounds the doubling, so that the delay stays below a quarter of the interval.
 	maxPollDoublings = 2
 )
 
-// replica is one data node of the endpoint list and what this aggregator knows of it.
+// replica is one data node of the endpoint list with this aggregator's state for it.
 type replica struct {
 	member    Member
-	tag       uint16        // its name in gossip
+	tag       uint16        // identifies it in gossip
 	excluded  bool          // the endpoint list says that it is draining or gone
 	removedAt time.Duration // when it left the endpoint list; 0 while it is listed
 	calls     replicaCalls
@@ -30,25 +30,25 @@
 	peerLoad  peerLoad
 }
 
-// endpointList holds the replicas that discovery lists, and for a while those that it has listed.
+// endpointList holds the replicas in the endpoint list, and for a while those that have left it.
 type endpointList struct {
 	byName    map[string]*replica
 	byTag     map[uint16]*replica
 	replicas  []*replica   // in order of their first listing
-	shardSets [][]*replica // by the set of shards that they hold
-	listed    bool         // a list has come in
+	shardSets [][]*replica // by the shard set that they hold
+	listed    bool         // a list has been received
 	poller    endpointPoller
 }
 
-// endpointPoller asks for the endpoint list where that is needed.
+// endpointPoller schedules polls of the endpoint list.
 type endpointPoller struct {
-	failed   bool          // the last poll failed, or none was made yet: the next is to be scheduled
-	nextPoll time.Duration // when the next poll is due; the largest value for never
-	failures int           // polls in a row that failed, maxPollDoublings at most
+	failed   bool          // the last poll failed or none was made yet; the next one must be scheduled
+	nextPoll time.Duration // when the next poll is due; math.MaxInt64 for never
+	failures int           // consecutive failed polls, at most maxPollDoublings
 }
 
-// pollEndpoints asks for the endpoint list at the start, and after each failure with a backoff. The pauses are random, so
-// that aggregators that start together don't poll together.
+// pollEndpoints polls the endpoint list at the start, and after each failure with a backoff. The delays are random, so that
+// aggregators that start together don't poll together.
 func (a *Aggregator) pollEndpoints() {
 	poller := &a.endpoints.poller
 	if poller.failed {
@@ -63,8 +63,8 @@
 	}
 }
 
-// updateEndpoints takes in a change of the endpoint list, or a complete list. That a replica drains or is gone holds at
-// once; that it serves is a hint only.
+// updateEndpoints applies a change of the endpoint list, or a complete list. Draining and gone take effect at once; serving
+// is only a hint.
 func (a *Aggregator) updateEndpoints(e *Event) {
 	if e.Kind != ListChanged {
 		for _, r := range a.endpoints.replicas {
@@ -80,7 +80,7 @@
 	a.endpoints.listed, a.endpoints.poller.failures = true, 0
 }
 
-// updateMember takes in one entry of the endpoint list.
+// updateMember applies one entry of the endpoint list.
 func (a *Aggregator) updateMember(m Member) {
 	r := a.endpoints.byName[m.Replica]
 	if r == nil {
@@ -100,8 +100,8 @@
 	}
 }
 
-// addReplica adds a replica that was not listed before. Without a time of start it has started about now, unless it is in
-// the first list.
+// addReplica adds a newly listed replica. Without a start time it is assumed to have just started, unless it is in the
+// first list.
 func (a *Aggregator) addReplica(m Member) *replica {
 	r := &replica{member: m, tag: replicaTag(m.Replica)}
 	list := &a.endpoints
@@ -116,7 +116,7 @@
 	return r
 }
 
-// moveShardSet moves a replica whose set of shards has changed.
+// moveShardSet moves a replica to another shard set.
 func (a *Aggregator) moveShardSet(r *replica, set int) {
 	if set == r.member.ShardSet {
 		return
@@ -130,15 +130,15 @@
 	*set = slices.DeleteFunc(*set, func(o *replica) bool { return o == r })
 }
 
-// markRemoved notes that a replica is no longer listed.
+// markRemoved records when a replica left the endpoint list.
 func (r *replica) markRemoved(now time.Duration) {
 	if r.removedAt == 0 {
 		r.removedAt = now
 	}
 }
 
-// forget removes a replica that left the list long ago and has nothing in flight, and tells whether it did. Replicas come
-// under new names for as long as the program runs; one that returns earlier is known by what it has shown.
+// evict removes a replica that left the list long ago and has nothing in flight, and reports whether it did. Replicas come
+// under new names for as long as the program runs; one that returns earlier keeps its state.
 func (a *Aggregator) forget(r *replica) bool {
 	if r.removedAt == 0 || a.now-r.removedAt < scale(removedLifetime, a.maxObjective()) || len(r.calls.inFlight) > 0 {
 		return false
--- a/aggregator/endpoints_test.go
+++ b/aggregator/endpoints_test.go
@@ -8,7 +8,7 @@
 )
 
 // TestNothingIsSentToADrainingReplica checks that nothing is sent to a replica once the endpoint list says that it is
-// draining or gone, or no longer has it.
+// draining or gone, or does not contain it.
 func TestNothingIsSentToADrainingReplica(t *testing.T) {
 	for name, e := range map[string]Event{
 		"draining": {Kind: ListChanged, Members: []Member{{Replica: "a", State: Draining}}},
@@ -20,7 +20,7 @@
 		for i := range 20 {
 			for _, s := range actionsOf(h.step(queryEvents(fmt.Sprint(i), 3*time.Second, 0)...), Send) {
 				if s.Replica == "a" {
-					t.Errorf("%s: a part went to it", name)
+					t.Errorf("%s: a part was sent to the replica", name)
 				}
 			}
 		}
@@ -28,8 +28,8 @@
 }
 
 // TestFailedPollIsRepeated checks that an idle aggregator polls the endpoint list soon after its start and after each
-// failure, with a wake for it, well within the time in which the operators' rules require it, and that aggregators don't
-// poll together.
+// failure, requests a wake for it, stays well within the interval that the operators' rules require, and that aggregators
+// don't poll together.
 func TestFailedPollIsRepeated(t *testing.T) {
 	var times [][]time.Duration
 	for seed := range uint64(20) {
@@ -53,11 +53,11 @@
 			}
 			wakes := actionsOf(acts, Wake)
 			if len(wakes) == 0 {
-				t.Fatalf("seed %d: no wake after %d calls", seed, len(polled))
+				t.Fatalf("seed %d: no wake after %d polls", seed, len(polled))
 			}
 			now += wakes[0].After
 			if last := append([]time.Duration{50 * time.Second}, polled...); now-last[len(last)-1] > 3*time.Second {
-				t.Fatalf("seed %d: %v without a call", seed, now-last[len(last)-1])
+				t.Fatalf("seed %d: %v without a poll", seed, now-last[len(last)-1])
 			}
 		}
 		times = append(times, polled)
@@ -68,13 +68,14 @@
 			at = append(at, polled[i])
 		}
 		if slices.Sort(at); at[len(at)-1]-at[0] < 300*ms {
-			t.Errorf("call %d of 20 nodes comes within %v", i, at[len(at)-1]-at[0])
+			t.Errorf("poll %d of 20 aggregators comes within %v", i, at[len(at)-1]-at[0])
 		}
 	}
 }
 
-// TestRemovedReplicasAreForgotten checks that memory does not grow with the replicas, which come under new names for as
-// long as a node runs, and the queries. A replica that was listed a short while ago, or has an attempt in flight, is kept.
+// TestRemovedReplicasAreEvicted checks that memory does not grow with the number of queries, nor with that of replicas,
+// which come under new names for as long as a node runs. A replica that was listed recently or has an attempt in flight is
+// kept.
 func TestRemovedReplicasAreForgotten(t *testing.T) {
 	h := newHarness(t, testSettings(), members("a", "b", "c")...)
 	for i := range 500 {
@@ -94,7 +95,7 @@
 	for _, set := range a.endpoints.shardSets {
 		held += len(set)
 	}
-	// Those of the last 40 s and the one listed, beside the three of the start.
+	// The replicas of the last 40 s and the listed one, beside the three of the first list.
 	if most := 4 + 5; len(a.endpoints.replicas) > most || len(a.endpoints.byName) > most || len(a.endpoints.byTag) > most || held > most {
 		t.Errorf("%d replicas, %d names, %d tags, %d in shard sets", len(a.endpoints.replicas), len(a.endpoints.byName), len(a.endpoints.byTag), held)
 	}
@@ -106,12 +107,12 @@
 	h.now += time.Second
 	h.step(Event{Kind: Wakeup})
 	if a.endpoints.byName[sent.Replica] == nil {
-		t.Error("a replica that owes an answer is forgotten")
+		t.Error("a replica with an attempt in flight was evicted")
 	}
 	h.step(Event{Kind: AttemptEnded, Part: sent.Part, Replica: sent.Replica, Outcome: OK})
 	h.now += time.Minute
 	h.step(Event{Kind: Wakeup})
 	if len(a.endpoints.replicas) > 0 {
-		t.Errorf("%d replicas are held of an empty list", len(a.endpoints.replicas))
+		t.Errorf("%d replicas are kept after an empty list", len(a.endpoints.replicas))
 	}
 }
--- a/aggregator/event.go
+++ b/aggregator/event.go
@@ -4,10 +4,10 @@
 	"time"
 )
 
-// State is what the endpoint list says of a replica.
+// State is the state of a replica in the endpoint list.
 type State uint8
 
-// The states of a listed replica.
+// States of a listed replica.
 const (
 	Serving  State = iota
 	Draining       // gets no further parts
@@ -25,30 +25,30 @@
 // Member is one entry of the endpoint list.
 type Member struct {
 	Replica  string // name
-	ShardSet int    // index of the set of shards that it holds
+	ShardSet int    // index of the shard set that it holds
 	Zone     string
 	State    State
-	Started  time.Duration // start of its process, on the clock of Step; 0 means long ago
-	Size     float64       // for comparing replicas
+	Started  time.Duration // start time of its process on the clock of Step; 0 means long ago
+	Size     float64       // relative size; not used by the rules
 }
 
-// Outcome is how an attempt or a probe ended. After any that is not said to have kept the part from running, the part may
-// have run; so it may after a value that is not named here.
+// Outcome is the result of an attempt or a probe. The part may have run after any outcome that does not say that it never
+// ran or never left this node, also after one that is not listed here.
 type Outcome uint8
 
-// The outcomes.
+// Outcomes of attempts and probes.
 const (
 	Unknown Outcome = iota
 	OK
 	Errored
 	TimedOut
 	Reset          // the connection was reset
-	Cancelled      // by a Cancel
+	Cancelled      // ended by a Cancel action
 	Rejected       // the replica is full; the part never ran
 	ConnectFailed  // the part never ran
 	NotSent        // the part never left this node
-	ConnectionLost // the connection was lost or is of no more use, but the replica lives; all attempts on it end so
-	ConnectTimeout // the connection did not come up in time, as a live replica's may not; the part never ran
+	ConnectionLost // the connection was lost or became unusable, but the replica is alive; all attempts on it end this way
+	ConnectTimeout // the connection was not established in time, which happens with live replicas too; the part never ran
 )
 
 var outcomeNames = [...]string{
@@ -67,10 +67,10 @@
 
 func (o Outcome) String() string { return valueName("Outcome", outcomeNames[:], int(o)) }
 
-// EventKind names what happened.
+// EventKind is the kind of an event.
 type EventKind uint8
 
-// The events of Step, with the fields that each uses.
+// Event kinds and the fields that each uses.
 const (
 	QueryArrived   EventKind = iota + 1 // Query, Class, Tenant, TimeLeft, Count, Key, Retry
 	PartArrived                         // Query, Part, Shard, Weight, Key, Work
@@ -80,7 +80,7 @@
 	ListChanged                         // Members: the changed entries
 	ListReplaced                        // Members: the complete list
 	ListCached                          // Members: the complete list as of an earlier time
-	ListCallFailed                      // none; a poll of the list failed
+	ListCallFailed                      // none; a poll of the endpoint list failed
 	ProbeEnded                          // Replica, Outcome, Elapsed, LoadReport
 	GossipReceived                      // Data
 )
@@ -101,8 +101,8 @@
 
 func (e EventKind) String() string { return valueName("EventKind", eventNames[:], int(e)) }
 
-// Event is one thing that happened; Kind says which of the fields are set. It is one struct with the fields of all kinds, as
-// an interface would allocate each event.
+// Event is one input of Step; Kind says which fields are set. A struct with the fields of all kinds avoids the allocation
+// per event that an interface would need.
 type Event struct {
 	Kind       EventKind
 	Query      string
@@ -111,16 +111,16 @@
 	Key        string // cache key
 	Class      int    // index into Settings.Classes
 	Tenant     int    // index into Settings.Tenants; below 0 for none
-	Count      int    // parts of the query's first step
+	Count      int    // parts of the query's first phase
 	Shard      int
 	Attempt    int // index among the attempts of the part
 	Outcome    Outcome
 	Retry      bool          // the client has sent the query before
-	Weight     float64       // share of the query's answer; those of all parts of a step sum to 1
-	Work       time.Duration // expected work; 0 where not known
+	Weight     float64       // share of the query's answer; those of all parts of a phase sum to 1
+	Work       time.Duration // expected work; 0 if unknown
 	TimeLeft   time.Duration // until the client's deadline
 	Elapsed    time.Duration // since the attempt or probe was sent
 	Members    []Member
-	LoadReport map[string]float64 // figures of a replica by name: inflight, queue
-	Data       []byte             // a message of another aggregator; it may be late, wrong or lost
+	LoadReport map[string]float64 // load of a replica by metric name: inflight, queue
+	Data       []byte             // message of another aggregator; it may be late, wrong or lost
 }
--- a/aggregator/gossip.go
+++ b/aggregator/gossip.go
@@ -7,18 +7,18 @@
 )
 
 const (
-	// maxGossipBytes is the most bytes that a gossip message holds.
+	// maxGossipBytes is the maximum size of a gossip message.
 	maxGossipBytes = 256
-	// gossipEntryBytes is the size of an entry: two bytes for the replica's tag, one for kind and duration.
+	// gossipEntryBytes is the size of an entry: two bytes for the replica's tag and one for kind and duration.
 	gossipEntryBytes = 3
-	// gossipLevels is how many steps of duration the longest latency objective has. The third byte of an entry holds the step
-	// of work sent, or gossipSteps plus the step of an excess.
+	// gossipLevels is the number of levels into which durations up to the longest latency objective are quantized. The
+	// third byte of an entry holds the level of the work sent, or gossipLevels plus the level of an excess.
 	gossipLevels = 127
-	// minGossipTicks is after how many ticks without a message an excess is sent.
+	// minGossipTicks is the number of ticks without a message after which an excess is sent.
 	minGossipTicks = 10
 )
 
-// gossipKind is what an entry says of a replica.
+// gossipKind is what an entry reports about a replica.
 type gossipKind uint8
 
 const (
@@ -26,8 +26,8 @@
 	gossipExcess                   // an answer exceeded the base latency by the given duration
 )
 
-// gossipEntry is one entry of a gossip message. Durations are rounded to steps of the longest latency objective, which all
-// aggregators have in common.
+// gossipEntry is one entry of a gossip message. Durations are rounded to levels of the longest latency objective, which is
+// the same for all aggregators.
 type gossipEntry struct {
 	tag      uint16
 	kind     gossipKind
@@ -37,19 +37,19 @@
 // gossipOutbox holds the entries of the next gossip message.
 type gossipOutbox struct {
 	entries []gossipEntry
-	sentAt  time.Duration // when the last message was sent
+	sentAt  time.Duration // time of the last message
 }
 
-// peerLoad is the work that other aggregators said they sent to one replica.
+// peerLoad is the work that other aggregators reported as sent to one replica.
 type peerLoad struct {
-	work float64 // seconds, as of at
+	work float64 // in seconds, as of at
 	at   time.Duration
 }
 
-// replicaTag shortens a replica's name to 16 bits. Two replicas that share a tag share their hints.
+// replicaTag returns a 16-bit hash of a replica's name. Replicas with the same tag share their hints.
 func replicaTag(name string) uint16 {
 	h := fnv.New32a()
-	_, _ = h.Write([]byte(name)) // a hash accepts all bytes
+	_, _ = h.Write([]byte(name)) // a hash never returns an error
 	return uint16(h.Sum32()>>16 ^ h.Sum32())
 }
 
@@ -69,7 +69,7 @@
 	return data
 }
 
-// decodeGossip decodes the entries of a message. A message that is too long has none; trailing bytes are skipped.
+// decodeGossip decodes the entries of a message. A message that is too long yields none; trailing bytes are ignored.
 func decodeGossip(data []byte, longest time.Duration) (entries []gossipEntry) {
 	if len(data) > maxGossipBytes {
 		return nil
@@ -86,7 +86,7 @@
 	return entries
 }
 
-// recordGossip adds an entry to the next message, where gossip is permitted. Work sent to one replica is summed.
+// recordGossip adds an entry to the next message, if gossip is permitted. Work sent to the same replica is summed.
 func (a *Aggregator) recordGossip(r *replica, kind gossipKind, duration time.Duration) {
 	if !a.settings.Limits.Gossip {
 		return
@@ -100,8 +100,8 @@
 	a.outbox.entries = append(a.outbox.entries, gossipEntry{r.tag, kind, duration})
 }
 
-// publishGossip sends the pending entries to the other aggregators: at once after a send, else after a while, as a message
-// costs its bytes for each receiver.
+// publishGossip sends the pending entries to the other aggregators: at once after a send, otherwise after minGossipTicks,
+// as every receiver pays for the bytes of a message.
 func (a *Aggregator) publishGossip() {
 	entries := a.outbox.entries
 	if len(entries) == 0 {
@@ -114,8 +114,8 @@
 	}
 }
 
-// applyGossip takes in a message of another aggregator. It holds hints of listed replicas only: they count in placement and
-// forecasts, give way to what this aggregator has lately seen itself, and eject no replica.
+// applyGossip applies a message of another aggregator. Its entries are hints on listed replicas only: they count in
+// placement and forecasts, yield to what this aggregator has recently observed itself, and eject no replica.
 func (a *Aggregator) applyGossip(e *Event) {
 	for _, entry := range decodeGossip(e.Data, a.maxObjective()) {
 		r := a.endpoints.byTag[entry.tag]
@@ -131,7 +131,7 @@
 	}
 }
 
-// decayedPeerWork is the work that other aggregators sent to r and that may still be there, in seconds.
+// decayedPeerWork returns the work that other aggregators sent to r and that may still be pending, in seconds.
 func (a *Aggregator) decayedPeerWork(r *replica) float64 {
 	return r.peerLoad.work * math.Exp(-(a.now-r.peerLoad.at).Seconds()/a.typicalLatency())
 }
--- a/aggregator/gossip_test.go
+++ b/aggregator/gossip_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// TestGossipRoundTrip checks that entries survive a message to within a step, that messages stay within their size, and
-// that arbitrary bytes do no harm.
+// TestGossipRoundTrip checks that decoded entries match to within one level, that messages respect the maximum size, and
+// that arbitrary bytes are handled.
 func TestGossipRoundTrip(t *testing.T) {
 	objective := 2 * time.Second
 	list := []gossipEntry{{1, gossipSent, 500 * ms}, {65535, gossipExcess, 1900 * ms}, {7, gossipExcess, 9 * time.Second}}
@@ -16,7 +16,7 @@
 	for i, n := range got {
 		want := min(list[i].duration, objective)
 		if n.tag != list[i].tag || n.kind != list[i].kind || n.duration < want-20*ms || n.duration > want+20*ms {
-			t.Errorf("enround %d: %+v became %+v", i, list[i], n)
+			t.Errorf("entry %d: %+v became %+v", i, list[i], n)
 		}
 	}
 	if n := len(encodeGossip(make([]gossipEntry, 200), objective)); n > maxGossipBytes || len(got) != len(list) {
@@ -31,7 +31,7 @@
 	}
 }
 
-// TestGossipBreaksTies checks that, of replicas with equally many calls of this aggregator, the one to which others have
+// TestGossipBreaksTies checks that, among replicas with equally many calls of this aggregator, one to which others have
 // sent work is avoided; that the aggregator's own calls come first; and that gossip ejects no replica.
 func TestGossipBreaksTies(t *testing.T) {
 	set := testSettings()
@@ -53,11 +53,11 @@
 			t.Fatalf("%d messages for one query", len(actionsOf(acts, SendGossip)))
 		}
 		if a.endpoints.byName["a"].outlier.ejected {
-			t.Fatal("a hint ejected a replica")
+			t.Fatal("gossip ejected a replica")
 		}
 	}
 	if got["a"] != 40 || got["b"] != 40 {
-		t.Errorf("three parts on three replicas went %v: own calls no longer come first", got)
+		t.Errorf("three parts on three replicas went %v: own calls must come first", got)
 	}
 	got = map[string]int{}
 	for seed := range uint64(40) {
@@ -69,16 +69,16 @@
 		}
 	}
 	if got["a"] > 0 {
-		t.Errorf("%d of 40 parts went to the replica that others fill", got["a"])
+		t.Errorf("%d of 40 parts went to the replica to which others have sent work", got["a"])
 	}
 }
 
-// TestNoGossipWithoutPermission checks that no message is sent and no entry collected where gossip is not permitted.
+// TestNoGossipWithoutPermission checks that without permission no message is sent and no entry recorded.
 func TestNoGossipWithoutPermission(t *testing.T) {
 	h := newHarness(t, testSettings(), members("a", "b", "c")...)
 	for i := range 5 {
 		if acts := h.step(queryEvents(fmt.Sprint(i), time.Second, 0)...); len(actionsOf(acts, SendGossip)) > 0 || len(h.aggregator.outbox.entries) > 0 {
-			t.Fatal("a message")
+			t.Fatal("a gossip message was sent or an entry recorded")
 		}
 	}
 }
--- a/aggregator/harness_test.go
+++ b/aggregator/harness_test.go
@@ -8,7 +8,7 @@
 
 const ms = time.Millisecond
 
-// testSettings returns a small fleet: three shard sets of one replica, each shard held by all.
+// testSettings returns settings for a small fleet: three shard sets of one replica each, every shard held by all of them.
 func testSettings() Settings {
 	return Settings{
 		Aggregators: 1, Tick: 5 * time.Millisecond, ShardSets: 3, Shards: 3, Reach: 3,
@@ -19,7 +19,7 @@
 	}
 }
 
-// fleetSettings returns settings and members for n replicas, each in a shard set of its own, every shard held by reach of
+// fleetSettings returns settings and members for n replicas, each in its own shard set, with every shard held by reach of
 // them.
 func fleetSettings(n, reach, aggregators int) (Settings, []Member) {
 	set := testSettings()
@@ -39,13 +39,13 @@
 	return list
 }
 
-// harness drives one aggregator by hand and counts the attempts itself.
+// harness drives one aggregator step by step and counts the attempts independently.
 type harness struct {
 	t          *testing.T
 	settings   Settings
 	aggregator *Aggregator
 	now        time.Duration
-	attempts   map[string]int // attempts by part
+	attempts   map[string]int // number of attempts by part
 	last       []Action
 }
 
@@ -70,7 +70,7 @@
 	return h.last
 }
 
-// after steps at intervals of a tick until d has passed and returns all actions.
+// runFor steps once a tick until d has passed and returns all actions.
 func (h *harness) after(d time.Duration) (all []Action) {
 	for end := h.now + d; h.now < end; {
 		h.now += h.settings.Tick
@@ -102,11 +102,11 @@
 	return found
 }
 
-// reactingFleet drives one aggregator whose replicas answer as react says.
+// reactingFleet drives one aggregator whose replicas answer as determined by react.
 type reactingFleet struct {
 	*harness
 	queries int
-	sends   map[string]int // first sends by replica
+	sends   map[string]int // number of sends by replica in the last run
 	react   func(replica string) (Outcome, time.Duration)
 	due     []dueOutcome
 }
@@ -121,7 +121,7 @@
 	return &reactingFleet{harness: newHarness(t, set, members("a", "b", "c")...), sends: map[string]int{}, react: react}
 }
 
-// run plays d with a query of one part at each interval and returns all actions.
+// run simulates the time d, with a query of one part at each interval, and returns all actions.
 func (f *reactingFleet) run(d, interval time.Duration) (all []Action) {
 	f.sends = map[string]int{}
 	ask := f.now
--- a/aggregator/healthcheck.go
+++ b/aggregator/healthcheck.go
@@ -6,32 +6,32 @@
 )
 
 const (
-	// fullViewAggregators is up to how many aggregators each one sees all that there is to see of the fleet.
+	// fullViewAggregators is the number of aggregators up to which each one observes the whole fleet.
 	fullViewAggregators = 3.0
-	// probesPerFailure is how many probes a failure allows.
+	// probesPerFailure is the number of probes that a failure allows.
 	probesPerFailure = 12.0
-	// freshnessShare is for which share of the longest latency objective an answer counts as recent.
+	// freshnessShare is how long an answer counts as recent, as a share of the longest latency objective.
 	freshnessShare = 0.4
-	// probeWaitShare is for which share of its latency objective a part waits for the probes of its holders.
+	// probeWaitShare is how long a part waits for the probes of its holders, as a share of its latency objective.
 	probeWaitShare = 0.04
 )
 
-// replicaHealth is what the health checks of one replica show.
+// replicaHealth holds the results of the health checks of one replica.
 type replicaHealth struct {
-	lastProbe       time.Duration // when a probe was last sent ahead of a part
+	lastProbe       time.Duration // when it was last probed ahead of a part
 	lastProbeAnswer time.Duration
 	suspectedAt     time.Duration // when it last failed a probe or a part, or left a probe unanswered; 0 once it answers
-	reportedLoad    float64       // requests that it held by its last load report
+	reportedLoad    float64       // number of requests in its last load report
 }
 
-// fleetHealth is what this aggregator knows of the health of all replicas.
+// fleetHealth is the health of all replicas as this aggregator sees it.
 type fleetHealth struct {
-	panicMode   bool    // half of the replicas are ejected, so silence is no reason for further ejections
-	staleView   bool    // under half of the replicas have answered lately
-	probeCredit float64 // probes that may be sent ahead of parts
+	panicMode   bool    // at least half of the replicas are ejected, so unanswered calls cause no further ejections
+	staleView   bool    // fewer than half of the replicas have answered recently
+	probeCredit float64 // number of probes that may be sent ahead of parts
 }
 
-// probeEnded takes in the outcome of a probe. A failed probe counts like a failed part.
+// probeEnded processes the outcome of a probe. A failed probe counts like a failed part.
 func (a *Aggregator) probeEnded(e *Event) {
 	r := a.endpoints.byName[e.Replica]
 	if r == nil {
@@ -42,7 +42,7 @@
 		r.health.lastProbeAnswer, r.health.suspectedAt, r.health.reportedLoad = a.now, 0, reportedLoad(e.LoadReport)
 		r.outlier.halfOpen = r.outlier.halfOpen || r.outlier.ejected
 	case Errored:
-		// It answers and rejects the probe, as many probe it: no sign against it.
+		// The replica answers but rejects the probe, as many aggregators probe it. That is not a failure.
 		r.health.lastProbeAnswer, r.health.suspectedAt = a.now, 0
 	default:
 		r.health.suspectedAt = a.now
@@ -55,8 +55,8 @@
 	}
 }
 
-// reportedLoad is how many requests a replica says it holds: the larger figure, as one may include the other. Absurd
-// reports count as none.
+// reportedLoad returns the number of requests in a load report: the larger of its values, as one may include the other.
+// Implausible values count as 0.
 func reportedLoad(report map[string]float64) float64 {
 	if load := max(report["inflight"], report["queue"]); load > 0 && load < math.MaxInt32 {
 		return load
@@ -64,32 +64,34 @@
 	return 0
 }
 
-// addProbeCredit allows further probes after a failure of the given weight. The credit is bounded, so that probes end soon
-// where all of them are answered.
+// addProbeCredit allows further probes after a failure of the given weight. The credit is bounded, so that probing ends
+// soon if all probes are answered.
 func (a *Aggregator) addProbeCredit(weight float64) {
 	visible := a.visibleShare()
 	a.health.probeCredit = math.Min(a.health.probeCredit+visible*weight*probesPerFailure, visible*float64(len(a.endpoints.replicas)))
 }
 
-// visibleShare is the share of what there is to see of the fleet that this aggregator sees itself.
+// visibleShare returns the share of the observable state of the fleet that this aggregator sees itself.
 func (a *Aggregator) visibleShare() float64 {
 	return math.Min(1, fullViewAggregators/float64(a.settings.Aggregators))
 }
 
-// freshness is for how long an answer of a replica counts as recent.
+// freshness returns how long an answer of a replica counts as recent.
 func (a *Aggregator) freshness() time.Duration { return scale(freshnessShare, a.maxObjective()) }
 
-// suspect tells whether a replica has failed a part or a probe, or left a probe unanswered, within the longest objective.
+// suspect reports whether a replica failed a part or a probe, or left a probe unanswered, within the longest latency
+// objective.
 func (a *Aggregator) suspect(r *replica) bool {
 	return r.health.suspectedAt > 0 && a.now-r.health.suspectedAt < a.maxObjective()
 }
 
-// probeHolders probes the holders of a part that have not answered lately and returns how long the part waits for that.
+// probeHolders probes the holders of a part that have not answered recently and returns how long the part waits for the
+// replies.
 //
-// It guards against parts lost on a dead replica: an aggregator that seldom sends a replica a part learns of its death from
-// the loss of parts, while the endpoint list still says that it serves; the engineer on call sees time-outs that all
-// aggregators have in turn. Probes are sent only after failures and while few replicas have answered lately, and early in a
-// query. A replica that leaves a probe unanswered is suspected, not ejected.
+// It prevents losing parts on a dead replica: an aggregator that seldom sends a replica a part learns of its death from
+// lost parts, while the endpoint list still says that it serves; the engineer on call sees timeouts at one aggregator after
+// the other. Probes are sent only after failures, while few replicas have answered recently, and early in a query. A
+// replica that leaves a probe unanswered is suspected, not ejected.
 func (a *Aggregator) probeHolders(p *part) (wait time.Duration) {
 	if !a.settings.Limits.Probes || !a.health.staleView || a.health.probeCredit < 1 || a.now-p.query.arrived > p.query.objective-a.now {
 		return 0
--- a/aggregator/healthcheck_test.go
+++ b/aggregator/healthcheck_test.go
@@ -6,13 +6,13 @@
 	"time"
 )
 
-// TestPartWaitsForProbesAfterAFailure checks that after a failure a part waits for the probes of holders that have not
-// answered lately and avoids one that does not answer, and that no probe is sent without a failure.
+// TestPartWaitsForProbesAfterAFailure checks that after a failure a part waits for probes of the holders that have not
+// answered recently and avoids one that does not reply, and that no probe is sent before a failure.
 func TestPartWaitsForProbesAfterAFailure(t *testing.T) {
 	set, all := fleetSettings(6, 2, 3)
 	h := newHarness(t, set, all...)
 	if acts := h.step(queryEvents("calm", 3*time.Second, 0)...); len(actionsOf(acts, Probe)) > 0 || len(actionsOf(acts, Send)) != 1 {
-		t.Fatalf("without a sign: %v", acts)
+		t.Fatalf("before a failure: %v", acts)
 	}
 	h.step(attemptEnded("calm/0", 0, Reset))
 	h.after(2 * time.Second)
@@ -22,7 +22,7 @@
 		acts := h.step(queryEvents(id, 3*time.Second, 3)...)
 		var events []Event
 		for _, p := range actionsOf(acts, Probe) {
-			if p.Replica != "r3" { // r3 is dead, and the list has not said so
+			if p.Replica != "r3" { // r3 is dead but still listed as serving
 				events = append(events, Event{Kind: ProbeEnded, Replica: p.Replica, Outcome: OK})
 			} else {
 				events = append(events, Event{Kind: ProbeEnded, Replica: p.Replica, Outcome: TimedOut})
@@ -38,11 +38,11 @@
 		h.now += time.Second
 	}
 	if avoided != 10 {
-		t.Errorf("%d of 10 parts went to the holder that answers", avoided)
+		t.Errorf("%d of 10 parts went to the live holder, want all", avoided)
 	}
 }
 
-// TestAbsurdLoadReportsAreIgnored checks that absurd load reports and probes of unknown replicas do no harm.
+// TestInvalidLoadReportsAreIgnored checks that invalid load reports and probes of unknown replicas have no effect.
 func TestAbsurdLoadReportsAreIgnored(t *testing.T) {
 	set, all := fleetSettings(6, 2, 40)
 	h := newHarness(t, set, all...)
@@ -51,13 +51,14 @@
 		h.step(Event{Kind: ProbeEnded, Replica: "r1", Outcome: OK, LoadReport: map[string]float64{"inflight": x, "other": x}},
 			Event{Kind: ProbeEnded, Replica: "gone", Outcome: OK})
 		if load := h.aggregator.endpoints.byName["r1"].health.reportedLoad; load != 0 {
-			t.Errorf("a report of %v was taken as a load of %v", x, load)
+			t.Errorf("a report of %v gave a load of %v", x, load)
 		}
 	}
 }
 
-// TestProbesOfManyAggregatorsEnd tells of eighty aggregators that each lose a part. A data node answers some probes a
-// second and rejects the rest. The rejections must not lead to further probes, nor cost a replica its parts.
+// TestRejectedProbesCauseNoFurtherProbes covers eighty aggregators that each lose a part while a data node answers only
+// some probes a second and rejects the rest. The rejections must neither lead to further probes nor cost a replica its
+// parts.
 func TestProbesOfManyAggregatorsEnd(t *testing.T) {
 	const nodes, answered = 80, 12
 	set, all := fleetSettings(60, 3, nodes)
--- a/aggregator/idleconn.go
+++ b/aggregator/idleconn.go
@@ -6,37 +6,37 @@
 )
 
 const (
-	// deadConnLifetime is for how many longest latency objectives a dead idle connection is remembered.
+	// deadConnLifetime is how long a dead idle connection is remembered, in longest latency objectives.
 	deadConnLifetime = 8.0
-	// deadConnEvidence is how many signs of dead idle connections, less those against, have them closed before use.
+	// deadConnThreshold is the evidence of dead idle connections from which they are closed before use.
 	deadConnEvidence = 2.0
-	// deadConnEvidenceUnsafe is the same before a part that must not run twice.
+	// deadConnThresholdUnsafe is the same before a part that must not run twice.
 	deadConnEvidenceUnsafe = 1.0
-	// minIdleShare is the share of the longest latency objective above which an unused connection counts as idle.
+	// minIdleShare is the idle time, as a share of the longest latency objective, above which a connection counts as idle.
 	minIdleShare = 0.1
-	// idleAnswerEvidence is how much an answer on a long idle connection counts against dead ones.
+	// idleAnswerEvidence is the evidence against dead connections that an answer on a long idle connection adds.
 	idleAnswerEvidence = 0.25
 )
 
-// replicaConns is the use of this aggregator's connections to one replica.
+// replicaConns tracks the use of this aggregator's connections to one replica.
 type replicaConns struct {
-	lastUse    time.Duration // last send or answer; 0 for none
-	silentIdle time.Duration // how long they had idled before a call that got no answer; 0 for none
+	lastUse    time.Duration // time of the last send or answer; 0 for none
+	silentIdle time.Duration // idle time before the last call, if that call was lost; otherwise 0
 }
 
-// idleConnEstimate is after how long idle connections are found dead.
+// idleConnEstimate is the estimated idle time after which connections are dead.
 //
-// It guards against connections that a firewall or load balancer on the way drops without notice. The engineer on call sees
-// resets and time-outs of the first part after a quiet spell, on replicas that are healthy. The part after a loss goes on a
-// new connection; if that is answered, the idle one was to blame, and after enough such signs idle connections are closed
-// before use.
+// It handles connections that a firewall or load balancer on the path drops silently. The engineer on call sees resets and
+// timeouts of the first part after a quiet period, on replicas that are healthy. The part after a loss goes on a new
+// connection; if that is answered, the idle connection was the cause, and after enough such evidence idle connections are
+// closed before use.
 type idleConnEstimate struct {
 	deadAfter time.Duration // shortest idle time after which a connection was found dead; 0 for none
-	foundAt   time.Duration // when one was last found dead
-	evidence  float64       // signs of dead idle connections, less those against
+	foundAt   time.Duration // when a connection was last found dead
+	evidence  float64       // evidence of dead idle connections, minus evidence against it
 }
 
-// idleTimeout is the idle time after which connections were lately found dead, 0 for none.
+// idleTimeout returns the idle time after which connections were recently found dead, or 0 for none.
 func (a *Aggregator) idleTimeout() time.Duration {
 	if (a.now - a.idleConns.foundAt).Seconds() > deadConnLifetime*a.maxObjective().Seconds() {
 		a.idleConns.deadAfter, a.idleConns.evidence = 0, 0
@@ -44,43 +44,44 @@
 	return a.idleConns.deadAfter
 }
 
-// connExpired tells whether the connections to r are closed by now, as idle for longer than the deployment keeps them.
+// connExpired reports whether there is no open connection to r: none was used yet, or they have been idle for longer than
+// the deployment keeps them.
 func (a *Aggregator) connExpired(r *replica) bool {
 	idleLimit := a.settings.Limits.ConnIdle
 	return r.conns.lastUse == 0 || idleLimit > 0 && a.now-r.conns.lastUse >= idleLimit
 }
 
-// onIdleConn tells whether an attempt was sent on a connection that had been idle.
+// onIdleConn reports whether an attempt was sent on a connection that had been idle.
 func (a *Aggregator) onIdleConn(t *attempt) bool {
 	return !t.newConn && t.callPosition == 1 && t.connIdle > scale(minIdleShare, a.maxObjective())
 }
 
-// resetOfIdleConn tells whether a reset after the given seconds is the fault of an idle connection: it came at once, and the
+// isIdleConnReset reports whether a reset after the given seconds is due to an idle connection: it came at once, and the
 // query has had no other.
 func (a *Aggregator) resetOfIdleConn(t *attempt, took float64) bool {
 	q := t.part.query
 	return q.canary.resets == 0 && a.onIdleConn(t) && took < a.baseLatency(q)/2
 }
 
-// idleConnReset takes in the reset of an idle connection, for which neither the replica nor the query is to blame.
+// recordIdleConnReset records the reset of an idle connection, which neither the replica nor the query has caused.
 func (a *Aggregator) idleConnReset(t *attempt) {
 	a.recordDeadConn(t.connIdle)
 	t.replica.conns.silentIdle, t.part.query.canary.idleReset = t.connIdle, true
 }
 
-// recordConnAnswer takes in what an answer says of the connections to its replica.
+// recordConnAnswer records what an answer shows about the connections to its replica.
 func (a *Aggregator) recordConnAnswer(t *attempt) {
 	conns := &t.replica.conns
 	if timeout := a.idleTimeout(); !t.newConn && timeout > 0 && t.connIdle >= timeout {
-		a.addIdleEvidence(-idleAnswerEvidence) // idling did no harm
+		a.addIdleEvidence(-idleAnswerEvidence) // the connection survived the idle time
 	} else if t.newConn && conns.silentIdle > 0 {
-		a.recordDeadConn(conns.silentIdle) // the call before was lost on an idle connection
+		a.recordDeadConn(conns.silentIdle) // the previous call was lost on an idle connection
 	}
 	conns.silentIdle, conns.lastUse = 0, a.now
 }
 
-// recordConnSilence takes in a call without an answer, which counts against dead idle connections where no idling explains
-// it.
+// recordConnUnanswered records a call without an answer. It counts against dead idle connections if the idle time does not
+// explain it.
 func (a *Aggregator) recordConnSilence(t *attempt) {
 	t.replica.conns.silentIdle = t.connIdle
 	if t.newConn || t.connIdle < a.idleTimeout() {
@@ -89,7 +90,7 @@
 	}
 }
 
-// recordDeadConn takes in a connection that was dead after the given idle time.
+// recordDeadConn records a connection that was dead after the given idle time.
 func (a *Aggregator) recordDeadConn(idle time.Duration) {
 	a.addIdleEvidence(1)
 	a.idleConns.foundAt = a.now
@@ -98,8 +99,8 @@
 	}
 }
 
-// addIdleEvidence adds a sign that idle connections are dead, or against it where it is below 0. Enough signs against it
-// clear the estimate.
+// addIdleEvidence adds evidence that idle connections are dead, or against it if negative. Enough evidence against it
+// clears the estimate.
 func (a *Aggregator) addIdleEvidence(sign float64) {
 	a.idleConns.evidence = math.Min(a.idleConns.evidence+sign, 2*deadConnEvidence)
 	if a.idleConns.evidence <= -deadConnEvidence {
@@ -107,7 +108,7 @@
 	}
 }
 
-// closeIdleConns closes the idle connections to r before a part is sent, where they may be dead, and tells whether it did.
+// closeIdleConns closes the idle connections to r before a part is sent, if they may be dead, and reports whether it did.
 // It costs a handshake.
 func (a *Aggregator) closeIdleConns(p *part, r *replica) bool {
 	timeout, evidence := a.idleTimeout(), deadConnEvidence
--- a/aggregator/idleconn_test.go
+++ b/aggregator/idleconn_test.go
@@ -8,7 +8,7 @@
 )
 
 // TestIdleConnectionsAreClosedOnceSomeWereDead checks that idle connections are closed before use after parts were lost on
-// idle connections and answered on new ones, and that they stay where parts on idle connections are answered.
+// idle connections and answered on new ones, and are kept if parts on idle connections are answered.
 func TestIdleConnectionsAreClosedOnceSomeWereDead(t *testing.T) {
 	for _, dead := range []bool{true, false} {
 		set, all := fleetSettings(4, 2, 10)
@@ -47,8 +47,9 @@
 	}
 }
 
-// TestResetOnIdleConnectionIsNoFailure checks that an immediate reset on an idle connection is held against the connection:
-// the replica has no failure and no slow start, the query is not ended, and the part is sent on a new connection.
+// TestResetOnIdleConnectionIsNoFailure checks that an immediate reset on an idle connection is attributed to the
+// connection: the replica has no failure and no slow start, the query does not end, and the part is sent on a new
+// connection.
 func TestResetOnIdleConnectionIsNoFailure(t *testing.T) {
 	set, all := fleetSettings(12, 3, 10)
 	h := newHarness(t, set, all...)
@@ -92,8 +93,8 @@
 	}
 }
 
-// TestUnsafePartClosesIdleConnectionsAtTheFirstSign checks that one sign of dead connections is enough to close idle ones
-// before a part that must not run twice; others wait for a second sign.
+// TestUnsafePartClosesIdleConnectionsAtTheFirstSign checks that a single dead connection is enough to close idle ones
+// before a part that must not run twice; other parts need a second one.
 func TestUnsafePartClosesIdleConnectionsAtTheFirstSign(t *testing.T) {
 	for _, c := range []struct {
 		effect Effect
@@ -111,7 +112,7 @@
 		h.now += time.Second
 		h.step(queryEvents("q", time.Second, 0)...)
 		h.now += 2 * ms
-		h.step(attemptEnded("q/0", 0, Reset)) // goes on, on a new connection
+		h.step(attemptEnded("q/0", 0, Reset)) // the part is sent again on a new connection
 		h.step(attemptEnded("q/0", 1, OK))
 		h.now += 1500 * ms
 		events := queryEvents("u", time.Second, 1)
--- a/aggregator/latency.go
+++ b/aggregator/latency.go
@@ -6,33 +6,33 @@
 )
 
 const (
-	// stepsPerQuery is the most steps that a query has.
+	// maxPhases is the maximum number of phases of a query.
 	stepsPerQuery = 2
-	// baseQuantile is the quantile of latencies that stands for an unloaded replica.
+	// baseQuantile is the quantile of latencies taken as the latency of an unloaded replica.
 	baseQuantile = 0.10
-	// tailQuantile is the quantile of latencies that few parts exceed.
+	// tailQuantile is the quantile of latencies taken as the tail latency.
 	tailQuantile = 0.95
-	// minQuantileStep is the least share of its value by which a quantile follows a sample.
+	// minQuantileStep is the smallest step of a quantile estimate, as a share of its value.
 	minQuantileStep = 0.02
-	// assumedLatencyShare is the latency of a part as a share of the latency objective, until one was answered.
+	// assumedLatencyShare is the assumed latency of a part, as a share of the latency objective, until one was answered.
 	assumedLatencyShare = 0.1
-	// excessSampleWeight is the weight of a new sample in the excess of a replica.
+	// excessSampleWeight is the weight of a new sample in the excess latency of a replica.
 	excessSampleWeight = 0.3
 	// callTimeSampleWeight is the weight of a new sample in the time per call of a replica.
 	callTimeSampleWeight = excessSampleWeight / 2
-	// gossipSampleWeight is the weight of an excess that another aggregator reports.
+	// gossipSampleWeight is the weight of an excess latency reported by another aggregator.
 	gossipSampleWeight = excessSampleWeight / 2
-	// fleetSampleWeight is the weight of a new sample in the excess of the fleet.
+	// fleetSampleWeight is the weight of a new sample in the excess latency of the fleet.
 	fleetSampleWeight = 0.05
-	// intervalSampleWeight is the weight of a new sample in the interval between answers.
+	// intervalSampleWeight is the weight of a new sample in the mean interval between answers.
 	intervalSampleWeight = 0.01
-	// observationIntervals is for how many intervals between answers of one replica an observation of it holds.
+	// observationIntervals is how long an observation of a replica holds, in mean intervals between its answers.
 	observationIntervals = 3.0
-	// minAbandoned is how many attempts in a row must be given up for their ages to count as latencies.
+	// minAbandoned is the number of consecutive abandoned attempts from which their ages count as latencies.
 	minAbandoned = 2
 )
 
-// latencyEstimate estimates the latency of the parts of one step of a class, in seconds.
+// latencyEstimate estimates the latency of the parts of one phase of a class, in seconds.
 type latencyEstimate struct{ base, median, tail quantile }
 
 func newLatencyEstimates(n int) []latencyEstimate {
@@ -45,8 +45,8 @@
 	return estimates
 }
 
-// quantile estimates one quantile of a stream by stochastic approximation: each sample moves it up or down by a small share
-// of its value, up by target and down by 1-target.
+// quantile estimates one quantile of a stream by stochastic approximation: each sample moves the estimate by a small share
+// of its value, up in proportion to target or down in proportion to 1-target.
 type quantile struct {
 	value   float64
 	target  float64 // in (0, 1)
@@ -67,27 +67,27 @@
 	}
 }
 
-// replicaLatency is what the answers of one replica show of its speed.
+// replicaLatency is the latency of one replica as observed from its answers.
 type replicaLatency struct {
 	excess         float64       // latency above the base latency of the class, in seconds, as of excessAt
 	excessAt       time.Duration // when excess was last sampled
-	timePerCall    float64       // seconds that a call takes for each call of this aggregator that is open
-	answers        int
-	abandoned      int           // attempts given up since the last answer
-	answeredSendAt time.Duration // when the latest attempt that was answered had been sent
-	lastAnswer     time.Duration // 0 for none
+	timePerCall    float64       // latency of a call divided by the open calls of this aggregator, in seconds
+	answers        int           // number of answers so far
+	abandoned      int           // attempts abandoned since the last answer
+	answeredSendAt time.Duration // send time of the latest attempt that was answered
+	lastAnswer     time.Duration // time of the last answer; 0 for none
 }
 
-// fleetLatency is what all answers show, for each class and for the fleet.
+// fleetLatency is the latency observed from all answers, by class and for the fleet.
 type fleetLatency struct {
-	classes        []latencyEstimate // stepsPerQuery for each class
+	classes        []latencyEstimate // maxPhases for each class
 	timePerCall    float64           // upper quartile of the replicas' time per call, in seconds
-	medianExcess   float64           // median excess of the replicas in use, in seconds
-	excess         float64           // mean excess of recent answers of any replica, in seconds, as of excessAt
+	medianExcess   float64           // median excess latency of the replicas in use, in seconds
+	excess         float64           // mean excess latency of recent answers of any replica, in seconds, as of excessAt
 	excessAt       time.Duration     // when excess was last sampled
-	lastAnswer     time.Duration     // of any replica
+	lastAnswer     time.Duration     // time of the last answer of any replica
 	answerInterval time.Duration     // mean interval between two answers of one replica
-	intervals      int               // how many intervals went into the mean
+	intervals      int               // number of intervals in the mean
 }
 
 func (a *Aggregator) latencyOf(q *query) *latencyEstimate {
@@ -98,7 +98,8 @@
 	return &a.latency.classes[stepsPerQuery*class+step]
 }
 
-// baseLatency is the latency of a part on an unloaded replica, in seconds; a share of the objective until one is known.
+// baseLatency returns the latency of a part on an unloaded replica, in seconds, or a share of the objective until one is
+// known.
 func (a *Aggregator) baseLatency(q *query) float64 {
 	if estimate := a.latencyOf(q); estimate.base.samples > 0 {
 		return estimate.base.value
@@ -106,7 +107,7 @@
 	return assumedLatencyShare * a.settings.Classes[q.class].LatencyObjective.Seconds()
 }
 
-// typicalLatency is the mean of the median latencies of all classes, in seconds.
+// typicalLatency returns the mean of the median latencies of all classes, in seconds.
 func (a *Aggregator) typicalLatency() float64 {
 	sum, n := 0.0, 0.0
 	for i := range a.latency.classes {
@@ -120,16 +121,16 @@
 	return sum / n
 }
 
-// expectedLatency is how long a part sent to r now may take, in seconds: by its recent answers, or by the time that its open
-// calls will take. The second sees a burst as it is sent, the first only as its answers come.
+// expectedLatency returns the expected latency of a part sent to r now, in seconds: by its recent answers, or by its open
+// calls, whichever is longer. The second shows a burst as it is sent, the first only as its answers arrive.
 func (a *Aggregator) expectedLatency(q *query, r *replica) float64 {
 	byAnswers := a.currentExcess(r) + a.decayedPeerWork(r) + a.baseLatency(q)
 	byCalls := math.Max(r.latency.timePerCall, a.latency.timePerCall) * float64(r.calls.open+1)
 	return math.Max(byAnswers, byCalls)
 }
 
-// currentExcess is by how many seconds a part sent to r now may exceed the base latency: by recent answers, or by the age
-// of the oldest open attempt sent since the last answer, which shows a pause before any answer does.
+// currentExcess returns by how many seconds a part sent to r now may exceed the base latency: by recent answers, or by the
+// age of the oldest open attempt sent since the last answer, which shows a pause of the replica before any answer does.
 func (a *Aggregator) currentExcess(r *replica) float64 {
 	excess := a.decayedExcess(r)
 	for _, t := range r.calls.inFlight {
@@ -140,25 +141,26 @@
 	return excess
 }
 
-// decayedExcess is the excess of a replica by its answers, in seconds. Without new answers it decays exponentially to the
-// excess of the fleet.
+// decayedExcess returns the excess latency of a replica by its answers, in seconds. Without new answers it decays
+// exponentially to that of the fleet.
 func (a *Aggregator) decayedExcess(r *replica) float64 {
 	fleet := a.decayedFleetExcess()
 	return fleet + (r.latency.excess-fleet)*math.Exp(-(a.now-r.latency.excessAt).Seconds()/a.observationLifetime().Seconds())
 }
 
-// decayedFleetExcess is the excess of the fleet, in seconds. Without new answers of any replica it decays exponentially.
+// decayedFleetExcess returns the excess latency of the fleet, in seconds. Without new answers of any replica it decays
+// exponentially.
 func (a *Aggregator) decayedFleetExcess() float64 {
 	return a.latency.excess * math.Exp(-(a.now-a.latency.excessAt).Seconds()/a.maxObjective().Seconds())
 }
 
-// observationLifetime is for how long an observation of a replica holds: the longest latency objective, or longer where
-// this aggregator hears a replica more seldom.
+// observationLifetime returns how long an observation of a replica holds: the longest latency objective, or longer if a
+// replica answers this aggregator less often.
 func (a *Aggregator) observationLifetime() time.Duration {
 	return max(a.maxObjective(), scale(observationIntervals, a.latency.answerInterval))
 }
 
-// recordAnswerTime notes when a replica answered.
+// recordAnswerTime records when a replica answered.
 func (a *Aggregator) recordAnswerTime(t *attempt) {
 	fleet, latency := &a.latency, &t.replica.latency
 	latency.answeredSendAt = max(latency.answeredSendAt, t.sentAt)
@@ -170,7 +172,7 @@
 	fleet.lastAnswer, latency.lastAnswer = a.now, a.now
 }
 
-// recordLatency takes the latency of an answer, in seconds, into the estimates of its class, its replica and the fleet.
+// recordLatency adds the latency of an answer, in seconds, to the estimates of its class, its replica and the fleet.
 func (a *Aggregator) recordLatency(t *attempt, took float64) {
 	r, q := t.replica, t.part.query
 	r.latency.abandoned = 0
@@ -191,11 +193,12 @@
 	r.latency.timePerCall += callTimeSampleWeight * (timePerCall - r.latency.timePerCall)
 }
 
-// recordAbandoned takes in an attempt that was given up after the given seconds. Its latency is not known, only that it is
-// longer, so it counts where it raises the excess.
+// recordAbandoned records an attempt that was abandoned after the given seconds. Its latency is unknown but longer than
+// that, so it counts only where it raises the excess.
 //
-// It guards against admitting queries into an overload in which all attempts are given up: without answers the excess would
-// decay. The first attempt given up since an answer is no sign yet, nor is one on a connection that may have been dead.
+// It prevents admitting queries into an overload in which all attempts are abandoned: without answers the excess would
+// decay. The first attempt abandoned since an answer does not count, nor does one on an idle connection that may have been
+// dead.
 func (a *Aggregator) recordAbandoned(t *attempt, took float64) {
 	r := t.replica
 	r.latency.abandoned++
@@ -212,7 +215,7 @@
 	a.latency.excess, a.latency.excessAt = a.latency.excess+fleetSampleWeight*(excess-a.latency.excess), a.now
 }
 
-// updateFleetLatency sets the figures of the fleet from those of the replicas in use.
+// updateFleetLatency computes the latencies of the fleet from those of the replicas in use.
 func (a *Aggregator) updateFleetLatency() {
 	var excesses, callTimes []float64
 	for _, r := range a.endpoints.replicas {
--- a/aggregator/latency_test.go
+++ b/aggregator/latency_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// TestObservationHoldsUntilTheNextAnswer checks that an aggregator with a small share of the traffic, which a replica
-// answers only every few objectives, remembers a slow one until then.
+// TestObservationHoldsUntilTheNextAnswer checks that an aggregator with little traffic, which gets an answer of a replica
+// only every few objectives, remembers a slow replica until the next one.
 func TestObservationHoldsUntilTheNextAnswer(t *testing.T) {
 	set := testSettings()
 	f := newReactingFleet(t, set, func(r string) (Outcome, time.Duration) {
@@ -23,19 +23,19 @@
 	}
 }
 
-// TestAbandonedAttemptsKeepQueriesOut tells of a replica that leaves all parts unanswered. Most queries that follow are
-// rejected as long as that counts, rather than admitted because nothing is open any more. Later one is admitted again.
+// TestAbandonedAttemptsCauseRejections checks that, while a replica leaves all parts unanswered, most further queries are
+// rejected rather than admitted because nothing is open any more. Later queries are admitted again.
 func TestAbandonedAttemptsKeepQueriesOut(t *testing.T) {
 	set := testSettings()
 	set.ShardSets, set.Shards, set.Reach = 1, 1, 1
 	h := newHarness(t, set, Member{Replica: "a"})
-	for i := range 40 { // it learns how long a part takes
+	for i := range 40 { // warm up the latency estimates
 		for _, s := range actionsOf(h.step(queryEvents(fmt.Sprint("first", i), 3*time.Second, 0)...), Send) {
 			h.now += 20 * ms
 			h.step(attemptEnded(s.Part, 0, OK))
 		}
 	}
-	for i := range 2 { // the first is no sign yet
+	for i := range 2 { // the first one alone does not count
 		acts := h.step(queryEvents(fmt.Sprint("lost", i), 3*time.Second, 0)...)
 		if len(actionsOf(acts, Send)) != 1 {
 			t.Fatalf("query %d was not admitted: %+v", i, acts)
@@ -45,7 +45,7 @@
 			h.step(attemptEnded(c.Part, c.Attempt, TimedOut))
 		}
 		if len(actionsOf(acts, Reject)) != 1 {
-			t.Fatalf("query %d, never answered, ended by %+v", i, acts)
+			t.Fatalf("unanswered query %d ended with %+v", i, acts)
 		}
 	}
 	sent := 0
@@ -53,10 +53,10 @@
 		sent += len(actionsOf(h.step(queryEvents(fmt.Sprint("soon", i), 3*time.Second, 0)...), Send))
 	}
 	if sent > 3 {
-		t.Errorf("right after it %d of 10 queries were admitted", sent)
+		t.Errorf("%d of 10 queries were admitted right after the abandoned attempts", sent)
 	}
 	h.after(5 * time.Second)
 	if acts := h.step(queryEvents("later", 3*time.Second, 0)...); len(actionsOf(acts, Send)) != 1 {
-		t.Errorf("long after it a query was not admitted: %+v", acts)
+		t.Errorf("a query long after the abandoned attempts was not admitted: %+v", acts)
 	}
 }
--- a/aggregator/names_test.go
+++ b/aggregator/names_test.go
@@ -6,7 +6,8 @@
 	"testing"
 )
 
-// TestEveryValueHasAName checks that the values of the enumerations have distinct names and that others print as numbers.
+// TestEveryValueHasAName checks that the values of the enumerations have distinct names and that unknown values print as
+// numbers.
 func TestEveryValueHasAName(t *testing.T) {
 	for typeName, c := range map[string]struct {
 		first, last int
--- a/aggregator/outcome.go
+++ b/aggregator/outcome.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// neverRan are the outcomes of attempts that their replica has not begun to run.
+// neverRan holds the outcomes of attempts that the replica never began to run.
 var neverRan = map[Outcome]bool{Rejected: true, ConnectFailed: true, ConnectTimeout: true, NotSent: true}
 
-// attemptEnded takes in the outcome of an attempt. Outcomes of unknown or ended attempts are skipped.
+// attemptEnded processes the outcome of an attempt. Outcomes of unknown or ended attempts are ignored.
 func (a *Aggregator) attemptEnded(e *Event) {
 	t := a.findAttempt(e)
 	if t == nil || !t.open {
@@ -38,7 +38,7 @@
 	return p.attempts[e.Attempt]
 }
 
-// applyOutcome applies an outcome to what is known of the replica; took is how long the attempt was open, in seconds.
+// applyOutcome updates the state of the replica with an outcome; took is how long the attempt was open, in seconds.
 func (a *Aggregator) applyOutcome(t *attempt, outcome Outcome, took float64) {
 	switch outcome {
 	case OK:
@@ -63,7 +63,7 @@
 	}
 }
 
-// answerReceived takes in an answer.
+// answerReceived records an answer, ends the ejection of its replica and cancels the other attempts of the part.
 func (a *Aggregator) answerReceived(t *attempt, took float64) {
 	r, p := t.replica, t.part
 	a.releaseAnswered(t)
@@ -73,7 +73,7 @@
 	r.outlier.decayedFailures *= failureDecay
 	a.recordLatency(t, took)
 	if r.outlier.ejected {
-		// One good answer ends the ejection, one more failure brings it back.
+		// One answer ends the ejection; one more failure ejects the replica again.
 		r.outlier.ejected, r.outlier.decayedFailures = false, ejectionFailures-1
 	}
 	p.query.canary.answered = true
@@ -83,7 +83,7 @@
 	}
 }
 
-// attemptFailed takes in a failure that is the replica's, or its query's.
+// attemptFailed records a failure caused by the replica or by its query.
 func (a *Aggregator) attemptFailed(t *attempt, outcome Outcome) {
 	r, canary := t.replica, &t.part.query.canary
 	if outcome != Errored {
@@ -96,7 +96,7 @@
 	if outcome == Reset {
 		canary.resets++
 		if canary.idleReset {
-			canary.resets = queryOfDeathResets // on a new connection too, so the idle one was not to blame
+			canary.resets = queryOfDeathResets // reset on a new connection too, so the idle one was not the cause
 		}
 	}
 	r.outlier.failingFast = outcome == Errored
@@ -106,8 +106,8 @@
 	}
 }
 
-// connectionLost takes in the loss of a connection to a replica that lives: one failure, however many attempts were open
-// on the connection.
+// connectionLost records the loss of a connection to a live replica as one failure, however many attempts were open on the
+// connection.
 func (a *Aggregator) connectionLost(r *replica) {
 	if r.outlier.lostConnRound != a.round {
 		r.outlier.lostConnRound, r.outlier.failingFast = a.round, true
@@ -115,8 +115,8 @@
 	}
 }
 
-// replicaFull takes in a rejection. The queue of a full replica is a long wait that no open call shows, so the replica is
-// left alone for a while and counts as slow.
+// replicaFull records a rejection by a full replica. Its queue is a long wait that no open call shows, so it gets nothing
+// for a while and counts as slow.
 func (a *Aggregator) replicaFull(r *replica) {
 	r.outlier.backoffUntil = a.now + scale(rejectedBackoff*a.typicalLatency(), time.Second)
 	r.latency.excess, r.latency.excessAt = math.Max(a.currentExcess(r), a.maxObjective().Seconds()/2), a.now
--- a/aggregator/outlier.go
+++ b/aggregator/outlier.go
@@ -6,36 +6,37 @@
 )
 
 const (
-	// ejectionFailures is how many failures eject a replica. They are counted with decay: an answer between leaves a share of them,
-	// so that a replica that fails nearly always is ejected too.
+	// ejectionFailures is the failure count at which a replica is ejected. The count decays with each answer instead of
+	// being reset, so that a replica that fails nearly always is ejected too.
 	ejectionFailures = 2.0
-	// failureDecay is the share of the counted failures that an answer leaves.
+	// failureDecay is the share of the failure count that remains after an answer.
 	failureDecay = 0.6
-	// rejectedBackoff is for how many median latencies a replica is left alone that said it is full.
+	// rejectedBackoff is how long nothing is sent to a replica that reported that it is full, in median latencies.
 	rejectedBackoff = 2.0
-	// silenceWeight is how much a silent call counts toward probes, where a failed one counts 1: most silent ones are slow.
+	// unansweredWeight is the weight of an unanswered call in the probe credit, where a failed call counts 1: most
+	// unanswered calls are only slow.
 	silenceWeight = 0.15
-	// ejectionsPerLifetime is how many of the shortest ejections the lifetime of observations holds.
+	// ejectionsPerLifetime is the number of shortest ejections that fit into the lifetime of an observation.
 	ejectionsPerLifetime = 2
-	// maxEjectionMultiple is the longest ejection as a multiple of the lifetime of observations.
+	// maxEjectionMultiple is the longest ejection, in lifetimes of an observation.
 	maxEjectionMultiple = 4
 )
 
 // outlierState is the outlier ejection of one replica, in the terms of Envoy's outlier detection: consecutive failures,
-// ejection, and ejection time that grows with each further ejection.
+// ejection, and an ejection time that grows with each further ejection.
 type outlierState struct {
-	decayedFailures float64 // an answer leaves failureDecay of them
+	decayedFailures float64 // failure count, of which an answer leaves failureDecay
 	failingFast     bool    // its last failure was a quick error
-	lostConnRound   int     // the round that last counted a lost connection
+	lostConnRound   int     // round that last counted a lost connection
 	ejected         bool
 	halfOpen        bool          // while ejected: a trial part may be sent
 	trialAt         time.Duration // while ejected: when it becomes half open or is probed
-	ejectionTime    time.Duration // of the last ejection
-	backoffUntil    time.Duration // it said that it is full, so nothing is sent before
+	ejectionTime    time.Duration // duration of the last ejection
+	backoffUntil    time.Duration // it reported that it is full; nothing is sent before then
 }
 
-// addFailure counts a failure of a replica and ejects it after ejectionFailures in a row, or at the first one while it is
-// ejected.
+// addFailure counts a failure of a replica, and ejects it once the count reaches ejectionFailures, or at once if it is
+// ejected already.
 func (a *Aggregator) addFailure(r *replica) {
 	r.outlier.decayedFailures++
 	if r.outlier.ejected || r.outlier.decayedFailures >= ejectionFailures {
@@ -43,9 +44,9 @@
 	}
 }
 
-// eject ejects a replica, or prolongs its ejection: it gets first sends only where no other holder is usable. Each ejection
-// lasts twice as long as the one before, within bounds; then a trial part, or a probe where the deployment permits them,
-// tells whether it is well again.
+// eject ejects a replica or prolongs its ejection: it gets first sends only if no other holder is usable. Each ejection
+// lasts twice as long as the previous one, within bounds; then a trial part, or a probe where the deployment permits it,
+// shows whether the replica has recovered.
 func (a *Aggregator) eject(r *replica) {
 	lifetime := a.observationLifetime()
 	r.outlier.ejected, r.outlier.halfOpen = true, false
@@ -53,7 +54,7 @@
 	r.outlier.trialAt = a.now + r.outlier.ejectionTime
 }
 
-// reviewReplicas reviews all replicas, once a round.
+// updateReplicas updates the state of all replicas, once a round.
 func (a *Aggregator) reviewReplicas() {
 	a.reviewFleet()
 	for _, r := range a.endpoints.replicas {
@@ -65,11 +66,11 @@
 	a.endpoints.replicas = slices.DeleteFunc(a.endpoints.replicas, a.forget)
 }
 
-// reviewFleet sets panic mode and stale view.
+// updateFleetHealth sets panic mode and the stale view.
 //
-// Panic mode, a term of Envoy's, guards against ejecting a whole fleet: with half of the replicas ejected, what they have
-// in common is load or the network, and further silence is not held against them. The engineer on call would else see all
-// replicas ejected although none is broken.
+// Panic mode, a term of Envoy's, prevents ejecting a whole fleet: once half of the replicas are ejected, the cause is the
+// load or network that they share, and further unanswered calls are not counted as failures. Otherwise the engineer on call
+// would see all replicas ejected although none is broken.
 func (a *Aggregator) reviewFleet() {
 	listed, ejected, answering := 0, 0, 0
 	for _, r := range a.endpoints.replicas {
@@ -87,8 +88,8 @@
 	a.health.panicMode, a.health.staleView = 2*ejected >= listed, 2*answering < listed
 }
 
-// reviewInFlight releases attempts given up that their replica no longer works on, and counts as a failure a call that got
-// no answer while other replicas answer.
+// checkInFlight releases abandoned attempts that their replica no longer works on, and counts a call without an answer as a
+// failure if other replicas answer.
 func (a *Aggregator) reviewInFlight(r *replica) {
 	if len(r.calls.inFlight) == 0 {
 		return
@@ -105,7 +106,7 @@
 	}
 }
 
-// countSilence counts a call without an answer.
+// recordUnanswered records a call without an answer.
 func (a *Aggregator) countSilence(t *attempt) {
 	t.call.silenceCounted, t.replica.outlier.failingFast = true, false
 	a.addProbeCredit(silenceWeight)
@@ -115,8 +116,8 @@
 	}
 }
 
-// startTrial ends the wait of an ejected replica: it is probed, and half open once the probe is answered. Where probes are
-// not permitted it is half open at once.
+// startTrial ends the waiting time of an ejected replica: it is probed, and becomes half open once the probe is answered.
+// Where probes are not permitted it becomes half open at once.
 func (a *Aggregator) startTrial(r *replica) {
 	if !r.outlier.ejected || r.outlier.halfOpen || a.now < r.outlier.trialAt || r.excluded {
 		return
--- a/aggregator/outlier_test.go
+++ b/aggregator/outlier_test.go
@@ -6,18 +6,18 @@
 	"time"
 )
 
-// TestFaultyReplicaLosesItsTrafficAndRegainsIt checks, for each fault, that a replica loses its traffic while it lasts and
-// regains it afterwards. The outcome NotSent stands for silence.
+// TestFaultyReplicaLosesItsTrafficAndRegainsIt checks, for each fault, that a replica loses its traffic during the fault
+// and regains it afterwards. The outcome NotSent stands for no answer.
 func TestFaultyReplicaLosesItsTrafficAndRegainsIt(t *testing.T) {
 	for name, bad := range map[string]struct {
 		outcome Outcome
 		took    time.Duration
 	}{
-		"quick errors":    {Errored, 5 * ms},
-		"silence":         {NotSent, 0},
-		"failed connects": {ConnectFailed, 20 * ms},
-		"resets":          {Reset, 20 * ms},
-		"slow":            {OK, 600 * ms},
+		"quick errors":   {Errored, 5 * ms},
+		"no answer":      {NotSent, 0},
+		"connect failed": {ConnectFailed, 20 * ms},
+		"resets":         {Reset, 20 * ms},
+		"slow":           {OK, 600 * ms},
 	} {
 		for _, probes := range []bool{false, true} {
 			t.Run(fmt.Sprint(name, ", probes ", probes), func(t *testing.T) {
@@ -51,8 +51,8 @@
 	}
 }
 
-// TestFullReplicaGetsNoRetries checks that a replica that rejects parts, and so has no open calls, does not attract the
-// retries.
+// TestFullReplicaGetsNoRetries checks that a replica that rejects parts does not attract the retries, although it has no
+// open calls.
 func TestFullReplicaGetsNoRetries(t *testing.T) {
 	full := false
 	f := newReactingFleet(t, testSettings(), func(r string) (Outcome, time.Duration) {
@@ -69,7 +69,7 @@
 	}
 }
 
-// TestEjectionNeverEmptiesAShard checks that parts are still sent where every holder of a shard fails.
+// TestEjectionNeverEmptiesAShard checks that parts are still sent if every holder of a shard fails.
 func TestEjectionNeverEmptiesAShard(t *testing.T) {
 	bad := true
 	f := newReactingFleet(t, testSettings(), func(string) (Outcome, time.Duration) {
@@ -82,12 +82,12 @@
 	bad = false
 	f.run(12*time.Second, 50*ms)
 	if answers := actionsOf(f.run(2*time.Second, 50*ms), Answer); len(answers) < 35 {
-		t.Errorf("%d of 40 queries answered after all have recovered", len(answers))
+		t.Errorf("%d of 40 queries answered after all replicas recovered", len(answers))
 	}
 }
 
-// TestConnectTimeoutIsNoRestart checks that a replica whose connections come up late is ejected but not taken for one that
-// has just started, as it would then get few parts where no other holds the shard. One that refuses connections may have
+// TestConnectTimeoutStartsNoSlowStart checks that a replica whose connections time out is ejected but not taken as
+// restarted, as it would then get few parts even if no other replica holds the shard. One that refuses connections may have
 // restarted.
 func TestConnectTimeoutIsNoRestart(t *testing.T) {
 	for _, c := range []struct {
--- a/aggregator/pause.go
+++ b/aggregator/pause.go
@@ -3,21 +3,21 @@
 import "time"
 
 const (
-	// pauseLifetime is for how many longest latency objectives after a pause of this node another one is expected.
+	// pauseLifetime is how long after a pause of this node another one is expected, in longest latency objectives.
 	pauseLifetime = 8.0
-	// minPauseTicks is by how many ticks a round must come late to count as a pause.
+	// minPauseTicks is the delay of a round, in ticks, above which it counts as a pause.
 	minPauseTicks = 4
 )
 
-// pauseDetector notes pauses of this node: garbage collection, a busy host, a suspended machine.
+// pauseDetector detects pauses of this node, such as garbage collection, a busy host or a suspended machine.
 type pauseDetector struct {
-	delay   time.Duration // by how much the current round came late; 0 if it did not
+	delay   time.Duration // delay of the current round; 0 if it came in time
 	longest time.Duration // longest pause within pauseLifetime
-	last    time.Duration // when the last pause ended
+	last    time.Duration // end of the last pause
 }
 
-// detectPause notes a round that comes later than the wake that it asked for. What ended meanwhile is reported late, so
-// its latency counts without the delay.
+// detectPause detects a round that comes later than the requested wake. Outcomes during the pause are reported late, so the
+// delay is not counted in their latency.
 func (a *Aggregator) detectPause() {
 	a.pauses.delay = 0
 	if a.now-a.pauses.last > scale(pauseLifetime, a.maxObjective()) {
--- a/aggregator/placement.go
+++ b/aggregator/placement.go
@@ -6,27 +6,28 @@
 )
 
 const (
-	// pressedShare is the share of the time to the objective that a part must be expected to take at every holder for its
-	// shard to be pressed.
+	// slowHolderShare is the share of the time to the objective that a part must be expected to take at every holder for
+	// the holders of its shard to count as slow.
 	pressedShare = 0.3
-	// otherZoneFactor is by which factor a replica of another zone counts as slower.
+	// otherZoneFactor is the factor on the expected latency of a replica in another zone.
 	otherZoneFactor = 1.5
-	// maxSharedCallShare is the share of the time to the objective that the parts of a call may fill for another to join.
+	// maxSharedCallShare is the share of the time to the objective that the parts of a call may fill for another part to
+	// join.
 	maxSharedCallShare = 0.25
-	// minLatencyNoise and latencyNoise spread the factor that a replica's expected latency is multiplied by at random, so
-	// that aggregators that know the same don't all pick the same replica.
+	// minLatencyNoise and latencyNoise are the minimum and the range of the random factor on a replica's expected latency,
+	// which keeps aggregators with the same information from all picking the same replica.
 	minLatencyNoise = 0.8
 	latencyNoise    = 0.4
 
-	ejectedPenalty = 1.0 // of an ejected replica
-	suspectPenalty = 0.5 // of one that is suspected to be down
-	failedPenalty  = 2.0 // for each attempt of the part that the replica has had
+	ejectedPenalty = 1.0 // for an ejected replica
+	suspectPenalty = 0.5 // for a replica that is suspected to be down
+	failedPenalty  = 2.0 // for each earlier attempt of the part at the replica
 )
 
-// placementRank orders the replicas that may take a part; the lowest is picked.
+// placementRank orders the replicas that may take a part; the lowest rank is picked.
 type placementRank struct {
 	penalty float64 // 0 for a replica in good standing
-	calls   float64 // this aggregator's open calls with this part
+	calls   float64 // this aggregator's open calls, including the one for the part
 	latency float64 // expected latency in seconds, with random noise
 }
 
@@ -40,11 +41,11 @@
 	return cmp.Compare(r.latency, o.latency)
 }
 
-// pickReplica returns the holder of a part's shard with the lowest rank, nil where none is usable.
+// pickReplica returns the holder of a part's shard with the lowest rank, or nil if none is usable.
 //
-// Ranking by the open calls of this aggregator, with the parts of the query that the same round has placed, places the
-// parts of a query as a batch, as in Ousterhout et al., "Sparrow: Distributed, Low Latency Scheduling" (SOSP 2013); the
-// latency that replicas have shown takes the place of Sparrow's probes for queue lengths.
+// Ranking by the open calls of this aggregator, which include the parts already placed in this round, places the parts of a
+// query as a batch, as in Ousterhout et al., "Sparrow: Distributed, Low Latency Scheduling" (SOSP 2013). Observed latencies
+// take the place of Sparrow's probes for queue lengths.
 func (a *Aggregator) pickReplica(p *part) *replica {
 	var best *replica
 	var bestRank placementRank
@@ -62,8 +63,8 @@
 	return best
 }
 
-// shardPressed tells whether all holders of a part are so slow that an ejected one which fails fast is worth a trial: a
-// failure costs little time, as the part can be sent again, and the retry budget is well filled.
+// allHoldersSlow reports whether all holders of a part are so slow that an ejected one that fails fast is worth a trial: a
+// failure costs little time, the part can be sent again, and more than half of the retry budget is left.
 func (a *Aggregator) shardPressed(p *part, holders []*replica) bool {
 	if len(p.attempts) > 0 || a.retryBudget.tokens <= maxRetryTokens/2 ||
 		a.settings.Classes[p.query.class].Effect != Safe || a.settings.Limits.MaxAttempts <= 2 {
@@ -75,7 +76,7 @@
 	})
 }
 
-// rankReplica ranks a replica for a part: by its standing, then by the open calls to it, then by the latency to expect.
+// rankReplica ranks a replica for a part: by its standing, then by its open calls, then by its expected latency.
 func (a *Aggregator) rankReplica(p *part, r *replica, pressed bool) placementRank {
 	rank := placementRank{penalty: a.placementPenalty(p, r, pressed), calls: float64(r.calls.open + 1)}
 	rank.latency = (a.currentExcess(r) + a.decayedPeerWork(r) + a.baseLatency(p.query)) *
@@ -90,14 +91,14 @@
 		rank.calls--
 		rank.latency = 0
 	} else if a.settings.CallCost > 0 {
-		// Of equals, the one that can take most of the query's parts in one call.
+		// Among equals, prefer the replica that can take most of the query's parts in one call.
 		rank.latency /= float64(a.partsFor(p.query, r))
 	}
 	return rank
 }
 
-// placementPenalty is the standing of a replica for a part. One that is half open gets a trial part as if it were in good
-// standing, and on a pressed shard so does one that fails fast.
+// placementPenalty returns the penalty of a replica for a part, by its standing. A half-open replica gets a trial part as
+// if it were in good standing; if all holders are slow, so does one that fails fast.
 func (a *Aggregator) placementPenalty(p *part, r *replica, pressed bool) (penalty float64) {
 	halfOpenTrial := r.outlier.halfOpen && len(r.calls.inFlight) == 0 && len(p.attempts) == 0
 	trial := halfOpenTrial || pressed && r.outlier.failingFast
@@ -115,8 +116,8 @@
 	return penalty
 }
 
-// usable tells whether a part may be sent to r at all: it is neither draining nor gone nor backing off, has no open attempt
-// of the part, and may be sent more if it is in slow start.
+// usable reports whether a part may be sent to r at all: r is neither draining nor gone nor in backoff, has no open attempt
+// of the part, and, if it is in slow start, may be sent more.
 func (a *Aggregator) usable(p *part, r *replica) bool {
 	if r.excluded || a.now < r.outlier.backoffUntil {
 		return false
@@ -129,7 +130,7 @@
 	return !r.slowStart.active || a.slowStartAllows(p, r)
 }
 
-// partsFor counts the parts of a query still to be placed that r could take in one call, 1 at least.
+// batchableParts returns how many unsent parts of a query r could take in one call, at least 1.
 func (a *Aggregator) partsFor(q *query, r *replica) (n int) {
 	sets := a.settings.ShardSets
 	for _, p := range q.parts {
--- a/aggregator/query.go
+++ b/aggregator/query.go
@@ -4,47 +4,47 @@
 	"time"
 )
 
-// queryTable holds the open queries, and the parts of open queries or with attempts in flight.
+// queryTable holds the open queries, and the parts that belong to open queries or have open attempts.
 type queryTable struct {
 	byID  map[string]*query
 	parts map[string]*part
 	live  []*query // in order of arrival; ended ones are removed at the end of a round
 }
 
-// query is one query that a client has sent.
+// query is the state of one client query.
 type query struct {
 	id                string
 	class             int  // index into Settings.Classes
 	tenant            int  // index into Settings.Tenants; below 0 for none
 	retry             bool // the client has sent it before
 	parts             []*part
-	partCount         int // parts of the current step, of which some may not have arrived
-	phase             int // 0 or 1
+	partCount         int // parts of the current phase, some of which may not have arrived
+	phase             int // index of the current phase, 0 or 1
 	admitted          bool
 	ended             bool
-	firstStepComplete bool // the first step was answered in full
+	firstStepComplete bool // the first phase was answered completely
 	arrived           time.Duration
 	canary            queryCanary
 	rejection         Reason        // why admission rejected it
-	objective         time.Duration // an answer until then earns the full priority
-	deadline          time.Duration // the client's deadline less the reserve
-	priority          float64       // of its class, for its work and its tenant's quota
+	objective         time.Duration // answers until then earn the full priority
+	deadline          time.Duration // the client's deadline minus the pause reserve
+	priority          float64       // priority of its class, adjusted for its work and its tenant's quota
 }
 
-// part is the part of a query that one shard answers.
+// part is the portion of a query that one shard answers.
 type part struct {
 	id         string
 	query      *query
 	shard      int
 	weight     float64 // share of the query's answer
-	work       float64 // expected work in seconds; 0 where not known
+	work       float64 // expected work in seconds; 0 if unknown
 	attempts   []*attempt
 	answered   bool
 	abandoned  bool          // no further attempt is made
-	forecast   float64       // how long it was expected to take as its query was admitted, in seconds
-	mayHaveRun bool          // an attempt ended that may have run
-	firstRun   time.Duration // when the first such attempt was sent
-	cheapRetry bool          // its last attempt ended by itself, or its replica was ejected, so a retry brings little work
+	forecast   float64       // latency expected at admission, in seconds
+	mayHaveRun bool          // an attempt that may have run has ended
+	firstRun   time.Duration // send time of the first such attempt
+	cheapRetry bool          // its last attempt ended by itself or its replica is failing, so a retry adds little work
 }
 
 func (p *part) openAttempts() (n int) {
@@ -56,11 +56,11 @@
 	return n
 }
 
-// queryProgress is how far the current step of a query is.
+// queryProgress is the progress of the current phase of a query.
 type queryProgress struct {
-	weight  float64 // of the parts that are answered
+	weight  float64 // sum over the answered parts
 	pending int     // parts that may still be answered
-	missing int     // parts that are not answered, abandoned ones included
+	missing int     // unanswered parts, abandoned ones included
 }
 
 func (q *query) progress() (progress queryProgress) {
@@ -77,7 +77,7 @@
 	return progress
 }
 
-// queryArrived opens a query; one of a class that the settings lack is rejected.
+// queryArrived opens a query, or rejects one whose class is not in the settings.
 func (a *Aggregator) queryArrived(e *Event) {
 	if a.queries.byID[e.Query] != nil {
 		return
@@ -96,7 +96,7 @@
 	a.queries.live = append(a.queries.live, q)
 }
 
-// partArrived adds a part to its query. Parts of no query, known parts and shards out of range are skipped.
+// partArrived adds a part to its query. It ignores parts of unknown queries, known parts and shards out of range.
 func (a *Aggregator) partArrived(e *Event) {
 	q := a.queries.byID[e.Query]
 	a.countAccepted()
@@ -108,7 +108,7 @@
 	a.queries.parts[p.id] = p
 }
 
-// openCount is how many queries and parts are open; Limits.MaxOpen bounds it.
+// openCount returns the number of open queries and their parts, which Limits.MaxOpen bounds.
 func (a *Aggregator) openCount() (n int) {
 	for _, q := range a.queries.live {
 		if !q.ended {
@@ -127,7 +127,7 @@
 	}
 }
 
-// dropPart cancels the open attempts of a part and removes it; a part with open attempts stays until the last has ended.
+// dropPart cancels the open attempts of a part and removes it; one with open attempts is removed when the last has ended.
 func (a *Aggregator) dropPart(p *part) {
 	a.cancelAttempts(p)
 	if p.openAttempts() == 0 {
@@ -135,7 +135,7 @@
 	}
 }
 
-// cancelAttempts cancels the open attempts of a part, where the deployment permits it.
+// cancelAttempts cancels the open attempts of a part, if the deployment permits it.
 func (a *Aggregator) cancelAttempts(p *part) {
 	for _, t := range p.attempts {
 		if t.open && !t.cancelled && a.settings.Limits.CanCancel {
--- a/aggregator/random_test.go
+++ b/aggregator/random_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// TestRulesHoldForRandomEvents plays random events and checks the operators' rules by records of its own, and that memory
+// TestRulesHoldForRandomEvents applies random events, and checks the operators' rules with its own records and that memory
 // stays bounded.
 func TestRulesHoldForRandomEvents(t *testing.T) {
 	for seed := range uint64(6) {
@@ -18,7 +18,7 @@
 	}
 }
 
-// TestRulesHoldForRandomEventsInALargeFleet does the same for one of eighty aggregators over 120 replicas in two and three
+// TestRulesHoldForRandomEventsInALargeFleet does the same for one of eighty aggregators with 120 replicas in two or three
 // zones, with shared calls and every effect of a class.
 func TestRulesHoldForRandomEventsInALargeFleet(t *testing.T) {
 	for seed := range uint64(4) {
@@ -34,7 +34,7 @@
 	}
 }
 
-// playRandomEvents plays 6000 rounds of random events, stray ones among them, and checks each action.
+// applyRandomEvents runs 6000 rounds of random events, including stray ones, and checks each action.
 func playRandomEvents(t *testing.T, set Settings, all []Member, seed uint64) {
 	t.Helper()
 	h := newHarness(t, set, all...)
@@ -71,7 +71,7 @@
 				openAttempts[sent[k].part]--
 				ran[sent[k].part] = ran[sent[k].part] || o != Rejected && o != ConnectFailed && o != ConnectTimeout && o != NotSent
 			}
-			if rng.IntN(10) > 0 { // else it is reported twice
+			if rng.IntN(10) > 0 { // otherwise it is reported twice
 				sent = append(sent[:k], sent[k+1:]...)
 			}
 		}
@@ -106,7 +106,7 @@
 					t.Fatalf("seed %d: %d attempts of %s", seed, h.attempts[act.Part], act.Part)
 				}
 				if excluded[act.Replica] {
-					t.Fatalf("seed %d: sent to %s, which drains", seed, act.Replica)
+					t.Fatalf("seed %d: sent to %s, which is draining or gone", seed, act.Replica)
 				}
 				if _, open := due[act.Part[:len(act.Part)-2]]; !open {
 					t.Fatalf("seed %d: %s sent after its query ended", seed, act.Part)
--- a/aggregator/retry_test.go
+++ b/aggregator/retry_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// TestRetryDependsOnEffectAndOutcome checks what may be sent again, by effect, by how the first attempt ended, and by the
-// deduplication window.
+// TestRetryDependsOnEffectAndOutcome checks whether a part is sent again, depending on the effect of its class, the outcome
+// of the first attempt and the deduplication window.
 func TestRetryDependsOnEffectAndOutcome(t *testing.T) {
 	for _, c := range []struct {
 		name    string
@@ -40,13 +40,13 @@
 	}
 }
 
-// TestOverdueAttemptIsCancelledBeforeTheRetry checks that, without hedging, an overdue attempt is cancelled and only then
-// followed by another.
+// TestOverdueAttemptIsCancelledBeforeTheRetry checks that, without hedging, an overdue attempt is cancelled before the part
+// is sent again.
 func TestOverdueAttemptIsCancelledBeforeTheRetry(t *testing.T) {
 	h := newHarness(t, testSettings(), members("a", "b", "c")...)
 	h.step(queryEvents("q", 3*time.Second, 0)...)
 	hung := h.last[0].Replica
-	for i := range 6 { // peers answer, the hung one does not
+	for i := range 6 { // the others answer, the hung replica does not
 		id := fmt.Sprint("x", i)
 		h.step(queryEvents(id, 3*time.Second, 0)...)
 		h.now += 100 * ms
@@ -58,14 +58,14 @@
 		t.Fatalf("%d attempts before any outcome, want 1", h.attempts["q/0"])
 	}
 	if h.aggregator.queries.parts["q/0"] == nil || !h.aggregator.queries.parts["q/0"].attempts[0].cancelled {
-		t.Fatal("the silent attempt was not called off")
+		t.Fatal("the unanswered attempt was not cancelled")
 	}
 	if s := actionsOf(h.step(attemptEnded("q/0", 0, Cancelled)), Send); len(s) != 1 || s[0].Replica == hung {
 		t.Errorf("after the cancel: %v, want one send to another replica than %s", s, hung)
 	}
 }
 
-// TestRetriesStayWithinTheirRatio checks that retries stay within their ratio in every window, at its edges too.
+// TestRetriesStayWithinTheirRatio checks that retries stay within their ratio in every sliding window.
 func TestRetriesStayWithinTheirRatio(t *testing.T) {
 	set := testSettings()
 	set.Rules.RetryWindow, set.Rules.RetryFloor, set.Rules.RetryRatio = time.Second, 2, 0.1
@@ -92,19 +92,19 @@
 		for _, s := range actionsOf(h.step(events...), Send) {
 			if h.attempts[s.Part] > 1 {
 				if extras = append(extras, h.now); float64(within(extras)) > 2+0.1*float64(within(taken)) {
-					t.Fatalf("step %d: %d further attempts for %d taken", i, within(extras), within(taken))
+					t.Fatalf("step %d: %d retries for %d accepted queries and parts", i, within(extras), within(taken))
 				}
 			}
 		}
 	}
 	if len(extras) == 0 {
-		t.Error("no further attempt at all")
+		t.Error("no retries")
 	}
 }
 
-// TestOvertakenPartIsHedged checks that a part whose replica has answered what was sent later, so that its answer may be
-// lost, is hedged once it is overdue where nearly all other parts of its query are in, though its replica is neither silent
-// nor ejected. Where it is one of two, it may just be slow.
+// TestOvertakenPartIsHedged checks that a part is hedged once it is overdue if its replica has answered a later part, so
+// that its answer may be lost, and nearly all other parts of its query are answered, though the replica is neither
+// unresponsive nor ejected. If it is one of two parts, it may just be slow.
 func TestOvertakenPartIsHedged(t *testing.T) {
 	for parts, want := range map[int]int{9: 2, 2: 1} {
 		set := testSettings()
@@ -116,7 +116,7 @@
 			shards[i] = i % 3
 		}
 		for i, s := range actionsOf(f.step(queryEvents("q", time.Second, shards...)...), Send) {
-			if i > 0 { // the first answer never comes
+			if i > 0 { // the first part is never answered
 				f.due = append(f.due, dueOutcome{f.now + 50*ms, attemptEnded(s.Part, 0, OK)})
 			}
 		}
@@ -127,8 +127,8 @@
 	}
 }
 
-// TestHedgeDelayFollowsLatencies checks that a part is hedged well past the latency that one part in twenty exceeds. Hedged
-// sooner, parts that are only slow lose the work done on them and use up their attempts.
+// TestHedgeDelayFollowsLatencies checks that a part is hedged well after the 95th percentile of the latencies. If parts
+// that are only slow were hedged, the work done on them would be lost and their attempts used up.
 func TestHedgeDelayFollowsLatencies(t *testing.T) {
 	set := testSettings()
 	set.Classes[0].LatencyObjective, set.Classes[0].Deadline = 4*time.Second, 8*time.Second
@@ -141,10 +141,10 @@
 	}
 	q := &query{}
 	if got := h.aggregator.hedgeDelay(q); got < 0.35 || got > 0.6 {
-		t.Errorf("parts take 0.1 s and one is hedged after %.2f s, want about four times as long", got)
+		t.Errorf("parts take 0.1 s and are hedged after %.2f s, want about four times as long", got)
 	}
 	h.aggregator.latencyOf(q).tail.value = 1.0
 	if got := h.aggregator.hedgeDelay(q); got != 2.0 {
-		t.Errorf("one part in twenty takes 1 s and one is hedged after %.2f s, want 2", got)
+		t.Errorf("the tail latency is 1 s and parts are hedged after %.2f s, want 2", got)
 	}
 }
--- a/aggregator/settings.go
+++ b/aggregator/settings.go
@@ -7,13 +7,13 @@
 	"time"
 )
 
-// Effect says what harm repeating a part of a class does.
+// Effect is the harm done by running a part of a class more than once.
 type Effect uint8
 
-// The effects.
+// Effects of a repeated part.
 const (
 	Safe   Effect = iota // idempotent: may be repeated freely
-	Keyed                // data nodes drop a repeat for Class.DedupWindow
+	Keyed                // data nodes drop repeats for Class.DedupWindow
 	Unsafe               // must not run twice
 )
 
@@ -25,103 +25,103 @@
 
 func (e Effect) String() string { return valueName("Effect", effectNames[:], int(e)) }
 
-// Class is one class of query. Shares are of 1.
+// Class describes one class of query. Shares are fractions of 1.
 type Class struct {
 	Name             string
-	LatencyObjective time.Duration // an answer within it earns the full priority
-	Deadline         time.Duration // how long the client waits, over all its retries
-	DedupWindow      time.Duration // Keyed only: how long a repeat is dropped, from the first send that may have run
+	LatencyObjective time.Duration // answers within it earn the full priority
+	Deadline         time.Duration // how long the client waits, including all its retries
+	DedupWindow      time.Duration // Keyed only: how long repeats are dropped, counted from the first send that may have run
 	Effect           Effect
-	Priority         float64 // weight of an answer
-	LateShare        float64 // share of the priority that an answer after the objective earns
+	Priority         float64 // value of a complete answer within the objective
+	LateShare        float64 // share of Priority that an answer after the objective earns
 	CompleteShare    float64 // share of the parts' weight that makes an answer complete
-	MinShare         float64 // smallest share of the weight that may be answered
-	PartialShare     float64 // share of the priority that a partial answer earns, times its share of CompleteShare
-	FetchParts       int     // parts of a second phase, which only the simulator has: its first answer opens it; 0 means one phase
+	MinShare         float64 // smallest share of the parts' weight that may be answered
+	PartialShare     float64 // share of Priority that a partial answer earns, times its weight divided by CompleteShare
+	FetchParts       int     // parts of a second phase, opened by the first answer and used only by the simulator; 0 means one phase
 }
 
 // Tenant is a customer with a quota.
 type Tenant struct {
 	Name string
-	Rate float64 // queries a second within its quota, over all aggregators
+	Rate float64 // quota in queries per second, over all aggregators
 }
 
-// Limits is what the deployment permits. The zero value of a permission means that it is not given.
+// Limits holds what the deployment permits. The zero value of a permission denies it.
 type Limits struct {
-	MaxAttempts    int           // most attempts of a part, the first included; below 1 means 1
-	MaxOpen        int           // queries and parts open at once; 0 means no limit
-	MaxBatch       int           // most parts in a call; below 1 means 1
+	MaxAttempts    int           // maximum attempts per part, the first included; below 1 means 1
+	MaxOpen        int           // maximum number of open queries and parts together; 0 means no limit
+	MaxBatch       int           // maximum parts per call; below 1 means 1
 	CanCancel      bool          // attempts may be cancelled
-	Hedging        bool          // a part may have two attempts open
+	Hedging        bool          // a part may have two open attempts
 	Probes         bool          // replicas may be probed
 	Gossip         bool          // aggregators may send each other messages
-	SendRetryAfter bool          // a rejection tells the client when to retry
-	MaxRetryAfter  time.Duration // the latest time that a rejection tells
-	ConnectTimeout time.Duration // after which a connection that is not up counts as failed
-	ConnIdle       time.Duration // idle connections are closed after it; 0 where not known
+	SendRetryAfter bool          // rejections tell the client when to retry
+	MaxRetryAfter  time.Duration // upper bound of the retry time in a rejection
+	ConnectTimeout time.Duration // time after which a connection that is not established counts as failed
+	ConnIdle       time.Duration // time after which idle connections are closed; 0 if unknown
 }
 
-// Rules holds the figures of the rules that the operators set. The zero value of a figure means that its rule is off.
+// Rules holds the values of the operators' rules. A zero value turns its rule off.
 type Rules struct {
-	DrainGrace       time.Duration // how soon after a replica was listed as draining nothing more may be sent to it
-	OverloadMultiple float64       // work beyond this multiple of its capacity overloads a replica in slow start
-	OverloadWindow   time.Duration // over which time OverloadMultiple counts
-	InitialCapacity  float64       // capacity of a replica as it starts, as a share of 1
-	WarmupTime       time.Duration // how long slow start lasts
-	RetryWindow      time.Duration // over which time the ratio of retries holds; 0 means no ratio
-	RetryFloor       float64       // retries in RetryWindow that are always allowed
-	RetryRatio       float64       // further retries for each query or part taken in
-	PollInterval     time.Duration // within it the endpoint list must be polled
+	DrainGrace       time.Duration // nothing may be sent to a replica later than this after it was listed as draining
+	OverloadMultiple float64       // work above this multiple of its capacity overloads a replica in slow start
+	OverloadWindow   time.Duration // time window in which OverloadMultiple applies
+	InitialCapacity  float64       // capacity of a replica when it starts, as a fraction of 1
+	WarmupTime       time.Duration // duration of slow start
+	RetryWindow      time.Duration // sliding window of the retry ratio; 0 means no ratio
+	RetryFloor       float64       // retries per RetryWindow that are always allowed
+	RetryRatio       float64       // further retries per accepted query or part
+	PollInterval     time.Duration // the endpoint list must be polled at least this often
 }
 
-// Settings is the configuration of an aggregator. The zero value of a feature means that it is off.
+// Settings configures an aggregator. The zero value of a feature turns it off.
 type Settings struct {
-	Zone            string        // of this aggregator
-	Aggregators     int           // how many aggregators share the fleet; below 1 means 1
+	Zone            string        // zone of this aggregator
+	Aggregators     int           // number of aggregators that share the fleet; below 1 means 1
 	Tick            time.Duration // shortest time between rounds; below 1 ms means 1 ms
 	Classes         []Class
 	Tenants         []Tenant
-	OverQuotaFactor float64 // what the priority of a query over its tenant's quota is multiplied by
-	PriorityPerWork bool    // priorities are stated per work, else for a whole query
-	ShardSets       int     // shard s is held by the shard sets s to s+Reach-1, modulo ShardSets
+	OverQuotaFactor float64 // factor on the priority of a query over its tenant's quota
+	PriorityPerWork bool    // priorities are per unit of work, otherwise per query
+	ShardSets       int     // number of shard sets; shard s is held by the sets s to s+Reach-1, modulo ShardSets
 	Shards          int
-	Reach           int
-	CallCost        time.Duration // work of a call beside that of its parts; 0 means that calls are not shared
-	KeyCaches       bool          // a replica serves a key that it has just served with less work
-	LateFailPrice   float64
-	PollList        bool // the endpoint list must be polled
+	Reach           int           // number of shard sets that hold a shard
+	CallCost        time.Duration // work of a call in addition to that of its parts; 0 means that parts do not share calls
+	KeyCaches       bool          // a replica serves a recently served key with less work
+	LateFailPrice   float64       // cost of failing a query late; not used by the rules
+	PollList        bool          // the endpoint list must be polled
 	Limits          Limits
 	Rules           Rules
 }
 
-// SettingsError reports settings that can't be served.
+// SettingsError reports invalid settings.
 type SettingsError struct {
-	Settings string // the names of the settings; Cells is Settings.ShardSets, as the simulator's replies have it
+	Settings string // names of the settings; Settings.ShardSets is called Cells, as in the simulator's replies
 	Problem  string
 }
 
 func (e *SettingsError) Error() string { return e.Settings + ": " + e.Problem }
 
-// validate returns a *SettingsError for the first settings that can't be served.
+// validate returns a *SettingsError for the first invalid settings.
 func (set *Settings) validate() error {
 	if set.ShardSets < 1 || set.Shards < 1 {
 		return &SettingsError{"Cells, Shards", fmt.Sprintf("%d, %d: both must be above 0", set.ShardSets, set.Shards)}
 	}
 	if set.Reach < 1 || set.Reach > set.ShardSets {
-		return &SettingsError{"Reach", fmt.Sprintf("%d is not within 1 and Cells (%d)", set.Reach, set.ShardSets)}
+		return &SettingsError{"Reach", fmt.Sprintf("%d is not between 1 and Cells (%d)", set.Reach, set.ShardSets)}
 	}
 	if len(set.Classes) == 0 {
-		return &SettingsError{"Classes", "none"}
+		return &SettingsError{"Classes", "at least one class is required"}
 	}
 	for i := range set.Classes {
 		if !set.Classes[i].valid() {
-			return &SettingsError{fmt.Sprintf("Classes[%d]", i), "a figure is negative, not finite or missing"}
+			return &SettingsError{fmt.Sprintf("Classes[%d]", i), "a value is negative, not finite or missing"}
 		}
 	}
 	r, l := &set.Rules, &set.Limits
 	shortest := min(r.DrainGrace, r.OverloadWindow, r.WarmupTime, r.RetryWindow, r.PollInterval, l.MaxRetryAfter, set.Tick, set.CallCost)
 	if shortest < 0 || !finite(r.OverloadMultiple, r.InitialCapacity, r.RetryFloor, r.RetryRatio, set.OverQuotaFactor) {
-		return &SettingsError{"Rules, Limits", "a figure is negative or not finite"}
+		return &SettingsError{"Rules, Limits", "a value is negative or not finite"}
 	}
 	return nil
 }
@@ -131,12 +131,12 @@
 		finite(c.Priority, c.LateShare, c.CompleteShare, c.MinShare, c.PartialShare)
 }
 
-// finite tells whether all figures are 0 or above and finite.
+// nonNegativeFinite reports whether all values are finite and at least 0.
 func finite(figures ...float64) bool {
 	return !slices.ContainsFunc(figures, func(x float64) bool { return !(x >= 0) || math.IsInf(x, 0) })
 }
 
-// maxObjective is the longest latency objective of any class.
+// maxObjective returns the longest latency objective of all classes.
 func (a *Aggregator) maxObjective() (longest time.Duration) {
 	for i := range a.settings.Classes {
 		longest = max(longest, a.settings.Classes[i].LatencyObjective)
--- a/aggregator/settings_test.go
+++ b/aggregator/settings_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// TestNewNamesTheFaultySetting checks that settings that can't be served give an error that names them.
+// TestNewNamesTheInvalidSetting checks that the error for invalid settings names them.
 func TestNewNamesTheFaultySetting(t *testing.T) {
 	for want, spoil := range map[string]func(*Settings){
 		"Cells":      func(s *Settings) { s.ShardSets = 0 },
--- a/aggregator/slowstart.go
+++ b/aggregator/slowstart.go
@@ -7,17 +7,18 @@
 )
 
 const (
-	// maxMeanOverBase is how many base latencies the mean work of a part is taken for at most, as the median latency holds
-	// the wait under load too.
+	// maxMeanWorkMultiple bounds the mean work of a part, in base latencies, as the median latency includes waiting under
+	// load.
 	maxMeanOverBase = 1.8
-	// assumedWorkShare is the work of a part as a share of the latency objective, until a part of its class was answered.
+	// assumedWorkShare is the assumed work of a part, as a share of the latency objective, until a part of its class was
+	// answered.
 	assumedWorkShare = 0.2
-	// minWarmupCalls is how many calls of all aggregators an overload window must hold for a call to have several parts:
-	// with fewer, the random draws don't even out.
+	// minWarmupCalls is the number of calls of all aggregators that an overload window must hold for a call to have several
+	// parts: with fewer, the random draws don't even out.
 	minWarmupCalls = 8.0
-	// minWarmupSeconds is the least warm-up time that the ramp is divided by.
+	// minWarmupSeconds is the shortest warm-up time, in seconds, by which the capacity ramp is divided.
 	minWarmupSeconds = 1e-3
-	// savedWindows is how many overload windows' shares an aggregator may save up.
+	// maxAccruedWindows is the largest allowance that an aggregator may accrue, in its shares of an overload window.
 	savedWindows = 2
 )
 
@@ -25,10 +26,10 @@
 type slowStart struct {
 	active    bool
 	start     time.Duration
-	sends     []sentWork // within the overload window
-	allowance float64    // seconds of work that this aggregator may send; below 0 where work was sent ahead
+	sends     []sentWork // within the last overload window
+	allowance float64    // seconds of work that this aggregator may send; negative if work was sent ahead
 	accruedAt time.Duration
-	draw      float64 // share of a call that the allowance must hold, drawn from [0, 1)
+	draw      float64 // share of a call that the allowance must cover, drawn from [0, 1)
 	drawnAt   time.Duration
 }
 
@@ -38,7 +39,7 @@
 	work   float64 // seconds
 }
 
-// startSlowStart begins the slow start of a replica whose process started at the given time, and forgets its faults. A
+// startSlowStart starts the slow start of a replica whose process started at the given time, and clears its failures. A
 // time of 0 means long ago.
 func (a *Aggregator) startSlowStart(r *replica, started time.Duration) {
 	if started > 0 && a.now-started < a.settings.Rules.WarmupTime {
@@ -47,7 +48,7 @@
 	}
 }
 
-// suspectRestart begins a slow start where a replica drops or refuses connections: its process may have restarted before
+// suspectRestart starts a slow start when a replica resets or refuses connections: its process may have restarted before
 // the endpoint list says so.
 func (a *Aggregator) suspectRestart(r *replica) {
 	r.slowStart.active, r.slowStart.start = true, a.now
@@ -60,14 +61,14 @@
 	}
 }
 
-// slowStartAllows tells whether a part may be sent to a replica in slow start.
+// slowStartAllows reports whether a part may be sent to a replica in slow start.
 //
-// It guards against overload of a replica with cold caches, which falls over and starts again. All aggregators together
-// send it no more work in an overload window than its capacity on the ramp times Rules.OverloadMultiple; each presumes that
-// the others send as much as it does. Where the share of one aggregator is less than a part, the share accrues, and a
-// random draw says how much of a call must have accrued: the aggregators then don't send in the same moment, on average
-// they send their shares, and what was sent ahead is paid later. The draw counts one window's share at most, as all
-// aggregators may have saved. Slow start is the term of Envoy and nginx; the ration over several senders is not theirs.
+// It prevents overloading a replica with cold caches, which would crash and start again. All aggregators together send it
+// no more work in an overload window than its capacity on the ramp times Rules.OverloadMultiple; each assumes that the
+// others send as much as it does. If the share of one aggregator is less than a part, the share accrues, and a random draw
+// decides how much of a call must have accrued: the aggregators then don't send at the same moment, they send their shares
+// on average, and work sent ahead is deducted later. At most one window's share counts toward the draw, as all aggregators
+// may have saved theirs. Slow start is the term of Envoy and nginx, which do not divide it among several senders.
 func (a *Aggregator) slowStartAllows(p *part, r *replica) bool {
 	rules, s := &a.settings.Rules, &r.slowStart
 	if rules.OverloadMultiple == 0 || rules.OverloadWindow == 0 {
@@ -91,15 +92,15 @@
 	return math.Min(s.allowance, share) >= work*float64(parts)*s.draw
 }
 
-// slowStartCapacity is the work, in seconds, that all aggregators together may send in one overload window. The capacity
-// grows linearly over the warm-up time.
+// slowStartCapacity returns the work, in seconds, that all aggregators together may send in one overload window. It grows
+// linearly over the warm-up time.
 func (a *Aggregator) slowStartCapacity(s *slowStart) float64 {
 	rules := &a.settings.Rules
 	warmed := min(1, max(0, (a.now-s.start).Seconds()/math.Max(rules.WarmupTime.Seconds(), minWarmupSeconds)))
 	return rules.OverloadMultiple * (rules.InitialCapacity + (1-rules.InitialCapacity)*warmed) * rules.OverloadWindow.Seconds()
 }
 
-// sentSince sums the work sent from t on and forgets the earlier sends.
+// sentSince returns the work sent at or after t and drops the earlier sends.
 func (s *slowStart) sentSince(t time.Duration) float64 {
 	s.sends = slices.DeleteFunc(s.sends, func(sent sentWork) bool { return sent.sentAt < t })
 	sum := 0.0
@@ -109,7 +110,7 @@
 	return sum
 }
 
-// accrue adds to the allowance what has accrued since the last call; share is the work that accrues in a window.
+// accrue adds to the allowance what has accrued since the last call; share is the work that accrues per window.
 func (s *slowStart) accrue(now time.Duration, share float64, window time.Duration) {
 	if s.accruedAt < s.start {
 		s.accruedAt, s.allowance = s.start, 0
@@ -118,7 +119,7 @@
 	s.accruedAt = now
 }
 
-// spendSlowStartAllowance counts work sent to a replica in slow start, and draws for the next call.
+// spendSlowStartAllowance deducts work sent to a replica in slow start, and draws for the next call.
 func (a *Aggregator) spendSlowStartAllowance(r *replica, work float64) {
 	s := &r.slowStart
 	s.allowance -= work
@@ -126,7 +127,7 @@
 	s.drawnAt, s.draw = a.now, a.rng.Float64()
 }
 
-// expectedWork is the mean work of a part, in seconds, with the cost of its call.
+// expectedWork returns the mean work of a part, in seconds, including the cost of its call.
 func (a *Aggregator) expectedWork(p *part) float64 {
 	mean := a.baseLatency(p.query)
 	if estimate := a.latencyOf(p.query); estimate.median.samples > 0 {
--- a/aggregator/slowstart_test.go
+++ b/aggregator/slowstart_test.go
@@ -9,24 +9,24 @@
 	"time"
 )
 
-// slowStartScenario is a fleet of aggregators and one data node that has just started.
+// slowStartScenario is a fleet of aggregators with one data node that has just started.
 type slowStartScenario struct {
 	aggregators    int
-	maxBatch       int           // parts of a call
+	maxBatch       int           // maximum parts per call
 	callCost       time.Duration // of each call
 	alone          bool          // no other replica holds the shards
-	burst          bool          // all get a query at once, twice a second; else each by chance
-	skew           float64       // exponent of how unequal their traffic is
-	withoutHistory bool          // they start with the data node and have seen no answer
-	work           time.Duration // of a part on average
-	spread         float64       // of the logarithms of parts' works
+	burst          bool          // all get a query at the same time, twice a second; otherwise each at random
+	skew           float64       // exponent of the power law of their shares of the traffic
+	withoutHistory bool          // they start together with the data node and have seen no answer
+	work           time.Duration // mean work of a part
+	spread         float64       // standard deviation of the logarithm of a part's work
 }
 
-// slowStartAt is when the data node starts, on the harness's clock.
+// slowStartAt is the start time of the data node on the harness's clock.
 const slowStartAt = 200 * time.Second
 
-// playSlowStart plays ten overload windows and returns by how many calls the worst sliding window exceeds what the settings
-// allow, and how many calls were sent in all.
+// simulateSlowStart simulates ten overload windows. It returns by how many calls the worst sliding window exceeds what the
+// settings allow, and the number of calls sent.
 func playSlowStart(t *testing.T, scenario slowStartScenario, seed uint64) (excess float64, calls int) {
 	t.Helper()
 	rng := rand.New(rand.NewPCG(seed, 1))
@@ -75,7 +75,7 @@
 	var due []answer
 	var sent []time.Duration
 	const step = 10 * ms
-	perStep := 4 * float64(step) / float64(scenario.work) // queries of four parts, several times the capacity of one in slow start
+	perStep := 4 * float64(step) / float64(scenario.work) // queries of four parts, several times the capacity in slow start
 	for now := start; now < start+10*rules.OverloadWindow; now += step {
 		for i, h := range fleet {
 			h.now = now
@@ -130,8 +130,8 @@
 	return excess, len(sent)
 }
 
-// TestFleetStaysWithinSlowStartLimit checks that, whatever the number of aggregators and however unequal their traffic, all
-// together send a data node in slow start no more than the settings allow, within the chance of their draws.
+// TestFleetStaysWithinSlowStartLimit checks that all aggregators together send a data node in slow start no more than the
+// settings allow, up to random variation, whatever their number and however uneven their traffic.
 func TestFleetStaysWithinSlowStartLimit(t *testing.T) {
 	for _, nodes := range []int{3, 10, 30, 100, 300} {
 		for _, scenario := range []slowStartScenario{
@@ -147,7 +147,7 @@
 		} {
 			scenario.aggregators, scenario.work = nodes, 40*ms
 			if !scenario.burst && scenario.skew > 0 {
-				scenario.work = 10 * ms // many small ones
+				scenario.work = 10 * ms // many small parts
 			}
 			if scenario.withoutHistory {
 				scenario.work = 200 * ms // a large share of the objective
@@ -158,12 +158,12 @@
 				excess, calls := playSlowStart(t, scenario, seed+1)
 				all += calls
 				if excess > 0 {
-					t.Errorf("%+v, seed %d: %.1f calls too many in a window, %d in all", scenario, seed+1, excess, calls)
+					t.Errorf("%+v, seed %d: %.1f calls above the limit in a window, %d in total", scenario, seed+1, excess, calls)
 				}
-				t.Logf("%+v, seed %d: %.1f calls below the bound, %d in all", scenario, seed+1, -excess, calls)
+				t.Logf("%+v, seed %d: %.1f calls below the limit, %d in total", scenario, seed+1, -excess, calls)
 			}
 			if all == 0 {
-				t.Errorf("%+v: it gets nothing", scenario)
+				t.Errorf("%+v: no calls to the data node in slow start", scenario)
 			}
 		}
 	}
@@ -179,15 +179,15 @@
 	for i := range 50 {
 		sent += len(actionsOf(h.step(queryEvents(fmt.Sprint(i), 3*time.Second, 0)...), Send))
 	}
-	// Work is presumed a tenth of the objective; an aggregator's half of 3 x (0.2 + a little) x 1 s is under 4
+	// The assumed work is a tenth of the objective, so an aggregator's half of 3 x (0.2 + a little) x 1 s is under 4
 	// parts.
 	if sent == 0 || sent > 4 {
-		t.Errorf("%d parts in the first moment, want 1 to 4", sent)
+		t.Errorf("%d parts in the first round, want 1 to 4", sent)
 	}
 }
 
 // TestAggregatorsShareAReplicaInSlowStart checks that dozens of aggregators, each with a share of less than one part, use a
-// replica in slow start and on average stay within its capacity.
+// replica in slow start and together stay within its capacity on average.
 func TestAggregatorsShareAReplicaInSlowStart(t *testing.T) {
 	const nodes, windows = 80, 8
 	sent := 0
@@ -206,20 +206,20 @@
 			sent += len(actionsOf(a.Step(now, queryEvents(fmt.Sprint(i), time.Second, 0), nil), Send))
 		}
 	}
-	// The capacity grows evenly from 3 x 0.2 to 3 x 0.84 over the eight windows of 1 s; a part is a tenth of
-	// a second.
+	// The capacity grows linearly from 3 x 0.2 to 3 x 0.84 over the eight windows of 1 s; the work of a part is a tenth
+	// of a second.
 	if capacity := windows * 3 * 0.52 * 10; sent == 0 || float64(sent) > capacity || float64(sent) < capacity/3 {
 		t.Errorf("%d parts from %d nodes in %d windows, want a third of %.0f to %.0f", sent, nodes, windows, capacity, capacity)
 	}
 }
 
-// fleetArrivals is when the aggregators of a fleet are sent queries, in steps of 100 ms.
+// fleetArrivals determines when the aggregators of a fleet receive queries, in steps of 100 ms.
 type fleetArrivals struct {
-	together    bool // all at once, twice a second; else each once a second, in turn
-	idleWindows int  // windows of a second at the start without a query; then no other holder is left
+	together    bool // all at once, twice a second; otherwise each once a second, in turn
+	idleWindows int  // windows of a second at the start without queries, after which no other holder is left
 }
 
-// at tells whether an aggregator gets a query in a step.
+// at reports whether an aggregator receives a query in a step.
 func (f fleetArrivals) at(step, aggregator int) bool {
 	if step < 10*f.idleWindows {
 		return false
@@ -230,9 +230,9 @@
 	return (step+aggregator)%10 == 0
 }
 
-// playWarmingFleet plays eighty aggregators that share three replicas of a shard, one of them just started, for ten overload
-// windows. It returns the work sent to that one in each window, as a share of what it may be sent, and the parts of a call
-// there.
+// simulateWarmup simulates eighty aggregators that share three replicas of a shard, one of them just started, for ten
+// overload windows. It returns the work sent to that replica in each window, as a share of what it may be sent, and the
+// mean number of parts per call there.
 func playWarmingFleet(t *testing.T, arrivals fleetArrivals) (shares []float64, perCall float64) {
 	t.Helper()
 	const nodes, part = 80, 20 * ms
@@ -245,7 +245,7 @@
 		h := newHarness(t, set)
 		h.aggregator, _ = New(set, seed)
 		h.step(Event{Kind: ListCached, Members: []Member{{Replica: "a"}, {Replica: "b"}}})
-		for i := range 5 { // it learns how long a part takes
+		for i := range 5 { // warm up the latency estimates
 			h.step(queryEvents(fmt.Sprint("first", i), 3*time.Second, 0)...)
 			h.now += part
 			h.step(attemptEnded(fmt.Sprint("first", i, "/0"), 0, OK))
@@ -289,8 +289,8 @@
 }
 
 // TestReplicaInSlowStartGetsItsShareOfAFleet checks that a replica in slow start gets its share of the traffic from the
-// start, though each of eighty aggregators may send it a part in some windows only, in calls of several parts where few
-// aggregators send; and that it is never overloaded, also where all get a query in the same moment.
+// start, in calls of several parts, though each of eighty aggregators may send it a part in some windows only. It is never
+// overloaded, also if all aggregators get a query at the same time.
 func TestReplicaInSlowStartGetsItsShareOfAFleet(t *testing.T) {
 	for _, together := range []bool{false, true} {
 		shares, perCall := playWarmingFleet(t, fleetArrivals{together: together})
@@ -308,8 +308,8 @@
 	}
 }
 
-// TestSavedAllowancesDoNotOverloadAReplica checks that aggregators that have saved their allowances and then all get a query
-// at once, with no other holder left, don't overload a replica that does one unit of work at a time.
+// TestSavedAllowancesDoNotOverloadAReplica checks that aggregators that have accrued allowances and then all get a query at
+// once, with no other holder left, don't overload a replica that does one unit of work at a time.
 func TestSavedAllowancesDoNotOverloadAReplica(t *testing.T) {
 	for idle := 1; idle < 8; idle++ {
 		shares, _ := playWarmingFleet(t, fleetArrivals{together: true, idleWindows: idle})
--- a/aggregator/step.go
+++ b/aggregator/step.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// Step plays one round at the time now: it takes in the events in order, decides, and appends what is to be done to out, in
-// order. now is a duration on any steady clock; one that goes back counts as no time passed.
+// Step runs one round at the time now: it processes the events in order, decides, and appends the resulting actions to out,
+// in order. now is a duration on any steady clock; if it goes back, no time has passed.
 func (a *Aggregator) Step(now time.Duration, events []Event, out []Action) []Action {
 	a.now, a.out = max(now, a.now), out
 	a.round++
@@ -26,7 +26,7 @@
 	return out
 }
 
-// handle gives an event to the rule that it concerns.
+// handle passes an event to the rule that it concerns.
 func (a *Aggregator) handle(e *Event) {
 	switch e.Kind {
 	case QueryArrived:
@@ -50,7 +50,7 @@
 	}
 }
 
-// advanceQueries moves each open query on and returns when the next round is due at the latest.
+// advanceQueries advances every open query and returns the latest time at which the next round is due.
 func (a *Aggregator) advanceQueries() time.Duration {
 	next := a.endpoints.poller.nextPoll
 	for _, q := range a.queries.live {
@@ -60,7 +60,7 @@
 	return next
 }
 
-// scheduleWake asks for a wake at the time next, unless an earlier one is due anyway.
+// scheduleWake requests a wake at the time next, unless an earlier one is pending.
 func (a *Aggregator) scheduleWake(next time.Duration) {
 	if next == math.MaxInt64 || a.wakeAt > a.now && a.wakeAt <= next {
 		return
--- a/aggregator/trace_test.go
+++ b/aggregator/trace_test.go
@@ -1,8 +1,8 @@
 package aggregator
 
-// The decision trace: the module plays seeded scenarios in virtual time, and a hash over everything that it decides is
-// compared with a recorded one. A change that only renames, moves or splits code leaves the hashes as they are; a change of
-// a decision, of the order of random draws or of floating-point sums does not.
+// The decision trace simulates seeded scenarios in virtual time and compares a hash of all decisions with a recorded one. A
+// change that only renames, moves or splits code keeps the hashes; a change of a decision, of the order of random draws or
+// of floating-point sums does not.
 
 import (
 	"crypto/sha256"
@@ -17,7 +17,7 @@
 	"time"
 )
 
-// traceScenario is one deployment and what happens in it.
+// traceScenario is a deployment with its load and the recorded hash.
 type traceScenario struct {
 	name     string
 	settings Settings
@@ -25,10 +25,11 @@
 	replicas int           // data nodes at the start
 	interval time.Duration // mean time between two queries of one aggregator
 	seed     uint64
-	hash     string // of all actions, as first recorded
+	hash     string // of all actions, as recorded
 }
 
-// traceScenarios differ in layout, classes, limits and permissions, so that every rule of the module acts in one of them.
+// traceScenarios returns scenarios that differ in layout, classes, limits and permissions, so that every rule takes effect
+// in at least one of them.
 func traceScenarios() []traceScenario {
 	classes := []Class{
 		{Name: "lookup", LatencyObjective: time.Second, Deadline: 3 * time.Second, Priority: 1, CompleteShare: 1, MinShare: 1},
@@ -56,7 +57,7 @@
 			},
 		},
 		{
-			name: "second copies and a ration of attempts", nodes: 2, replicas: 9, interval: 30 * ms, seed: 12,
+			name: "hedged requests and a retry ratio", nodes: 2, replicas: 9, interval: 30 * ms, seed: 12,
 			hash: "424a2bae0101c28cdb22b1c5ab6b955d",
 			settings: Settings{
 				Zone: "b", Aggregators: 2, Tick: 5 * ms, Classes: classes, Tenants: tenants, OverQuotaFactor: 0.1, PriorityPerWork: true,
@@ -66,7 +67,7 @@
 			},
 		},
 		{
-			name: "a large fleet whose list is asked for", nodes: 4, replicas: 30, interval: 120 * ms, seed: 13,
+			name: "large fleet with a polled endpoint list", nodes: 4, replicas: 30, interval: 120 * ms, seed: 13,
 			hash: "bdb0ef5b2eb4da950c481e7d7c7ce70f",
 			settings: Settings{
 				Zone: "c", Aggregators: 80, Tick: 5 * ms, Classes: classes,
@@ -78,32 +79,32 @@
 	}
 }
 
-// traceNode is one aggregator and what is due to be told to it.
+// traceNode is one aggregator with its pending events.
 type traceNode struct {
 	module *Aggregator
 	due    []traceEvent
-	wake   time.Duration // -1 if it asked for none
-	stuck  time.Duration // it stands still until then
-	next   time.Duration // next query
-	tries  map[string]int
-	given  map[string]bool // parts given to it
+	wake   time.Duration   // due time of the requested wake; -1 for none
+	stuck  time.Duration   // the aggregator is paused until then
+	next   time.Duration   // time of the next query
+	tries  map[string]int  // attempts by part
+	given  map[string]bool // parts that it has received
 }
 
-// traceEvent is told to an aggregator no sooner than at its time.
+// traceEvent is an event that an aggregator receives no earlier than at a given time.
 type traceEvent struct {
 	at    time.Duration
 	event Event
 }
 
-// traceReplica is a data node with one queue.
+// traceReplica is a data node with a single queue.
 type traceReplica struct {
 	member Member
-	busy   time.Duration // its queue is empty then
+	busy   time.Duration // time until which its queue is occupied
 	fault  traceFault
-	until  time.Duration // the fault ends
+	until  time.Duration // end of the fault
 }
 
-// traceFault is what ails a data node.
+// traceFault is a fault of a data node.
 type traceFault int
 
 const (
@@ -119,7 +120,7 @@
 	traceFaults
 )
 
-// traceWorld steps all aggregators of a scenario.
+// traceSimulation simulates all aggregators and data nodes of a scenario.
 type traceWorld struct {
 	scenario traceScenario
 	random   *rand.Rand
@@ -175,12 +176,12 @@
 	return members
 }
 
-// between draws a span.
+// between returns a random duration from low to high.
 func (w *traceWorld) between(low, high time.Duration) time.Duration {
 	return low + time.Duration(w.random.Int64N(int64(high-low)+1))
 }
 
-// run plays the scenario and returns the hash of all actions.
+// run simulates the scenario for the given time and returns the hash of all actions.
 func (w *traceWorld) run(length time.Duration) string {
 	end := w.now + length
 	tick := w.scenario.settings.Tick
@@ -196,7 +197,7 @@
 	return hex.EncodeToString(w.sum.Sum(nil))[:32]
 }
 
-// step gives an aggregator what is due and takes its actions.
+// step passes the due events to an aggregator and executes its actions.
 func (w *traceWorld) step(node *traceNode, index int) {
 	if w.now < node.stuck {
 		return
@@ -254,7 +255,7 @@
 	text(string(a.Data))
 }
 
-// act carries out an action.
+// execute carries out an action.
 func (w *traceWorld) act(node *traceNode, index int, a Action) {
 	switch a.Kind {
 	case Send:
@@ -284,7 +285,7 @@
 	}
 }
 
-// send plays one attempt at its data node.
+// send simulates one attempt at its data node.
 func (w *traceWorld) send(node *traceNode, a Action) {
 	attempt := node.tries[a.Part]
 	node.tries[a.Part]++
@@ -355,7 +356,7 @@
 	node.tell(w.now+w.between(2*ms, 60*ms), event)
 }
 
-// arrive gives an aggregator its next query, in bursts now and then.
+// addQueries schedules the queries of an aggregator that are due, with periodic bursts.
 func (w *traceWorld) arrive(node *traceNode, index int) {
 	set := &w.scenario.settings
 	for w.now >= node.next {
@@ -371,7 +372,7 @@
 		event := Event{Kind: QueryArrived, Query: id, Class: class, Tenant: w.random.IntN(len(set.Tenants)+1) - 1, Count: shards,
 			TimeLeft: w.between(set.Classes[class].Deadline/4, set.Classes[class].Deadline), Retry: w.random.IntN(8) == 0}
 		if w.random.IntN(300) == 0 {
-			event.Class = len(set.Classes) // one that the settings lack
+			event.Class = len(set.Classes) // not in the settings
 		}
 		node.tell(w.now, event)
 		first := w.random.IntN(set.Shards)
@@ -399,38 +400,38 @@
 	}
 }
 
-// disturb draws one thing that goes wrong or changes.
+// injectChange applies one random fault or change.
 func (w *traceWorld) disturb() {
 	r := w.replicas[w.random.IntN(len(w.replicas))]
 	switch w.random.IntN(9) {
 	case 0, 1, 2, 3:
 		r.fault, r.until = faultNone+1+traceFault(w.random.IntN(int(traceFaults)-1)), w.now+w.between(200*ms, 4*time.Second)
-	case 4: // it drains, or its set of shards changes
+	case 4: // the replica drains or moves to another shard set
 		if w.random.IntN(6) == 0 {
 			r.member.ShardSet = w.random.IntN(w.scenario.settings.ShardSets)
 			w.change(r, r.member.State)
 		} else {
 			w.change(r, Draining)
 		}
-	case 5: // it is gone, or back with another life
+	case 5: // the replica is gone, or returns as a new process
 		if r.member.State == Serving {
 			w.change(r, Gone)
 		} else {
 			r.member.Started, r.fault = w.now, faultNone
 			w.change(r, Serving)
 		}
-	case 6: // a new one replaces it
+	case 6: // a new replica replaces it
 		w.change(r, Gone)
 		w.change(w.addReplica(w.now), Serving)
-	case 7: // an aggregator stands still
+	case 7: // an aggregator pauses
 		node := w.nodes[w.random.IntN(len(w.nodes))]
 		node.stuck = w.now + w.between(20*ms, 700*ms)
-	case 8: // a whole list, a quarter of a second late
+	case 8: // a complete list, a quarter of a second late
 		for _, node := range w.nodes {
 			node.tell(w.now+250*ms, Event{Kind: ListReplaced, Members: w.list()})
 		}
 	}
-	for _, node := range w.nodes { // and nobody is left without holders for long
+	for _, node := range w.nodes { // some replicas return, so that no shard is without holders for long
 		for _, other := range w.replicas[:w.scenario.settings.ShardSets] {
 			if other.member.State != Serving && w.random.IntN(4) == 0 {
 				other.member.State, other.member.Started = Serving, w.now
@@ -447,7 +448,7 @@
 	}
 }
 
-// TestDecisionTrace shows that the module decides as it did when the hashes were recorded.
+// TestDecisionTrace checks that the aggregator decides as it did when the hashes were recorded.
 func TestDecisionTrace(t *testing.T) {
 	if runtime.GOARCH != "amd64" {
 		t.Skip("sums of floating-point numbers differ in their last bits on other processors")
@@ -464,7 +465,7 @@
 	}
 	for kind := Send; kind <= SendGossip; kind++ {
 		if kinds[kind] == 0 {
-			t.Errorf("no action of kind %d: the scenarios do not show that its decision is the same", kind)
+			t.Errorf("no action of kind %d: the scenarios do not cover it", kind)
 		}
 	}
 }
