--- a/aggregator/admission.go
+++ b/aggregator/admission.go
@@ -11,13 +11,13 @@
 	// maxRecentPriorities is the number of recent queries against which a new one is ranked.
 	maxRecentPriorities = 128
 	// priorityTolerance is the relative difference up to which two priorities count as equal.
-	samePriority = 0.01
+	priorityTolerance = 0.01
 	// admitShareLowest is the share of the time to the objective within which a query of the lowest rank must be expected.
 	admitShareLowest = 0.50
 	// admitShareHighest is the same for a query of the highest rank.
 	admitShareHighest = 1.00
 	// secondPhaseForecast is the duration of a query with a second phase, as a multiple of its first phase.
-	secondStepForecast = 1.5
+	secondPhaseForecast = 1.5
 	// stragglerFactor is how much later the last part is expected for each e-fold of parts, in median excesses. It is below
 	// 1, as the parts of one query are slow together.
 	stragglerFactor = 0.75
@@ -98,7 +98,7 @@
 	}
 	wait += a.stragglerWait(q)
 	if a.settings.Classes[q.class].FetchParts > 0 {
-		wait *= secondStepForecast
+		wait *= secondPhaseForecast
 	}
 	return wait
 }
@@ -203,9 +203,9 @@
 func (r *recentPriorities) add(priority float64) (position priorityPosition) {
 	for _, earlier := range r.values {
 		switch {
-		case earlier < priority*(1-samePriority):
+		case earlier < priority*(1-priorityTolerance):
 			position.lower++
-		case earlier < priority*(1+samePriority):
+		case earlier < priority*(1+priorityTolerance):
 			position.equal++
 		}
 	}
--- a/aggregator/aggregator.go
+++ b/aggregator/aggregator.go
@@ -37,34 +37,34 @@
 
 // New returns an aggregator for the settings; seed determines its random choices. Invalid settings give a *SettingsError
 // that names the first invalid one.
-func New(set Settings, seed uint64) (*Aggregator, error) {
-	if err := set.validate(); err != nil {
+func New(settings Settings, seed uint64) (*Aggregator, error) {
+	if err := settings.validate(); err != nil {
 		return nil, err
 	}
-	set.Aggregators, set.Tick = max(set.Aggregators, 1), max(set.Tick, time.Millisecond)
-	set.Limits.MaxAttempts, set.Limits.MaxBatch = max(set.Limits.MaxAttempts, 1), max(set.Limits.MaxBatch, 1)
+	settings.Aggregators, settings.Tick = max(settings.Aggregators, 1), max(settings.Tick, time.Millisecond)
+	settings.Limits.MaxAttempts, settings.Limits.MaxBatch = max(settings.Limits.MaxAttempts, 1), max(settings.Limits.MaxBatch, 1)
 	return &Aggregator{
-		settings: set,
+		settings: settings,
 		rng:      rand.New(rand.NewPCG(seed, randomStream)),
 		wakeAt:   -1,
 		endpoints: endpointList{
 			byName:    map[string]*replica{},
 			byTag:     map[uint16]*replica{},
-			shardSets: make([][]*replica, set.ShardSets),
-			poller:    endpointPoller{failed: set.PollList, nextPoll: math.MaxInt64},
+			shardSets: make([][]*replica, settings.ShardSets),
+			poller:    endpointPoller{failed: settings.PollList, nextPoll: math.MaxInt64},
 		},
 		queries: queryTable{byID: map[string]*query{}, parts: map[string]*part{}},
-		latency: fleetLatency{classes: newLatencyEstimates(stepsPerQuery * len(set.Classes))},
+		latency: fleetLatency{classes: newLatencyEstimates(maxPhases * len(settings.Classes))},
 		admission: admissionState{
-			tenantQueries: make([]slidingWindow, len(set.Tenants)),
-			tenantRetries: make([]slidingWindow, len(set.Tenants)),
+			tenantQueries: make([]slidingWindow, len(settings.Tenants)),
+			tenantRetries: make([]slidingWindow, len(settings.Tenants)),
 		},
 		retryBudget: retryBudget{tokens: maxRetryTokens},
 	}, nil
 }
 
 // emit appends an action to those of the round.
-func (a *Aggregator) act(action Action) {
+func (a *Aggregator) emit(action Action) {
 	a.out = append(a.out, action)
 }
 
--- a/aggregator/answer.go
+++ b/aggregator/answer.go
@@ -15,19 +15,19 @@
 	switch {
 	case q.ended:
 	case a.now >= times.end:
-		a.settle(q, DeadlineExceeded)
+		a.finishPhase(q, DeadlineExceeded)
 	case len(q.parts) < q.partCount:
 		return times.end
 	case !q.admitted && !a.admit(q):
-		a.giveUp(q, q.rejection)
+		a.rejectOrFail(q, q.rejection)
 	case progress.pending == 0 || complete:
-		a.settle(q, AttemptsExhausted)
+		a.finishPhase(q, AttemptsExhausted)
 	case a.now >= times.early && a.prefersPartial(q, progress.weight),
 		a.now >= times.late && a.usefulUntil(q) == q.objective:
-		a.settle(q, DeadlineExceeded)
+		a.finishPhase(q, DeadlineExceeded)
 	case q.canary.resets >= queryOfDeathResets && !q.canary.answered:
 		a.queryOfDeath.lastFound = a.now
-		a.giveUp(q, QueryOfDeath)
+		a.rejectOrFail(q, QueryOfDeath)
 	case a.now < times.early:
 		return a.dispatchParts(q, times.early)
 	case a.now < times.late:
@@ -50,30 +50,30 @@
 
 // finishPhase ends the current phase of a query with the answers received so far: with a complete answer, a partial one, or
 // none for the given reason.
-func (a *Aggregator) settle(q *query, reason Reason) {
+func (a *Aggregator) finishPhase(q *query, reason Reason) {
 	c := &a.settings.Classes[q.class]
 	progress := q.progress()
 	if progress.weight < a.requiredShare(q) || len(q.parts) < q.partCount {
-		a.giveUp(q, reason)
+		a.rejectOrFail(q, reason)
 		return
 	}
 	if q.phase == 0 && c.FetchParts > 0 {
-		a.openSecondStep(q, progress.weight >= c.CompleteShare-weightTolerance)
+		a.openSecondPhase(q, progress.weight >= c.CompleteShare-weightTolerance)
 		return
 	}
 	complete := progress.weight >= c.CompleteShare-weightTolerance
 	if q.phase > 0 {
-		complete = progress.missing == 0 && q.firstStepComplete
+		complete = progress.missing == 0 && q.firstPhaseComplete
 	}
-	a.act(Action{Kind: Answer, Query: q.id, Complete: complete, Final: true})
+	a.emit(Action{Kind: Answer, Query: q.id, Complete: complete, Final: true})
 	a.closeQuery(q)
 }
 
 // openSecondPhase answers the first phase of a query, which opens the second. If no time is left it rejects or fails the
 // query instead: the answer would open a phase and never end the query.
-func (a *Aggregator) openSecondStep(q *query, complete bool) {
+func (a *Aggregator) openSecondPhase(q *query, complete bool) {
 	if q.deadline-a.now <= deadlineMarginTicks*a.settings.Tick {
-		a.giveUp(q, DeadlineExceeded)
+		a.rejectOrFail(q, DeadlineExceeded)
 		return
 	}
 	answered := 0
@@ -83,14 +83,14 @@
 		}
 		a.dropPart(p)
 	}
-	q.phase, q.firstStepComplete, q.parts = 1, complete, nil
+	q.phase, q.firstPhaseComplete, q.parts = 1, complete, nil
 	q.partCount = min(a.settings.Classes[q.class].FetchParts, answered)
-	a.act(Action{Kind: Answer, Query: q.id, Complete: complete})
+	a.emit(Action{Kind: Answer, Query: q.id, Complete: complete})
 }
 
 // rejectOrFail ends a query without an answer. It is rejected, which tells the client that and when it may retry, or failed
 // if a part that must not run twice may have run.
-func (a *Aggregator) giveUp(q *query, reason Reason) {
+func (a *Aggregator) rejectOrFail(q *query, reason Reason) {
 	kind, retryAfter := Reject, time.Duration(0)
 	for _, p := range q.parts {
 		if a.settings.Classes[q.class].Effect != Safe && (p.mayHaveRun || p.openAttempts() > 0) {
@@ -101,7 +101,7 @@
 		seconds := a.latency.medianExcess + a.typicalLatency()*(1+a.rng.Float64())
 		retryAfter = min(scale(seconds, time.Second), a.settings.Limits.MaxRetryAfter)
 	}
-	a.act(Action{Kind: kind, Query: q.id, Reason: reason, After: retryAfter})
+	a.emit(Action{Kind: kind, Query: q.id, Reason: reason, After: retryAfter})
 	a.closeQuery(q)
 }
 
--- a/aggregator/attempt.go
+++ b/aggregator/attempt.go
@@ -7,12 +7,12 @@
 
 // call is one request to a replica, which may carry attempts of several parts.
 type call struct {
-	round          int // round that sent it
-	size           int // attempts that it carries
-	openAttempts   int
-	work           float64  // sum of the base latencies of its parts, in seconds
-	first          *attempt // the attempt that opened it
-	silenceCounted bool     // its missing answer was counted as a failure
+	round             int // round that sent it
+	size              int // attempts that it carries
+	openAttempts      int
+	work              float64  // sum of the base latencies of its parts, in seconds
+	first             *attempt // the attempt that opened it
+	unansweredCounted bool     // its missing answer was counted as a failure
 }
 
 // attempt is one send of a part to a replica.
--- a/aggregator/deadline.go
+++ b/aggregator/deadline.go
@@ -10,7 +10,7 @@
 	// minLateShare is the smallest Class.LateShare with which a query goes on after its objective.
 	minLateShare = 0.25
 	// secondPhaseMultiple is the time given to the second phase, in tail latencies of a part, as its slowest part decides.
-	secondStepMultiple = 2.5
+	secondPhaseMultiple = 2.5
 	// objectiveMarginTicks is how many ticks before the latency objective an answer is sent.
 	objectiveMarginTicks = 3
 	// deadlineMarginTicks is how many ticks before the deadline a query ends.
@@ -27,7 +27,7 @@
 func (a *Aggregator) timesOf(q *query) queryTimes {
 	late := q.objective - objectiveMarginTicks*a.settings.Tick
 	return queryTimes{
-		early: late - a.secondStepTime(q),
+		early: late - a.secondPhaseTime(q),
 		late:  late,
 		end:   q.deadline - deadlineMarginTicks*a.settings.Tick,
 	}
@@ -36,9 +36,9 @@
 // pauseReserve returns how much of the time left to a query of the class is not used.
 //
 // It prevents lost queries: a node that pauses past the end of a query answers too late, and the client sees only its own
-// timeout. The first pause comes without warning, so there is always a reserve; after a pause the next one may be as long.
+// timeout. The first pause comes without warning, so there is always a pauseReserve; after a pause the next one may be as long.
 // The cost is the answers that would arrive in the last moment of a short deadline.
-func (a *Aggregator) reserve(class int, left time.Duration) time.Duration {
+func (a *Aggregator) pauseReserve(class int, left time.Duration) time.Duration {
 	pause := a.pauses.longest + a.pauses.longest/8
 	return min(max(scale(reserveShare, a.settings.Classes[class].Deadline), pause), left/2)
 }
@@ -55,13 +55,13 @@
 
 // secondPhaseTime returns how long the second phase of a query may take, or 0 if none follows. A partial answer that leaves
 // no time for the second phase earns nothing.
-func (a *Aggregator) secondStepTime(q *query) time.Duration {
+func (a *Aggregator) secondPhaseTime(q *query) time.Duration {
 	c := &a.settings.Classes[q.class]
 	if q.phase > 0 || c.FetchParts == 0 {
 		return 0
 	}
-	if estimate := a.latencyOfStep(q.class, 1); estimate.tail.samples > 0 {
-		return min(scale(secondStepMultiple*estimate.tail.value, time.Second), c.LatencyObjective/2)
+	if estimate := a.latencyOfPhase(q.class, 1); estimate.tail.samples > 0 {
+		return min(scale(secondPhaseMultiple*estimate.tail.value, time.Second), c.LatencyObjective/2)
 	}
 	return c.LatencyObjective / 4
 }
--- a/aggregator/dispatch.go
+++ b/aggregator/dispatch.go
@@ -7,9 +7,9 @@
 
 const (
 	// noReplicaRetryTicks is the number of ticks after which a part without a usable replica is tried again.
-	noReplicaTicks = 2
+	noReplicaRetryTicks = 2
 	// cancelWaitTicks is the number of ticks after which the outcome of a cancelled attempt is expected.
-	cancelTicks = 2
+	cancelWaitTicks = 2
 	// hedgeCheckTicks is the number of ticks after which hedging of an overdue part is reconsidered.
 	hedgeCheckTicks = 4
 )
@@ -38,7 +38,7 @@
 		}
 		p.abandoned = true
 		if !a.answerable(q) {
-			a.settle(q, AttemptsExhausted)
+			a.finishPhase(q, AttemptsExhausted)
 			return math.MaxInt64
 		}
 	}
@@ -71,9 +71,9 @@
 	}
 	if r := a.pickReplica(p); r != nil && a.spendRetryBudget(p) {
 		a.send(p, r)
-		return a.hedgeAt(p), false
+		return a.hedgeTime(p), false
 	}
-	return a.now + noReplicaTicks*a.settings.Tick, false
+	return a.now + noReplicaRetryTicks*a.settings.Tick, false
 }
 
 // send sends a part to r. The attempt's timeout is how long an answer is of use; afterwards the replica may skip the part.
@@ -87,7 +87,7 @@
 		a.spendSlowStartAllowance(r, work)
 	}
 	end := a.usefulUntil(p.query) - objectiveMarginTicks*a.settings.Tick
-	a.act(Action{
+	a.emit(Action{
 		Kind: Send, Part: p.id, Replica: r.member.Replica, After: max(end-a.now, time.Microsecond), BeginWithin: beginWithin,
 	})
 }
--- a/aggregator/endpoints.go
+++ b/aggregator/endpoints.go
@@ -59,7 +59,7 @@
 	}
 	if a.now >= poller.nextPoll {
 		poller.nextPoll = math.MaxInt64
-		a.act(Action{Kind: PollEndpoints})
+		a.emit(Action{Kind: PollEndpoints})
 	}
 }
 
@@ -139,7 +139,7 @@
 
 // evict removes a replica that left the list long ago and has nothing in flight, and reports whether it did. Replicas come
 // under new names for as long as the program runs; one that returns earlier keeps its state.
-func (a *Aggregator) forget(r *replica) bool {
+func (a *Aggregator) evict(r *replica) bool {
 	if r.removedAt == 0 || a.now-r.removedAt < scale(removedLifetime, a.maxObjective()) || len(r.calls.inFlight) > 0 {
 		return false
 	}
--- a/aggregator/gossip.go
+++ b/aggregator/gossip.go
@@ -59,8 +59,8 @@
 		if len(data)+gossipEntryBytes > maxGossipBytes {
 			break
 		}
-		steps := math.Round(gossipLevels * float64(e.duration) / float64(longest))
-		value := byte(math.Max(1, math.Min(steps, gossipLevels-1)))
+		level := math.Round(gossipLevels * float64(e.duration) / float64(longest))
+		value := byte(math.Max(1, math.Min(level, gossipLevels-1)))
 		if e.kind == gossipExcess {
 			value += gossipLevels
 		}
@@ -76,11 +76,11 @@
 	}
 	for ; len(data) >= gossipEntryBytes; data = data[gossipEntryBytes:] {
 		e := gossipEntry{tag: uint16(data[0])<<8 | uint16(data[1]), kind: gossipSent}
-		steps := data[2]
-		if steps > gossipLevels {
-			e.kind, steps = gossipExcess, steps-gossipLevels
+		level := data[2]
+		if level > gossipLevels {
+			e.kind, level = gossipExcess, level-gossipLevels
 		}
-		e.duration = time.Duration(float64(steps) / gossipLevels * float64(longest))
+		e.duration = time.Duration(float64(level) / gossipLevels * float64(longest))
 		entries = append(entries, e)
 	}
 	return entries
@@ -109,7 +109,7 @@
 	}
 	sentWork := entries[len(entries)-1].kind == gossipSent
 	if sentWork || a.now-a.outbox.sentAt > minGossipTicks*a.settings.Tick {
-		a.act(Action{Kind: SendGossip, Data: encodeGossip(entries, a.maxObjective())})
+		a.emit(Action{Kind: SendGossip, Data: encodeGossip(entries, a.maxObjective())})
 		a.outbox.entries, a.outbox.sentAt = entries[:0], a.now
 	}
 }
--- a/aggregator/healthcheck.go
+++ b/aggregator/healthcheck.go
@@ -98,14 +98,14 @@
 	}
 	timeout := scale(probeWaitShare, a.settings.Classes[p.query.class].LatencyObjective)
 	for _, r := range a.holders(p.shard) {
-		lastSign := max(r.health.lastProbeAnswer, r.latency.lastAnswer)
-		if r.excluded || r.outlier.ejected || !a.suspect(r) && a.now-lastSign < a.freshness() {
+		lastAnswer := max(r.health.lastProbeAnswer, r.latency.lastAnswer)
+		if r.excluded || r.outlier.ejected || !a.suspect(r) && a.now-lastAnswer < a.freshness() {
 			continue
 		}
-		if r.health.lastProbe <= lastSign || a.now-r.health.lastProbe > a.freshness() {
+		if r.health.lastProbe <= lastAnswer || a.now-r.health.lastProbe > a.freshness() {
 			r.health.lastProbe = a.now
 			a.health.probeCredit--
-			a.act(Action{Kind: Probe, Replica: r.member.Replica})
+			a.emit(Action{Kind: Probe, Replica: r.member.Replica})
 		}
 		if left := r.health.lastProbe + timeout - a.now; left > 0 {
 			wait = max(wait, left)
--- a/aggregator/idleconn.go
+++ b/aggregator/idleconn.go
@@ -9,9 +9,9 @@
 	// deadConnLifetime is how long a dead idle connection is remembered, in longest latency objectives.
 	deadConnLifetime = 8.0
 	// deadConnThreshold is the evidence of dead idle connections from which they are closed before use.
-	deadConnEvidence = 2.0
+	deadConnThreshold = 2.0
 	// deadConnThresholdUnsafe is the same before a part that must not run twice.
-	deadConnEvidenceUnsafe = 1.0
+	deadConnThresholdUnsafe = 1.0
 	// minIdleShare is the idle time, as a share of the longest latency objective, above which a connection counts as idle.
 	minIdleShare = 0.1
 	// idleAnswerEvidence is the evidence against dead connections that an answer on a long idle connection adds.
@@ -20,8 +20,8 @@
 
 // replicaConns tracks the use of this aggregator's connections to one replica.
 type replicaConns struct {
-	lastUse    time.Duration // time of the last send or answer; 0 for none
-	silentIdle time.Duration // idle time before the last call, if that call was lost; otherwise 0
+	lastUse      time.Duration // time of the last send or answer; 0 for none
+	lostCallIdle time.Duration // idle time before the last call, if that call was lost; otherwise 0
 }
 
 // idleConnEstimate is the estimated idle time after which connections are dead.
@@ -58,15 +58,15 @@
 
 // isIdleConnReset reports whether a reset after the given seconds is due to an idle connection: it came at once, and the
 // query has had no other.
-func (a *Aggregator) resetOfIdleConn(t *attempt, took float64) bool {
+func (a *Aggregator) isIdleConnReset(t *attempt, took float64) bool {
 	q := t.part.query
 	return q.canary.resets == 0 && a.onIdleConn(t) && took < a.baseLatency(q)/2
 }
 
 // recordIdleConnReset records the reset of an idle connection, which neither the replica nor the query has caused.
-func (a *Aggregator) idleConnReset(t *attempt) {
+func (a *Aggregator) recordIdleConnReset(t *attempt) {
 	a.recordDeadConn(t.connIdle)
-	t.replica.conns.silentIdle, t.part.query.canary.idleReset = t.connIdle, true
+	t.replica.conns.lostCallIdle, t.part.query.canary.idleReset = t.connIdle, true
 }
 
 // recordConnAnswer records what an answer shows about the connections to its replica.
@@ -74,18 +74,18 @@
 	conns := &t.replica.conns
 	if timeout := a.idleTimeout(); !t.newConn && timeout > 0 && t.connIdle >= timeout {
 		a.addIdleEvidence(-idleAnswerEvidence) // the connection survived the idle time
-	} else if t.newConn && conns.silentIdle > 0 {
-		a.recordDeadConn(conns.silentIdle) // the previous call was lost on an idle connection
+	} else if t.newConn && conns.lostCallIdle > 0 {
+		a.recordDeadConn(conns.lostCallIdle) // the previous call was lost on an idle connection
 	}
-	conns.silentIdle, conns.lastUse = 0, a.now
+	conns.lostCallIdle, conns.lastUse = 0, a.now
 }
 
 // recordConnUnanswered records a call without an answer. It counts against dead idle connections if the idle time does not
 // explain it.
-func (a *Aggregator) recordConnSilence(t *attempt) {
-	t.replica.conns.silentIdle = t.connIdle
+func (a *Aggregator) recordConnUnanswered(t *attempt) {
+	t.replica.conns.lostCallIdle = t.connIdle
 	if t.newConn || t.connIdle < a.idleTimeout() {
-		t.replica.conns.silentIdle = 0
+		t.replica.conns.lostCallIdle = 0
 		a.addIdleEvidence(-1)
 	}
 }
@@ -101,9 +101,9 @@
 
 // addIdleEvidence adds evidence that idle connections are dead, or against it if negative. Enough evidence against it
 // clears the estimate.
-func (a *Aggregator) addIdleEvidence(sign float64) {
-	a.idleConns.evidence = math.Min(a.idleConns.evidence+sign, 2*deadConnEvidence)
-	if a.idleConns.evidence <= -deadConnEvidence {
+func (a *Aggregator) addIdleEvidence(evidence float64) {
+	a.idleConns.evidence = math.Min(a.idleConns.evidence+evidence, 2*deadConnThreshold)
+	if a.idleConns.evidence <= -deadConnThreshold {
 		a.idleConns.deadAfter, a.idleConns.evidence = 0, 0
 	}
 }
@@ -111,15 +111,15 @@
 // closeIdleConns closes the idle connections to r before a part is sent, if they may be dead, and reports whether it did.
 // It costs a handshake.
 func (a *Aggregator) closeIdleConns(p *part, r *replica) bool {
-	timeout, evidence := a.idleTimeout(), deadConnEvidence
+	timeout, threshold := a.idleTimeout(), deadConnThreshold
 	if a.settings.Classes[p.query.class].Effect == Unsafe {
-		evidence = deadConnEvidenceUnsafe
+		threshold = deadConnThresholdUnsafe
 	}
-	likelyDead := timeout > 0 && a.idleConns.evidence >= evidence && a.now-r.conns.lastUse >= timeout
-	failedBefore := r.conns.silentIdle > 0 || p.query.canary.idleReset
+	likelyDead := timeout > 0 && a.idleConns.evidence >= threshold && a.now-r.conns.lastUse >= timeout
+	failedBefore := r.conns.lostCallIdle > 0 || p.query.canary.idleReset
 	if len(r.calls.inFlight) > 0 || !failedBefore && !likelyDead {
 		return false
 	}
-	a.act(Action{Kind: CloseIdle, Replica: r.member.Replica})
+	a.emit(Action{Kind: CloseIdle, Replica: r.member.Replica})
 	return true
 }
--- a/aggregator/latency.go
+++ b/aggregator/latency.go
@@ -7,7 +7,7 @@
 
 const (
 	// maxPhases is the maximum number of phases of a query.
-	stepsPerQuery = 2
+	maxPhases = 2
 	// baseQuantile is the quantile of latencies taken as the latency of an unloaded replica.
 	baseQuantile = 0.10
 	// tailQuantile is the quantile of latencies taken as the tail latency.
@@ -91,11 +91,11 @@
 }
 
 func (a *Aggregator) latencyOf(q *query) *latencyEstimate {
-	return a.latencyOfStep(q.class, min(q.phase, 1))
+	return a.latencyOfPhase(q.class, min(q.phase, 1))
 }
 
-func (a *Aggregator) latencyOfStep(class, step int) *latencyEstimate {
-	return &a.latency.classes[stepsPerQuery*class+step]
+func (a *Aggregator) latencyOfPhase(class, phase int) *latencyEstimate {
+	return &a.latency.classes[maxPhases*class+phase]
 }
 
 // baseLatency returns the latency of a part on an unloaded replica, in seconds, or a share of the objective until one is
@@ -204,7 +204,7 @@
 	r.latency.abandoned++
 	excess := took - a.baseLatency(t.part.query)
 	if r.latency.abandoned < minAbandoned || excess <= a.decayedExcess(r) ||
-		a.onIdleConn(t) && (r.conns.silentIdle > 0 || a.idleTimeout() > 0) {
+		a.onIdleConn(t) && (r.conns.lostCallIdle > 0 || a.idleTimeout() > 0) {
 		return
 	}
 	r.latency.excess, r.latency.excessAt = excess, a.now
--- a/aggregator/outcome.go
+++ b/aggregator/outcome.go
@@ -45,8 +45,8 @@
 		a.answerReceived(t, took)
 	case Errored, Reset, Unknown, ConnectFailed, ConnectTimeout:
 		a.release(t)
-		if outcome == Reset && a.resetOfIdleConn(t, took) {
-			a.idleConnReset(t)
+		if outcome == Reset && a.isIdleConnReset(t, took) {
+			a.recordIdleConnReset(t)
 		} else {
 			a.attemptFailed(t, outcome)
 		}
--- a/aggregator/outlier.go
+++ b/aggregator/outlier.go
@@ -15,7 +15,7 @@
 	rejectedBackoff = 2.0
 	// unansweredWeight is the weight of an unanswered call in the probe credit, where a failed call counts 1: most
 	// unanswered calls are only slow.
-	silenceWeight = 0.15
+	unansweredWeight = 0.15
 	// ejectionsPerLifetime is the number of shortest ejections that fit into the lifetime of an observation.
 	ejectionsPerLifetime = 2
 	// maxEjectionMultiple is the longest ejection, in lifetimes of an observation.
@@ -55,15 +55,15 @@
 }
 
 // updateReplicas updates the state of all replicas, once a round.
-func (a *Aggregator) reviewReplicas() {
-	a.reviewFleet()
+func (a *Aggregator) updateReplicas() {
+	a.updateFleetHealth()
 	for _, r := range a.endpoints.replicas {
 		a.endSlowStart(r)
-		a.reviewInFlight(r)
+		a.checkInFlight(r)
 		a.startTrial(r)
 	}
 	a.updateFleetLatency()
-	a.endpoints.replicas = slices.DeleteFunc(a.endpoints.replicas, a.forget)
+	a.endpoints.replicas = slices.DeleteFunc(a.endpoints.replicas, a.evict)
 }
 
 // updateFleetHealth sets panic mode and the stale view.
@@ -71,7 +71,7 @@
 // Panic mode, a term of Envoy's, prevents ejecting a whole fleet: once half of the replicas are ejected, the cause is the
 // load or network that they share, and further unanswered calls are not counted as failures. Otherwise the engineer on call
 // would see all replicas ejected although none is broken.
-func (a *Aggregator) reviewFleet() {
+func (a *Aggregator) updateFleetHealth() {
 	listed, ejected, answering := 0, 0, 0
 	for _, r := range a.endpoints.replicas {
 		if r.excluded {
@@ -90,7 +90,7 @@
 
 // checkInFlight releases abandoned attempts that their replica no longer works on, and counts a call without an answer as a
 // failure if other replicas answer.
-func (a *Aggregator) reviewInFlight(r *replica) {
+func (a *Aggregator) checkInFlight(r *replica) {
 	if len(r.calls.inFlight) == 0 {
 		return
 	}
@@ -99,18 +99,18 @@
 		if !t.open && age > a.settings.Classes[t.part.query.class].LatencyObjective {
 			a.release(t)
 		}
-		onlyItIsSilent := r.latency.lastAnswer < t.sentAt && a.latency.lastAnswer > t.sentAt
-		if !t.call.silenceCounted && onlyItIsSilent && age.Seconds() > a.hedgeDelay(t.part.query) {
-			a.countSilence(t)
+		onlyThisUnanswered := r.latency.lastAnswer < t.sentAt && a.latency.lastAnswer > t.sentAt
+		if !t.call.unansweredCounted && onlyThisUnanswered && age.Seconds() > a.hedgeDelay(t.part.query) {
+			a.recordUnanswered(t)
 		}
 	}
 }
 
 // recordUnanswered records a call without an answer.
-func (a *Aggregator) countSilence(t *attempt) {
-	t.call.silenceCounted, t.replica.outlier.failingFast = true, false
-	a.addProbeCredit(silenceWeight)
-	a.recordConnSilence(t)
+func (a *Aggregator) recordUnanswered(t *attempt) {
+	t.call.unansweredCounted, t.replica.outlier.failingFast = true, false
+	a.addProbeCredit(unansweredWeight)
+	a.recordConnUnanswered(t)
 	if !a.health.panicMode {
 		a.addFailure(t.replica)
 	}
@@ -124,6 +124,6 @@
 	}
 	r.outlier.trialAt, r.outlier.halfOpen = a.now+r.outlier.ejectionTime, !a.settings.Limits.Probes
 	if a.settings.Limits.Probes {
-		a.act(Action{Kind: Probe, Replica: r.member.Replica})
+		a.emit(Action{Kind: Probe, Replica: r.member.Replica})
 	}
 }
--- a/aggregator/placement.go
+++ b/aggregator/placement.go
@@ -8,7 +8,7 @@
 const (
 	// slowHolderShare is the share of the time to the objective that a part must be expected to take at every holder for
 	// the holders of its shard to count as slow.
-	pressedShare = 0.3
+	slowHolderShare = 0.3
 	// otherZoneFactor is the factor on the expected latency of a replica in another zone.
 	otherZoneFactor = 1.5
 	// maxSharedCallShare is the share of the time to the objective that the parts of a call may fill for another part to
@@ -50,12 +50,12 @@
 	var best *replica
 	var bestRank placementRank
 	holders := a.holders(p.shard)
-	pressed := a.shardPressed(p, holders)
+	allSlow := a.allHoldersSlow(p, holders)
 	for _, r := range holders {
 		if !a.usable(p, r) {
 			continue
 		}
-		rank := a.rankReplica(p, r, pressed)
+		rank := a.rankReplica(p, r, allSlow)
 		if best == nil || rank.compare(&bestRank) < 0 {
 			best, bestRank = r, rank
 		}
@@ -65,20 +65,20 @@
 
 // allHoldersSlow reports whether all holders of a part are so slow that an ejected one that fails fast is worth a trial: a
 // failure costs little time, the part can be sent again, and more than half of the retry budget is left.
-func (a *Aggregator) shardPressed(p *part, holders []*replica) bool {
+func (a *Aggregator) allHoldersSlow(p *part, holders []*replica) bool {
 	if len(p.attempts) > 0 || a.retryBudget.tokens <= maxRetryTokens/2 ||
 		a.settings.Classes[p.query.class].Effect != Safe || a.settings.Limits.MaxAttempts <= 2 {
 		return false
 	}
-	limit := pressedShare * (p.query.objective - a.now).Seconds()
+	limit := slowHolderShare * (p.query.objective - a.now).Seconds()
 	return !slices.ContainsFunc(holders, func(r *replica) bool {
 		return !r.outlier.ejected && a.usable(p, r) && a.expectedLatency(p.query, r) < limit
 	})
 }
 
 // rankReplica ranks a replica for a part: by its standing, then by its open calls, then by its expected latency.
-func (a *Aggregator) rankReplica(p *part, r *replica, pressed bool) placementRank {
-	rank := placementRank{penalty: a.placementPenalty(p, r, pressed), calls: float64(r.calls.open + 1)}
+func (a *Aggregator) rankReplica(p *part, r *replica, allSlow bool) placementRank {
+	rank := placementRank{penalty: a.placementPenalty(p, r, allSlow), calls: float64(r.calls.open + 1)}
 	rank.latency = (a.currentExcess(r) + a.decayedPeerWork(r) + a.baseLatency(p.query)) *
 		(minLatencyNoise + latencyNoise*a.rng.Float64())
 	if r.member.Zone != a.settings.Zone {
@@ -92,16 +92,16 @@
 		rank.latency = 0
 	} else if a.settings.CallCost > 0 {
 		// Among equals, prefer the replica that can take most of the query's parts in one call.
-		rank.latency /= float64(a.partsFor(p.query, r))
+		rank.latency /= float64(a.batchableParts(p.query, r))
 	}
 	return rank
 }
 
 // placementPenalty returns the penalty of a replica for a part, by its standing. A half-open replica gets a trial part as
 // if it were in good standing; if all holders are slow, so does one that fails fast.
-func (a *Aggregator) placementPenalty(p *part, r *replica, pressed bool) (penalty float64) {
+func (a *Aggregator) placementPenalty(p *part, r *replica, allSlow bool) (penalty float64) {
 	halfOpenTrial := r.outlier.halfOpen && len(r.calls.inFlight) == 0 && len(p.attempts) == 0
-	trial := halfOpenTrial || pressed && r.outlier.failingFast
+	trial := halfOpenTrial || allSlow && r.outlier.failingFast
 	switch {
 	case r.outlier.ejected && !trial:
 		penalty = ejectedPenalty
@@ -131,7 +131,7 @@
 }
 
 // batchableParts returns how many unsent parts of a query r could take in one call, at least 1.
-func (a *Aggregator) partsFor(q *query, r *replica) (n int) {
+func (a *Aggregator) batchableParts(q *query, r *replica) (n int) {
 	sets := a.settings.ShardSets
 	for _, p := range q.parts {
 		if len(p.attempts) == 0 && (r.member.ShardSet-p.shard%sets+sets)%sets < a.settings.Reach {
--- a/aggregator/query.go
+++ b/aggregator/query.go
@@ -13,22 +13,22 @@
 
 // query is the state of one client query.
 type query struct {
-	id                string
-	class             int  // index into Settings.Classes
-	tenant            int  // index into Settings.Tenants; below 0 for none
-	retry             bool // the client has sent it before
-	parts             []*part
-	partCount         int // parts of the current phase, some of which may not have arrived
-	phase             int // index of the current phase, 0 or 1
-	admitted          bool
-	ended             bool
-	firstStepComplete bool // the first phase was answered completely
-	arrived           time.Duration
-	canary            queryCanary
-	rejection         Reason        // why admission rejected it
-	objective         time.Duration // answers until then earn the full priority
-	deadline          time.Duration // the client's deadline minus the pause reserve
-	priority          float64       // priority of its class, adjusted for its work and its tenant's quota
+	id                 string
+	class              int  // index into Settings.Classes
+	tenant             int  // index into Settings.Tenants; below 0 for none
+	retry              bool // the client has sent it before
+	parts              []*part
+	partCount          int // parts of the current phase, some of which may not have arrived
+	phase              int // index of the current phase, 0 or 1
+	admitted           bool
+	ended              bool
+	firstPhaseComplete bool // the first phase was answered completely
+	arrived            time.Duration
+	canary             queryCanary
+	rejection          Reason        // why admission rejected it
+	objective          time.Duration // answers until then earn the full priority
+	deadline           time.Duration // the client's deadline minus the pause reserve
+	priority           float64       // priority of its class, adjusted for its work and its tenant's quota
 }
 
 // part is the portion of a query that one shard answers.
@@ -86,11 +86,11 @@
 	q := &query{id: e.Query, class: e.Class, tenant: e.Tenant, partCount: e.Count, retry: e.Retry, arrived: a.now}
 	if e.Class < 0 || e.Class >= len(a.settings.Classes) {
 		q.ended = true
-		a.act(Action{Kind: Reject, Query: q.id})
+		a.emit(Action{Kind: Reject, Query: q.id})
 		return
 	}
 	left := max(0, e.TimeLeft)
-	q.deadline = a.now + left - a.reserve(q.class, left)
+	q.deadline = a.now + left - a.pauseReserve(q.class, left)
 	q.objective = min(q.deadline, a.now+a.settings.Classes[e.Class].LatencyObjective)
 	a.queries.byID[q.id] = q
 	a.queries.live = append(a.queries.live, q)
@@ -146,5 +146,5 @@
 
 func (a *Aggregator) cancel(t *attempt) {
 	t.cancelled = true
-	a.act(Action{Kind: Cancel, Part: t.part.id, Attempt: t.index})
+	a.emit(Action{Kind: Cancel, Part: t.part.id, Attempt: t.index})
 }
--- a/aggregator/retry.go
+++ b/aggregator/retry.go
@@ -58,7 +58,7 @@
 // sends a hedged request, or cancels the attempt where hedging is not permitted, so that a retry follows. It returns when
 // the part next needs attention.
 func (a *Aggregator) handleOverdue(p *part) time.Duration {
-	if at := a.hedgeAt(p); a.now < at {
+	if at := a.hedgeTime(p); a.now < at {
 		return at
 	}
 	limits, last := &a.settings.Limits, p.lastAttempt()
@@ -66,23 +66,23 @@
 		return math.MaxInt64
 	}
 	r := a.pickReplica(p)
-	p.cheapRetry = last.replica.outlier.ejected || last.call.silenceCounted
-	if !a.hedgePays(p, r) || !a.withinRetryBudget(p) {
+	p.cheapRetry = last.replica.outlier.ejected || last.call.unansweredCounted
+	if !a.shouldHedge(p, r) || !a.withinRetryBudget(p) {
 		return a.now + hedgeCheckTicks*a.settings.Tick
 	}
 	if !limits.Hedging {
 		a.cancel(last)
-		return a.now + cancelTicks*a.settings.Tick
+		return a.now + cancelWaitTicks*a.settings.Tick
 	}
 	a.spendRetryBudget(p)
 	a.send(p, r)
-	return a.hedgeAt(p)
+	return a.hedgeTime(p)
 }
 
 // shouldHedge reports whether an overdue part should also go to r. Its replica must be failing, or must have answered a
 // part sent later while nearly all other parts of the query are answered, as the answer may then be lost. r must be clearly
 // faster: if all replicas are slow they are loaded, and a further attempt adds to the load.
-func (a *Aggregator) hedgePays(p *part, r *replica) bool {
+func (a *Aggregator) shouldHedge(p *part, r *replica) bool {
 	last := p.lastAttempt()
 	pending := float64(p.query.progress().pending)
 	overtaken := last.replica.latency.answeredSendAt >= last.sentAt && pending <= stragglerPartShare*float64(len(p.query.parts))
@@ -93,7 +93,7 @@
 }
 
 // hedgeTime returns when the last attempt of a part is overdue.
-func (a *Aggregator) hedgeAt(p *part) time.Duration {
+func (a *Aggregator) hedgeTime(p *part) time.Duration {
 	last := p.lastAttempt()
 	wait := a.hedgeDelay(p.query)
 	if last.replica.outlier.ejected {
--- a/aggregator/settings.go
+++ b/aggregator/settings.go
@@ -120,7 +120,7 @@
 	}
 	r, l := &set.Rules, &set.Limits
 	shortest := min(r.DrainGrace, r.OverloadWindow, r.WarmupTime, r.RetryWindow, r.PollInterval, l.MaxRetryAfter, set.Tick, set.CallCost)
-	if shortest < 0 || !finite(r.OverloadMultiple, r.InitialCapacity, r.RetryFloor, r.RetryRatio, set.OverQuotaFactor) {
+	if shortest < 0 || !nonNegativeFinite(r.OverloadMultiple, r.InitialCapacity, r.RetryFloor, r.RetryRatio, set.OverQuotaFactor) {
 		return &SettingsError{"Rules, Limits", "a value is negative or not finite"}
 	}
 	return nil
@@ -128,12 +128,12 @@
 
 func (c *Class) valid() bool {
 	return c.LatencyObjective > 0 && c.Deadline > 0 && c.DedupWindow >= 0 && c.FetchParts >= 0 &&
-		finite(c.Priority, c.LateShare, c.CompleteShare, c.MinShare, c.PartialShare)
+		nonNegativeFinite(c.Priority, c.LateShare, c.CompleteShare, c.MinShare, c.PartialShare)
 }
 
-// nonNegativeFinite reports whether all values are finite and at least 0.
-func finite(figures ...float64) bool {
-	return !slices.ContainsFunc(figures, func(x float64) bool { return !(x >= 0) || math.IsInf(x, 0) })
+// nonNegativeFinite reports whether all values are nonNegativeFinite and at least 0.
+func nonNegativeFinite(values ...float64) bool {
+	return !slices.ContainsFunc(values, func(x float64) bool { return !(x >= 0) || math.IsInf(x, 0) })
 }
 
 // maxObjective returns the longest latency objective of all classes.
--- a/aggregator/slowstart.go
+++ b/aggregator/slowstart.go
@@ -9,7 +9,7 @@
 const (
 	// maxMeanWorkMultiple bounds the mean work of a part, in base latencies, as the median latency includes waiting under
 	// load.
-	maxMeanOverBase = 1.8
+	maxMeanWorkMultiple = 1.8
 	// assumedWorkShare is the assumed work of a part, as a share of the latency objective, until a part of its class was
 	// answered.
 	assumedWorkShare = 0.2
@@ -19,7 +19,7 @@
 	// minWarmupSeconds is the shortest warm-up time, in seconds, by which the capacity ramp is divided.
 	minWarmupSeconds = 1e-3
 	// maxAccruedWindows is the largest allowance that an aggregator may accrue, in its shares of an overload window.
-	savedWindows = 2
+	maxAccruedWindows = 2
 )
 
 // slowStart is the warm-up of one replica that has just started.
@@ -88,7 +88,7 @@
 	if a.joinsCall(p, r) && r.calls.current.size < maxParts {
 		return true
 	}
-	parts := min(maxParts, a.partsFor(p.query, r))
+	parts := min(maxParts, a.batchableParts(p.query, r))
 	return math.Min(s.allowance, share) >= work*float64(parts)*s.draw
 }
 
@@ -115,7 +115,7 @@
 	if s.accruedAt < s.start {
 		s.accruedAt, s.allowance = s.start, 0
 	}
-	s.allowance = math.Min(s.allowance+share*(now-s.accruedAt).Seconds()/window.Seconds(), savedWindows*share)
+	s.allowance = math.Min(s.allowance+share*(now-s.accruedAt).Seconds()/window.Seconds(), maxAccruedWindows*share)
 	s.accruedAt = now
 }
 
@@ -131,7 +131,7 @@
 func (a *Aggregator) expectedWork(p *part) float64 {
 	mean := a.baseLatency(p.query)
 	if estimate := a.latencyOf(p.query); estimate.median.samples > 0 {
-		mean = min(max(mean, estimate.median.value), maxMeanOverBase*mean)
+		mean = min(max(mean, estimate.median.value), maxMeanWorkMultiple*mean)
 	} else {
 		mean = max(mean, assumedWorkShare*a.settings.Classes[p.query.class].LatencyObjective.Seconds())
 	}
--- a/aggregator/step.go
+++ b/aggregator/step.go
@@ -17,7 +17,7 @@
 		a.handle(&events[i])
 	}
 	a.pollEndpoints()
-	a.reviewReplicas()
+	a.updateReplicas()
 	next := a.advanceQueries()
 	a.publishGossip()
 	a.scheduleWake(next)
@@ -66,5 +66,5 @@
 		return
 	}
 	a.wakeAt = max(next, a.now+a.settings.Tick)
-	a.act(Action{Kind: Wake, After: a.wakeAt - a.now})
+	a.emit(Action{Kind: Wake, After: a.wakeAt - a.now})
 }
