--- a/aggregator/admission_test.go
+++ b/aggregator/admission_test.go
@@ -26,8 +26,8 @@
 // below the first attempts of others, and that a single retry does not.
 func TestRetriesOfATenantThatMostlyRetriesRankLower(t *testing.T) {
 	for _, c := range []struct {
-		repeats int
-		first   bool // the other tenant's query has the higher priority
+		repeats    int
+		otherFirst bool // the other tenant's query has the higher priority
 	}{{1, false}, {6, true}} {
 		set := testSettings()
 		set.Tenants, set.OverQuotaFactor = []Tenant{{Name: "x", Rate: 100}, {Name: "y", Rate: 100}}, 0.05
@@ -41,11 +41,11 @@
 		for range c.repeats {
 			h.aggregator.priorityRank(newQuery(0, true))
 		}
-		again, other := newQuery(0, true), newQuery(1, false)
-		h.aggregator.priorityRank(again)
+		retried, other := newQuery(0, true), newQuery(1, false)
+		h.aggregator.priorityRank(retried)
 		h.aggregator.priorityRank(other)
-		if got := again.priority < other.priority; got != c.first {
-			t.Errorf("after %d repeats: priority %v against %v", c.repeats, again.priority, other.priority)
+		if got := retried.priority < other.priority; got != c.otherFirst {
+			t.Errorf("after %d repeats: priority %v against %v", c.repeats, retried.priority, other.priority)
 		}
 	}
 }
@@ -64,7 +64,7 @@
 			if late := actionsOf(h.last, Send); i > 60 && len(late) > 0 && (busy || late[0].Replica == "r1") {
 				took = 150 * ms
 			}
-			h.after(took)
+			h.runFor(took)
 			h.step(attemptEnded(id+"/0", 0, OK))
 		}
 		many := make([]int, 100)
--- a/aggregator/answer_test.go
+++ b/aggregator/answer_test.go
@@ -16,7 +16,7 @@
 	h.step(queryEvents("q", left, 0)...)
 	finals := 0
 	for h.now < start+3*time.Second {
-		for _, act := range h.after(h.settings.Tick) {
+		for _, act := range h.runFor(h.settings.Tick) {
 			switch act.Kind {
 			case Answer, Reject, Fail:
 				if finals++; h.now > start+left {
@@ -55,7 +55,7 @@
 	set.Classes[0].Effect = Unsafe
 	h := newHarness(t, set, members("a", "b", "c")...)
 	h.step(queryEvents("q", time.Second, 0)...)
-	all := h.after(2 * time.Second)
+	all := h.runFor(2 * time.Second)
 	if len(actionsOf(all, Fail)) != 1 || len(actionsOf(all, Reject)) != 0 {
 		t.Errorf("got %v and %v, want one failure", actionsOf(all, Fail), actionsOf(all, Reject))
 	}
@@ -86,7 +86,7 @@
 				h.step(attemptEnded(fmt.Sprint("q/", i), 0, OK))
 			}
 			all := h.last
-			all = append(all, h.after(time.Second)...)
+			all = append(all, h.runFor(time.Second)...)
 			got := append(actionsOf(all, Answer), actionsOf(all, Reject)...)
 			if len(got) != 1 || got[0].Kind != c.kind || got[0].Complete != c.complete {
 				t.Errorf("got %+v, want kind %d, complete %v", got, c.kind, c.complete)
@@ -97,7 +97,7 @@
 
 // TestFirstAnswerOpensTheSecondPhase checks that the first answer opens the second phase and that the second answer ends
 // the query.
-func TestFirstAnswerOpensTheSecondStep(t *testing.T) {
+func TestFirstAnswerOpensTheSecondPhase(t *testing.T) {
 	set := testSettings()
 	set.Classes[0].FetchParts = 1
 	h := newHarness(t, set, members("a", "b", "c")...)
@@ -112,7 +112,7 @@
 
 // TestSecondPhaseWithoutAPartIsNotComplete checks that the answer of a second phase without one of its parts is not marked
 // complete, though that part can't be answered any more.
-func TestSecondStepWithoutAPartIsNotComplete(t *testing.T) {
+func TestSecondPhaseWithoutAPartIsNotComplete(t *testing.T) {
 	set := testSettings()
 	set.Classes[0].MinShare, set.Classes[0].PartialShare, set.Classes[0].FetchParts = 0.5, 0.9, 2
 	set.Limits.MaxAttempts = 1
@@ -123,7 +123,7 @@
 		{Kind: PartArrived, Query: "q", Part: "s1", Shard: 1, Weight: 0.5}}
 	h.step(second...)
 	all := h.step(attemptEnded("s0", 0, OK), attemptEnded("s1", 0, Errored))
-	all = append(all, h.after(2*time.Second)...)
+	all = append(all, h.runFor(2*time.Second)...)
 	answers := actionsOf(all, Answer)
 	if len(answers) != 1 || answers[0].Complete {
 		t.Errorf("got %+v, want one partial answer", answers)
@@ -143,11 +143,11 @@
 		t.Fatalf("%d parts sent, want 3", len(actionsOf(h.last, Send)))
 	}
 	start := h.now
-	h.after(20 * ms)
+	h.runFor(20 * ms)
 	var answers []Action
 	h.step(attemptEnded("hole/0", 0, OK), attemptEnded("hole/1", 0, OK), attemptEnded("hole/2", 0, OK))
 	for i := 0; len(answers) == 0 && i < 300; i++ {
-		answers = actionsOf(h.after(set.Tick), Answer)
+		answers = actionsOf(h.runFor(set.Tick), Answer)
 	}
 	if len(answers) != 1 || answers[0].Complete || answers[0].Final || h.now-start > 800*ms {
 		t.Errorf("after %v: %+v, want a partial first answer with time left for the second phase", h.now-start, answers)
@@ -165,7 +165,7 @@
 
 // TestNoSecondPhaseWithoutTimeLeft checks that the first phase of a query is not answered if no time is left for the
 // second: such an answer would not end the query, which would be lost.
-func TestAnswerOpensNoStepAtTheEnd(t *testing.T) {
+func TestNoSecondPhaseWithoutTimeLeft(t *testing.T) {
 	set := testSettings()
 	set.Classes[0].FetchParts, set.Classes[0].MinShare, set.Classes[0].PartialShare = 2, 0.5, 0.9
 	h := newHarness(t, set, members("a", "b", "c")...)
@@ -195,7 +195,7 @@
 		for i := range 12 - missing {
 			in = append(in, attemptEnded(fmt.Sprintf("q/%d", i), 0, OK))
 		}
-		answers := actionsOf(append(h.step(in...), h.after(900*ms)...), Answer)
+		answers := actionsOf(append(h.step(in...), h.runFor(900*ms)...), Answer)
 		if len(answers) != 1 || answers[0].Complete != (missing == 0) {
 			t.Errorf("%d parts missing: got %+v", missing, answers)
 		}
--- a/aggregator/canary_test.go
+++ b/aggregator/canary_test.go
@@ -17,7 +17,7 @@
 	for i := range shards {
 		shards[i] = i
 	}
-	broken := map[string]bool{}
+	crashed := map[string]bool{}
 	for try := range 3 {
 		acts := h.step(queryEvents(fmt.Sprint("k", try), 3*time.Second, shards...)...)
 		rejected := 0
@@ -25,7 +25,7 @@
 			var events []Event
 			rejected += len(actionsOf(acts, Reject))
 			for _, s := range actionsOf(acts, Send) {
-				if broken[s.Replica] = true; h.attempts[s.Part] > 2 {
+				if crashed[s.Replica] = true; h.attempts[s.Part] > 2 {
 					t.Errorf("round %d: part %s was sent %d times", try, s.Part, h.attempts[s.Part])
 				}
 				events = append(events, attemptEnded(s.Part, h.attempts[s.Part]-1, Reset))
@@ -40,18 +40,18 @@
 			t.Errorf("round %d: %d rejections within a tenth of a second, want 1", try, rejected)
 		}
 		if h.now += 2 * time.Second; try == 0 {
-			clear(broken) // the crashes of the first query don't count: nothing announces them
+			clear(crashed) // the crashes of the first query don't count: nothing announces them
 		}
 	}
-	if len(broken) > 4 {
-		t.Errorf("the repeated query crashed %d replicas", len(broken))
+	if len(crashed) > 4 {
+		t.Errorf("the repeated query crashed %d replicas", len(crashed))
 	}
 	// A harmless query: one part is answered, and one is reset and sent again.
 	h = newHarness(t, set, all...)
 	h.step(queryEvents("s", 3*time.Second, 0, 15)...)
 	h.step(attemptEnded("s/0", 0, OK))
 	h.step(attemptEnded("s/1", 0, Reset))
-	h.after(300 * ms)
+	h.runFor(300 * ms)
 	if h.attempts["s/1"] != 2 {
 		t.Errorf("%d attempts of a part that was reset once, want 2", h.attempts["s/1"])
 	}
--- a/aggregator/endpoints_test.go
+++ b/aggregator/endpoints_test.go
@@ -76,7 +76,7 @@
 // TestRemovedReplicasAreEvicted checks that memory does not grow with the number of queries, nor with that of replicas,
 // which come under new names for as long as a node runs. A replica that was listed recently or has an attempt in flight is
 // kept.
-func TestRemovedReplicasAreForgotten(t *testing.T) {
+func TestRemovedReplicasAreEvicted(t *testing.T) {
 	h := newHarness(t, testSettings(), members("a", "b", "c")...)
 	for i := range 500 {
 		was, is := fmt.Sprint("r", i), fmt.Sprint("r", i+1)
--- a/aggregator/harness_test.go
+++ b/aggregator/harness_test.go
@@ -71,7 +71,7 @@
 }
 
 // runFor steps once a tick until d has passed and returns all actions.
-func (h *harness) after(d time.Duration) (all []Action) {
+func (h *harness) runFor(d time.Duration) (all []Action) {
 	for end := h.now + d; h.now < end; {
 		h.now += h.settings.Tick
 		all = append(all, h.step(Event{Kind: Wakeup})...)
@@ -124,7 +124,7 @@
 // run simulates the time d, with a query of one part at each interval, and returns all actions.
 func (f *reactingFleet) run(d, interval time.Duration) (all []Action) {
 	f.sends = map[string]int{}
-	ask := f.now
+	nextQuery := f.now
 	for end := f.now + d; f.now < end; f.now += f.settings.Tick {
 		var events []Event
 		var later []dueOutcome
@@ -136,8 +136,8 @@
 			}
 		}
 		f.due = later
-		if f.now >= ask {
-			ask += interval
+		if f.now >= nextQuery {
+			nextQuery += interval
 			f.queries++
 			events = append(events, queryEvents(fmt.Sprint(f.queries), time.Second, f.queries%3)...)
 		}
@@ -147,8 +147,8 @@
 				f.due = append(f.due, dueOutcome{f.now + f.settings.Tick, attemptEnded(act.Part, act.Attempt, Cancelled)})
 			}
 			if act.Kind == Probe {
-				back := Event{Kind: ProbeEnded, Replica: act.Replica, Outcome: OK}
-				f.due = append(f.due, dueOutcome{f.now + f.settings.Tick, back})
+				reply := Event{Kind: ProbeEnded, Replica: act.Replica, Outcome: OK}
+				f.due = append(f.due, dueOutcome{f.now + f.settings.Tick, reply})
 			}
 			if act.Kind == Send {
 				f.sends[act.Replica]++
--- a/aggregator/healthcheck_test.go
+++ b/aggregator/healthcheck_test.go
@@ -15,8 +15,8 @@
 		t.Fatalf("before a failure: %v", acts)
 	}
 	h.step(attemptEnded("calm/0", 0, Reset))
-	h.after(2 * time.Second)
-	avoided := 0
+	h.runFor(2 * time.Second)
+	sentToLive := 0
 	for i := range 10 {
 		id := fmt.Sprint("q", i)
 		acts := h.step(queryEvents(id, 3*time.Second, 3)...)
@@ -29,21 +29,21 @@
 			}
 		}
 		acts = append(acts, h.step(events...)...)
-		for _, s := range actionsOf(append(acts, h.after(100*ms)...), Send) {
+		for _, s := range actionsOf(append(acts, h.runFor(100*ms)...), Send) {
 			if s.Replica == "r4" {
-				avoided++
+				sentToLive++
 			}
 			h.step(attemptEnded(s.Part, h.attempts[s.Part]-1, OK))
 		}
 		h.now += time.Second
 	}
-	if avoided != 10 {
-		t.Errorf("%d of 10 parts went to the live holder, want all", avoided)
+	if sentToLive != 10 {
+		t.Errorf("%d of 10 parts went to the live holder, want all", sentToLive)
 	}
 }
 
 // TestInvalidLoadReportsAreIgnored checks that invalid load reports and probes of unknown replicas have no effect.
-func TestAbsurdLoadReportsAreIgnored(t *testing.T) {
+func TestInvalidLoadReportsAreIgnored(t *testing.T) {
 	set, all := fleetSettings(6, 2, 40)
 	h := newHarness(t, set, all...)
 	inf := 1e308
@@ -59,7 +59,7 @@
 // TestRejectedProbesCauseNoFurtherProbes covers eighty aggregators that each lose a part while a data node answers only
 // some probes a second and rejects the rest. The rejections must neither lead to further probes nor cost a replica its
 // parts.
-func TestProbesOfManyAggregatorsEnd(t *testing.T) {
+func TestRejectedProbesCauseNoFurtherProbes(t *testing.T) {
 	const nodes, answered = 80, 12
 	set, all := fleetSettings(60, 3, nodes)
 	var fleet []*harness
@@ -90,7 +90,7 @@
 					events = append(events, e)
 				}
 				h.step(events...)
-				for _, s := range actionsOf(append(acts, h.after(100*ms)...), Send) {
+				for _, s := range actionsOf(append(acts, h.runFor(100*ms)...), Send) {
 					h.step(attemptEnded(s.Part, h.attempts[s.Part]-1, OK))
 				}
 			}
--- a/aggregator/latency_test.go
+++ b/aggregator/latency_test.go
@@ -25,7 +25,7 @@
 
 // TestAbandonedAttemptsCauseRejections checks that, while a replica leaves all parts unanswered, most further queries are
 // rejected rather than admitted because nothing is open any more. Later queries are admitted again.
-func TestAbandonedAttemptsKeepQueriesOut(t *testing.T) {
+func TestAbandonedAttemptsCauseRejections(t *testing.T) {
 	set := testSettings()
 	set.ShardSets, set.Shards, set.Reach = 1, 1, 1
 	h := newHarness(t, set, Member{Replica: "a"})
@@ -40,7 +40,7 @@
 		if len(actionsOf(acts, Send)) != 1 {
 			t.Fatalf("query %d was not admitted: %+v", i, acts)
 		}
-		acts = h.after(time.Second)
+		acts = h.runFor(time.Second)
 		for _, c := range actionsOf(acts, Cancel) {
 			h.step(attemptEnded(c.Part, c.Attempt, TimedOut))
 		}
@@ -55,7 +55,7 @@
 	if sent > 3 {
 		t.Errorf("%d of 10 queries were admitted right after the abandoned attempts", sent)
 	}
-	h.after(5 * time.Second)
+	h.runFor(5 * time.Second)
 	if acts := h.step(queryEvents("later", 3*time.Second, 0)...); len(actionsOf(acts, Send)) != 1 {
 		t.Errorf("a query long after the abandoned attempts was not admitted: %+v", acts)
 	}
--- a/aggregator/outlier_test.go
+++ b/aggregator/outlier_test.go
@@ -9,7 +9,7 @@
 // TestFaultyReplicaLosesItsTrafficAndRegainsIt checks, for each fault, that a replica loses its traffic during the fault
 // and regains it afterwards. The outcome NotSent stands for no answer.
 func TestFaultyReplicaLosesItsTrafficAndRegainsIt(t *testing.T) {
-	for name, bad := range map[string]struct {
+	for name, fault := range map[string]struct {
 		outcome Outcome
 		took    time.Duration
 	}{
@@ -26,7 +26,7 @@
 				set.Limits.Probes = probes
 				f := newReactingFleet(t, set, func(r string) (Outcome, time.Duration) {
 					if faulty && r == "a" {
-						return bad.outcome, bad.took
+						return fault.outcome, fault.took
 					}
 					return OK, 50 * ms
 				})
@@ -71,15 +71,15 @@
 
 // TestEjectionNeverEmptiesAShard checks that parts are still sent if every holder of a shard fails.
 func TestEjectionNeverEmptiesAShard(t *testing.T) {
-	bad := true
+	failing := true
 	f := newReactingFleet(t, testSettings(), func(string) (Outcome, time.Duration) {
-		if bad {
+		if failing {
 			return Errored, 5 * ms
 		}
 		return OK, 50 * ms
 	})
 	f.run(3*time.Second, 50*ms)
-	bad = false
+	failing = false
 	f.run(12*time.Second, 50*ms)
 	if answers := actionsOf(f.run(2*time.Second, 50*ms), Answer); len(answers) < 35 {
 		t.Errorf("%d of 40 queries answered after all replicas recovered", len(answers))
@@ -89,7 +89,7 @@
 // TestConnectTimeoutStartsNoSlowStart checks that a replica whose connections time out is ejected but not taken as
 // restarted, as it would then get few parts even if no other replica holds the shard. One that refuses connections may have
 // restarted.
-func TestConnectTimeoutIsNoRestart(t *testing.T) {
+func TestConnectTimeoutStartsNoSlowStart(t *testing.T) {
 	for _, c := range []struct {
 		end       Outcome
 		slowStart bool
--- a/aggregator/random_test.go
+++ b/aggregator/random_test.go
@@ -14,7 +14,7 @@
 		set := testSettings()
 		set.Limits.Hedging, set.Limits.Probes, set.Limits.Gossip = seed%2 == 0, seed%3 == 0, seed%2 == 1
 		set.Classes[0].Effect, set.Classes[0].DedupWindow = Effect(seed%3), 300*ms
-		playRandomEvents(t, set, members("a", "b", "c"), seed)
+		applyRandomEvents(t, set, members("a", "b", "c"), seed)
 	}
 }
 
@@ -30,12 +30,12 @@
 		set.Limits.Hedging = seed%2 == 0
 		set.Limits.MaxBatch, set.CallCost = 1+int(seed%3)*8, time.Duration(seed%3)*20*ms
 		set.Classes[0].Effect, set.Classes[0].DedupWindow = Effect(seed%3), 300*ms
-		playRandomEvents(t, set, all, seed)
+		applyRandomEvents(t, set, all, seed)
 	}
 }
 
 // applyRandomEvents runs 6000 rounds of random events, including stray ones, and checks each action.
-func playRandomEvents(t *testing.T, set Settings, all []Member, seed uint64) {
+func applyRandomEvents(t *testing.T, set Settings, all []Member, seed uint64) {
 	t.Helper()
 	h := newHarness(t, set, all...)
 	rng := rand.New(rand.NewPCG(seed, 1))
--- a/aggregator/retry_test.go
+++ b/aggregator/retry_test.go
@@ -32,7 +32,7 @@
 			h.step(queryEvents("q", 3*time.Second, 0)...)
 			h.now += c.late
 			h.step(attemptEnded("q/0", 0, c.outcome))
-			h.after(20 * ms)
+			h.runFor(20 * ms)
 			if h.attempts["q/0"] != c.want {
 				t.Errorf("%d attempts, want %d", h.attempts["q/0"], c.want)
 			}
@@ -71,7 +71,7 @@
 	set.Rules.RetryWindow, set.Rules.RetryFloor, set.Rules.RetryRatio = time.Second, 2, 0.1
 	set.Limits.MaxAttempts = 10
 	h := newHarness(t, set, members("a", "b", "c")...)
-	var taken, extras []time.Duration
+	var accepted, retries []time.Duration
 	within := func(at []time.Duration) (n int) {
 		for _, t := range at {
 			if t > h.now-time.Second {
@@ -83,7 +83,7 @@
 	for i := range 600 {
 		id := fmt.Sprint(i)
 		acts := h.step(queryEvents(id, 3*time.Second, i%3)...)
-		taken = append(taken, h.now, h.now)
+		accepted = append(accepted, h.now, h.now)
 		h.now += 7 * ms
 		var events []Event
 		for _, s := range actionsOf(acts, Send) {
@@ -91,13 +91,13 @@
 		}
 		for _, s := range actionsOf(h.step(events...), Send) {
 			if h.attempts[s.Part] > 1 {
-				if extras = append(extras, h.now); float64(within(extras)) > 2+0.1*float64(within(taken)) {
-					t.Fatalf("step %d: %d retries for %d accepted queries and parts", i, within(extras), within(taken))
+				if retries = append(retries, h.now); float64(within(retries)) > 2+0.1*float64(within(accepted)) {
+					t.Fatalf("step %d: %d retries for %d accepted queries and parts", i, within(retries), within(accepted))
 				}
 			}
 		}
 	}
-	if len(extras) == 0 {
+	if len(retries) == 0 {
 		t.Error("no retries")
 	}
 }
--- a/aggregator/settings_test.go
+++ b/aggregator/settings_test.go
@@ -6,8 +6,8 @@
 )
 
 // TestNewNamesTheInvalidSetting checks that the error for invalid settings names them.
-func TestNewNamesTheFaultySetting(t *testing.T) {
-	for want, spoil := range map[string]func(*Settings){
+func TestNewNamesTheInvalidSetting(t *testing.T) {
+	for want, invalidate := range map[string]func(*Settings){
 		"Cells":      func(s *Settings) { s.ShardSets = 0 },
 		"Shards":     func(s *Settings) { s.Shards = 0 },
 		"Reach":      func(s *Settings) { s.Reach = 9 },
@@ -16,7 +16,7 @@
 		"Rules":      func(s *Settings) { s.Rules.OverloadMultiple = -1 },
 	} {
 		set := testSettings()
-		spoil(&set)
+		invalidate(&set)
 		if _, err := New(set, 1); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%s: error %v", want, err)
 		}
--- a/aggregator/slowstart_test.go
+++ b/aggregator/slowstart_test.go
@@ -27,7 +27,7 @@
 
 // simulateSlowStart simulates ten overload windows. It returns by how many calls the worst sliding window exceeds what the
 // settings allow, and the number of calls sent.
-func playSlowStart(t *testing.T, scenario slowStartScenario, seed uint64) (excess float64, calls int) {
+func simulateSlowStart(t *testing.T, scenario slowStartScenario, seed uint64) (excess float64, calls int) {
 	t.Helper()
 	rng := rand.New(rand.NewPCG(seed, 1))
 	set := testSettings()
@@ -119,8 +119,8 @@
 				n++
 			}
 		}
-		grown := min(1, (from+rules.OverloadWindow-start).Seconds()/rules.WarmupTime.Seconds())
-		allowed := rules.OverloadMultiple * (rules.InitialCapacity + (1-rules.InitialCapacity)*grown) * rules.OverloadWindow.Seconds() / perCall
+		warmedUp := min(1, (from+rules.OverloadWindow-start).Seconds()/rules.WarmupTime.Seconds())
+		allowed := rules.OverloadMultiple * (rules.InitialCapacity + (1-rules.InitialCapacity)*warmedUp) * rules.OverloadWindow.Seconds() / perCall
 		slack := 2*math.Sqrt(allowed) + 2
 		if allowed < 30 {
 			slack = 3*math.Sqrt(allowed) + 3
@@ -155,7 +155,7 @@
 			all := 0
 			for seed := range uint64(4) {
 				scenario.spread = []float64{0.05, 0.5}[seed%2]
-				excess, calls := playSlowStart(t, scenario, seed+1)
+				excess, calls := simulateSlowStart(t, scenario, seed+1)
 				all += calls
 				if excess > 0 {
 					t.Errorf("%+v, seed %d: %.1f calls above the limit in a window, %d in total", scenario, seed+1, excess, calls)
@@ -233,7 +233,7 @@
 // simulateWarmup simulates eighty aggregators that share three replicas of a shard, one of them just started, for ten
 // overload windows. It returns the work sent to that replica in each window, as a share of what it may be sent, and the
 // mean number of parts per call there.
-func playWarmingFleet(t *testing.T, arrivals fleetArrivals) (shares []float64, perCall float64) {
+func simulateWarmup(t *testing.T, arrivals fleetArrivals) (shares []float64, perCall float64) {
 	t.Helper()
 	const nodes, part = 80, 20 * ms
 	set := testSettings()
@@ -293,7 +293,7 @@
 // overloaded, also if all aggregators get a query at the same time.
 func TestReplicaInSlowStartGetsItsShareOfAFleet(t *testing.T) {
 	for _, together := range []bool{false, true} {
-		shares, perCall := playWarmingFleet(t, fleetArrivals{together: together})
+		shares, perCall := simulateWarmup(t, fleetArrivals{together: together})
 		sum := 0.0
 		for i, s := range shares {
 			if s > 1 {
@@ -312,7 +312,7 @@
 // once, with no other holder left, don't overload a replica that does one unit of work at a time.
 func TestSavedAllowancesDoNotOverloadAReplica(t *testing.T) {
 	for idle := 1; idle < 8; idle++ {
-		shares, _ := playWarmingFleet(t, fleetArrivals{together: true, idleWindows: idle})
+		shares, _ := simulateWarmup(t, fleetArrivals{together: true, idleWindows: idle})
 		if most := slices.Max(shares); most > 1 || shares[idle] == 0 {
 			t.Errorf("idle for %d windows: then %.2f of its capacity, want some and no more than 1", idle, shares[idle:])
 		}
--- a/aggregator/trace_test.go
+++ b/aggregator/trace_test.go
@@ -81,13 +81,13 @@
 
 // traceNode is one aggregator with its pending events.
 type traceNode struct {
-	module *Aggregator
-	due    []traceEvent
-	wake   time.Duration   // due time of the requested wake; -1 for none
-	stuck  time.Duration   // the aggregator is paused until then
-	next   time.Duration   // time of the next query
-	tries  map[string]int  // attempts by part
-	given  map[string]bool // parts that it has received
+	aggregator  *Aggregator
+	due         []traceEvent
+	wakeAt      time.Duration   // due time of the requested wake; -1 for none
+	pausedUntil time.Duration   // the aggregator is paused until then
+	nextQuery   time.Duration   // time of the next query
+	attempts    map[string]int  // attempts by part
+	received    map[string]bool // parts that it has received
 }
 
 // traceEvent is an event that an aggregator receives no earlier than at a given time.
@@ -98,10 +98,10 @@
 
 // traceReplica is a data node with a single queue.
 type traceReplica struct {
-	member Member
-	busy   time.Duration // time until which its queue is occupied
-	fault  traceFault
-	until  time.Duration // end of the fault
+	member    Member
+	busyUntil time.Duration // time until which its queue is occupied
+	fault     traceFault
+	faultEnd  time.Duration // end of the fault
 }
 
 // traceFault is a fault of a data node.
@@ -109,67 +109,67 @@
 
 const (
 	faultNone traceFault = iota
-	faultSilent
+	faultNoAnswer
 	faultErrors
 	faultResets
-	faultRefuses
+	faultConnectFailed
 	faultFull
 	faultSlow
-	faultCuts
-	faultLateConnects
-	traceFaults
+	faultConnectionLost
+	faultConnectTimeout
+	traceFaultCount
 )
 
 // traceSimulation simulates all aggregators and data nodes of a scenario.
-type traceWorld struct {
+type traceSimulation struct {
 	scenario traceScenario
 	random   *rand.Rand
 	now      time.Duration
 	nodes    []*traceNode
 	replicas []*traceReplica
 	byName   map[string]*traceReplica
-	made     int
+	created  int
 	queries  int
-	sum      hash.Hash
+	digest   hash.Hash
 	kinds    map[ActionKind]int
 }
 
-func newTraceWorld(t *testing.T, scenario traceScenario) *traceWorld {
+func newTraceSimulation(t *testing.T, scenario traceScenario) *traceSimulation {
 	t.Helper()
-	w := &traceWorld{
+	w := &traceSimulation{
 		scenario: scenario, random: rand.New(rand.NewPCG(scenario.seed, 1)), now: 100 * time.Second,
-		byName: map[string]*traceReplica{}, sum: sha256.New(), kinds: map[ActionKind]int{},
+		byName: map[string]*traceReplica{}, digest: sha256.New(), kinds: map[ActionKind]int{},
 	}
 	for range scenario.replicas {
 		w.addReplica(0)
 	}
 	for i := range scenario.nodes {
-		module, err := New(scenario.settings, scenario.seed+uint64(i))
+		aggregator, err := New(scenario.settings, scenario.seed+uint64(i))
 		if err != nil {
 			t.Fatal(err)
 		}
-		node := &traceNode{module: module, wake: -1, next: w.now, tries: map[string]int{}, given: map[string]bool{}}
-		node.tell(w.now, Event{Kind: ListCached, Members: w.list()})
+		node := &traceNode{aggregator: aggregator, wakeAt: -1, nextQuery: w.now, attempts: map[string]int{}, received: map[string]bool{}}
+		node.schedule(w.now, Event{Kind: ListCached, Members: w.list()})
 		w.nodes = append(w.nodes, node)
 	}
 	return w
 }
 
-func (n *traceNode) tell(at time.Duration, event Event) {
+func (n *traceNode) schedule(at time.Duration, event Event) {
 	n.due = append(n.due, traceEvent{at, event})
 }
 
-func (w *traceWorld) addReplica(started time.Duration) *traceReplica {
-	name := fmt.Sprint("r", w.made)
-	member := Member{Replica: name, ShardSet: w.made % w.scenario.settings.ShardSets, Zone: string(rune('a' + w.made%3)), Started: started, Size: 1}
-	w.made++
+func (w *traceSimulation) addReplica(started time.Duration) *traceReplica {
+	name := fmt.Sprint("r", w.created)
+	member := Member{Replica: name, ShardSet: w.created % w.scenario.settings.ShardSets, Zone: string(rune('a' + w.created%3)), Started: started, Size: 1}
+	w.created++
 	r := &traceReplica{member: member}
 	w.replicas = append(w.replicas, r)
 	w.byName[name] = r
 	return r
 }
 
-func (w *traceWorld) list() (members []Member) {
+func (w *traceSimulation) list() (members []Member) {
 	for _, r := range w.replicas {
 		members = append(members, r.member)
 	}
@@ -177,29 +177,29 @@
 }
 
 // between returns a random duration from low to high.
-func (w *traceWorld) between(low, high time.Duration) time.Duration {
+func (w *traceSimulation) between(low, high time.Duration) time.Duration {
 	return low + time.Duration(w.random.Int64N(int64(high-low)+1))
 }
 
 // run simulates the scenario for the given time and returns the hash of all actions.
-func (w *traceWorld) run(length time.Duration) string {
+func (w *traceSimulation) run(length time.Duration) string {
 	end := w.now + length
 	tick := w.scenario.settings.Tick
 	for ; w.now < end; w.now += tick {
 		if w.random.IntN(60) == 0 {
-			w.disturb()
+			w.injectChange()
 		}
 		for i, node := range w.nodes {
-			w.arrive(node, i)
+			w.addQueries(node, i)
 			w.step(node, i)
 		}
 	}
-	return hex.EncodeToString(w.sum.Sum(nil))[:32]
+	return hex.EncodeToString(w.digest.Sum(nil))[:32]
 }
 
 // step passes the due events to an aggregator and executes its actions.
-func (w *traceWorld) step(node *traceNode, index int) {
-	if w.now < node.stuck {
+func (w *traceSimulation) step(node *traceNode, index int) {
+	if w.now < node.pausedUntil {
 		return
 	}
 	var events []Event
@@ -210,28 +210,28 @@
 		events = append(events, d.event)
 		return true
 	})
-	if node.wake >= 0 && w.now >= node.wake {
-		node.wake = -1
+	if node.wakeAt >= 0 && w.now >= node.wakeAt {
+		node.wakeAt = -1
 		events = append(events, Event{Kind: Wakeup})
 	}
 	if len(events) == 0 {
 		return
 	}
-	for _, action := range node.module.Step(w.now, events, nil) {
+	for _, action := range node.aggregator.Step(w.now, events, nil) {
 		w.record(index, action)
-		w.act(node, index, action)
+		w.execute(node, index, action)
 	}
 }
 
 // record adds an action to the hash, field by field.
-func (w *traceWorld) record(index int, a Action) {
+func (w *traceSimulation) record(index int, a Action) {
 	w.kinds[a.Kind]++
 	number := func(v int64) {
-		w.sum.Write(binary.BigEndian.AppendUint64(nil, uint64(v)))
+		w.digest.Write(binary.BigEndian.AppendUint64(nil, uint64(v)))
 	}
 	text := func(s string) {
 		number(int64(len(s)))
-		w.sum.Write([]byte(s))
+		w.digest.Write([]byte(s))
 	}
 	flag := func(b bool) {
 		if b {
@@ -256,55 +256,55 @@
 }
 
 // execute carries out an action.
-func (w *traceWorld) act(node *traceNode, index int, a Action) {
+func (w *traceSimulation) execute(node *traceNode, index int, a Action) {
 	switch a.Kind {
 	case Send:
 		w.send(node, a)
 	case Cancel:
-		node.tell(w.now+w.between(ms, 8*ms), Event{Kind: AttemptEnded, Part: a.Part, Attempt: a.Attempt, Outcome: Cancelled})
+		node.schedule(w.now+w.between(ms, 8*ms), Event{Kind: AttemptEnded, Part: a.Part, Attempt: a.Attempt, Outcome: Cancelled})
 	case Answer:
 		if !a.Final {
-			w.secondStep(node, a.Query)
+			w.addSecondPhase(node, a.Query)
 		}
 	case Probe:
 		w.probe(node, a.Replica)
 	case Wake:
-		node.wake = w.now + a.After
+		node.wakeAt = w.now + a.After
 	case PollEndpoints:
 		if w.random.IntN(3) == 0 {
-			node.tell(w.now+w.between(10*ms, 400*ms), Event{Kind: ListCallFailed})
+			node.schedule(w.now+w.between(10*ms, 400*ms), Event{Kind: ListCallFailed})
 		} else {
-			node.tell(w.now+w.between(10*ms, 400*ms), Event{Kind: ListReplaced, Members: w.list()})
+			node.schedule(w.now+w.between(10*ms, 400*ms), Event{Kind: ListReplaced, Members: w.list()})
 		}
 	case SendGossip:
 		for i, other := range w.nodes {
 			if i != index && w.random.IntN(10) > 0 {
-				other.tell(w.now+w.between(ms, 20*ms), Event{Kind: GossipReceived, Data: a.Data})
+				other.schedule(w.now+w.between(ms, 20*ms), Event{Kind: GossipReceived, Data: a.Data})
 			}
 		}
 	}
 }
 
 // send simulates one attempt at its data node.
-func (w *traceWorld) send(node *traceNode, a Action) {
-	attempt := node.tries[a.Part]
-	node.tries[a.Part]++
+func (w *traceSimulation) send(node *traceNode, a Action) {
+	attempt := node.attempts[a.Part]
+	node.attempts[a.Part]++
 	end := func(after time.Duration, outcome Outcome) {
-		node.tell(w.now+after, Event{Kind: AttemptEnded, Part: a.Part, Attempt: attempt, Replica: a.Replica, Outcome: outcome, Elapsed: after})
+		node.schedule(w.now+after, Event{Kind: AttemptEnded, Part: a.Part, Attempt: attempt, Replica: a.Replica, Outcome: outcome, Elapsed: after})
 	}
 	r := w.byName[a.Replica]
-	r.busy = max(r.busy, w.now) + w.between(5*ms, 45*ms)
-	took := r.busy - w.now + w.between(ms, 4*ms)
+	r.busyUntil = max(r.busyUntil, w.now) + w.between(5*ms, 45*ms)
+	took := r.busyUntil - w.now + w.between(ms, 4*ms)
 	if r.member.State == Gone {
 		end(3*ms, ConnectFailed)
 		return
 	}
 	fault := r.fault
-	if w.now >= r.until {
+	if w.now >= r.faultEnd {
 		fault = faultNone
 	}
 	switch fault {
-	case faultSilent:
+	case faultNoAnswer:
 		end(min(a.After, time.Hour), TimedOut)
 		return
 	case faultErrors:
@@ -313,7 +313,7 @@
 	case faultResets:
 		end(took/2+ms, Reset)
 		return
-	case faultRefuses:
+	case faultConnectFailed:
 		end(ms, ConnectFailed)
 		return
 	case faultFull:
@@ -321,10 +321,10 @@
 		return
 	case faultSlow:
 		took *= 6
-	case faultCuts:
+	case faultConnectionLost:
 		end(took/2+ms, ConnectionLost)
 		return
-	case faultLateConnects:
+	case faultConnectTimeout:
 		end(250*ms, ConnectTimeout)
 		return
 	}
@@ -342,29 +342,29 @@
 	}
 }
 
-func (w *traceWorld) probe(node *traceNode, replica string) {
+func (w *traceSimulation) probe(node *traceNode, replica string) {
 	event := Event{Kind: ProbeEnded, Replica: replica, Outcome: OK}
 	r := w.byName[replica]
 	if w.random.IntN(2) == 0 {
 		event.LoadReport = map[string]float64{"inflight": float64(w.random.IntN(9)), "queue": float64(w.random.IntN(5))}
 	}
-	if w.now < r.until && r.fault != faultSlow && r.fault != faultErrors || r.member.State == Gone {
+	if w.now < r.faultEnd && r.fault != faultSlow && r.fault != faultErrors || r.member.State == Gone {
 		event.Outcome = TimedOut
 	} else if w.random.IntN(10) == 0 {
 		event.Outcome = Errored
 	}
-	node.tell(w.now+w.between(2*ms, 60*ms), event)
+	node.schedule(w.now+w.between(2*ms, 60*ms), event)
 }
 
 // addQueries schedules the queries of an aggregator that are due, with periodic bursts.
-func (w *traceWorld) arrive(node *traceNode, index int) {
+func (w *traceSimulation) addQueries(node *traceNode, index int) {
 	set := &w.scenario.settings
-	for w.now >= node.next {
+	for w.now >= node.nextQuery {
 		mean := w.scenario.interval
 		if w.now/(7*time.Second)%3 == 2 {
 			mean /= 4
 		}
-		node.next += w.between(mean/4, 2*mean-mean/4)
+		node.nextQuery += w.between(mean/4, 2*mean-mean/4)
 		w.queries++
 		id := fmt.Sprint("q", index, "-", w.queries)
 		class := w.random.IntN(len(set.Classes))
@@ -374,77 +374,77 @@
 		if w.random.IntN(300) == 0 {
 			event.Class = len(set.Classes) // not in the settings
 		}
-		node.tell(w.now, event)
+		node.schedule(w.now, event)
 		first := w.random.IntN(set.Shards)
 		for i := range shards {
-			w.part(node, id, fmt.Sprint(id, "/", i), (first+i)%set.Shards, 1/float64(shards))
+			w.addPart(node, id, fmt.Sprint(id, "/", i), (first+i)%set.Shards, 1/float64(shards))
 		}
 		if w.random.IntN(25) == 0 {
-			node.tell(w.now+w.between(0, 300*ms), Event{Kind: ClientGone, Query: id})
+			node.schedule(w.now+w.between(0, 300*ms), Event{Kind: ClientGone, Query: id})
 		}
 	}
 }
 
-func (w *traceWorld) part(node *traceNode, query, id string, shard int, weight float64) {
+func (w *traceSimulation) addPart(node *traceNode, query, id string, shard int, weight float64) {
 	event := Event{Kind: PartArrived, Query: query, Part: id, Shard: shard, Weight: weight}
 	if w.random.IntN(3) == 0 {
 		event.Work = w.between(5*ms, 40*ms)
 	}
-	node.given[id] = true
-	node.tell(w.now, event)
+	node.received[id] = true
+	node.schedule(w.now, event)
 }
 
-func (w *traceWorld) secondStep(node *traceNode, query string) {
+func (w *traceSimulation) addSecondPhase(node *traceNode, query string) {
 	for i := range 2 {
-		w.part(node, query, fmt.Sprint(query, "/second/", i), w.random.IntN(w.scenario.settings.Shards), 0.5)
+		w.addPart(node, query, fmt.Sprint(query, "/second/", i), w.random.IntN(w.scenario.settings.Shards), 0.5)
 	}
 }
 
 // injectChange applies one random fault or change.
-func (w *traceWorld) disturb() {
+func (w *traceSimulation) injectChange() {
 	r := w.replicas[w.random.IntN(len(w.replicas))]
 	switch w.random.IntN(9) {
 	case 0, 1, 2, 3:
-		r.fault, r.until = faultNone+1+traceFault(w.random.IntN(int(traceFaults)-1)), w.now+w.between(200*ms, 4*time.Second)
+		r.fault, r.faultEnd = faultNone+1+traceFault(w.random.IntN(int(traceFaultCount)-1)), w.now+w.between(200*ms, 4*time.Second)
 	case 4: // the replica drains or moves to another shard set
 		if w.random.IntN(6) == 0 {
 			r.member.ShardSet = w.random.IntN(w.scenario.settings.ShardSets)
-			w.change(r, r.member.State)
+			w.setState(r, r.member.State)
 		} else {
-			w.change(r, Draining)
+			w.setState(r, Draining)
 		}
 	case 5: // the replica is gone, or returns as a new process
 		if r.member.State == Serving {
-			w.change(r, Gone)
+			w.setState(r, Gone)
 		} else {
 			r.member.Started, r.fault = w.now, faultNone
-			w.change(r, Serving)
+			w.setState(r, Serving)
 		}
 	case 6: // a new replica replaces it
-		w.change(r, Gone)
-		w.change(w.addReplica(w.now), Serving)
+		w.setState(r, Gone)
+		w.setState(w.addReplica(w.now), Serving)
 	case 7: // an aggregator pauses
 		node := w.nodes[w.random.IntN(len(w.nodes))]
-		node.stuck = w.now + w.between(20*ms, 700*ms)
+		node.pausedUntil = w.now + w.between(20*ms, 700*ms)
 	case 8: // a complete list, a quarter of a second late
 		for _, node := range w.nodes {
-			node.tell(w.now+250*ms, Event{Kind: ListReplaced, Members: w.list()})
+			node.schedule(w.now+250*ms, Event{Kind: ListReplaced, Members: w.list()})
 		}
 	}
 	for _, node := range w.nodes { // some replicas return, so that no shard is without holders for long
 		for _, other := range w.replicas[:w.scenario.settings.ShardSets] {
 			if other.member.State != Serving && w.random.IntN(4) == 0 {
 				other.member.State, other.member.Started = Serving, w.now
-				node.tell(w.now+w.between(0, 200*ms), Event{Kind: ListChanged, Members: []Member{other.member}})
+				node.schedule(w.now+w.between(0, 200*ms), Event{Kind: ListChanged, Members: []Member{other.member}})
 			}
 		}
 	}
 }
 
-func (w *traceWorld) change(r *traceReplica, state State) {
+func (w *traceSimulation) setState(r *traceReplica, state State) {
 	r.member.State = state
 	for _, node := range w.nodes {
-		node.tell(w.now+w.between(0, 200*ms), Event{Kind: ListChanged, Members: []Member{r.member}})
+		node.schedule(w.now+w.between(0, 200*ms), Event{Kind: ListChanged, Members: []Member{r.member}})
 	}
 }
 
@@ -455,7 +455,7 @@
 	}
 	kinds := map[ActionKind]int{}
 	for _, scenario := range traceScenarios() {
-		w := newTraceWorld(t, scenario)
+		w := newTraceSimulation(t, scenario)
 		if got := w.run(90 * time.Second); got != scenario.hash {
 			t.Errorf("%s: hash %s, want %s; %d queries, actions by kind %v", scenario.name, got, scenario.hash, w.queries, w.kinds)
 		}
