--- a/aggregator/admission.go
+++ b/aggregator/admission.go
@@ -18,8 +18,8 @@
 	admitShareHighest = 1.00
 	// secondPhaseForecast is the duration of a query with a second phase, as a multiple of its first phase.
 	secondPhaseForecast = 1.5
-	// stragglerFactor is how much later the last part is expected for each e-fold of parts, in median excesses. It is below
-	// 1, as the parts of one query are slow together.
+	// stragglerFactor is the additional wait for the last part for each e-fold of parts, in median excesses. It is below 1,
+	// as the parts of one query are slow together.
 	stragglerFactor = 0.75
 	// shedMultiple is the smallest forecast, in base latencies, with which a part is left out of an answer.
 	shedMultiple = 6.0
--- a/aggregator/canary.go
+++ b/aggregator/canary.go
@@ -10,7 +10,7 @@
 	queryOfDeathResets = 2
 	// canaryFleetShare is the share of the replicas to which a query may be sent before its first answer.
 	canaryFleetShare = 0.12
-	// canaryWaitShare is how long the other parts wait for that answer, as a share of the latency objective.
+	// canaryWaitShare is the time that the other parts wait for that answer, as a share of the latency objective.
 	canaryWaitShare = 0.12
 )
 
--- a/aggregator/deadline.go
+++ b/aggregator/deadline.go
@@ -11,9 +11,9 @@
 	minLateShare = 0.25
 	// secondPhaseMultiple is the time given to the second phase, in tail latencies of a part, as its slowest part decides.
 	secondPhaseMultiple = 2.5
-	// objectiveMarginTicks is how many ticks before the latency objective an answer is sent.
+	// objectiveMarginTicks is the number of ticks before the latency objective at which an answer is sent.
 	objectiveMarginTicks = 3
-	// deadlineMarginTicks is how many ticks before the deadline a query ends.
+	// deadlineMarginTicks is the number of ticks before the deadline at which a query ends.
 	deadlineMarginTicks = 2
 )
 
--- a/aggregator/endpoints.go
+++ b/aggregator/endpoints.go
@@ -7,7 +7,7 @@
 )
 
 const (
-	// removedLifetime is how long a replica that left the list is remembered, in longest latency objectives.
+	// removedLifetime is the time for which a replica that left the list is remembered, in longest latency objectives.
 	removedLifetime = 40.0
 	// firstPollShare is the share of Rules.PollInterval over which the first poll is spread; it doubles with each failure.
 	firstPollShare = 0.06
--- a/aggregator/gossip.go
+++ b/aggregator/gossip.go
@@ -18,7 +18,7 @@
 	minGossipTicks = 10
 )
 
-// gossipKind is what an entry reports about a replica.
+// gossipKind is the kind of a gossip entry.
 type gossipKind uint8
 
 const (
--- a/aggregator/healthcheck.go
+++ b/aggregator/healthcheck.go
@@ -10,9 +10,9 @@
 	fullViewAggregators = 3.0
 	// probesPerFailure is the number of probes that a failure allows.
 	probesPerFailure = 12.0
-	// freshnessShare is how long an answer counts as recent, as a share of the longest latency objective.
+	// freshnessShare is the age up to which an answer counts as recent, as a share of the longest latency objective.
 	freshnessShare = 0.4
-	// probeWaitShare is how long a part waits for the probes of its holders, as a share of its latency objective.
+	// probeWaitShare is the time that a part waits for probes of its holders, as a share of its latency objective.
 	probeWaitShare = 0.04
 )
 
--- a/aggregator/idleconn.go
+++ b/aggregator/idleconn.go
@@ -6,7 +6,7 @@
 )
 
 const (
-	// deadConnLifetime is how long a dead idle connection is remembered, in longest latency objectives.
+	// deadConnLifetime is the time for which a dead idle connection is remembered, in longest latency objectives.
 	deadConnLifetime = 8.0
 	// deadConnThreshold is the evidence of dead idle connections from which they are closed before use.
 	deadConnThreshold = 2.0
--- a/aggregator/latency.go
+++ b/aggregator/latency.go
@@ -26,7 +26,7 @@
 	fleetSampleWeight = 0.05
 	// intervalSampleWeight is the weight of a new sample in the mean interval between answers.
 	intervalSampleWeight = 0.01
-	// observationIntervals is how long an observation of a replica holds, in mean intervals between its answers.
+	// observationIntervals is the lifetime of an observation of a replica, in mean intervals between its answers.
 	observationIntervals = 3.0
 	// minAbandoned is the number of consecutive abandoned attempts from which their ages count as latencies.
 	minAbandoned = 2
--- a/aggregator/outlier.go
+++ b/aggregator/outlier.go
@@ -11,7 +11,8 @@
 	ejectionFailures = 2.0
 	// failureDecay is the share of the failure count that remains after an answer.
 	failureDecay = 0.6
-	// rejectedBackoff is how long nothing is sent to a replica that reported that it is full, in median latencies.
+	// rejectedBackoff is the time for which nothing is sent to a replica that reported that it is full, in median
+	// latencies.
 	rejectedBackoff = 2.0
 	// unansweredWeight is the weight of an unanswered call in the probe credit, where a failed call counts 1: most
 	// unanswered calls are only slow.
--- a/aggregator/pause.go
+++ b/aggregator/pause.go
@@ -3,7 +3,7 @@
 import "time"
 
 const (
-	// pauseLifetime is how long after a pause of this node another one is expected, in longest latency objectives.
+	// pauseLifetime is the time after a pause of this node in which another one is expected, in longest latency objectives.
 	pauseLifetime = 8.0
 	// minPauseTicks is the delay of a round, in ticks, above which it counts as a pause.
 	minPauseTicks = 4
--- a/aggregator/placement.go
+++ b/aggregator/placement.go
@@ -6,8 +6,8 @@
 )
 
 const (
-	// slowHolderShare is the share of the time to the objective that a part must be expected to take at every holder for
-	// the holders of its shard to count as slow.
+	// slowHolderShare is the share of the time to the objective from which the expected latency of a part at a holder
+	// counts as slow.
 	slowHolderShare = 0.3
 	// otherZoneFactor is the factor on the expected latency of a replica in another zone.
 	otherZoneFactor = 1.5
@@ -50,12 +50,12 @@
 	var best *replica
 	var bestRank placementRank
 	holders := a.holders(p.shard)
-	allSlow := a.allHoldersSlow(p, holders)
+	allowTrial := a.allowTrial(p, holders)
 	for _, r := range holders {
 		if !a.usable(p, r) {
 			continue
 		}
-		rank := a.rankReplica(p, r, allSlow)
+		rank := a.rankReplica(p, r, allowTrial)
 		if best == nil || rank.compare(&bestRank) < 0 {
 			best, bestRank = r, rank
 		}
@@ -63,9 +63,9 @@
 	return best
 }
 
-// allHoldersSlow reports whether all holders of a part are so slow that an ejected one that fails fast is worth a trial: a
+// allowTrial reports whether all holders of a part are so slow that an ejected one that fails fast is worth a trial: a
 // failure costs little time, the part can be sent again, and more than half of the retry budget is left.
-func (a *Aggregator) allHoldersSlow(p *part, holders []*replica) bool {
+func (a *Aggregator) allowTrial(p *part, holders []*replica) bool {
 	if len(p.attempts) > 0 || a.retryBudget.tokens <= maxRetryTokens/2 ||
 		a.settings.Classes[p.query.class].Effect != Safe || a.settings.Limits.MaxAttempts <= 2 {
 		return false
@@ -77,8 +77,8 @@
 }
 
 // rankReplica ranks a replica for a part: by its standing, then by its open calls, then by its expected latency.
-func (a *Aggregator) rankReplica(p *part, r *replica, allSlow bool) placementRank {
-	rank := placementRank{penalty: a.placementPenalty(p, r, allSlow), calls: float64(r.calls.open + 1)}
+func (a *Aggregator) rankReplica(p *part, r *replica, allowTrial bool) placementRank {
+	rank := placementRank{penalty: a.placementPenalty(p, r, allowTrial), calls: float64(r.calls.open + 1)}
 	rank.latency = (a.currentExcess(r) + a.decayedPeerWork(r) + a.baseLatency(p.query)) *
 		(minLatencyNoise + latencyNoise*a.rng.Float64())
 	if r.member.Zone != a.settings.Zone {
@@ -98,10 +98,10 @@
 }
 
 // placementPenalty returns the penalty of a replica for a part, by its standing. A half-open replica gets a trial part as
-// if it were in good standing; if all holders are slow, so does one that fails fast.
-func (a *Aggregator) placementPenalty(p *part, r *replica, allSlow bool) (penalty float64) {
+// if it were in good standing; with allowTrial, so does one that fails fast.
+func (a *Aggregator) placementPenalty(p *part, r *replica, allowTrial bool) (penalty float64) {
 	halfOpenTrial := r.outlier.halfOpen && len(r.calls.inFlight) == 0 && len(p.attempts) == 0
-	trial := halfOpenTrial || allSlow && r.outlier.failingFast
+	trial := halfOpenTrial || allowTrial && r.outlier.failingFast
 	switch {
 	case r.outlier.ejected && !trial:
 		penalty = ejectedPenalty
--- a/aggregator/retry.go
+++ b/aggregator/retry.go
@@ -24,7 +24,7 @@
 	// stragglerPartShare is the largest share of a query's parts that may be pending for a part to be hedged as a
 	// straggler.
 	stragglerPartShare = 0.125
-	// dedupMarginTicks is how many ticks before the end of its deduplication a repeat must begin.
+	// dedupMarginTicks is the number of ticks before the end of its deduplication by which a repeat must begin.
 	dedupMarginTicks = 4
 )
 
