--- a/aggregator/answer.go
+++ b/aggregator/answer.go
@@ -5,29 +5,29 @@
 	"time"
 )
 
-// weightTolerance is by how much the weights of all parts may fall short of 1, as the wire rounds them.
+// weightTolerance is the most by which the weights of all parts may fall short of 1, as the wire format rounds them.
 const weightTolerance = 5e-5
 
-// advance moves one query on and returns when it next needs attention.
+// advance advances one query and returns when it next needs attention.
 func (a *Aggregator) advance(q *query) time.Duration {
 	progress, times := q.progress(), a.timesOf(q)
 	complete := q.phase == 0 && progress.weight >= a.settings.Classes[q.class].CompleteShare-weightTolerance
 	switch {
 	case q.ended:
 	case a.now >= times.end:
-		a.settle(q, DeadlineExceeded)
+		a.finishPhase(q, DeadlineExceeded)
 	case len(q.parts) < q.partCount:
 		return times.end
 	case !q.admitted && !a.admit(q):
-		a.giveUp(q, q.rejection)
+		a.rejectOrFail(q, q.rejection)
 	case progress.pending == 0 || complete:
-		a.settle(q, AttemptsExhausted)
+		a.finishPhase(q, AttemptsExhausted)
 	case a.now >= times.early && a.prefersPartial(q, progress.weight),
 		a.now >= times.late && a.usefulUntil(q) == q.objective:
-		a.settle(q, DeadlineExceeded)
+		a.finishPhase(q, DeadlineExceeded)
 	case q.canary.resets >= queryOfDeathResets && !q.canary.answered:
 		a.queryOfDeath.lastFound = a.now
-		a.giveUp(q, QueryOfDeath)
+		a.rejectOrFail(q, QueryOfDeath)
 	case a.now < times.early:
 		return a.dispatchParts(q, times.early)
 	case a.now < times.late:
@@ -38,8 +38,8 @@
 	return math.MaxInt64
 }
 
-// requiredShare is the least share of the weight that may be answered, less the tolerance. The second step of a class
-// without partial answers needs all its parts.
+// requiredShare returns the smallest share of the weight that may be answered, minus the tolerance. The second phase of a
+// class without partial answers needs all its parts.
 func (a *Aggregator) requiredShare(q *query) float64 {
 	c := &a.settings.Classes[q.class]
 	if q.phase > 0 && c.MinShare >= c.CompleteShare {
@@ -48,31 +48,32 @@
 	return min(c.CompleteShare, c.MinShare) - weightTolerance
 }
 
-// settle ends the step of a query with what is in: a complete answer, a partial one, or none for the given reason.
-func (a *Aggregator) settle(q *query, reason Reason) {
+// finishPhase ends the current phase of a query with the answers received so far: with a complete answer, a partial one, or
+// none for the given reason.
+func (a *Aggregator) finishPhase(q *query, reason Reason) {
 	c := &a.settings.Classes[q.class]
 	progress := q.progress()
 	if progress.weight < a.requiredShare(q) || len(q.parts) < q.partCount {
-		a.giveUp(q, reason)
+		a.rejectOrFail(q, reason)
 		return
 	}
 	if q.phase == 0 && c.FetchParts > 0 {
-		a.openSecondStep(q, progress.weight >= c.CompleteShare-weightTolerance)
+		a.openSecondPhase(q, progress.weight >= c.CompleteShare-weightTolerance)
 		return
 	}
 	complete := progress.weight >= c.CompleteShare-weightTolerance
 	if q.phase > 0 {
-		complete = progress.missing == 0 && q.firstStepComplete
+		complete = progress.missing == 0 && q.firstPhaseComplete
 	}
-	a.act(Action{Kind: Answer, Query: q.id, Complete: complete, Final: true})
+	a.emit(Action{Kind: Answer, Query: q.id, Complete: complete, Final: true})
 	a.closeQuery(q)
 }
 
-// openSecondStep answers the first step of a query, which opens the second, or gives the query up where no time is left:
-// an answer would then open a step and never end the query.
-func (a *Aggregator) openSecondStep(q *query, complete bool) {
+// openSecondPhase answers the first phase of a query, which opens the second. If no time is left it rejects or fails the
+// query instead: the answer would open a phase and never end the query.
+func (a *Aggregator) openSecondPhase(q *query, complete bool) {
 	if q.deadline-a.now <= deadlineMarginTicks*a.settings.Tick {
-		a.giveUp(q, DeadlineExceeded)
+		a.rejectOrFail(q, DeadlineExceeded)
 		return
 	}
 	answered := 0
@@ -82,14 +83,14 @@
 		}
 		a.dropPart(p)
 	}
-	q.phase, q.firstStepComplete, q.parts = 1, complete, nil
+	q.phase, q.firstPhaseComplete, q.parts = 1, complete, nil
 	q.partCount = min(a.settings.Classes[q.class].FetchParts, answered)
-	a.act(Action{Kind: Answer, Query: q.id, Complete: complete})
+	a.emit(Action{Kind: Answer, Query: q.id, Complete: complete})
 }
 
-// giveUp ends a query without an answer: rejected, which tells the client that it may send it again and when, or failed
-// where a part that must not run twice may have run.
-func (a *Aggregator) giveUp(q *query, reason Reason) {
+// rejectOrFail ends a query without an answer. It is rejected, which tells the client that and when it may retry, or failed
+// if a part that must not run twice may have run.
+func (a *Aggregator) rejectOrFail(q *query, reason Reason) {
 	kind, retryAfter := Reject, time.Duration(0)
 	for _, p := range q.parts {
 		if a.settings.Classes[q.class].Effect != Safe && (p.mayHaveRun || p.openAttempts() > 0) {
@@ -100,11 +101,11 @@
 		seconds := a.latency.medianExcess + a.typicalLatency()*(1+a.rng.Float64())
 		retryAfter = min(scale(seconds, time.Second), a.settings.Limits.MaxRetryAfter)
 	}
-	a.act(Action{Kind: kind, Query: q.id, Reason: reason, After: retryAfter})
+	a.emit(Action{Kind: kind, Query: q.id, Reason: reason, After: retryAfter})
 	a.closeQuery(q)
 }
 
-// answerable tells whether the parts that are in or may still come suffice for an answer.
+// answerable reports whether the parts that are answered or may still be suffice for an answer.
 func (a *Aggregator) answerable(q *query) bool {
 	sum := 0.0
 	for _, p := range q.parts {
@@ -115,7 +116,7 @@
 	return sum >= a.requiredShare(q)
 }
 
-// prefersPartial tells whether a partial answer from the given weight earns more now than a complete one after the
+// prefersPartial reports whether a partial answer with the given weight earns more now than a complete one after the
 // latency objective.
 func (a *Aggregator) prefersPartial(q *query, weight float64) bool {
 	c := &a.settings.Classes[q.class]
--- a/aggregator/random_test.go
+++ b/aggregator/random_test.go
@@ -7,18 +7,18 @@
 	"time"
 )
 
-// TestRulesHoldForRandomEvents plays random events and checks the operators' rules by records of its own, and that memory
+// TestRulesHoldForRandomEvents applies random events, and checks the operators' rules with its own records and that memory
 // stays bounded.
 func TestRulesHoldForRandomEvents(t *testing.T) {
 	for seed := range uint64(6) {
 		set := testSettings()
 		set.Limits.Hedging, set.Limits.Probes, set.Limits.Gossip = seed%2 == 0, seed%3 == 0, seed%2 == 1
 		set.Classes[0].Effect, set.Classes[0].DedupWindow = Effect(seed%3), 300*ms
-		playRandomEvents(t, set, members("a", "b", "c"), seed)
+		applyRandomEvents(t, set, members("a", "b", "c"), seed)
 	}
 }
 
-// TestRulesHoldForRandomEventsInALargeFleet does the same for one of eighty aggregators over 120 replicas in two and three
+// TestRulesHoldForRandomEventsInALargeFleet does the same for one of eighty aggregators with 120 replicas in two or three
 // zones, with shared calls and every effect of a class.
 func TestRulesHoldForRandomEventsInALargeFleet(t *testing.T) {
 	for seed := range uint64(4) {
@@ -30,12 +30,12 @@
 		set.Limits.Hedging = seed%2 == 0
 		set.Limits.MaxBatch, set.CallCost = 1+int(seed%3)*8, time.Duration(seed%3)*20*ms
 		set.Classes[0].Effect, set.Classes[0].DedupWindow = Effect(seed%3), 300*ms
-		playRandomEvents(t, set, all, seed)
+		applyRandomEvents(t, set, all, seed)
 	}
 }
 
-// playRandomEvents plays 6000 rounds of random events, stray ones among them, and checks each action.
-func playRandomEvents(t *testing.T, set Settings, all []Member, seed uint64) {
+// applyRandomEvents runs 6000 rounds of random events, including stray ones, and checks each action.
+func applyRandomEvents(t *testing.T, set Settings, all []Member, seed uint64) {
 	t.Helper()
 	h := newHarness(t, set, all...)
 	rng := rand.New(rand.NewPCG(seed, 1))
@@ -71,7 +71,7 @@
 				openAttempts[sent[k].part]--
 				ran[sent[k].part] = ran[sent[k].part] || o != Rejected && o != ConnectFailed && o != ConnectTimeout && o != NotSent
 			}
-			if rng.IntN(10) > 0 { // else it is reported twice
+			if rng.IntN(10) > 0 { // otherwise it is reported twice
 				sent = append(sent[:k], sent[k+1:]...)
 			}
 		}
@@ -106,7 +106,7 @@
 					t.Fatalf("seed %d: %d attempts of %s", seed, h.attempts[act.Part], act.Part)
 				}
 				if excluded[act.Replica] {
-					t.Fatalf("seed %d: sent to %s, which drains", seed, act.Replica)
+					t.Fatalf("seed %d: sent to %s, which is draining or gone", seed, act.Replica)
 				}
 				if _, open := due[act.Part[:len(act.Part)-2]]; !open {
 					t.Fatalf("seed %d: %s sent after its query ended", seed, act.Part)
