--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -156,6 +156,6 @@
 	if r.Scope == All {
 		subject = "all clients together"
 	}
-	unit := map[Measure]string{Streams: "open streams", Queries: "open queries", Rate: "queries per second", Bytes: "bytes of unread answers"}[r.Measure]
-	return fmt.Sprintf("limit of %g %s for %s reached; retry in %v", r.Limit, unit, subject, r.RetryAfter.Round(time.Millisecond))
+	unit := map[Measure]string{Streams: "open streams", Queries: "open queries", Rate: "queries a second", Bytes: "bytes of unread answers"}[r.Measure]
+	return fmt.Sprintf("the limit of %g %s for %s is reached; come back in %v", r.Limit, unit, subject, r.RetryAfter.Round(time.Millisecond))
 }
--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -52,7 +52,7 @@
 					got = append(got, "-")
 				} else {
 					got = append(got, r.Scope.String())
-					if r.RetryAfter < 50*time.Millisecond || r.RetryAfter > 5*time.Second || !strings.Contains(r.Error(), "retry in") {
+					if r.RetryAfter < 50*time.Millisecond || r.RetryAfter > 5*time.Second || !strings.Contains(r.Error(), "come back in") {
 						t.Errorf("rejection %+v: %v", r, r)
 					}
 				}
--- a/internal/coordinator/validate.go
+++ b/internal/coordinator/validate.go
@@ -33,11 +33,11 @@
 
 func validateID(id string) error {
 	if id == "" || len(id) > maxIDLength {
-		return fmt.Errorf("%w: invalid id length of %d bytes", ErrInput, len(id))
+		return fmt.Errorf("%w: id of %d bytes", ErrInput, len(id))
 	}
 	for _, r := range id {
 		if !isVisibleASCII(r) {
-			return fmt.Errorf("%w: invalid id %q; visible ASCII is allowed", ErrInput, id)
+			return fmt.Errorf("%w: id %q", ErrInput, id)
 		}
 	}
 	return nil
@@ -56,12 +56,12 @@
 			return fmt.Errorf("%w: unknown or repeated shard %d", ErrInput, p.Shard)
 		}
 		if !(p.Weight >= 0 && p.Weight <= 1) || p.Work < 0 { // the negated condition also rejects a weight that is NaN
-			return fmt.Errorf("%w: invalid weight or cost of shard %d", ErrInput, p.Shard)
+			return fmt.Errorf("%w: weight or cost of shard %d", ErrInput, p.Shard)
 		}
 		seen[p.Shard], sum = true, sum+p.Weight
 	}
 	if math.Abs(sum-1) > weightTolerance {
-		return fmt.Errorf("%w: weights add up to %g instead of 1", ErrInput, sum)
+		return fmt.Errorf("%w: weights add up to %g", ErrInput, sum)
 	}
 	return nil
 }
--- a/internal/session/flights.go
+++ b/internal/session/flights.go
@@ -32,10 +32,10 @@
 
 // Errors of flights and sessions. Returned errors wrap them.
 var (
-	ErrUnknown    = errors.New("unknown or expired")
+	ErrUnknown    = errors.New("not known, or no longer kept")
 	ErrOtherOwner = errors.New("belongs to another owner")
 	ErrCancelled  = errors.New("was cancelled")
-	ErrFull       = errors.New("limit reached")
+	ErrFull       = errors.New("too many are kept")
 )
 
 // FlightConfig holds the limits of Flights. A field of zero or less stands for its default, given in its comment.
@@ -117,15 +117,15 @@
 // The error wraps ErrFull if there is no room.
 func (f *Flights) Open(now time.Time, id, owner string, ranges int, deadline time.Time) (evicted []string, err error) {
 	if ranges < 1 {
-		return nil, fmt.Errorf("open flight: %d ranges; at least 1 is needed", ranges)
+		return nil, fmt.Errorf("flight of %d ranges", ranges)
 	}
 	if f.flights[id] != nil {
-		return nil, fmt.Errorf("open flight %s: it already exists", id)
+		return nil, fmt.Errorf("flight %s: there is one", id)
 	}
 	for f.perOwner[owner] >= f.cfg.MaxPerOwner {
 		victim, ok := f.evictable(owner)
 		if !ok {
-			return evicted, fmt.Errorf("open flight of owner %q: %w", owner, ErrFull)
+			return evicted, fmt.Errorf("flights of owner %q: %w", owner, ErrFull)
 		}
 		evicted = append(evicted, victim)
 		f.remove(f.flights[victim])
@@ -133,7 +133,7 @@
 	for len(f.flights) >= f.cfg.MaxFlights {
 		victim, ok := f.evictable("")
 		if !ok {
-			return evicted, fmt.Errorf("open flight: %w", ErrFull)
+			return evicted, fmt.Errorf("flights: %w", ErrFull)
 		}
 		evicted = append(evicted, victim)
 		f.remove(f.flights[victim])
--- a/internal/session/sessions.go
+++ b/internal/session/sessions.go
@@ -10,7 +10,7 @@
 )
 
 // ErrInvalidOption marks an unknown option or an invalid value of one.
-var ErrInvalidOption = errors.New("invalid option")
+var ErrInvalidOption = errors.New("option")
 
 // Option describes an option that a session may have.
 type Option struct {
@@ -65,7 +65,7 @@
 func (s *Sessions) Open(now time.Time, id, owner string) error {
 	s.Tick(now)
 	if s.sessions[id] != nil {
-		return fmt.Errorf("open session %s: it already exists", id)
+		return fmt.Errorf("session %s: there is one", id)
 	}
 	if s.perOwner[owner] >= s.cfg.MaxPerOwner || len(s.sessions) >= s.cfg.MaxSessions {
 		var oldest *session
@@ -75,7 +75,7 @@
 			}
 		}
 		if oldest == nil {
-			return fmt.Errorf("open session: %w", ErrFull)
+			return fmt.Errorf("sessions: %w", ErrFull)
 		}
 		s.remove(oldest)
 	}
@@ -117,11 +117,11 @@
 		o, known := s.options[name]
 		switch {
 		case !known:
-			invalid[name] = fmt.Errorf("%w %s: unknown name", ErrInvalidOption, name)
+			invalid[name] = fmt.Errorf("%w %s: not known", ErrInvalidOption, name)
 		case value == "":
 			delete(x.options, name)
 		case len(o.Values) > 0 && !slices.Contains(o.Values, value):
-			invalid[name] = fmt.Errorf("%w %s: value %q is not one of %q", ErrInvalidOption, name, value, o.Values)
+			invalid[name] = fmt.Errorf("%w %s: %q is none of %q", ErrInvalidOption, name, value, o.Values)
 		case o.Check != nil && o.Check(value) != nil:
 			invalid[name] = fmt.Errorf("%w %s: %w", ErrInvalidOption, name, o.Check(value))
 		default:
