--- a/aggregator/admission.go
+++ b/aggregator/admission.go
@@ -97,7 +97,7 @@
 		return wait
 	}
 	wait += a.stragglerWait(q)
-	if a.settings.Classes[q.class].FetchParts > 0 {
+	if a.settings.Classes[q.class].SecondPhaseParts > 0 {
 		wait *= secondPhaseForecast
 	}
 	return wait
@@ -136,7 +136,7 @@
 // then sent.
 func (a *Aggregator) shedParts(q *query, byForecast []*part) {
 	c, rest := &a.settings.Classes[q.class], 1.0
-	if c.PartialShare == 0 || c.FetchParts > 0 {
+	if c.PartialShare == 0 || c.SecondPhaseParts > 0 {
 		return
 	}
 	late := math.Max(shedMultiple*a.baseLatency(q), a.visibleShare()*admitShareLowest*(q.objective-a.now).Seconds())
@@ -167,7 +167,7 @@
 // queryWork returns the expected work of a query over all its phases, in seconds.
 func (a *Aggregator) queryWork(q *query) float64 {
 	work := float64(len(q.parts)) * a.baseLatency(q)
-	if fetch := a.settings.Classes[q.class].FetchParts; fetch > 0 {
+	if fetch := a.settings.Classes[q.class].SecondPhaseParts; fetch > 0 {
 		work *= 1 + fetchPartWork*float64(fetch)/float64(max(len(q.parts), 1))
 	}
 	return work
--- a/aggregator/answer.go
+++ b/aggregator/answer.go
@@ -57,7 +57,7 @@
 		a.rejectOrFail(q, reason)
 		return
 	}
-	if q.phase == 0 && c.FetchParts > 0 {
+	if q.phase == 0 && c.SecondPhaseParts > 0 {
 		a.openSecondPhase(q, progress.weight >= c.CompleteShare-weightTolerance)
 		return
 	}
@@ -84,7 +84,7 @@
 		a.dropPart(p)
 	}
 	q.phase, q.firstPhaseComplete, q.parts = 1, complete, nil
-	q.partCount = min(a.settings.Classes[q.class].FetchParts, answered)
+	q.partCount = min(a.settings.Classes[q.class].SecondPhaseParts, answered)
 	a.emit(Action{Kind: Answer, Query: q.id, Complete: complete})
 }
 
--- a/aggregator/answer_test.go
+++ b/aggregator/answer_test.go
@@ -99,7 +99,7 @@
 // the query.
 func TestFirstAnswerOpensTheSecondPhase(t *testing.T) {
 	set := testSettings()
-	set.Classes[0].FetchParts = 1
+	set.Classes[0].SecondPhaseParts = 1
 	h := newHarness(t, set, members("a", "b", "c")...)
 	h.step(queryEvents("q", 3*time.Second, 0)...)
 	first := actionsOf(h.step(attemptEnded("q/0", 0, OK)), Answer)
@@ -114,7 +114,7 @@
 // complete, though that part can't be answered any more.
 func TestSecondPhaseWithoutAPartIsNotComplete(t *testing.T) {
 	set := testSettings()
-	set.Classes[0].MinShare, set.Classes[0].PartialShare, set.Classes[0].FetchParts = 0.5, 0.9, 2
+	set.Classes[0].MinShare, set.Classes[0].PartialShare, set.Classes[0].SecondPhaseParts = 0.5, 0.9, 2
 	set.Limits.MaxAttempts = 1
 	h := newHarness(t, set, members("a", "b", "c")...)
 	h.step(queryEvents("q", 3*time.Second, 0, 1)...)
@@ -135,7 +135,7 @@
 func TestPartialAnswerDespiteAShardWithoutReplicas(t *testing.T) {
 	set := testSettings()
 	set.Shards, set.ShardSets, set.Reach = 4, 4, 1
-	set.Classes[0].MinShare, set.Classes[0].PartialShare, set.Classes[0].FetchParts = 0.7, 0.9, 2
+	set.Classes[0].MinShare, set.Classes[0].PartialShare, set.Classes[0].SecondPhaseParts = 0.7, 0.9, 2
 	set.Limits.MaxAttempts = 1
 	h := newHarness(t, set, members("a", "b", "c")...) // the fourth shard set is empty
 	h.step(queryEvents("hole", 3*time.Second, 0, 1, 2, 3)...)
@@ -167,7 +167,7 @@
 // second: such an answer would not end the query, which would be lost.
 func TestNoSecondPhaseWithoutTimeLeft(t *testing.T) {
 	set := testSettings()
-	set.Classes[0].FetchParts, set.Classes[0].MinShare, set.Classes[0].PartialShare = 2, 0.5, 0.9
+	set.Classes[0].SecondPhaseParts, set.Classes[0].MinShare, set.Classes[0].PartialShare = 2, 0.5, 0.9
 	h := newHarness(t, set, members("a", "b", "c")...)
 	h.step(queryEvents("q", 900*ms, 0, 1)...)
 	h.step(attemptEnded("q/0", 0, OK))
--- a/aggregator/deadline.go
+++ b/aggregator/deadline.go
@@ -57,7 +57,7 @@
 // no time for the second phase earns nothing.
 func (a *Aggregator) secondPhaseTime(q *query) time.Duration {
 	c := &a.settings.Classes[q.class]
-	if q.phase > 0 || c.FetchParts == 0 {
+	if q.phase > 0 || c.SecondPhaseParts == 0 {
 		return 0
 	}
 	if estimate := a.latencyOfPhase(q.class, 1); estimate.tail.samples > 0 {
--- a/aggregator/event.go
+++ b/aggregator/event.go
@@ -72,7 +72,7 @@
 
 // Event kinds and the fields that each uses.
 const (
-	QueryArrived   EventKind = iota + 1 // Query, Class, Tenant, TimeLeft, Count, Key, Retry
+	QueryArrived   EventKind = iota + 1 // Query, Class, Tenant, TimeLeft, PartCount, Key, Retry
 	PartArrived                         // Query, Part, Shard, Weight, Key, Work
 	AttemptEnded                        // Part, Attempt, Replica, Outcome, Elapsed
 	ClientGone                          // Query
@@ -111,7 +111,7 @@
 	Key        string // cache key
 	Class      int    // index into Settings.Classes
 	Tenant     int    // index into Settings.Tenants; below 0 for none
-	Count      int    // parts of the query's first phase
+	PartCount  int    // parts of the query's first phase
 	Shard      int
 	Attempt    int // index among the attempts of the part
 	Outcome    Outcome
--- a/aggregator/example_test.go
+++ b/aggregator/example_test.go
@@ -23,7 +23,7 @@
 	clock := 10 * time.Second // any steady clock
 	actions := agg.Step(clock, []aggregator.Event{
 		{Kind: aggregator.ListReplaced, Members: []aggregator.Member{{Replica: "replica-1"}}},
-		{Kind: aggregator.QueryArrived, Query: "q1", Tenant: -1, Count: 1, TimeLeft: 3 * time.Second},
+		{Kind: aggregator.QueryArrived, Query: "q1", Tenant: -1, PartCount: 1, TimeLeft: 3 * time.Second},
 		{Kind: aggregator.PartArrived, Query: "q1", Part: "q1/0", Weight: 1},
 	}, nil)
 	for _, a := range actions {
--- a/aggregator/harness_test.go
+++ b/aggregator/harness_test.go
@@ -81,7 +81,7 @@
 
 // queryEvents returns the events of a query with one part on each of the given shards.
 func queryEvents(id string, left time.Duration, shards ...int) []Event {
-	events := []Event{{Kind: QueryArrived, Query: id, Tenant: -1, Count: len(shards), TimeLeft: left}}
+	events := []Event{{Kind: QueryArrived, Query: id, Tenant: -1, PartCount: len(shards), TimeLeft: left}}
 	for i, s := range shards {
 		events = append(events, Event{Kind: PartArrived, Query: id, Part: fmt.Sprintf("%s/%d", id, i), Shard: s,
 			Weight: 1 / float64(len(shards))})
--- a/aggregator/placement_test.go
+++ b/aggregator/placement_test.go
@@ -13,7 +13,7 @@
 		t.Fatal(err)
 	}
 	events := []Event{{Kind: ListCached, Members: members("a", "b", "c")},
-		{Kind: QueryArrived, Query: "q", Tenant: -1, Count: 3, TimeLeft: 3 * time.Second}}
+		{Kind: QueryArrived, Query: "q", Tenant: -1, PartCount: 3, TimeLeft: 3 * time.Second}}
 	for i, id := range []string{"p0", "p1", "p2"} {
 		events = append(events, Event{Kind: PartArrived, Query: "q", Part: id, Shard: i, Weight: 1.0 / 3})
 	}
--- a/aggregator/query.go
+++ b/aggregator/query.go
@@ -83,7 +83,7 @@
 		return
 	}
 	a.countAccepted()
-	q := &query{id: e.Query, class: e.Class, tenant: e.Tenant, partCount: e.Count, retry: e.Retry, arrived: a.now}
+	q := &query{id: e.Query, class: e.Class, tenant: e.Tenant, partCount: e.PartCount, retry: e.Retry, arrived: a.now}
 	if e.Class < 0 || e.Class >= len(a.settings.Classes) {
 		q.ended = true
 		a.emit(Action{Kind: Reject, Query: q.id})
--- a/aggregator/settings.go
+++ b/aggregator/settings.go
@@ -37,7 +37,7 @@
 	CompleteShare    float64 // share of the parts' weight that makes an answer complete
 	MinShare         float64 // smallest share of the parts' weight that may be answered
 	PartialShare     float64 // share of Priority that a partial answer earns, times its weight divided by CompleteShare
-	FetchParts       int     // parts of a second phase, opened by the first answer and used only by the simulator; 0 means one phase
+	SecondPhaseParts int     // parts of a second phase, opened by the first answer and used only by the simulator; 0 means one phase
 }
 
 // Tenant is a customer with a quota.
@@ -127,7 +127,7 @@
 }
 
 func (c *Class) valid() bool {
-	return c.LatencyObjective > 0 && c.Deadline > 0 && c.DedupWindow >= 0 && c.FetchParts >= 0 &&
+	return c.LatencyObjective > 0 && c.Deadline > 0 && c.DedupWindow >= 0 && c.SecondPhaseParts >= 0 &&
 		nonNegativeFinite(c.Priority, c.LateShare, c.CompleteShare, c.MinShare, c.PartialShare)
 }
 
--- a/aggregator/trace_test.go
+++ b/aggregator/trace_test.go
@@ -34,7 +34,7 @@
 	classes := []Class{
 		{Name: "lookup", LatencyObjective: time.Second, Deadline: 3 * time.Second, Priority: 1, CompleteShare: 1, MinShare: 1},
 		{Name: "search", LatencyObjective: 800 * ms, Deadline: 2 * time.Second, Priority: 3, LateShare: 0.5, CompleteShare: 0.95, MinShare: 0.5, PartialShare: 0.8},
-		{Name: "fetch", LatencyObjective: 1500 * ms, Deadline: 4 * time.Second, Priority: 5, LateShare: 0.1, CompleteShare: 0.9, MinShare: 0.6, PartialShare: 0.7, FetchParts: 2},
+		{Name: "fetch", LatencyObjective: 1500 * ms, Deadline: 4 * time.Second, Priority: 5, LateShare: 0.1, CompleteShare: 0.9, MinShare: 0.6, PartialShare: 0.7, SecondPhaseParts: 2},
 		{Name: "entry", LatencyObjective: time.Second, Deadline: 3 * time.Second, Effect: Keyed, DedupWindow: 900 * ms, Priority: 4, CompleteShare: 1, MinShare: 1},
 		{Name: "write", LatencyObjective: time.Second, Deadline: 3 * time.Second, Effect: Unsafe, Priority: 6, CompleteShare: 1, MinShare: 1},
 	}
@@ -369,7 +369,7 @@
 		id := fmt.Sprint("q", index, "-", w.queries)
 		class := w.random.IntN(len(set.Classes))
 		shards := 1 + w.random.IntN(set.Shards)
-		event := Event{Kind: QueryArrived, Query: id, Class: class, Tenant: w.random.IntN(len(set.Tenants)+1) - 1, Count: shards,
+		event := Event{Kind: QueryArrived, Query: id, Class: class, Tenant: w.random.IntN(len(set.Tenants)+1) - 1, PartCount: shards,
 			TimeLeft: w.between(set.Classes[class].Deadline/4, set.Classes[class].Deadline), Retry: w.random.IntN(8) == 0}
 		if w.random.IntN(300) == 0 {
 			event.Class = len(set.Classes) // not in the settings
--- a/cmd/gullfall/gossip.go
+++ b/cmd/gullfall/gossip.go
@@ -136,9 +136,9 @@
 // peerReports are the data nodes that fail for another coordinator, or that another has seen start.
 func peerReports(all map[string]observations.View, self string) (reports []coordinator.PeerReport) {
 	for id, v := range all {
-		report := coordinator.PeerReport{Node: id, Failing: v.Suspect && v.FailedBy != self, Failed: v.Failed, Answered: v.Answered}
-		if v.WarmingFor > 0 && v.WarmingSeenBy != self {
-			report.WarmingUp, report.Started = true, v.Started
+		report := coordinator.PeerReport{Node: id, Failing: v.Suspect && v.FailedBy != self, Failed: v.FailedAge, Answered: v.AnsweredAge}
+		if v.WarmupLeft > 0 && v.StartedBy != self {
+			report.WarmingUp, report.Started = true, v.StartAge
 		}
 		if report.WarmingUp || report.Failing {
 			reports = append(reports, report)
--- a/cmd/gullfall/observations.go
+++ b/cmd/gullfall/observations.go
@@ -24,7 +24,7 @@
 func learnedViews(all map[string]observations.View) (list []learnedView) {
 	for _, id := range slices.Sorted(maps.Keys(all)) {
 		v := all[id]
-		l := learnedView{id, v.Suspect, tenths(v.WarmingFor), -1, v.Utilization}
+		l := learnedView{id, v.Suspect, tenths(v.WarmupLeft), -1, v.Utilization}
 		if v.Latency >= 0 {
 			l.LatencyMS = math.Round(v.Latency*1e4) / 10
 		}
--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -190,21 +190,21 @@
 		t.Errorf("the slow reader was not evicted: %v, rejection %v", evicted, r)
 	}
 	var sizes SizeEstimator
-	if got := sizes.Expect("x", 2); got != 2*DefaultPartBytes {
+	if got := sizes.Estimate("x", 2); got != 2*DefaultPartBytes {
 		t.Errorf("estimate for an unknown class: %d", got)
 	}
-	sizes.Learn("x", 2, 2000)
-	if got := sizes.Expect("x", 4); got != 5001 {
+	sizes.Record("x", 2, 2000)
+	if got := sizes.Estimate("x", 4); got != 5001 {
 		t.Errorf("estimate after one answer: %d", got)
 	}
-	sizes.Learn("x", 1, 8000)
-	if got := sizes.Expect("x", 1); got != 10001 {
+	sizes.Record("x", 1, 8000)
+	if got := sizes.Estimate("x", 1); got != 10001 {
 		t.Errorf("estimate after a larger answer: %d", got)
 	}
 	for range 100 {
-		sizes.Learn("x", 1, 1000)
+		sizes.Record("x", 1, 1000)
 	}
-	if got := sizes.Expect("x", 1); got > 1300 || got < 1250 {
+	if got := sizes.Estimate("x", 1); got > 1300 || got < 1250 {
 		t.Errorf("estimate after 100 smaller answers: %d", got)
 	}
 }
--- a/internal/admission/sizeestimator.go
+++ b/internal/admission/sizeestimator.go
@@ -12,8 +12,8 @@
 // class, so its size is bounded by the classes in the settings.
 type SizeEstimator struct{ bytesPerPart map[string]float64 }
 
-// Expect returns the bytes to reserve for the answer of a query of the given number of parts.
-func (s *SizeEstimator) Expect(class string, parts int) int64 {
+// Estimate returns the bytes to reserve for the answer of a query of the given number of parts.
+func (s *SizeEstimator) Estimate(class string, parts int) int64 {
 	perPart, known := s.bytesPerPart[class]
 	if !known {
 		return int64(parts) * DefaultPartBytes
@@ -21,8 +21,8 @@
 	return int64(perPart*headroomFactor*float64(parts)) + 1
 }
 
-// Learn records the size of an answer. A size above the estimate replaces it at once; a smaller one lowers it gradually.
-func (s *SizeEstimator) Learn(class string, parts int, bytes int64) {
+// Record records the size of an answer. A size above the estimate replaces it at once; a smaller one lowers it gradually.
+func (s *SizeEstimator) Record(class string, parts int, bytes int64) {
 	if parts <= 0 {
 		return
 	}
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -155,7 +155,7 @@
 			CompleteShare:    entryOr(info.ClassNeed, i, 1),
 			MinShare:         entryOr(info.FloorByClass, i, 1),
 			PartialShare:     entryOr(info.PartialEarns, i, 0),
-			FetchParts:       entryOr(info.ClassFetch, i, 0),
+			SecondPhaseParts: entryOr(info.ClassFetch, i, 0),
 		})
 	}
 	return classes, nil
--- a/internal/coordinator/queries.go
+++ b/internal/coordinator/queries.go
@@ -174,7 +174,7 @@
 	}
 	inputs := make([]input, 0, q.size())
 	inputs = append(inputs, input{query: q, event: aggregator.Event{Kind: aggregator.QueryArrived, Query: q.ID, Class: c.classes[q.Class],
-		Tenant: tenant, Count: len(q.Parts), Retry: q.Retry, TimeLeft: time.Until(q.Deadline)}})
+		Tenant: tenant, PartCount: len(q.Parts), Retry: q.Retry, TimeLeft: time.Until(q.Deadline)}})
 	q.parts = make([]*part, 0, len(q.Parts))
 	for _, p := range q.Parts {
 		newPart := &part{id: q.ID + "." + strconv.Itoa(p.Shard), query: q, shard: p.Shard}
--- a/internal/flight/doget.go
+++ b/internal/flight/doget.go
@@ -140,9 +140,9 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if err == nil {
-		s.flights.Sent(time.Now(), ticket.Flight, ticket.Range)
+		s.flights.RangeSent(time.Now(), ticket.Flight, ticket.Range)
 	} else {
-		s.flights.Interrupted(time.Now(), ticket.Flight, ticket.Range)
+		s.flights.RangeInterrupted(time.Now(), ticket.Flight, ticket.Range)
 	}
 	return err
 }
--- a/internal/flight/memory.go
+++ b/internal/flight/memory.go
@@ -20,7 +20,7 @@
 func (s *Server) reserve(g *caller, class string, parts int) (*reservation, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	r := &reservation{s, g, class, parts, min(s.sizeEstimates.Expect(class, parts), s.Memory)}
+	r := &reservation{s, g, class, parts, min(s.sizeEstimates.Estimate(class, parts), s.Memory)}
 	evicted, rejection := s.admission.Reserve(time.Now(), g.pass, r.bytes)
 	return r, s.rejectMemory(evicted, rejection, r.bytes)
 }
@@ -49,7 +49,7 @@
 	s := r.server
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.sizeEstimates.Learn(r.class, r.parts, bytes)
+	s.sizeEstimates.Record(r.class, r.parts, bytes)
 	if bytes < r.bytes {
 		s.admission.Read(time.Now(), r.caller.pass, r.bytes-bytes)
 	}
--- a/internal/gossip/facts.go
+++ b/internal/gossip/facts.go
@@ -46,14 +46,14 @@
 func (g *Gossip) Observations(node string) observations.View {
 	g.facts.mu.Lock()
 	defer g.facts.mu.Unlock()
-	return g.facts.table.Of(g.Since(), node)
+	return g.facts.table.View(g.Since(), node)
 }
 
 // AllObservations is the same of each data node, by id.
 func (g *Gossip) AllObservations() map[string]observations.View {
 	g.facts.mu.Lock()
 	defer g.facts.mu.Unlock()
-	return g.facts.table.All(g.Since())
+	return g.facts.table.Views(g.Since())
 }
 
 // gossipFacts sends facts to a few members, once a period.
@@ -101,7 +101,7 @@
 func (g *Gossip) nextFacts() []observations.Fact {
 	g.facts.mu.Lock()
 	defer g.facts.mu.Unlock()
-	g.facts.table.Step(g.Since())
+	g.facts.table.Expire(g.Since())
 	return g.facts.table.Facts(g.Since(), factBatch)
 }
 
--- a/internal/lab/model/coordinator.go
+++ b/internal/lab/model/coordinator.go
@@ -62,8 +62,8 @@
 func (k *coordinator) member(n *dataNode, state aggregator.State, started time.Duration) aggregator.Member {
 	out := aggregator.Member{Replica: n.id, ShardSet: n.shardSet, Zone: n.zone, State: state, Started: started, Size: 1}
 	if k.observations != nil {
-		if v := k.observations.Of(k.model.now, n.id); v.WarmingFor > 0 {
-			out.Started = max(out.Started, k.model.now-v.Started)
+		if v := k.observations.View(k.model.now, n.id); v.WarmupLeft > 0 {
+			out.Started = max(out.Started, k.model.now-v.StartAge)
 		}
 	}
 	if k.zones != nil {
--- a/internal/lab/model/gossip.go
+++ b/internal/lab/model/gossip.go
@@ -18,7 +18,7 @@
 // gossip sends a coordinator's facts to others, once a period.
 func (m *Model) gossip(k *coordinator) {
 	m.after(m.config.GossipPeriod, func() { m.gossip(k) })
-	k.observations.Step(m.now)
+	k.observations.Expire(m.now)
 	facts := k.observations.Facts(m.now, gossipFacts)
 	for range gossipFanout {
 		to := m.coordinators[m.rng.IntN(len(m.coordinators))]
@@ -36,7 +36,7 @@
 
 // applyObservations hands what others have observed to the decision code and the judgement of zones, as in internal/coordinator.
 func (k *coordinator) applyObservations() {
-	all := k.observations.All(k.model.now)
+	all := k.observations.Views(k.model.now)
 	e := aggregator.Event{Kind: aggregator.ListChanged}
 	for _, id := range slices.Sorted(maps.Keys(all)) {
 		v := all[id]
@@ -44,11 +44,11 @@
 			if n.id != id || n.state != aggregator.Serving {
 				continue
 			}
-			if v.WarmingFor > 0 && k.model.now-v.Started > n.started+2*time.Second {
+			if v.WarmupLeft > 0 && k.model.now-v.StartAge > n.started+2*time.Second {
 				e.Members = append(e.Members, k.member(n, n.state, n.started))
 			}
 			if k.zones != nil && v.Suspect && v.FailedBy != fmt.Sprint("c", k.index) {
-				k.zones.ObservePeer(k.wall(), n.zone, id, v.Failed, v.Answered)
+				k.zones.ObservePeer(k.wall(), n.zone, id, v.FailedAge, v.AnsweredAge)
 			}
 		}
 	}
--- a/internal/lab/model/queries.go
+++ b/internal/lab/model/queries.go
@@ -44,7 +44,7 @@
 	q := &query{id: fmt.Sprint("q", m.lastQuery), arrived: m.elapsed()}
 	k.queries[q.id] = q
 	m.arrivedBySlice[int(q.arrived/sliceLength)]++
-	in := []aggregator.Event{{Kind: aggregator.QueryArrived, Query: q.id, Tenant: -1, Count: m.config.Parts, TimeLeft: deadline}}
+	in := []aggregator.Event{{Kind: aggregator.QueryArrived, Query: q.id, Tenant: -1, PartCount: m.config.Parts, TimeLeft: deadline}}
 	first := m.rng.IntN(m.config.NodesPerZone)
 	for i := range m.config.Parts {
 		// Work is drawn once for the part: it takes as long wherever it is done.
--- a/internal/maintenance/agent/agent_test.go
+++ b/internal/maintenance/agent/agent_test.go
@@ -23,7 +23,7 @@
 	}{
 		{"nothing told", maintenance.Machine{Healthy: true, Util: 0.2}, unknown, maintenance.Machine{Healthy: true, Util: 0.2}},
 		{"it fails for another", maintenance.Machine{Healthy: true}, observations.View{Suspect: true, Utilization: -1}, maintenance.Machine{}},
-		{"it is cold to another", maintenance.Machine{Healthy: true}, observations.View{WarmingFor: time.Second, Utilization: -1}, maintenance.Machine{}},
+		{"it is cold to another", maintenance.Machine{Healthy: true}, observations.View{WarmupLeft: time.Second, Utilization: -1}, maintenance.Machine{}},
 		{"well for others, and not here", maintenance.Machine{}, observations.View{Latency: 0.1, Utilization: -1}, maintenance.Machine{}},
 		{"its load is known to another only", maintenance.Machine{Healthy: true}, observations.View{Utilization: 0.6}, maintenance.Machine{Healthy: true, Util: 0.6}},
 		{"and here", maintenance.Machine{Healthy: true, Util: 0.3}, observations.View{Utilization: 0.6}, maintenance.Machine{Healthy: true, Util: 0.3}},
--- a/internal/maintenance/agent/fleet.go
+++ b/internal/maintenance/agent/fleet.go
@@ -28,7 +28,7 @@
 // withObservations adds to a machine what other coordinators report. One that is suspect or warms up to another is not healthy; its
 // utilization counts where none is known here.
 func withObservations(m maintenance.Machine, v observations.View) maintenance.Machine {
-	if m.Healthy = m.Healthy && !v.Suspect && v.WarmingFor == 0; m.Util == 0 && v.Utilization > 0 {
+	if m.Healthy = m.Healthy && !v.Suspect && v.WarmupLeft == 0; m.Util == 0 && v.Utilization > 0 {
 		m.Util = v.Utilization
 	}
 	return m
--- a/internal/observations/observations.go
+++ b/internal/observations/observations.go
@@ -21,7 +21,7 @@
 // same coordinator if its stamp is later, and a failure of another coordinator if its stamp is later by more than MaxSkew. So where
 // coordinators observe different things at the same time, the failure counts. Facts older than MaxAge are removed.
 //
-// Cost: merging a fact takes one map lookup; Facts and Step visit all data nodes. Memory: at most MaxNodes data nodes with five
+// Cost: merging a fact takes one map lookup; Facts and Expire visit all data nodes. Memory: at most MaxNodes data nodes with five
 // registers each; beyond that the least recently updated one is dropped.
 package observations
 
--- a/internal/observations/observations_test.go
+++ b/internal/observations/observations_test.go
@@ -34,12 +34,12 @@
 
 // TestOf checks the view of a data node for conflicting facts and as time passes, whatever the order in which the facts are merged.
 func TestOf(t *testing.T) {
-	none := View{Answered: -1, Latency: -1, Utilization: -1}
+	none := View{AnsweredAge: -1, Latency: -1, Utilization: -1}
 	with := func(change func(*View)) View { v := none; change(&v); return v }
 	suspect := func(ago time.Duration) View {
-		return View{Suspect: true, FailedBy: "a", Failed: ago, Answered: -1, Latency: -1, Utilization: -1}
+		return View{Suspect: true, FailedBy: "a", FailedAge: ago, AnsweredAge: -1, Latency: -1, Utilization: -1}
 	}
-	answered := func(v View) View { v.Answered = s; return v }
+	answered := func(v View) View { v.AnsweredAge = s; return v }
 	for _, c := range []struct {
 		name  string
 		facts []Fact
@@ -57,7 +57,7 @@
 		{"the later of two latencies counts", []Fact{newFact(Latency, "a", 5, 0, 0.2), newFact(Latency, "b", 3, 0, 0.7)}, 0, with(func(v *View) { v.Latency = 0.2 })},
 		{"reached MaxAge", []Fact{newFact(Utilization, "a", 0, 59*s, 0.5)}, 2 * s, none},
 		{"the younger of two starts counts, though its stamp is earlier", []Fact{newFact(Started, "a", 9, 8*s, 0), newFact(Started, "b", 1, 3*s, 0)}, s,
-			with(func(v *View) { v.WarmingFor, v.WarmingSeenBy, v.Started = 6*s, "b", 4*s })},
+			with(func(v *View) { v.WarmupLeft, v.StartedBy, v.StartAge = 6*s, "b", 4*s })},
 		{"warm-up is over", []Fact{newFact(Started, "a", 0, 8*s, 0)}, 2 * s, none},
 	} {
 		for _, backwards := range []bool{false, true} {
@@ -70,7 +70,7 @@
 					t.Errorf("%s: %v", c.name, err)
 				}
 			}
-			if d := cmp.Diff(c.want, tab.Of(c.after, "n")); d != "" {
+			if d := cmp.Diff(c.want, tab.View(c.after, "n")); d != "" {
 				t.Errorf("%s, backwards %v (-want +got)\n%s", c.name, backwards, d)
 			}
 		}
@@ -206,13 +206,13 @@
 						r.Fatalf("c%d holds %+v for %s of %s, want %+v observed at %v", i, h, f, id, b.Fact, b.observedAt)
 					}
 				}
-				if d := cmp.Diff(tabs[0].Of(now, id), tab.Of(now, id)); d != "" {
+				if d := cmp.Diff(tabs[0].View(now, id), tab.View(now, id)); d != "" {
 					r.Fatalf("c0 and c%d differ on %s: %s", i, id, d)
 				}
 			}
 		}
 		for _, tab := range tabs {
-			if tab.Step(now + time.Minute); len(tab.nodes) != 0 {
+			if tab.Expire(now + time.Minute); len(tab.nodes) != 0 {
 				r.Fatalf("%d data nodes are held after MaxAge", len(tab.nodes))
 			}
 		}
@@ -306,8 +306,8 @@
 		if err := tab.ObserveStart(c.now, wall, "n", c.ago); !errors.Is(err, c.err) {
 			t.Errorf("at %v: error %v", c.now, err)
 		}
-		if v := tab.Of(c.now, "n"); v.WarmingFor != c.warmingFor || v.Started != c.ago && c.warmingFor > 0 {
-			t.Errorf("at %v it warms up for %v since %v, want %v since %v", c.now, v.WarmingFor, v.Started, c.warmingFor, c.ago)
+		if v := tab.View(c.now, "n"); v.WarmupLeft != c.warmingFor || v.StartAge != c.ago && c.warmingFor > 0 {
+			t.Errorf("at %v it warms up for %v since %v, want %v since %v", c.now, v.WarmupLeft, v.StartAge, c.warmingFor, c.ago)
 		}
 		if n := len(tab.Facts(c.now, 9)); n != c.facts {
 			t.Errorf("at %v there are %d facts, want %d", c.now, n, c.facts)
--- a/internal/observations/table.go
+++ b/internal/observations/table.go
@@ -151,8 +151,8 @@
 	delete(t.nodes, oldest)
 }
 
-// Step removes facts that have reached MaxAge, and data nodes without facts.
-func (t *Table) Step(now time.Duration) {
+// Expire removes facts that have reached MaxAge, and data nodes without facts.
+func (t *Table) Expire(now time.Duration) {
 	for id, n := range t.nodes {
 		empty := true
 		for f := range n.registers {
--- a/internal/observations/view.go
+++ b/internal/observations/view.go
@@ -4,33 +4,33 @@
 
 // View is the state of a data node according to the merged observations of all coordinators.
 type View struct {
-	Suspect       bool          // it failed recently, and no answer clears the failure
-	FailedBy      string        // coordinator that observed the failure, if suspect
-	Failed        time.Duration // time since the failure, if suspect
-	Answered      time.Duration // time since it last answered any coordinator; negative if unknown
-	WarmingFor    time.Duration // remaining warm-up time; 0 if it is warm or its start is unknown
-	WarmingSeenBy string        // coordinator that observed the start, if it warms up
-	Started       time.Duration // time since its start, if it warms up
-	Latency       float64       // of a part, in seconds; negative if unknown
-	Utilization   float64       // share of its cores in use; negative if unknown
+	Suspect     bool          // it failed recently, and no answer clears the failure
+	FailedBy    string        // coordinator that observed the failure, if suspect
+	FailedAge   time.Duration // time since the failure, if suspect
+	AnsweredAge time.Duration // time since it last answered any coordinator; negative if unknown
+	WarmupLeft  time.Duration // remaining warm-up time; 0 if it is warm or its start is unknown
+	StartedBy   string        // coordinator that observed the start, if it warms up
+	StartAge    time.Duration // time since its start, if it warms up
+	Latency     float64       // of a part, in seconds; negative if unknown
+	Utilization float64       // share of its cores in use; negative if unknown
 }
 
-// Of returns the current view of a data node.
-func (t *Table) Of(now time.Duration, id string) View {
-	v := View{Answered: -1, Latency: -1, Utilization: -1}
+// View returns the current view of a data node.
+func (t *Table) View(now time.Duration, id string) View {
+	v := View{AnsweredAge: -1, Latency: -1, Utilization: -1}
 	n := t.nodes[id]
 	if n == nil {
 		return v
 	}
 	if r := &n.registers[Answered]; r.youngerThan(t.cfg.MaxAge, now) {
-		v.Answered = now - r.observedAt
+		v.AnsweredAge = now - r.observedAt
 	}
 	if r := &n.registers[Failed]; t.suspect(now, n) {
-		v.Suspect, v.FailedBy, v.Failed = true, r.stamp.Coordinator, now-r.observedAt
+		v.Suspect, v.FailedBy, v.FailedAge = true, r.stamp.Coordinator, now-r.observedAt
 	}
 	if r := &n.registers[Started]; r.youngerThan(t.cfg.WarmupTime, now) {
-		v.Started, v.WarmingSeenBy = now-r.observedAt, r.stamp.Coordinator
-		v.WarmingFor = t.cfg.WarmupTime - v.Started
+		v.StartAge, v.StartedBy = now-r.observedAt, r.stamp.Coordinator
+		v.WarmupLeft = t.cfg.WarmupTime - v.StartAge
 	}
 	if r := &n.registers[Latency]; r.youngerThan(t.cfg.MaxAge, now) {
 		v.Latency = r.value
@@ -54,11 +54,11 @@
 	return !sameCoordinator && answered.stamp.Physical <= failed.stamp.Physical+t.cfg.MaxSkew.Milliseconds()
 }
 
-// All returns the current view of every data node, by id.
-func (t *Table) All(now time.Duration) map[string]View {
+// Views returns the current view of every data node, by id.
+func (t *Table) Views(now time.Duration) map[string]View {
 	all := map[string]View{}
 	for id := range t.nodes {
-		all[id] = t.Of(now, id)
+		all[id] = t.View(now, id)
 	}
 	return all
 }
--- a/internal/session/flights.go
+++ b/internal/session/flights.go
@@ -211,7 +211,7 @@
 const (
 	Start  Next = iota + 1 // execute the query, then call Complete or Fail
 	Wait                   // wait: another caller executes the query
-	Send                   // send the range, then call Sent or Interrupted
+	Send                   // send the range, then call RangeSent or RangeInterrupted
 	Report                 // report the error: the query failed
 )
 
@@ -290,16 +290,16 @@
 	return oldest.id, true
 }
 
-// Sent records that a claimed range has been sent whole.
-func (f *Flights) Sent(now time.Time, id string, r int) {
+// RangeSent records that a claimed range has been sent whole.
+func (f *Flights) RangeSent(now time.Time, id string, r int) {
 	if x := f.removeReader(id, r); x != nil {
 		x.fetched[r] = true
 		f.expireFetched(now, x)
 	}
 }
 
-// Interrupted records that sending a claimed range ended before all of it was sent.
-func (f *Flights) Interrupted(now time.Time, id string, r int) {
+// RangeInterrupted records that sending a claimed range ended before all of it was sent.
+func (f *Flights) RangeInterrupted(now time.Time, id string, r int) {
 	if x := f.removeReader(id, r); x != nil {
 		f.expireFetched(now, x)
 	}
--- a/internal/session/session_test.go
+++ b/internal/session/session_test.go
@@ -92,9 +92,9 @@
 					ok := f.Fail(at(now), "x")
 					got = append(got, map[bool]string{true: "ok", false: "error"}[ok])
 				case "sent":
-					f.Sent(at(now), "x", n)
+					f.RangeSent(at(now), "x", n)
 				case "interrupted":
-					f.Interrupted(at(now), "x", n)
+					f.RangeInterrupted(at(now), "x", n)
 				case "renew":
 					_, err := f.Renew(at(now), "x", owner)
 					got = append(got, errorName(err))
@@ -113,8 +113,8 @@
 			if diff := cmp.Diff(c.want, strings.Join(got, " ")); diff != "" {
 				t.Errorf("(-want +got)\n%s", diff)
 			}
-			f.Interrupted(at(now), "x", 0)
-			f.Interrupted(at(now), "x", 1)
+			f.RangeInterrupted(at(now), "x", 0)
+			f.RangeInterrupted(at(now), "x", 1)
 			f.Fail(at(now), "x")
 			f.Tick(at(now + 1e6))
 			if n, bytes := f.Len(); n+int(bytes)+len(f.perOwner) > 0 {
@@ -158,7 +158,7 @@
 		}
 		if fetched {
 			f.Claim(at(1), id, "me", 0)
-			f.Sent(at(1), id, 0)
+			f.RangeSent(at(1), id, 0)
 		}
 	}
 	for _, id := range []string{"a", "b", "c"} {
@@ -195,7 +195,7 @@
 		t.Errorf("claim of the flight without room: %v, error %v", next, err)
 	}
 	f.Claim(at(2), "b", "me", 0)
-	f.Sent(at(2), "b", 0)
+	f.RangeSent(at(2), "b", 0)
 	if evicted, ok := f.Complete(at(2), "e", 90); !ok || !slices.Equal(evicted, []string{"b"}) {
 		t.Errorf("answer with an evictable one: evicted %v, kept %v", evicted, ok)
 	}
@@ -249,9 +249,9 @@
 				if sending[id] > 0 {
 					sending[id]--
 					if r, whole := rapid.IntRange(0, 1).Draw(t, "range"), rapid.Bool().Draw(t, "all"); whole {
-						f.Sent(now, id, r)
+						f.RangeSent(now, id, r)
 					} else {
-						f.Interrupted(now, id, r)
+						f.RangeInterrupted(now, id, r)
 					}
 				}
 			case "renew":
--- a/internal/simulator/host.go
+++ b/internal/simulator/host.go
@@ -218,7 +218,7 @@
 		return e
 	}
 	in.queryByNumber[a.number], in.numberByQuery[a.id] = a.id, a.number
-	e.Kind, e.Query, e.Count, e.TimeLeft, e.Retry = aggregator.QueryArrived, a.id, a.count, a.timeLeft, a.retry
+	e.Kind, e.Query, e.PartCount, e.TimeLeft, e.Retry = aggregator.QueryArrived, a.id, a.count, a.timeLeft, a.retry
 	e.Class, e.Tenant = indexOf(in.classes, a.class), indexOf(in.tenants, a.tenant)
 	return e
 }
--- a/internal/zones/fleet_test.go
+++ b/internal/zones/fleet_test.go
@@ -123,7 +123,7 @@
 func (c *coordinator) ask(now time.Duration, id string, partTime time.Duration) (replicas []string) {
 	c.queryCount++
 	q := fmt.Sprint(id, "-", c.queryCount)
-	actions := c.step(now, aggregator.Event{Kind: aggregator.QueryArrived, Query: q, Tenant: -1, Count: 2, TimeLeft: 3 * time.Second},
+	actions := c.step(now, aggregator.Event{Kind: aggregator.QueryArrived, Query: q, Tenant: -1, PartCount: 2, TimeLeft: 3 * time.Second},
 		aggregator.Event{Kind: aggregator.PartArrived, Query: q, Part: q + "/0", Shard: 0, Weight: 0.5},
 		aggregator.Event{Kind: aggregator.PartArrived, Query: q, Part: q + "/1", Shard: 1, Weight: 0.5})
 	var answers []aggregator.Event
