--- a/cmd/gullfall/drain.go
+++ b/cmd/gullfall/drain.go
@@ -42,9 +42,9 @@
 		d.log.Info("drained")
 		return true
 	case <-time.After(time.Until(end)):
-		d.log.Warn("ended while clients still read their answers", "open", d.coordinator.Open())
+		d.log.Warn("ended while clients still read their answers", "open", d.coordinator.OpenCount())
 	case <-d.signals:
-		d.log.Warn("ended by a second signal", "open", d.coordinator.Open())
+		d.log.Warn("ended by a second signal", "open", d.coordinator.OpenCount())
 	}
 	return false
 }
--- a/cmd/gullfall/gossip.go
+++ b/cmd/gullfall/gossip.go
@@ -102,7 +102,7 @@
 func share(peers *gossip.Gossip, o coordinator.Observation) {
 	switch {
 	case o.Started:
-		peers.ObserveStart(o.Node, o.Ago)
+		peers.ObserveStart(o.Node, o.StartAge)
 		return
 	case o.Failed:
 		peers.Observe(o.Node, observations.Failed, 0)
@@ -136,9 +136,9 @@
 // peerReports are the data nodes that fail for another coordinator, or that another has seen start.
 func peerReports(all map[string]observations.View, self string) (reports []coordinator.PeerReport) {
 	for id, v := range all {
-		report := coordinator.PeerReport{Node: id, Failing: v.Suspect && v.FailedBy != self, Failed: v.FailedAge, Answered: v.AnsweredAge}
+		report := coordinator.PeerReport{Node: id, Failing: v.Suspect && v.FailedBy != self, FailedAge: v.FailedAge, AnsweredAge: v.AnsweredAge}
 		if v.WarmupLeft > 0 && v.StartedBy != self {
-			report.WarmingUp, report.Started = true, v.StartAge
+			report.WarmingUp, report.StartAge = true, v.StartAge
 		}
 		if report.WarmingUp || report.Failing {
 			reports = append(reports, report)
--- a/cmd/gullfall/serve.go
+++ b/cmd/gullfall/serve.go
@@ -159,7 +159,7 @@
 	longest := longestDeadline(d.cfg.Settings)
 	d.fronts.clients.Drain(time.Now().Add(min(longest, killAfter) + killSlack))
 	answered := d.drain(time.Now().Add(longest + readGrace))
-	closeAgent(d.agent, answered && d.coordinator.Open() == 0)
+	closeAgent(d.agent, answered && d.coordinator.OpenCount() == 0)
 }
 
 func (d *daemon) onClose(f func()) { d.closers = append(d.closers, f) }
@@ -229,7 +229,7 @@
 		IdleTimeout: limits.ConnIdle, Connections: d.connections}
 	d.coordinator.RegisterDispatcher(dnssd.Frames, nodes.Dispatch)
 	watch := platform.NewWatch(d.cfg.Discovery)
-	watch.Source = d.coordinator.Source(membership.Spec{Name: "discovery", Rank: discoveryRank})
+	watch.Source = d.coordinator.AddSource(membership.Spec{Name: "discovery", Rank: discoveryRank})
 	watch.Log, watch.Dial = d.log, dial
 	watch.Persist = func(list []byte) { d.store.Put(store.EndpointList, list) }
 	watch.Schedule = membership.PollSchedule{Pushed: !d.cfg.Settings.PollList, Peers: d.cfg.Settings.Aggregators - 1,
--- a/cmd/gullfall/sources.go
+++ b/cmd/gullfall/sources.go
@@ -32,7 +32,7 @@
 // a zone told last is kept in the store, and holds after a restart until the zone's servers answer.
 func (d *daemon) followOtherSources(ctx context.Context) error {
 	if fixed := d.deploy.Fixed(); len(fixed) > 0 {
-		d.coordinator.Source(membership.Spec{Name: "fixed list", Rank: fixedRank}).Replace(fixed, false)
+		d.coordinator.AddSource(membership.Spec{Name: "fixed list", Rank: fixedRank}).ReplaceList(fixed, false)
 	}
 	zones := d.deploy.DNSSD.Zones()
 	if len(zones)+len(d.deploy.Node) == 0 {
@@ -59,7 +59,7 @@
 // zoneFollower returns a follower of a zone whose source starts from the list in the store.
 func (d *daemon) zoneFollower(zone dnssd.Zone, client *dnssd.Client) *dnssd.Follower {
 	spec := membership.Spec{Name: zone.Domain, Rank: zoneRank, Damped: true, MaxStale: time.Duration(d.deploy.DNSSD.Stale)}
-	source := &storedSource{Source: d.coordinator.Source(spec), key: store.EndpointList + "/" + zone.Domain, store: d.store}
+	source := &storedSource{Source: d.coordinator.AddSource(spec), key: store.EndpointList + "/" + zone.Domain, store: d.store}
 	source.load(d.log)
 	return &dnssd.Follower{Zone: zone, Client: client, Updater: source, Log: d.log, Poll: time.Duration(d.deploy.DNSSD.Poll)}
 }
@@ -94,7 +94,7 @@
 	if s.Source.Update(u); u.Basis == membership.Failed {
 		return
 	}
-	data, err := json.Marshal(s.Claims())
+	data, err := json.Marshal(s.Records())
 	if err == nil && !bytes.Equal(data, s.last) {
 		s.last = data
 		s.store.Put(s.key, data)
@@ -112,5 +112,5 @@
 		log.Warn("cached list not understood", "key", s.key, "cause", err)
 		return
 	}
-	s.Replace(list, true)
+	s.ReplaceList(list, true)
 }
--- a/internal/coordinator/coordinator_test.go
+++ b/internal/coordinator/coordinator_test.go
@@ -46,7 +46,7 @@
 	}
 	s := &testbed{Coordinator: c}
 	c.RegisterDispatcher("", func(n *Node) {
-		for cmd := n.Pick(context.Background()); cmd != nil; cmd = n.Pick(context.Background()) {
+		for cmd := n.NextCommand(context.Background()); cmd != nil; cmd = n.NextCommand(context.Background()) {
 			s.mu.Lock()
 			switch {
 			case cmd.Call != nil:
@@ -66,10 +66,10 @@
 	})
 	ctx, stop := context.WithCancel(t.Context())
 	go c.Run(ctx)
-	s.list = c.Source(membership.Spec{Name: "list"})
-	s.list.Replace([]Member{{ID: "n1"}}, false)
+	s.list = c.AddSource(membership.Spec{Name: "list"})
+	s.list.ReplaceList([]Member{{ID: "n1"}}, false)
 	s.shutdown = func() {
-		s.list.Replace(nil, false)
+		s.list.ReplaceList(nil, false)
 		time.Sleep(10 * time.Second)
 		stop()
 	}
@@ -128,7 +128,7 @@
 		}
 		ctx, leave := context.WithCancel(t.Context())
 		time.AfterFunc(100*time.Millisecond, leave)
-		if got := s.execute(ctx, "r", 1); got != ErrGone.Error() {
+		if got := s.execute(ctx, "r", 1); got != ErrClientGone.Error() {
 			t.Errorf("got %s", got)
 		}
 		time.Sleep(time.Second)
@@ -136,7 +136,7 @@
 		if diff := cmp.Diff([]string{"call q.0", "cancel q.0", "call r.1", "cancel r.1"}, s.commands); diff != "" {
 			t.Errorf("(-want +got)\n%s", diff)
 		}
-		if len(s.loop.queries.open)+len(s.loop.queries.parts)+len(s.loop.queries.attempts)+s.Open() > 0 {
+		if len(s.loop.queries.open)+len(s.loop.queries.parts)+len(s.loop.queries.attempts)+s.OpenCount() > 0 {
 			t.Errorf("still held: %d queries, %d parts, %d attempts", len(s.loop.queries.open), len(s.loop.queries.parts), len(s.loop.queries.attempts))
 		}
 		s.shutdown()
@@ -217,7 +217,7 @@
 	})
 }
 
-// TestInvalidQueries checks that invalid queries fail with ErrInput and never reach the module.
+// TestInvalidQueries checks that invalid queries fail with ErrInvalidQuery and never reach the module.
 func TestInvalidQueries(t *testing.T) {
 	c, err := New(aggregator.Settings{ShardSets: 1, Shards: 2, Reach: 1, Tenants: []aggregator.Tenant{{Name: "club"}},
 		Classes: []aggregator.Class{{Name: "report", LatencyObjective: 1, Deadline: 1}}}, 1, slog.New(slog.DiscardHandler), membership.Config{})
@@ -242,7 +242,7 @@
 	} {
 		q := Query{ID: "q", Class: "report", Tenant: "club", Deadline: time.Now().Add(time.Second), Parts: []Part{{Shard: 1, Weight: 1}}}
 		invalidate(&q)
-		if _, err := c.Execute(t.Context(), q); !errors.Is(err, ErrInput) {
+		if _, err := c.Execute(t.Context(), q); !errors.Is(err, ErrInvalidQuery) {
 			t.Errorf("%s: error %v", name, err)
 		}
 	}
@@ -308,16 +308,16 @@
 	synctest.Test(t, func(t *testing.T) {
 		s := newTestbed(t, 0, serve)
 		for i := range 100 {
-			s.list.Change([]Member{{ID: fmt.Sprint("r", i), State: Gone}, {ID: fmt.Sprint("r", i+1)}})
+			s.list.ApplyChanges([]Member{{ID: fmt.Sprint("r", i), State: Gone}, {ID: fmt.Sprint("r", i+1)}})
 			if got := s.execute(t.Context(), fmt.Sprint("q", i), 0, 1, 2, 3); got != "answered true 4 false" {
 				t.Errorf("query %d: %s", i, got)
 			}
 		}
 		synctest.Wait()
-		if len(s.endpoints.nodes) != 2 || len(s.list.Claims()) != 2 {
-			t.Errorf("%d data nodes are listed, %d by the source; want 2 and 2", len(s.endpoints.nodes), len(s.list.Claims()))
+		if len(s.endpoints.nodes) != 2 || len(s.list.Records()) != 2 {
+			t.Errorf("%d data nodes are listed, %d by the source; want 2 and 2", len(s.endpoints.nodes), len(s.list.Records()))
 		}
-		if len(s.loop.queries.open)+len(s.loop.queries.parts)+len(s.loop.queries.attempts)+len(s.loop.delayed)+s.Open() > 0 {
+		if len(s.loop.queries.open)+len(s.loop.queries.parts)+len(s.loop.queries.attempts)+len(s.loop.delayed)+s.OpenCount() > 0 {
 			t.Errorf("still held: %d queries, %d parts, %d attempts", len(s.loop.queries.open), len(s.loop.queries.parts), len(s.loop.queries.attempts))
 		}
 		s.shutdown()
--- a/internal/coordinator/deployments_test.go
+++ b/internal/coordinator/deployments_test.go
@@ -61,7 +61,7 @@
 				var mu sync.Mutex
 				shardSet, drained, lastSent := map[string]int{}, map[string]bool{}, time.Time{}
 				c.RegisterDispatcher("", func(n *coordinator.Node) {
-					for cmd := n.Pick(context.Background()); cmd != nil; cmd = n.Pick(context.Background()) {
+					for cmd := n.NextCommand(context.Background()); cmd != nil; cmd = n.NextCommand(context.Background()) {
 						mu.Lock()
 						if len(cmd.Call) > max(1, set.Limits.MaxBatch) {
 							t.Errorf("a call of %d parts", len(cmd.Call))
@@ -93,8 +93,8 @@
 					shardSet[m.ID] = m.ShardSet
 					list = append(list, m)
 				}
-				source := c.Source(membership.Spec{Name: "list"})
-				source.Replace(list, false)
+				source := c.AddSource(membership.Spec{Name: "list"})
+				source.ReplaceList(list, false)
 				number := 0
 				execute := func(class string, shards ...int) coordinator.Answer {
 					number++
@@ -127,7 +127,7 @@
 					}
 				}
 				mu.Unlock()
-				source.Change(list)
+				source.ApplyChanges(list)
 				markedAt := time.Now()
 				if a := execute("board", 0, d.shardSets-1); a.Status != coordinator.Answered || a.Complete || len(a.Values) != 1 {
 					t.Errorf("board with half of its parts: status %v, complete %v, %d parts", a.Status, a.Complete, len(a.Values))
@@ -141,7 +141,7 @@
 				if covered := c.CoveredShards(); covered >= d.shards || covered == 0 {
 					t.Errorf("%d of %d shards are covered", covered, d.shards)
 				}
-				source.Replace(nil, false)
+				source.ReplaceList(nil, false)
 				time.Sleep(time.Minute)
 				stop()
 			})
--- a/internal/coordinator/dispatch.go
+++ b/internal/coordinator/dispatch.go
@@ -17,7 +17,7 @@
 	CloseIdle    bool       // close idle connections
 }
 
-// Dispatcher executes the commands for one data node until Pick returns nil.
+// Dispatcher executes the commands for one data node until NextCommand returns nil.
 type Dispatcher func(*Node)
 
 // RegisterDispatcher sets the dispatcher for the data nodes of a protocol. It runs in one goroutine for each data node that receives
@@ -36,7 +36,7 @@
 	dispatch    Dispatcher
 	dispatching bool // the dispatcher has been started
 	commands    []*Command
-	ready       chan struct{} // capacity 1: holds a token while Pick must check again
+	ready       chan struct{} // capacity 1: holds a token while NextCommand must check again
 	inFlight    int           // attempts that have not ended
 	retired     bool          // it has left the list; its dispatcher ends when no attempt is in flight
 
@@ -59,9 +59,9 @@
 // queued calls.
 func (n *Node) Excluded() bool { return n.excluded.Load() || n.announced.Load() && n.c.absent() }
 
-// Pick waits for the next command and returns it. It returns nil when ctx is done, or when the data node has left the list and no
+// NextCommand waits for the next command and returns it. It returns nil when ctx is done, or when the data node has left the list and no
 // attempt is in flight there.
-func (n *Node) Pick(ctx context.Context) *Command {
+func (n *Node) NextCommand(ctx context.Context) *Command {
 	for {
 		n.c.mu.Lock()
 		if len(n.commands) > 0 {
@@ -107,7 +107,7 @@
 	n.signal()
 }
 
-// signal makes Pick check for commands again. It never blocks.
+// signal makes NextCommand check for commands again. It never blocks.
 func (n *Node) signal() {
 	select {
 	case n.ready <- struct{}{}:
--- a/internal/coordinator/endpoints.go
+++ b/internal/coordinator/endpoints.go
@@ -40,8 +40,8 @@
 	source *membership.Source
 }
 
-// Source adds a source. The list is merged from all sources.
-func (c *Coordinator) Source(spec membership.Spec) *Source {
+// AddSource adds a source. The list is merged from all sources.
+func (c *Coordinator) AddSource(spec membership.Spec) *Source {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return &Source{c, c.endpoints.table.Source(spec)}
@@ -60,12 +60,12 @@
 	s.c.updateTable(kind, func(now time.Time) membership.Result { return s.source.Update(now, u) })
 }
 
-// Change applies changed records.
-func (s *Source) Change(members []Member) { s.Update(membership.Update{Records: members}) }
+// ApplyChanges applies changed records.
+func (s *Source) ApplyChanges(members []Member) { s.Update(membership.Update{Records: members}) }
 
-// Replace applies a complete list: data nodes that it does not contain are gone. A cached list was saved by an earlier run and may be
+// ReplaceList applies a complete list: data nodes that it does not contain are gone. A cached list was saved by an earlier run and may be
 // out of date.
-func (s *Source) Replace(members []Member, cached bool) {
+func (s *Source) ReplaceList(members []Member, cached bool) {
 	s.Update(membership.Update{Full: true, Cached: cached, Records: members})
 }
 
@@ -81,8 +81,8 @@
 	return fetch
 }
 
-// Claims returns the records that the source currently contributes to the list, to be cached for the next run.
-func (s *Source) Claims() []Member {
+// Records returns the records that the source currently contributes to the list, to be cached for the next run.
+func (s *Source) Records() []Member {
 	s.c.mu.Lock()
 	defer s.c.mu.Unlock()
 	return s.source.Claims()
--- a/internal/coordinator/endpoints_bench_test.go
+++ b/internal/coordinator/endpoints_bench_test.go
@@ -26,11 +26,11 @@
 		}
 		ctx, stop := context.WithCancel(b.Context())
 		c.RegisterDispatcher("", func(n *Node) {
-			for cmd := n.Pick(ctx); cmd != nil; cmd = n.Pick(ctx) {
+			for cmd := n.NextCommand(ctx); cmd != nil; cmd = n.NextCommand(ctx) {
 			}
 		})
-		src := c.Source(membership.Spec{Name: "list"})
-		src.Replace(list, true)
+		src := c.AddSource(membership.Spec{Name: "list"})
+		src.ReplaceList(list, true)
 		c.Tick(time.Now())
 		stop()
 	}
--- a/internal/coordinator/endpoints_test.go
+++ b/internal/coordinator/endpoints_test.go
@@ -27,7 +27,7 @@
 		done := make(chan string)
 		go func() { done <- s.execute(t.Context(), "q", 0) }()
 		time.Sleep(100 * time.Millisecond)
-		s.list.Replace([]Member{{ID: "n2"}}, false)
+		s.list.ReplaceList([]Member{{ID: "n2"}}, false)
 		if got := <-done; got != "answered true 1 false" {
 			t.Errorf("query in progress during the removal: %s", got)
 		}
@@ -50,7 +50,7 @@
 func (l *commandLog) dispatcher(s *testbed, name string) Dispatcher {
 	return func(n *Node) {
 		addr := n.Addr()
-		for cmd := n.Pick(context.Background()); cmd != nil; cmd = n.Pick(context.Background()) {
+		for cmd := n.NextCommand(context.Background()); cmd != nil; cmd = n.NextCommand(context.Background()) {
 			l.mu.Lock()
 			if cmd.Call != nil {
 				l.commands = append(l.commands, name+addr)
@@ -74,11 +74,11 @@
 func TestSourcesAreMerged(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newTestbed(t, 0, serve)
-		s.list.Replace(nil, false) // remove the data node of the testbed
+		s.list.ReplaceList(nil, false) // remove the data node of the testbed
 		var l commandLog
 		s.RegisterDispatcher("x", l.dispatcher(s, "x:"))
 		s.RegisterDispatcher("y", l.dispatcher(s, "y:"))
-		zone, dir := s.Source(membership.Spec{Name: "zone", Rank: 9, Damped: true}), s.Source(membership.Spec{Name: "dir", Rank: 1})
+		zone, dir := s.AddSource(membership.Spec{Name: "zone", Rank: 9, Damped: true}), s.AddSource(membership.Spec{Name: "dir", Rank: 1})
 		n := 0
 		expect := func(what, want string) {
 			t.Helper()
@@ -88,26 +88,26 @@
 				t.Errorf("%s: not %q", what, want)
 			}
 		}
-		dir.Change([]Member{{ID: "a", Addr: "1", Proto: "x"}})
+		dir.ApplyChanges([]Member{{ID: "a", Addr: "1", Proto: "x"}})
 		expect("listed by one source", "x:1")
-		zone.Change([]Member{{ID: "a", Addr: "2", Proto: "y"}})
+		zone.ApplyChanges([]Member{{ID: "a", Addr: "2", Proto: "y"}})
 		expect("another address in the source of higher rank", "y:2")
-		dir.Change([]Member{{ID: "a", Addr: "1", Proto: "x", State: Draining}})
+		dir.ApplyChanges([]Member{{ID: "a", Addr: "1", Proto: "x", State: Draining}})
 		expect("drained by the other source", "")
-		dir.Change([]Member{{ID: "a", Addr: "1", Proto: "x"}})
+		dir.ApplyChanges([]Member{{ID: "a", Addr: "1", Proto: "x"}})
 		expect("serving again", "y:2")
-		zone.Change([]Member{{ID: "a", Addr: "3", Proto: "y"}})
+		zone.ApplyChanges([]Member{{ID: "a", Addr: "3", Proto: "y"}})
 		expect("moved to another address", "y:3")
 		zone.Update(membership.Update{Basis: membership.Failed, Cause: "REFUSED"})
 		expect("failed update of the source of higher rank", "y:3")
-		zone.Replace(nil, false)
+		zone.ReplaceList(nil, false)
 		expect("removed by the source of higher rank", "")
-		dir.Change([]Member{{ID: "a", Addr: "1", Proto: "x", Started: time.Now()}})
+		dir.ApplyChanges([]Member{{ID: "a", Addr: "1", Proto: "x", Started: time.Now()}})
 		expect("new start reported by the other source", "x:1")
-		dir.Change([]Member{{ID: "a", State: Gone}})
-		zone.Change([]Member{{ID: "b", Addr: "4", Proto: "unknown"}})
+		dir.ApplyChanges([]Member{{ID: "a", State: Gone}})
+		zone.ApplyChanges([]Member{{ID: "b", Addr: "4", Proto: "unknown"}})
 		expect("no dispatcher for the protocol", "")
-		zone.Replace(nil, false)
+		zone.ReplaceList(nil, false)
 		s.shutdown()
 	})
 }
@@ -119,9 +119,9 @@
 		down := true
 		var mu sync.Mutex
 		s := newTestbed(t, 0, serve)
-		s.list.Replace(nil, false)
+		s.list.ReplaceList(nil, false)
 		s.RegisterDispatcher("first", func(n *Node) {
-			for cmd := n.Pick(context.Background()); cmd != nil; cmd = n.Pick(context.Background()) {
+			for cmd := n.NextCommand(context.Background()); cmd != nil; cmd = n.NextCommand(context.Background()) {
 				mu.Lock()
 				if cmd.Call != nil && down {
 					for _, a := range cmd.Call {
@@ -133,8 +133,8 @@
 				mu.Unlock()
 			}
 		})
-		zone := s.Source(membership.Spec{Name: "zone"})
-		zone.Replace([]Member{{ID: "a", Addr: "1", Proto: "first", Priority: 0}, {ID: "b", Addr: "2", Priority: 10}}, false)
+		zone := s.AddSource(membership.Spec{Name: "zone"})
+		zone.ReplaceList([]Member{{ID: "a", Addr: "1", Proto: "first", Priority: 0}, {ID: "b", Addr: "2", Priority: 10}}, false)
 		state := func() string {
 			s.Coordinator.mu.Lock()
 			defer s.Coordinator.mu.Unlock()
@@ -156,7 +156,7 @@
 		if got := state(); got != "draining" {
 			t.Errorf("after the suspicion has ended the standby is %s", got)
 		}
-		zone.Replace(nil, false)
+		zone.ReplaceList(nil, false)
 		s.shutdown()
 	})
 }
--- a/internal/coordinator/gossip.go
+++ b/internal/coordinator/gossip.go
@@ -9,12 +9,12 @@
 
 // PeerReport summarizes the reports of other coordinators about a data node. Its durations are ages.
 type PeerReport struct {
-	Node      string
-	Failing   bool          // it fails for another coordinator
-	Failed    time.Duration // time since that failure
-	Answered  time.Duration // time since it last answered any coordinator; negative if not known
-	WarmingUp bool          // it started or returned recently
-	Started   time.Duration // time since that start or return
+	Node        string
+	Failing     bool          // it fails for another coordinator
+	FailedAge   time.Duration // time since that failure
+	AnsweredAge time.Duration // time since it last answered any coordinator; negative if not known
+	WarmingUp   bool          // it started or returned recently
+	StartAge    time.Duration // time since that start or return
 }
 
 // startTolerance is the minimum by which a reported start must be later than the known start to count as a different start. A report
@@ -42,11 +42,11 @@
 			continue
 		}
 		if c.isNewStart(now, m, r) {
-			c.endpoints.reportedStarts[r.Node] = now.Add(-r.Started)
+			c.endpoints.reportedStarts[r.Node] = now.Add(-r.StartAge)
 			event.Members = append(event.Members, c.moduleMember(m))
 		}
 		if r.Failing && c.zones != nil {
-			c.zones.tracker.ObservePeer(now, m.Zone, r.Node, r.Failed, r.Answered)
+			c.zones.tracker.ObservePeer(now, m.Zone, r.Node, r.FailedAge, r.AnsweredAge)
 		}
 	}
 	if len(event.Members) > 0 {
@@ -65,10 +65,10 @@
 // isNewStart reports whether a report contains a start that neither the list nor an earlier report contained, and that is so recent that
 // the data node is still warming up. The caller holds the lock.
 func (c *Coordinator) isNewStart(now time.Time, m Member, r PeerReport) bool {
-	if !r.WarmingUp || r.Started >= c.settings.Rules.WarmupTime {
+	if !r.WarmingUp || r.StartAge >= c.settings.Rules.WarmupTime {
 		return false
 	}
-	at := now.Add(-r.Started)
+	at := now.Add(-r.StartAge)
 	return at.After(m.Started.Add(startTolerance)) && at.After(c.endpoints.reportedStarts[m.ID].Add(startTolerance))
 }
 
--- a/internal/coordinator/gossip_test.go
+++ b/internal/coordinator/gossip_test.go
@@ -19,7 +19,7 @@
 func TestPeerReportsOfFailures(t *testing.T) {
 	failing := func(failed, answered time.Duration) (list []PeerReport) { // for all four data nodes of zone a
 		for i := range 4 {
-			list = append(list, PeerReport{Node: fmt.Sprint("a", i), Failing: true, Failed: failed, Answered: answered})
+			list = append(list, PeerReport{Node: fmt.Sprint("a", i), Failing: true, FailedAge: failed, AnsweredAge: answered})
 		}
 		return list
 	}
@@ -36,7 +36,7 @@
 		{"zone answers this coordinator", failing(2*s, -1), true, zones.Healthy},
 		{"zone answered a peer just before the failure", failing(s/2, s), false, zones.Healthy},
 		{"only one data node fails", failing(2*s, -1)[:1], false, zones.Healthy},
-		{"data nodes are not listed", []PeerReport{{Node: "x", Failing: true, Failed: 2 * s}, {Node: "y", Failing: true, Failed: 2 * s}}, false, zones.Healthy},
+		{"data nodes are not listed", []PeerReport{{Node: "x", Failing: true, FailedAge: 2 * s}, {Node: "y", Failing: true, FailedAge: 2 * s}}, false, zones.Healthy},
 	} {
 		synctest.Test(t, func(t *testing.T) {
 			rules := aggregator.Rules{DrainGrace: 2 * time.Second, WarmupTime: 5 * time.Second}
@@ -50,18 +50,18 @@
 				t.Fatal(err)
 			}
 			coord.RegisterDispatcher("", func(n *Node) {
-				for cmd := n.Pick(t.Context()); cmd != nil; cmd = n.Pick(t.Context()) {
+				for cmd := n.NextCommand(t.Context()); cmd != nil; cmd = n.NextCommand(t.Context()) {
 				}
 			})
 			go coord.Run(t.Context())
-			src := coord.Source(membership.Spec{Name: "list"})
+			src := coord.AddSource(membership.Spec{Name: "list"})
 			var list []Member
 			for _, z := range []string{"a", "b", "c"} {
 				for shardSet := range 4 {
 					list = append(list, Member{ID: fmt.Sprint(z, shardSet), Addr: fmt.Sprint(z, shardSet), Zone: z, ShardSet: shardSet, Weight: 1, Started: time.Now().Add(-time.Hour)})
 				}
 			}
-			src.Replace(list, false)
+			src.ReplaceList(list, false)
 			for range 5 { // long enough for the zone to go out, and too short for it to recover
 				if c.answersHere {
 					for i := range 4 {
@@ -76,7 +76,7 @@
 					t.Errorf("%s: zone a is %v (%s), want %v", c.name, z.State, z.Reason, c.want)
 				}
 			}
-			src.Replace(nil, false)
+			src.ReplaceList(nil, false)
 			time.Sleep(10 * time.Second)
 		})
 	}
@@ -98,7 +98,7 @@
 			for i := range c.nodes {
 				list = append(list, Member{ID: fmt.Sprint("n", i), Addr: fmt.Sprint("n", i), Weight: 1})
 			}
-			coord.Source(membership.Spec{Name: "list"}).Change(list)
+			coord.AddSource(membership.Spec{Name: "list"}).ApplyChanges(list)
 			if single, grouped := logged.count("msg=\"data node listed\""), logged.count("msg=\"data nodes listed\" count=10000"); single != c.single || grouped != c.grouped {
 				t.Errorf("%d data nodes: %d lines for one data node, %d for many; want %d and %d", c.nodes, single, grouped, c.single, c.grouped)
 			}
@@ -116,17 +116,17 @@
 			t.Fatal(err)
 		}
 		coord.RegisterDispatcher("", func(n *Node) {
-			for cmd := n.Pick(t.Context()); cmd != nil; cmd = n.Pick(t.Context()) {
+			for cmd := n.NextCommand(t.Context()); cmd != nil; cmd = n.NextCommand(t.Context()) {
 			}
 		})
 		var seen []Observation
 		coord.OnObservation(func(s Observation) { seen = append(seen, s) })
-		src := coord.Source(membership.Spec{Name: "list"})
+		src := coord.AddSource(membership.Spec{Name: "list"})
 		testStart := time.Now()
 		old := Member{ID: "a", Addr: "a", Weight: 1, Started: testStart.Add(-time.Minute)}
 		fresh := Member{ID: "b", Addr: "b", Weight: 1, Started: testStart.Add(-time.Second)}
-		src.Replace([]Member{old, fresh}, false)
-		if len(seen) != 1 || !seen[0].Started || seen[0].Node != "b" || seen[0].Ago != time.Second {
+		src.ReplaceList([]Member{old, fresh}, false)
+		if len(seen) != 1 || !seen[0].Started || seen[0].Node != "b" || seen[0].StartAge != time.Second {
 			t.Errorf("observations: %+v", seen)
 		}
 		for _, c := range []struct {
@@ -135,10 +135,10 @@
 			m      Member
 			want   time.Time
 		}{
-			{"old start", PeerReport{Node: "a", WarmingUp: true, Started: 6 * time.Second}, old, old.Started},
-			{"known start, made later by the delay of the report", PeerReport{Node: "b", WarmingUp: true, Started: 500 * time.Millisecond}, fresh, fresh.Started},
-			{"new start", PeerReport{Node: "a", WarmingUp: true, Started: time.Second}, old, testStart.Add(-time.Second)},
-			{"the same new start, made later by the delay of the report", PeerReport{Node: "a", WarmingUp: true, Started: 0}, old, testStart.Add(-time.Second)},
+			{"old start", PeerReport{Node: "a", WarmingUp: true, StartAge: 6 * time.Second}, old, old.Started},
+			{"known start, made later by the delay of the report", PeerReport{Node: "b", WarmingUp: true, StartAge: 500 * time.Millisecond}, fresh, fresh.Started},
+			{"new start", PeerReport{Node: "a", WarmingUp: true, StartAge: time.Second}, old, testStart.Add(-time.Second)},
+			{"the same new start, made later by the delay of the report", PeerReport{Node: "a", WarmingUp: true, StartAge: 0}, old, testStart.Add(-time.Second)},
 		} {
 			coord.ApplyPeerReports([]PeerReport{c.report})
 			coord.mu.Lock()
@@ -153,6 +153,6 @@
 		if len(coord.endpoints.reportedStarts) > 0 {
 			t.Errorf("reported starts of data nodes that have warmed up are kept: %v", coord.endpoints.reportedStarts)
 		}
-		src.Replace(nil, false)
+		src.ReplaceList(nil, false)
 	})
 }
--- a/internal/coordinator/maintenance.go
+++ b/internal/coordinator/maintenance.go
@@ -12,11 +12,11 @@
 // Maintenance describes which data nodes are in maintenance or announced for it, as far as this coordinator knows. The zero value allows
 // the use of all data nodes. The coordinator is present until the time that ExtendPresence sets.
 type Maintenance struct {
-	Excluded  map[string]bool   // by ID: nothing may be sent there
-	Addrs     map[string]bool   // by address, whatever the ID: nothing may be sent there
-	Announced map[string]bool   // by ID: may be excluded at any time, so only usable while this coordinator is present
-	Returned  map[string]uint64 // by ID: number of the maintenance that it returned from; it warms up from when this coordinator learns of it
-	Unknown   bool              // nothing is known yet: all data nodes are only usable while this coordinator is present
+	Excluded      map[string]bool   // by ID: nothing may be sent there
+	ExcludedAddrs map[string]bool   // by address, whatever the ID: nothing may be sent there
+	Announced     map[string]bool   // by ID: may be excluded at any time, so only usable while this coordinator is present
+	Returned      map[string]uint64 // by ID: number of the maintenance that it returned from; it warms up from when this coordinator learns of it
+	Unknown       bool              // nothing is known yet: all data nodes are only usable while this coordinator is present
 }
 
 // maintenanceState holds the current Maintenance and the coordinator's own data about it. Coordinator.mu guards its non-atomic fields.
@@ -108,7 +108,7 @@
 
 // isExcluded reports whether a data node is in maintenance. The caller holds the lock.
 func (c *Coordinator) isExcluded(m Member) bool {
-	return c.maintenance != nil && (c.maintenance.Excluded[m.ID] || c.maintenance.Addrs[m.Addr])
+	return c.maintenance != nil && (c.maintenance.Excluded[m.ID] || c.maintenance.ExcludedAddrs[m.Addr])
 }
 
 // SetMaintenance replaces the maintenance information. After it has returned, no new attempt starts at an excluded machine; attempts that
@@ -136,7 +136,7 @@
 // equalFor reports whether both treat a data node in the same way.
 func (m *Maintenance) equalFor(other *Maintenance, member Member) bool {
 	id, addr := member.ID, member.Addr
-	return m.Excluded[id] == other.Excluded[id] && m.Addrs[addr] == other.Addrs[addr] && m.Announced[id] == other.Announced[id] &&
+	return m.Excluded[id] == other.Excluded[id] && m.ExcludedAddrs[addr] == other.ExcludedAddrs[addr] && m.Announced[id] == other.Announced[id] &&
 		m.Unknown == other.Unknown && m.Returned[id] == other.Returned[id]
 }
 
--- a/internal/coordinator/maintenance_test.go
+++ b/internal/coordinator/maintenance_test.go
@@ -35,7 +35,7 @@
 			time.Sleep(time.Second)
 		}, reportedState{Query: failed}},
 		{"excluded", func(s *testbed) { s.SetMaintenance(excluded); s.ExtendPresence(time.Now().Add(time.Hour)) }, reportedState{Query: failed, Drained: true, Present: true}},
-		{"excluded by address", func(s *testbed) { s.SetMaintenance(Maintenance{Addrs: map[string]bool{"127.0.0.1:1": true}}) }, reportedState{Query: failed}},
+		{"excluded by address", func(s *testbed) { s.SetMaintenance(Maintenance{ExcludedAddrs: map[string]bool{"127.0.0.1:1": true}}) }, reportedState{Query: failed}},
 		{"excluded with a part in flight", func(s *testbed) {
 			s.SetMaintenance(Maintenance{})
 			go s.execute(context.Background(), "held", 3)
@@ -74,7 +74,7 @@
 				}
 				serve(s, cmd)
 			}, (*Coordinator).EnableMaintenance)
-			s.list.Replace([]Member{{ID: "n1", Addr: "127.0.0.1:1"}}, false)
+			s.list.ReplaceList([]Member{{ID: "n1", Addr: "127.0.0.1:1"}}, false)
 			time.Sleep(10 * tick)
 			c.prepare(s)
 			time.Sleep(10 * tick)
--- a/internal/coordinator/observation.go
+++ b/internal/coordinator/observation.go
@@ -11,8 +11,8 @@
 	Failed      bool          // a connection was refused or reset, or the zone is out; otherwise the data node answered
 	Latency     time.Duration // of an answered attempt; 0 if not known
 	Utilization float64       // as reported by the data node; negative if it reported none
-	Started     bool          // the data node started recently; only Ago is set then
-	Ago         time.Duration // time since that start
+	Started     bool          // the data node started recently; only StartAge is set then
+	StartAge    time.Duration // time since that start
 }
 
 // OnObservation sets the function that is called for each observation. It runs in the coordinator's goroutines and must not block.
@@ -51,7 +51,7 @@
 func (c *Coordinator) notifyStarts(changes []Member, now time.Time) {
 	for _, m := range changes {
 		if ago := now.Sub(m.Started); m.State == Serving && !m.Started.IsZero() && ago < c.settings.Rules.WarmupTime {
-			c.emitObservations(Observation{Node: m.ID, Started: true, Ago: ago, Utilization: -1})
+			c.emitObservations(Observation{Node: m.ID, Started: true, StartAge: ago, Utilization: -1})
 		}
 	}
 }
--- a/internal/coordinator/queries.go
+++ b/internal/coordinator/queries.go
@@ -12,11 +12,11 @@
 	"gullfall/aggregator"
 )
 
-// ErrInput is wrapped by the errors for invalid queries. Such queries never reach the module.
-var ErrInput = errors.New("bad query")
+// ErrInvalidQuery is wrapped by the errors for invalid queries. Such queries never reach the module.
+var ErrInvalidQuery = errors.New("bad query")
 
-// ErrGone is returned if the client leaves before the query is answered.
-var ErrGone = errors.New("client gone")
+// ErrClientGone is returned if the client leaves before the query is answered.
+var ErrClientGone = errors.New("client gone")
 
 // Query is a client's query, as parsed by a protocol server.
 type Query struct {
@@ -30,15 +30,15 @@
 	IdempotencyKey string
 	Text           string // sent with each part
 	Parts          []Part
-	Received       *atomic.Int32 // incremented for each part that is answered; may be nil
+	ReceivedParts  *atomic.Int32 // incremented for each part that is answered; may be nil
 }
 
 // Part is one shard's part of a query.
 type Part struct {
-	Shard  int
-	Weight float64       // share of the answer, 0 to 1
-	Work   time.Duration // expected processing time; 0 if not known
-	Key    string
+	Shard        int
+	Weight       float64       // share of the answer, 0 to 1
+	ExpectedWork time.Duration // expected processing time; 0 if not known
+	Key          string
 }
 
 // Status is the final status of a query.
@@ -108,19 +108,19 @@
 		return
 	}
 	p.received, p.docs = true, docs
-	if p.query.Received != nil {
-		p.query.Received.Add(1)
+	if p.query.ReceivedParts != nil {
+		p.query.ReceivedParts.Add(1)
 	}
 }
 
-// Execute executes a query and waits for its final answer. The error wraps ErrInput if the query is invalid, and is ErrGone if ctx is
-// done before there is an answer.
+// Execute executes a query and waits for its final answer. The error wraps ErrInvalidQuery if the query is invalid, and is
+// ErrClientGone if ctx is done before there is an answer.
 func (c *Coordinator) Execute(ctx context.Context, request Query) (Answer, error) {
 	if err := c.Validate(&request); err != nil {
 		return Answer{}, err
 	}
 	if !request.Deadline.After(time.Now()) {
-		return Answer{}, fmt.Errorf("%w: deadline has passed", ErrInput)
+		return Answer{}, fmt.Errorf("%w: deadline has passed", ErrInvalidQuery)
 	}
 	// The class limits the deadline that a client may ask for.
 	if end := time.Now().Add(c.settings.Classes[c.classes[request.Class]].Deadline); request.Deadline.After(end) {
@@ -141,7 +141,7 @@
 	case <-ctx.Done():
 		q.closed.Store(true)
 		c.enqueue(input{event: aggregator.Event{Kind: aggregator.ClientGone, Query: q.ID}, query: q})
-		return Answer{}, ErrGone
+		return Answer{}, ErrClientGone
 	}
 }
 
@@ -180,7 +180,7 @@
 		newPart := &part{id: q.ID + "." + strconv.Itoa(p.Shard), query: q, shard: p.Shard}
 		q.parts = append(q.parts, newPart)
 		inputs = append(inputs, input{query: q, event: aggregator.Event{Kind: aggregator.PartArrived, Query: q.ID,
-			Part: newPart.id, Shard: p.Shard, Weight: p.Weight, Work: p.Work, Key: p.Key}})
+			Part: newPart.id, Shard: p.Shard, Weight: p.Weight, Work: p.ExpectedWork, Key: p.Key}})
 	}
 	return inputs
 }
@@ -194,8 +194,8 @@
 	return c.settings.Limits.MaxRetryAfter / 2
 }
 
-// Open returns the number of queries and parts in progress.
-func (c *Coordinator) Open() int {
+// OpenCount returns the number of queries and parts in progress.
+func (c *Coordinator) OpenCount() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.open
--- a/internal/coordinator/slowstart_test.go
+++ b/internal/coordinator/slowstart_test.go
@@ -36,7 +36,7 @@
 			var mu sync.Mutex
 			started := map[string]int{}
 			c.RegisterDispatcher("", func(n *Node) {
-				for cmd := n.Pick(context.Background()); cmd != nil; cmd = n.Pick(context.Background()) {
+				for cmd := n.NextCommand(context.Background()); cmd != nil; cmd = n.NextCommand(context.Background()) {
 					for _, a := range cmd.Call {
 						mu.Lock()
 						started[n.ID()]++
@@ -50,22 +50,22 @@
 			})
 			ctx, stop := context.WithCancel(t.Context())
 			go c.Run(ctx)
-			zone := c.Source(membership.Spec{Name: "zone", Damped: true})
+			zone := c.AddSource(membership.Spec{Name: "zone", Damped: true})
 			stays, returns := Member{ID: "stays", Addr: "1", Weight: 1, Unstated: true}, Member{ID: "returns", Addr: "2", Weight: 1, Unstated: true}
-			zone.Replace([]Member{stays, returns}, false)
+			zone.ReplaceList([]Member{stays, returns}, false)
 			executed := 0
 			startQueries := func(n int) (wg *sync.WaitGroup) {
 				wg = new(sync.WaitGroup)
 				for range n {
 					executed++
 					q := Query{ID: fmt.Sprint("q", executed), Class: "report", Deadline: time.Now().Add(8 * time.Second),
-						Parts: []Part{{Shard: executed % 4, Weight: 1, Work: work}}}
+						Parts: []Part{{Shard: executed % 4, Weight: 1, ExpectedWork: work}}}
 					wg.Go(func() { c.Execute(t.Context(), q) })
 				}
 				return wg
 			}
 			startQueries(20).Wait() // lets the module learn how long parts take
-			zone.Replace([]Member{stays}, false)
+			zone.ReplaceList([]Member{stays}, false)
 			absence := 500 * time.Millisecond
 			if longAbsence {
 				absence = 11 * time.Second
@@ -74,7 +74,7 @@
 			mu.Lock()
 			started["returns"] = 0
 			mu.Unlock()
-			zone.Replace([]Member{stays, returns}, false)
+			zone.ReplaceList([]Member{stays, returns}, false)
 			wg := startQueries(60)
 			time.Sleep(window)
 			mu.Lock()
@@ -84,7 +84,7 @@
 				t.Errorf("long absence %v: %d parts started in the first second; the limit while warming up is %d", longAbsence, got, maxStarted)
 			}
 			wg.Wait()
-			zone.Replace(nil, false)
+			zone.ReplaceList(nil, false)
 			time.Sleep(10 * time.Second)
 			stop()
 		})
--- a/internal/coordinator/zones_test.go
+++ b/internal/coordinator/zones_test.go
@@ -65,7 +65,7 @@
 		var lostAt, recoveryAt time.Time
 		perNode := map[string]int{}
 		c.RegisterDispatcher("", func(n *Node) {
-			for cmd := n.Pick(context.Background()); cmd != nil; cmd = n.Pick(context.Background()) {
+			for cmd := n.NextCommand(context.Background()); cmd != nil; cmd = n.NextCommand(context.Background()) {
 				for _, a := range cmd.Call {
 					inA := n.ID()[0] == 'a'
 					mu.Lock()
@@ -95,7 +95,7 @@
 		})
 		ctx, stop := context.WithCancel(t.Context())
 		go c.Run(ctx)
-		src := c.Source(membership.Spec{Name: "zones"})
+		src := c.AddSource(membership.Spec{Name: "zones"})
 		var list []Member
 		for _, z := range []string{"a", "b", "c"} {
 			for shardSet := range 4 {
@@ -103,12 +103,12 @@
 					Weight: 1, Started: start.Add(-time.Hour)})
 			}
 		}
-		src.Replace(list, false)
+		src.ReplaceList(list, false)
 		var wg sync.WaitGroup
 		var answered atomic.Int64
 		for i := range 600 { // 20 per second for 30 s
 			q := Query{ID: fmt.Sprint("q", i), Class: "report", Deadline: time.Now().Add(2 * time.Second),
-				Parts: []Part{{Shard: i % 4, Weight: 1, Work: work}}}
+				Parts: []Part{{Shard: i % 4, Weight: 1, ExpectedWork: work}}}
 			wg.Go(func() {
 				if a, _ := c.Execute(t.Context(), q); a.Status == Answered && a.Complete {
 					answered.Add(1)
@@ -130,7 +130,7 @@
 			time.Sleep(50 * time.Millisecond)
 		}
 		wg.Wait()
-		src.Replace(nil, false) // ends the dispatchers
+		src.ReplaceList(nil, false) // ends the dispatchers
 		time.Sleep(10 * time.Second)
 		stop()
 		for _, n := range perNode {
--- a/internal/faults/dialgate_test.go
+++ b/internal/faults/dialgate_test.go
@@ -66,12 +66,12 @@
 	{"the data nodes drain", func(r *rig, _ func(), done <-chan string) []string {
 		for _, n := range r.nodes {
 			n.State = coordinator.Draining
-			r.list.Change([]coordinator.Member{n})
+			r.list.ApplyChanges([]coordinator.Member{n})
 		}
 		return []string{<-done}
 	}, []string{"rejected", "sent 0"}},
 	{"the list leaves the data nodes out", func(r *rig, _ func(), done <-chan string) []string {
-		r.list.Replace(nil, false)
+		r.list.ReplaceList(nil, false)
 		return []string{<-done}
 	}, []string{"rejected", "sent 0"}},
 }
--- a/internal/faults/faults_test.go
+++ b/internal/faults/faults_test.go
@@ -52,7 +52,7 @@
 			defer r.b.mu.Unlock()
 			return r.b.cancelled == 2
 		})
-		r.until("nothing is held", func() bool { return r.coordinator.Open() == 0 })
+		r.until("nothing is held", func() bool { return r.coordinator.OpenCount() == 0 })
 		return []string{got}
 	}, []string{"gone"}},
 	// The part that was out as the drain came still counts; nothing new goes there.
@@ -65,7 +65,7 @@
 			drained = r.nodes[1]
 		}
 		drained.State = coordinator.Draining
-		r.list.Change([]coordinator.Member{drained})
+		r.list.ApplyChanges([]coordinator.Member{drained})
 		close(r.b.release)
 		got := []string{<-done}
 		for range 5 {
@@ -86,7 +86,7 @@
 	}, []string{"bad input", "bad input", "bad input", "bad input", "complete 0/1", "sent 1"}},
 	// A complete list without a data node means that it is gone.
 	{"missing in the list", 0, []string{"ok"}, func(r *rig) []string {
-		r.list.Replace(r.nodes[1:], false)
+		r.list.ReplaceList(r.nodes[1:], false)
 		var got []string
 		for range 5 {
 			got = append(got, r.queryWithin3s("report", "club", 1))
@@ -132,8 +132,8 @@
 				if r.b.overlaps > 0 {
 					t.Errorf("%d attempts began while another of their part was out", r.b.overlaps)
 				}
-				if r.coordinator.Open() > 0 {
-					t.Errorf("%d queries and parts are still held", r.coordinator.Open())
+				if r.coordinator.OpenCount() > 0 {
+					t.Errorf("%d queries and parts are still held", r.coordinator.OpenCount())
 				}
 			})
 		}
--- a/internal/faults/harness_test.go
+++ b/internal/faults/harness_test.go
@@ -189,7 +189,7 @@
 	t.Cleanup(stop)
 	go c.Run(ctx)
 	c.RegisterDispatcher("", p.dispatcher(c))
-	r := &rig{t: t, b: b, coordinator: c, list: c.Source(membership.Spec{Name: "list"})}
+	r := &rig{t: t, b: b, coordinator: c, list: c.AddSource(membership.Spec{Name: "list"})}
 	for i := range 2 {
 		name := fmt.Sprintf("n%d", i+1)
 		ln := listen(t)
@@ -200,7 +200,7 @@
 		}
 		r.nodes = append(r.nodes, coordinator.Member{ID: name, Addr: ln.Addr().String(), Weight: 1})
 	}
-	r.list.Replace(r.nodes, false)
+	r.list.ReplaceList(r.nodes, false)
 	ln := listen(t)
 	r.addr = ln.Addr().String()
 	r.query, r.drain = p.startServer(c, ln)
--- a/internal/flight/abuse_test.go
+++ b/internal/flight/abuse_test.go
@@ -113,9 +113,9 @@
 		}
 		nc.Close()
 		serves("resets")
-		for end := time.Now().Add(5 * time.Second); s.core.Open() > 0; time.Sleep(5 * time.Millisecond) {
+		for end := time.Now().Add(5 * time.Second); s.core.OpenCount() > 0; time.Sleep(5 * time.Millisecond) {
 			if time.Now().After(end) {
-				t.Fatalf("%d are open after a flood of resets", s.core.Open())
+				t.Fatalf("%d are open after a flood of resets", s.core.OpenCount())
 			}
 		}
 	})
@@ -231,7 +231,7 @@
 	for i, n := range s.nodes {
 		list = append(list, coordinator.Member{ID: n.ID, Addr: n.Addr(), ShardSet: i % 2, Weight: 1})
 	}
-	s.list.Replace(list, false)
+	s.list.ReplaceList(list, false)
 	return s, g
 }
 
@@ -455,7 +455,7 @@
 				return (&net.Dialer{}).DialContext(ctx, "tcp", addr)
 			}}).Dispatch
 	})
-	s.list.Replace([]coordinator.Member{{ID: "turns", Addr: front.Addr().String(), Weight: 1}}, false)
+	s.list.ReplaceList([]coordinator.Member{{ID: "turns", Addr: front.Addr().String(), Weight: 1}}, false)
 	c := s.client()
 	if a, err := c.Get(t.Context(), c.Question("", 0, 1, 2, 3)); err != nil || !a.Complete {
 		t.Errorf("%v, complete %v", err, a.Complete)
--- a/internal/flight/actions.go
+++ b/internal/flight/actions.go
@@ -82,7 +82,7 @@
 	if a.GetType() == LoadAction {
 		s.mu.Lock()
 		flights, bytes := s.flights.Len()
-		report := map[string]any{"open": s.Coordinator.Open(), "flights": flights, "flight_bytes": bytes, "sessions": s.sessions.Len()}
+		report := map[string]any{"open": s.Coordinator.OpenCount(), "flights": flights, "flight_bytes": bytes, "sessions": s.sessions.Len()}
 		s.mu.Unlock()
 		raw, _ := json.Marshal(report)
 		return stream.Send(&flight.Result{Body: raw})
--- a/internal/flight/exchange.go
+++ b/internal/flight/exchange.go
@@ -189,7 +189,7 @@
 		return err
 	}
 	answer, err := s.Coordinator.Execute(ctx, q)
-	if errors.Is(err, coordinator.ErrGone) && time.Now().Before(end) {
+	if errors.Is(err, coordinator.ErrClientGone) && time.Now().Before(end) {
 		memory.release()
 		return status.Error(codes.Canceled, "was cancelled")
 	}
--- a/internal/flight/info.go
+++ b/internal/flight/info.go
@@ -236,9 +236,9 @@
 	leave, err := s.admitQuery(g, k.query.Tenant)
 	if err == nil {
 		q := k.query
-		q.Deadline, q.Received = end, &k.received
+		q.Deadline, q.ReceivedParts = end, &k.received
 		var answer coordinator.Answer
-		if answer, err = s.Coordinator.Execute(ctx, q); errors.Is(err, coordinator.ErrGone) {
+		if answer, err = s.Coordinator.Execute(ctx, q); errors.Is(err, coordinator.ErrClientGone) {
 			err = status.Error(codes.Canceled, "was cancelled")
 		} else if err = statusOf(ctx, answer, err, end); err == nil {
 			k.answer = answer
--- a/internal/flight/nodes.go
+++ b/internal/flight/nodes.go
@@ -84,7 +84,7 @@
 	width := int64(max(1, ns.Streams))
 	p := &nodeConn{Nodes: ns, node: n, streams: semaphore.NewWeighted(width), maxStreams: width, calls: map[*coordinator.Attempt]*attemptState{}}
 	for {
-		o := n.Pick(context.Background())
+		o := n.NextCommand(context.Background())
 		switch {
 		case o == nil:
 			p.retire(nil)
--- a/internal/flight/server.go
+++ b/internal/flight/server.go
@@ -209,7 +209,7 @@
 // statusOf is an answer's status; nil where there is one.
 func statusOf(ctx context.Context, answer coordinator.Answer, err error, end time.Time) error {
 	switch {
-	case errors.Is(err, coordinator.ErrInput) && ctx.Err() == nil:
+	case errors.Is(err, coordinator.ErrInvalidQuery) && ctx.Err() == nil:
 		return status.Error(codes.InvalidArgument, err.Error())
 	case err != nil:
 		return status.FromContextError(ctx.Err()).Err()
--- a/internal/flight/server_test.go
+++ b/internal/flight/server_test.go
@@ -36,7 +36,7 @@
 	}
 	go c.Run(t.Context())
 	c.RegisterDispatcher("", func(node *coordinator.Node) {
-		for o := node.Pick(t.Context()); o != nil; o = node.Pick(t.Context()) {
+		for o := node.NextCommand(t.Context()); o != nil; o = node.NextCommand(t.Context()) {
 			for _, a := range o.Call {
 				r := coordinator.Result{Outcome: coordinator.OK}
 				for range n {
@@ -46,7 +46,7 @@
 			}
 		}
 	})
-	c.Source(membership.Spec{Name: "list"}).Replace([]coordinator.Member{{ID: "n1"}}, false)
+	c.AddSource(membership.Spec{Name: "list"}).ReplaceList([]coordinator.Member{{ID: "n1"}}, false)
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
--- a/internal/flight/suite_test.go
+++ b/internal/flight/suite_test.go
@@ -85,8 +85,8 @@
 		}
 		list = append(list, m)
 	}
-	s.list = c.Source(membership.Spec{Name: "list"})
-	s.list.Replace(list, false)
+	s.list = c.AddSource(membership.Spec{Name: "list"})
+	s.list.ReplaceList(list, false)
 	o.Coordinator, o.Log, o.Shards, o.Covered = c, log, shards, c.CoveredShards
 	if o.Classes == nil {
 		o.Classes = []flight.Class{{Name: "report", Limit: 5 * time.Second}, {Name: "rating", Limit: 5 * time.Second}}
@@ -242,7 +242,7 @@
 func answers(t *testing.T, doc func(shard int) []byte) func(*coordinator.Coordinator) coordinator.Dispatcher {
 	return func(c *coordinator.Coordinator) coordinator.Dispatcher {
 		return func(n *coordinator.Node) {
-			for o := n.Pick(t.Context()); o != nil; o = n.Pick(t.Context()) {
+			for o := n.NextCommand(t.Context()); o != nil; o = n.NextCommand(t.Context()) {
 				for _, a := range o.Call {
 					c.Report(a, coordinator.Result{Outcome: coordinator.OK, Docs: [][]byte{doc(a.Shard)}})
 				}
@@ -395,9 +395,9 @@
 	if err := c.Cancel(t.Context(), &arrowflight.FlightInfo{FlightDescriptor: p.FlightDescriptor}); err != nil {
 		t.Fatal(err)
 	}
-	for end := time.Now().Add(5 * time.Second); s.ledger.Out()+s.core.Open() > 0; time.Sleep(5 * time.Millisecond) {
+	for end := time.Now().Add(5 * time.Second); s.ledger.Out()+s.core.OpenCount() > 0; time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("%d parts are still out, %d open", s.ledger.Out(), s.core.Open())
+			t.Fatalf("%d parts are still out, %d open", s.ledger.Out(), s.core.OpenCount())
 		}
 	}
 	if _, err := c.PollFlightInfo(t.Context(), p.FlightDescriptor); status.Code(err) != codes.Canceled {
@@ -422,9 +422,9 @@
 		}
 	}
 	e.Leave()
-	for end := time.Now().Add(5 * time.Second); s.ledger.Out()+s.core.Open() > 0; time.Sleep(5 * time.Millisecond) {
+	for end := time.Now().Add(5 * time.Second); s.ledger.Out()+s.core.OpenCount() > 0; time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("%d parts are still out, %d open", s.ledger.Out(), s.core.Open())
+			t.Fatalf("%d parts are still out, %d open", s.ledger.Out(), s.core.OpenCount())
 		}
 	}
 	if a := s.ledger.Account(); a.Twins > 0 {
--- a/internal/maintenance/agent/plan.go
+++ b/internal/maintenance/agent/plan.go
@@ -28,7 +28,7 @@
 // exclusions is what the coordinator needs of a plan.
 func exclusions(plan *maintenance.State) coordinator.Maintenance {
 	o := plan.Overlay()
-	return coordinator.Maintenance{Excluded: o.Excluded, Addrs: o.Addrs, Announced: o.Announced, Returned: o.Returned}
+	return coordinator.Maintenance{Excluded: o.Excluded, ExcludedAddrs: o.Addrs, Announced: o.Announced, Returned: o.Returned}
 }
 
 // planEntry returns the stored plan as this member has applied it; ok is false before it has applied anything.
--- a/internal/platform/bench_test.go
+++ b/internal/platform/bench_test.go
@@ -38,7 +38,7 @@
 	}
 	nodes := &ConnPool{Coordinator: c, Log: log, Dial: dial, Streams: 32, ConnectTimeout: 250 * time.Millisecond, Connections: make(chan struct{}, 9)}
 	c.RegisterDispatcher("", nodes.Dispatch)
-	c.Source(membership.Spec{Name: "list"}).Replace([]coordinator.Member{{ID: "a", Weight: 1}}, false)
+	c.AddSource(membership.Spec{Name: "list"}).ReplaceList([]coordinator.Member{{ID: "a", Weight: 1}}, false)
 	parts := make([]coordinator.Part, 8)
 	for i := range parts {
 		parts[i] = coordinator.Part{Shard: i, Weight: 1.0 / 8}
--- a/internal/platform/clientconn.go
+++ b/internal/platform/clientconn.go
@@ -231,7 +231,7 @@
 	q.Deadline = c.server.capDeadline(q.Deadline)
 	answer, err := c.server.Coordinator.Execute(ctx, q)
 	switch {
-	case errors.Is(err, coordinator.ErrInput):
+	case errors.Is(err, coordinator.ErrInvalidQuery):
 		return errorResponse(400, err.Error())
 	case errors.Is(context.Cause(ctx), errReadAhead):
 		return errorResponse(400, errReadAhead.Error())
--- a/internal/platform/connpool.go
+++ b/internal/platform/connpool.go
@@ -36,7 +36,7 @@
 	p.register(np)
 	defer p.unregister(np)
 	for {
-		o := n.Pick(context.Background())
+		o := n.NextCommand(context.Background())
 		switch {
 		case o == nil:
 			np.closeIdle()
--- a/internal/platform/descriptors_test.go
+++ b/internal/platform/descriptors_test.go
@@ -73,12 +73,12 @@
 		}
 		pool := &ConnPool{Coordinator: c, Log: log, Dial: dial, Streams: 32, ConnectTimeout: 250 * time.Millisecond, IdleTimeout: 30 * time.Second, Connections: make(chan struct{}, 2)}
 		c.RegisterDispatcher("", pool.Dispatch)
-		list := c.Source(membership.Spec{Name: "list"})
+		list := c.AddSource(membership.Spec{Name: "list"})
 		var all []coordinator.Member
 		for i := range nodes {
 			all = append(all, coordinator.Member{ID: fmt.Sprint("n", i), Addr: fmt.Sprint("n", i), ShardSet: i, Weight: 1})
 		}
-		list.Replace(all, false)
+		list.ReplaceList(all, false)
 		ask := func(shard int) bool {
 			a, err := c.Execute(ctx, coordinator.Query{ID: fmt.Sprint("q", number.Add(1)), Class: "report", Deadline: time.Now().Add(2 * time.Second), Text: "text",
 				Parts: []coordinator.Part{{Shard: shard, Weight: 1}}})
@@ -122,7 +122,7 @@
 		if most.Load() > 2 {
 			t.Errorf("%d connections were open; there are descriptors for 2", most.Load())
 		}
-		list.Replace(nil, false)
+		list.ReplaceList(nil, false)
 		time.Sleep(time.Minute)
 		if len(pool.Connections) > 0 || open.Load() > 0 {
 			t.Errorf("%d descriptors and %d connections were not given back", len(pool.Connections), open.Load())
--- a/internal/platform/formats_test.go
+++ b/internal/platform/formats_test.go
@@ -72,10 +72,10 @@
 	go k.Run(ctx)
 	nodes := &ConnPool{Coordinator: k, Log: log, Dial: dial, Streams: 32, ConnectTimeout: 250 * time.Millisecond, Connections: make(chan struct{}, 9)}
 	k.RegisterDispatcher("", nodes.Dispatch)
-	list := k.Source(membership.Spec{Name: "list"})
-	list.Replace([]coordinator.Member{{ID: "a", Weight: 1}}, false)
+	list := k.AddSource(membership.Spec{Name: "list"})
+	list.ReplaceList([]coordinator.Member{{ID: "a", Weight: 1}}, false)
 	t.Cleanup(func() {
-		list.Replace(nil, false)
+		list.ReplaceList(nil, false)
 		time.Sleep(time.Minute)
 		stop()
 	})
@@ -94,9 +94,9 @@
 	}
 	w := NewWatch("discovery")
 	w.Log = slog.New(slog.NewTextHandler(io.Discard, nil))
-	w.Source = k.Source(membership.Spec{Name: "list"})
+	w.Source = k.AddSource(membership.Spec{Name: "list"})
 	w.Restore(known)
-	claims := w.Source.Claims()
+	claims := w.Source.Records()
 	if len(claims) != 2 || claims[0].ID != "a" || claims[0].ShardSet != 1 || claims[0].Zone != "recife" || claims[1].State != coordinator.Draining ||
 		!claims[1].Started.Equal(time.UnixMilli(1_790_000_000_000)) {
 		t.Errorf("the list holds %+v", claims)
--- a/internal/platform/keyed_test.go
+++ b/internal/platform/keyed_test.go
@@ -68,8 +68,8 @@
 					return ours, nil
 				}
 				k.RegisterDispatcher("", (&ConnPool{Coordinator: k, Log: log, Dial: dial, Streams: 32, ConnectTimeout: 250 * time.Millisecond, Connections: make(chan struct{}, 9)}).Dispatch)
-				list := k.Source(membership.Spec{Name: "list"})
-				list.Replace([]coordinator.Member{{ID: "a", Weight: 1}, {ID: "b", Weight: 1}}, false)
+				list := k.AddSource(membership.Spec{Name: "list"})
+				list.ReplaceList([]coordinator.Member{{ID: "a", Weight: 1}, {ID: "b", Weight: 1}}, false)
 				answer, err := k.Execute(ctx, coordinator.Query{ID: "q", Class: "entry", IdempotencyKey: "k1", Text: "text", Deadline: time.Now().Add(1500 * time.Millisecond),
 					Parts: []coordinator.Part{{Weight: 1}}})
 				if err != nil || (answer.Status == coordinator.Answered) != (c.want == 2) {
@@ -79,7 +79,7 @@
 				if frames.Load() != c.want || dials.Load() != 2 {
 					t.Errorf("%d frames on %d connections, want %d on 2", frames.Load(), dials.Load(), c.want)
 				}
-				list.Replace(nil, false)
+				list.ReplaceList(nil, false)
 				time.Sleep(time.Minute)
 				stop()
 			})
--- a/internal/platform/scenarioworld_test.go
+++ b/internal/platform/scenarioworld_test.go
@@ -149,7 +149,7 @@
 		IdleTimeout: set.Limits.ConnIdle, Connections: make(chan struct{}, 9)}
 	c.RegisterDispatcher("", w.nodes.Dispatch)
 	w.watch = NewWatch("d1")
-	w.watch.Source, w.watch.Log, w.watch.Dial = c.Source(membership.Spec{Name: "discovery"}), log, w.dial
+	w.watch.Source, w.watch.Log, w.watch.Dial = c.AddSource(membership.Spec{Name: "discovery"}), log, w.dial
 	var list []string
 	confirm := 0
 	options := map[string]*int{"streams": &w.nodes.Streams, "busy": &w.clients.ActiveConns, "most": &w.clients.MaxConns, "confirm": &confirm}
@@ -260,7 +260,7 @@
 	w.mu.Unlock()
 	w.serving.Wait()
 	<-w.watching
-	w.watch.Source.Replace(nil, false)
+	w.watch.Source.ReplaceList(nil, false)
 	for end := time.Now().Add(10 * time.Second); time.Now().Before(end); {
 		if w.network == loopback && w.givenBack() {
 			break
@@ -280,8 +280,8 @@
 	if s := w.clients; len(s.conns)+s.active > 0 || s.bodyBytes > 0 {
 		w.t.Errorf("%d client connections, %d of them used, and %d bytes are still held", len(s.conns), s.active, s.bodyBytes)
 	}
-	if w.coordinator.Open() > 0 {
-		w.t.Errorf("%d queries and parts are still held", w.coordinator.Open())
+	if w.coordinator.OpenCount() > 0 {
+		w.t.Errorf("%d queries and parts are still held", w.coordinator.OpenCount())
 	}
 	w.stop()
 }
@@ -290,7 +290,7 @@
 func (w *world) givenBack() bool {
 	w.clients.mu.Lock()
 	defer w.clients.mu.Unlock()
-	return len(w.nodes.Connections)+len(w.clients.conns)+w.coordinator.Open() == 0
+	return len(w.nodes.Connections)+len(w.clients.conns)+w.coordinator.OpenCount() == 0
 }
 
 // instant does what happens at a held instant.
--- a/internal/platform/watch.go
+++ b/internal/platform/watch.go
@@ -48,7 +48,7 @@
 	}
 	p.Full = true
 	w.listed = true
-	w.Source.Replace(w.merge(p), true)
+	w.Source.ReplaceList(w.merge(p), true)
 }
 
 // Move goes over to discovery at another address. It returns once Run knows of it, or ctx ends.
@@ -191,11 +191,11 @@
 	changed := w.merge(p)
 	switch {
 	case p.Full:
-		w.Source.Replace(changed, false)
+		w.Source.ReplaceList(changed, false)
 	case w.withheld:
-		w.Source.Replace(w.list.members(w.Log), false)
+		w.Source.ReplaceList(w.list.members(w.Log), false)
 	default:
-		w.Source.Change(changed)
+		w.Source.ApplyChanges(changed)
 	}
 	w.listed = true
 	w.confirmed, w.withheld = true, false
@@ -221,13 +221,13 @@
 	for i := range members {
 		members[i].State = coordinator.Draining
 	}
-	w.Source.Change(members)
+	w.Source.ApplyChanges(members)
 }
 
 // confirmCached takes a cached list for the present one: discovery was asked for what has changed since, and nothing has.
 func (w *Watch) confirmCached() {
 	if w.withheld {
-		w.Source.Replace(w.list.members(w.Log), false)
+		w.Source.ReplaceList(w.list.members(w.Log), false)
 	}
 	w.confirmed, w.withheld = true, false
 }
--- a/internal/platform/watchfleet_test.go
+++ b/internal/platform/watchfleet_test.go
@@ -90,7 +90,7 @@
 				t.Fatal(err)
 			}
 			w := NewWatch("d")
-			w.Source, w.Log, w.Dial = c.Source(membership.Spec{Name: "discovery"}), log, o.dial
+			w.Source, w.Log, w.Dial = c.AddSource(membership.Spec{Name: "discovery"}), log, o.dial
 			w.Schedule = membership.PollSchedule{Peers: coordinators - 1, Grace: 2 * time.Second}
 			w.Random = rand.New(rand.NewPCG(seed, 1)).Float64
 			w.Restore([]byte(`{"version":41,"servers":[` + strings.Join(known, ",") + `]}`))
--- a/internal/platform/watchsilence_test.go
+++ b/internal/platform/watchsilence_test.go
@@ -154,7 +154,7 @@
 		go c.Run(ctx)
 		c.RegisterDispatcher("", (&ConnPool{Coordinator: c, Log: log, Dial: frames.dial, Streams: 32, ConnectTimeout: 250 * time.Millisecond, Connections: make(chan struct{}, 16)}).Dispatch)
 		w := NewWatch("d")
-		w.Source, w.Log, w.Dial = c.Source(membership.Spec{Name: "discovery"}), log, q.dial
+		w.Source, w.Log, w.Dial = c.AddSource(membership.Spec{Name: "discovery"}), log, q.dial
 		w.Schedule = membership.PollSchedule{Pushed: fleet.pushed, Peers: fleet.others, Grace: fleet.grace}
 		w.Random = rand.New(rand.NewPCG(fleet.seed, uint64(i))).Float64
 		w.Restore([]byte(strings.TrimSpace(q.list("SERVING"))))
@@ -169,7 +169,7 @@
 			}
 			unwatch()
 			<-done
-			w.Source.Replace(nil, false)
+			w.Source.ReplaceList(nil, false)
 		})
 	}
 	asking.Wait()
