--- a/cmd/gullfall/dnssd.go
+++ b/cmd/gullfall/dnssd.go
@@ -168,12 +168,12 @@
 	u.printResult(now, u.zone, u.source.Renew(now))
 }
 
-// SerialSeen takes a zone's serial and tells whether its list is to be fetched.
-func (u *zoneUpdater) SerialSeen(serial uint32) bool {
+// CheckSerial takes a zone's serial and tells whether its list is to be fetched.
+func (u *zoneUpdater) CheckSerial(serial uint32) bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	now := time.Now()
-	fetch, r := u.source.SerialSeen(now, serial)
+	fetch, r := u.source.CheckSerial(now, serial)
 	u.printResult(now, u.zone, r)
 	return fetch
 }
--- a/cmd/gullfall/peers.go
+++ b/cmd/gullfall/peers.go
@@ -103,7 +103,7 @@
 // viewOfPeers is the view at a time on the gossip's own clock.
 func viewOfPeers(s *swim.Swim, now time.Duration) peersView {
 	quorum := s.Quorum()
-	v := peersView{Verdict: quorum.Kind.String(), Here: quorum.Here, Known: quorum.Known, Majority: quorum.Majority,
+	v := peersView{Verdict: quorum.Kind.String(), Here: quorum.Connected, Known: quorum.Total, Majority: quorum.Majority,
 		Refused: s.Rejection(), Health: s.Health(), Counts: s.Counts(), Self: s.Self()}
 	ago := func(t time.Duration) float64 {
 		if t == 0 {
@@ -115,7 +115,7 @@
 		p := peerView{Name: m.Name, Addr: m.Addr, State: m.State.String(), Incarnation: m.Incarnation, SinceS: tenths(now - m.Since),
 			Suspectors: m.Suspectors, Phi: math.Round(math.Min(m.Phi, maxPhiShown)*100) / 100, HeardS: ago(m.Heard), ReachedS: ago(m.Reached),
 			RTTMS: float64(m.RTT.Microseconds()) / 1000, CutFrom: m.CutFrom, CutTo: m.CutTo}
-		if m.State == swim.Alive && m.Partly {
+		if m.State == swim.Alive && m.PartiallyReachable {
 			p.State = "partly"
 		}
 		v.Members = append(v.Members, p)
--- a/cmd/gullfall/zones.go
+++ b/cmd/gullfall/zones.go
@@ -109,13 +109,13 @@
 // zoneViews sorts zones by name.
 func zoneViews(list []zones.Status, now time.Time) (views []zoneView) {
 	for _, s := range list {
-		v := zoneView{Zone: s.Zone, Verdict: s.State.String(), Nodes: s.Nodes, Failing: s.Failing, Others: math.Round(s.Others*100) / 100, Waits: s.FailedRecoveries,
-			Ramp: math.Round(s.Returned*100) / 100, Drained: s.Drained, Panic: s.Panic, Why: s.Reason}
+		v := zoneView{Zone: s.Zone, Verdict: s.State.String(), Nodes: s.Nodes, Failing: s.Failing, Others: math.Round(s.OthersShare*100) / 100, Waits: s.FailedRecoveries,
+			Ramp: math.Round(s.RampProgress*100) / 100, Drained: s.Drained, Panic: s.Panic, Why: s.Reason}
 		if !s.Since.IsZero() {
 			v.SinceS = tenths(now.Sub(s.Since))
 		}
-		if s.State == zones.Out && s.Return.After(now) {
-			v.ReturnS = tenths(s.Return.Sub(now))
+		if s.State == zones.Out && s.RecoveryStart.After(now) {
+			v.ReturnS = tenths(s.RecoveryStart.Sub(now))
 		}
 		views = append(views, v)
 	}
--- a/cmd/gullfall/zones_test.go
+++ b/cmd/gullfall/zones_test.go
@@ -14,7 +14,7 @@
 func TestZonesTable(t *testing.T) {
 	now := time.Now()
 	views := zoneViews([]zones.Status{
-		{Zone: "b", State: zones.Out, Since: now.Add(-2 * time.Second), Nodes: 4, Failing: 4, Others: 0.25, FailedRecoveries: 1, Return: now.Add(1500 * time.Millisecond), Reason: "left"},
+		{Zone: "b", State: zones.Out, Since: now.Add(-2 * time.Second), Nodes: 4, Failing: 4, OthersShare: 0.25, FailedRecoveries: 1, RecoveryStart: now.Add(1500 * time.Millisecond), Reason: "left"},
 		{Zone: "a", State: zones.Healthy, Nodes: 4},
 		{Zone: "c", State: zones.Out, Since: now, Nodes: 4, Drained: true, Reason: "by hand"},
 	}, now)
--- a/internal/config/datanodes.go
+++ b/internal/config/datanodes.go
@@ -32,7 +32,7 @@
 // Fixed are the data nodes that the file names.
 func (d *Deploy) Fixed() (list []membership.Record) {
 	for _, n := range d.Node {
-		r := membership.Record{ID: n.ID, Addr: n.Addr, Zone: n.Zone, ShardSet: n.ShardSet, Weight: n.Weight, Unstated: true}
+		r := membership.Record{ID: n.ID, Addr: n.Addr, Zone: n.Zone, ShardSet: n.ShardSet, Weight: n.Weight, StartUnknown: true}
 		if n.Proto == "flight" {
 			r.Proto = dnssd.Flight
 		}
--- a/internal/coordinator/endpointlog.go
+++ b/internal/coordinator/endpointlog.go
@@ -59,8 +59,8 @@
 // noteLevel returns the log level of a note: a warning if an operator should look into it, otherwise info.
 func noteLevel(n membership.Note) slog.Level {
 	switch n.Cause {
-	case membership.Held, membership.Emptied, membership.WentBack, membership.Stale, membership.Lapsed, membership.Suppressed,
-		membership.Excess, membership.Unfit:
+	case membership.ListHeld, membership.ListEmptied, membership.SerialRegressed, membership.SourceStale, membership.SourceExpired, membership.Suppressed,
+		membership.TooManyNodes, membership.InvalidRecord:
 		return slog.LevelWarn
 	}
 	return slog.LevelInfo
--- a/internal/coordinator/endpoints.go
+++ b/internal/coordinator/endpoints.go
@@ -72,10 +72,10 @@
 // Renew extends the lease of the source's records after the source has confirmed that they are unchanged.
 func (s *Source) Renew() { s.c.updateTable(partialUpdate, s.source.Renew) }
 
-// SerialSeen records the current serial of a DNS zone, and reports whether the zone's list must be fetched.
-func (s *Source) SerialSeen(serial uint32) (fetch bool) {
+// CheckSerial records the current serial of a DNS zone, and reports whether the zone's list must be fetched.
+func (s *Source) CheckSerial(serial uint32) (fetch bool) {
 	s.c.updateTable(partialUpdate, func(now time.Time) (r membership.Result) {
-		fetch, r = s.source.SerialSeen(now, serial)
+		fetch, r = s.source.CheckSerial(now, serial)
 		return r
 	})
 	return fetch
--- a/internal/coordinator/slowstart_test.go
+++ b/internal/coordinator/slowstart_test.go
@@ -51,7 +51,7 @@
 			ctx, stop := context.WithCancel(t.Context())
 			go c.Run(ctx)
 			zone := c.AddSource(membership.Spec{Name: "zone", Damped: true})
-			stays, returns := Member{ID: "stays", Addr: "1", Weight: 1, Unstated: true}, Member{ID: "returns", Addr: "2", Weight: 1, Unstated: true}
+			stays, returns := Member{ID: "stays", Addr: "1", Weight: 1, StartUnknown: true}, Member{ID: "returns", Addr: "2", Weight: 1, StartUnknown: true}
 			zone.ReplaceList([]Member{stays, returns}, false)
 			executed := 0
 			startQueries := func(n int) (wg *sync.WaitGroup) {
--- a/internal/coordinator/zones.go
+++ b/internal/coordinator/zones.go
@@ -61,7 +61,7 @@
 	if c.zones == nil {
 		return nil
 	}
-	return c.zones.tracker.All(time.Now())
+	return c.zones.tracker.Statuses(time.Now())
 }
 
 // DrainZones sets the zones that an operator has drained to exactly those named. They are out whatever the evidence says; zones that are
@@ -93,7 +93,7 @@
 	for _, name := range names {
 		named[name] = true
 	}
-	for _, s := range z.tracker.All(now) {
+	for _, s := range z.tracker.Statuses(now) {
 		if s.Drained && !named[s.Zone] {
 			changes = append(changes, z.tracker.Undrain(now, s.Zone))
 		}
@@ -167,7 +167,7 @@
 			serving[m.ID] = m.Zone
 		}
 	}
-	c.zones.tracker.List(now, serving)
+	c.zones.tracker.SetListed(now, serving)
 	notServing := func(id string, _ time.Time) bool {
 		_, serves := serving[id]
 		return !serves
@@ -246,7 +246,7 @@
 
 // allHealthy reports whether all zones are healthy and no data node is failing.
 func (z *zoneState) allHealthy(now time.Time) bool {
-	for _, s := range z.tracker.All(now) {
+	for _, s := range z.tracker.Statuses(now) {
 		if s.State != zones.Healthy || s.Failing > 0 {
 			return false
 		}
--- a/internal/dnssd/follower.go
+++ b/internal/dnssd/follower.go
@@ -32,8 +32,8 @@
 	Update(membership.Update)
 	// Renew confirms the last list.
 	Renew()
-	// SerialSeen takes the zone's serial and tells whether its records are to be fetched.
-	SerialSeen(serial uint32) (fetch bool)
+	// CheckSerial takes the zone's serial and tells whether its records are to be fetched.
+	CheckSerial(serial uint32) (fetch bool)
 }
 
 const (
@@ -180,7 +180,7 @@
 		f.Updater.Renew()
 		return nil
 	}
-	if !f.Updater.SerialSeen(soa.Serial) && z.records != nil && !z.incomplete {
+	if !f.Updater.CheckSerial(soa.Serial) && z.records != nil && !z.incomplete {
 		return nil
 	}
 	return f.fetchZone(ctx, server, soa)
@@ -275,13 +275,13 @@
 // update is a list of data nodes, with what it rests on.
 func (f *Follower) update(out zoneReading) membership.Update {
 	z := &f.state
-	u := membership.Update{Full: true, Records: out.nodes, Serial: z.serial, Serialled: z.hasSerial,
+	u := membership.Update{Full: true, Records: out.nodes, Serial: z.serial, HasSerial: z.hasSerial,
 		Lease: min(max(out.ttl, minLease), maxLease)}
 	switch {
 	case z.truncated:
 		u.Basis = membership.Truncated
 	case z.nonAuthoritative:
-		u.Basis = membership.Relayed
+		u.Basis = membership.NonAuthoritative
 	}
 	return u
 }
--- a/internal/dnssd/follower_test.go
+++ b/internal/dnssd/follower_test.go
@@ -45,10 +45,10 @@
 	r.add(r.source.Renew(time.Now()))
 }
 
-func (r *rig) SerialSeen(serial uint32) (fetch bool) {
+func (r *rig) CheckSerial(serial uint32) (fetch bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	fetch, res := r.source.SerialSeen(time.Now(), serial)
+	fetch, res := r.source.CheckSerial(time.Now(), serial)
 	r.add(res)
 	return fetch
 }
--- a/internal/dnssd/instance.go
+++ b/internal/dnssd/instance.go
@@ -103,7 +103,7 @@
 	if err != nil {
 		return membership.Record{}, err
 	}
-	rec := membership.Record{ID: label, Addr: netip.AddrPortFrom(addr, srv.Port).String(), Weight: 1, Unstated: true, Priority: srv.Priority}
+	rec := membership.Record{ID: label, Addr: netip.AddrPortFrom(addr, srv.Port).String(), Weight: 1, StartUnknown: true, Priority: srv.Priority}
 	if srv.Weight > 0 {
 		rec.Weight = float64(srv.Weight) / standardSRVWeight
 	}
--- a/internal/dnssd/instance_test.go
+++ b/internal/dnssd/instance_test.go
@@ -24,7 +24,7 @@
 func TestRead(t *testing.T) {
 	const ptr, srv, host = "_dn._tcp.e. 60 IN PTR a._dn._tcp.e.", "a._dn._tcp.e. 60 IN SRV 5 50 81 h.e.", "h.e. 60 IN A 127.0.0.9"
 	text := func(strs string) string { return "a._dn._tcp.e. 60 IN TXT " + strs }
-	base := membership.Record{ID: "a", Addr: "127.0.0.9:81", Weight: 0.5, Priority: 5, Unstated: true}
+	base := membership.Record{ID: "a", Addr: "127.0.0.9:81", Weight: 0.5, Priority: 5, StartUnknown: true}
 	with := func(f func(*membership.Record)) *membership.Record { r := base; f(&r); return &r }
 	for name, c := range map[string]struct {
 		records string
@@ -34,9 +34,9 @@
 	}{
 		"whole": {ptr + "\n" + srv + "\n" + host + "\n" + text(`""`), &base, "", 0},
 		"described": {ptr + "\n" + srv + "\n" + host + "\n" + text(`"id=n7" "cell=2" "zone=b" "weight=2" "proto=flight" "started_ms=9" "state=serving"`), with(func(r *membership.Record) {
-			r.ID, r.ShardSet, r.Zone, r.Weight, r.Proto, r.Started, r.Unstated = "n7", 2, "b", 2, Flight, time.UnixMilli(9), false
+			r.ID, r.ShardSet, r.Zone, r.Weight, r.Proto, r.Started, r.StartUnknown = "n7", 2, "b", 2, Flight, time.UnixMilli(9), false
 		}), "", 0},
-		"long ago":        {ptr + "\n" + srv + "\n" + host + "\n" + text(`"started_ms=0"`), with(func(r *membership.Record) { r.Unstated = false }), "", 0},
+		"long ago":        {ptr + "\n" + srv + "\n" + host + "\n" + text(`"started_ms=0"`), with(func(r *membership.Record) { r.StartUnknown = false }), "", 0},
 		"draining":        {ptr + "\n" + srv + "\n" + host + "\n" + text(`"state=draining"`), with(func(r *membership.Record) { r.State = membership.Draining }), "", 0},
 		"unknown state":   {ptr + "\n" + srv + "\n" + host + "\n" + text(`"state=asleep"`), with(func(r *membership.Record) { r.State = membership.Draining }), "", 0},
 		"CNAME":           {ptr + "\n" + srv + "\nh.e. 60 IN CNAME i.e.\ni.e. 60 IN A 127.0.0.9\n" + text(`""`), &base, "", 0},
--- a/internal/dnssd/txt.go
+++ b/internal/dnssd/txt.go
@@ -124,7 +124,7 @@
 	if err != nil || ms < 0 || ms > maxStartedMS {
 		return fmt.Errorf("TXT started_ms=%q is no time in milliseconds", value)
 	}
-	rec.Unstated = false
+	rec.StartUnknown = false
 	if ms > 0 {
 		rec.Started = time.UnixMilli(ms)
 	}
--- a/internal/gossip/actions.go
+++ b/internal/gossip/actions.go
@@ -28,7 +28,7 @@
 }
 
 // perform carries out what was decided; reply gets the answer to an exchange that another has begun.
-func (g *Gossip) perform(actions []swim.Action, reply chan *swim.Full) {
+func (g *Gossip) perform(actions []swim.Action, reply chan *swim.FullState) {
 	membersChanged := false
 	for _, a := range actions {
 		switch {
@@ -53,7 +53,7 @@
 }
 
 // answer hands over a full state where somebody waits for it.
-func answer(reply chan *swim.Full, f *swim.Full) {
+func answer(reply chan *swim.FullState, f *swim.FullState) {
 	if reply == nil {
 		return
 	}
@@ -106,7 +106,7 @@
 
 func quorumLine(c *swim.Change) changeLine {
 	line := changeLine{level: slog.LevelInfo, msg: "coordinators are " + c.Quorum.Kind.String(),
-		fields: []any{"here", c.Quorum.Here, "known", c.Quorum.Known, "majority", c.Quorum.Majority}}
+		fields: []any{"here", c.Quorum.Connected, "known", c.Quorum.Total, "majority", c.Quorum.Majority}}
 	if c.Quorum.Kind != swim.Connected {
 		line.level = slog.LevelWarn
 	}
@@ -115,7 +115,7 @@
 
 func linkLine(c *swim.Change) changeLine {
 	line := changeLine{level: slog.LevelInfo, msg: "coordinators reach each other again",
-		fields: []any{"from", c.LinkFrom, "to", c.Name, "why", c.Why}}
+		fields: []any{"from", c.LinkFrom, "to", c.Name, "why", c.Reason}}
 	if c.Cut {
 		line.level, line.msg = slog.LevelWarn, "coordinators do not reach each other"
 	}
@@ -123,12 +123,12 @@
 }
 
 func memberLine(c *swim.Change) changeLine {
-	was := c.Was.String()
+	was := c.Previous.String()
 	if c.New {
 		was = "new"
 	}
 	line := changeLine{level: slog.LevelInfo, msg: "coordinator " + c.State.String(),
-		fields: []any{"name", c.Name, "was", was, "why", c.Why}}
+		fields: []any{"name", c.Name, "was", was, "why", c.Reason}}
 	if c.State == swim.Dead {
 		line.level = slog.LevelWarn
 	}
--- a/internal/gossip/codec.go
+++ b/internal/gossip/codec.go
@@ -72,13 +72,13 @@
 }
 
 // AppendFull encodes a full state.
-func AppendFull(b []byte, f *swim.Full) []byte {
+func AppendFull(b []byte, f *swim.FullState) []byte {
 	flag := byte(0)
 	if f.Reply {
 		flag = 1
 	}
 	b = appendUpdate(append(b, kindFull, flag), &f.From)
-	b = appendText(b, f.Refused)
+	b = appendText(b, f.RejectReason)
 	b = binary.AppendUvarint(b, uint64(len(f.Members)))
 	for i := range f.Members {
 		b = appendUpdate(b, &f.Members[i])
@@ -171,12 +171,12 @@
 }
 
 // Decode reads an opened packet or exchange: one of the two is set. The error wraps errMalformed.
-func Decode(b []byte) (*swim.Message, *swim.Full, error) {
+func Decode(b []byte) (*swim.Message, *swim.FullState, error) {
 	d := &decoder{rest: b}
 	kind := d.readByte()
 	if kind == kindFull {
 		flag := d.readByte()
-		f := &swim.Full{Reply: flag == 1, From: d.update(), Refused: d.text()}
+		f := &swim.FullState{Reply: flag == 1, From: d.update(), RejectReason: d.text()}
 		f.Members, f.Links = d.updates(), d.links()
 		if d.failed || flag > 1 || len(d.rest) > 0 {
 			return nil, nil, errMalformed
--- a/internal/gossip/exchange.go
+++ b/internal/gossip/exchange.go
@@ -27,7 +27,7 @@
 
 // exchangeWith exchanges the full state with another member. Where as many are open as may be, or it can't be reached, the
 // next exchange makes up for it.
-func (g *Gossip) exchangeWith(to string, f *swim.Full) {
+func (g *Gossip) exchangeWith(to string, f *swim.FullState) {
 	select {
 	case g.slots.begun <- struct{}{}:
 	default:
@@ -95,7 +95,7 @@
 	if f == nil || f.Reply {
 		return
 	}
-	reply := make(chan *swim.Full, 1)
+	reply := make(chan *swim.FullState, 1)
 	g.put(input{event: swim.Event{Full: f}, reply: reply})
 	select {
 	case answer := <-reply:
@@ -106,7 +106,7 @@
 }
 
 // writeFull writes a full state, sealed and with its length before it.
-func (g *Gossip) writeFull(conn net.Conn, f *swim.Full) error {
+func (g *Gossip) writeFull(conn net.Conn, f *swim.FullState) error {
 	raw := g.keys.seal(AppendFull(nil, f))
 	frame := binary.BigEndian.AppendUint32(nil, uint32(len(raw)))
 	_, err := conn.Write(append(frame, raw...))
@@ -115,7 +115,7 @@
 }
 
 // readFull reads one full state; nil for none that is of use. It allocates as bytes come, not by the length before them.
-func (g *Gossip) readFull(conn net.Conn) *swim.Full {
+func (g *Gossip) readFull(conn net.Conn) *swim.FullState {
 	in := bufio.NewReader(conn)
 	var size uint32
 	if binary.Read(in, binary.BigEndian, &size) != nil || size > maxExchangeBytes {
--- a/internal/gossip/formats_test.go
+++ b/internal/gossip/formats_test.go
@@ -18,7 +18,7 @@
 		packets = AppendMessage(packets, message)
 	}
 	golden.Bytes(t, "messages.bin", packets)
-	full := &swim.Full{From: sample, Reply: true, Refused: "why", Members: []swim.Update{sample},
+	full := &swim.FullState{From: sample, Reply: true, RejectReason: "why", Members: []swim.Update{sample},
 		Links: []swim.Link{{From: "a", To: "b", By: "b", Cut: true}}}
 	golden.Bytes(t, "exchange.bin", AppendFull(nil, full))
 	facts, _ := AppendFacts(nil, someFacts(20))
--- a/internal/gossip/gossip.go
+++ b/internal/gossip/gossip.go
@@ -74,7 +74,7 @@
 // another has begun, or a view.
 type input struct {
 	event swim.Event
-	reply chan *swim.Full
+	reply chan *swim.FullState
 	view  func(*swim.Swim)
 	done  chan struct{} // closed after the view
 }
@@ -135,7 +135,7 @@
 }
 
 // Forget is an operator's word that a dead member is gone for good.
-func (g *Gossip) Forget(name string) { g.put(input{event: swim.Event{Forget: name}}) }
+func (g *Gossip) Forget(name string) { g.put(input{event: swim.Event{MarkGone: name}}) }
 
 // SetKeys replaces the keys: the first seals, all open.
 func (g *Gossip) SetKeys(keys []Key) error { return g.keys.set(keys) }
@@ -181,7 +181,7 @@
 			batch = append(batch, in)
 		}
 		g.step(g.moreInputs(batch))
-		timer.Reset(g.swim.Next() - g.Since())
+		timer.Reset(g.swim.NextWake() - g.Since())
 	}
 }
 
--- a/internal/gossip/gossip_test.go
+++ b/internal/gossip/gossip_test.go
@@ -50,7 +50,7 @@
 			t.Errorf("a byte too many: error %v", err)
 		}
 	}
-	full := &swim.Full{From: sample, Reply: true, Refused: "why", Members: []swim.Update{sample}, Links: []swim.Link{{From: "a", To: "b", By: "b", Cut: true}}}
+	full := &swim.FullState{From: sample, Reply: true, RejectReason: "why", Members: []swim.Update{sample}, Links: []swim.Link{{From: "a", To: "b", By: "b", Cut: true}}}
 	raw := AppendFull(nil, full)
 	_, got, err := Decode(raw)
 	if diff := cmp.Diff(full, got); err != nil || diff != "" || len(raw) > full.Size() {
@@ -117,7 +117,7 @@
 	for _, m := range messages() {
 		f.Add(AppendMessage(nil, m))
 	}
-	f.Add(AppendFull(nil, &swim.Full{From: sample, Members: []swim.Update{sample}}))
+	f.Add(AppendFull(nil, &swim.FullState{From: sample, Members: []swim.Update{sample}}))
 	f.Add([]byte{kindFull, 0})
 	f.Fuzz(func(t *testing.T, raw []byte) {
 		m, full, err := Decode(raw)
--- a/internal/gossip/packets.go
+++ b/internal/gossip/packets.go
@@ -56,7 +56,7 @@
 }
 
 // decode opens what came in, merges facts, and returns a message or a full state. It counts what is of no use.
-func (g *Gossip) decode(raw []byte) (m *swim.Message, f *swim.Full) {
+func (g *Gossip) decode(raw []byte) (m *swim.Message, f *swim.FullState) {
 	plain, err := g.keys.open(raw)
 	switch {
 	case err != nil:
--- a/internal/lab/model/coordinator.go
+++ b/internal/lab/model/coordinator.go
@@ -38,7 +38,7 @@
 		if k.zones, err = zones.New(zones.Config{Seed: m.config.Seed*1000 + uint64(k.index)}); err != nil {
 			return err
 		}
-		k.zones.List(k.wall(), m.serving())
+		k.zones.SetListed(k.wall(), m.serving())
 	}
 	if m.config.Gossip {
 		if k.observations, err = observations.New(observations.Config{Self: fmt.Sprint("c", k.index), WarmupTime: warmupTime}); err != nil {
@@ -148,7 +148,7 @@
 		}
 		out = append(out, e)
 	}
-	for _, s := range k.zones.All(k.wall()) {
+	for _, s := range k.zones.Statuses(k.wall()) {
 		if s.State != zones.Healthy || s.Failing > 0 {
 			k.scheduleStep(k.model.now + 100*time.Millisecond)
 			break
--- a/internal/lab/model/faults.go
+++ b/internal/lab/model/faults.go
@@ -79,7 +79,7 @@
 			}
 			k.handle(aggregator.Event{Kind: aggregator.ListChanged, Members: []aggregator.Member{k.member(n, state, started)}})
 			if k.zones != nil {
-				k.zones.List(k.wall(), k.model.serving())
+				k.zones.SetListed(k.wall(), k.model.serving())
 			}
 			if k.observations != nil && state == aggregator.Serving && started > 0 {
 				m.checkFact(k.observations.ObserveStart(m.now, k.wall(), n.id, m.now-started))
--- a/internal/lab/swimsim/swim_detector.go
+++ b/internal/lab/swimsim/swim_detector.go
@@ -19,7 +19,7 @@
 		switch b := body.(type) {
 		case *swim.Message:
 			events = append(events, swim.Event{Packet: b})
-		case *swim.Full:
+		case *swim.FullState:
 			events = append(events, swim.Event{Full: b})
 		}
 	}
@@ -41,7 +41,7 @@
 	return list
 }
 
-func (m *member) next() time.Duration { return m.swim.Next() }
+func (m *member) next() time.Duration { return m.swim.NextWake() }
 
 func (m *member) dead(i int) bool {
 	state, known := m.swim.State(Name(i))
--- a/internal/membership/claims.go
+++ b/internal/membership/claims.go
@@ -78,7 +78,7 @@
 		return
 	}
 	if rec.State != Gone && (rec.ShardSet < 0 || rec.ShardSet >= t.cfg.ShardSets) {
-		t.note(Unfit, src, rec.ID, fmt.Sprintf("cell %d is not in the range 0 to %d", rec.ShardSet, t.cfg.ShardSets-1))
+		t.note(InvalidRecord, src, rec.ID, fmt.Sprintf("cell %d is not in the range 0 to %d", rec.ShardSet, t.cfg.ShardSets-1))
 		if c == nil {
 			return
 		}
@@ -98,7 +98,7 @@
 // addClaim adds a claim of a source on a node, and the node if it is new. It returns nil if the source names too many.
 func (t *Table) addClaim(now time.Time, src *source, id string) *claim {
 	if len(src.claims) >= src.MaxNodes {
-		t.note(Excess, src, id, fmt.Sprintf("more than %d data nodes", src.MaxNodes))
+		t.note(TooManyNodes, src, id, fmt.Sprintf("more than %d data nodes", src.MaxNodes))
 		return nil
 	}
 	c := &claim{src: src, changedAt: now}
@@ -172,16 +172,16 @@
 
 // startedBefore reports whether a describes a process that started before the one that b describes.
 func startedBefore(a, b Record) bool {
-	return !a.Unstated && !b.Unstated && a.Started.Before(b.Started)
+	return !a.StartUnknown && !b.StartUnknown && a.Started.Before(b.Started)
 }
 
 // statedStart returns the start of a node as its claims state it: the owner's, or else the latest that any other states.
 func statedStart(claims []*claim, ownerClaim *claim) (at time.Time, stated bool) {
-	if !ownerClaim.rec.Unstated {
+	if !ownerClaim.rec.StartUnknown {
 		return ownerClaim.rec.Started, true
 	}
 	for _, c := range claims {
-		if c.rec.State.present() && !c.rec.Unstated && (!stated || c.rec.Started.After(at)) {
+		if c.rec.State.present() && !c.rec.StartUnknown && (!stated || c.rec.Started.After(at)) {
 			at, stated = c.rec.Started, true
 		}
 	}
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -67,7 +67,7 @@
 	State          State
 	Weight         float64   // relative to other data nodes; 1 is an ordinary one
 	Started        time.Time // when its process started; zero means long ago
-	Unstated       bool      // the source does not know Started
+	StartUnknown   bool      `json:"Unstated"` // the source does not know Started
 	Priority       uint16    // SRV priority (RFC 2782): the lowest value is used first
 }
 
@@ -88,18 +88,18 @@
 
 // The reliabilities of an answer.
 const (
-	Authoritative Basis = iota
-	Relayed             // from a server without authority for the zone: an empty list removes nothing
-	Truncated           // the list is incomplete
-	Failed              // no list: no answer, or an error
+	Authoritative    Basis = iota
+	NonAuthoritative       // from a server without authority for the zone: an empty list removes nothing
+	Truncated              // the list is incomplete
+	Failed                 // no list: no answer, or an error
 )
 
 // Update is one answer of a source.
 type Update struct {
 	Basis     Basis
 	Cause     string // why it is Failed
-	Serial    uint32 // of the zone, if Serialled
-	Serialled bool
+	Serial    uint32 // of the zone, if HasSerial
+	HasSerial bool
 	Full      bool // Records is the complete list; a data node missing from it is gone
 	Cached    bool // the list was stored by an earlier run
 	Records   []Record
@@ -146,14 +146,14 @@
 	Cleared   Cause = "cleared"
 
 	// Sources.
-	Held     Cause = "list held"     // an answer is ignored, or removes nothing
-	Emptied  Cause = "list emptied"  // an authoritative empty list
-	WentBack Cause = "serial back"   // an older serial is accepted after Config.SerialHold
-	Stale    Cause = "source stale"  // its lease has expired
-	Fresh    Cause = "source fresh"  // it has answered again
-	Lapsed   Cause = "source lapsed" // its MaxStale is over; its claims are dropped
-	Excess   Cause = "too many"      // it names more data nodes than Spec.MaxNodes
-	Unfit    Cause = "unfit"         // a record that can't be used
+	ListHeld        Cause = "list held"     // an answer is ignored, or removes nothing
+	ListEmptied     Cause = "list emptied"  // an authoritative empty list
+	SerialRegressed Cause = "serial back"   // an older serial is accepted after Config.SerialHold
+	SourceStale     Cause = "source stale"  // its lease has expired
+	SourceFresh     Cause = "source fresh"  // it has answered again
+	SourceExpired   Cause = "source lapsed" // its MaxStale is over; its claims are dropped
+	TooManyNodes    Cause = "too many"      // it names more data nodes than Spec.MaxNodes
+	InvalidRecord   Cause = "unfit"         // a record that can't be used
 )
 
 // Note reports an event or a decision and its reason.
--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -67,7 +67,7 @@
 	name, rest, _ := strings.Cut(words, " ")
 	src := map[string]*Source{"dns": s.dns, "dir": s.dir}[name]
 	word, started, stated := strings.Cut(rest, "@")
-	rec := Record{ID: "n", Addr: "127.0.0.1:1", Weight: 1, Unstated: !stated}
+	rec := Record{ID: "n", Addr: "127.0.0.1:1", Weight: 1, StartUnknown: !stated}
 	if stated {
 		var startSeconds float64
 		fmt.Sscan(started, &startSeconds)
@@ -170,7 +170,7 @@
 // start has changed.
 func TestIdentity(t *testing.T) {
 	node := func(id, addr string, started float64) Record {
-		r := Record{ID: id, Addr: addr, Weight: 1, Unstated: started < 0}
+		r := Record{ID: id, Addr: addr, Weight: 1, StartUnknown: started < 0}
 		if started > 0 {
 			r.Started = at(started)
 		}
@@ -246,25 +246,25 @@
 		note    string
 	}{
 		"authoritative and empty": {[]Update{{Full: true}}, 0, "list emptied"},
-		"relayed and empty":       {[]Update{{Full: true, Basis: Relayed}}, 2, "list held"},
-		"relayed, one fewer":      {[]Update{{Full: true, Basis: Relayed, Records: two[:1]}}, 1, "removed b"},
+		"relayed and empty":       {[]Update{{Full: true, Basis: NonAuthoritative}}, 2, "list held"},
+		"relayed, one fewer":      {[]Update{{Full: true, Basis: NonAuthoritative, Records: two[:1]}}, 1, "removed b"},
 		"truncated":               {[]Update{{Full: true, Basis: Truncated, Records: two[:1]}}, 2, "list held"},
 		"truncated, one more":     {[]Update{{Full: true, Basis: Truncated, Records: []Record{{ID: "c", Addr: "z"}}}}, 3, "list held"},
 		"failed":                  {[]Update{{Basis: Failed, Cause: "REFUSED"}}, 2, "list held"},
-		"older serial":            {[]Update{{Full: true, Serial: 9, Serialled: true}}, 2, "list held"},
-		"undefined serial order":  {[]Update{{Full: true, Serial: 10 + 1<<31, Serialled: true}}, 2, "list held"},
-		"newer serial":            {[]Update{{Full: true, Serial: 11, Serialled: true}}, 0, "list emptied"},
-		"same serial":             {[]Update{{Full: true, Serial: 10, Serialled: true}}, 0, "list emptied"},
-		"newer after wraparound":  {[]Update{{Full: true, Serial: 1 << 31, Serialled: true, Records: two}, {Full: true, Serial: 1<<32 - 1, Serialled: true, Records: two}, {Full: true, Serial: 3, Serialled: true}}, 0, "list emptied"},
-		"older for long":          {slices.Repeat([]Update{{Full: true, Serial: 9, Serialled: true}}, 40), 0, "serial back"},
-		"older, then newer":       {append(slices.Repeat([]Update{{Full: true, Serial: 9, Serialled: true}}, 9), Update{Full: true, Serial: 12, Serialled: true, Records: two}), 2, "list held"},
-		"older and same in turn":  {slices.Repeat([]Update{{Full: true, Serial: 9, Serialled: true}, {Full: true, Serial: 10, Serialled: true, Records: two}}, 40), 2, "list held"},
+		"older serial":            {[]Update{{Full: true, Serial: 9, HasSerial: true}}, 2, "list held"},
+		"undefined serial order":  {[]Update{{Full: true, Serial: 10 + 1<<31, HasSerial: true}}, 2, "list held"},
+		"newer serial":            {[]Update{{Full: true, Serial: 11, HasSerial: true}}, 0, "list emptied"},
+		"same serial":             {[]Update{{Full: true, Serial: 10, HasSerial: true}}, 0, "list emptied"},
+		"newer after wraparound":  {[]Update{{Full: true, Serial: 1 << 31, HasSerial: true, Records: two}, {Full: true, Serial: 1<<32 - 1, HasSerial: true, Records: two}, {Full: true, Serial: 3, HasSerial: true}}, 0, "list emptied"},
+		"older for long":          {slices.Repeat([]Update{{Full: true, Serial: 9, HasSerial: true}}, 40), 0, "serial back"},
+		"older, then newer":       {append(slices.Repeat([]Update{{Full: true, Serial: 9, HasSerial: true}}, 9), Update{Full: true, Serial: 12, HasSerial: true, Records: two}), 2, "list held"},
+		"older and same in turn":  {slices.Repeat([]Update{{Full: true, Serial: 9, HasSerial: true}, {Full: true, Serial: 10, HasSerial: true, Records: two}}, 40), 2, "list held"},
 		"cached after an answer":  {[]Update{{Full: true, Cached: true}}, 2, ""},
 		"shard set out of range":  {[]Update{{Records: []Record{{ID: "a", Addr: "x", ShardSet: 7}}}}, 2, "unfit a"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			s := newHarness(t, Config{Suppress: 1e9})
-			s.apply(s.dns.Update(at(0), Update{Full: true, Records: two, Serial: 10, Serialled: true}))
+			s.apply(s.dns.Update(at(0), Update{Full: true, Records: two, Serial: 10, HasSerial: true}))
 			for i, u := range c.updates {
 				s.apply(s.dns.Update(at(float64(i+1)), u))
 			}
--- a/internal/membership/pollschedule.go
+++ b/internal/membership/pollschedule.go
@@ -47,11 +47,11 @@
 // While discovery is silent nothing new can be learned: the coordinator goes on with the list that it has. The zero value
 // is a polled source of one coordinator.
 type PollSchedule struct {
-	Pushed   bool          // the list comes from an agent on the coordinator's own machine
-	Peers    int           // number of other coordinators that poll the same service
-	Lines    int           // of the list as last known; 0 if none is
-	Grace    time.Duration // within which a drain must be learned once it counts as notified
-	Interval time.Duration // poll interval of the settings; 0 if they have none
+	Pushed     bool          // the list comes from an agent on the coordinator's own machine
+	Peers      int           // number of other coordinators that poll the same service
+	ListLength int           // lines of the list as last known; 0 if none is
+	Grace      time.Duration // within which a drain must be learned once it counts as notified
+	Interval   time.Duration // poll interval of the settings; 0 if they have none
 
 	failures   int  // consecutive polls without a result
 	afterWatch bool // the last poll with a result was a watch, which has ended
@@ -62,7 +62,7 @@
 
 // listTime returns how long a service may take for the lists of all coordinators, one after the other.
 func (p *PollSchedule) listTime() time.Duration {
-	return time.Duration((p.Peers+1)*p.Lines) * listTimePerLine
+	return time.Duration((p.Peers+1)*p.ListLength) * listTimePerLine
 }
 
 // maxDelay returns the longest delay after polls without a result.
--- a/internal/membership/pollschedule_test.go
+++ b/internal/membership/pollschedule_test.go
@@ -20,13 +20,13 @@
 		first    time.Duration
 		want     []time.Duration // after a watch, then after polls without a result
 	}{
-		{"polled, few coordinators", PollSchedule{Peers: 2, Lines: 14, Grace: 2 * time.Second}, 42 * ms, []time.Duration{400 * ms, 800 * ms, 1000 * ms, 1000 * ms}},
-		{"polled, short grace", PollSchedule{Peers: 3, Lines: 300, Grace: 500 * ms}, 250 * ms, []time.Duration{1200 * ms, 2400 * ms, 2400 * ms}},
-		{"polled, 80 coordinators", PollSchedule{Peers: 79, Lines: 60, Grace: 2 * time.Second}, 1000 * ms, []time.Duration{2000 * ms, 9600 * ms, 9600 * ms}},
-		{"polled, largest fleet", PollSchedule{Peers: 999, Lines: 10_000, Grace: 2 * time.Second}, 1000 * ms, []time.Duration{2000 * ms, 10_000 * ms, 10_000 * ms}},
-		{"polled, interval from the settings", PollSchedule{Peers: 999, Lines: 10_000, Interval: 4 * time.Second}, 100 * ms, []time.Duration{1000 * ms, 4000 * ms}},
-		{"pushed", PollSchedule{Pushed: true, Peers: 299, Lines: 200, Grace: 2 * time.Second}, 0, []time.Duration{250 * ms, 250 * ms, 250 * ms}},
-		{"pushed, short grace", PollSchedule{Pushed: true, Peers: 299, Lines: 200, Grace: 500 * ms}, 0, []time.Duration{62500 * time.Microsecond, 62500 * time.Microsecond}},
+		{"polled, few coordinators", PollSchedule{Peers: 2, ListLength: 14, Grace: 2 * time.Second}, 42 * ms, []time.Duration{400 * ms, 800 * ms, 1000 * ms, 1000 * ms}},
+		{"polled, short grace", PollSchedule{Peers: 3, ListLength: 300, Grace: 500 * ms}, 250 * ms, []time.Duration{1200 * ms, 2400 * ms, 2400 * ms}},
+		{"polled, 80 coordinators", PollSchedule{Peers: 79, ListLength: 60, Grace: 2 * time.Second}, 1000 * ms, []time.Duration{2000 * ms, 9600 * ms, 9600 * ms}},
+		{"polled, largest fleet", PollSchedule{Peers: 999, ListLength: 10_000, Grace: 2 * time.Second}, 1000 * ms, []time.Duration{2000 * ms, 10_000 * ms, 10_000 * ms}},
+		{"polled, interval from the settings", PollSchedule{Peers: 999, ListLength: 10_000, Interval: 4 * time.Second}, 100 * ms, []time.Duration{1000 * ms, 4000 * ms}},
+		{"pushed", PollSchedule{Pushed: true, Peers: 299, ListLength: 200, Grace: 2 * time.Second}, 0, []time.Duration{250 * ms, 250 * ms, 250 * ms}},
+		{"pushed, short grace", PollSchedule{Pushed: true, Peers: 299, ListLength: 200, Grace: 500 * ms}, 0, []time.Duration{62500 * time.Microsecond, 62500 * time.Microsecond}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			if first := c.schedule.FirstDelay(1); first != c.first {
@@ -49,7 +49,7 @@
 func TestPollDelaysWithinGrace(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		c := PollSchedule{Pushed: rapid.Bool().Draw(t, "pushed"), Peers: rapid.IntRange(0, 1000).Draw(t, "peers"),
-			Lines: rapid.IntRange(0, 10_000).Draw(t, "lines"), Grace: time.Duration(rapid.IntRange(200, 5000).Draw(t, "grace")) * time.Millisecond}
+			ListLength: rapid.IntRange(0, 10_000).Draw(t, "lines"), Grace: time.Duration(rapid.IntRange(200, 5000).Draw(t, "grace")) * time.Millisecond}
 		c.Succeeded()
 		for i := range rapid.IntRange(1, 20).Draw(t, "polls") {
 			delay := c.RetryDelay(rapid.Float64Range(0, 1).Draw(t, "jitter"))
--- a/internal/membership/publish.go
+++ b/internal/membership/publish.go
@@ -24,7 +24,7 @@
 		return l
 	}
 	l.rec = n.owner.rec
-	l.rec.State, l.rec.Started, l.rec.Unstated = n.state, n.process.start, false
+	l.rec.State, l.rec.Started, l.rec.StartUnknown = n.state, n.process.start, false
 	if n.state != Serving {
 		return l
 	}
--- a/internal/membership/source.go
+++ b/internal/membership/source.go
@@ -60,7 +60,7 @@
 	}
 	if src.heldCause != "" && u.Basis != Truncated {
 		src.heldCause = ""
-		t.note(Fresh, src, "", "")
+		t.note(SourceFresh, src, "", "")
 	}
 	if !u.Cached {
 		t.confirm(now, src, &u)
@@ -69,7 +69,7 @@
 	if u.Full {
 		missing = src.presentIDs()
 		if len(u.Records) == 0 && len(missing) > 0 {
-			t.note(Emptied, src, "", fmt.Sprintf("%d data nodes", len(missing)))
+			t.note(ListEmptied, src, "", fmt.Sprintf("%d data nodes", len(missing)))
 		}
 	}
 	for _, rec := range u.Records {
@@ -90,10 +90,10 @@
 	src.lastAnswer, src.lease = now, u.Lease
 	if src.stale {
 		src.stale = false
-		t.note(Fresh, src, "", "")
+		t.note(SourceFresh, src, "", "")
 		t.markAllNodes(src)
 	}
-	if u.Serialled {
+	if u.HasSerial {
 		src.serial.value, src.serial.known = u.Serial, true
 	}
 }
@@ -118,21 +118,21 @@
 		return t.noteHeld(src, u.Cause)
 	case u.Cached:
 		return src.lastAnswer.IsZero()
-	case u.Basis == Relayed && u.Full && len(u.Records) == 0 && len(src.claims) > 0:
+	case u.Basis == NonAuthoritative && u.Full && len(u.Records) == 0 && len(src.claims) > 0:
 		return t.noteHeld(src, "empty, and not authoritative")
 	}
 	if u.Basis == Truncated && u.Full {
 		t.noteHeld(src, "cut short")
 		u.Full = false
 	}
-	if u.Serialled && src.serial.known && u.Serial != src.serial.value && !serialNewer(u.Serial, src.serial.value) {
+	if u.HasSerial && src.serial.known && u.Serial != src.serial.value && !serialNewer(u.Serial, src.serial.value) {
 		if src.serial.olderSince.IsZero() {
 			src.serial.olderSince = now
 		}
 		if now.Sub(src.serial.olderSince) < t.cfg.SerialHold {
 			return t.noteHeld(src, fmt.Sprintf("serial %d is older than %d", u.Serial, src.serial.value))
 		}
-		t.note(WentBack, src, "", fmt.Sprintf("from %d to %d", src.serial.value, u.Serial))
+		t.note(SerialRegressed, src, "", fmt.Sprintf("from %d to %d", src.serial.value, u.Serial))
 	}
 	src.serial.olderSince = time.Time{}
 	return true
@@ -142,7 +142,7 @@
 func (t *Table) noteHeld(src *source, cause string) bool {
 	if src.heldCause != cause {
 		src.heldCause = cause
-		t.note(Held, src, "", cause)
+		t.note(ListHeld, src, "", cause)
 	}
 	return false
 }
@@ -157,7 +157,7 @@
 	src.lastAnswer, src.serial.olderSince = now, time.Time{}
 	if src.stale || src.heldCause != "" {
 		src.heldCause = ""
-		t.note(Fresh, src, "", "")
+		t.note(SourceFresh, src, "", "")
 	}
 	if src.stale {
 		src.stale = false
@@ -166,9 +166,9 @@
 	return t.finish(now)
 }
 
-// SerialSeen applies the current serial of a zone and reports whether its list is to be fetched: if the serial is newer, or
+// CheckSerial applies the current serial of a zone and reports whether its list is to be fetched: if the serial is newer, or
 // if older ones have been reported for SerialHold. The same serial renews the lease.
-func (s *Source) SerialSeen(now time.Time, serial uint32) (fetch bool, r Result) {
+func (s *Source) CheckSerial(now time.Time, serial uint32) (fetch bool, r Result) {
 	t, src := s.table, s.source
 	switch {
 	case !src.serial.known || serialNewer(serial, src.serial.value):
@@ -180,7 +180,7 @@
 	}
 	t.advance(now)
 	if src.serial.olderSince.IsZero() || now.Sub(src.serial.olderSince) < t.cfg.SerialHold {
-		t.accept(now, src, &Update{Serial: serial, Serialled: true})
+		t.accept(now, src, &Update{Serial: serial, HasSerial: true})
 		return false, t.finish(now)
 	}
 	return true, t.finish(now) // Update adds the note on the older serial
@@ -213,11 +213,11 @@
 	for due := src.expiresAt(); !due.IsZero() && !now.Before(due); due = src.expiresAt() {
 		if !src.stale {
 			src.stale = true
-			t.note(Stale, src, "", fmt.Sprintf("no answer for %v", src.lease))
+			t.note(SourceStale, src, "", fmt.Sprintf("no answer for %v", src.lease))
 			t.markAllNodes(src)
 			continue
 		}
-		t.note(Lapsed, src, "", fmt.Sprintf("%d data nodes", len(src.claims)))
+		t.note(SourceExpired, src, "", fmt.Sprintf("%d data nodes", len(src.claims)))
 		t.markAllNodes(src)
 		for id := range src.claims {
 			t.dropClaim(t.nodes[id], src)
--- a/internal/platform/watch.go
+++ b/internal/platform/watch.go
@@ -205,7 +205,7 @@
 // merge takes a page into the list and returns the members that it names.
 func (w *Watch) merge(p page) []coordinator.Member {
 	changed := w.list.merge(p, w.Log)
-	w.Schedule.Lines = len(w.list.entries)
+	w.Schedule.ListLength = len(w.list.entries)
 	return changed
 }
 
--- a/internal/swim/fleet_test.go
+++ b/internal/swim/fleet_test.go
@@ -60,7 +60,7 @@
 			}
 			waitUntilAgreed(t, f, 40*time.Second, "return under a new process")
 			if n > 2 {
-				if v := f.View(0).Quorum(); v.Kind != swim.Connected || v.Here != n || !v.Majority {
+				if v := f.View(0).Quorum(); v.Kind != swim.Connected || v.Connected != n || !v.Majority {
 					t.Errorf("quorum %+v", v)
 				}
 			}
@@ -147,11 +147,11 @@
 				t.Errorf("seed %d: at member %d the link 1 to 2 is reachable: %v, 2 to 1: %v; want false, true", seed, i, v.Reachable(swimsim.Name(1), swimsim.Name(2)), v.Reachable(swimsim.Name(2), swimsim.Name(1)))
 			}
 			for _, m := range v.Members() {
-				if want := m.Name == swimsim.Name(1) || m.Name == swimsim.Name(2); m.Partly != want {
-					t.Errorf("seed %d: at member %d, %s is partly reachable: %v", seed, i, m.Name, m.Partly)
+				if want := m.Name == swimsim.Name(1) || m.Name == swimsim.Name(2); m.PartiallyReachable != want {
+					t.Errorf("seed %d: at member %d, %s is partly reachable: %v", seed, i, m.Name, m.PartiallyReachable)
 				}
 			}
-			if got := v.Quorum(); got.Kind != swim.Connected || got.Here != 8 {
+			if got := v.Quorum(); got.Kind != swim.Connected || got.Connected != 8 {
 				t.Errorf("seed %d: member %d: quorum %+v, want all 8 connected, as the others reach both", seed, i, got)
 			}
 		}
@@ -189,7 +189,7 @@
 			if i >= 5 {
 				here = 3
 			}
-			if v.Kind != swim.Split || v.Here != here || v.Known != 8 || v.Majority != (here == 5) {
+			if v.Kind != swim.Split || v.Connected != here || v.Total != 8 || v.Majority != (here == 5) {
 				t.Errorf("seed %d: member %d: quorum %+v, want split, %d of 8", seed, i, v, here)
 			}
 		}
@@ -337,7 +337,7 @@
 		t.Fatal("b is still known")
 	}
 	for _, m := range s.Members() {
-		if m.Partly || len(m.CutTo)+len(m.CutFrom) > 0 {
+		if m.PartiallyReachable || len(m.CutTo)+len(m.CutFrom) > 0 {
 			t.Errorf("%s is partly reachable: %+v", m.Name, m)
 		}
 	}
--- a/internal/swim/links.go
+++ b/internal/swim/links.go
@@ -100,7 +100,7 @@
 	s.links.reports[l.key()] = &linkReport{l, s.now}
 	s.broadcasts.addLink(l)
 	if now := s.Reachable(l.From, l.To); now != former {
-		s.emitChange(Change{Name: l.To, LinkFrom: l.From, Cut: !now, Why: "reported by " + l.By})
+		s.emitChange(Change{Name: l.To, LinkFrom: l.From, Cut: !now, Reason: "reported by " + l.By})
 	}
 }
 
--- a/internal/swim/members.go
+++ b/internal/swim/members.go
@@ -264,6 +264,6 @@
 	}
 	s.broadcasts.addUpdate(u)
 	if former != u.State {
-		s.emitChange(Change{Name: u.Name, State: u.State, Was: former, New: isNew, Why: reason})
+		s.emitChange(Change{Name: u.Name, State: u.State, Previous: former, New: isNew, Reason: reason})
 	}
 }
--- a/internal/swim/message.go
+++ b/internal/swim/message.go
@@ -73,38 +73,38 @@
 	Links   []Link
 }
 
-// Full is the full state of a member, exchanged with another one.
-type Full struct {
-	From    Update
-	Reply   bool // it answers the other's full state
-	Members []Update
-	Links   []Link
-	Refused string // why the other can't be a member; if set, the rest is ignored
+// FullState is the full state of a member, exchanged with another one.
+type FullState struct {
+	From         Update
+	Reply        bool // it answers the other's full state
+	Members      []Update
+	Links        []Link
+	RejectReason string // why the other can't be a member; if set, the rest is ignored
 }
 
 // Event is an input to Step; exactly one field is set.
 type Event struct {
-	Packet *Message
-	Full   *Full
-	Leave  bool
-	Forget string // name of a dead member that an operator declares gone for good
+	Packet   *Message
+	Full     *FullState
+	Leave    bool
+	MarkGone string // name of a dead member that an operator declares gone for good
 }
 
 // Action is an output of Step; exactly one field beside To is set.
 type Action struct {
-	To     string   // address of the receiver
-	Packet *Message // to send
-	Full   *Full    // to exchange, or to send back if it is a Reply
-	Change *Change  // to notify the caller of
+	To     string     // address of the receiver
+	Packet *Message   // to send
+	Full   *FullState // to exchange, or to send back if it is a Reply
+	Change *Change    // to notify the caller of
 }
 
 // Change is a change of a member, of a link or of the quorum.
 type Change struct {
 	Name     string // of the member; empty for a change of the quorum
 	State    State
-	Was      State  // previous state
+	Previous State  // previous state
 	New      bool   // the member was unknown before
-	Why      string // cause, for the log
+	Reason   string // cause, for the log
 	Quorum   Quorum // the new quorum, if Name is empty
 	LinkFrom string // start of the link to Name that changed; empty otherwise
 	Cut      bool   // the link is now cut
@@ -122,8 +122,8 @@
 }
 
 // Size returns the most bytes that a full state takes on the wire, without its seal.
-func (f *Full) Size() int {
-	return 16 + f.From.size() + len(f.Refused) + sizeOf(f.Members, f.Links)
+func (f *FullState) Size() int {
+	return 16 + f.From.size() + len(f.RejectReason) + sizeOf(f.Members, f.Links)
 }
 
 func sizeOf(updates []Update, links []Link) (n int) {
--- a/internal/swim/quorum.go
+++ b/internal/swim/quorum.go
@@ -7,10 +7,10 @@
 
 // Quorum describes how much of the fleet this member is connected to.
 type Quorum struct {
-	Kind     QuorumKind
-	Here     int  // live members connected to this one, directly or through others, this one included
-	Known    int  // members that have not left
-	Majority bool // Here is more than half of Known
+	Kind      QuorumKind
+	Connected int  // live members connected to this one, directly or through others, this one included
+	Total     int  // members that have not left
+	Majority  bool // Connected is more than half of Total
 }
 
 // QuorumKind classifies how the fleet is connected.
@@ -20,7 +20,7 @@
 const (
 	Connected QuorumKind = iota
 	Split                // several members died together, or live ones are out of reach: the fleet is partitioned
-	Alone                // no other member is connected
+	Isolated             // no other member is connected
 )
 
 var quorumNames = [...]string{"connected", "split", "alone"}
@@ -47,10 +47,10 @@
 
 // Quorum returns how much of the fleet this member is connected to, over links that work both ways.
 func (s *Swim) Quorum() Quorum {
-	q := Quorum{Known: s.members.size(), Here: 1}
+	q := Quorum{Total: s.members.size(), Connected: 1}
 	cuts := s.cutsByMember()
 	if len(cuts) == 0 && s.members.counts[Dead] == 0 { // the usual case, which needs no search
-		q.Here, q.Majority = q.Known, true
+		q.Connected, q.Majority = q.Total, true
 		return q
 	}
 	live := 1
@@ -62,12 +62,12 @@
 			live++
 		}
 	}
-	q.Here = s.countConnected(cuts)
-	q.Majority = 2*q.Here > q.Known
+	q.Connected = s.countConnected(cuts)
+	q.Majority = 2*q.Connected > q.Total
 	switch {
-	case q.Here == 1 && q.Known > 1:
-		q.Kind = Alone
-	case q.Here < live || s.diedTogether(diedAt):
+	case q.Connected == 1 && q.Total > 1:
+		q.Kind = Isolated
+	case q.Connected < live || s.diedTogether(diedAt):
 		q.Kind = Split
 	}
 	return q
--- a/internal/swim/swim.go
+++ b/internal/swim/swim.go
@@ -107,8 +107,8 @@
 		s.receive(e.Packet)
 	case e.Full != nil:
 		s.receiveFull(e.Full)
-	case e.Forget != "":
-		s.markGone(e.Forget)
+	case e.MarkGone != "":
+		s.markGone(e.MarkGone)
 	case e.Leave:
 		s.leave()
 	}
@@ -123,8 +123,8 @@
 	return max(at, s.now+time.Millisecond)
 }
 
-// Next returns when Step must be called if no event arrives before.
-func (s *Swim) Next() time.Duration { return s.wakeAt }
+// NextWake returns when Step must be called if no event arrives before.
+func (s *Swim) NextWake() time.Duration { return s.wakeAt }
 
 // Counts returns the totals so far.
 func (s *Swim) Counts() Counts {
--- a/internal/swim/sync.go
+++ b/internal/swim/sync.go
@@ -57,8 +57,8 @@
 }
 
 // fullState returns all updates and link reports that this member holds.
-func (s *Swim) fullState() Full {
-	f := Full{From: s.self.Update, Links: s.links.sorted()}
+func (s *Swim) fullState() FullState {
+	f := FullState{From: s.self.Update, Links: s.links.sorted()}
 	names := make([]string, 0, len(s.members.byName))
 	for name := range s.members.byName {
 		if name != s.cfg.Self {
@@ -73,15 +73,15 @@
 }
 
 // receiveFull applies the full state of another member, and answers with this member's unless it is itself a reply.
-func (s *Swim) receiveFull(f *Full) {
-	if f.Refused != "" {
-		s.rejection = f.Refused
+func (s *Swim) receiveFull(f *FullState) {
+	if f.RejectReason != "" {
+		s.rejection = f.RejectReason
 		return
 	}
 	from := s.resolveSender(&f.From)
 	if from == nil {
 		if reason := s.nameConflict(&f.From); reason != "" && !f.Reply {
-			s.reply(f, Full{From: s.self.Update, Refused: reason})
+			s.reply(f, FullState{From: s.self.Update, RejectReason: reason})
 		}
 		return
 	}
@@ -93,7 +93,7 @@
 }
 
 // reply answers the full state of another member.
-func (s *Swim) reply(to *Full, answer Full) {
+func (s *Swim) reply(to *FullState, answer FullState) {
 	answer.Reply = true
 	s.actions = append(s.actions, Action{To: to.From.Addr, Full: &answer})
 }
--- a/internal/swim/view.go
+++ b/internal/swim/view.go
@@ -8,18 +8,18 @@
 
 // Member describes one member as this one sees it.
 type Member struct {
-	Name, Addr  string
-	State       State
-	Partly      bool // alive, but the link from or to another live member is cut
-	Incarnation uint64
-	Since       time.Duration // start of the state
-	Suspectors  []string      // Suspect: the members that suspect it
-	Phi         float64       // suspicion level of its silence: 1 has a probability of 1 in 10, 2 of 1 in 100
-	Heard       time.Duration // last packet from the member itself; 0 for never
-	Reached     time.Duration // last direct ack from it; 0 for never
-	RTT         time.Duration // round-trip time of that ack
-	CutFrom     []string      // members whose packets do not reach it
-	CutTo       []string      // members that its packets do not reach
+	Name, Addr         string
+	State              State
+	PartiallyReachable bool // alive, but the link from or to another live member is cut
+	Incarnation        uint64
+	Since              time.Duration // start of the state
+	Suspectors         []string      // Suspect: the members that suspect it
+	Phi                float64       // suspicion level of its silence: 1 has a probability of 1 in 10, 2 of 1 in 100
+	Heard              time.Duration // last packet from the member itself; 0 for never
+	Reached            time.Duration // last direct ack from it; 0 for never
+	RTT                time.Duration // round-trip time of that ack
+	CutFrom            []string      // members whose packets do not reach it
+	CutTo              []string      // members that its packets do not reach
 }
 
 // Members returns all known members, sorted by name, including this one and those that have left.
@@ -47,7 +47,7 @@
 		if !slices.Contains(from.CutTo, l.To) {
 			from.CutTo, to.CutFrom = append(from.CutTo, l.To), append(to.CutFrom, l.From)
 		}
-		from.Partly, to.Partly = from.State == Alive, to.State == Alive
+		from.PartiallyReachable, to.PartiallyReachable = from.State == Alive, to.State == Alive
 	}
 	return list
 }
--- a/internal/zones/evidence.go
+++ b/internal/zones/evidence.go
@@ -38,9 +38,9 @@
 	return n
 }
 
-// List replaces the set of listed data nodes, given as a map of ids to zones. Those no longer listed are observed as
+// SetListed replaces the set of listed data nodes, given as a map of ids to zones. Those no longer listed are observed as
 // Removed. A stale list that still names a failed zone clears nothing, since only Good evidence does.
-func (t *Tracker) List(now time.Time, members map[string]string) {
+func (t *Tracker) SetListed(now time.Time, members map[string]string) {
 	for id, zoneName := range members {
 		t.node(zoneName, id).listed = true
 	}
--- a/internal/zones/fleet_test.go
+++ b/internal/zones/fleet_test.go
@@ -49,7 +49,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		tr.List(at(now), listed)
+		tr.SetListed(at(now), listed)
 		c := &coordinator{agg: agg, tracker: tr}
 		c.step(now, aggregator.Event{Kind: aggregator.ListCached, Members: []aggregator.Member{{Replica: "warm"},
 			{Replica: "back", State: aggregator.Draining}}})
--- a/internal/zones/tracker.go
+++ b/internal/zones/tracker.go
@@ -141,15 +141,15 @@
 	return t.panic && !z.drained
 }
 
-// All returns the status of every zone, sorted by name.
-func (t *Tracker) All(now time.Time) []Status {
+// Statuses returns the status of every zone, sorted by name.
+func (t *Tracker) Statuses(now time.Time) []Status {
 	all := make([]Status, 0, len(t.zones))
 	for _, z := range t.zones {
 		s := Status{Zone: z.name, State: z.state, Since: z.since, Nodes: len(z.nodes), Failing: z.share.failing,
-			Share: z.share.own, Others: z.share.others, FailedRecoveries: z.recovery.failed, Return: z.recovery.startAt,
+			Share: z.share.own, OthersShare: z.share.others, FailedRecoveries: z.recovery.failed, RecoveryStart: z.recovery.startAt,
 			Drained: z.drained, Panic: t.panic, Reason: z.reason}
 		if z.state == Recovering && t.cfg.Ramp > 0 {
-			s.Returned = min(1, float64(now.Sub(z.since))/float64(t.cfg.Ramp))
+			s.RampProgress = min(1, float64(now.Sub(z.since))/float64(t.cfg.Ramp))
 		}
 		all = append(all, s)
 	}
--- a/internal/zones/zones.go
+++ b/internal/zones/zones.go
@@ -72,13 +72,13 @@
 	Nodes            int       // known data nodes
 	Failing          int       // failing data nodes among them
 	Share            float64   // Failing over Nodes
-	Others           float64   // share of failing data nodes over all other zones together
+	OthersShare      float64   // share of failing data nodes over all other zones together
 	FailedRecoveries int       // consecutive failed recoveries
-	Return           time.Time // scheduled start of the next recovery; zero if none is scheduled
+	RecoveryStart    time.Time // scheduled start of the next recovery; zero if none is scheduled
 	Drained          bool      // by an operator
 	Panic            bool      // panic mode: every zone is suspect, and no state is trusted
 	Reason           string    // why the zone took its state
-	Returned         float64   // Recovering: the share of Ramp that has passed, up to 1
+	RampProgress     float64   // Recovering: the share of Ramp that has passed, up to 1
 }
 
 // Change is a change of a zone's state.
--- a/internal/zones/zones_test.go
+++ b/internal/zones/zones_test.go
@@ -42,7 +42,7 @@
 
 func states(tr *Tracker, now time.Time) map[string]string {
 	m := map[string]string{}
-	for _, s := range tr.All(now) {
+	for _, s := range tr.Statuses(now) {
 		m[s.Zone] = s.State.String()
 	}
 	return m
@@ -107,7 +107,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			tr.List(t0, zoneMembers(4, c.zones...))
+			tr.SetListed(t0, zoneMembers(4, c.zones...))
 			for i, s := range c.steps {
 				now := t0.Add(s.at)
 				if s.failing >= 0 {
@@ -126,7 +126,7 @@
 
 func TestUsableAndWarmingSince(t *testing.T) {
 	tr, _ := New(Config{Spread: time.Millisecond})
-	tr.List(t0, zoneMembers(4, "a", "b", "c"))
+	tr.SetListed(t0, zoneMembers(4, "a", "b", "c"))
 	for _, at := range []time.Duration{0, time.Second} {
 		observeFailures(tr, t0.Add(at), "a", 4, 4)
 		tr.Step(t0.Add(at))
@@ -147,7 +147,7 @@
 
 func TestDrainAndUndrain(t *testing.T) {
 	tr, _ := New(Config{})
-	tr.List(t0, zoneMembers(4, "a"))
+	tr.SetListed(t0, zoneMembers(4, "a"))
 	tr.Drain(t0, "a")
 	tr.Step(t0.Add(time.Minute))
 	if tr.Usable("a") {
@@ -164,7 +164,7 @@
 func TestRemovalFromListIsEvidence(t *testing.T) {
 	tr, _ := New(Config{})
 	all := zoneMembers(4, "a", "b", "c")
-	tr.List(t0, all)
+	tr.SetListed(t0, all)
 	without := map[string]string{}
 	for id, z := range all {
 		if z != "a" {
@@ -172,14 +172,14 @@
 		}
 	}
 	for _, at := range []time.Duration{0, time.Second} {
-		tr.List(t0.Add(at), without)
+		tr.SetListed(t0.Add(at), without)
 		tr.Step(t0.Add(at))
 	}
 	if tr.Usable("a") {
-		t.Fatalf("a zone whose data nodes were all removed from the list is usable: %+v", tr.All(t0.Add(time.Second)))
+		t.Fatalf("a zone whose data nodes were all removed from the list is usable: %+v", tr.Statuses(t0.Add(time.Second)))
 	}
 	// A stale list that still names the failed zone clears nothing.
-	tr.List(t0.Add(1200*time.Millisecond), all)
+	tr.SetListed(t0.Add(1200*time.Millisecond), all)
 	tr.Step(t0.Add(1200 * time.Millisecond))
 	if tr.Usable("a") {
 		t.Fatal("a stale list made the zone usable again")
@@ -190,7 +190,7 @@
 func TestWaitDoublesForFlappingZone(t *testing.T) {
 	cfg := Config{Spread: time.Millisecond, Wait: time.Second, MaxWait: 8 * time.Second}
 	tr, _ := New(cfg)
-	tr.List(t0, zoneMembers(4, "a", "b", "c"))
+	tr.SetListed(t0, zoneMembers(4, "a", "b", "c"))
 	now := t0
 	var outDurations []time.Duration
 	for round := 0; round < 6; round++ {
@@ -221,7 +221,7 @@
 	for seed := uint64(0); seed < fleet; seed++ {
 		cfg.Seed = seed
 		tr, _ := New(cfg)
-		tr.List(t0, zoneMembers(4, "a", "b", "c"))
+		tr.SetListed(t0, zoneMembers(4, "a", "b", "c"))
 		for _, at := range []time.Duration{0, time.Second} {
 			observeFailures(tr, t0.Add(at), "a", 4, 4)
 			tr.Step(t0.Add(at))
@@ -260,7 +260,7 @@
 		perZone := rapid.IntRange(1, 6).Draw(rt, "per zone")
 		names := []string{"a", "b", "c", "d"}[:zoneCount]
 		tr, _ := New(Config{Seed: rapid.Uint64().Draw(rt, "seed")})
-		tr.List(t0, zoneMembers(perZone, names...))
+		tr.SetListed(t0, zoneMembers(perZone, names...))
 		now := t0
 		for i := rapid.IntRange(1, 60).Draw(rt, "steps"); i > 0; i-- {
 			now = now.Add(time.Duration(rapid.IntRange(1, 2000).Draw(rt, "gap")) * time.Millisecond)
@@ -268,7 +268,7 @@
 			observeFailures(tr, now, z, rapid.IntRange(0, perZone).Draw(rt, "failing"), perZone)
 			tr.Step(now)
 			out := 0
-			for _, s := range tr.All(now) {
+			for _, s := range tr.Statuses(now) {
 				if s.State == Out || s.State == Recovering {
 					out += s.Nodes
 				}
@@ -309,7 +309,7 @@
 	for _, n := range []int{10, 100, 1000} {
 		b.Run(fmt.Sprint(n*3), func(b *testing.B) {
 			tr, _ := New(Config{})
-			tr.List(t0, zoneMembers(n, "a", "b", "c"))
+			tr.SetListed(t0, zoneMembers(n, "a", "b", "c"))
 			now := t0
 			for i := 0; i < b.N; i++ {
 				now = now.Add(time.Millisecond)
@@ -327,7 +327,7 @@
 		t.Fatal(err)
 	}
 	now := time.Unix(1_000_000, 0)
-	tr.List(now, map[string]string{"a0": "a", "a1": "a", "a2": "a", "b0": "b"})
+	tr.SetListed(now, map[string]string{"a0": "a", "a1": "a", "a2": "a", "b0": "b"})
 	tr.Observe(now, "a", "a0", Refused)
 	tr.ObservePeer(now, "a", "a1", 0, -1)
 	tr.ObservePeer(now, "a", "a2", 0, -1)
