--- a/internal/maintenance/fleet.go
+++ b/internal/maintenance/fleet.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Layout says which shard sets have a replica of shard s: s, s+1, ... s+Reach-1, modulo ShardSets.
+// Layout defines which shard sets hold a replica of shard s: s, s+1, ... s+Reach-1, modulo ShardSets.
 type Layout struct{ ShardSets, Shards, Reach int }
 
 // Machine is a data node as one coordinator sees it.
@@ -14,74 +14,75 @@
 	ID, Addr, Zone string
 	ShardSet       int
 	Weight         float64
-	Serving        bool    // listed as such
-	Healthy        bool    // serving, warmed up since its start or its return, not suspect, its zone does not fail
-	Util           float64 // utilization, 0 to 1; 0 for unknown
-	Started        int64   // of its process, Unix milliseconds; 0 for unknown
-	zoneIndex      int     // into Fleet.zones
+	Serving        bool    // listed as serving
+	Healthy        bool    // serving, warmed up since its last start or return, not suspect, and not in a failing zone
+	Util           float64 // utilization from 0 to 1; 0 if unknown
+	Started        int64   // start of its process in Unix milliseconds; 0 if unknown
+	zoneIndex      int     // index into Fleet.zones
 }
 
-// Limits bound what is out of the fleet at once. They are hard: no order and no move breaks one. A data node that warms up, is
-// suspect or in a failing zone does not count as a replica: else a shard could be left to replicas that don't answer.
+// Limits bound how many machines may be unavailable at the same time. They are hard limits: no plan and no move exceeds one. A data
+// node that is warming up, suspect or in a failing zone does not count as a replica; otherwise a shard could be left with replicas
+// that do not answer.
 type Limits struct {
-	Floor     int     // healthy replicas outside work that each shard keeps; 1 at least
-	PerShard  int     // replicas of one shard in work at once; 0 for no limit
-	AtOnce    int     // machines in work at once; 0 for no limit
-	Share     float64 // of the fleet's weight that may be missing, in work or unhealthy; 0 for no limit
-	ZoneShare float64 // of one zone's weight; 0 for no limit
-	Room      float64 // utilization that the rest may have; 0 for no limit
+	Floor     int     // healthy replicas not in work that each shard keeps; at least 1
+	PerShard  int     // replicas of one shard in work at the same time; 0 for no limit
+	AtOnce    int     // machines in work at the same time; 0 for no limit
+	Share     float64 // share of the fleet's weight that may be in work or unhealthy; 0 for no limit
+	ZoneShare float64 // share of one zone's weight that may be in work or unhealthy; 0 for no limit
+	Room      float64 // highest allowed utilization of the remaining machines; 0 for no limit
 }
 
-// Check returns an error for values out of range.
+// Check returns an error if a limit is out of range.
 func (l Limits) Check() error {
 	if l.Floor < 1 || l.PerShard < 0 || l.AtOnce < 0 || !(l.Share >= 0 && l.Share < 1) || !(l.ZoneShare >= 0 && l.ZoneShare <= 1) || !(l.Room >= 0 && l.Room <= 1) {
-		return fmt.Errorf("maintenance: %+v: Floor is 1 at least, no figure is negative, shares are 1 at most", l)
+		return fmt.Errorf("maintenance: invalid limits %+v: Floor must be at least 1, no value may be negative, Share must be below 1, ZoneShare and Room at most 1", l)
 	}
 	return nil
 }
 
-// Fleet is all machines at one moment. It does not change.
+// Fleet is an immutable snapshot of all machines.
 type Fleet struct {
 	Layout
 	Machines      []Machine
 	byID          map[string]*Machine
-	shardsOf      [][]int // by shard set
-	healthy       []int   // healthy replicas by shard
+	shardsOf      [][]int // shards that each shard set holds
+	healthy       []int   // number of healthy replicas, by shard
 	totalWeight   float64
-	missingWeight float64 // of machines that are not healthy
+	missingWeight float64 // weight of the machines that are not healthy
 	zones         []zoneWeights
-	load          float64 // weight times utilization of the healthy ones
+	load          float64 // sum of weight times utilization over the healthy machines
 }
 
-// zoneWeights are the weights of one zone.
+// zoneWeights holds the total weight of one zone and the weight of its unhealthy machines.
 type zoneWeights struct{ total, missing float64 }
 
-// NewFleet indexes machines; memory and time are linear in them and in the shards times the reach.
-func NewFleet(lay Layout, machines []Machine) (*Fleet, error) {
-	if lay.ShardSets < 1 || lay.Shards < 1 || lay.Reach < 1 || lay.Reach > lay.ShardSets {
-		return nil, fmt.Errorf("maintenance: %d cells, %d shards, reach %d: each is 1 at least, the reach no more than the cells", lay.ShardSets, lay.Shards, lay.Reach)
+// NewFleet indexes the machines. Time and memory are linear in the number of machines and in shards times reach.
+func NewFleet(layout Layout, machines []Machine) (*Fleet, error) {
+	if layout.ShardSets < 1 || layout.Shards < 1 || layout.Reach < 1 || layout.Reach > layout.ShardSets {
+		return nil, fmt.Errorf("maintenance: %d cells, %d shards, reach %d: each is 1 at least, the reach no more than the cells", layout.ShardSets, layout.Shards, layout.Reach)
 	}
-	f := &Fleet{Layout: lay, Machines: machines, byID: map[string]*Machine{}, shardsOf: make([][]int, lay.ShardSets), healthy: make([]int, lay.Shards)}
+	f := &Fleet{Layout: layout, Machines: machines, byID: map[string]*Machine{}, shardsOf: make([][]int, layout.ShardSets), healthy: make([]int, layout.Shards)}
 	zones := map[string]int{}
-	for s := range lay.Shards {
-		for i := range lay.Reach {
-			cell := (s + i) % lay.ShardSets
-			f.shardsOf[cell] = append(f.shardsOf[cell], s)
+	for s := range layout.Shards {
+		for i := range layout.Reach {
+			set := (s + i) % layout.ShardSets
+			f.shardsOf[set] = append(f.shardsOf[set], s)
 		}
 	}
 	for i := range machines {
 		m := &machines[i]
-		if m.ShardSet < 0 || m.ShardSet >= lay.ShardSets {
-			return nil, fmt.Errorf("maintenance: machine %s is of cell %d; there are %d", m.ID, m.ShardSet, lay.ShardSets)
+		if m.ShardSet < 0 || m.ShardSet >= layout.ShardSets {
+			return nil, fmt.Errorf("maintenance: machine %s is of cell %d; there are %d", m.ID, m.ShardSet, layout.ShardSets)
 		}
 		f.byID[m.ID] = m
-		at, known := zones[m.Zone]
+		index, known := zones[m.Zone]
 		if !known {
-			at = len(f.zones)
-			zones[m.Zone], f.zones = at, append(f.zones, zoneWeights{})
+			index = len(f.zones)
+			zones[m.Zone], f.zones = index, append(f.zones, zoneWeights{})
 		}
-		m.zoneIndex = at
-		z := &f.zones[at]
+		m.zoneIndex = index
+		z := &f.zones[index]
 		f.totalWeight += m.Weight
 		z.total += m.Weight
 		if !m.Healthy {
@@ -97,31 +98,31 @@
 	return f, nil
 }
 
-// Machine returns the machine with an id; nil for none.
+// Machine returns the machine with the given id, or nil if there is none.
 func (f *Fleet) Machine(id string) *Machine { return f.byID[id] }
 
-// outSet is a set of machines that are out together, and what they take from the limits.
+// outSet is a set of machines that are out at the same time, with the totals that are checked against the limits.
 type outSet struct {
 	fleet         *Fleet
 	limits        Limits
 	count         int
-	missing       float64   // weight of those that were healthy
-	missingByZone []float64 // the same by zone
-	inWork        []int     // machines by shard
-	healthyInWork []int     // of them, those that were healthy
+	missing       float64   // weight of the machines that were healthy
+	missingByZone []float64 // the same, by zone
+	inWork        []int     // number of machines, by shard
+	healthyInWork []int     // number of machines that were healthy, by shard
 }
 
 func (f *Fleet) newOutSet(l Limits) *outSet {
 	return &outSet{fleet: f, limits: l, missingByZone: make([]float64, len(f.zones)), inWork: make([]int, f.Shards), healthyInWork: make([]int, f.Shards)}
 }
 
-// weightTolerance is the rounding error of summed weights.
+// weightTolerance absorbs rounding errors in summed weights.
 const weightTolerance = 1e-9
 
-// limitHit is the limit that a machine would break.
-type limitHit struct {
+// limitViolation is the limit that a machine would exceed.
+type limitViolation struct {
 	limit uint8 // 0 for none
-	shard int   // of limitFloor and limitPerShard
+	shard int   // set for limitFloor and limitPerShard
 }
 
 const (
@@ -130,40 +131,40 @@
 	limitPerShard
 	limitShare
 	limitZoneShare
-	limitRoom
+	limitUtilization
 )
 
-// violated returns the limit that forbids a machine to be out beside those of the set. It is monotone: what does not fit beside a
-// set does not fit beside a larger one.
-func (o *outSet) violated(m *Machine) limitHit {
+// violated returns the limit that a machine would exceed together with the machines of the set. It is monotone: a machine that does
+// not fit a set does not fit any superset.
+func (o *outSet) violated(m *Machine) limitViolation {
 	if o.limits.AtOnce > 0 && o.count >= o.limits.AtOnce {
-		return limitHit{limitAtOnce, 0}
+		return limitViolation{limitAtOnce, 0}
 	}
 	for _, s := range o.fleet.shardsOf[m.ShardSet] {
-		// An unhealthy machine takes no replica away. But where others are missing, it may be the one that recovers soonest.
+		// Taking out an unhealthy machine removes no replica, but below the floor it may be the replica that recovers first.
 		if left := o.fleet.healthy[s] - o.healthyInWork[s]; left < o.limits.Floor || m.Healthy && left == o.limits.Floor {
-			return limitHit{limitFloor, s}
+			return limitViolation{limitFloor, s}
 		}
 		if o.limits.PerShard > 0 && o.inWork[s] >= o.limits.PerShard {
-			return limitHit{limitPerShard, s}
+			return limitViolation{limitPerShard, s}
 		}
 	}
 	if !m.Healthy {
-		return limitHit{}
+		return limitViolation{}
 	}
 	if o.limits.Share > 0 && o.fleet.missingWeight+o.missing+m.Weight > o.limits.Share*o.fleet.totalWeight+weightTolerance {
-		return limitHit{limitShare, 0}
+		return limitViolation{limitShare, 0}
 	}
 	if z := &o.fleet.zones[m.zoneIndex]; o.limits.ZoneShare > 0 && z.missing+o.missingByZone[m.zoneIndex]+m.Weight > o.limits.ZoneShare*z.total+weightTolerance {
-		return limitHit{limitZoneShare, 0}
+		return limitViolation{limitZoneShare, 0}
 	}
 	if o.limits.Room > 0 && o.fleet.load > o.limits.Room*(o.fleet.totalWeight-o.fleet.missingWeight-o.missing-m.Weight)+weightTolerance {
-		return limitHit{limitRoom, 0}
+		return limitViolation{limitUtilization, 0}
 	}
-	return limitHit{}
+	return limitViolation{}
 }
 
-// violation returns violated in words; empty where the machine fits.
+// violation describes the limit that violated returns; it is empty if the machine fits.
 func (o *outSet) violation(m *Machine) string {
 	h := o.violated(m)
 	switch h.limit {
@@ -178,35 +179,35 @@
 	case limitZoneShare:
 		z := &o.fleet.zones[m.zoneIndex]
 		return fmt.Sprintf("%.3g of zone %q's weight of %.3g would be missing; %.0f%% may be", z.missing+o.missingByZone[m.zoneIndex]+m.Weight, m.Zone, z.total, 100*o.limits.ZoneShare)
-	case limitRoom:
+	case limitUtilization:
 		left := o.fleet.totalWeight - o.fleet.missingWeight - o.missing - m.Weight
 		return fmt.Sprintf("what remains would be %.0f%% busy; %.0f%% may be", 100*o.fleet.load/max(left, weightTolerance), 100*o.limits.Room)
 	}
 	return ""
 }
 
-// add adds a machine.
+// add counts a machine as out.
 func (o *outSet) add(m *Machine) { o.change(m, 1) }
 
-// remove removes a machine that was added.
+// remove undoes add.
 func (o *outSet) remove(m *Machine) { o.change(m, -1) }
 
-// change counts a machine once more, or once less where by is -1.
-func (o *outSet) change(m *Machine, by int) {
-	o.count += by
+// change adds a machine to the totals if delta is 1, and subtracts it if delta is -1.
+func (o *outSet) change(m *Machine, delta int) {
+	o.count += delta
 	for _, s := range o.fleet.shardsOf[m.ShardSet] {
-		o.inWork[s] += by
+		o.inWork[s] += delta
 		if m.Healthy {
-			o.healthyInWork[s] += by
+			o.healthyInWork[s] += delta
 		}
 	}
 	if m.Healthy {
-		o.missing += float64(by) * m.Weight
-		o.missingByZone[m.zoneIndex] += float64(by) * m.Weight
+		o.missing += float64(delta) * m.Weight
+		o.missingByZone[m.zoneIndex] += float64(delta) * m.Weight
 	}
 }
 
-// ShardsBelowFloor lists the shards that have fewer healthy replicas outside a set of machines than the floor.
+// ShardsBelowFloor returns the shards that have fewer healthy replicas than the floor when the given machines are out.
 func (f *Fleet) ShardsBelowFloor(l Limits, ids []string) (shards []int) {
 	o := f.newOutSet(l)
 	for _, id := range ids {
@@ -222,10 +223,10 @@
 	return shards
 }
 
-// Hours are a time of each day, by the clock of the coordinator that makes the moves.
-type Hours struct{ From, To time.Duration } // since midnight; past midnight where To is before From
+// Hours is a daily time range in the local time of the coordinator that makes the moves.
+type Hours struct{ From, To time.Duration } // offsets from midnight; the range spans midnight if To is before From
 
-// inHours tells whether a time is within some of the hours.
+// inHours reports whether a time is within one of the ranges.
 func inHours(hours []Hours, wall time.Time) bool {
 	at := time.Duration(wall.Hour())*time.Hour + time.Duration(wall.Minute())*time.Minute
 	return slices.ContainsFunc(hours, func(h Hours) bool {
--- a/internal/maintenance/maintenance.go
+++ b/internal/maintenance/maintenance.go
@@ -1,30 +1,31 @@
-// Package maintenance decides which machine goes out for work next, and when the plan stops: the requests of operators, the steps of
-// each machine, and what has to hold for each move. It looks at no clock and does no I/O.
+// Package maintenance decides which machines are taken out for maintenance and when: it holds the operators' requests, the state of
+// each machine in them, and the conditions of each state transition. It reads no clock and does no I/O.
 //
-// A machine's step, and what each move needs:
+// The state transitions of a machine and their conditions:
 //
-//	waiting   -> draining   it was called, each coordinator has seen that, and the limits still hold with the machine out
-//	draining  -> drained    each coordinator has said that it has no attempt there and sends none, or is absent: see below
+//	waiting   -> draining   it was called, every coordinator has seen the call, and the limits still hold with the machine out
+//	draining  -> drained    every coordinator has acknowledged that it has no attempt in flight there, or is absent (see below)
 //	draining  -> waiting    paused, or the limits no longer hold: it was not handed over yet, so it is taken back
-//	drained   -> out        the limits hold: it is handed over, and the hook is called
-//	drained   -> waiting    as above
-//	out       -> returning  an operator or the hook said that the work is done, or it is listed with a later start
-//	out       -> failed     it was out for longer than the request says
+//	drained   -> out        the limits hold: it is handed over, and the hook runs
+//	drained   -> waiting    as for draining
+//	out       -> returning  an operator or the hook reported the work as done, or it is listed with a later start
+//	out       -> failed     it was out for longer than the request allows
 //	returning -> warm       it is healthy: it serves, and has warmed up since its return
-//	returning -> failed     it does not serve in its time
-//	failed    -> returning  an operator said that the work is done
-//	warm      -> done       the hook was called
-//	waiting, draining, drained -> abandoned   an operator abandoned the request; machines that are out come back first
+//	returning -> failed     it does not serve within the allowed time
+//	failed    -> returning  an operator reported the work as done
+//	warm      -> done       the hook has run, if there is one
+//	waiting, draining, drained -> abandoned   an operator abandoned the request; machines that are already out still come back
 //
-// Coordinators send to a machine that is waiting, returning, warm, done or abandoned, and to no other.
+// Coordinators send attempts only to machines that are waiting, returning, warm, done or abandoned.
 //
-// A waiting machine is called before it is drained: where the request is open, the hour is not excluded, no query was rejected for
-// overload just now, and the limits hold with it and all others that are out or called. From then on a coordinator may send to it
-// only while it holds its presence, a lease that the store grants (internal/lease). The coordinator's own count of that ends before
-// the store's does, by the longest time of an attempt. So once the presence has expired in the store, no attempt of a coordinator
-// that has seen the call is in flight at the machine: it can be handed over without an answer of a coordinator that is cut off. A
-// coordinator that has not seen the call is waited for, since it does not know which machine that is. One that is cut off from the
-// store, or all should the store lose its quorum, do without the machines that are called, and the limits hold for these together.
+// A waiting machine is called before it is drained. The call requires that the request is open, the hour is not excluded, no query
+// was recently rejected for overload, and the limits hold with this machine and all others that are out or called. From the call on,
+// a coordinator may send to the machine only while it holds its presence, a lease that the store grants (internal/lease). The
+// coordinator regards its presence as expired earlier than the store does, by the longest time of an attempt. Once the presence has
+// expired in the store, no attempt of a coordinator that has seen the call is in flight at the machine, so it can be handed over
+// without an acknowledgement from a coordinator that is cut off. A coordinator that has not seen the call must be waited for, because
+// it does not know which machine was called. A coordinator that is cut off from the store does not use the called machines, and
+// neither does any if the store loses its quorum; the limits hold with all of them out.
 package maintenance
 
 import (
@@ -33,10 +34,10 @@
 	"time"
 )
 
-// StepState is where a machine is in its request.
+// StepState is the state of a machine within its request.
 type StepState uint8
 
-// The states of a step, in their order.
+// The states of a step, in order of progress.
 const (
 	Waiting StepState = iota
 	Draining
@@ -53,10 +54,10 @@
 
 func (s StepState) String() string { return stepNames[s] }
 
-// MarshalText writes the state as a word.
+// MarshalText encodes the state as its name.
 func (s StepState) MarshalText() ([]byte, error) { return []byte(s.String()), nil }
 
-// UnmarshalText reads the word.
+// UnmarshalText decodes the name of a state.
 func (s *StepState) UnmarshalText(text []byte) error {
 	i := slices.Index(stepNames[:], string(text))
 	if i < 0 {
@@ -66,68 +67,68 @@
 	return nil
 }
 
-// Excluded tells whether nothing may be sent to a machine in this state.
+// Excluded reports whether coordinators must not send to a machine in this state.
 func (s StepState) Excluded() bool { return s == Draining || s == Drained || s == Out || s == Failed }
 
-// missing tells whether the limits count a machine as out: it is in work, or was called for it.
+// missing reports whether the limits count the machine as out: it is in work, or was called.
 func (s *Step) missing() bool { return s.State.inWork() || s.State == Waiting && s.Call > 0 }
 
-// ended tells whether a step is at its end.
+// ended reports whether the state is final.
 func (s StepState) ended() bool { return s == Done || s == Abandoned }
 
-// inWork tells whether a machine is on its way out, out, or on its way back.
+// inWork reports whether a machine is on its way out, out, on its way back, or failed.
 func (s StepState) inWork() bool { return s != Waiting && !s.ended() }
 
-// transitions are the moves that a state permits.
+// transitions lists the states that may follow each state.
 var transitions = map[StepState][]StepState{
 	Waiting: {Draining, Abandoned}, Draining: {Drained, Waiting, Abandoned}, Drained: {Out, Waiting, Abandoned}, Out: {Returning, Failed},
 	Returning: {Warm, Failed}, Failed: {Returning}, Warm: {Done},
 }
 
-// ReqState is where a request is.
-type ReqState string
+// RequestState is the state of a request.
+type RequestState string
 
 // The states of a request.
 const (
-	Open     ReqState = "open"
-	Paused   ReqState = "paused"  // by an operator
-	Stopped  ReqState = "stopped" // a machine failed, and the request does not go on without it
-	GivenUp  ReqState = "abandoned"
-	Finished ReqState = "done"
+	Open     RequestState = "open"
+	Paused   RequestState = "paused"  // by an operator
+	Stopped  RequestState = "stopped" // a machine failed, and GoOn is not set
+	GivenUp  RequestState = "abandoned"
+	Finished RequestState = "done"
 )
 
-// Step is one machine of a request.
+// Step is the progress of one machine of a request.
 type Step struct {
 	Machine string
 	State   StepState
-	Call    uint64 `json:",omitempty"` // number of its call; 0 before it, and after it was taken back
-	Turn    uint64 `json:",omitempty"` // number of its drain, so that what was said of an earlier one does not count for this one
-	Addr    string `json:",omitempty"` // when it was drained
-	Started int64  `json:",omitempty"` // of its process, when it was drained
-	As      string `json:",omitempty"` // the id under which it came back, if another
+	Call    uint64 `json:",omitempty"` // number of its call; 0 before the call and after it was taken back
+	Turn    uint64 `json:",omitempty"` // number of its drain, so that acknowledgements of an earlier drain do not count
+	Addr    string `json:",omitempty"` // address when its drain began
+	Started int64  `json:",omitempty"` // start of its process in Unix milliseconds, when its drain began
+	As      string `json:",omitempty"` // id under which it came back, if different
 	Wave    int
 }
 
-// Request is an operator's request, and its progress.
+// Request is an operator's request for maintenance, and its progress.
 type Request struct {
 	ID        uint64
 	By        string
-	Takes     time.Duration // the longest that a machine is out
-	Back      time.Duration // the longest until it serves after its return
+	Takes     time.Duration // longest time that a machine may be out
+	Back      time.Duration // longest time from its return until it serves
 	NotBefore int64         `json:",omitempty"` // Unix seconds
-	DoneBy    int64         `json:",omitempty"`
-	AtOnce    int           `json:",omitempty"` // machines of it in work at once; 0 for as many as the limits permit
-	Barred    []Hours       `json:",omitempty"`
-	GoOn      bool          `json:",omitempty"` // do not stop when a machine fails
-	ByHand    bool          `json:",omitempty"` // only an operator says that the work is done, a later start does not
-	State     ReqState
-	Why       string `json:",omitempty"` // why it does not move
-	Bound     int    // least number of waves
+	DoneBy    int64         `json:",omitempty"` // Unix seconds
+	AtOnce    int           `json:",omitempty"` // its machines in work at the same time; 0 for as many as the limits permit
+	Barred    []Hours       `json:",omitempty"` // hours in which no machine is taken out
+	GoOn      bool          `json:",omitempty"` // continue when a machine fails
+	ByHand    bool          `json:",omitempty"` // the work must be reported as done; a later start of the process does not count
+	State     RequestState
+	Why       string `json:",omitempty"` // why it makes no progress
+	Bound     int    // lower bound on the number of waves
 	Waves     int
-	Steps     []*Step // in the order in which they go
+	Steps     []*Step // in planned order
 }
 
-// Audit is a line of the audit trail: who asked for what, and when by the clock of the coordinator that was asked.
+// Audit is an entry of the audit trail: who requested what, and when by the clock of the coordinator that received it.
 type Audit struct {
 	At   int64 // Unix seconds
 	Who  string
@@ -136,24 +137,25 @@
 
 const (
 	maxOpenRequests  = 32
-	maxEndedRequests = 32 // that are still shown
+	maxEndedRequests = 32 // ended requests that are kept
 	maxAuditEntries  = 256
-	maxRecentMoves   = 256    // that coordinators log; up to twice as many are stored
-	maxSteps         = 10_000 // machines of a request
+	maxRecentMoves   = 256    // latest moves, kept for coordinators to log; up to twice as many are stored
+	maxSteps         = 10_000 // machines in a request
 )
 
-// State is the plan: all requests, as the replicated store has them. Its JSON keys are stored. It is not safe for concurrent use.
+// State is the maintenance plan with all requests, as kept in the replicated store. Its JSON keys are a stored format. It is not
+// safe for concurrent use.
 type State struct {
 	Next     uint64 // id of the latest request
-	Calls    uint64 // calls ever made; a coordinator that has seen one has seen all before it
-	Turn     uint64
+	Calls    uint64 // number of calls ever made; a coordinator that has seen one has seen all earlier ones
+	Turn     uint64 // number of drains ever begun
 	Requests []*Request
 	Audit    []Audit
 	Moved    uint64  // number of moves ever made
 	Recent   []Moved // the latest moves
 }
 
-// Moved is a move that was made, the N-th of all.
+// Moved is a recorded move; N numbers all moves from 1.
 type Moved struct {
 	N       uint64
 	Request uint64
@@ -162,10 +164,10 @@
 	Why     string `json:",omitempty"`
 }
 
-// Seen returns the number of the last call, which a coordinator acknowledges once it has applied this state.
+// Seen returns the number of the latest call, which a coordinator acknowledges once it has applied this state.
 func (s *State) Seen() uint64 { return s.Calls }
 
-// Request returns the request with an id; nil for none.
+// Request returns the request with the given id, or nil if there is none.
 func (s *State) Request(id uint64) *Request {
 	for _, r := range s.Requests {
 		if r.ID == id {
@@ -186,7 +188,7 @@
 	return nil
 }
 
-// openStep returns the step of a machine that has not ended, and its request; nil for none.
+// openStep returns the unfinished step of a machine and its request, or nil if there is none.
 func (s *State) openStep(machine string) (*Request, *Step) {
 	for _, r := range s.Requests {
 		if st := r.step(machine); st != nil && !st.State.ended() && (!r.ended() || st.State != Waiting) {
--- a/internal/maintenance/moves.go
+++ b/internal/maintenance/moves.go
@@ -6,30 +6,30 @@
 	"slices"
 )
 
-// Move is the change of one machine's state.
+// Move is a state transition of one machine.
 type Move struct {
 	Request uint64
 	Machine string
 	To      StepState
 	Why     string
-	Addr    string // Draining: its address, and the start of its process
-	Started int64
-	As      string   // Returning: its new id, where that is another
-	Lapsed  []string // Drained: coordinators whose presence must have expired when the move is applied
+	Addr    string   // for Draining: address of the machine
+	Started int64    // for Draining: start of its process in Unix milliseconds
+	As      string   // for Returning: its new id, if different
+	Lapsed  []string // for Drained: coordinators whose presence must have expired when the move is applied
 }
 
-// ErrMove is returned for a move that its step does not permit.
-var ErrMove = errors.New("not a move of this step")
+// ErrMove is returned for a move that the machine's state does not permit.
+var ErrMove = errors.New("maintenance move not permitted")
 
-// Apply makes a move. The error wraps ErrMove.
+// Apply applies a move. The error wraps ErrMove.
 func (s *State) Apply(m Move) error {
 	r := s.Request(m.Request)
 	if r == nil {
-		return fmt.Errorf("%w: no request %d", ErrMove, m.Request)
+		return fmt.Errorf("%w: request %d does not exist", ErrMove, m.Request)
 	}
 	st := r.step(m.Machine)
 	if st == nil || !slices.Contains(transitions[st.State], m.To) {
-		return fmt.Errorf("%w: %s of request %d to %s", ErrMove, m.Machine, m.Request, m.To)
+		return fmt.Errorf("%w: machine %s of request %d to %s", ErrMove, m.Machine, m.Request, m.To)
 	}
 	s.setState(r, st, m.To, m.Why)
 	switch m.To {
--- a/internal/maintenance/overlay.go
+++ b/internal/maintenance/overlay.go
@@ -1,15 +1,15 @@
 package maintenance
 
-// Overlay is what the coordinators derive from the plan: to which machines nothing may be sent, and which return.
+// Overlay holds the machines to which coordinators must not send, and those that return, as derived from the plan.
 type Overlay struct {
-	Excluded  map[string]bool   // by id
-	Addrs     map[string]bool   // of excluded machines: one may come up under a new id while it is out
-	Announced map[string]bool   // called: a coordinator sends to them only while it is present
+	Excluded  map[string]bool   // excluded machines, by id
+	Addrs     map[string]bool   // addresses of excluded machines, which may start under a new id while they are out
+	Announced map[string]bool   // called machines: a coordinator sends to them only while it is present
 	Returned  map[string]uint64 // returning or warm machines, with the turn of their drain
-	Turns     map[string]uint64 // of excluded machines, with the turn of their drain
+	Turns     map[string]uint64 // excluded machines, with the turn of their drain
 }
 
-// Overlay derives the overlay from the state.
+// Overlay derives the overlay from the plan.
 func (s *State) Overlay() Overlay {
 	o := Overlay{Excluded: map[string]bool{}, Addrs: map[string]bool{}, Announced: map[string]bool{}, Returned: map[string]uint64{}, Turns: map[string]uint64{}}
 	for _, r := range s.Requests {
--- a/internal/maintenance/plan.go
+++ b/internal/maintenance/plan.go
@@ -8,27 +8,28 @@
 	"slices"
 )
 
-// Plan is an order in which machines go: waves that may be out together, each within the limits. It is that of a fleet as it stands.
-// In operation a machine goes as soon as the limits permit, in this order, so the request ends no later than wave by wave.
+// Plan is an order for taking machines out: waves of machines that may be out at the same time within the limits. It is computed
+// for the current state of the fleet. In operation a machine is taken out as soon as the limits permit, in this order, so the
+// request ends no later than it would wave by wave.
 type Plan struct {
 	Waves   [][]string
-	Bound   int       // no order has fewer waves
-	Exact   bool      // the number of waves is the least: Bound was reached, or all other orders were searched
-	Refused []Refusal // machines that can't go at all
+	Bound   int       // lower bound on the number of waves of any order
+	Exact   bool      // the number of waves is minimal: Bound was reached, or all other orders were searched
+	Refused []Refusal // machines that cannot be taken out at all
 }
 
-// Refusal is a machine that can't go, and the limit that forbids it.
+// Refusal is a machine that cannot be taken out, and the limit that prevents it.
 type Refusal struct{ Machine, Why string }
 
 const (
-	maxExactMachines = 20        // machines for which all orders are searched
-	maxSearchNodes   = 2_000_000 // of that search
-	maxRestarts      = 24        // further orders for first fit; fewer for many machines
-	maxPlacements    = 40_000    // machines placed in all of them
+	maxExactMachines = 20        // largest number of machines for which all orders are searched
+	maxSearchNodes   = 2_000_000 // nodes that this search visits at most
+	maxRestarts      = 24        // further orders to try with first fit; fewer for many machines
+	maxPlacements    = 40_000    // machines placed over all of these orders
 )
 
-// Plan finds an order for machines. Equal inputs give equal orders. For more than 20 machines its time grows with the machines
-// times the waves, for each of at most 24 attempts.
+// Plan finds an order for the machines. Equal inputs give equal orders. For more than 20 machines its time is proportional to
+// machines times waves, for each of at most 24 restarts.
 func (f *Fleet) Plan(ids []string, l Limits, seed uint64) Plan {
 	list, refused := f.selectMachines(ids, l)
 	p := Plan{Refused: refused}
@@ -37,8 +38,7 @@
 		return p
 	}
 	p.Bound = f.lowerBound(list, l)
-	// Machines of one zone and neighbouring shard sets first, those of low weight before the others, so that a zone is done before
-	// the next begins.
+	// Sort by zone, then lighter machines first, then by shard set, so that one zone is finished before the next begins.
 	slices.SortFunc(list, func(a, b *Machine) int {
 		return cmp.Or(cmp.Compare(a.Zone, b.Zone), cmp.Compare(a.Weight, b.Weight), cmp.Compare(a.ShardSet%f.Reach, b.ShardSet%f.Reach), cmp.Compare(a.ShardSet, b.ShardSet), cmp.Compare(a.ID, b.ID))
 	})
@@ -47,7 +47,7 @@
 	if !p.Exact && len(list) <= maxExactMachines {
 		best, p.Exact = f.searchWaves(list, l, p.Bound, best)
 	}
-	// One zone after the other, by the zone of each wave's first machine.
+	// Sort the waves by the zone of their first machine, so that zones follow one another.
 	slices.SortStableFunc(best, func(a, b []*Machine) int { return cmp.Compare(a[0].Zone, b[0].Zone) })
 	p.Waves = machineIDs(best)
 	if p.Exact {
@@ -56,7 +56,7 @@
 	return p
 }
 
-// selectMachines finds the machines, each once, and refuses those that could not even go alone.
+// selectMachines returns the machines with the given ids without duplicates, and refuses those that cannot be taken out even alone.
 func (f *Fleet) selectMachines(ids []string, l Limits) (list []*Machine, refused []Refusal) {
 	seen, empty := map[string]bool{}, f.newOutSet(l)
 	for _, id := range ids {
@@ -76,13 +76,13 @@
 	return list, refused
 }
 
-// improve tries further orders for first fit until the bound is reached: two sorted ones, then shuffled ones.
+// improve tries first fit with further orders until the bound is reached: two sorted ones, then shuffled ones.
 func (f *Fleet) improve(best [][]*Machine, list []*Machine, l Limits, bound int, seed uint64) [][]*Machine {
 	random := rand.New(rand.NewPCG(seed, 3))
 	order := slices.Clone(list)
 	for attempt := 0; len(best) > bound && attempt < maxRestarts && (attempt+1)*len(list) <= maxPlacements+2*len(list); attempt++ {
 		switch attempt {
-		case 0: // replicas of a shard one after the other, over all zones
+		case 0: // replicas of a shard one after the other, across zones
 			slices.SortFunc(order, func(a, b *Machine) int {
 				return cmp.Or(cmp.Compare(a.ShardSet%f.Reach, b.ShardSet%f.Reach), cmp.Compare(a.ShardSet, b.ShardSet), cmp.Compare(a.ID, b.ID))
 			})
@@ -111,16 +111,16 @@
 	return ids
 }
 
-// lowerBound is the number of waves that every order needs: by the shards, by the machines at once, and by weight.
+// lowerBound returns a number of waves that every order needs, from the limits per shard, on machines at once and on weight.
 func (f *Fleet) lowerBound(list []*Machine, l Limits) int {
 	bound := max(1, f.boundByShards(list, l), f.boundByWeight(list, l))
 	if l.AtOnce > 0 {
-		bound = max(bound, divideUp(len(list), l.AtOnce))
+		bound = max(bound, ceilDiv(len(list), l.AtOnce))
 	}
 	return bound
 }
 
-// boundByShards is the number of waves that the replicas of one shard need.
+// boundByShards returns the lower bound from the replicas of each shard.
 func (f *Fleet) boundByShards(list []*Machine, l Limits) (bound int) {
 	healthy, all := map[int]int{}, map[int]int{}
 	for _, m := range list {
@@ -133,16 +133,16 @@
 	}
 	for s, n := range all {
 		if spare := f.healthy[s] - l.Floor; healthy[s] > 0 && spare > 0 {
-			bound = max(bound, divideUp(healthy[s], spare))
+			bound = max(bound, ceilDiv(healthy[s], spare))
 		}
 		if l.PerShard > 0 {
-			bound = max(bound, divideUp(n, l.PerShard))
+			bound = max(bound, ceilDiv(n, l.PerShard))
 		}
 	}
 	return bound
 }
 
-// boundByWeight is the number of waves that the weight of the fleet, or of one zone, needs.
+// boundByWeight returns the lower bound from the weight of the fleet and of each zone.
 func (f *Fleet) boundByWeight(list []*Machine, l Limits) (bound int) {
 	total, zones := 0.0, map[int]float64{}
 	for _, m := range list {
@@ -170,12 +170,12 @@
 	return bound
 }
 
-func divideUp(n, by int) int { return (n + by - 1) / by }
+func ceilDiv(n, divisor int) int { return (n + divisor - 1) / divisor }
 
-// firstFit puts each machine into the first wave that it fits into.
+// firstFit puts each machine into the first wave that it fits.
 func (f *Fleet) firstFit(list []*Machine, l Limits) (waves [][]*Machine) {
 	var sets []*outSet
-	first := 0 // the waves before it have as many machines as may be out at once
+	first := 0 // earlier waves already have Limits.AtOnce machines
 	for _, m := range list {
 		i := first
 		for ; i < len(sets); i++ {
@@ -195,7 +195,7 @@
 	return waves
 }
 
-// CheckWaves returns an error that names the first wave of an order that breaks a limit, and the machine.
+// CheckWaves returns an error that names the first wave that exceeds a limit, and the machine that does not fit it.
 func (f *Fleet) CheckWaves(waves [][]string, l Limits) error {
 	for i, w := range waves {
 		o := f.newOutSet(l)
--- a/internal/maintenance/requests.go
+++ b/internal/maintenance/requests.go
@@ -6,13 +6,13 @@
 	"time"
 )
 
-// RecordAudit notes who asked for what.
+// RecordAudit appends an entry to the audit trail and drops the oldest ones beyond maxAuditEntries.
 func (s *State) RecordAudit(wall time.Time, who, what string) {
 	s.Audit = append(s.Audit, Audit{wall.Unix(), who, what})
 	s.Audit = s.Audit[max(0, len(s.Audit)-maxAuditEntries):]
 }
 
-// RefusedError is returned for a request whose machines can't all go; each refusal names the limit that forbids it.
+// RefusedError is returned for a request with machines that cannot be taken out; each refusal names the limit that prevents it.
 type RefusedError struct{ Refused []Refusal }
 
 func (e RefusedError) Error() string {
@@ -26,9 +26,9 @@
 	return text
 }
 
-// Start adds a request for machines, in an order that holds the limits. warm is the time that a machine needs to warm up after its
-// return. The error is a RefusedError where machines can't go; the others may be requested without them.
-func (s *State) Start(wall time.Time, r Request, machines []string, f *Fleet, l Limits, warm time.Duration) (*Request, Plan, error) {
+// Start plans the machines of a request within the limits and adds the request. warmup is the time that a machine needs to warm up
+// after its return. The error is a RefusedError if some machines cannot be taken out; the others can be requested without them.
+func (s *State) Start(wall time.Time, r Request, machines []string, f *Fleet, l Limits, warmup time.Duration) (*Request, Plan, error) {
 	if err := s.checkRequest(&r, machines); err != nil {
 		return nil, Plan{}, err
 	}
@@ -39,7 +39,7 @@
 	if len(p.Refused) > 0 {
 		return nil, p, RefusedError{p.Refused}
 	}
-	if err := r.checkDoneBy(wall, len(p.Waves), warm); err != nil {
+	if err := r.checkDoneBy(wall, len(p.Waves), warmup); err != nil {
 		return nil, p, err
 	}
 	s.Next++
@@ -54,7 +54,7 @@
 	return &r, p, nil
 }
 
-// checkRequest returns an error for a request with values out of range, for one too many, and for a machine of another request.
+// checkRequest returns an error if a value is out of range, too many requests are open, or a machine is in another request.
 func (s *State) checkRequest(r *Request, machines []string) error {
 	if len(machines) == 0 || len(machines) > maxSteps {
 		return fmt.Errorf("%d machines; a request names 1 to %d", len(machines), maxSteps)
@@ -79,18 +79,18 @@
 	return nil
 }
 
-// checkDoneBy returns an error for a request that would end later than its DoneBy, wave by wave.
-func (r *Request) checkDoneBy(wall time.Time, waves int, warm time.Duration) error {
+// checkDoneBy returns an error if the request would end later than its DoneBy when executed wave by wave.
+func (r *Request) checkDoneBy(wall time.Time, waves int, warmup time.Duration) error {
 	if r.DoneBy <= 0 {
 		return nil
 	}
 	begin := max(wall.Unix(), r.NotBefore)
-	end := begin + int64(time.Duration(waves)*(r.Takes+warm)/time.Second)
+	end := begin + int64(time.Duration(waves)*(r.Takes+warmup)/time.Second)
 	if end <= r.DoneBy {
 		return nil
 	}
 	return fmt.Errorf("it would be done by %s, %d waves of %v and %v to warm up; later than %s", time.Unix(end, 0).UTC().Format(time.RFC3339),
-		waves, r.Takes, warm, time.Unix(r.DoneBy, 0).UTC().Format(time.RFC3339))
+		waves, r.Takes, warmup, time.Unix(r.DoneBy, 0).UTC().Format(time.RFC3339))
 }
 
 // trimRequests removes the oldest requests that have ended and have no machine in work, beyond maxEndedRequests.
@@ -110,7 +110,7 @@
 	})
 }
 
-// The actions of Order.
+// The actions that Order accepts.
 const (
 	Pause   = "pause"
 	Resume  = "resume"
@@ -142,8 +142,8 @@
 	return nil
 }
 
-// WorkDone notes that the work on a machine is done, as an operator or the hook says. as is the id under which it comes back;
-// empty for its own.
+// WorkDone records that an operator or the hook reported the work on a machine as done. as is the id under which the machine comes
+// back; empty if unchanged.
 func (s *State) WorkDone(machine, as string) error {
 	r, st := s.openStep(machine)
 	switch {
--- a/internal/maintenance/search.go
+++ b/internal/maintenance/search.go
@@ -6,22 +6,22 @@
 	"slices"
 )
 
-// waveSearch places machines into a number of waves by branch and bound, in the order of its list.
+// waveSearch is a branch-and-bound search that places machines into a given number of waves, in the order of its list.
 type waveSearch struct {
 	fleet    *Fleet
 	limits   Limits
 	machines []*Machine
 
-	capacity    float64   // weight that one wave may have by Limits.Share
-	restWeight  []float64 // of the healthy machines from an index on
-	leastWeight []float64 // the least weight among them
+	capacity    float64   // largest weight of one wave under Limits.Share
+	restWeight  []float64 // total weight of the healthy machines from an index on
+	leastWeight []float64 // smallest weight among them
 
 	waves  []*outSet
-	waveOf []int // by machine
-	nodes  int   // of the search so far, over all numbers of waves
+	waveOf []int // wave of each machine
+	nodes  int   // nodes visited so far, over all numbers of waves
 }
 
-// searchWaves tries all orders of fewer waves than the best, and tells whether the search was complete.
+// searchWaves searches for an order with fewer waves than best, and reports whether the search was complete.
 func (f *Fleet) searchWaves(list []*Machine, l Limits, bound int, best [][]*Machine) (waves [][]*Machine, complete bool) {
 	s := f.newWaveSearch(list, l)
 	for count := bound; count < len(best); count++ {
@@ -50,8 +50,8 @@
 	return s
 }
 
-// searchOrder sorts machines that share shards with many others first, so that dead ends are found early. Machines that are
-// interchangeable stand together.
+// searchOrder sorts machines that share shards with many others first, so that dead ends are found early. Interchangeable machines
+// are adjacent.
 func (f *Fleet) searchOrder(list []*Machine) []*Machine {
 	list = slices.Clone(list)
 	neighbours := map[*Machine]int{}
@@ -68,7 +68,7 @@
 	return list
 }
 
-// find tells whether the machines fit into a number of waves.
+// find reports whether the machines fit into a number of waves.
 func (s *waveSearch) find(count int) bool {
 	s.waves, s.waveOf = make([]*outSet, count), make([]int, len(s.machines))
 	for i := range s.waves {
@@ -77,7 +77,7 @@
 	return s.place(0, 0)
 }
 
-// place places the machines from index i on; used waves have machines already.
+// place places the machines from index i on and reports whether they fit. The first used waves have machines already.
 func (s *waveSearch) place(i, used int) bool {
 	if i == len(s.machines) {
 		return true
@@ -86,10 +86,10 @@
 		return false
 	}
 	m, first := s.machines[i], 0
-	if i > 0 && interchangeable(m, s.machines[i-1]) { // the two in the other order would be the same
+	if i > 0 && interchangeable(m, s.machines[i-1]) { // swapping the two gives an equivalent placement
 		first = s.waveOf[i-1]
 	}
-	for w := first; w < min(used+1, len(s.waves)); w++ { // one empty wave stands for all of them
+	for w := first; w < min(used+1, len(s.waves)); w++ { // empty waves are equivalent, so only one is tried
 		if s.waves[w].violated(m).limit != 0 {
 			continue
 		}
@@ -103,7 +103,7 @@
 	return false
 }
 
-// exceedsCapacity tells whether the machines from index i on weigh more than the waves have left.
+// exceedsCapacity reports whether the machines from index i on weigh more than the waves have left.
 func (s *waveSearch) exceedsCapacity(i int) bool {
 	left := 0.0
 	for _, wave := range s.waves {
@@ -122,7 +122,7 @@
 	return slices.DeleteFunc(found, func(w []*Machine) bool { return len(w) == 0 })
 }
 
-// interchangeable tells whether two machines are the same to every limit.
+// interchangeable reports whether two machines are equivalent under every limit.
 func interchangeable(a, b *Machine) bool {
 	return a.ShardSet == b.ShardSet && a.Weight == b.Weight && a.zoneIndex == b.zoneIndex && a.Healthy == b.Healthy
 }
--- a/internal/maintenance/step.go
+++ b/internal/maintenance/step.go
@@ -10,44 +10,44 @@
 // Duty is the name of the duty whose holder makes the moves.
 const Duty = "maintenance"
 
-// Coordinator is what a coordinator that takes part has written in the store.
+// Coordinator is the record of a participating coordinator in the store.
 type Coordinator struct {
 	Name   string
-	Seen   uint64            // State.Seen of the plan that it had applied while it was present
-	Clear  map[string]uint64 // machines at which none of its attempts is in flight, by the turn of their drain
-	Absent bool              // its presence has probably expired; the store decides when the move is applied
+	Seen   uint64            // State.Seen of the latest plan that it applied while present
+	Clear  map[string]uint64 // machines at which it has no attempt in flight, with the turn of their drain
+	Absent bool              // its presence has probably expired; the store checks that when the move is applied
 }
 
-// View is what the holder of the duty sees.
+// View is the input of Step, as the holder of the duty sees it.
 type View struct {
 	Now          time.Duration // monotonic
-	Wall         time.Time     // for hours and dates only
+	Wall         time.Time     // wall clock, for hours and dates only
 	Fleet        *Fleet
 	Limits       Limits
-	WarmupTime   time.Duration // of a data node after its start
+	WarmupTime   time.Duration // warm-up time of a data node after its start
 	Coordinators []Coordinator
-	Overloaded   bool              // queries were rejected for overload just now: no further machine goes
-	HookDone     map[string]uint64 // machines for which the hook for done was called, by their turn; nil without a hook
+	Overloaded   bool              // queries were recently rejected for overload: no further machine is called
+	HookDone     map[string]uint64 // machines whose done hook has succeeded, with the turn of their drain; nil without a hook
 }
 
-// Timer measures how long the holder of the duty has seen steps in their state, by its own clock. A new holder begins anew, so a
-// machine may be out for longer than its request says, by as long as the holder before had seen it out.
+// Timer measures, on the clock of the duty's holder, how long steps have been in their state. A new holder starts from zero, so a
+// machine may be out for longer than its request allows, by the time that the previous holder had measured.
 type Timer struct {
 	since         map[string]stateSince    // by machine
 	reasonWritten map[uint64]time.Duration // by request
 }
 
-// stateSince is when a step was first seen in a state.
+// stateSince records when a step was first seen in a state.
 type stateSince struct {
 	turn  uint64
 	state StepState
 	at    time.Duration
 }
 
-// reasonInterval is the least time between two writes of the reason why a request does not move.
+// reasonInterval is the minimum time between two writes of the reason why a request makes no progress.
 const reasonInterval = time.Second
 
-// observe notes the state of each step in work.
+// observe records when each step in work was first seen in its state.
 func (t *Timer) observe(now time.Duration, s *State) {
 	seen := map[string]stateSince{}
 	for _, r := range s.Requests {
@@ -73,19 +73,19 @@
 	return now - t.since[machine].at
 }
 
-// stepper makes the moves of one look at the fleet. Its set of machines that are out has those of earlier moves, so that two
-// machines never go on the same free capacity.
+// stepper makes the moves of one Step. Its set of machines that are out includes those of earlier moves, so that two machines never
+// use the same free capacity.
 type stepper struct {
 	state  *State
 	view   *View
 	timer  *Timer
 	out    *outSet
 	moves  []Move
-	called bool // machines were called, or called no longer
+	called bool // a machine was called, or its call was taken back
 }
 
-// Step decides the next moves and makes them in the state. changed tells whether the state is to be written. The moves count only
-// if the store holds the presence of the coordinators in their Lapsed for expired when they are applied.
+// Step decides the next moves and applies them to the state. changed reports whether the state must be written. The store must
+// reject the write unless the presence of each coordinator in the moves' Lapsed has expired by then.
 func (s *State) Step(v *View, t *Timer) (moves []Move, changed bool) {
 	t.observe(v.Now, s)
 	p := &stepper{state: s, view: v, timer: t, out: s.machinesOut(v)}
@@ -105,7 +105,7 @@
 	return p.moves, changed
 }
 
-// machinesOut is the set of machines that count as missing.
+// machinesOut returns the machines that the limits count as out.
 func (s *State) machinesOut(v *View) *outSet {
 	out := v.Fleet.newOutSet(v.Limits)
 	for _, r := range s.Requests {
@@ -118,7 +118,7 @@
 	return out
 }
 
-// move makes a move, if the step permits it.
+// move makes a move if the step permits it.
 func (p *stepper) move(r *Request, m Move) {
 	m.Request = r.ID
 	if p.state.Apply(m) == nil {
@@ -126,7 +126,7 @@
 	}
 }
 
-// writeReasons notes why open requests do not move, each at most once in reasonInterval.
+// writeReasons records why open requests make no progress, for each at most once per reasonInterval.
 func (p *stepper) writeReasons(reasons map[uint64]string) (changed bool) {
 	for _, r := range p.state.Requests {
 		if r.State != Open || r.Why == reasons[r.ID] {
@@ -141,7 +141,7 @@
 	return changed
 }
 
-// advanceReturning makes the move of a machine that is out or comes back.
+// advanceReturning makes the next move of a machine that is out, returning or warm.
 func (p *stepper) advanceReturning(r *Request, st *Step) {
 	id := st.Machine
 	if st.As != "" {
@@ -158,7 +158,7 @@
 		}
 	case Returning:
 		switch {
-		case m != nil && m.Healthy: // so it has warmed up
+		case m != nil && m.Healthy: // Healthy implies that it has warmed up
 			p.move(r, Move{Machine: st.Machine, To: Warm, Why: "it serves and has had its time to warm up"})
 		case inState > r.Back+p.view.WarmupTime:
 			p.move(r, Move{Machine: st.Machine, To: Failed, Why: fmt.Sprintf("it does not serve %v after its return", inState.Round(time.Second))})
@@ -174,8 +174,8 @@
 	}
 }
 
-// restartedAs tells whether a machine that is out is listed as a new process: under its id with a later start, for which as is
-// empty, or at its address under an id that has no step of its own.
+// restartedAs reports whether a machine that is out is listed with a new process: under its own id with a later start (as is empty),
+// or at its address under an id that has no open step.
 func (p *stepper) restartedAs(r *Request, st *Step) (as string, ok bool) {
 	if r.ByHand || st.Started == 0 {
 		return "", false
@@ -197,7 +197,7 @@
 	return "", false
 }
 
-// advanceOutgoing makes the moves of a request's machines towards work, and returns why it does not move.
+// advanceOutgoing calls, drains and hands over machines of a request, and returns why the request makes no progress.
 func (p *stepper) advanceOutgoing(r *Request) (reason string) {
 	halt := haltReason(r, p.view.Wall)
 	reason = p.takeBack(r, halt)
@@ -214,7 +214,7 @@
 	return reason
 }
 
-// haltReason returns why a request may take no machine out now; empty where it may.
+// haltReason returns why no machines may be taken out for a request now; empty if they may.
 func haltReason(r *Request, wall time.Time) string {
 	switch {
 	case r.State != Open:
@@ -227,8 +227,8 @@
 	return ""
 }
 
-// takeBack takes machines back that may not go on, because the request halts or the limits no longer hold: first the ones that were
-// only called, then those that drain, and of these the last in the order. It returns the last reason.
+// takeBack returns machines to waiting that may not proceed because the request is halted or the limits no longer hold: first those
+// that were only called, then draining and then drained ones, each from the end of the planned order. It returns the last reason.
 func (p *stepper) takeBack(r *Request, halt string) (reason string) {
 	for _, state := range []StepState{Waiting, Draining, Drained} {
 		for _, st := range slices.Backward(r.Steps) {
@@ -250,8 +250,8 @@
 	return reason
 }
 
-// recheck returns why a machine that counts as missing may not go on: halt, else the limit that it would break if it went now. Then
-// it counts no longer.
+// recheck returns why a machine that counts as out may not proceed: halt, or else the limit that it would exceed now. In that case
+// the machine no longer counts as out.
 func (p *stepper) recheck(st *Step, halt string) (why string) {
 	m := p.view.Fleet.Machine(st.Machine)
 	if m == nil {
@@ -267,7 +267,8 @@
 	return why
 }
 
-// advanceCalled moves on machines that were called. It returns how many of the request are in work, and whom a machine waits for.
+// advanceCalled makes the moves of machines that were called. It returns how many machines of the request are in work, and which
+// coordinators a machine waits for.
 func (p *stepper) advanceCalled(r *Request) (inWork int, waits string) {
 	for _, st := range r.Steps {
 		if st.missing() && st.State != Failed {
@@ -287,7 +288,7 @@
 				waits = waitsFor
 				continue
 			}
-			// It is handed over at the next look, by what is known then.
+			// The next Step hands it over, if the limits still hold then.
 			p.move(r, Move{Machine: st.Machine, To: Drained, Why: "nothing is out there", Lapsed: lapsed})
 		case st.State == Drained:
 			p.move(r, Move{Machine: st.Machine, To: Out})
@@ -296,7 +297,7 @@
 	return inWork, waits
 }
 
-// callMachines calls the next machines that the limits permit, and returns why the first of the others is not called.
+// callMachines calls the next machines that the limits permit, and returns why the first of the remaining ones is not called.
 func (p *stepper) callMachines(r *Request, inWork int) (blocked string) {
 	for _, st := range r.Steps {
 		if st.State != Waiting || st.Call > 0 {
@@ -320,7 +321,7 @@
 	return blocked
 }
 
-// callBlocked returns why a machine can't be called now; empty where it can. m is nil for one that is not listed.
+// callBlocked returns why a machine cannot be called now; empty if it can. m is nil for a machine that is not listed.
 func (p *stepper) callBlocked(m *Machine) string {
 	switch {
 	case p.view.Overloaded:
@@ -342,8 +343,8 @@
 	return strings.Join(names, ", ")
 }
 
-// waitsForDrain returns the coordinator that a drain waits for; empty for none, with the coordinators whose presence must have
-// expired for the drain to be complete.
+// waitsForDrain returns the coordinator that a drain waits for. If there is none, waits is empty and lapsed lists the coordinators
+// whose presence must have expired for the drain to be complete.
 func waitsForDrain(v *View, st *Step) (waits string, lapsed []string) {
 	for _, c := range v.Coordinators {
 		switch {
