--- a/internal/maintenance/agent/agent.go
+++ b/internal/maintenance/agent/agent.go
@@ -1,7 +1,7 @@
-// Package agent is one coordinator's part in taking machines out for maintenance. It follows the plan in the coordinators' store and
-// tells the coordinator which machines it excludes; it acknowledges calls, and machines at which no attempt is in flight, in its
-// record in the store; and it makes the moves while it holds the duty. internal/maintenance decides, internal/statemachine
-// settles.
+// Package agent is the maintenance agent of one coordinator. It follows the plan in the coordinators' store and tells its coordinator
+// which machines to exclude. It acknowledges calls, and machines at which no attempt is in flight, in its own record in the store.
+// While it holds the duty, it makes the moves. internal/maintenance decides on the moves, and internal/statemachine checks and
+// applies the writes.
 package agent
 
 import (
@@ -20,41 +20,42 @@
 	"gullfall/internal/store"
 )
 
-// The keys in the store.
+// Keys in the store.
 const (
-	planKey   = "work/plan"
-	recordKey = "work/coordinator/" // followed by the coordinator's name
-	triedKey  = "duties/"           // followed by the duty
+	planKey         = "work/plan"
+	recordKeyPrefix = "work/coordinator/" // followed by the coordinator's name
+	tryKeyPrefix    = "duties/"           // followed by the duty
 )
 
-// Options are set before Start.
+// Options are the parameters of Start.
 type Options struct {
 	Store       *store.Store
 	Coordinator *coordinator.Coordinator
-	Name        string // of this coordinator
+	Name        string // name of this coordinator
 	Log         *slog.Logger
 	Layout      maintenance.Layout
 	Limits      maintenance.Limits
-	WarmupTime  time.Duration // of a data node after its start
-	// LongestAttempt is the longest time of an attempt. With too little, a machine is handed over while an attempt is in flight there.
+	WarmupTime  time.Duration // warm-up time of a data node after its start
+	// LongestAttempt is the longest duration of an attempt. If it is too short, a machine may be handed over while an attempt is in
+	// flight there.
 	LongestAttempt time.Duration
-	PresenceBound  time.Duration // for how long machines that are called may be sent to without an answer of the store
-	Duty           time.Duration // length of the lease of a duty
+	PresenceBound  time.Duration // how long called machines may be sent to without an answer from the store
+	Duty           time.Duration // lease length of a duty
 	Drift          float64       // share by which clocks may run fast or slow
-	Every          time.Duration // between looks at the plan while the duty is held
+	Every          time.Duration // interval between moves while the duty is held
 	Duties         []string      // further duties to campaign for
-	Hook           []string      // command that is run with out or done, the machine and its address; empty for none
-	HookFor        time.Duration // longest run of the hook
-	Budget         int           // bytes of plans that the holder of the duty writes in a second
-	// Observations returns what all coordinators report of a data node; nil where they exchange nothing.
+	Hook           []string      // command to run with the arguments out or done, the machine and its address; empty for none
+	HookFor        time.Duration // timeout of the hook
+	Budget         int           // bytes of plans per second that the holder of the duty may write
+	// Observations returns what all coordinators report about a data node; nil if coordinators do not exchange observations.
 	Observations func(node string) observations.View
 }
 
-// Agent is one coordinator's part. Its methods may be called from any goroutine.
+// Agent is the maintenance agent of one coordinator. Its methods are safe for concurrent use.
 type Agent struct {
 	opts        Options
 	start       time.Time
-	planLimiter *rate.Limiter // bytes of plans that are written
+	planLimiter *rate.Limiter // limits the bytes of plans that are written
 	leases      leases
 	hooks       hookRunner
 	stop        context.CancelFunc
@@ -64,20 +65,20 @@
 	mu       sync.Mutex
 	applied  appliedPlan
 	acked    record             // what this coordinator acknowledges
-	renewals map[string]renewal // of presences, by coordinator; while the duty is held
+	renewals map[string]renewal // last observed renewals of presences, by coordinator; kept while the duty is held
 }
 
 // leases are the leases that this coordinator campaigns for.
 type leases struct {
 	presence    *store.Lease
-	maintenance *store.Lease            // of the duty to make moves
-	duties      map[string]*store.Lease // by duty, that one included
+	maintenance *store.Lease            // lease of the duty to make moves
+	duties      map[string]*store.Lease // by duty, maintenance included
 }
 
-// presenceRenewal is the share of a presence's time after which it is renewed.
+// presenceRenewal is the fraction of a presence's lease after which it is renewed.
 const presenceRenewal = 0.2
 
-// Start takes part from now on. EnableMaintenance must have been called on the coordinator.
+// Start starts an agent. EnableMaintenance must have been called on the coordinator.
 func Start(o Options) *Agent {
 	ctx, stop := context.WithCancel(context.Background())
 	a := &Agent{opts: o, start: time.Now(), planLimiter: rate.NewLimiter(rate.Limit(o.Budget), o.Budget), stop: stop,
@@ -93,16 +94,17 @@
 	return a
 }
 
-// newLeases returns the leases, which do not campaign yet.
+// newLeases returns the leases without starting to campaign for them.
 func (a *Agent) newLeases() leases {
 	o := a.opts
 	l := leases{duties: map[string]*store.Lease{}}
-	// The presence ends here by the longest attempt before it ends in the store: until then attempts that were sent have ended.
+	// The presence ends here earlier than in the store, by the longest attempt, so that all attempts sent under it have ended when it
+	// expires in the store.
 	length := time.Duration(float64(o.PresenceBound+o.LongestAttempt)*(1+o.Drift)/(1-o.Drift)) + time.Millisecond
 	l.presence = &store.Lease{Store: o.Store, Duty: o.Name, Presence: true, Who: o.Name, Log: o.Log, Put: a.record,
 		Config: lease.Config{Length: length, Drift: o.Drift, Renew: presenceRenewal},
 		Granted: func(until time.Time) {
-			if _, ok := a.follow(); ok { // the plan that was agreed before the grant goes first
+			if _, ok := a.follow(); ok { // the plan that was committed before the grant is applied first
 				o.Coordinator.ExtendPresence(until.Add(-o.LongestAttempt))
 			}
 		}}
@@ -113,7 +115,7 @@
 	return l
 }
 
-// Leave returns all duties at once, so that other coordinators get them. This coordinator goes on taking part.
+// Leave resigns all duties at once, so that other coordinators can take them over. This coordinator remains a participant.
 func (a *Agent) Leave(ctx context.Context) error {
 	var group errgroup.Group
 	for _, l := range a.leases.duties {
@@ -122,12 +124,12 @@
 	return group.Wait()
 }
 
-// Close ends the part. idle tells that no attempt of this coordinator is in flight and none will be sent: then the presence is
-// returned by ctx's deadline, so that nobody waits for it to expire.
+// Close stops the agent. idle means that no attempt of this coordinator is in flight and none will be sent. Then Close resigns the
+// presence, by ctx's deadline, so that other coordinators need not wait for it to expire.
 func (a *Agent) Close(ctx context.Context, idle bool) { //nolint:revive // a drain that is cut short differs in this one step
 	a.opts.Coordinator.ExtendPresence(time.Time{})
 	if idle {
-		_ = a.leases.presence.Resign(ctx) // else it expires
+		_ = a.leases.presence.Resign(ctx) // on failure it expires
 	}
 	a.stop()
 	a.wg.Wait()
--- a/internal/maintenance/agent/duties.go
+++ b/internal/maintenance/agent/duties.go
@@ -19,7 +19,7 @@
 	return l, nil
 }
 
-// HandOver returns a duty that this coordinator holds, and does not campaign for it for the length of one lease.
+// HandOver resigns a duty that this coordinator holds, and does not campaign for it for the length of one lease.
 func (a *Agent) HandOver(ctx context.Context, duty string) error {
 	l, err := a.lease(duty)
 	if err != nil {
@@ -34,16 +34,16 @@
 // DutyAttempt is the result of TryDuty.
 type DutyAttempt struct {
 	Duty, Who string
-	Holds     bool  // by this coordinator's own clock
-	At        int64 // when that was so, Unix nanoseconds
+	Holds     bool  // whether it holds the duty, by its own clock
+	At        int64 // time at which Holds was determined, Unix nanoseconds
 	Token     uint64
 	Accepted  bool   // the store accepted a write under the token
-	Index     uint64 // of the write in the store's log
-	Why       string `json:",omitempty"` // it was not accepted
+	Index     uint64 // index of the write in the store's log
+	Why       string `json:",omitempty"` // why the write was not accepted
 }
 
-// TryDuty tells whether this coordinator holds a duty, and writes to the store under its token, as the holder of a duty does. The
-// store rejects an old token.
+// TryDuty reports whether this coordinator holds a duty. If it does, TryDuty writes to the store under the duty's token, as holders
+// do; the store rejects an outdated token.
 func (a *Agent) TryDuty(ctx context.Context, duty string) (t DutyAttempt, err error) {
 	l, err := a.lease(duty)
 	if err != nil {
@@ -55,7 +55,7 @@
 	if t.At = at.UnixNano(); !t.Holds {
 		return t, nil
 	}
-	r, err := a.opts.Store.Do(ctx, statemachine.Command{If: []statemachine.Condition{{Duty: duty, Token: t.Token}}, Put: []statemachine.Pair{{Key: triedKey + duty, Value: []byte(a.opts.Name)}}})
+	r, err := a.opts.Store.Do(ctx, statemachine.Command{If: []statemachine.Condition{{Duty: duty, Token: t.Token}}, Put: []statemachine.Pair{{Key: tryKeyPrefix + duty, Value: []byte(a.opts.Name)}}})
 	if err != nil {
 		return t, err
 	}
--- a/internal/maintenance/agent/fleet.go
+++ b/internal/maintenance/agent/fleet.go
@@ -6,7 +6,7 @@
 	"gullfall/internal/observations"
 )
 
-// fleet is the fleet as this coordinator sees it.
+// fleet returns the fleet as this coordinator sees it.
 func (a *Agent) fleet() (*maintenance.Fleet, error) {
 	var list []maintenance.Machine
 	for _, n := range a.opts.Coordinator.DataNodes() {
@@ -25,8 +25,8 @@
 	return maintenance.NewFleet(a.opts.Layout, list)
 }
 
-// withObservations adds to a machine what other coordinators report. One that is suspect or warms up to another is not healthy; its
-// utilization counts where none is known here.
+// withObservations adds the reports of other coordinators to a machine. A machine that another coordinator sees as suspect or warming
+// up is not healthy. A reported utilization is used only if none is known here.
 func withObservations(m maintenance.Machine, v observations.View) maintenance.Machine {
 	if m.Healthy = m.Healthy && !v.Suspect && v.WarmupLeft == 0; m.Util == 0 && v.Utilization > 0 {
 		m.Util = v.Utilization
--- a/internal/maintenance/agent/follow.go
+++ b/internal/maintenance/agent/follow.go
@@ -10,32 +10,32 @@
 )
 
 const (
-	// followInterval is how often the agent looks for attempts that ended, which the store does not tell.
+	// followInterval is how often the agent checks for attempts that have ended, of which the store does not notify it.
 	followInterval = 20 * time.Millisecond
-	// recordTimeout is how long one write of the record may take.
+	// recordTimeout bounds one write of the record.
 	recordTimeout = time.Second
 )
 
-// record is what a coordinator acknowledges in the store.
+// record holds the acknowledgements of a coordinator, as stored.
 type record struct {
-	Seen  uint64            // the last call that it had applied while it was present
-	Clear map[string]uint64 `json:",omitempty"` // machines at which none of its attempts is in flight, by the turn of their drain
+	Seen  uint64            // latest call that it applied while present
+	Clear map[string]uint64 `json:",omitempty"` // machines at which it has no attempt in flight, with the turn of their drain
 }
 
-// appliedPlan is the plan that the coordinator goes by.
+// appliedPlan describes the plan that the coordinator has applied.
 type appliedPlan struct {
 	known    bool
 	revision uint64
-	seen     uint64            // its last call
-	turns    map[string]uint64 // of its excluded machines
-	logged   uint64            // the last move that was logged
+	seen     uint64            // latest call of the plan
+	turns    map[string]uint64 // drain turns of the plan's excluded machines
+	logged   uint64            // number of the last move that was logged
 }
 
-// restore starts from the plan that this coordinator had applied before its restart, if its record is on the disk too: each
-// request that went on without an acknowledgement of ours since then was in that plan. Without it nothing is known, and nothing is
-// sent before the store answers.
+// restore starts from the plan that this coordinator had applied before its restart, if its record is on disk too. Any request that
+// has progressed since then without an acknowledgement from this coordinator was already in that plan. Without the plan nothing is
+// known, and nothing is sent before the store answers.
 func (a *Agent) restore() {
-	raw := a.opts.Store.Get(recordKey + a.opts.Name)
+	raw := a.opts.Store.Get(recordKeyPrefix + a.opts.Name)
 	if !a.opts.Store.Persistent() || len(raw) == 0 {
 		return
 	}
@@ -54,7 +54,7 @@
 	a.opts.Coordinator.SetMaintenance(exclusions(plan))
 }
 
-// watch follows the plan, and writes the record when it has changed, until ctx ends.
+// watch follows the plan and writes the record when it is outdated, until ctx ends.
 func (a *Agent) watch(ctx context.Context) {
 	for ctx.Err() == nil {
 		changed := a.opts.Store.Changed()
@@ -71,8 +71,8 @@
 	}
 }
 
-// follow applies the plan of the store and updates what is acknowledged. It tells whether the record in the store is outdated; ok is
-// false where the plan is not known yet.
+// follow applies the stored plan and updates what is acknowledged. It reports whether the record in the store is outdated; ok is
+// false if the plan is not known yet.
 func (a *Agent) follow() (outdated, ok bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -81,18 +81,18 @@
 	}
 	a.acknowledge()
 	var stored record
-	if raw := a.opts.Store.Get(recordKey + a.opts.Name); len(raw) == 0 || json.Unmarshal(raw, &stored) != nil {
+	if raw := a.opts.Store.Get(recordKeyPrefix + a.opts.Name); len(raw) == 0 || json.Unmarshal(raw, &stored) != nil {
 		return true, true
 	}
 	return stored.Seen != a.acked.Seen || !maps.Equal(stored.Clear, a.acked.Clear), true
 }
 
-// acknowledge notes the machines at which no attempt is in flight, and the calls that were seen. The caller holds the lock.
+// acknowledge updates the machines at which no attempt is in flight, and the calls that were seen. The caller holds a.mu.
 //
-// A call is acknowledged only while present. Without presence an attempt may be in flight at a machine that was not called when it
-// was sent; with it, such attempts end before the presence expires in the store, so a machine is not handed over under them. Nor
-// is it acknowledged while the disk may hold an older plan: a restart would go by that, and send without presence to machines that
-// were called since.
+// A call is acknowledged only while present. Without presence, an attempt may be in flight at a machine that had not been called when
+// it was sent; with presence, such attempts end before the presence expires in the store, so the machine is not handed over while they
+// run. A call is also not acknowledged while the disk may hold an older plan: after a restart this coordinator would use that plan, and
+// send without presence to machines that were called since.
 func (a *Agent) acknowledge() {
 	idle := map[string]uint64{}
 	for id, turn := range a.applied.turns {
@@ -106,7 +106,7 @@
 	}
 }
 
-// applyPlan applies the plan of the store, where that has changed, and tells whether a plan is known. The caller holds the lock.
+// applyPlan applies the stored plan if it has changed, and reports whether a plan is known. The caller holds a.mu.
 func (a *Agent) applyPlan() bool {
 	e, ok := a.planEntry()
 	if !ok {
@@ -121,7 +121,7 @@
 		return false
 	}
 	if plan.Seen() < a.applied.seen {
-		return false // this member has not caught up yet with what it had applied before its restart
+		return false // this store member has not caught up with the plan that it had applied before its restart
 	}
 	for _, m := range plan.Recent {
 		if m.N > a.applied.logged {
@@ -138,15 +138,16 @@
 func (a *Agent) record() []statemachine.Pair {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	data, _ := json.Marshal(a.acked) // a struct of numbers
-	return []statemachine.Pair{{Key: recordKey + a.opts.Name, Value: data}}
+	data, _ := json.Marshal(a.acked) // encoding numbers can't fail
+	return []statemachine.Pair{{Key: recordKeyPrefix + a.opts.Name, Value: data}}
 }
 
-// writeRecord writes the record. It does so too after an operator had this coordinator forgotten, since it takes part.
+// writeRecord writes the record. That also restores the record after an operator has removed it with Forget, since this coordinator
+// still participates.
 func (a *Agent) writeRecord(ctx context.Context) {
 	ctx, cancel := context.WithDeadline(ctx, time.Now().Add(recordTimeout))
 	defer cancel()
 	if r, err := a.opts.Store.Do(ctx, statemachine.Command{Put: a.record()}); err == nil {
-		_ = a.opts.Store.Wait(ctx, r.Index) // watch goes on either way
+		_ = a.opts.Store.Wait(ctx, r.Index) // watch writes again if the record is still outdated
 	}
 }
--- a/internal/maintenance/agent/formats_test.go
+++ b/internal/maintenance/agent/formats_test.go
@@ -7,8 +7,8 @@
 	"gullfall/internal/maintenance"
 )
 
-// TestStoredForms shows that the plan and a coordinator's record keep the keys under which the store has them.
-func TestStoredForms(t *testing.T) {
+// TestStoredKeysUnchanged checks that the JSON keys of the stored plan and of a coordinator's record do not change.
+func TestStoredKeysUnchanged(t *testing.T) {
 	golden.JSON(t, "forms.json", map[string]any{
 		"plan":   golden.Filled[maintenance.State](),
 		"record": golden.Filled[record](),
--- a/internal/maintenance/agent/hooks.go
+++ b/internal/maintenance/agent/hooks.go
@@ -12,21 +12,21 @@
 )
 
 const (
-	hookRetryInterval  = 10 * time.Second // between two runs of a hook that failed
+	hookRetryInterval  = 10 * time.Second // pause before a failed hook runs again
 	maxConcurrentHooks = 8
-	maxHookOutput      = 200 // bytes of a failed hook's output that are logged
+	maxHookOutput      = 200 // bytes of a failed hook's output that are logged at most
 )
 
-// hookEvent is what a hook is told about a machine. The words are the hook's first argument.
+// hookEvent is the event that a hook is run for. It is the first argument after those of the configured command.
 type hookEvent string
 
 const (
 	hookOut  hookEvent = "out"  // the machine was handed over
-	hookDone hookEvent = "done" // it is back and has warmed up
+	hookDone hookEvent = "done" // the machine is back and has warmed up
 )
 
-// hookRunner runs the operators' hook: an argument vector, without a shell, at most once at a time for a machine. It runs at least once
-// for each event; a new holder of the duty runs it again.
+// hookRunner runs the operators' hook, an argument vector without a shell. It runs one hook at a time for each machine. The hook runs
+// at least once for each event; a new holder of the duty runs it again.
 type hookRunner struct {
 	command []string // empty for no hook
 	timeout time.Duration
@@ -35,7 +35,7 @@
 
 	// mu guards the fields below.
 	mu        sync.Mutex
-	succeeded map[hookEvent]map[string]uint64 // by machine, the turn of its drain
+	succeeded map[hookEvent]map[string]uint64 // turn of the drain, by event and machine
 	running   map[string]bool                 // by machine
 	retryAt   map[string]time.Time            // by machine
 }
@@ -45,7 +45,7 @@
 		succeeded: map[hookEvent]map[string]uint64{hookOut: {}, hookDone: {}}}
 }
 
-// reset forgets the hooks that succeeded.
+// reset clears the record of hooks that succeeded.
 func (h *hookRunner) reset() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -54,7 +54,7 @@
 	}
 }
 
-// doneTurns returns the turns of the machines whose hook for done has succeeded; nil without a hook.
+// doneTurns returns the machines whose hookDone has succeeded, with the turn of their drain; nil without a hook.
 func (h *hookRunner) doneTurns() map[string]uint64 {
 	if len(h.command) == 0 {
 		return nil
@@ -64,7 +64,7 @@
 	return maps.Clone(h.succeeded[hookDone])
 }
 
-// run starts the hooks that are due by a plan.
+// run starts the hooks that are due according to a plan.
 func (h *hookRunner) run(ctx context.Context, plan *maintenance.State) {
 	if len(h.command) == 0 {
 		return
@@ -81,7 +81,7 @@
 	}
 }
 
-// start runs the hook for an event of a machine, unless it has succeeded, runs, or waits for its retry.
+// start runs the hook for an event of a machine, unless it has succeeded, is running, or waits for its retry.
 func (h *hookRunner) start(ctx context.Context, event hookEvent, st *maintenance.Step) {
 	machine, addr, turn := st.Machine, st.Addr, st.Turn
 	h.mu.Lock()
--- a/internal/maintenance/agent/moves.go
+++ b/internal/maintenance/agent/moves.go
@@ -11,15 +11,15 @@
 )
 
 const (
-	syncTimeout = time.Second     // of the first look at the store as the holder of the duty
-	moveTimeout = 2 * time.Second // of one write of moves
+	syncTimeout = time.Second     // for the first read of the store as the holder of the duty
+	moveTimeout = 2 * time.Second // for one write of moves
 )
 
 // runMoves makes moves while the duty is held, until ctx ends.
 func (a *Agent) runMoves(ctx context.Context) {
 	ticker := time.NewTicker(a.opts.Every)
 	defer ticker.Stop()
-	var timer *maintenance.Timer // nil while the duty is not held, or not all is known that an earlier holder settled
+	var timer *maintenance.Timer // nil while the duty is not held, or this member has not applied all that earlier holders committed
 	for {
 		select {
 		case <-ctx.Done():
@@ -28,7 +28,7 @@
 		}
 		if _, ok := a.leases.maintenance.MayAct(); !ok {
 			timer = nil
-			a.forgetTenure()
+			a.resetHolderState()
 			continue
 		}
 		if timer == nil {
@@ -43,28 +43,28 @@
 	}
 }
 
-// forgetTenure drops what was learned as the holder of the duty.
-func (a *Agent) forgetTenure() {
+// resetHolderState drops the state that is kept only while the duty is held.
+func (a *Agent) resetHolderState() {
 	a.hooks.reset()
 	a.mu.Lock()
 	clear(a.renewals)
 	a.mu.Unlock()
 }
 
-// syncStore waits until this member has applied what an earlier holder of the duty settled.
+// syncStore waits until this store member has applied everything that earlier holders of the duty committed.
 func (a *Agent) syncStore(ctx context.Context) error {
 	ctx, cancel := context.WithDeadline(ctx, time.Now().Add(syncTimeout))
 	defer cancel()
 	return a.opts.Store.Sync(ctx)
 }
 
-// makeMoves looks at the fleet once and makes the moves that are due, in one command.
+// makeMoves reads the state of the fleet once and makes the moves that are due, in one store command.
 func (a *Agent) makeMoves(ctx context.Context, timer *maintenance.Timer) error {
 	plan, revision, err := a.plan()
 	if err != nil || len(plan.Requests) == 0 {
 		return err
 	}
-	// The plan is applied before the fleet is looked at: a machine that returns counts as warming up from then on.
+	// The plan is applied before the fleet is read, since only that makes a returning machine count as warming up.
 	if _, ok := a.follow(); !ok {
 		return nil
 	}
@@ -73,7 +73,7 @@
 		return err
 	}
 	a.hooks.run(ctx, plan)
-	if a.planLimiter.TokensAt(time.Now()) < 0 { // the last plan was larger than the limit
+	if a.planLimiter.TokensAt(time.Now()) < 0 { // the last plan exceeded the limit
 		return nil
 	}
 	moves, changed := plan.Step(view, timer)
@@ -83,7 +83,7 @@
 	return a.writeMoves(ctx, plan, revision, moves)
 }
 
-// view is what the decision about the next moves needs.
+// view returns the input for deciding the next moves.
 func (a *Agent) view() (*maintenance.View, error) {
 	fleet, err := a.fleet()
 	if err != nil {
@@ -93,8 +93,8 @@
 		Coordinators: a.coordinators(), Overloaded: a.opts.Coordinator.Overloaded(), HookDone: a.hooks.doneTurns()}, nil
 }
 
-// writeMoves writes the plan with its moves. The store applies it only if the plan is at the revision that the moves were decided by,
-// this coordinator holds the duty under its token, and the presences that the moves need expired have expired.
+// writeMoves writes the plan with its moves. The store applies the write only if the plan still has the revision that the moves are
+// based on, this coordinator holds the duty under its token, and the presences in the moves' Lapsed have expired.
 func (a *Agent) writeMoves(ctx context.Context, plan *maintenance.State, revision uint64, moves []maintenance.Move) error {
 	data, err := json.Marshal(plan)
 	if err != nil {
@@ -122,7 +122,7 @@
 		err = a.opts.Store.Wait(ctx, r.Index)
 	}
 	if err != nil {
-		return fmt.Errorf("%d moves: %w", len(moves), err)
+		return fmt.Errorf("write %d moves: %w", len(moves), err)
 	}
 	if r.Failed != "" {
 		a.opts.Log.Info("moves not applied; retrying", "moves", len(moves), "cause", r.Why)
@@ -130,7 +130,7 @@
 	return nil
 }
 
-// reserve takes bytes from the limiter of plans, in portions of its burst.
+// reserve takes bytes from planLimiter, in portions of at most its burst.
 func (a *Agent) reserve(bytes int) {
 	for left, now := bytes, time.Now(); left > 0; left -= a.opts.Budget {
 		a.planLimiter.ReserveN(now, min(left, a.opts.Budget))
--- a/internal/maintenance/agent/operators.go
+++ b/internal/maintenance/agent/operators.go
@@ -10,12 +10,12 @@
 	"gullfall/internal/statemachine"
 )
 
-// Request is a request as an operator gives it. Its JSON keys are those of the admin command.
+// Request is an operator's request for maintenance. Its JSON keys are those of the admin command.
 type Request struct {
 	By            string
 	Machines      []string
-	Zone          string // all machines of it
-	StartedBefore int64  // Unix milliseconds: all machines whose process is older, as those of an older release
+	Zone          string // all machines of this zone
+	StartedBefore int64  // Unix milliseconds: all machines whose process started earlier, such as those of an older release
 	All           bool
 	Takes, Back   time.Duration
 	NotBefore     int64
@@ -28,9 +28,9 @@
 
 // Planned is the answer to a Request.
 type Planned struct {
-	Request uint64 // 0 for a dry run
+	Request uint64 // id of the request; 0 for a dry run
 	Plan    maintenance.Plan
-	Ends    int64 // Unix seconds, wave by wave: the latest estimate
+	Ends    int64 // Unix seconds: estimated end when executed wave by wave, which is the latest
 	Step    time.Duration
 }
 
@@ -45,7 +45,7 @@
 		return p, fmt.Errorf("no machine is named, and none is listed in zone %q or was started before %d", req.Zone, req.StartedBefore)
 	}
 	add := func(plan *maintenance.State) error {
-		r, order, err := plan.Start(time.Now(), req.planned(), machines, fleet, a.opts.Limits, a.opts.WarmupTime)
+		r, order, err := plan.Start(time.Now(), req.forPlan(), machines, fleet, a.opts.Limits, a.opts.WarmupTime)
 		p.Plan, p.Step = order, req.Takes+a.opts.WarmupTime
 		if err != nil {
 			return err
@@ -67,7 +67,7 @@
 	return p, add(plan)
 }
 
-// machines lists the machines that a request names or selects, by id.
+// machines returns the sorted ids of the machines that a request names or selects.
 func (r Request) machines(fleet *maintenance.Fleet) []string {
 	ids := slices.Clone(r.Machines)
 	for i := range fleet.Machines {
@@ -81,8 +81,8 @@
 	return ids
 }
 
-// planned is the request as the plan has it.
-func (r Request) planned() maintenance.Request {
+// forPlan converts the request to the form that the plan stores.
+func (r Request) forPlan() maintenance.Request {
 	return maintenance.Request{By: r.By, Takes: r.Takes, Back: r.Back, NotBefore: r.NotBefore, DoneBy: r.DoneBy, AtOnce: r.AtOnce, Barred: r.Barred,
 		GoOn: r.GoOn, ByHand: r.ByHand}
 }
@@ -98,7 +98,7 @@
 	})
 }
 
-// Done notes that the work on a machine is done. as is the id under which it comes back; empty for its own.
+// Done records that the work on a machine is done. as is the id under which the machine comes back; empty if unchanged.
 func (a *Agent) Done(ctx context.Context, by, machine, as string) error {
 	return a.updatePlan(ctx, func(plan *maintenance.State) error {
 		if err := plan.WorkDone(machine, as); err != nil {
@@ -109,16 +109,16 @@
 	})
 }
 
-// Forget removes the record of a coordinator that is gone for good, so that no machine waits for it. It returns an error for one
-// that is present.
+// Forget removes the record of a coordinator that is permanently gone, so that no machine waits for it. It returns an error if the
+// coordinator is present.
 func (a *Agent) Forget(ctx context.Context, by, name string) error {
 	known := false
-	a.opts.Store.View(func(st *statemachine.State) { _, known = st.Get(recordKey + name) })
+	a.opts.Store.View(func(st *statemachine.State) { _, known = st.Get(recordKeyPrefix + name) })
 	if !known {
 		return fmt.Errorf("no coordinator %q takes part", name)
 	}
 	r, err := a.opts.Store.Do(ctx, statemachine.Command{Lease: &statemachine.LeaseOp{Kind: statemachine.Forget, Presence: true, Duty: name, Who: a.opts.Name},
-		Put: []statemachine.Pair{{Key: recordKey + name}}})
+		Put: []statemachine.Pair{{Key: recordKeyPrefix + name}}})
 	if err != nil {
 		return err
 	}
--- a/internal/maintenance/agent/plan.go
+++ b/internal/maintenance/agent/plan.go
@@ -11,7 +11,7 @@
 	"gullfall/internal/statemachine"
 )
 
-// errStoreEmpty tells that this member of the store has applied nothing yet.
+// errStoreEmpty is returned while this store member has not applied anything.
 var errStoreEmpty = errors.New("the store has not been heard yet")
 
 func decodePlan(raw []byte) (*maintenance.State, error) {
@@ -25,13 +25,13 @@
 	return plan, nil
 }
 
-// exclusions is what the coordinator needs of a plan.
+// exclusions converts a plan to the form that the coordinator uses.
 func exclusions(plan *maintenance.State) coordinator.Maintenance {
 	o := plan.Overlay()
 	return coordinator.Maintenance{Excluded: o.Excluded, ExcludedAddrs: o.Addrs, Announced: o.Announced, Returned: o.Returned}
 }
 
-// planEntry returns the stored plan as this member has applied it; ok is false before it has applied anything.
+// planEntry returns the stored plan as this store member has applied it; ok is false while it has not applied anything.
 func (a *Agent) planEntry() (e statemachine.Entry, ok bool) {
 	a.opts.Store.View(func(st *statemachine.State) {
 		e, _ = st.Get(planKey)
@@ -40,7 +40,7 @@
 	return e, ok
 }
 
-// plan returns the plan as this member has applied it, and its revision.
+// plan returns the plan as this store member has applied it, and its revision.
 func (a *Agent) plan() (plan *maintenance.State, revision uint64, err error) {
 	e, ok := a.planEntry()
 	if !ok {
@@ -50,7 +50,7 @@
 	return plan, e.Revision, err
 }
 
-// updatePlan changes the plan by compare-and-set, until no other coordinator has changed it meanwhile.
+// updatePlan changes the plan by compare-and-set, and retries if another coordinator has changed it concurrently.
 func (a *Agent) updatePlan(ctx context.Context, change func(*maintenance.State) error) error {
 	for {
 		if err := a.opts.Store.Sync(ctx); err != nil {
--- a/internal/maintenance/agent/presence.go
+++ b/internal/maintenance/agent/presence.go
@@ -12,13 +12,13 @@
 	"gullfall/internal/statemachine"
 )
 
-// renewal is when a presence was last seen to change, by our own clock.
+// renewal is a presence, and when it was last seen to change by this coordinator's clock.
 type renewal struct {
 	presence lease.Record
 	at       time.Time
 }
 
-// coordinators lists all that ever took part and were not forgotten, by name.
+// coordinators returns all coordinators that ever participated and were not forgotten, sorted by name.
 func (a *Agent) coordinators() []maintenance.Coordinator {
 	list, presences := a.storedRecords()
 	a.mu.Lock()
@@ -29,7 +29,7 @@
 		if last, ok := a.renewals[name]; !ok || last.presence != presence {
 			a.renewals[name] = renewal{presence, time.Now()}
 		}
-		// An estimate, which tells when it is worth asking the store; that decides by the leader's clock.
+		// This estimate only tells when a write is worth trying; the store decides by the leader's clock.
 		list[i].Absent = presence.Holder == "" || time.Since(a.renewals[name].at) > presence.Length+presence.Length/20
 	}
 	maps.DeleteFunc(a.renewals, func(name string, _ renewal) bool {
@@ -38,12 +38,12 @@
 	return list
 }
 
-// storedRecords returns the records of all coordinators, by name, and their presences.
+// storedRecords returns the records of all coordinators, sorted by name, and their presences.
 func (a *Agent) storedRecords() (list []maintenance.Coordinator, presences map[string]lease.Record) {
 	presences = map[string]lease.Record{}
 	a.opts.Store.View(func(st *statemachine.State) {
 		for key, e := range st.Values() {
-			name, ok := strings.CutPrefix(key, recordKey)
+			name, ok := strings.CutPrefix(key, recordKeyPrefix)
 			var r record
 			if ok && json.Unmarshal(e.Value, &r) == nil {
 				list = append(list, maintenance.Coordinator{Name: name, Seen: r.Seen, Clear: r.Clear})
--- a/internal/maintenance/agent/view.go
+++ b/internal/maintenance/agent/view.go
@@ -9,7 +9,7 @@
 	"gullfall/internal/store"
 )
 
-// View is what operators are shown. Its JSON keys are those of the admin command.
+// View is the state of maintenance as shown to operators. Its JSON keys are those of the admin command.
 type View struct {
 	Self         string
 	Plan         *maintenance.State
@@ -18,7 +18,7 @@
 	Store        store.Status
 }
 
-// CoordinatorView is a coordinator that takes part.
+// CoordinatorView is a participating coordinator.
 type CoordinatorView struct {
 	Name    string
 	Seen    uint64
@@ -26,14 +26,14 @@
 	Present bool // as far as this coordinator knows
 }
 
-// DutyView is a duty and who holds it.
+// DutyView is a duty and its holder.
 type DutyView struct {
 	lease.Grant
-	LeaseS float64
+	LeaseS float64 // lease length in seconds
 }
 
-// View returns the state of the maintenance as this coordinator has applied it. With fresh it first waits for all that was settled
-// before the call.
+// View returns the state of maintenance as this coordinator has applied it. If fresh is set, it first waits for everything that was
+// committed before the call.
 func (a *Agent) View(ctx context.Context, fresh bool) (v View, err error) { //nolint:revive // the flag of the admin command, whose two answers differ in this one step
 	if fresh {
 		if err := a.opts.Store.Sync(ctx); err != nil {
