--- a/internal/gossip/actions.go
+++ b/internal/gossip/actions.go
@@ -9,33 +9,33 @@
 	"gullfall/internal/swim"
 )
 
-// At most so many lines of changes are logged: in a second, and at once.
+// Rate limit of the lines that log changes.
 const (
 	changeLinesPerSecond = 10
 	changeLinesBurst     = 40
 )
 
-// changeLog logs changes, limited in rate.
+// changeLog logs changes at a limited rate.
 type changeLog struct {
 	log       *slog.Logger
 	limit     *rate.Limiter
-	skipped   int    // changes since the last line
-	rejection string // why the others reject this process, as last logged
+	skipped   int    // changes not logged since the last line
+	rejection string // last logged reason why the other coordinators reject this process
 }
 
 func newChangeLog(log *slog.Logger) changeLog {
 	return changeLog{log: log, limit: rate.NewLimiter(changeLinesPerSecond, changeLinesBurst)}
 }
 
-// perform carries out what was decided; reply gets the answer to an exchange that another has begun.
+// perform carries out the actions of a step; reply receives the answer to an exchange that a peer began.
 func (g *Gossip) perform(actions []swim.Action, reply chan *swim.FullState) {
 	membersChanged := false
 	for _, a := range actions {
 		switch {
 		case a.Packet != nil:
-			g.sendPlain(a.To, AppendMessage(nil, a.Packet))
+			g.sealAndSend(a.To, AppendMessage(nil, a.Packet))
 		case a.Full != nil && a.Full.Reply:
-			answer(reply, a.Full)
+			deliverReply(reply, a.Full)
 		case a.Full != nil:
 			g.exchangeWith(a.To, a.Full)
 		case a.Change != nil:
@@ -52,8 +52,8 @@
 	}
 }
 
-// answer hands over a full state where somebody waits for it.
-func answer(reply chan *swim.FullState, f *swim.FullState) {
+// deliverReply delivers a full state to reply, if a peer waits for it.
+func deliverReply(reply chan *swim.FullState, f *swim.FullState) {
 	if reply == nil {
 		return
 	}
@@ -63,7 +63,7 @@
 	}
 }
 
-// logRejection logs a change of why the others reject this process; empty where they don't.
+// logRejection logs a change of the reason why the other coordinators reject this process; it is empty if they do not.
 func (l *changeLog) logRejection(reason string) {
 	if reason == l.rejection {
 		return
@@ -97,7 +97,7 @@
 	l.log.Log(ctx, line.level, line.msg, line.fields...)
 }
 
-// changeLine is one line of the log.
+// changeLine is one log line.
 type changeLine struct {
 	level  slog.Level
 	msg    string
--- a/internal/gossip/codec.go
+++ b/internal/gossip/codec.go
@@ -11,7 +11,7 @@
 // Version is the first byte of every packet and exchange.
 const Version = 1
 
-// The kinds of messages beside those of swim.
+// Message kinds in addition to those of swim.
 const (
 	kindFacts = 0x40
 	kindFull  = 0x80
@@ -22,15 +22,15 @@
 	maxListLength = 20_000 // entries of one list in an exchange
 )
 
-// The least bytes that an entry of a list takes.
+// Minimum encoded sizes of list entries.
 const (
 	minUpdateBytes = 13
 	minLinkBytes   = 5
 	minFactBytes   = 10
 )
 
-// errMalformed marks bytes that are no message.
-var errMalformed = errors.New("not a message of this version")
+// errMalformed is returned for bytes that are not a valid message.
+var errMalformed = errors.New("malformed message")
 
 func appendText(b []byte, s string) []byte {
 	if len(s) > maxTextBytes {
@@ -90,7 +90,7 @@
 	return b
 }
 
-// decoder reads an encoding; after the first fault it yields zeros.
+// decoder reads an encoded message. After the first error it returns zero values.
 type decoder struct {
 	rest   []byte
 	failed bool
@@ -125,8 +125,8 @@
 
 func (d *decoder) text() string { return string(d.readBytes(int(d.readByte()))) }
 
-// count reads a list's length. Each entry takes at least minBytes, so that a length that the rest can't hold is a fault
-// before anything is allocated for it.
+// count reads the length of a list whose entries take at least minBytes each. A length that the remaining bytes can't hold is
+// rejected before anything is allocated for it.
 func (d *decoder) count(minBytes int) int {
 	n := d.uvarint()
 	if n > maxListLength || n > uint64(len(d.rest)/minBytes) {
@@ -170,7 +170,8 @@
 	return list
 }
 
-// Decode reads an opened packet or exchange: one of the two is set. The error wraps errMalformed.
+// Decode decodes an opened packet or exchange, and returns the message or the full state that it holds. The error wraps
+// errMalformed.
 func Decode(b []byte) (*swim.Message, *swim.FullState, error) {
 	d := &decoder{rest: b}
 	kind := d.readByte()
--- a/internal/gossip/exchange.go
+++ b/internal/gossip/exchange.go
@@ -13,29 +13,29 @@
 )
 
 const (
-	minExchangeTime = time.Second           // for an exchange begun here
-	exchangeTimeout = 2 * time.Second       // for one that another has begun
-	acceptBackoff   = 10 * time.Millisecond // after a failed accept, most often for want of descriptors
-	frameHeadBytes  = 4                     // the length before an exchange
+	minOutgoingTimeout = time.Second           // minimum timeout of an exchange begun here
+	incomingTimeout    = 2 * time.Second       // timeout of an exchange that a peer began
+	acceptBackoff      = 10 * time.Millisecond // after a failed accept, usually for lack of file descriptors
+	frameHeaderBytes   = 4                     // length prefix of an exchange
 )
 
-// exchangeSlots bound the exchanges that are open: a send takes a slot, a receive gives it back.
+// exchangeSlots bounds the open exchanges: sending to a channel takes a slot, receiving from it releases the slot.
 type exchangeSlots struct {
-	begun  chan struct{}
-	served chan struct{}
+	outgoing chan struct{}
+	incoming chan struct{}
 }
 
-// exchangeWith exchanges the full state with another member. Where as many are open as may be, or it can't be reached, the
-// next exchange makes up for it.
+// exchangeWith exchanges the full state with another member. It gives up if too many exchanges are open or the member can't be
+// reached; a later exchange makes up for it.
 func (g *Gossip) exchangeWith(to string, f *swim.FullState) {
 	select {
-	case g.slots.begun <- struct{}{}:
+	case g.slots.outgoing <- struct{}{}:
 	default:
 		return
 	}
-	deadline := time.Now().Add(max(4*g.swim.ProbeTimeout(), minExchangeTime))
+	deadline := time.Now().Add(max(4*g.swim.ProbeTimeout(), minOutgoingTimeout))
 	g.wg.Go(func() {
-		defer func() { <-g.slots.begun }()
+		defer func() { <-g.slots.outgoing }()
 		ctx, cancel := context.WithDeadline(g.ctx, deadline)
 		defer cancel()
 		var d net.Dialer
@@ -43,19 +43,19 @@
 		if err != nil {
 			return
 		}
-		defer closeWith(ctx, conn, deadline)()
+		defer closeOnDone(ctx, conn, deadline)()
 		if g.writeFull(conn, f) != nil {
 			return
 		}
 		if answer := g.readFull(conn); answer != nil {
-			g.put(input{event: swim.Event{Full: answer}})
+			g.enqueue(input{event: swim.Event{Full: answer}})
 		}
 	})
 }
 
-// closeWith sets a connection's deadline and has it closed with the context. The function that it returns closes it.
-func closeWith(ctx context.Context, conn net.Conn, deadline time.Time) func() {
-	_ = conn.SetDeadline(deadline) // fails only on one that is closed
+// closeOnDone sets a connection's deadline and closes the connection when ctx ends. The returned function closes it earlier.
+func closeOnDone(ctx context.Context, conn net.Conn, deadline time.Time) func() {
+	_ = conn.SetDeadline(deadline) // fails only on a closed connection
 	stop := context.AfterFunc(ctx, func() { _ = conn.Close() })
 	return func() {
 		stop()
@@ -63,7 +63,7 @@
 	}
 }
 
-// serveExchanges accepts the exchanges that others begin, until Close.
+// serveExchanges accepts the exchanges that peers begin, until Close.
 func (g *Gossip) serveExchanges() {
 	for {
 		conn, err := g.listener.Accept()
@@ -75,46 +75,46 @@
 			continue
 		}
 		select {
-		case g.slots.served <- struct{}{}:
+		case g.slots.incoming <- struct{}{}:
 		default:
 			_ = conn.Close()
 			continue
 		}
-		deadline := time.Now().Add(exchangeTimeout)
+		deadline := time.Now().Add(incomingTimeout)
 		g.wg.Go(func() {
-			defer func() { <-g.slots.served }()
+			defer func() { <-g.slots.incoming }()
 			g.serveExchange(conn, deadline)
 		})
 	}
 }
 
-// serveExchange reads another's full state and answers with this one's.
+// serveExchange reads a peer's full state and answers with the local one.
 func (g *Gossip) serveExchange(conn net.Conn, deadline time.Time) {
-	defer closeWith(g.ctx, conn, deadline)()
+	defer closeOnDone(g.ctx, conn, deadline)()
 	f := g.readFull(conn)
 	if f == nil || f.Reply {
 		return
 	}
 	reply := make(chan *swim.FullState, 1)
-	g.put(input{event: swim.Event{Full: f}, reply: reply})
+	g.enqueue(input{event: swim.Event{Full: f}, reply: reply})
 	select {
 	case answer := <-reply:
-		_ = g.writeFull(conn, answer) // the other asks again with its next exchange
+		_ = g.writeFull(conn, answer) // on failure the peer retries with its next exchange
 	case <-time.After(time.Until(deadline)):
 	case <-g.ctx.Done():
 	}
 }
 
-// writeFull writes a full state, sealed and with its length before it.
+// writeFull writes a full state, sealed and with a length prefix.
 func (g *Gossip) writeFull(conn net.Conn, f *swim.FullState) error {
 	raw := g.keys.seal(AppendFull(nil, f))
 	frame := binary.BigEndian.AppendUint32(nil, uint32(len(raw)))
 	_, err := conn.Write(append(frame, raw...))
-	g.Traffic.BytesOut.Add(int64(len(raw) + frameHeadBytes))
+	g.Traffic.BytesOut.Add(int64(len(raw) + frameHeaderBytes))
 	return err
 }
 
-// readFull reads one full state; nil for none that is of use. It allocates as bytes come, not by the length before them.
+// readFull reads one full state; it returns nil if there is no valid one. It allocates as bytes arrive, not by the length prefix.
 func (g *Gossip) readFull(conn net.Conn) *swim.FullState {
 	in := bufio.NewReader(conn)
 	var size uint32
@@ -125,7 +125,7 @@
 	if err != nil || len(raw) < int(size) {
 		return nil
 	}
-	g.Traffic.BytesIn.Add(int64(size) + frameHeadBytes)
+	g.Traffic.BytesIn.Add(int64(size) + frameHeaderBytes)
 	_, f := g.decode(raw)
 	return f
 }
--- a/internal/gossip/factcodec.go
+++ b/internal/gossip/factcodec.go
@@ -8,7 +8,7 @@
 	"gullfall/internal/observations"
 )
 
-// maxFactBytes bounds the facts of a packet.
+// maxFactBytes bounds the encoded facts of a packet.
 const maxFactBytes = 1100
 
 func appendFact(b []byte, f *observations.Fact) []byte {
@@ -16,11 +16,11 @@
 	b = binary.AppendUvarint(b, uint64(f.Stamp.Physical))
 	b = binary.AppendUvarint(b, uint64(f.Stamp.Logical))
 	b = appendText(b, f.Stamp.Coordinator)
-	b = binary.AppendUvarint(b, uint64((f.Age+time.Millisecond-1)/time.Millisecond)) // never younger than it is
+	b = binary.AppendUvarint(b, uint64((f.Age+time.Millisecond-1)/time.Millisecond)) // rounded up: never younger than it is
 	return binary.BigEndian.AppendUint32(b, math.Float32bits(float32(f.Value)))
 }
 
-// AppendFacts encodes as many facts as a packet holds, and returns how many.
+// AppendFacts encodes as many facts as fit into a packet, and returns how many.
 func AppendFacts(b []byte, facts []observations.Fact) ([]byte, int) {
 	var body []byte
 	n := 0
@@ -35,7 +35,7 @@
 	return append(b, body...), n
 }
 
-// DecodeFacts reads an opened packet of facts. Whether each counts is for internal/observations to say. The error is
+// DecodeFacts decodes an opened packet of facts. internal/observations decides whether each of them is accepted. The error is
 // errMalformed.
 func DecodeFacts(b []byte) (facts []observations.Fact, err error) {
 	d := &decoder{rest: b}
--- a/internal/gossip/facts.go
+++ b/internal/gossip/facts.go
@@ -12,51 +12,51 @@
 )
 
 const (
-	factFanout     = 2                     // members that are sent facts in a period
-	factBatch      = maxFactBytes / 20     // facts that are looked up for a packet
-	minFactsPeriod = 50 * time.Millisecond // between two rounds
+	factFanout     = 2                     // members that facts are sent to in a period
+	factBatch      = maxFactBytes / 20     // facts that are considered for a packet
+	minFactsPeriod = 50 * time.Millisecond // minimum time between two rounds
 )
 
-// sharedFacts is this coordinator's copy of what all have observed of the data nodes.
+// sharedFacts is this coordinator's copy of the observations of data nodes that all coordinators share.
 type sharedFacts struct {
 	mu    sync.Mutex // guards table; it is not held while packets are sent
 	table *observations.Table
 }
 
-// FactCounts counts the facts that others sent: taken, known already, and refused.
-type FactCounts struct{ Taken, Known, Refused atomic.Int64 }
+// FactCounts counts the facts received from peers: accepted, already known, and rejected.
+type FactCounts struct{ Accepted, Known, Rejected atomic.Int64 }
 
-// Observe shares what this coordinator has observed of a data node.
+// Observe shares an observation of a data node with the other coordinators.
 func (g *Gossip) Observe(node string, f observations.Field, value float64) {
 	g.facts.mu.Lock()
 	defer g.facts.mu.Unlock()
-	// What can't be a fact, such as a negative latency, is not shared.
+	// An invalid value, such as a negative latency, is not shared.
 	_ = g.facts.table.Observe(g.Since(), time.Now(), node, f, value)
 }
 
-// ObserveStart shares that a data node started some time ago.
+// ObserveStart shares how long ago a data node started.
 func (g *Gossip) ObserveStart(node string, ago time.Duration) {
 	g.facts.mu.Lock()
 	defer g.facts.mu.Unlock()
-	// A start too long ago to count is not shared.
+	// A start too long ago to matter is not shared.
 	_ = g.facts.table.ObserveStart(g.Since(), time.Now(), node, ago)
 }
 
-// Observations is what all coordinators together have observed of a data node.
+// Observations returns the combined observations of all coordinators for a data node.
 func (g *Gossip) Observations(node string) observations.View {
 	g.facts.mu.Lock()
 	defer g.facts.mu.Unlock()
 	return g.facts.table.View(g.Since(), node)
 }
 
-// AllObservations is the same of each data node, by id.
+// AllObservations returns the combined observations for each data node, by id.
 func (g *Gossip) AllObservations() map[string]observations.View {
 	g.facts.mu.Lock()
 	defer g.facts.mu.Unlock()
 	return g.facts.table.Views(g.Since())
 }
 
-// gossipFacts sends facts to a few members, once a period.
+// gossipFacts sends facts to a few random members, once a period.
 func (g *Gossip) gossipFacts(period time.Duration) {
 	tick := time.NewTicker(period)
 	defer tick.Stop()
@@ -75,14 +75,14 @@
 		if len(facts) == 0 {
 			continue
 		}
-		packet, _ := AppendFacts(nil, facts) // what does not fit goes a period later
+		packet, _ := AppendFacts(nil, facts) // facts that do not fit are sent in a later period
 		for _, addr := range to[:min(len(to), factFanout)] {
-			g.sendPlain(addr, packet)
+			g.sealAndSend(addr, packet)
 		}
 	}
 }
 
-// reachableAddrs are the addresses of the other members that are alive or suspect.
+// reachableAddrs returns the addresses of the other members that are alive or suspect.
 func (g *Gossip) reachableAddrs() (addrs []string) {
 	g.View(func(s *swim.Swim) { addrs = otherAddrs(s) })
 	return addrs
@@ -97,7 +97,7 @@
 	return addrs
 }
 
-// nextFacts forgets old facts and returns those to be sent next.
+// nextFacts drops expired facts and returns those to send next.
 func (g *Gossip) nextFacts() []observations.Fact {
 	g.facts.mu.Lock()
 	defer g.facts.mu.Unlock()
@@ -116,11 +116,11 @@
 	for _, f := range facts {
 		switch err := g.facts.table.Merge(g.Since(), time.Now(), f); {
 		case err == nil:
-			g.Facts.Taken.Add(1)
+			g.Facts.Accepted.Add(1)
 		case errors.Is(err, observations.ErrKnown):
 			g.Facts.Known.Add(1)
 		default:
-			g.Facts.Refused.Add(1)
+			g.Facts.Rejected.Add(1)
 		}
 	}
 	return nil
--- a/internal/gossip/formats_test.go
+++ b/internal/gossip/formats_test.go
@@ -10,9 +10,9 @@
 	"gullfall/internal/swim"
 )
 
-// TestPacketForms shows that packets, exchanges and facts are encoded as earlier versions encode them: coordinators of
-// different versions talk to each other.
-func TestPacketForms(t *testing.T) {
+// TestEncodingUnchanged checks that the encoding of packets, exchanges and facts does not change, since coordinators of different
+// versions exchange them.
+func TestEncodingUnchanged(t *testing.T) {
 	var packets []byte
 	for _, message := range messages() {
 		packets = AppendMessage(packets, message)
@@ -25,13 +25,13 @@
 	golden.Bytes(t, "facts.bin", facts)
 }
 
-// TestOpensEarlierPacket opens a packet that an earlier version sealed.
+// TestOpensEarlierPacket checks that a packet sealed by an earlier version can be opened.
 func TestOpensEarlierPacket(t *testing.T) {
 	raw, err := os.ReadFile("testdata/sealed.bin")
 	if err != nil {
 		t.Fatal(err)
 	}
-	plain, err := newTestRing(t, "fleet", 2, key(2, "b"), key(1, "a")).open(raw)
+	plain, err := newTestKeyring(t, "fleet", 2, key(2, "b"), key(1, "a")).open(raw)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/gossip/gossip.go
+++ b/internal/gossip/gossip.go
@@ -1,7 +1,7 @@
-// Package gossip carries what coordinators tell each other: sealed packets for internal/swim and internal/observations over
-// UDP, and exchanges of the full state over TCP, both on one loopback address. docs/formats/gossip.md describes the encoding
-// byte by byte. It decides nothing about members: one goroutine steps internal/swim, is never blocked by a peer, and all
-// that others do has a deadline and a bound.
+// Package gossip is the transport between coordinators: sealed packets for internal/swim and internal/observations over UDP,
+// and exchanges of the full state over TCP, both on one loopback address. docs/formats/gossip.md describes the encoding byte by
+// byte. The package makes no membership decisions: one goroutine steps internal/swim and never blocks on a peer, and everything
+// the other goroutines do has a deadline and a bound.
 package gossip
 
 import (
@@ -18,43 +18,43 @@
 )
 
 const (
-	maxPacketBytes   = 1400 // its seal included
-	maxExchangeBytes = 4 << 20
-	maxExchanges     = 8    // open at once, each way
-	maxQueuedInputs  = 1024 // that wait for a step
-	maxStepInputs    = 64   // taken in by one step
-	messageHeadBytes = 300  // of a packet, beside its updates
+	maxPacketBytes     = 1400 // including the seal
+	maxExchangeBytes   = 4 << 20
+	maxExchanges       = 8    // open at the same time in each direction
+	maxQueuedInputs    = 1024 // inputs waiting for a step
+	maxStepInputs      = 64   // inputs applied by one step
+	messageHeaderBytes = 300  // of a packet, in addition to its updates
 )
 
-// Options are what Start needs.
+// Options are the parameters of Start.
 type Options struct {
 	Swim  swim.Config
-	Fleet string // its name: packets of another fleet are not opened
-	Keys  []Key  // the first seals, all open
-	// Routes are addresses of members that are reached by another from here, as through a tunnel.
+	Fleet string // name of the fleet; packets of other fleets are rejected
+	Keys  []Key  // the first one seals, all of them open
+	// Routes maps addresses of members to the addresses by which they are reached from here, for example through a tunnel.
 	Routes     map[string]string
-	WarmupTime time.Duration // of a data node
+	WarmupTime time.Duration // warm-up time of a data node
 	Log        *slog.Logger
-	// Changed is called for each change, in order, from the goroutine that steps; it must not block. It may be nil.
+	// Changed is called for each change, in order, from the goroutine that steps internal/swim; it must not block. It may be nil.
 	Changed func(swim.Change)
-	// SaveAddrs gets the addresses of the members that are there, as seeds for a later start. It may be nil.
+	// SaveAddrs receives the addresses of the members that are alive or suspect, as seeds for a later start. It may be nil.
 	SaveAddrs func(addrs []string)
 }
 
-// Gossip is one coordinator's part. Close gives back its sockets and goroutines.
+// Gossip is the gossip endpoint of one coordinator. Close releases its sockets and goroutines.
 type Gossip struct {
 	opts       Options
 	keys       *keyring
-	swim       *swim.Swim // of the goroutine run
+	swim       *swim.Swim // owned by the goroutine run
 	started    time.Time
-	inputs     chan input // for run
+	inputs     chan input // consumed by run
 	packetConn net.PacketConn
 	listener   net.Listener
 	slots      exchangeSlots
-	changes    changeLog // of the goroutine run
+	changes    changeLog // owned by the goroutine run
 	facts      sharedFacts
 
-	ctx  context.Context // ends with Close
+	ctx  context.Context // cancelled by Close
 	stop context.CancelFunc
 	wg   sync.WaitGroup
 
@@ -63,15 +63,14 @@
 	Facts   FactCounts
 }
 
-// Drops counts what came in and was not used: of another key, version, or process; repeated; malformed; or while the queue
-// was full.
+// Drops counts discarded packets and exchanges: sealed with an unknown key, of another version, replayed, malformed, or received
+// while the queue was full. Form also counts packets that could not be sent.
 type Drops struct{ Seal, Version, Replay, Form, Full atomic.Int64 }
 
-// Traffic counts bytes and packets.
+// Traffic counts packets and bytes that were sent and received.
 type Traffic struct{ PacketsOut, PacketsIn, BytesOut, BytesIn atomic.Int64 }
 
-// input is one thing for the goroutine that steps: an event, with the channel for its answer where it is an exchange that
-// another has begun, or a view.
+// input is work for the goroutine run: an event, with a reply channel if it is an exchange that a peer began, or a view.
 type input struct {
 	event swim.Event
 	reply chan *swim.FullState
@@ -79,20 +78,20 @@
 	done  chan struct{} // closed after the view
 }
 
-// Start listens and begins to join.
+// Start listens and begins to join the other coordinators.
 func Start(o Options) (*Gossip, error) {
 	g := &Gossip{
 		opts:    o,
 		started: time.Now(),
 		inputs:  make(chan input, maxQueuedInputs),
-		slots:   exchangeSlots{begun: make(chan struct{}, maxExchanges), served: make(chan struct{}, maxExchanges)},
+		slots:   exchangeSlots{outgoing: make(chan struct{}, maxExchanges), incoming: make(chan struct{}, maxExchanges)},
 		changes: newChangeLog(o.Log),
 	}
 	var err error
 	if g.keys, err = newKeyring(o.Fleet, o.Swim.Process, o.Keys); err != nil {
 		return nil, fmt.Errorf("peers: %w", err)
 	}
-	o.Swim.MaxUpdateBytes = maxPacketBytes - sealOverhead - messageHeadBytes
+	o.Swim.MaxUpdateBytes = maxPacketBytes - sealOverhead - messageHeaderBytes
 	if g.swim, err = swim.New(o.Swim, 0); err != nil {
 		return nil, err
 	}
@@ -121,7 +120,7 @@
 	return nil
 }
 
-// Close ends without a goodbye; see Leave.
+// Close stops without announcing it; see Leave.
 func (g *Gossip) Close() {
 	g.stop()
 	_ = g.packetConn.Close()
@@ -129,18 +128,18 @@
 	g.wg.Wait()
 }
 
-// Leave says goodbye to some members; the others learn of it from them within some periods.
+// Leave announces the departure to some members; the others learn of it from them within a few periods.
 func (g *Gossip) Leave() {
-	g.put(input{event: swim.Event{Leave: true}})
+	g.enqueue(input{event: swim.Event{Leave: true}})
 }
 
-// Forget is an operator's word that a dead member is gone for good.
-func (g *Gossip) Forget(name string) { g.put(input{event: swim.Event{MarkGone: name}}) }
+// Forget removes a dead member that an operator declares permanently gone.
+func (g *Gossip) Forget(name string) { g.enqueue(input{event: swim.Event{MarkGone: name}}) }
 
-// SetKeys replaces the keys: the first seals, all open.
+// SetKeys replaces the keys: the first one seals, all of them open.
 func (g *Gossip) SetKeys(keys []Key) error { return g.keys.set(keys) }
 
-// View lets f read the state, between two steps. It returns false after Close.
+// View calls f with the state between two steps. It returns false after Close.
 func (g *Gossip) View(f func(*swim.Swim)) bool {
 	done := make(chan struct{})
 	select {
@@ -156,11 +155,11 @@
 	}
 }
 
-// Since is the time since Start: the clock of what View shows.
+// Since returns the time since Start, which is the clock of the state that View shows.
 func (g *Gossip) Since() time.Duration { return time.Since(g.started) }
 
-// put queues an input for the goroutine that steps, and waits for a place.
-func (g *Gossip) put(in input) {
+// enqueue queues an input for the goroutine run, and blocks while the queue is full.
+func (g *Gossip) enqueue(in input) {
 	select {
 	case g.inputs <- in:
 	case <-g.ctx.Done():
@@ -180,13 +179,13 @@
 		case in := <-g.inputs:
 			batch = append(batch, in)
 		}
-		g.step(g.moreInputs(batch))
+		g.step(g.appendQueued(batch))
 		timer.Reset(g.swim.NextWake() - g.Since())
 	}
 }
 
-// moreInputs adds to a batch what is queued already.
-func (g *Gossip) moreInputs(batch []input) []input {
+// appendQueued adds the inputs that are already queued to a batch.
+func (g *Gossip) appendQueued(batch []input) []input {
 	for len(batch) < maxStepInputs {
 		select {
 		case in := <-g.inputs:
@@ -198,7 +197,7 @@
 	return batch
 }
 
-// step applies a batch. Views and exchanges see what came before them.
+// step applies a batch. Views and exchanges see the effects of all earlier inputs.
 func (g *Gossip) step(batch []input) {
 	var events []swim.Event
 	flush := func() {
--- a/internal/gossip/gossip_test.go
+++ b/internal/gossip/gossip_test.go
@@ -1,6 +1,6 @@
 package gossip
 
-// The encoding, the keyring, and two coordinators on loopback.
+// Tests of the encoding, the keyring, and two coordinators on loopback.
 
 import (
 	"errors"
@@ -30,8 +30,9 @@
 	}
 }
 
-// TestEncoding: what goes in comes out, within the size that was reckoned with; any cut of it is no message.
-func TestEncoding(t *testing.T) {
+// TestMessageEncoding checks that messages survive a round trip within their predicted size, and that truncated and extended
+// encodings are rejected.
+func TestMessageEncoding(t *testing.T) {
 	for _, m := range messages() {
 		raw := AppendMessage(nil, m)
 		got, _, err := Decode(raw)
@@ -39,15 +40,15 @@
 			t.Errorf("error %v (-want +got)\n%s", err, diff)
 		}
 		if len(raw) > m.Size() {
-			t.Errorf("%d bytes; %d were reckoned with", len(raw), m.Size())
+			t.Errorf("%d bytes, more than the predicted %d", len(raw), m.Size())
 		}
 		for n := range raw {
 			if _, _, err := Decode(raw[:n]); !errors.Is(err, errMalformed) {
-				t.Errorf("cut at %d of %d: error %v", n, len(raw), err)
+				t.Errorf("truncated at %d of %d bytes: error %v", n, len(raw), err)
 			}
 		}
 		if _, _, err := Decode(append(raw, 0)); !errors.Is(err, errMalformed) {
-			t.Errorf("a byte too many: error %v", err)
+			t.Errorf("one extra byte: error %v", err)
 		}
 	}
 	full := &swim.FullState{From: sample, Reply: true, RejectReason: "why", Members: []swim.Update{sample}, Links: []swim.Link{{From: "a", To: "b", By: "b", Cut: true}}}
@@ -66,7 +67,8 @@
 	return facts
 }
 
-// TestFactsEncoding: facts come out as they went in, as many as a packet holds; any cut of it is none; an age is never rounded down.
+// TestFactsEncoding checks that facts survive a round trip, as many as fit into a packet, that truncated and extended encodings are
+// rejected, and that an age is never rounded down.
 func TestFactsEncoding(t *testing.T) {
 	facts := someFacts(100)
 	raw, n := AppendFacts(nil, facts)
@@ -76,21 +78,21 @@
 	}
 	for i := range raw {
 		if _, err := DecodeFacts(raw[:i]); !errors.Is(err, errMalformed) {
-			t.Fatalf("cut at %d of %d: %v", i, len(raw), err)
+			t.Fatalf("truncated at %d of %d bytes: error %v", i, len(raw), err)
 		}
 	}
 	if _, err := DecodeFacts(append(raw, 0)); !errors.Is(err, errMalformed) {
-		t.Errorf("a byte too many: %v", err)
+		t.Errorf("one extra byte: error %v", err)
 	}
 	short := facts[:1]
 	short[0].Age = 1500 * time.Microsecond
 	raw, _ = AppendFacts(nil, short)
 	if got, err := DecodeFacts(raw); err != nil || got[0].Age != 2*time.Millisecond {
-		t.Errorf("%v, %v", got, err)
+		t.Errorf("age of 1.5 ms: got %v, error %v", got, err)
 	}
 }
 
-// FuzzDecodeFacts: whatever comes in, it is facts that encode to themselves, or none.
+// FuzzDecodeFacts checks that any input is either rejected or decodes to facts that survive a round trip.
 func FuzzDecodeFacts(f *testing.F) {
 	raw, _ := AppendFacts(nil, someFacts(3))
 	f.Add(raw)
@@ -102,7 +104,7 @@
 		}
 		for i := range facts {
 			if facts[i].Value != facts[i].Value {
-				return // no number is not equal to itself
+				return // NaN is not equal to itself
 			}
 		}
 		again, n := AppendFacts(nil, facts)
@@ -112,7 +114,8 @@
 	})
 }
 
-// FuzzDecode: whatever comes in, it is a message that encodes to itself, or none. It never allocates for a count that can't be.
+// FuzzDecode checks that any input is either rejected or decodes to a message that survives a round trip. Decode never allocates for
+// an impossible count.
 func FuzzDecode(f *testing.F) {
 	for _, m := range messages() {
 		f.Add(AppendMessage(nil, m))
@@ -123,7 +126,7 @@
 		m, full, err := Decode(raw)
 		switch {
 		case err != nil && (m != nil || full != nil):
-			t.Fatal("an error and a message")
+			t.Fatal("got both an error and a message")
 		case m != nil:
 			again, _, err := Decode(AppendMessage(nil, m))
 			if diff := cmp.Diff(m, again); err != nil || diff != "" {
@@ -140,7 +143,7 @@
 
 func key(id byte, c string) Key { return Key{ID: id, Secret: []byte(strings.Repeat(c, 16))} }
 
-func newTestRing(t *testing.T, fleet string, process uint64, keys ...Key) *keyring {
+func newTestKeyring(t *testing.T, fleet string, process uint64, keys ...Key) *keyring {
 	t.Helper()
 	r, err := newKeyring(fleet, process, keys)
 	if err != nil {
@@ -149,10 +152,10 @@
 	return r
 }
 
-// TestSeal: which packets are opened: keys are rotated by adding, sealing with the new one, and removing; packets of another
-// fleet or version, corrupt and repeated ones are not opened.
-func TestSeal(t *testing.T) {
-	from := newTestRing(t, "f", 1, key(1, "a"))
+// TestSealAndOpen checks which packets are opened. Keys are rotated by adding the new one, sealing with it, and removing the old
+// one. Packets of another fleet or version, corrupt packets and repeated packets are rejected.
+func TestSealAndOpen(t *testing.T) {
+	from := newTestKeyring(t, "f", 1, key(1, "a"))
 	raw := from.seal([]byte("hello"))
 	for _, c := range []struct {
 		name    string
@@ -163,8 +166,8 @@
 	}{
 		{"the same key", "f", []Key{key(1, "a")}, nil, nil},
 		{"a new key seals, the old one opens", "f", []Key{key(2, "b"), key(1, "a")}, nil, nil},
-		{"the old key is gone", "f", []Key{key(2, "b")}, nil, errSeal},
-		{"another secret under the id", "f", []Key{key(1, "c")}, nil, errSeal},
+		{"the old key is removed", "f", []Key{key(2, "b")}, nil, errSeal},
+		{"another secret with the same id", "f", []Key{key(1, "c")}, nil, errSeal},
 		{"another fleet", "g", []Key{key(1, "a")}, nil, errSeal},
 		{"another version", "f", []Key{key(1, "a")}, func(b []byte) { b[0]++ }, errVersion},
 		{"a corrupt byte", "f", []Key{key(1, "a")}, func(b []byte) { b[len(b)-1]++ }, errSeal},
@@ -173,13 +176,13 @@
 		if c.corrupt != nil {
 			c.corrupt(b)
 		}
-		to := newTestRing(t, c.fleet, 2, c.keys...)
+		to := newTestKeyring(t, c.fleet, 2, c.keys...)
 		got, err := to.open(b)
 		if !errors.Is(err, c.want) || c.want == nil && string(got) != "hello" {
 			t.Errorf("%s: %q, error %v, want %v", c.name, got, err, c.want)
 		}
 		if _, err := to.open(b); err == nil {
-			t.Errorf("%s: taken twice", c.name)
+			t.Errorf("%s: opened twice", c.name)
 		}
 	}
 	if _, err := newKeyring("f", 1, []Key{{ID: 1, Secret: []byte("short")}}); err == nil || strings.Contains(err.Error(), "short") {
@@ -187,9 +190,9 @@
 	}
 }
 
-// TestReplay: packets may come in any order within 64, each once; what is older is rejected.
+// TestReplay checks that packets are accepted in any order within a window of 64, each once, and that older ones are rejected.
 func TestReplay(t *testing.T) {
-	from, to := newTestRing(t, "f", 1, key(1, "a")), newTestRing(t, "f", 2, key(1, "a"))
+	from, to := newTestKeyring(t, "f", 1, key(1, "a")), newTestKeyring(t, "f", 2, key(1, "a"))
 	var sent [][]byte
 	for range 100 {
 		sent = append(sent, from.seal(nil))
@@ -199,15 +202,15 @@
 		ok bool
 	}{{50, true}, {40, true}, {50, false}, {99, true}, {36, true}, {35, false}, {98, true}, {98, false}, {40, false}} {
 		if _, err := to.open(sent[c.n]); (err == nil) != c.ok {
-			t.Errorf("packet %d: error %v, want taken %v", c.n, err, c.ok)
+			t.Errorf("packet %d: error %v, want accepted %v", c.n, err, c.ok)
 		}
 	}
 }
 
-// TestTwo: two coordinators meet by a seed; a foreign packet is counted and dropped; a key is rotated without a gap; a
-// goodbye arrives; and Close gives everything back.
-func TestTwo(t *testing.T) {
-	free := func() string {
+// TestTwoCoordinators checks that two coordinators find each other through a seed, share observations, count and drop foreign packets, stay
+// connected while keys are rotated, and learn of each other's departure.
+func TestTwoCoordinators(t *testing.T) {
+	freeAddr := func() string {
 		ln, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			t.Fatal(err)
@@ -215,7 +218,7 @@
 		defer ln.Close()
 		return ln.Addr().String()
 	}
-	seed := free()
+	seed := freeAddr()
 	start := func(name, addr string, keys ...Key) *Gossip {
 		g, err := Start(Options{Fleet: "f", Keys: keys, Log: slog.New(slog.DiscardHandler),
 			Swim: swim.Config{Self: name, Addr: addr, Process: uint64(name[0]), Seeds: []string{seed}, Period: 50 * time.Millisecond, MaxPause: 500 * time.Millisecond}})
@@ -224,7 +227,7 @@
 		}
 		return g
 	}
-	a, b := start("a", seed, key(1, "a")), start("b", free(), key(1, "a"))
+	a, b := start("a", seed, key(1, "a")), start("b", freeAddr(), key(1, "a"))
 	defer a.Close()
 	state := func(g *Gossip, name string) (s string) {
 		g.View(func(v *swim.Swim) {
@@ -234,33 +237,33 @@
 		})
 		return s
 	}
-	until := func(what string, met func() bool) {
+	waitUntil := func(what string, met func() bool) {
 		t.Helper()
 		for end := time.Now().Add(10 * time.Second); !met(); time.Sleep(5 * time.Millisecond) {
 			if time.Now().After(end) {
-				t.Fatalf("never: %s", what)
+				t.Fatalf("timeout waiting until %s", what)
 			}
 		}
 	}
-	until("each holds the other for alive", func() bool { return state(a, "b") == "alive" && state(b, "a") == "alive" })
-	// What one sees of a data node the other learns, until an answer that is clearly later clears it.
+	waitUntil("each sees the other as alive", func() bool { return state(a, "b") == "alive" && state(b, "a") == "alive" })
+	// A failure of a data node that one observes is shared with the other, until a clearly later answer clears it.
 	a.Observe("n", observations.Failed, 0)
 	a.Observe("n", observations.Utilization, 0.5)
-	until("a failure is shared", func() bool { v := b.Observations("n"); return v.Suspect && v.Utilization == 0.5 })
+	waitUntil("a failure is shared", func() bool { v := b.Observations("n"); return v.Suspect && v.Utilization == 0.5 })
 	time.Sleep(600 * time.Millisecond)
 	b.Observe("n", observations.Answered, 0)
-	until("and an answer", func() bool { return !a.Observations("n").Suspect && !b.Observations("n").Suspect })
-	if a.Facts.Refused.Load()+b.Facts.Refused.Load() > 0 || b.Facts.Taken.Load() == 0 {
-		t.Errorf("facts taken %d, refused %d and %d", b.Facts.Taken.Load(), a.Facts.Refused.Load(), b.Facts.Refused.Load())
+	waitUntil("an answer clears the failure", func() bool { return !a.Observations("n").Suspect && !b.Observations("n").Suspect })
+	if a.Facts.Rejected.Load()+b.Facts.Rejected.Load() > 0 || b.Facts.Accepted.Load() == 0 {
+		t.Errorf("facts accepted %d, rejected %d and %d", b.Facts.Accepted.Load(), a.Facts.Rejected.Load(), b.Facts.Rejected.Load())
 	}
-	nc, err := net.Dial("udp", seed)
+	conn, err := net.Dial("udp", seed)
 	if err != nil {
 		t.Fatal(err)
 	}
-	nc.Write([]byte(strings.Repeat("x", 100)))
-	nc.Write(append([]byte{Version, 1}, make([]byte, 98)...))
-	nc.Close()
-	until("foreign packets are counted", func() bool { return a.Drops.Version.Load() == 1 && a.Drops.Seal.Load() == 1 })
+	conn.Write([]byte(strings.Repeat("x", 100)))
+	conn.Write(append([]byte{Version, 1}, make([]byte, 98)...))
+	conn.Close()
+	waitUntil("foreign packets are counted", func() bool { return a.Drops.Version.Load() == 1 && a.Drops.Seal.Load() == 1 })
 	for _, keys := range [][]Key{{key(1, "a"), key(2, "b")}, {key(2, "b"), key(1, "a")}, {key(2, "b")}} {
 		if err := errors.Join(a.SetKeys(keys), b.SetKeys(keys)); err != nil {
 			t.Fatal(err)
@@ -271,6 +274,6 @@
 		t.Errorf("after the keys were rotated: %s, %s", state(a, "b"), state(b, "a"))
 	}
 	b.Leave()
-	until("the goodbye has arrived", func() bool { return state(a, "b") == "left" })
+	waitUntil("the departure is known", func() bool { return state(a, "b") == "left" })
 	b.Close()
 }
--- a/internal/gossip/keyring.go
+++ b/internal/gossip/keyring.go
@@ -11,47 +11,47 @@
 	"sync/atomic"
 )
 
-// Key seals what is sent. Of several the first seals, and all open.
+// Key is a shared key for packets and exchanges. Of several keys, the first one seals and all of them open.
 type Key struct {
 	ID     byte
-	Secret []byte // 16 bytes or more; AES-256 takes its SHA-256
+	Secret []byte // 16 bytes or more; the AES-256 key is derived from it by SHA-256
 }
 
-// A sealed packet is version, key id and nonce, then sealed by AES-256-GCM the sender's process, its counter, and the
-// message. The first two bytes and the fleet's name are additional data, so that a packet of another fleet is not opened.
+// A sealed packet consists of version, key id and nonce, followed by the sender's process, its counter and the message, which
+// AES-256-GCM seals. The first two bytes and the fleet's name are additional data, so that packets of another fleet can't be opened.
 const (
 	nonceSize    = 12
-	headSize     = 2 + nonceSize
+	headerSize   = 2 + nonceSize
 	counterSize  = 16 // process and counter
 	tagSize      = 16
-	sealOverhead = headSize + counterSize + tagSize
+	sealOverhead = headerSize + counterSize + tagSize
 )
 
-// minSecret is the least length of a key's secret in bytes.
-const minSecret = 16
+// minSecretBytes is the minimum length of a key's secret in bytes.
+const minSecretBytes = 16
 
-// Why something that came in is not used.
+// Reasons why a packet or exchange is discarded.
 var (
-	errSeal    = errors.New("sealed by no key of this fleet")
-	errVersion = errors.New("of another version")
-	errReplay  = errors.New("came before, or far too late")
+	errSeal    = errors.New("packet not sealed with a key of this fleet")
+	errVersion = errors.New("packet of another version")
+	errReplay  = errors.New("packet replayed or too late")
 )
 
-// sealKey is one key, ready for use.
+// sealKey is a key with its initialized cipher.
 type sealKey struct {
 	id   byte
 	aead cipher.AEAD
 }
 
-// keyring seals and opens packets. It is safe for concurrent use, also while its keys are replaced. Errors never contain a
+// keyring seals and opens packets. It is safe for concurrent use, including the replacement of its keys. Its errors never contain a
 // secret.
 type keyring struct {
 	fleet   string
 	process uint64
-	keys    atomic.Pointer[[]sealKey] // the first seals
-	counter atomic.Uint64             // of this process's packets, for replayFilter
+	keys    atomic.Pointer[[]sealKey] // the first one seals
+	counter atomic.Uint64             // of the packets that this process seals, for the peers' replayFilter
 	nonces  atomic.Uint64
-	salt    [4]byte // of this process's nonces
+	salt    [4]byte // random part of this process's nonces
 	replays replayFilter
 }
 
@@ -67,8 +67,8 @@
 func (k *keyring) set(keys []Key) error {
 	var list []sealKey
 	for _, key := range keys {
-		if len(key.Secret) < minSecret {
-			return fmt.Errorf("key %d: %d bytes or more are needed", key.ID, minSecret)
+		if len(key.Secret) < minSecretBytes {
+			return fmt.Errorf("key %d: the secret must have at least %d bytes", key.ID, minSecretBytes)
 		}
 		secret := sha256.Sum256(append([]byte("gullfall gossip "), key.Secret...))
 		block, err := aes.NewCipher(secret[:])
@@ -88,25 +88,25 @@
 	return nil
 }
 
-// additionalData is what is authenticated beside the sealed bytes.
-func (k *keyring) additionalData(head []byte) []byte {
-	return append(append([]byte{}, head[:2]...), k.fleet...)
+// additionalData returns the data that is authenticated in addition to the sealed bytes.
+func (k *keyring) additionalData(header []byte) []byte {
+	return append(append([]byte{}, header[:2]...), k.fleet...)
 }
 
-// seal makes a packet of a message. A nonce must not be used twice under a key: it is four random bytes of this process,
-// and a count that begins at a place of its own for each process.
+// seal returns a packet that contains a message. A nonce must not be used twice with a key, so it consists of four random bytes of
+// this process and a count whose start depends on the process.
 func (k *keyring) seal(plain []byte) []byte {
 	key := (*k.keys.Load())[0]
-	out := make([]byte, headSize, sealOverhead+len(plain))
+	out := make([]byte, headerSize, sealOverhead+len(plain))
 	out[0], out[1] = Version, key.id
 	copy(out[2:6], k.salt[:])
 	binary.BigEndian.PutUint64(out[6:], k.nonces.Add(1)^k.process<<40)
 	body := binary.BigEndian.AppendUint64(nil, k.process)
 	body = binary.BigEndian.AppendUint64(body, k.counter.Add(1))
-	return key.aead.Seal(out, out[2:headSize], append(body, plain...), k.additionalData(out))
+	return key.aead.Seal(out, out[2:headerSize], append(body, plain...), k.additionalData(out))
 }
 
-// open returns the message of a packet that has not come before. The error is errSeal, errVersion or errReplay.
+// open returns the message of a packet, and accepts each packet only once. The error is errSeal, errVersion or errReplay.
 func (k *keyring) open(raw []byte) ([]byte, error) {
 	switch {
 	case len(raw) < sealOverhead:
@@ -118,7 +118,7 @@
 		if key.id != raw[1] {
 			continue
 		}
-		plain, err := key.aead.Open(nil, raw[2:headSize], raw[headSize:], k.additionalData(raw))
+		plain, err := key.aead.Open(nil, raw[2:headerSize], raw[headerSize:], k.additionalData(raw))
 		if err != nil || len(plain) < counterSize {
 			continue
 		}
--- a/internal/gossip/packets.go
+++ b/internal/gossip/packets.go
@@ -7,7 +7,7 @@
 	"gullfall/internal/swim"
 )
 
-// route is the address by which a member's address is reached from here.
+// route returns the address by which a member's address is reached from here.
 func (g *Gossip) route(addr string) string {
 	if via, ok := g.opts.Routes[addr]; ok {
 		return via
@@ -15,8 +15,8 @@
 	return addr
 }
 
-// sendPlain seals and sends a packet. What can't be sent is lost, as packets are.
-func (g *Gossip) sendPlain(to string, plain []byte) {
+// sealAndSend seals a packet and sends it. A packet that can't be sent is dropped, like one lost on the network.
+func (g *Gossip) sealAndSend(to string, plain []byte) {
 	raw := g.keys.seal(plain)
 	addr, err := net.ResolveUDPAddr("udp", g.route(to))
 	if err != nil || !addr.IP.IsLoopback() || len(raw) > maxPacketBytes {
@@ -29,7 +29,7 @@
 	}
 }
 
-// readPackets reads what comes by UDP until Close.
+// readPackets reads UDP packets until Close.
 func (g *Gossip) readPackets() {
 	buf := make([]byte, maxPacketBytes+1)
 	for {
@@ -55,7 +55,7 @@
 	}
 }
 
-// decode opens what came in, merges facts, and returns a message or a full state. It counts what is of no use.
+// decode opens a packet or exchange, merges its facts, and returns its message or full state. It counts input that it discards.
 func (g *Gossip) decode(raw []byte) (m *swim.Message, f *swim.FullState) {
 	plain, err := g.keys.open(raw)
 	switch {
