--- a/internal/gossip/gossip_test.go
+++ b/internal/gossip/gossip_test.go
@@ -207,8 +207,8 @@
 	}
 }
 
-// TestTwoCoordinators checks that two coordinators find each other through a seed, share observations, count and drop foreign packets, stay
-// connected while keys are rotated, and learn of each other's departure.
+// TestTwoCoordinators checks that two coordinators find each other through a seed, share observations, count and drop foreign
+// packets, and stay connected while keys are rotated, that one learns of the other's departure, and that Close ends all goroutines.
 func TestTwoCoordinators(t *testing.T) {
 	freeAddr := func() string {
 		ln, err := net.Listen("tcp", "127.0.0.1:0")
