--- a/internal/store/applied.go
+++ b/internal/store/applied.go
@@ -7,7 +7,7 @@
 	"gullfall/internal/kv"
 )
 
-// readApplied returns the values that were applied last.
+// readApplied returns the applied values and the index up to which they are applied.
 func (d *disk) readApplied() (appliedState, error) {
 	values := map[string][]byte{}
 	view := d.db.Snapshot()
@@ -23,7 +23,7 @@
 	return appliedState{values, d.applied}, errors.Join(err, chunkErr)
 }
 
-// writeChanged stores the values that changed up to an index, nil for deleted ones. An index that is applied already changes
+// writeChanged stores the values that changed up to an index, nil for deleted ones. For an index that is already applied it does
 // nothing: a replayed log must not overwrite later values.
 func (d *disk) writeChanged(values map[string][]byte, index uint64) error {
 	d.mu.Lock()
@@ -40,8 +40,8 @@
 	return w.finish()
 }
 
-// replaceAll stores the values as all that there are at an index, unless that is applied already. They are written as a new
-// generation beside the current one, and replace it with the last batch.
+// replaceAll replaces all values by those of an index, unless that is already applied. They are written as a new generation beside
+// the current one, and the last batch switches to it.
 func (d *disk) replaceAll(values map[string][]byte, index uint64) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -49,7 +49,7 @@
 		return nil
 	}
 	w := appliedWriter{disk: d, index: index, generation: d.generation + 1}
-	for _, kind := range []byte{keyValue, keyValuePart} { // of an earlier attempt
+	for _, kind := range []byte{keyValue, keyValuePart} { // left by an earlier attempt
 		if err := d.db.Write(deletePrefix(kind, encodeIndex(w.generation))); err != nil {
 			return err
 		}
@@ -65,7 +65,7 @@
 	return w.finish()
 }
 
-// appliedWriter collects a batch of values. The caller holds the disk's lock.
+// appliedWriter collects applied values in a batch. The caller holds the disk's lock.
 type appliedWriter struct {
 	disk       *disk
 	index      uint64
@@ -75,7 +75,7 @@
 	written    int // values that were put
 }
 
-// add adds a value to the batch, or its deletion where it is nil.
+// add adds a value to the batch, or its deletion if it is nil.
 func (w *appliedWriter) add(name string, value []byte) error {
 	d := w.disk
 	k := key(keyValue, encodeIndex(w.generation), []byte(name))
@@ -88,7 +88,7 @@
 		w.batch = append(w.batch, kv.Op{Kind: kv.Delete, Key: k})
 		return nil
 	}
-	// A value that does not fit into the batch any more is written ahead of it, in parts.
+	// A value that no longer fits into the batch is written before it, in parts.
 	inlineLimit := min(d.partSize, max(0, batchParts*d.partSize-w.bytes))
 	prefix := bytes.Join([][]byte{encodeIndex(w.generation), encodeIndex(w.index), encodePart(w.written)}, nil)
 	stored, err := d.writeChunked(value, keyValuePart, prefix, inlineLimit)
@@ -101,7 +101,7 @@
 	return nil
 }
 
-// flushLarge writes the batch once it is large. Only for a new generation, which nobody reads before finish.
+// flushLarge writes the batch once it is large. It is only for a new generation, which is not read before finish.
 func (w *appliedWriter) flushLarge() error {
 	if w.bytes <= batchParts*w.disk.partSize {
 		return nil
--- a/internal/store/bench_test.go
+++ b/internal/store/bench_test.go
@@ -10,17 +10,17 @@
 	"gullfall/internal/statemachine"
 )
 
-// put100 has a member write 100 bytes.
+// put100 writes a value of 100 bytes through a member.
 func put100(ctx context.Context, s *Store) error {
 	r, err := s.Do(ctx, statemachine.Command{Put: []statemachine.Pair{{Key: "k", Value: make([]byte, 100)}}})
 	return errors.Join(err, r.Err())
 }
 
-// BenchmarkDo: acknowledged writes of 100 bytes at one member with a disk, by one writer and by four for each processor.
+// BenchmarkDo measures acknowledged writes of 100 bytes to a single member with a disk, by one writer and by four per processor.
 func BenchmarkDo(b *testing.B) {
 	for _, name := range []string{"one", "many"} {
 		b.Run(name, func(b *testing.B) {
-			s, err := Open(config.Store{Directory: b.TempDir()}, "n0", quiet)
+			s, err := Open(config.Store{Directory: b.TempDir()}, "n0", discardLog)
 			if err != nil {
 				b.Fatal(err)
 			}
@@ -52,12 +52,12 @@
 	}
 }
 
-// BenchmarkOpen: a member's disk is opened on which 80,000 entries were written, of which the last are kept. Its growth is that of what is
-// kept of the log (tail.go), not of all that was written.
+// BenchmarkOpen measures opening a member's disk to which 80,000 entries were written and the last of them retained. The time must
+// grow with the retained part of the log (retention.go), not with all that was written.
 func BenchmarkOpen(b *testing.B) {
 	dir := b.TempDir()
 	for range 5 {
-		s, err := Open(config.Store{Directory: dir}, "n0", quiet)
+		s, err := Open(config.Store{Directory: dir}, "n0", discardLog)
 		if err != nil {
 			b.Fatal(err)
 		}
@@ -85,7 +85,7 @@
 		}
 	}
 	for b.Loop() {
-		d, err := openDisk(dir, quiet)
+		d, err := openDisk(dir, discardLog)
 		if err != nil {
 			b.Fatal(err)
 		}
--- a/internal/store/chunks.go
+++ b/internal/store/chunks.go
@@ -9,8 +9,8 @@
 	"gullfall/internal/kv"
 )
 
-// A stored value is the byte inline and the value itself; or the byte chunked, its length, its checksum and the prefix of its parts,
-// which are stored under keys of their own.
+// A stored value is the byte inline and the value itself; or the byte chunked, the value's length, its checksum and the prefix of
+// its parts, which are stored under their own keys.
 const (
 	inline  = 0
 	chunked = 1
@@ -18,13 +18,13 @@
 	chunkHeaderSize = 1 + 8 + 4 // bytes before the prefix
 )
 
-// writeChunked returns what the key of a value is to hold. It writes the parts of a value that is longer than inlineLimit bytes;
-// parts are not read before the key is written.
+// writeChunked returns the bytes to be stored under the key of a value. It writes the parts of a value longer than inlineLimit
+// bytes; they are not read before the key is written.
 func (d *disk) writeChunked(data []byte, kind byte, prefix []byte, inlineLimit int) ([]byte, error) {
 	if len(data) <= inlineLimit {
 		return append([]byte{inline}, data...), nil
 	}
-	if err := d.db.Write(deletePrefix(kind, prefix)); err != nil { // of an earlier attempt
+	if err := d.db.Write(deletePrefix(kind, prefix)); err != nil { // left by an earlier attempt
 		return nil, err
 	}
 	for at := 0; at < len(data); at += d.partSize {
@@ -40,7 +40,7 @@
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// valueLength returns the length in bytes of the value that a key holds; of an inline one with its first byte.
+// valueLength returns the length in bytes of a stored value; that of an inline one includes its first byte.
 func valueLength(stored []byte) int {
 	if len(stored) >= chunkHeaderSize && stored[0] == chunked {
 		return int(binary.BigEndian.Uint64(stored[1:]))
@@ -48,13 +48,13 @@
 	return len(stored)
 }
 
-// readChunked returns the value that a key holds, and checks its checksum where it is in parts.
+// readChunked decodes a stored value, and verifies the checksum of one that is in parts.
 func readChunked(view *kv.View, stored []byte, kind byte) ([]byte, error) {
 	switch {
 	case len(stored) > 0 && stored[0] == inline:
 		return bytes.Clone(stored[1:]), nil
 	case len(stored) < chunkHeaderSize || stored[0] != chunked:
-		return nil, fmt.Errorf("a value of %d bytes is neither itself nor in parts", len(stored))
+		return nil, fmt.Errorf("a stored value of %d bytes is neither inline nor in parts", len(stored))
 	}
 	data := make([]byte, 0, valueLength(stored))
 	for n := 0; len(data) < valueLength(stored); n++ {
@@ -65,7 +65,7 @@
 		data = append(data, p...)
 	}
 	if crc32.Checksum(data, castagnoli) != binary.BigEndian.Uint32(stored[9:]) {
-		return nil, fmt.Errorf("a value of %d bytes in parts does not have its checksum", len(data))
+		return nil, fmt.Errorf("a value of %d bytes in parts: checksum mismatch", len(data))
 	}
 	return data, nil
 }
--- a/internal/store/commands.go
+++ b/internal/store/commands.go
@@ -12,28 +12,28 @@
 	"gullfall/internal/statemachine"
 )
 
-// commandRetryInterval is the pause before a command is sent again that found no leader.
+// commandRetryInterval is the pause before a failed call to the leader is sent again.
 const commandRetryInterval = 20 * time.Millisecond
 
-// Do replicates a command, whoever leads, and returns its result once it is applied. It is applied at most once. An error
-// of Command.Check means that it was not sent. Any other means that ctx ended or the store closed first: the command may still be
-// applied.
+// Do replicates a command through the leader, whichever member that is, and returns its result once it is applied. It is applied
+// at most once. An error of Command.Check means that it was not sent; any other error means that ctx ended or the store was closed
+// first, and the command may still be applied.
 func (s *Store) Do(ctx context.Context, c statemachine.Command) (statemachine.Result, error) {
 	if err := c.Check(); err != nil {
 		return statemachine.Result{}, err
 	}
 	c.ID = s.ids.next()
-	var last error
+	var lastErr error
 	for {
 		r, err := s.sendToLeader(ctx, call{Command: &c})
 		if err == nil && r.Failed != statemachine.StaleStamp {
 			return r, nil
 		}
 		if err != nil {
-			last = err
+			lastErr = err
 		}
 		if err := s.waitRetry(ctx); err != nil {
-			return statemachine.Result{}, errors.Join(err, last)
+			return statemachine.Result{}, errors.Join(err, lastErr)
 		}
 	}
 }
@@ -52,13 +52,13 @@
 	}
 }
 
-// The errors of a call to the leader. errNoLeader means that nothing was begun.
+// The errors of a call to the leader. errNoLeader means that the call had no effect.
 var (
 	errClosed   = errors.New("the store has ended")
 	errNoLeader = errors.New("the store has no leader")
 )
 
-// sendToLeader has the leader handle a call, whichever member it is.
+// sendToLeader has the leader, whichever member it is, handle a call.
 func (s *Store) sendToLeader(ctx context.Context, c call) (statemachine.Result, error) {
 	if s.raft.State() == raft.Leader {
 		return s.handleAsLeader(ctx, c)
@@ -70,24 +70,24 @@
 	return s.transport.call(ctx, string(addr), c)
 }
 
-// handleAsLeader handles a call at the leader.
+// handleAsLeader handles a call on the leader.
 func (s *Store) handleAsLeader(ctx context.Context, c call) (statemachine.Result, error) {
-	end, ok := ctx.Deadline()
+	deadline, ok := ctx.Deadline()
 	if !ok {
-		end = time.Now().Add(maxCallTime)
+		deadline = time.Now().Add(maxCallTime)
 	}
 	switch {
 	case c.Member != nil:
-		return s.changeMember(ctx, *c.Member, end)
+		return s.changeMember(ctx, *c.Member, deadline)
 	case c.Command == nil:
-		return s.barrier(ctx, end)
+		return s.barrier(ctx, deadline)
 	}
-	return s.applyCommand(ctx, *c.Command, end)
+	return s.applyCommand(ctx, *c.Command, deadline)
 }
 
-// barrier returns the index of the log up to which everything done before the call is applied here.
-func (s *Store) barrier(ctx context.Context, end time.Time) (statemachine.Result, error) {
-	if err := s.waitFuture(ctx, s.raft.Barrier(time.Until(end))); err != nil {
+// barrier waits until everything committed before the call is applied here, and returns the applied index.
+func (s *Store) barrier(ctx context.Context, deadline time.Time) (statemachine.Result, error) {
+	if err := s.waitFuture(ctx, s.raft.Barrier(time.Until(deadline))); err != nil {
 		return statemachine.Result{}, err
 	}
 	s.mu.Lock()
@@ -96,8 +96,8 @@
 }
 
 // applyCommand stamps a command with the leader's clock and term, and replicates it. The term is read before and after the state,
-// so that the clock is that of this term's leader while it leads.
-func (s *Store) applyCommand(ctx context.Context, c statemachine.Command, end time.Time) (r statemachine.Result, err error) {
+// so that the clock in the stamp is that of the term's leader.
+func (s *Store) applyCommand(ctx context.Context, c statemachine.Command, deadline time.Time) (r statemachine.Result, err error) {
 	term := s.raft.CurrentTerm()
 	if s.raft.State() != raft.Leader || s.raft.CurrentTerm() != term {
 		return r, errNoLeader
@@ -107,7 +107,7 @@
 	if err != nil {
 		return r, err
 	}
-	future := s.raft.Apply(data, time.Until(end))
+	future := s.raft.Apply(data, time.Until(deadline))
 	if err := s.waitFuture(ctx, future); err != nil {
 		return r, err
 	}
@@ -133,7 +133,7 @@
 	}
 }
 
-// Sync returns once this member has applied everything that any member was told is done before the call.
+// Sync returns once this member has applied every command that was acknowledged to any member before the call.
 func (s *Store) Sync(ctx context.Context) error {
 	for {
 		r, err := s.sendToLeader(ctx, call{})
@@ -146,7 +146,7 @@
 	}
 }
 
-// Wait returns once this member has applied the log up to an index; an error tells how far it is.
+// Wait returns once this member has applied the log up to an index; an error states how far it got.
 func (s *Store) Wait(ctx context.Context, index uint64) error {
 	for {
 		s.mu.Lock()
--- a/internal/store/disk.go
+++ b/internal/store/disk.go
@@ -19,38 +19,38 @@
 
 const (
 	diskFormat      = 1
-	defaultPartSize = 256 << 10 // bytes up to which a value is stored inline, and of a part of a larger one
-	batchParts      = 8         // parts in one batch of internal/kv, about
+	defaultPartSize = 256 << 10 // bytes up to which a value is stored inline, and size of the parts of a larger one
+	batchParts      = 8         // approximate number of parts in one batch of internal/kv
 
-	lockTimeout      = time.Second           // how long openDisk waits for an earlier process to end
+	lockTimeout      = time.Second           // how long openDisk waits for an earlier process to release the lock
 	lockPollInterval = 20 * time.Millisecond // between its attempts
 )
 
-// disk keeps what one member has on its disk, in one internal/kv store: its log, raft's stable values, the values that it has
-// applied, and its snapshots. docs/formats/store.md describes it. Its methods may be called from any goroutine.
+// disk holds the durable state of one member in an internal/kv store: its log, raft's stable values, the values that it has
+// applied, and its snapshots. docs/formats/store.md describes the format. Its methods may be called from any goroutine.
 type disk struct {
 	db           *kv.DB
 	partSize     int // bytes; defaultPartSize except in tests
 	ctx          context.Context
-	stop         context.CancelFunc                                // ends waits for space and for the rate of a snapshot
-	snapshotRate func(*raft.SnapshotMeta) (bytesPerSecond float64) // the bound on reading a snapshot now; 0 for none
-	raftRunning  atomic.Bool                                       // raft runs on this disk, and would end the process where Set fails
+	stop         context.CancelFunc                                // ends waits for disk space and for the rate limit of a snapshot
+	snapshotRate func(*raft.SnapshotMeta) (bytesPerSecond float64) // the current limit on reading a snapshot; 0 for none
+	raftRunning  atomic.Bool                                       // raft runs on this disk, and would end the process if Set failed
 
 	// mu guards the fields below.
 	mu          sync.Mutex
 	first, last uint64 // ends of the log; 0 for an empty one
 	applied     uint64 // the index up to which values are applied
-	generation  uint64 // of the applied values
+	generation  uint64 // generation of the applied values
 	entrySizes  entrySizes
 }
 
-// openDisk opens a member's folder. What an earlier release stored there is migrated first.
+// openDisk opens a member's directory, and migrates the format of an earlier release.
 func openDisk(dir string, log *slog.Logger) (*disk, error) {
 	folder := filepath.Join(dir, "kv")
 	if err := os.MkdirAll(folder, 0o700); err != nil {
 		return nil, err
 	}
-	db, err := openLocked(kv.Dir(folder), kv.Config{
+	db, err := openRetryingLock(kv.Dir(folder), kv.Config{
 		Report: func(c kv.Cut) {
 			log.Warn("store recovered from an interrupted write; unacknowledged bytes are cut off", "file", c.File, "offset", c.Offset, "bytes", c.Bytes)
 		},
@@ -68,8 +68,8 @@
 	return d, err
 }
 
-// openLocked opens a store; while another process has it open, which may be about to end, it tries again for lockTimeout.
-func openLocked(folder kv.Dir, cfg kv.Config) (db *kv.DB, err error) {
+// openRetryingLock opens a store. It retries for lockTimeout while another process, which may be about to end, has the store open.
+func openRetryingLock(folder kv.Dir, cfg kv.Config) (db *kv.DB, err error) {
 	err = kv.ErrLocked
 	for end := time.Now().Add(lockTimeout); errors.Is(err, kv.ErrLocked) && time.Now().Before(end); {
 		if db, err = kv.Open(folder, cfg); errors.Is(err, kv.ErrLocked) {
@@ -79,7 +79,7 @@
 	return db, err
 }
 
-// newDisk reads the state of a store. migrate fills a new one.
+// newDisk loads the state of a store. migrate fills a new one.
 func newDisk(db *kv.DB, migrate func(*disk) error) (*disk, error) {
 	d := &disk{db: db, partSize: defaultPartSize, generation: 1}
 	d.ctx, d.stop = context.WithCancel(context.Background())
@@ -89,7 +89,7 @@
 	return d, nil
 }
 
-// load reads the applied index and the ends of the log, after a migration and the removal of leftovers.
+// load migrates an older format, removes leftovers, and reads the applied index and the ends of the log.
 func (d *disk) load(migrate func(*disk) error) error {
 	if err := d.checkFormat(migrate); err != nil {
 		return err
@@ -106,8 +106,8 @@
 	return d.measureLog()
 }
 
-// checkFormat returns an error for a newer format. A store without one is new, or its migration was interrupted: it is cleared
-// and migrated from the beginning.
+// checkFormat returns an error for a newer format. A store without a format is new, or its migration was interrupted: it is
+// cleared and migrated from the beginning.
 func (d *disk) checkFormat(migrate func(*disk) error) error {
 	raw, err := d.db.Get([]byte{keyFormat})
 	switch {
@@ -122,7 +122,7 @@
 	case err != nil:
 		return err
 	case len(raw) != 1 || raw[0] != diskFormat:
-		return fmt.Errorf("it is of form %v; this program knows %d: start the newer one", raw, diskFormat)
+		return fmt.Errorf("unsupported format %v; this program reads format %d: start the newer release", raw, diskFormat)
 	}
 	return nil
 }
--- a/internal/store/disk_test.go
+++ b/internal/store/disk_test.go
@@ -1,7 +1,7 @@
 package store
 
-// What a member keeps: against a model while the power goes, with entries and values too long for one value of internal/kv, and
-// taken over from the release before.
+// Tests of a member's disk: against a model with power losses, with entries and values too long for one value of internal/kv, and
+// migrated from the previous release.
 
 import (
 	"bytes"
@@ -27,31 +27,32 @@
 	"gullfall/internal/statemachine"
 )
 
-func nothing(*disk) error { return nil }
+func noMigration(*disk) error { return nil }
 
-// openOn opens a member's disk on a stand-in.
+// openOn opens a member's disk on a simulated one.
 func openOn(t interface{ Fatal(...any) }, d *labdisk.Disk) *disk {
 	db, err := kv.Open(d, kv.Config{MemoryBytes: 16 << 10, SegmentBytes: 16 << 10})
 	if err != nil {
 		t.Fatal(err)
 	}
-	kept, err := newDisk(db, nothing)
+	opened, err := newDisk(db, noMigration)
 	if err != nil {
 		t.Fatal(err)
 	}
-	kept.partSize = 1 << 10
-	return kept
+	opened.partSize = 1 << 10
+	return opened
 }
 
-// model is what a disk should hold.
+// model is the expected content of a disk.
 type model struct {
-	log     map[uint64]raft.Log
-	figures map[string]string
-	values  map[string]string
-	applied uint64
-	snaps   []string // content, the newest first
+	log       map[uint64]raft.Log
+	stable    map[string]string
+	values    map[string]string
+	applied   uint64
+	snapshots []string // contents of the snapshots, newest first
 }
 
+// check compares a disk with the model.
 func check(t *rapid.T, d *disk, m *model) {
 	first, last := uint64(0), uint64(0)
 	for i := range m.log {
@@ -80,9 +81,9 @@
 			t.Fatalf("entry %d: %v, %d bytes in term %d; want %d in %d", i, err, len(got.Data), got.Term, len(want.Data), want.Term)
 		}
 	}
-	for k, v := range m.figures {
+	for k, v := range m.stable {
 		if got, err := d.Get([]byte(k)); err != nil || string(got) != v {
-			t.Fatalf("figure %s: %q, %v, want %q", k, got, err, v)
+			t.Fatalf("stable value %s: %q, %v, want %q", k, got, err, v)
 		}
 	}
 	applied, err := d.readApplied()
@@ -95,8 +96,8 @@
 		}
 	}
 	list, err := d.List()
-	if err != nil || len(list) != len(m.snaps) {
-		t.Fatalf("%d snapshots, %v; want %d", len(list), err, len(m.snaps))
+	if err != nil || len(list) != len(m.snapshots) {
+		t.Fatalf("%d snapshots, %v; want %d", len(list), err, len(m.snapshots))
 	}
 	for i, s := range list {
 		_, in, err := d.Open(s.ID)
@@ -105,20 +106,21 @@
 		}
 		got, err := io.ReadAll(in)
 		in.Close()
-		if err != nil || string(got) != m.snaps[i] {
-			t.Fatalf("snapshot %d: %d bytes, %v; want %d", i, len(got), err, len(m.snaps[i]))
+		if err != nil || string(got) != m.snapshots[i] {
+			t.Fatalf("snapshot %d: %d bytes, %v; want %d", i, len(got), err, len(m.snapshots[i]))
 		}
 	}
 }
 
-// TestDiskAgainstModel: entries, figures, values and snapshots of any length, the log cut at both ends, and the power going in
-// between: what was acknowledged is there, and nothing else.
+// TestDiskAgainstModel compares a disk with a model under random operations: log entries, stable values, applied values and
+// snapshots of any length, truncations of the log at both ends, and power losses. The disk must hold what was acknowledged and
+// nothing else.
 func TestDiskAgainstModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		power := labdisk.New()
 		d := openOn(t, power)
 		defer func() { d.Close() }()
-		m := &model{log: map[uint64]raft.Log{}, figures: map[string]string{}, values: map[string]string{}}
+		m := &model{log: map[uint64]raft.Log{}, stable: map[string]string{}, values: map[string]string{}}
 		chance := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "power"), 1))
 		bytesOf := func(name string) []byte {
 			n := rapid.SampledFrom([]int{0, 1, 100, d.partSize, d.partSize + 1, 3*d.partSize - 7}).Draw(t, name)
@@ -175,15 +177,15 @@
 				}
 				must(d.DeleteRange(first, to))
 			},
-			"a gap": func(t *rapid.T) { // as behind a snapshot that was sent
+			"a gap": func(t *rapid.T) { // as after a snapshot received from the leader
 				_, last := ends()
 				l := raft.Log{Index: last + 10, Term: 4, Type: raft.LogNoop, Data: []byte("x")}
 				m.log[l.Index] = l
 				must(d.StoreLog(&l))
 			},
-			"figure": func(t *rapid.T) {
-				k, v := rapid.SampledFrom([]string{"CurrentTerm", "LastVoteCand"}).Draw(t, "figure"), rapid.StringN(1, 8, 8).Draw(t, "figure's")
-				m.figures[k] = v
+			"hard state": func(t *rapid.T) {
+				k, v := rapid.SampledFrom([]string{"CurrentTerm", "LastVoteCand"}).Draw(t, "name"), rapid.StringN(1, 8, 8).Draw(t, "value")
+				m.stable[k] = v
 				must(d.Set([]byte(k), []byte(v)))
 			},
 			"values": func(t *rapid.T) {
@@ -191,7 +193,7 @@
 				for range rapid.IntRange(1, 20).Draw(t, "values") {
 					k := rapid.SampledFrom([]string{"a", "ab", "b", "c", "d", "e", "f", "g", "h", "i", "j", "k"}).Draw(t, "key")
 					v := bytesOf("value")
-					if rapid.IntRange(0, 3).Draw(t, "gone") == 0 {
+					if rapid.IntRange(0, 3).Draw(t, "deleted") == 0 {
 						v = nil
 					}
 					if changed[k] = v; v == nil {
@@ -202,7 +204,7 @@
 				}
 				m.applied += uint64(rapid.IntRange(1, 3).Draw(t, "steps"))
 				must(d.writeChanged(changed, m.applied))
-				must(d.replaceAll(map[string][]byte{"a": []byte("older")}, m.applied-1)) // stays unheard
+				must(d.replaceAll(map[string][]byte{"a": []byte("older")}, m.applied-1)) // an older index must be ignored
 			},
 			"all values": func(t *rapid.T) {
 				m.values, m.applied = map[string]string{"ab": string(bytesOf("value")), "c": "2"}, m.applied+5
@@ -214,7 +216,7 @@
 			},
 			"snapshot": func(t *rapid.T) {
 				_, last := ends()
-				sink, err := d.Create(1, last, uint64(len(m.snaps))+uint64(chance.IntN(3))+100, raft.Configuration{}, 1, nil)
+				sink, err := d.Create(1, last, uint64(len(m.snapshots))+uint64(chance.IntN(3))+100, raft.Configuration{}, 1, nil)
 				must(err)
 				content := bytesOf("snapshot")
 				for at := 0; at < len(content); at += 1500 {
@@ -229,11 +231,11 @@
 				list, err := d.List()
 				must(err)
 				at := slices.IndexFunc(list, func(s *raft.SnapshotMeta) bool { return s.ID == sink.ID() })
-				m.snaps = slices.Insert(m.snaps, max(at, 0), string(content))
-				m.snaps = m.snaps[:min(len(m.snaps), retainedSnapshots)]
+				m.snapshots = slices.Insert(m.snapshots, max(at, 0), string(content))
+				m.snapshots = m.snapshots[:min(len(m.snapshots), retainedSnapshots)]
 			},
-			"power": func(t *rapid.T) {
-				// What is begun and not acknowledged is not seen.
+			"power loss": func(t *rapid.T) {
+				// Writes that were started and not acknowledged must not be visible.
 				sink, err := d.Create(1, 1, 1, raft.Configuration{}, 1, nil)
 				must(err)
 				_, err = sink.Write(make([]byte, 2*d.partSize))
@@ -250,8 +252,8 @@
 	})
 }
 
-// TestMigratesEarlierFormat: what the release before kept is there, the log, votes, values and the newest snapshot, also where the taking over was
-// cut short; and that release finds nothing to go on with.
+// TestMigratesEarlierFormat migrates the format of the previous release: the log, votes, values and newest snapshot must be there,
+// also after an interrupted migration, and the previous release must no longer find its files.
 func TestMigratesEarlierFormat(t *testing.T) {
 	dir := t.TempDir()
 	must := func(err error) {
@@ -287,7 +289,7 @@
 	must(db.Close())
 	files, err := raft.NewFileSnapshotStoreWithLogger(dir, 2, hclog.NewNullLogger())
 	must(err)
-	_, wire := raft.NewInmemTransport("n0")
+	_, transport := raft.NewInmemTransport("n0")
 	before := statemachine.New()
 	for index := uint64(1); index <= 6; index++ {
 		l := command(index)
@@ -297,31 +299,31 @@
 	}
 	data, err := before.Snapshot()
 	must(err)
-	sink, err := files.Create(1, 6, term, raft.Configuration{Servers: []raft.Server{{ID: "n0", Address: "n0"}}}, 1, wire)
+	sink, err := files.Create(1, 6, term, raft.Configuration{Servers: []raft.Server{{ID: "n0", Address: "n0"}}}, 1, transport)
 	must(err)
 	_, err = sink.Write(data)
 	must(err)
 	must(sink.Close())
 
-	// Cut short: nothing of it counts, and what was there is as it was.
+	// An interrupted migration must leave the old files unchanged, and its own writes must not count.
 	folder := filepath.Join(dir, "kv")
 	must(os.MkdirAll(folder, 0o700))
-	half, err := kv.Open(kv.Dir(folder), kv.Config{})
+	partial, err := kv.Open(kv.Dir(folder), kv.Config{})
 	must(err)
-	if _, err := newDisk(half, func(d *disk) error {
-		return errors.Join(migrateBolt(d, dir), d.StoreLog(&raft.Log{Index: 99}), errors.New("the power goes"))
+	if _, err := newDisk(partial, func(d *disk) error {
+		return errors.Join(migrateBolt(d, dir), d.StoreLog(&raft.Log{Index: 99}), errors.New("power loss"))
 	}); err == nil {
-		t.Fatal("it was not cut short")
+		t.Fatal("the migration was not interrupted")
 	}
 
 	s := open(t, config.Store{Directory: dir}, "n0")
 	if got := string(s.Get("old")); got != "list" {
-		t.Errorf("before the log is played: old is %q", got)
+		t.Errorf("before the log is replayed: old is %q", got)
 	}
-	until(t, s, "k3", "v")
-	until(t, s, "k9", "v")
+	waitForValue(t, s, "k3", "v")
+	waitForValue(t, s, "k9", "v")
 	s.Put("after", []byte("1"))
-	until(t, s, "after", "1")
+	waitForValue(t, s, "after", "1")
 	if term := s.Status().Term; term < 3 {
 		t.Errorf("term %d", term)
 	}
@@ -332,11 +334,11 @@
 		}
 	}
 	s = open(t, config.Store{Directory: dir}, "n0")
-	until(t, s, "k3", "v")
+	waitForValue(t, s, "k3", "v")
 	must(s.Close())
 }
 
-// TestRetentionByEntrySizes: how much of the log is kept, by the sizes of its entries.
+// TestRetentionByEntrySizes checks how much of the log is retained for entries of various sizes.
 func TestRetentionByEntrySizes(t *testing.T) {
 	for _, c := range []struct {
 		name               string
@@ -345,7 +347,7 @@
 	}{
 		{"empty", 0, 0, minTrailing, minSnapshotThreshold},
 		{"leases", 1000, 300, 11522, 5761},
-		{"bare", 1000, 1, 64527, maxSnapshotThreshold},
+		{"entries of one byte", 1000, 1, 64527, maxSnapshotThreshold},
 		{"lists of all data nodes", 40, 600_000, minTrailing, minSnapshotThreshold},
 	} {
 		var s entrySizes
@@ -360,11 +362,11 @@
 	for i := range 5 * maxTrailing {
 		s.add(uint64(i+1), 10)
 	}
-	s.add(5*maxTrailing-9, 1<<20) // in the place of a later end
+	s.add(5*maxTrailing-9, 1<<20) // replaces the end of the log from there on
 	if len(s.list) > 2*maxTrailing || s.first+uint64(len(s.list)) != 5*maxTrailing-8 {
 		t.Errorf("%d sizes from %d on", len(s.list), s.first)
 	}
-	// What is cut off and then passed over by a gap is not taken for its beginning.
+	// Entries that were kept by a truncation and precede a gap must not count as the beginning of what follows the gap.
 	var gap entrySizes
 	for i := range 10 {
 		gap.add(uint64(i+1), 10)
@@ -375,8 +377,8 @@
 	}
 }
 
-// TestStableStoreWaitsOnFullDisk: what the library can't go on without waits for room; the log says that there is none, and takes entries once there is;
-// and values of many entries at once.
+// TestStableStoreWaitsOnFullDisk checks a full disk: a stable value, without which raft ends the process, waits for space, while
+// the log returns an error and accepts entries again once there is space. Values larger than one batch must be stored then, too.
 func TestStableStoreWaitsOnFullDisk(t *testing.T) {
 	full := labdisk.New()
 	d := openOn(t, full)
@@ -392,7 +394,7 @@
 	if !errors.Is(err, kv.ErrFull) {
 		t.Fatal(err)
 	}
-	full.SetFreeSpace(10) // nor for less
+	full.SetFreeSpace(10) // too little for a stable value, too
 	set := make(chan error, 1)
 	go func() { set <- d.SetUint64([]byte("CurrentTerm"), 7) }()
 	select {
@@ -406,7 +408,7 @@
 	}
 	full.SetFreeSpace(-1)
 	d.partSize = defaultPartSize
-	values := map[string][]byte{} // of one batch of entries, more than one batch of internal/kv takes
+	values := map[string][]byte{} // changed by one batch of entries, and larger than one batch of internal/kv
 	for i := range 40 {
 		values[fmt.Sprint(i)] = bytes.Repeat([]byte{byte(i)}, defaultPartSize-1)
 	}
--- a/internal/store/formats_test.go
+++ b/internal/store/formats_test.go
@@ -14,16 +14,16 @@
 	"gullfall/internal/statemachine"
 )
 
-// TestTalkForms shows that what members ask each other, and the head of a snapshot, keep their keys.
-func TestTalkForms(t *testing.T) {
+// TestCallAndSnapshotFormats checks that the calls between members, their replies and the header of a snapshot keep their JSON keys.
+func TestCallAndSnapshotFormats(t *testing.T) {
 	golden.JSON(t, "forms.json", map[string]any{
 		"call":          golden.Filled[call](),
 		"reply":         golden.Filled[reply](),
-		"snapshot head": golden.Filled[snapshotHead](),
+		"snapshot head": golden.Filled[snapshotHeader](),
 	})
 }
 
-// TestOpensEarlierStore opens a member's folder as an earlier version left it, with a log, a snapshot and tables, and finds
+// TestOpensEarlierStore opens a member's directory that an earlier version wrote, with a log, a snapshot and tables, and checks
 // every value in it.
 func TestOpensEarlierStore(t *testing.T) {
 	dir := t.TempDir()
@@ -32,7 +32,7 @@
 	}
 	s := open(t, config.Store{Directory: dir}, "n0")
 	defer s.Close()
-	until(t, s, "last", "written last")
+	waitForValue(t, s, "last", "written last")
 	if got := s.Get("large"); !bytes.Equal(got, bytes.Repeat([]byte("large value "), 2_000)) {
 		t.Errorf("the large value has %d bytes", len(got))
 	}
@@ -44,12 +44,12 @@
 	}
 	for end := time.Now().Add(30 * time.Second); !holdsDuty(s); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatal("the duty that n0 held is not known")
+			t.Fatal("the state lacks the duty that n0 held")
 		}
 	}
 }
 
-// holdsDuty tells whether the state knows the lease that was granted before the folder was left.
+// holdsDuty reports whether the state has the lease that was granted before the directory was saved.
 func holdsDuty(s *Store) (held bool) {
 	s.View(func(state *statemachine.State) {
 		for _, grant := range state.Duties() {
@@ -61,5 +61,5 @@
 
 func memberKey(i int) string { return fmt.Sprint("key/", i%100) }
 
-// memberValue is what the folder's key of i holds: each key was written three times.
+// memberValue returns the value of memberKey(i) in the saved directory: each key was written three times.
 func memberValue(i int) string { return strings.Repeat(fmt.Sprint("value ", i%100+200, " "), 50) }
--- a/internal/store/fsm.go
+++ b/internal/store/fsm.go
@@ -10,16 +10,16 @@
 	"gullfall/internal/statemachine"
 )
 
-// rewriteInterval is the least time between a failed write to the disk and the next attempt.
+// rewriteInterval is the minimum time between a failed write to the disk and the next attempt.
 const rewriteInterval = time.Second
 
-// fsm is the Store as raft's state machine. It changes the state by internal/statemachine only.
+// fsm is the Store as raft's state machine. internal/statemachine makes all changes of the state.
 type fsm Store
 
 // Apply applies one entry of the log.
 func (m *fsm) Apply(l *raft.Log) any { return m.ApplyBatch([]*raft.Log{l})[0] }
 
-// ApplyBatch applies entries in their order, and writes the values that they changed to the disk together.
+// ApplyBatch applies entries in order, and writes the values that they changed to the disk together.
 func (m *fsm) ApplyBatch(logs []*raft.Log) []any {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -61,13 +61,13 @@
 	}
 }
 
-// notify wakes those that wait for a change. The caller holds the lock.
+// notify wakes the callers that wait for a change. The caller holds the lock.
 func (m *fsm) notify() {
 	close(m.changed)
 	m.changed = make(chan struct{})
 }
 
-// recordWrite notes the result of a write to the disk. The caller holds the lock.
+// recordWrite records and logs the result of a write to the disk. The caller holds the lock.
 func (m *fsm) recordWrite(err error) {
 	switch {
 	case err != nil:
@@ -79,8 +79,8 @@
 	m.diskWrites.stale = err != nil
 }
 
-// rewriteAll writes all values anew after a failed write, since the disk lacks what changed meanwhile. It does so at most once a
-// second. The caller holds the lock.
+// rewriteAll writes all values again after a failed write, since the disk lacks what changed meanwhile, at most once per
+// rewriteInterval. The caller holds the lock.
 func (m *fsm) rewriteAll() {
 	if time.Since(m.diskWrites.lastFailure) < rewriteInterval {
 		return
--- a/internal/store/keys.go
+++ b/internal/store/keys.go
@@ -7,7 +7,7 @@
 	"gullfall/internal/kv"
 )
 
-// The first byte of a key is the kind of its value; the comments name what follows it.
+// The first byte of a key is the kind of its value. Each comment gives the rest of the key, and the value after a colon.
 const (
 	keyLog          = 'l' // index: an entry of the log
 	keyLogPart      = 'L' // index, part
@@ -28,7 +28,7 @@
 
 func encodePart(n int) []byte { return binary.BigEndian.AppendUint32(nil, uint32(n)) }
 
-// deletePrefix deletes all keys of a kind that have a prefix. No other key's prefix may begin with it.
+// deletePrefix returns a batch that deletes all keys of a kind with a prefix. No other key's prefix may begin with it.
 func deletePrefix(kind byte, prefix []byte) kv.Batch {
 	return kv.Batch{{Kind: kv.DeleteRange, Key: key(kind, prefix), Value: key(kind, prefix, []byte{255, 255, 255, 255, 255})}}
 }
--- a/internal/store/lease.go
+++ b/internal/store/lease.go
@@ -10,13 +10,14 @@
 	"gullfall/internal/statemachine"
 )
 
-// Lease campaigns for one duty, renews its lease and returns it, by the decisions of internal/lease over the replicated table. A
-// lease is never acted on for longer than the holder's own clock proves, so two coordinators do not do one duty together.
+// Lease campaigns for one duty, renews its lease and resigns it, following the decisions of internal/lease over the replicated
+// state. By its own clock the holder stops acting before the lease can be granted to another, so no two coordinators perform a
+// duty at the same time.
 type Lease struct {
 	Store    *Store
 	Duty     string
 	Presence bool                       // the lease is the coordinator's presence, and Duty its name
-	Who      string                     // the coordinator
+	Who      string                     // name of this coordinator
 	Config   lease.Config               // length of the lease, bound on clocks
 	Put      func() []statemachine.Pair // values written with each campaign; may be nil
 	Granted  func(until time.Time)      // called with the end of each grant, renewals included; may be nil
@@ -25,10 +26,11 @@
 	// mu guards the fields below.
 	mu         sync.Mutex
 	holder     *lease.Holder
-	loggedHeld bool // as it was logged last
+	loggedHeld bool // whether the lease was held, as logged last
 }
 
-// Run campaigns and renews until ctx ends. The first campaign waits for pause, which differs between coordinators.
+// Run campaigns and renews until ctx ends. The first campaign waits for pause, which differs between coordinators so that they do
+// not all campaign at once.
 func (l *Lease) Run(ctx context.Context, pause time.Duration) {
 	l.mu.Lock()
 	l.holder = lease.NewHolder(l.Config, l.now(), pause)
@@ -36,10 +38,10 @@
 	for ctx.Err() == nil {
 		l.mu.Lock()
 		now := l.now()
-		ask, next := l.holder.Step(now), l.holder.Next()
+		req, next := l.holder.Step(now), l.holder.Next()
 		l.mu.Unlock()
 		l.logChange()
-		if ask.Kind == lease.Wait {
+		if req.Kind == lease.Wait {
 			timer := time.NewTimer(min(max(next-now, time.Millisecond), 100*time.Millisecond))
 			select {
 			case <-ctx.Done():
@@ -48,17 +50,17 @@
 			timer.Stop()
 			continue
 		}
-		l.request(ctx, ask, now)
+		l.request(ctx, req, now)
 	}
 }
 
 func (l *Lease) now() time.Duration { return l.Store.clock.now() }
 
 // request sends one request and passes its result to the holder.
-func (l *Lease) request(ctx context.Context, ask lease.Request, sent time.Duration) {
-	c := statemachine.Command{Lease: &statemachine.LeaseOp{Kind: statemachine.Campaign, Duty: l.Duty, Presence: l.Presence, Who: l.Who, Term: ask.Term, KnownVersion: ask.Version,
+func (l *Lease) request(ctx context.Context, req lease.Request, sent time.Duration) {
+	c := statemachine.Command{Lease: &statemachine.LeaseOp{Kind: statemachine.Campaign, Duty: l.Duty, Presence: l.Presence, Who: l.Who, Term: req.Term, KnownVersion: req.Version,
 		Length: l.Config.Length}}
-	if ask.Kind == lease.Renew {
+	if req.Kind == lease.Renew {
 		c.Lease.Kind = statemachine.Renew
 	} else if l.Put != nil {
 		c.Put = l.Put()
@@ -68,19 +70,19 @@
 	defer cancel()
 	r, err := l.Store.Do(ctx, c)
 	if err == nil && (r.Failed == "" || r.Failed == statemachine.StaleVersion) {
-		// A member acts on a grant only once it has applied all that was agreed before it.
+		// A holder acts on a grant only once this member has applied the log up to it.
 		err = l.Store.Wait(ctx, r.Index)
 	}
 	l.mu.Lock()
 	switch {
 	case err != nil:
-		l.holder.Unanswered(l.now(), ask.Number)
+		l.holder.Unanswered(l.now(), req.Number)
 	case r.Failed == statemachine.StaleVersion:
-		l.holder.VersionStale(l.now(), ask.Number, r.Grant.Version)
+		l.holder.VersionStale(l.now(), req.Number, r.Grant.Version)
 	case r.Failed != "":
-		l.holder.Denied(l.now(), ask.Number, r.Grant.Version)
+		l.holder.Denied(l.now(), req.Number, r.Grant.Version)
 	default:
-		l.holder.Granted(l.now(), ask.Number, r.Grant)
+		l.holder.Granted(l.now(), req.Number, r.Grant)
 	}
 	l.mu.Unlock()
 	if err == nil && r.Failed == "" && l.Granted != nil {
@@ -89,7 +91,7 @@
 	l.logChange()
 }
 
-// logChange logs that the lease was won or lost.
+// logChange logs a lease that was gained or lost, except that of a presence.
 func (l *Lease) logChange() {
 	l.mu.Lock()
 	token, held := l.holder.MayAct(l.now())
@@ -105,13 +107,13 @@
 	}
 }
 
-// MayAct tells whether the duty may be acted on now, and returns the fencing token.
+// MayAct reports whether the duty may be acted on now, and returns the fencing token.
 func (l *Lease) MayAct() (token uint64, ok bool) {
 	token, _, ok = l.Claim()
 	return token, ok
 }
 
-// Claim is MayAct with the time that it holds for.
+// Claim is like MayAct, and also returns the time at which the answer was determined.
 func (l *Lease) Claim() (token uint64, at time.Time, ok bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -122,7 +124,7 @@
 	return token, l.Store.clock.time(now), ok
 }
 
-// Resign stops acting at once and returns the lease; where that fails by ctx's deadline, the lease expires.
+// Resign stops acting at once and releases the lease. If the release fails before ctx ends, the lease expires by itself.
 func (l *Lease) Resign(ctx context.Context) error {
 	l.mu.Lock()
 	if l.holder == nil {
@@ -142,7 +144,7 @@
 	return r.Err()
 }
 
-// ResignAndPause returns the lease and campaigns again only after its length, so that another coordinator can get it.
+// ResignAndPause releases the lease and campaigns again only after its length, so that another coordinator can get it.
 func (l *Lease) ResignAndPause(ctx context.Context) error {
 	err := l.Resign(ctx)
 	l.mu.Lock()
--- a/internal/store/members.go
+++ b/internal/store/members.go
@@ -15,8 +15,8 @@
 // The kinds of a MemberChange.
 const (
 	AddLearner = "add"    // add a member that receives the log and has no vote
-	GiveVote   = "vote"   // make the learner that asks a voter, once it has caught up
-	Remove     = "remove" // remove a member for good
+	GiveVote   = "vote"   // make the learner that sends the change a voter, once it has caught up
+	Remove     = "remove" // remove a member permanently
 )
 
 // MemberChange is an operator's request to change the members: What is its kind, Addr the address of a new learner.
@@ -25,9 +25,9 @@
 // invalidMemberChange is the cause of a result that a retry would not change.
 const invalidMemberChange = "member"
 
-// Change has the leader change the members, by ctx's deadline; an error that does not wrap ctx's tells why the change is invalid.
-// A change whose answer was lost counts as done once the members are as it wants them. A learner gets a vote only after it has
-// applied what was done before: a vote without the log could elect a leader that lacks acknowledged entries.
+// Change has the leader change the members, until ctx ends; an error that does not wrap ctx's states why the change is invalid. A
+// change whose answer was lost counts as done once the members match it. A learner gets a vote only after it has applied all
+// entries acknowledged before: a vote without the log could elect a leader that lacks acknowledged entries.
 func (s *Store) Change(ctx context.Context, c MemberChange) error {
 	if s.transport == nil {
 		return errors.New("the store has this one member: store.listen in deploy/gullfall.toml is empty")
@@ -46,14 +46,14 @@
 		case err == nil:
 			return errors.New(r.Why)
 		}
-		maybeDone = maybeDone || !errors.Is(err, errNoLeader) // errNoLeader: it was not even begun
+		maybeDone = maybeDone || !errors.Is(err, errNoLeader) // errNoLeader: the call had no effect
 		if ended := s.waitRetry(ctx); ended != nil {
 			return errors.Join(ended, err)
 		}
 	}
 }
 
-// isMemberChangeDone tells whether the members are as a change wants them, as far as this member knows.
+// isMemberChangeDone reports whether the members match a change, as far as this member knows.
 func (s *Store) isMemberChangeDone(c MemberChange) bool {
 	f := s.raft.GetConfiguration()
 	if f.Error() != nil {
@@ -78,8 +78,8 @@
 	return raft.Server{}, false
 }
 
-// changeMember makes a change at the leader. It rejects the removal of the last vote: the store could then elect no leader.
-func (s *Store) changeMember(ctx context.Context, c MemberChange, end time.Time) (statemachine.Result, error) {
+// changeMember makes a change on the leader. It rejects the removal of the last voter: the store could then elect no leader.
+func (s *Store) changeMember(ctx context.Context, c MemberChange, deadline time.Time) (statemachine.Result, error) {
 	reject := func(format string, args ...any) (statemachine.Result, error) {
 		return statemachine.Result{Failed: invalidMemberChange, Why: fmt.Sprintf(format, args...)}, nil
 	}
@@ -97,7 +97,7 @@
 		}
 	}
 	p, known := findServer(servers, c.Name)
-	left := time.Until(end)
+	timeout := time.Until(deadline)
 	switch c.What {
 	case AddLearner:
 		if known {
@@ -106,12 +106,12 @@
 		if _, _, err := net.SplitHostPort(c.Addr); err != nil || c.Name == "" {
 			return reject("a member needs a name and an address as 127.0.0.1:8300; got %q, %q", c.Name, c.Addr)
 		}
-		return statemachine.Result{}, s.waitFuture(ctx, s.raft.AddNonvoter(raft.ServerID(c.Name), raft.ServerAddress(c.Addr), 0, left))
+		return statemachine.Result{}, s.waitFuture(ctx, s.raft.AddNonvoter(raft.ServerID(c.Name), raft.ServerAddress(c.Addr), 0, timeout))
 	case GiveVote:
 		if !known || p.Suffrage == raft.Voter {
 			return reject("%q is no learner of the store", c.Name)
 		}
-		return statemachine.Result{}, s.waitFuture(ctx, s.raft.AddVoter(p.ID, p.Address, 0, left))
+		return statemachine.Result{}, s.waitFuture(ctx, s.raft.AddVoter(p.ID, p.Address, 0, timeout))
 	case Remove:
 		if !known {
 			return reject("no member %q", c.Name)
@@ -119,7 +119,7 @@
 		if p.Suffrage == raft.Voter && votes == 1 {
 			return reject("%q has the last vote; give another member one first", c.Name)
 		}
-		return statemachine.Result{}, s.waitFuture(ctx, s.raft.RemoveServer(p.ID, 0, left))
+		return statemachine.Result{}, s.waitFuture(ctx, s.raft.RemoveServer(p.ID, 0, timeout))
 	}
 	return reject("%q is no change of a member; %s, %s and %s are", c.What, AddLearner, GiveVote, Remove)
 }
--- a/internal/store/migrate.go
+++ b/internal/store/migrate.go
@@ -18,12 +18,12 @@
 	"gullfall/internal/kv"
 )
 
-// migratedSuffix is added to the names of the older format's files once they are migrated. They are not removed, but an earlier
-// release must not open them again: it would vote with what it knew then.
+// migratedSuffix is added to the names of the older format's files once they are migrated. They are kept, but an earlier release
+// must not open them again: it would vote with an outdated state.
 const migratedSuffix = ".taken-over"
 
-// migrateBolt fills a new disk from the format of earlier releases, a bbolt file and a folder of snapshots, if a folder has them.
-// It does not change them.
+// migrateBolt fills a new disk from the format of earlier releases, a bbolt file and a directory of snapshots, if dir has them. It
+// does not change them.
 func migrateBolt(d *disk, dir string) error {
 	name := filepath.Join(dir, "store.db")
 	if _, err := os.Stat(name); errors.Is(err, fs.ErrNotExist) {
@@ -33,11 +33,11 @@
 	}
 	db, err := bbolt.Open(name, 0o600, &bbolt.Options{Timeout: time.Second})
 	if err != nil {
-		return fmt.Errorf("%s is to be taken over: %w; end the earlier release first", name, err)
+		return fmt.Errorf("migrate %s: %w; stop the earlier release first", name, err)
 	}
 	defer func() { _ = db.Close() }() // it was only read
 	if err := migrateBoltFile(d, db); err != nil {
-		return fmt.Errorf("%s is to be taken over: %w", name, err)
+		return fmt.Errorf("migrate %s: %w", name, err)
 	}
 	files, err := raft.NewFileSnapshotStoreWithLogger(dir, 2, hclog.NewNullLogger())
 	if err != nil {
@@ -48,7 +48,7 @@
 		err = migrateSnapshot(d, files, list[0])
 	}
 	if err != nil {
-		return fmt.Errorf("snapshots of %s are to be taken over: %w", dir, err)
+		return fmt.Errorf("migrate the snapshots in %s: %w", dir, err)
 	}
 	return nil
 }
--- a/internal/store/putqueue.go
+++ b/internal/store/putqueue.go
@@ -13,12 +13,12 @@
 	"gullfall/internal/statemachine"
 )
 
-// putInterval is how often values that could not be written are tried anew, and the retention is adjusted.
+// putInterval is the interval at which values that could not be written are retried, and the log retention is adjusted.
 const putInterval = time.Second
 
-// putQueue holds the values that are to be written, the latest of each key.
+// putQueue holds the latest value of each key that is to be written.
 type putQueue struct {
-	changed chan struct{} // one is sent when a value comes
+	changed chan struct{} // receives a signal when a value is queued
 
 	mu     sync.Mutex
 	values map[string][]byte
@@ -38,14 +38,14 @@
 	}
 }
 
-// pending copies the queue.
+// pending returns a copy of the queued values.
 func (q *putQueue) pending() map[string][]byte {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	return maps.Clone(q.values)
 }
 
-// remove removes a value that was written, unless a later one has replaced it.
+// remove removes a value that was written, unless a later one has replaced it in the queue.
 func (q *putQueue) remove(key string, value []byte) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -54,8 +54,8 @@
 	}
 }
 
-// Put queues a value and returns at once. The leader writes shared keys. A key that ends with a slash and a member's name is that
-// member's own, and is written by it whoever leads.
+// Put queues a value and returns at once. The leader writes shared keys. A key that ends with a slash and a member's name belongs
+// to that member, which writes it whether or not it leads.
 func (s *Store) Put(key string, value []byte) { s.puts.put(key, value) }
 
 // runPutQueue writes the queued values until the store is closed.
@@ -75,7 +75,7 @@
 	}
 }
 
-// writePending writes the queued values: all of them while this member leads, else its own.
+// writePending writes the queued values: all of them while this member leads, otherwise its own.
 func (s *Store) writePending() {
 	leader := s.raft.State() == raft.Leader
 	for key, value := range s.puts.pending() {
--- a/internal/store/raftlog.go
+++ b/internal/store/raftlog.go
@@ -48,7 +48,7 @@
 // StoreLog stores an entry.
 func (d *disk) StoreLog(l *raft.Log) error { return d.StoreLogs([]*raft.Log{l}) }
 
-// StoreLogs stores entries in their order. Where it fails, the first of them may be stored.
+// StoreLogs stores entries in order. After an error, the first of them may be stored.
 func (d *disk) StoreLogs(logs []*raft.Log) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -97,7 +97,7 @@
 	if err != nil {
 		return err
 	}
-	// The log has no gap behind the first entry whose size is known.
+	// From the first entry in entrySizes on the log has no gap, so its new ends are known without reading it.
 	switch {
 	case first <= d.first && last >= d.last:
 		d.first, d.last, d.entrySizes = 0, 0, entrySizes{}
@@ -128,8 +128,8 @@
 	})
 }
 
-// entryHeaderSize is the bytes of a stored entry before its extensions and data: type, term, when its leader appended it (ns since
-// 1970; 0 for unknown) and the length of the extensions.
+// entryHeaderSize is the size in bytes of a stored entry's header: type, term, the time at which the leader appended it (ns since
+// 1970; 0 for unknown) and the length of the extensions. The extensions and the data follow.
 const entryHeaderSize = 1 + 8 + 8 + 4
 
 func appendEntry(to []byte, l *raft.Log) []byte {
@@ -146,7 +146,7 @@
 
 func decodeEntry(index uint64, data []byte) (raft.Log, error) {
 	if len(data) < entryHeaderSize {
-		return raft.Log{}, fmt.Errorf("%d bytes are no entry", len(data))
+		return raft.Log{}, fmt.Errorf("%d bytes are too short for an entry", len(data))
 	}
 	l := raft.Log{Index: index, Type: raft.LogType(data[0]), Term: binary.BigEndian.Uint64(data[1:])}
 	if at := int64(binary.BigEndian.Uint64(data[9:])); at != 0 {
@@ -154,7 +154,7 @@
 	}
 	n := uint64(binary.BigEndian.Uint32(data[17:]))
 	if data = data[entryHeaderSize:]; n > uint64(len(data)) {
-		return raft.Log{}, fmt.Errorf("extensions of %d bytes in %d", n, len(data))
+		return raft.Log{}, fmt.Errorf("extensions of %d bytes in the remaining %d", n, len(data))
 	}
 	if n > 0 {
 		l.Extensions = data[:n:n]
--- a/internal/store/retention.go
+++ b/internal/store/retention.go
@@ -2,13 +2,13 @@
 
 import "slices"
 
-// How much of the log is kept behind a snapshot, and how often one is taken. Both go by bytes, since an entry is anything from the
-// hundred bytes of a lease to a list of all data nodes.
+// How much of the log is retained behind a snapshot, and how often one is taken. Both are bounded in bytes, since an entry is
+// anything from a lease of a hundred bytes to a list of all data nodes.
 const (
-	trailingBytes        = 4 << 20 // a member that was away for a minute is sent entries; for a day, a snapshot
+	trailingBytes        = 4 << 20 // a member that was down for a minute is sent entries; for a day, a snapshot
 	minTrailing          = 16      // entries
 	maxTrailing          = 65_536
-	snapshotBytes        = 2 << 20 // bytes of entries between snapshots, which a start replays
+	snapshotBytes        = 2 << 20 // bytes of entries between snapshots; a restart replays them
 	minSnapshotThreshold = 32      // entries
 	maxSnapshotThreshold = 16_384
 )
@@ -19,7 +19,7 @@
 	list  []int32
 }
 
-// add notes an entry: the next one, one that replaces the end of the log from there on, or one behind a gap.
+// add records the size of an entry: the next one, one that replaces the end of the log from its index on, or one behind a gap.
 func (s *entrySizes) add(index uint64, n int) {
 	switch at := index - s.first; {
 	case len(s.list) == 0 || index < s.first || at > uint64(len(s.list)):
@@ -33,7 +33,7 @@
 	}
 }
 
-// truncate notes that the log now ends with an index, which must be in the list.
+// truncate drops the sizes behind a new last index, which must be in the list.
 func (s *entrySizes) truncate(last uint64) {
 	s.list = s.list[:min(uint64(len(s.list)), last+1-s.first)]
 }
@@ -53,8 +53,8 @@
 
 func clamp(n, least, most int) uint64 { return uint64(max(least, min(n, most))) }
 
-// adjustRetention sets how much of the log is kept, and how often a snapshot is taken, by the sizes of the entries. Differences of
-// less than a quarter are left.
+// adjustRetention sets how much of the log is retained, and how often a snapshot is taken, by the sizes of the entries.
+// Differences of less than a quarter are ignored.
 func (s *Store) adjustRetention() {
 	if s.disk == nil {
 		return
--- a/internal/store/snapshots.go
+++ b/internal/store/snapshots.go
@@ -19,7 +19,7 @@
 	"gullfall/internal/kv"
 )
 
-// retainedSnapshots is how many snapshots are retained: the one before the last may still be on its way to a member.
+// retainedSnapshots is how many snapshots are kept: the previous one may still be being sent to a member.
 const retainedSnapshots = 2
 
 // List returns the finished snapshots, the newest first. With Open and Create it implements raft.SnapshotStore.
@@ -28,8 +28,8 @@
 	defer view.Close()
 	var decodeErr error
 	err = view.Each([]byte{keySnapshot}, func(_, raw []byte) bool {
-		var h snapshotHead
-		if h, decodeErr = decodeSnapshotHead(raw); decodeErr == nil {
+		var h snapshotHeader
+		if h, decodeErr = decodeSnapshotHeader(raw); decodeErr == nil {
 			list = append(list, &h.Meta)
 		}
 		return decodeErr == nil
@@ -40,13 +40,13 @@
 	return list, errors.Join(err, decodeErr)
 }
 
-// Open opens a snapshot for reading. Its checksum is verified at its end.
+// Open opens a snapshot for reading. The reader verifies the checksum at the end of the content.
 func (d *disk) Open(id string) (*raft.SnapshotMeta, io.ReadCloser, error) {
 	view := d.db.Snapshot()
 	raw, err := view.Get(key(keySnapshot, []byte(id)))
-	var h snapshotHead
+	var h snapshotHeader
 	if err == nil {
-		h, err = decodeSnapshotHead(raw)
+		h, err = decodeSnapshotHeader(raw)
 	}
 	if err != nil {
 		view.Close()
@@ -64,7 +64,7 @@
 // Create starts a snapshot. It is listed only once its writer is closed.
 func (d *disk) Create(version raft.SnapshotVersion, index, term uint64, members raft.Configuration, membersIndex uint64, _ raft.Transport) (raft.SnapshotSink, error) {
 	if version != 1 {
-		return nil, fmt.Errorf("snapshot of version %d; this program writes 1", version)
+		return nil, fmt.Errorf("unsupported snapshot version %d; this program writes version 1", version)
 	}
 	id := fmt.Sprintf("%016x-%016x-%016x", term, index, time.Now().UnixNano())
 	w := &snapshotWriter{disk: d, checksum: crc32.New(castagnoli)}
@@ -75,7 +75,7 @@
 // snapshotWriter writes a snapshot in parts, so that it is never in memory as a whole.
 type snapshotWriter struct {
 	disk     *disk
-	head     snapshotHead
+	head     snapshotHeader
 	checksum hash.Hash32
 	buf      []byte
 	parts    int
@@ -110,7 +110,7 @@
 	return err
 }
 
-// Close makes the snapshot visible, and removes the ones that are too old.
+// Close makes the snapshot visible, and removes those beyond retainedSnapshots.
 func (w *snapshotWriter) Close() error {
 	if w.finished {
 		return nil
@@ -151,19 +151,19 @@
 type snapshotReader struct {
 	ctx      context.Context
 	view     *kv.View
-	head     snapshotHead
+	head     snapshotHeader
 	checksum hash.Hash32
-	limiter  *rate.Limiter // nil for no bound
-	current  bytes.Reader  // the rest of the part that was read last
+	limiter  *rate.Limiter // nil for no limit
+	current  bytes.Reader  // the unread rest of the last part that was loaded
 	part     int
 	offset   int64
 }
 
-// Read returns the content, and an error in place of io.EOF where the checksum does not match.
+// Read returns the content, and an error instead of io.EOF if the checksum does not match.
 func (r *snapshotReader) Read(p []byte) (n int, err error) {
 	if r.offset == r.head.Meta.Size {
 		if r.checksum.Sum32() != r.head.Sum {
-			return 0, fmt.Errorf("snapshot %s does not have its checksum", r.head.Meta.ID)
+			return 0, fmt.Errorf("snapshot %s: checksum mismatch", r.head.Meta.ID)
 		}
 		return 0, io.EOF
 	}
@@ -173,7 +173,7 @@
 			return 0, fmt.Errorf("snapshot %s, part %d: %w", r.head.Meta.ID, r.part, err)
 		}
 		if r.limiter != nil {
-			if err := r.limiter.WaitN(r.ctx, len(data)); err != nil { // a part is never larger than its burst
+			if err := r.limiter.WaitN(r.ctx, len(data)); err != nil { // a part is never larger than the limiter's burst
 				return 0, err
 			}
 		}
@@ -192,15 +192,15 @@
 	return nil
 }
 
-// snapshotHead is the value of a snapshot's key.
-type snapshotHead struct {
+// snapshotHeader is the stored value of a snapshot's key.
+type snapshotHeader struct {
 	Meta raft.SnapshotMeta
 	Sum  uint32 // CRC-32C of its content
 }
 
-func decodeSnapshotHead(raw []byte) (h snapshotHead, err error) {
+func decodeSnapshotHeader(raw []byte) (h snapshotHeader, err error) {
 	if err = json.Unmarshal(raw, &h); err != nil {
-		err = fmt.Errorf("head of a snapshot: %w", err)
+		err = fmt.Errorf("snapshot header: %w", err)
 	}
 	return h, err
 }
--- a/internal/store/stable.go
+++ b/internal/store/stable.go
@@ -12,9 +12,9 @@
 // stableRetryInterval is the pause before a write is tried again on a full disk.
 const stableRetryInterval = 100 * time.Millisecond
 
-// Set stores a value of raft, such as its term and vote. Raft ends the process where that fails. So while the disk is full Set
-// waits for space, and once the store is closed it ends raft's goroutine. A member that neither votes nor leads meanwhile does no
-// harm. With Get, SetUint64 and GetUint64 it implements raft.StableStore.
+// Set stores a value of raft, such as its term or vote. Raft ends the process if that fails, so Set waits for space while the disk
+// is full, and ends raft's goroutine once the store is closed. Meanwhile the member neither votes nor leads, which is safe. With
+// Get, SetUint64 and GetUint64 it implements raft.StableStore.
 func (d *disk) Set(name, value []byte) error {
 	for {
 		err := d.db.Write(kv.Batch{{Kind: kv.Put, Key: key(keyStable, name), Value: value}})
--- a/internal/store/status.go
+++ b/internal/store/status.go
@@ -9,7 +9,7 @@
 type Status struct {
 	Name   string
 	State  string // Leader, Follower, Candidate, Shutdown
-	Leader string // its name; empty for none
+	Leader string // name of the leader; empty for none
 	Term   uint64
 	Index  uint64            // last applied
 	Heard  time.Duration     // since the last contact with the leader; 0 at the leader
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -1,7 +1,7 @@
-// Package store keeps the coordinators' shared state in a small replicated store by Raft: the configuration, the last known list
-// of data nodes, and, where coordinators may talk, what they agree on (internal/statemachine). Serving does not depend on it: Put
-// returns at once and is written when there is a leader, Get reads what this member has applied, and a lost quorum stops neither.
-// Do and Sync wait for agreement until their deadline; what they report as done is never undone.
+// Package store keeps the coordinators' shared state in a small store replicated by Raft: the configuration, the last known list
+// of data nodes and, where coordinators may communicate, the state that they agree on (internal/statemachine). Serving does not
+// depend on it: Put queues a value and returns at once, Get returns what this member has applied, and both work without a quorum.
+// Do and Sync wait for the quorum until their deadline; a command that they report as done is never undone.
 package store
 
 import (
@@ -27,7 +27,7 @@
 // The keys of values that the coordinators share.
 const (
 	Settings     = "settings"
-	EndpointList = "members" // the last list of data nodes
+	EndpointList = "members" // the last known list of data nodes
 )
 
 // Store is one member of the replicated store. Its methods may be called from any goroutine.
@@ -49,40 +49,40 @@
 	// mu guards the fields below.
 	mu         sync.Mutex
 	state      *statemachine.State
-	changed    chan struct{} // closed, and replaced, when something is applied
+	changed    chan struct{} // closed, and replaced, when entries are applied
 	restored   appliedState  // what this member had applied before its start
 	diskWrites diskWrites
 }
 
-// appliedState is the values of a member that it had applied up to a log index.
+// appliedState holds the values that a member has applied up to a log index.
 type appliedState struct {
 	values map[string][]byte
 	index  uint64
 }
 
-// diskWrites is how the writes of applied values went.
+// diskWrites records the outcome of writing applied values to the disk.
 type diskWrites struct {
-	stale       bool // one failed: the disk holds less than what is applied
+	stale       bool // a write failed: the disk lacks some applied values
 	lastFailure time.Time
 }
 
-// leaseClock counts the time of leases. It never jumps while the process runs, and is never compared with another member's.
+// leaseClock measures the time of leases. It is monotonic while the process runs, and is never compared with another member's.
 type leaseClock struct {
 	start time.Time
-	skew  float64 // share by which it runs too fast; 0 except in tests
+	skew  float64 // fraction by which it runs too fast; 0 except in tests
 }
 
-// now is the time since the start.
+// now returns the time since the start.
 func (c leaseClock) now() time.Duration {
 	return time.Duration(float64(time.Since(c.start)) * (1 + c.skew))
 }
 
-// time is when the clock shows a duration.
+// time returns the time at which the clock shows a reading.
 func (c leaseClock) time(shown time.Duration) time.Time {
 	return c.start.Add(time.Duration(float64(shown) / (1 + c.skew)))
 }
 
-// commandIDs numbers the commands of one process, so that a command that is sent twice is applied once.
+// commandIDs numbers the commands of one process, so that a command sent twice is applied once.
 type commandIDs struct {
 	writer string // the member's name and a random part for the process
 	last   atomic.Uint64
@@ -92,13 +92,13 @@
 	return statemachine.ID{Writer: c.writer, N: c.last.Add(1)}
 }
 
-// Open starts the member called name. What it had applied on its disk can be read at once.
+// Open starts the member called name. The values that it had applied before are readable at once.
 func Open(cfg config.Store, name string, log *slog.Logger) (*Store, error) {
 	s, err := newStore(cfg, name, log)
 	if err != nil {
 		return nil, err
 	}
-	backing, err := s.openStorage(cfg.Directory)
+	storage, err := s.openStorage(cfg.Directory)
 	if err != nil {
 		return nil, fmt.Errorf("store.directory: %w", err)
 	}
@@ -107,7 +107,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("store.listen: %w", err)
 	}
-	if err := s.startRaft(conf, backing, transport, servers); err != nil {
+	if err := s.startRaft(conf, storage, transport, servers); err != nil {
 		return nil, fmt.Errorf("store: %w", err)
 	}
 	if s.disk != nil {
@@ -121,7 +121,7 @@
 	return s, nil
 }
 
-// newStore returns a store that has neither storage nor raft yet.
+// newStore returns a store without storage and raft.
 func newStore(cfg config.Store, name string, log *slog.Logger) (*Store, error) {
 	var process [6]byte
 	if _, err := rand.Read(process[:]); err != nil {
@@ -133,14 +133,14 @@
 	return s, nil
 }
 
-// raftStorage is where raft keeps its state.
+// raftStorage groups the stores in which raft keeps its state.
 type raftStorage struct {
 	log       raft.LogStore
 	stable    raft.StableStore
 	snapshots raft.SnapshotStore
 }
 
-// openStorage opens the member's folder and reads what it had applied. An empty folder name stands for memory.
+// openStorage opens the member's directory and reads the applied values. With an empty name the state is kept in memory.
 func (s *Store) openStorage(directory string) (raftStorage, error) {
 	if directory == "" {
 		memory := raft.NewInmemStore()
@@ -158,7 +158,7 @@
 	return raftStorage{d, d, d}, nil
 }
 
-// raftConfig returns raft's timeouts and retention. On a disk adjustRetention changes the latter later.
+// raftConfig returns raft's timeouts and log retention. adjustRetention adapts the retention of a store on a disk later.
 func raftConfig(cfg config.Store, name string) *raft.Config {
 	conf := raft.DefaultConfig()
 	conf.LocalID = raft.ServerID(name)
@@ -166,7 +166,7 @@
 	conf.SnapshotInterval, conf.SnapshotThreshold, conf.TrailingLogs = 2*time.Second, 32, 16
 	conf.Logger = raftLogger()
 	if cfg.Listen == "" {
-		// A single member waits for nobody and leads soon after its start.
+		// A single member has no other to wait for, so short timeouts make it the leader soon after its start.
 		conf.HeartbeatTimeout, conf.ElectionTimeout = 100*time.Millisecond, 100*time.Millisecond
 		conf.LeaderLeaseTimeout = 100 * time.Millisecond
 	} else if timeout := time.Duration(cfg.Heartbeat); timeout > 0 {
@@ -175,12 +175,12 @@
 	return conf
 }
 
-// raftLogger passes on raft's errors only.
+// raftLogger returns a logger that writes only raft's errors.
 func raftLogger() hclog.Logger {
 	return hclog.New(&hclog.LoggerOptions{Name: "store", Level: hclog.Error, Output: os.Stderr})
 }
 
-// openTransport listens for the other members, and returns who is a member at the first start.
+// openTransport listens for the other members, and returns the transport and the members of a store that is bootstrapped.
 func (s *Store) openTransport(cfg config.Store, conf *raft.Config) (raft.Transport, []raft.Server, error) {
 	if cfg.Listen == "" {
 		address := raft.ServerAddress(s.name)
@@ -191,15 +191,15 @@
 	if s.transport, err = newStreamLayer(cfg, s); err != nil {
 		return nil, nil, err
 	}
-	// A request that takes long delays the entries behind it, so the timeout is a few heartbeats. A snapshot may take twice as
-	// long as its rate asks for.
+	// A slow request delays the entries behind it, so the timeout is a few heartbeats. A snapshot may take twice as long as it
+	// does at its rate limit.
 	timeout := 2 * conf.HeartbeatTimeout
 	network := raft.NewNetworkTransportWithConfig(&raft.NetworkTransportConfig{Stream: s.transport, MaxPool: 2, Timeout: timeout, Logger: conf.Logger})
 	network.TimeoutScale = max(1, int(cfg.Pace()*timeout.Seconds()/2))
 	return &retryingTransport{network, s.isLeaderOf, s.closed}, initialServers(cfg), nil
 }
 
-// initialServers lists the members that the settings name.
+// initialServers returns the members named in the settings.
 func initialServers(cfg config.Store) (servers []raft.Server) {
 	for _, p := range cfg.Peer {
 		server := raft.Server{ID: raft.ServerID(p.Name), Address: raft.ServerAddress(p.Addr)}
@@ -211,14 +211,14 @@
 	return servers
 }
 
-// startRaft starts raft, and bootstraps the cluster of servers where the storage is empty.
-func (s *Store) startRaft(conf *raft.Config, backing raftStorage, transport raft.Transport, servers []raft.Server) error {
-	known, err := raft.HasExistingState(backing.log, backing.stable, backing.snapshots)
-	if err == nil && !known {
-		err = raft.BootstrapCluster(conf, backing.log, backing.stable, backing.snapshots, transport, raft.Configuration{Servers: servers})
+// startRaft starts raft, and bootstraps the cluster of servers if the storage is empty.
+func (s *Store) startRaft(conf *raft.Config, storage raftStorage, transport raft.Transport, servers []raft.Server) error {
+	exists, err := raft.HasExistingState(storage.log, storage.stable, storage.snapshots)
+	if err == nil && !exists {
+		err = raft.BootstrapCluster(conf, storage.log, storage.stable, storage.snapshots, transport, raft.Configuration{Servers: servers})
 	}
 	if err == nil {
-		s.raft, err = raft.NewRaft(conf, (*fsm)(s), backing.log, backing.stable, backing.snapshots, transport)
+		s.raft, err = raft.NewRaft(conf, (*fsm)(s), storage.log, storage.stable, storage.snapshots, transport)
 	}
 	if err != nil {
 		return err
@@ -227,8 +227,8 @@
 	return nil
 }
 
-// snapshotRate returns the rate, in bytes a second, at which the disk reads a snapshot: a leader reads one only to send it to a
-// member that is far behind, and is bounded; 0 is without bound.
+// snapshotRate returns a function that gives the limit, in bytes a second, on reading a snapshot from the disk. A leader reads one
+// only to send it to a member that is far behind, and is limited to leaderRate; 0 means no limit.
 func (s *Store) snapshotRate(leaderRate float64) func(*raft.SnapshotMeta) float64 {
 	return func(m *raft.SnapshotMeta) float64 {
 		if s.raft.State() != raft.Leader {
@@ -239,7 +239,7 @@
 	}
 }
 
-// isLeaderOf tells whether this member leads in a term and another is a member.
+// isLeaderOf reports whether this member is the leader of a term and another server is a member.
 func (s *Store) isLeaderOf(term uint64, member raft.ServerID) bool {
 	r := s.started.Load()
 	if r == nil || r.State() != raft.Leader || r.CurrentTerm() != term {
@@ -249,8 +249,8 @@
 	return f.Error() == nil && slices.ContainsFunc(f.Configuration().Servers, func(p raft.Server) bool { return p.ID == member })
 }
 
-// Get returns the value that this member has applied, nil for none. Until it has caught up with what it had applied before its
-// start, it returns the value of then.
+// Get returns the value of a key that this member has applied, nil for none. Until the member has replayed the log to where it
+// was before its restart, Get returns the value from before.
 func (s *Store) Get(key string) []byte {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -268,17 +268,17 @@
 	f(s.state)
 }
 
-// Changed returns a channel that is closed when something further is applied.
+// Changed returns a channel that is closed when further entries are applied.
 func (s *Store) Changed() <-chan struct{} {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.changed
 }
 
-// Persistent tells whether this member keeps what it applies on a disk.
+// Persistent reports whether this member keeps what it applies on a disk.
 func (s *Store) Persistent() bool { return s.disk != nil }
 
-// Durable tells whether the disk holds all that is applied: false from a failed write until all is written anew.
+// Durable reports whether the disk holds all applied values: false from a failed write until all values are rewritten.
 func (s *Store) Durable() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -19,19 +19,19 @@
 	"gullfall/internal/statemachine"
 )
 
-var quiet = slog.New(slog.NewTextHandler(io.Discard, nil))
+var discardLog = slog.New(slog.NewTextHandler(io.Discard, nil))
 
 func open(t *testing.T, cfg config.Store, name string) *Store {
 	t.Helper()
-	s, err := Open(cfg, name, quiet)
+	s, err := Open(cfg, name, discardLog)
 	if err != nil {
 		t.Fatal(err)
 	}
 	return s
 }
 
-// until waits for a member to hold a value.
-func until(t *testing.T, s *Store, key, want string) {
+// waitForValue waits waitForValue a member holds a value.
+func waitForValue(t *testing.T, s *Store, key, want string) {
 	t.Helper()
 	for end := time.Now().Add(30 * time.Second); string(s.Get(key)) != want; time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(end) {
@@ -40,8 +40,8 @@
 	}
 }
 
-// TestSingleMemberWritesLatestValue: alone and in memory, as on the platform, the store takes what it is handed, also before it
-// leads, and the latest value of a key wins.
+// TestSingleMemberWritesLatestValue checks that a single member in memory, as on the platform, accepts values also before it
+// leads, and keeps the latest value of each key.
 func TestSingleMemberWritesLatestValue(t *testing.T) {
 	s := open(t, config.Store{}, "n0")
 	defer s.Close()
@@ -49,19 +49,18 @@
 		s.Put(EndpointList, fmt.Appendf(nil, "list %d", i))
 	}
 	s.Put(Settings, []byte("settings"))
-	until(t, s, EndpointList, "list 9")
-	until(t, s, Settings, "settings")
+	waitForValue(t, s, EndpointList, "list 9")
+	waitForValue(t, s, Settings, "settings")
 }
 
-// TestLogIsTrimmed: on a day on which data nodes come and go, each change of the list is an entry; the log must not
-// grow with them.
+// TestLogIsTrimmed checks that the log stays short when data nodes come and go and each change of the list is an entry.
 func TestLogIsTrimmed(t *testing.T) {
 	s := open(t, config.Store{}, "n0")
 	defer s.Close()
 	for i := range 200 {
 		value := fmt.Sprintf("list %d", i)
 		s.Put(EndpointList, []byte(value))
-		until(t, s, EndpointList, value)
+		waitForValue(t, s, EndpointList, value)
 	}
 	for end := time.Now().Add(30 * time.Second); ; time.Sleep(50 * time.Millisecond) {
 		first, _ := s.raftLog.FirstIndex()
@@ -75,36 +74,37 @@
 	}
 }
 
-// TestAppliedValuesRewrittenAfterFailedWrite: a member that could not write what it applied says so, and goes on.
+// TestAppliedValuesRewrittenAfterFailedWrite checks that a member that could not write what it applied reports it, goes on, and
+// writes all values again once the disk accepts writes.
 func TestAppliedValuesRewrittenAfterFailedWrite(t *testing.T) {
 	s := open(t, config.Store{Directory: t.TempDir()}, "n0")
 	defer s.Close()
 	s.Put(EndpointList, []byte("list"))
-	until(t, s, EndpointList, "list")
+	waitForValue(t, s, EndpointList, "list")
 	if !s.Persistent() || !s.Durable() {
-		t.Fatal("nothing failed yet")
+		t.Fatal("not durable before any write failed")
 	}
-	closed, err := openDisk(t.TempDir(), quiet)
+	closed, err := openDisk(t.TempDir(), discardLog)
 	if err != nil {
 		t.Fatal(err)
 	}
 	closed.db.Close()
 	s.mu.Lock()
-	whole := s.disk
-	s.disk = closed // its log stays with the first
+	original := s.disk
+	s.disk = closed // raft's log stays on the first disk
 	s.mu.Unlock()
 	s.Put(EndpointList, []byte("list 2"))
-	until(t, s, EndpointList, "list 2")
+	waitForValue(t, s, EndpointList, "list 2")
 	if s.Durable() {
-		t.Error("a write failed, and what is applied counts as kept")
+		t.Error("durable after a failed write")
 	}
 	s.mu.Lock()
-	s.disk = whole
+	s.disk = original
 	s.mu.Unlock()
-	// Once the disk takes writes again, all is written, the value too that failed; what is put wakes that up.
+	// Once the disk accepts writes again, the next put triggers a rewrite of all values, including the one that failed.
 	for n := 0; !s.Durable(); n++ {
 		if n > 100 {
-			t.Fatal("the disk is whole again, and nothing is written")
+			t.Fatal("the values are not rewritten although the disk accepts writes again")
 		}
 		s.Put("other", fmt.Append(nil, n))
 		time.Sleep(100 * time.Millisecond)
@@ -115,7 +115,7 @@
 	}
 }
 
-// TestRestoredAtStart: what a member held on disk can be read as soon as it is opened, before any election.
+// TestRestoredAtStart checks that what a member held on disk is readable as soon as it is opened, before any election.
 func TestRestoredAtStart(t *testing.T) {
 	cfg := config.Store{Directory: t.TempDir()}
 	for round := range 3 {
@@ -125,15 +125,15 @@
 		}
 		next := fmt.Sprintf("list %d", round)
 		s.Put(EndpointList, []byte(next))
-		until(t, s, EndpointList, next)
+		waitForValue(t, s, EndpointList, next)
 		if err := s.Close(); err != nil {
 			t.Fatal(err)
 		}
 	}
 }
 
-// TestLostQuorum: three members hold what the leader is told; once two are gone, reads and writes still return
-// at once, and the value waits for the quorum to come back.
+// TestLostQuorum stops two of three members: reads and writes must still return at once, and a value that is put meanwhile must be
+// written once the quorum is back.
 func TestLostQuorum(t *testing.T) {
 	var peers []config.Peer
 	for i := range 3 {
@@ -154,12 +154,12 @@
 	}
 	put := func(value string) {
 		for _, s := range all {
-			s.Put(EndpointList, []byte(value)) // each coordinator hears the same list
+			s.Put(EndpointList, []byte(value)) // each coordinator discovers the same list
 		}
 	}
 	put("before")
 	for _, s := range all {
-		until(t, s, EndpointList, "before")
+		waitForValue(t, s, EndpointList, "before")
 	}
 	all[1].Close()
 	all[2].Close()
@@ -170,19 +170,19 @@
 	}
 	all[1] = member(1, dirs[1])
 	all[1].Put(EndpointList, []byte("after"))
-	until(t, all[0], EndpointList, "after")
-	until(t, all[1], EndpointList, "after")
+	waitForValue(t, all[0], EndpointList, "after")
+	waitForValue(t, all[1], EndpointList, "after")
 	all[0].Close()
 	all[1].Close()
 }
 
-// fleetOf opens three members with a vote and one learner, each with a disk of its own.
-func fleetOf(t *testing.T) (all []*Store, reopen func(i int)) {
-	return fleetWith(t, config.Store{}, quiet)
+// openCluster opens three voters and one learner, each with its own disk.
+func openCluster(t *testing.T) (all []*Store, reopen func(i int)) {
+	return openClusterWith(t, config.Store{}, discardLog)
 }
 
-// fleetWith is fleetOf with figures and a log of the test's own.
-func fleetWith(t *testing.T, cfg config.Store, log *slog.Logger) (all []*Store, reopen func(i int)) {
+// openClusterWith is like openCluster, with settings and a logger.
+func openClusterWith(t *testing.T, cfg config.Store, log *slog.Logger) (all []*Store, reopen func(i int)) {
 	t.Helper()
 	var peers []config.Peer
 	var dirs []string
@@ -210,10 +210,10 @@
 	return all, reopen
 }
 
-// TestForwardedCommandAppliedOnce: every member, the learner too, counts the same value up by compare-and-set while leaders are closed and
-// opened anew; each step that was told done, and no other, is in the sum.
+// TestForwardedCommandAppliedOnce has all members, including the learner, increment one value by compare-and-set while leaders are
+// closed and reopened. The sum must count every acknowledged increment once, and none that was rejected.
 func TestForwardedCommandAppliedOnce(t *testing.T) {
-	all, reopen := fleetOf(t)
+	all, reopen := openCluster(t)
 	var mu sync.Mutex // guards all
 	at := func(i int) *Store {
 		mu.Lock()
@@ -269,17 +269,17 @@
 	sum := int64(0)
 	fmt.Sscan(string(at(3).Get("sum")), &sum)
 	if sum < done.Load() || sum > done.Load()+unknown.Load() || done.Load() != 60 {
-		t.Errorf("the sum is %d; %d steps were told done, of %d it is not known", sum, done.Load(), unknown.Load())
+		t.Errorf("the sum is %d; %d increments were acknowledged, the outcome of %d is unknown", sum, done.Load(), unknown.Load())
 	}
 	for _, s := range all {
 		s.Close()
 	}
 }
 
-// TestMembersChange: a member that is gone for good is taken out, one in its place joins as a learner and gets its vote once it
-// has caught up; what does not fit is refused with the reason, and the values stay.
+// TestMembersChange removes a permanently lost member and adds a replacement as a learner, which gets its vote once it has caught
+// up. Invalid changes must be rejected with the reason, and the values must stay.
 func TestMembersChange(t *testing.T) {
-	all, _ := fleetOf(t)
+	all, _ := openCluster(t)
 	ctx, cancel := context.WithDeadline(t.Context(), time.Now().Add(60*time.Second))
 	defer cancel()
 	must := func(err error) {
@@ -319,15 +319,15 @@
 			peers = append(peers, config.Peer{Name: name, Addr: at, Learner: all[1].Status().Peers[name] != "voter"})
 		}
 	}
-	fresh := open(t, config.Store{Directory: t.TempDir(), Listen: addr, Peer: peers, Heartbeat: config.Span(300 * time.Millisecond)}, "n4")
-	all = append(all, fresh)
-	must(fresh.Change(ctx, MemberChange{What: GiveVote}))
-	until(t, fresh, "k", "v")
+	added := open(t, config.Store{Directory: t.TempDir(), Listen: addr, Peer: peers, Heartbeat: config.Span(300 * time.Millisecond)}, "n4")
+	all = append(all, added)
+	must(added.Change(ctx, MemberChange{What: GiveVote}))
+	waitForValue(t, added, "k", "v")
 	want := map[string]string{"n1": "voter", "n2": "voter", "n3": "nonvoter", "n4": "voter"}
 	for _, i := range []int{1, 3, 4} {
 		for end := time.Now().Add(20 * time.Second); !maps.Equal(all[i].Status().Peers, want); time.Sleep(10 * time.Millisecond) {
 			if time.Now().After(end) {
-				t.Fatalf("member %d holds %v for the members, want %v", i, all[i].Status().Peers, want)
+				t.Fatalf("member %d lists the members %v, want %v", i, all[i].Status().Peers, want)
 			}
 		}
 	}
@@ -338,12 +338,12 @@
 	}
 }
 
-// TestCatchUp: a member that was away is sent the entries it missed while they are kept, and a snapshot at a bounded pace once they
-// are not; meanwhile it shows what it had, and the others go on.
+// TestCatchUp restarts a member that was down: it must be sent the entries that it missed while they are retained, and otherwise a
+// snapshot at the configured rate. Until that arrives it must show its old values.
 func TestCatchUp(t *testing.T) {
 	var lines syncBuffer
 	const pace = 1 << 20
-	all, reopen := fleetWith(t, config.Store{CatchUp: pace}, slog.New(slog.NewTextHandler(&lines, nil)))
+	all, reopen := openClusterWith(t, config.Store{CatchUp: pace}, slog.New(slog.NewTextHandler(&lines, nil)))
 	defer func() {
 		for _, s := range all {
 			s.Close()
@@ -360,7 +360,7 @@
 			}
 		}
 	}
-	away := func() uint64 {
+	closeLearner := func() uint64 {
 		t.Helper()
 		if err := all[3].Close(); err != nil {
 			t.Fatal(err)
@@ -368,22 +368,22 @@
 		return all[3].Status().Index
 	}
 	put(8, []byte("first"))
-	away()
-	put(300, []byte("second"))  // more than were kept whatever their size
-	time.Sleep(6 * time.Second) // by then the library's own pauses are 5 s long
-	back := time.Now()
+	closeLearner()
+	put(300, []byte("second"))  // more than minTrailing
+	time.Sleep(6 * time.Second) // by then the raft library pauses 5 s between its own attempts
+	reopened := time.Now()
 	reopen(3)
-	until(t, all[3], "k7", "second")
-	if took := time.Since(back); took > 3*time.Second {
+	waitForValue(t, all[3], "k7", "second")
+	if took := time.Since(reopened); took > 3*time.Second {
 		t.Errorf("caught up with 300 entries within %v", took)
 	}
 	if strings.Contains(lines.String(), "sends a snapshot") {
 		t.Error("a member that missed 300 short entries was sent a snapshot")
 	}
-	at := away()
+	at := closeLearner()
 	long := bytes.Repeat([]byte("x"), 300_000)
 	put(64, long)
-	for ctx.Err() == nil { // until no leader can go on from there
+	for ctx.Err() == nil { // until no member retains the entries that the learner misses
 		kept := false
 		for _, s := range all[:3] {
 			first, _ := s.raftLog.FirstIndex()
@@ -398,7 +398,7 @@
 	start := time.Now()
 	reopen(3)
 	if got := string(all[3].Get("k7")); got != "second" {
-		t.Errorf("it starts with %d bytes under k7, want what it had", len(got))
+		t.Errorf("k7 has %d bytes after the restart, want its old value", len(got))
 	}
 	for len(all[3].Get("k7")) != len(long) && ctx.Err() == nil {
 		time.Sleep(10 * time.Millisecond)
@@ -407,14 +407,14 @@
 	if !strings.Contains(lines.String(), "sends a snapshot") || ctx.Err() != nil {
 		t.Fatalf("no snapshot was sent, or it did not arrive: %v", ctx.Err())
 	}
-	// Eight values of 300,000 bytes are 3.2 MB as they are written; one part goes ahead of the pace.
+	// Eight values of 300,000 bytes are 3.2 MB when encoded; the limiter lets one part pass at once.
 	if least := time.Duration(3_200_000-defaultPartSize) * time.Second / pace; took < least {
-		t.Errorf("caught up within %v, faster than %v", took, least)
+		t.Errorf("caught up within %v, faster than the %v that the rate allows", took, least)
 	}
 	t.Logf("caught up within %v", took)
 }
 
-// syncBuffer takes a log's lines in from any goroutine.
+// syncBuffer is a buffer for log lines that any goroutine may write to.
 type syncBuffer struct {
 	mu  sync.Mutex
 	buf bytes.Buffer
@@ -432,8 +432,8 @@
 	return b.buf.String()
 }
 
-// TestRecover: with two votes of three gone for good the third goes on alone on an operator's word, with all that it had; not while it
-// runs, and not from nothing.
+// TestRecover recovers the third member after two of three voters are permanently lost: it must go on alone with all its values.
+// Recovery must fail while the member runs, and on an empty directory.
 func TestRecover(t *testing.T) {
 	var peers []config.Peer
 	var cfgs []config.Store
@@ -458,19 +458,19 @@
 			t.Fatal(err)
 		}
 	}
-	until(t, all[2], "k", "49")
-	if _, err := Recover(cfgs[2], "n2", quiet); err == nil || !strings.Contains(err.Error(), "end the coordinator") {
-		t.Errorf("while it runs: %v", err)
+	waitForValue(t, all[2], "k", "49")
+	if _, err := Recover(cfgs[2], "n2", discardLog); err == nil || !strings.Contains(err.Error(), "stop the coordinator") {
+		t.Errorf("recovery of a running member: %v", err)
 	}
 	for _, s := range all {
 		if err := s.Close(); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if _, err := Recover(config.Store{Directory: t.TempDir(), Listen: peers[0].Addr}, "n0", quiet); err == nil || !strings.Contains(err.Error(), "holds no store") {
-		t.Errorf("from nothing: %v", err)
+	if _, err := Recover(config.Store{Directory: t.TempDir(), Listen: peers[0].Addr}, "n0", discardLog); err == nil || !strings.Contains(err.Error(), "holds no store") {
+		t.Errorf("recovery of an empty directory: %v", err)
 	}
-	if _, err := Recover(cfgs[2], "n2", quiet); err != nil {
+	if _, err := Recover(cfgs[2], "n2", discardLog); err != nil {
 		t.Fatal(err)
 	}
 	s := open(t, cfgs[2], "n2")
@@ -479,17 +479,17 @@
 	if err := errors.Join(err, r.Err()); err != nil {
 		t.Fatal(err)
 	}
-	until(t, s, "k", "49")
-	until(t, s, "after", "alone")
+	waitForValue(t, s, "k", "49")
+	waitForValue(t, s, "after", "alone")
 	if d := s.Status().Peers; len(d) != 1 || d["n2"] != "voter" {
 		t.Errorf("members: %v", d)
 	}
 }
 
-// TestCloseUnderLoad: a leader that is closed while others put commands to it ends at once, whatever it has taken in and not begun.
+// TestCloseUnderLoad closes a leader while others send it commands: Close must return promptly although commands are still queued.
 func TestCloseUnderLoad(t *testing.T) {
 	for range 4 {
-		all, _ := fleetOf(t)
+		all, _ := openCluster(t)
 		ctx, cancel := context.WithDeadline(t.Context(), time.Now().Add(60*time.Second))
 		var leader *Store
 		for leader == nil && ctx.Err() == nil {
@@ -522,7 +522,7 @@
 				t.Error(err)
 			}
 		case <-time.After(15 * time.Second):
-			t.Error("the leader does not end")
+			t.Error("Close of the leader does not return")
 		}
 		stop()
 		wg.Wait()
--- a/internal/store/sweep.go
+++ b/internal/store/sweep.go
@@ -6,24 +6,24 @@
 	"gullfall/internal/kv"
 )
 
-// removeLeftovers removes what a crash left: parts of snapshots that were not finished, and values of other generations.
+// removeLeftovers removes what a crash left behind: parts of unfinished snapshots, and values of other generations.
 func (d *disk) removeLeftovers() error {
 	list, err := d.List()
 	if err != nil {
 		return err
 	}
-	known := map[string]bool{}
+	finished := map[string]bool{}
 	for _, m := range list {
-		known[m.ID] = true
+		finished[m.ID] = true
 	}
 	var b kv.Batch
-	lost, last := map[string]bool{}, ""
+	removed, lastID := map[string]bool{}, ""
 	view := d.db.Snapshot()
 	defer view.Close()
 	err = view.Each([]byte{keySnapshotPart}, func(key, _ []byte) bool {
-		if id := string(key[1 : len(key)-4]); id != last {
-			if last = id; !known[id] && !lost[id] {
-				lost[id] = true
+		if id := string(key[1 : len(key)-4]); id != lastID {
+			if lastID = id; !finished[id] && !removed[id] {
+				removed[id] = true
 				b = append(b, deletePrefix(keySnapshotPart, []byte(id))...)
 			}
 		}
--- a/internal/store/transport.go
+++ b/internal/store/transport.go
@@ -18,19 +18,19 @@
 )
 
 const (
-	callMarker         = 'G'             // first byte of a connection with a call; raft's own traffic begins with a small number
-	maxConcurrentCalls = 256             // connections at once whose first byte or call is awaited
-	maxCallTime        = 5 * time.Second // that a call may take, whatever its deadline
-	callAttemptTimeout = 2 * time.Second // after which a call is sent anew: a leader that does not answer may have been replaced
+	callMarker         = 'G'             // first byte of a connection that carries a call; raft's own connections begin with a small number
+	maxConcurrentCalls = 256             // connections that may wait for their first byte or call at the same time
+	maxCallTime        = 5 * time.Second // limit on a call, whatever its deadline
+	callAttemptTimeout = 2 * time.Second // after which a call is sent again: a leader that does not answer may have been replaced
 
 	acceptRetryInterval = 10 * time.Millisecond // after an error of the listener
 )
 
-// call is a request to the leader: a command, a change of the members, or, with neither, a barrier.
+// call is a request to the leader: a command, a change of the members or, with neither set, a barrier.
 type call struct {
 	Command *statemachine.Command `json:",omitempty"`
 	Member  *MemberChange         `json:",omitempty"`
-	LeftMS  int64                 // until the caller's deadline
+	LeftMS  int64                 // milliseconds until the caller's deadline
 }
 
 // reply is the answer to a call.
@@ -44,7 +44,7 @@
 type streamLayer struct {
 	store     *Store
 	listener  net.Listener
-	routes    map[string]string // another address to dial for a member's address
+	routes    map[string]string // address to dial instead, by a member's address
 	raftConns chan net.Conn     // accepted connections for raft
 	callSlots chan struct{}
 	closed    chan struct{}
@@ -56,7 +56,7 @@
 	awaiting map[net.Conn]bool
 }
 
-// newStreamLayer listens. Connections are accepted after start.
+// newStreamLayer opens the listener. Connections are accepted once start is called.
 func newStreamLayer(cfg config.Store, s *Store) (*streamLayer, error) {
 	ln, err := net.Listen("tcp", cfg.Listen)
 	if err != nil {
@@ -118,7 +118,7 @@
 	}
 }
 
-// answerCall reads a call, has it handled and writes the reply. A connection that fails gets none.
+// answerCall reads a call, has it handled and writes the reply. A connection that fails gets no reply.
 func (l *streamLayer) answerCall(out io.Writer, in io.Reader) {
 	var c call
 	if json.NewDecoder(in).Decode(&c) != nil {
@@ -132,10 +132,10 @@
 	if answer.Result, err = l.store.handleAsLeader(ctx, c); err != nil {
 		answer.Failed = err.Error()
 	}
-	_ = json.NewEncoder(out).Encode(answer) // the caller tries again without it
+	_ = json.NewEncoder(out).Encode(answer) // without a reply the caller retries
 }
 
-// track notes a connection that Close closes.
+// track registers a connection that Close has to close.
 func (l *streamLayer) track(nc net.Conn) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -148,16 +148,16 @@
 	delete(l.awaiting, nc)
 }
 
-// bufferedConn is a connection whose first bytes are in a buffer.
+// bufferedConn is a connection whose first bytes were read into a buffer.
 type bufferedConn struct {
 	net.Conn
 	reader *bufio.Reader
 }
 
-// Read reads from the buffer.
+// Read reads through the buffer.
 func (b *bufferedConn) Read(p []byte) (int, error) { return b.reader.Read(p) }
 
-// dial connects to a member, by its route where it has one.
+// dial connects to a member, over its route if it has one.
 func (l *streamLayer) dial(ctx context.Context, addr string) (net.Conn, error) {
 	if via := l.routes[addr]; via != "" {
 		addr = via
@@ -166,23 +166,23 @@
 	return d.DialContext(ctx, "tcp", addr)
 }
 
-// call sends a call to the member at an address. An error that wraps errNoLeader means that it was not begun.
+// call sends a call to the member at an address. An error that wraps errNoLeader means that the call had no effect.
 func (l *streamLayer) call(ctx context.Context, addr string, c call) (r statemachine.Result, err error) {
-	end := time.Now().Add(callAttemptTimeout)
-	if d, ok := ctx.Deadline(); ok && d.Before(end) {
-		end = d
+	deadline := time.Now().Add(callAttemptTimeout)
+	if d, ok := ctx.Deadline(); ok && d.Before(deadline) {
+		deadline = d
 	}
-	ctx, cancel := context.WithDeadline(ctx, end)
+	ctx, cancel := context.WithDeadline(ctx, deadline)
 	defer cancel()
 	nc, err := l.dial(ctx, addr)
 	if err != nil {
 		return r, fmt.Errorf("%w: it is not reached: %w", errNoLeader, err)
 	}
 	defer func() { _ = nc.Close() }()
-	if err := nc.SetDeadline(end); err != nil {
+	if err := nc.SetDeadline(deadline); err != nil {
 		return r, fmt.Errorf("the store's leader was not told: %w", err)
 	}
-	c.LeftMS = time.Until(end).Milliseconds()
+	c.LeftMS = time.Until(deadline).Milliseconds()
 	data, err := json.Marshal(c)
 	if err != nil {
 		return r, err
@@ -214,7 +214,7 @@
 	}
 }
 
-// Close ends the listener and the calls. Raft closes its own connections.
+// Close closes the listener and the connections of calls. Raft closes its own connections.
 func (l *streamLayer) Close() error {
 	l.closeOnce.Do(func() {
 		close(l.closed)
