--- a/internal/kv/bench_test.go
+++ b/internal/kv/bench_test.go
@@ -1,6 +1,6 @@
 package kv_test
 
-// Durable writes to the operating system's files, by how many write at once.
+// Benchmarks of durable writes to files of the operating system, by the number of concurrent writers.
 
 import (
 	"fmt"
@@ -10,7 +10,7 @@
 	"gullfall/internal/kv"
 )
 
-// BenchmarkAppend is one batch of 100 bytes, acknowledged after its sync.
+// BenchmarkAppend measures batches of 100 bytes, each acknowledged after its sync.
 func BenchmarkAppend(b *testing.B) {
 	for _, writers := range []int{1, 16, 128} {
 		b.Run(fmt.Sprint(writers), func(b *testing.B) {
--- a/internal/kv/compaction.go
+++ b/internal/kv/compaction.go
@@ -20,13 +20,13 @@
 	mergePaceStep = 64 << 10
 )
 
-// background is the one goroutine that writes memory tables and merges runs.
+// background controls the goroutine that flushes memory tables and merges runs.
 type background struct {
 	ctx     context.Context
 	stop    context.CancelFunc
 	wake    chan struct{}
 	done    chan struct{} // closed once the goroutine has ended
-	limiter *rate.Limiter // bytes that merges may write
+	limiter *rate.Limiter // limits the bytes that merges write
 }
 
 func newBackground(mergeRate float64) background {
@@ -35,7 +35,7 @@
 	return b
 }
 
-// notify wakes the goroutine, which looks for what is due.
+// notify wakes the goroutine to look for work.
 func (b *background) notify() {
 	select {
 	case b.wake <- struct{}{}:
@@ -43,16 +43,16 @@
 	}
 }
 
-// pace waits until the rate limit lets a merge go on that has written so many bytes more.
+// pace waits until the rate limit permits the bytes that a merge has written since its last call.
 func (b *background) pace(bytes int64) error {
 	return b.limiter.WaitN(b.ctx, int(min(bytes, mergeBurst)))
 }
 
-// runBackground writes memory tables and merges runs until the store is closed, or an error other than a full disk.
+// runBackground flushes memory tables and merges runs until the store is closed or an error other than a full disk occurs.
 func (db *DB) runBackground() {
 	defer close(db.background.done)
 	for {
-		worked, err := db.runNextTask()
+		didWork, err := db.runNextTask()
 		switch {
 		case db.background.ctx.Err() != nil:
 			return
@@ -60,7 +60,7 @@
 			if !db.handleTaskError(err) {
 				return
 			}
-		case worked:
+		case didWork:
 			db.mu.Lock()
 			db.diskFull = nil
 			db.mu.Unlock()
@@ -74,8 +74,8 @@
 	}
 }
 
-// handleTaskError makes an error known to the writers that wait. On a full disk it waits before the next attempt; retry is
-// false where the store is closed or the error is final.
+// handleTaskError reports an error to the waiting writers. On a full disk it waits before the next attempt; retry is false if the
+// store is closed or the error is final.
 func (db *DB) handleTaskError(err error) (retry bool) {
 	if db.cfg.OnFailure != nil {
 		db.cfg.OnFailure(err)
@@ -101,8 +101,8 @@
 	}
 }
 
-// runNextTask writes the full memory table, else merges the runs that are due; worked is false where nothing is.
-func (db *DB) runNextTask() (worked bool, err error) {
+// runNextTask flushes the full memory table or, if there is none, merges the runs that are due; didWork is false if none are.
+func (db *DB) runNextTask() (didWork bool, err error) {
 	db.mu.Lock()
 	immutable, sizes := db.immutable, db.runSizes()
 	db.mu.Unlock()
@@ -115,7 +115,7 @@
 	return false, nil
 }
 
-// runSizes lists the sizes of the runs in bytes, newest first. The caller holds the lock.
+// runSizes returns the sizes of the runs in bytes, newest first. The caller holds the lock.
 func (db *DB) runSizes() (sizes []int64) {
 	for _, r := range db.runs {
 		sizes = append(sizes, r.size)
@@ -123,7 +123,7 @@
 	return sizes
 }
 
-// createReplacing creates a file that no manifest names; one that an earlier attempt left is removed.
+// createReplacing creates a file that no manifest names, and first removes one that an earlier attempt left behind.
 func (db *DB) createReplacing(name string) (File, error) {
 	file, err := db.fs.Create(name)
 	if errors.Is(err, fs.ErrExist) {
@@ -135,7 +135,7 @@
 	return file, err
 }
 
-// writeTable writes a table and opens it. Its entries come from fill.
+// writeTable writes a table, whose entries fill adds, and opens it.
 func (db *DB) writeTable(number uint64, maxSeq uint64, fill func(w *tableWriter) error) (*run, error) {
 	name := fmt.Sprintf(tablePattern, number)
 	file, err := db.createReplacing(name)
@@ -187,7 +187,7 @@
 	return db.log.Trim(m.maxSeq)
 }
 
-// merge makes one run of the neighbours from..to-1.
+// merge merges the adjacent runs from..to-1 into one.
 func (db *DB) merge(from, to int) error {
 	db.mu.Lock()
 	old := slices.Clone(db.runs[from:to])
@@ -217,7 +217,7 @@
 	return nil
 }
 
-// oldestReadable is the oldest sequence number that a view may read as of. The caller holds the lock.
+// oldestReadable returns the oldest sequence number as of which a view may read. The caller holds the lock.
 func (db *DB) oldestReadable() uint64 {
 	seq := db.visible
 	for s := range db.snapshots {
@@ -226,7 +226,7 @@
 	return seq
 }
 
-// writeMerged writes what the filter retains of several runs as one table.
+// writeMerged writes the entries of several runs that the filter retains as one table.
 func (db *DB) writeMerged(number uint64, old []*run, filter *compactionFilter) (*run, error) {
 	var sources []iterator
 	maxSeq := uint64(0)
@@ -245,7 +245,7 @@
 	})
 }
 
-// copyPaced writes the entries that the filter retains, at the pace of the rate limit.
+// copyPaced writes the entries that the filter retains, within the rate limit of merges.
 func (db *DB) copyPaced(w *tableWriter, next iterator, filter *compactionFilter) error {
 	paced := int64(0)
 	for {
--- a/internal/kv/compactionpolicy.go
+++ b/internal/kv/compactionpolicy.go
@@ -2,14 +2,14 @@
 
 import "bytes"
 
-// maxRuns is how many runs there may be before the newest are merged whatever their sizes.
+// maxRuns is the number of runs above which the newest are merged, whatever their sizes.
 const maxRuns = 12
 
-// pickMerge returns which runs, newest first, are due to be merged: from..to-1; to is 0 for none. Sizes are in bytes.
+// pickMerge returns which of the runs, newest first, are due to be merged: from..to-1; to is 0 for none. Sizes are in bytes.
 //
 // It follows the logarithmic method (Bentley and Saxe, Decomposable Searching Problems, 1980): a run is merged with its older
-// neighbours for as long as they are not larger than the sum so far. So sizes at least double with age, there are about log2
-// of the total of them, and each byte is rewritten about as often.
+// neighbours as long as they are not larger than the sum so far. So sizes at least double with age, the number of runs is about
+// log2 of the total size, and each byte is rewritten about as many times.
 func pickMerge(sizes []int64) (from, to int) {
 	for from := range sizes {
 		sum, to := sizes[from], from+1
@@ -26,11 +26,11 @@
 	return 0, 0
 }
 
-// compactionFilter decides which versions of a merge are written. Versions come in order: by key, the newest first. It drops no
-// version that an open view may read: a view would then return an older value or none. Nor does it drop a deletion while an
-// older run may have the key: the deleted value would come back.
+// compactionFilter decides which versions a merge writes. Versions are passed in order: by key, the newest first. It drops no
+// version that an open view may read: the view would return an older value or none. It drops no deletion while an older run may
+// have the key: the deleted value would reappear.
 type compactionFilter struct {
-	floor      uint64           // the oldest sequence number that a view may read as of
+	floor      uint64           // the oldest sequence number as of which a view may read
 	oldest     bool             // the merge includes the oldest run
 	tombstones []rangeTombstone // of the runs that are merged
 
@@ -39,7 +39,7 @@
 	shadowed bool // a version of key at or below floor was seen; no view reads an older one
 }
 
-// retain tells whether a version is to be written.
+// retain reports whether a version is to be written.
 func (f *compactionFilter) retain(e entry) bool {
 	if !f.started || !bytes.Equal(e.key, f.key) {
 		f.key, f.started, f.shadowed = append(f.key[:0], e.key...), true, false
@@ -60,8 +60,8 @@
 	return !e.deleted || !f.oldest
 }
 
-// retainedTombstones are the range tombstones to be written: those newer than the oldest view, and all while an older run
-// may have keys that they delete.
+// retainedTombstones returns the range tombstones to be written: those newer than the oldest view, or all of them while an older
+// run may have keys that they delete.
 func (f *compactionFilter) retainedTombstones() (list []rangeTombstone) {
 	for _, s := range f.tombstones {
 		if !f.oldest || s.seq > f.floor {
--- a/internal/kv/db.go
+++ b/internal/kv/db.go
@@ -11,11 +11,11 @@
 
 // Config configures a DB. The zero value of a field stands for its default.
 type Config struct {
-	MemoryBytes  int64       // size of the memory table at which it is written to a run; default 2 MiB. Two may exist at once
-	SegmentBytes int64       // size of a log segment; default 4 MiB
-	MergeRate    float64     // bytes a second that merges may write; default 32 MiB
-	Report       func(Cut)   // called when a torn tail of the log is cut off; may be nil
-	OnFailure    func(error) // called for errors of the background; may be nil
+	MemoryBytes  int64          // size of the memory table at which it is written to a run; default 2 MiB. Two may exist at once
+	SegmentBytes int64          // size of a log segment; default 4 MiB
+	MergeRate    float64        // limit on the bytes a second that merges write; default 32 MiB
+	OnTornTail   func(TornTail) // called when a torn tail of the log is cut off; may be nil
+	OnFailure    func(error)    // called with errors of flushes and merges; may be nil
 }
 
 // ErrNotFound is returned for a key without a value.
@@ -26,11 +26,11 @@
 	*table
 	number     uint64
 	file       Reader
-	references int  // views that read it, and the store while it is in use; guarded by DB.mu
-	obsolete   bool // merged into another; its file is removed with the last reference
+	references int  // held by views that read it, and by the store while it is in use; guarded by DB.mu
+	obsolete   bool // merged into another run; its file is removed with the last reference
 }
 
-// writtenBytes counts the bytes that the background wrote.
+// writtenBytes counts the bytes that flushes and merges wrote.
 type writtenBytes struct {
 	flushed int64 // from memory tables
 	merged  int64
@@ -43,9 +43,9 @@
 	log        *Log
 	background background
 
-	// mu guards the fields below. It is not held over reads and writes of files.
+	// mu guards the fields below. It is not held during reads and writes of files.
 	mu        sync.Mutex
-	writable  *sync.Cond // signalled when a memory table was written, and when writing fails
+	writable  *sync.Cond // signalled when a memory table was flushed, and when writing fails
 	active    *memtable
 	immutable *memtable      // full, and being written to a table; nil for none
 	runs      []*run         // newest first
@@ -53,11 +53,11 @@
 	snapshots map[uint64]int // number of open views by their sequence number
 	manifest  manifest
 	failed    error // final: nothing is written any more
-	diskFull  error // the background found the disk full, and tries again
+	diskFull  error // a flush or merge found the disk full, and is retried
 	written   writtenBytes
 }
 
-// Open recovers the store of a folder and starts its background.
+// Open recovers the store of a directory and starts its background goroutine.
 func Open(fsys FS, cfg Config) (*DB, error) {
 	if cfg.MemoryBytes <= 0 {
 		cfg.MemoryBytes = 2 << 20
@@ -70,7 +70,7 @@
 	db.writable = sync.NewCond(&db.mu)
 	var entries []Entry
 	var err error
-	if db.log, entries, err = OpenLog(fsys, Options{SegmentBytes: cfg.SegmentBytes, Report: cfg.Report, Apply: db.apply}); err != nil {
+	if db.log, entries, err = OpenLog(fsys, Options{SegmentBytes: cfg.SegmentBytes, OnTornTail: cfg.OnTornTail, Apply: db.apply}); err != nil {
 		return nil, err
 	}
 	if err = db.loadManifest(); err == nil {
@@ -85,19 +85,19 @@
 	return db, nil
 }
 
-// checkLogFollows returns a *CorruptionError where batches are missing between the runs and the log.
+// checkLogFollows returns a *CorruptionError if batches are missing between the runs and the log.
 func (db *DB) checkLogFollows(entries []Entry) error {
 	flushed := db.manifest.flushed
 	if next := db.log.Next(); next <= flushed {
-		return &CorruptionError{manifestName, 8, fmt.Sprintf("the runs hold all up to number %d, the log would go on with %d: its segments are missing", flushed, next)}
+		return &CorruptionError{manifestName, 8, fmt.Sprintf("the tables hold all batches up to number %d, the log continues with %d: log segments are missing", flushed, next)}
 	}
 	if len(entries) > 0 && entries[0].Seq > flushed+1 {
-		return &CorruptionError{manifestName, 8, fmt.Sprintf("the runs hold all up to number %d, the log begins at %d", flushed, entries[0].Seq)}
+		return &CorruptionError{manifestName, 8, fmt.Sprintf("the tables hold all batches up to number %d, the log begins with %d", flushed, entries[0].Seq)}
 	}
 	return nil
 }
 
-// replay applies the batches of the log that are not in the runs.
+// replay applies those batches of the log that are not in the runs.
 func (db *DB) replay(entries []Entry) {
 	db.visible = db.manifest.flushed
 	for _, e := range entries {
@@ -108,7 +108,7 @@
 	}
 }
 
-// loadManifest reads the manifest and opens its runs; files that it does not name are removed.
+// loadManifest reads the manifest, opens its runs, and removes table files that it does not name.
 func (db *DB) loadManifest() error {
 	raw, err := db.fs.Read(manifestName)
 	switch {
@@ -170,21 +170,21 @@
 	for _, r := range list {
 		if r.references--; r.references == 0 && r.obsolete {
 			_ = r.file.Close()
-			_ = db.fs.Remove(r.name) // one that stays is removed at the next start
+			_ = db.fs.Remove(r.name) // a file that could not be removed is removed at the next start
 		}
 	}
 }
 
-// Stats are the figures of a store.
+// Stats holds the statistics of a store.
 type Stats struct {
 	Runs                  int
 	RunBytes, MemoryBytes int64
-	Flushed, Merged       int64  // bytes written so far
-	Visible, InRuns       uint64 // the highest sequence numbers that are visible, and that the runs hold
-	Snapshots             int    // sequence numbers that open views read as of
+	Flushed, Merged       int64  // bytes written since the start, by flushes and by merges
+	Visible, InRuns       uint64 // highest sequence number that is visible, and that is in the runs
+	Snapshots             int    // number of sequence numbers as of which open views read
 }
 
-// Stats returns the current figures.
+// Stats returns the current statistics.
 func (db *DB) Stats() Stats {
 	db.mu.Lock()
 	defer db.mu.Unlock()
@@ -196,7 +196,7 @@
 	return s
 }
 
-// Close stops the background and closes the files. The memory tables need no flush: their batches are in the log.
+// Close stops the background goroutine and closes the files. The memory tables need no flush: their batches are in the log.
 func (db *DB) Close() error {
 	db.background.stop()
 	<-db.background.done
--- a/internal/kv/db_test.go
+++ b/internal/kv/db_test.go
@@ -1,7 +1,7 @@
 package kv_test
 
-// The store against a map: whatever is written, deleted, snapshotted, flushed, merged and opened again, reads agree; and
-// against a disk whose power goes, which fills, or on which an operation fails.
+// Tests of the store against a map, with writes, deletions, snapshots, flushes, merges and reopening, and on a simulated disk that
+// loses power, fills up, or flips bits.
 
 import (
 	"bytes"
@@ -23,7 +23,7 @@
 
 var tiny = kv.Config{MemoryBytes: 2000, SegmentBytes: 1500, MergeRate: 1 << 30}
 
-// model is a map, and what a batch does to it.
+// model is the expected content of a store.
 type model map[string]string
 
 func (m model) apply(b kv.Batch) model {
@@ -48,7 +48,7 @@
 	return n
 }
 
-// read is all that a view holds below a prefix.
+// read returns all values that a view has under a prefix, and the keys in the order in which they were visited.
 func read(v *kv.View, prefix string) (model, []string, error) {
 	got, order := model{}, []string{}
 	err := v.Each([]byte(prefix), func(k, value []byte) bool {
@@ -59,7 +59,8 @@
 	return got, order, err
 }
 
-func agrees(t interface{ Fatalf(string, ...any) }, v *kv.View, want model) {
+// checkContent checks that a view holds exactly the content of a model, in the order of the keys.
+func checkContent(t interface{ Fatalf(string, ...any) }, v *kv.View, want model) {
 	got, order, err := read(v, "")
 	if err != nil || !slices.IsSorted(order) || len(order) != len(got) {
 		t.Fatalf("%v, keys in order %v", err, order)
@@ -71,7 +72,7 @@
 
 func key(n int) []byte { return fmt.Appendf(nil, "%c/%02d", 'a'+n%3, n) }
 
-// TestAgainstMap: a random history.
+// TestAgainstMap compares the store and its open views with maps over a random history.
 func TestAgainstMap(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		d := disk.New()
@@ -81,13 +82,13 @@
 		}
 		defer func() { db.Close() }()
 		want := model{}
-		type snap struct {
+		type snapshot struct {
 			v *kv.View
 			m model
 		}
-		var snaps []snap
+		var snapshots []snapshot
 		for range rapid.IntRange(1, 120).Draw(t, "steps") {
-			switch rapid.SampledFrom([]string{"write", "write", "write", "write", "big", "snapshot", "check", "drop", "reopen", "quiet"}).Draw(t, "what") {
+			switch rapid.SampledFrom([]string{"write", "write", "write", "write", "big", "snapshot", "check", "close snapshot", "reopen", "wait idle"}).Draw(t, "what") {
 			case "write", "big":
 				var b kv.Batch
 				for range rapid.IntRange(1, 4).Draw(t, "ops") {
@@ -107,16 +108,16 @@
 				}
 				want = want.apply(b)
 			case "snapshot":
-				snaps = append(snaps, snap{db.Snapshot(), want})
+				snapshots = append(snapshots, snapshot{db.Snapshot(), want})
 			case "check":
-				for _, s := range snaps {
-					agrees(t, s.v, s.m)
+				for _, s := range snapshots {
+					checkContent(t, s.v, s.m)
 				}
 				k := key(rapid.IntRange(0, 40).Draw(t, "key"))
 				got, err := db.Get(k)
-				value, there := want[string(k)]
-				if there != (err == nil) || string(got) != value {
-					t.Fatalf("%s is %q, %v, want %q, %v", k, got, err, value, there)
+				value, exists := want[string(k)]
+				if exists != (err == nil) || string(got) != value {
+					t.Fatalf("%s is %q, %v, want %q, %v", k, got, err, value, exists)
 				}
 				v := db.Snapshot()
 				got2, _, _ := read(v, "b/")
@@ -126,39 +127,39 @@
 						t.Fatalf("prefix b/: %v", got2)
 					}
 				}
-			case "drop":
-				if len(snaps) > 0 {
-					snaps[0].v.Close()
-					snaps = snaps[1:]
+			case "close snapshot":
+				if len(snapshots) > 0 {
+					snapshots[0].v.Close()
+					snapshots = snapshots[1:]
 				}
 			case "reopen":
-				for _, s := range snaps {
+				for _, s := range snapshots {
 					s.v.Close()
 				}
-				snaps = nil
+				snapshots = nil
 				if err := db.Close(); err != nil {
 					t.Fatal(err)
 				}
 				if db, err = kv.Open(d, tiny); err != nil {
 					t.Fatal(err)
 				}
-			case "quiet":
+			case "wait idle":
 				if err := db.WaitIdle(); err != nil {
 					t.Fatal(err)
 				}
 			}
 			v := db.Snapshot()
-			agrees(t, v, want)
+			checkContent(t, v, want)
 			v.Close()
 		}
-		for _, s := range snaps {
-			agrees(t, s.v, s.m)
+		for _, s := range snapshots {
+			checkContent(t, s.v, s.m)
 			s.v.Close()
 		}
 	})
 }
 
-// change is the n-th batch of a history that flushes and merges.
+// change returns the n-th batch of a history that causes flushes and merges.
 func change(n int) kv.Batch {
 	b := kv.Batch{{Kind: kv.Put, Key: key(n % 37), Value: []byte(strings.Repeat(fmt.Sprint(n), 30))}}
 	if n%11 == 0 {
@@ -170,7 +171,7 @@
 	return b
 }
 
-// history is what the store must hold after each of n batches.
+// history returns what the store must hold after each of the first n batches, beginning with none.
 func history(n int) []model {
 	list := []model{{}}
 	for i := 1; i <= n; i++ {
@@ -179,8 +180,8 @@
 	return list
 }
 
-// written is a disk with a store of n batches, all that was due done and closed, and how it stood then.
-func written(t *testing.T, n int) (*disk.Disk, kv.Stats) {
+// writeBatches returns a disk with a closed store of n batches, whose flushes and merges are done, and the statistics of the store.
+func writeBatches(t *testing.T, n int) (*disk.Disk, kv.Stats) {
 	t.Helper()
 	d := disk.New()
 	db, err := kv.Open(d, tiny)
@@ -202,21 +203,21 @@
 	return d, s
 }
 
-// TestCrashOfStore: the power goes at every operation of writing, flushing, merging and trimming. What is found is the
-// state after some number of batches, none that was acknowledged missing; and it can be written on.
+// TestCrashOfStore loses power at the operations of writing, flushing, merging and trimming. The recovered state must be that after
+// some number of batches, include all that were acknowledged, and accept further writes.
 func TestCrashOfStore(t *testing.T) {
 	const batches = 120
 	states := history(batches + 5)
-	d, s := written(t, batches)
+	d, s := writeBatches(t, batches)
 	if s.Merged == 0 || s.Runs > 8 {
 		t.Fatalf("no merge in this history: %+v", s)
 	}
 	total, _ := d.Ops()
-	found := 0
+	crashes := 0
 	for at := 1; at <= total; at += 1 + at/150 {
 		chance := rand.New(rand.NewPCG(uint64(at), 3))
 		d := disk.New()
-		d.FailAt(at, errors.New("power goes"))
+		d.FailAt(at, errors.New("power loss"))
 		acked := 0
 		if db, err := kv.Open(d, tiny); err == nil {
 			for n := 1; n <= batches; n++ {
@@ -238,32 +239,33 @@
 		v := db.Snapshot()
 		n := int(v.Seq())
 		if n < acked || n > acked+1 {
-			t.Fatalf("operation %d: %d batches, %d were acknowledged", at, n, acked)
+			t.Fatalf("operation %d: %d batches recovered, %d were acknowledged", at, n, acked)
 		}
-		agrees(t, v, states[n])
+		checkContent(t, v, states[n])
 		v.Close()
 		for i := n + 1; i <= n+3; i++ {
 			if err := db.Write(change(i)); err != nil {
-				t.Fatalf("operation %d: written on: %v", at, err)
+				t.Fatalf("operation %d: write after recovery: %v", at, err)
 			}
 		}
 		v = db.Snapshot()
-		agrees(t, v, states[n+3])
+		checkContent(t, v, states[n+3])
 		v.Close()
 		db.Close()
-		found++
+		crashes++
 	}
-	t.Logf("%d states of %d operations", found, total)
+	t.Logf("power lost at %d of %d operations", crashes, total)
 }
 
-// TestBitFlipInStore: a bit flipped in any file is told, or costs a torn tail; a value that was spoilt is never read.
+// TestBitFlipInStore flips bits in every file: each flip must be reported as an error or cost only a torn tail. A corrupt value
+// must never be returned.
 func TestBitFlipInStore(t *testing.T) {
 	const batches = 100
 	states := history(batches)
-	d, _ := written(t, batches)
+	d, _ := writeBatches(t, batches)
 	chance := rand.New(rand.NewPCG(9, 9))
 	names, _ := d.List()
-	told := 0
+	reported := 0
 	for _, name := range names {
 		whole := d.Get(name)
 		for at := 0; at < len(whole); at += 1 + chance.IntN(5) {
@@ -273,13 +275,13 @@
 			c.Put(name, bad)
 			db, err := kv.Open(c, tiny)
 			if err != nil {
-				told++
+				reported++
 				continue
 			}
 			v := db.Snapshot()
 			got, _, err := read(v, "")
 			if n := int(v.Seq()); err != nil {
-				told++
+				reported++
 			} else if diff := cmp.Diff(states[n], got); diff != "" {
 				t.Fatalf("%s, byte %d (-want +got)\n%s", name, at, diff)
 			}
@@ -287,16 +289,17 @@
 			db.Close()
 		}
 	}
-	if told == 0 {
-		t.Error("no flip was told")
+	if reported == 0 {
+		t.Error("no bit flip was reported")
 	}
 }
 
-// TestStoreOnFullDisk: reads go on while the disk is full, writes say why they do not, and both go on once there is room.
+// TestStoreOnFullDisk checks that reads work while the disk is full, that writes return ErrFull, and that they succeed again once
+// there is space.
 func TestStoreOnFullDisk(t *testing.T) {
-	for room := int64(3000); room < 30_000; room += 911 {
+	for space := int64(3000); space < 30_000; space += 911 {
 		d := disk.New()
-		d.SetFreeSpace(room)
+		d.SetFreeSpace(space)
 		db, err := kv.Open(d, tiny)
 		if err != nil {
 			t.Fatal(err)
@@ -307,13 +310,13 @@
 			for errors.Is(err, kv.ErrFull) {
 				refused++
 				v := db.Snapshot()
-				agrees(t, v, want)
+				checkContent(t, v, want)
 				v.Close()
 				d.SetFreeSpace(1 << 20)
 				err = db.Write(change(n))
 			}
 			if err != nil {
-				t.Fatalf("room %d, batch %d: %v", room, n, err)
+				t.Fatalf("free space %d, batch %d: %v", space, n, err)
 			}
 			want = want.apply(change(n))
 		}
@@ -326,7 +329,7 @@
 			}
 		}
 		v := db.Snapshot()
-		agrees(t, v, want)
+		checkContent(t, v, want)
 		v.Close()
 		if err := db.Close(); err != nil {
 			t.Fatal(err)
@@ -334,8 +337,8 @@
 	}
 }
 
-// TestManyWriters: writers, readers and the background at once (run it with -race).
-func TestManyWriters(t *testing.T) {
+// TestConcurrentWriters runs writers, readers, flushes and merges concurrently; the race detector makes it stricter.
+func TestConcurrentWriters(t *testing.T) {
 	db, err := kv.Open(kv.Dir(t.TempDir()), kv.Config{MemoryBytes: 20_000, SegmentBytes: 20_000})
 	if err != nil {
 		t.Fatal(err)
@@ -373,10 +376,11 @@
 	}
 }
 
-// TestRunsOfEarlierProcessMerged: runs that were there when the store was opened are merged away later. A view reads them on until it is closed, and
-// then, or at once where none is open, their files go. On files of the operating system: the stand-in reads on after a close.
+// TestRunsOfEarlierProcessMerged merges runs that existed when the store was opened. A view must be able to read them until it is
+// closed; then, or at once without a view, their files must be removed. It uses files of the operating system, since the simulated
+// disk allows reads after a close.
 func TestRunsOfEarlierProcessMerged(t *testing.T) {
-	for _, viewed := range []bool{false, true} {
+	for _, openView := range []bool{false, true} {
 		dir := kv.Dir(t.TempDir())
 		open := func() *kv.DB {
 			t.Helper()
@@ -401,14 +405,14 @@
 		}
 		db = open()
 		view := db.Snapshot()
-		if !viewed {
+		if !openView {
 			view.Close()
 		}
 		write(db, 400, 2000)
 		if err := db.WaitIdle(); err != nil {
 			t.Fatal(err)
 		}
-		if viewed {
+		if openView {
 			n := 0
 			if err := view.Each([]byte("k"), func(_, value []byte) bool { n++; return len(value) == 100 }); err != nil || n != 400 {
 				t.Errorf("the view reads %d of 400 keys: %v", n, err)
@@ -421,7 +425,7 @@
 		}
 		names = slices.DeleteFunc(names, func(name string) bool { return !strings.HasSuffix(name, ".table") })
 		if runs := db.Stats().Runs; len(names) != runs {
-			t.Errorf("viewed %v: tables %v are there, %d of them in use", viewed, names, runs)
+			t.Errorf("open view %v: the tables %v exist, %d are in use", openView, names, runs)
 		}
 		if err := db.Close(); err != nil {
 			t.Error(err)
--- a/internal/kv/decoder.go
+++ b/internal/kv/decoder.go
@@ -7,12 +7,12 @@
 	"hash/crc32"
 )
 
-// decodeBatch reads a payload; the keys and values are parts of it.
+// decodeBatch decodes a payload; the keys and values are slices of it.
 func decodeBatch(raw []byte) (Batch, error) {
 	var b Batch
-	field := func(most int) ([]byte, bool) {
+	field := func(limit int) ([]byte, bool) {
 		n, used := binary.Uvarint(raw)
-		if used <= 0 || n > uint64(most) || n > uint64(len(raw)-used) {
+		if used <= 0 || n > uint64(limit) || n > uint64(len(raw)-used) {
 			return nil, false
 		}
 		f := raw[used : used+int(n) : used+int(n)]
@@ -30,7 +30,7 @@
 			op.Value, ok = field(MaxValue)
 		}
 		if !ok || len(op.Key) == 0 {
-			return nil, fmt.Errorf("change %d of a batch is not understood", len(b))
+			return nil, fmt.Errorf("change %d of a batch is invalid", len(b))
 		}
 		b = append(b, op)
 	}
@@ -40,12 +40,12 @@
 	return b, nil
 }
 
-// decodeGroup reads the batches of a record.
+// decodeGroup decodes the batches of a record.
 func decodeGroup(raw []byte) (list []Batch, err error) {
 	for len(raw) > 0 {
 		n, used := binary.Uvarint(raw)
 		if used <= 0 || n > uint64(len(raw)-used) {
-			return nil, fmt.Errorf("batch %d of a record is cut", len(list))
+			return nil, fmt.Errorf("batch %d of a record is truncated", len(list))
 		}
 		b, err := decodeBatch(raw[used : used+int(n)])
 		if err != nil {
@@ -61,12 +61,12 @@
 
 // The errors of a segment's header.
 var (
-	errHeaderTruncated = errors.New("head is cut off")
-	errHeaderChecksum  = errors.New("head does not match its checksum")
-	errHeaderVersion   = errors.New("format is of another version")
+	errHeaderTruncated = errors.New("header is truncated")
+	errHeaderChecksum  = errors.New("header does not match its checksum")
+	errHeaderVersion   = errors.New("unsupported format version")
 )
 
-// decodeSegmentHeader reads a segment's first sequence number.
+// decodeSegmentHeader verifies a segment's header and returns its first sequence number.
 func decodeSegmentHeader(raw []byte) (first uint64, err error) {
 	switch {
 	case len(raw) < segmentHeaderSize:
@@ -79,14 +79,14 @@
 	return binary.LittleEndian.Uint64(raw[8:]), nil
 }
 
-// record is a decoded record; its payload is a part of the bytes it was decoded from.
+// record is a decoded record; its payload is a slice of the bytes that it was decoded from.
 type record struct {
 	kind    byte
 	seq     uint64
 	payload []byte
 }
 
-// decodeRecord reads the record at the start of raw and its size; ok is false where there is no complete one.
+// decodeRecord returns the record at the start of raw and its size; ok is false if there is no complete one.
 func decodeRecord(raw []byte) (r record, size int, ok bool) {
 	if len(raw) < recordHeaderSize {
 		return r, 0, false
--- a/internal/kv/encoder.go
+++ b/internal/kv/encoder.go
@@ -6,13 +6,13 @@
 	"hash/crc32"
 )
 
-// encode turns a batch into a record's payload: each change is its kind, its key and its value, with their lengths.
+// encode returns the payload of a batch: for each change its kind, and its key and value with their lengths.
 func (b Batch) encode() ([]byte, error) {
 	var out []byte
 	for i, op := range b {
 		switch {
 		case op.Kind < Put || op.Kind > DeleteRange:
-			return nil, fmt.Errorf("change %d: kind %d is none", i, op.Kind)
+			return nil, fmt.Errorf("change %d: unknown kind %d", i, op.Kind)
 		case len(op.Key) == 0 || len(op.Key) > MaxKey:
 			return nil, fmt.Errorf("change %d: %w", i, ErrKey)
 		case len(op.Value) > MaxValue || op.Kind == DeleteRange && len(op.Value) > MaxKey:
@@ -35,8 +35,8 @@
 	return out, nil
 }
 
-// appendToGroup adds a batch's payload to a record's. All that is written between two syncs is one record: pages may come
-// to the disk in any order, so of two records one could be found without the one before it.
+// appendToGroup adds the payload of a batch to that of a record. All that is written between two syncs is one record: pages may
+// reach the disk in any order, so of two records the second could be found without the first.
 func appendToGroup(out, payload []byte) []byte {
 	return append(binary.AppendUvarint(out, uint64(len(payload))), payload...)
 }
@@ -51,7 +51,7 @@
 	return binary.LittleEndian.AppendUint32(out, crc32.Checksum(out[from:], castagnoli))
 }
 
-// appendRecord appends a record. Its checksum is over all that follows it.
+// appendRecord appends a record. The checksum at its start covers the rest of it.
 func appendRecord(out []byte, kind byte, seq uint64, payload []byte) []byte {
 	from := len(out)
 	out = append(out, 0, 0, 0, 0)
--- a/internal/kv/format.go
+++ b/internal/kv/format.go
@@ -14,7 +14,7 @@
 	MaxValue = 1 << 20
 	MaxBatch = 4 << 20 // encoded
 
-	maxGroup = 2*MaxBatch + MaxBatch + 64 // the batches that share a sync
+	maxGroup = 2*MaxBatch + MaxBatch + 64 // payload of a record, the batches that share a sync
 )
 
 const (
@@ -34,11 +34,11 @@
 // Op is one change of a batch.
 type Op struct {
 	Kind  OpKind
-	Key   []byte // of a DeleteRange the first key that is deleted
-	Value []byte // of a Put; of a DeleteRange the first key behind it
+	Key   []byte // for DeleteRange the first key that is deleted
+	Value []byte // for Put the value; for DeleteRange the first key behind the range
 }
 
-// OpKind is what an Op does.
+// OpKind is the kind of an Op.
 type OpKind uint8
 
 // The kinds of changes.
@@ -48,7 +48,7 @@
 	DeleteRange OpKind = opDeleteRange
 )
 
-// Batch is a list of changes that are applied all or none.
+// Batch is a list of changes that are applied atomically.
 type Batch []Op
 
 // The errors of batches.
--- a/internal/kv/formats_test.go
+++ b/internal/kv/formats_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// TestOpensEarlierStore opens a folder as an earlier version left it, with tables, a manifest and a log, and reads every
-// entry of it, deleted ones and a deleted range included.
+// TestOpensEarlierStore opens a directory that an earlier version wrote, with tables, a manifest and a log, and checks every entry of
+// it, including deleted ones and a deleted range.
 func TestOpensEarlierStore(t *testing.T) {
 	dir := t.TempDir()
 	if err := os.CopyFS(dir, os.DirFS(filepath.Join("testdata", "folder"))); err != nil {
@@ -43,8 +43,8 @@
 	}
 }
 
-// folderContent is what the folder holds: of 500 keys that were written twice, every seventh was deleted, and so was the
-// range from 200 to 249.
+// folderContent returns the expected content of the directory: of 500 keys that were written twice, every seventh was deleted, and so
+// was the range from 200 to 249.
 func folderContent() map[string]string {
 	content := map[string]string{}
 	for i := range 500 {
--- a/internal/kv/fs.go
+++ b/internal/kv/fs.go
@@ -10,20 +10,20 @@
 	"syscall"
 )
 
-// FS is a folder. Tests implement it with a faulty disk.
+// FS is a directory of files. Tests implement it with a simulated disk that fails.
 type FS interface {
 	List() ([]string, error) // names, sorted
 	Read(name string) ([]byte, error)
 	Open(name string) (Reader, error)
-	Create(name string) (File, error) // it must not be there
-	Append(name string) (File, error) // to be written on at its end
+	Create(name string) (File, error) // fails if it exists
+	Append(name string) (File, error) // opens an existing file for writing at its end
 	Remove(name string) error
 	Rename(from, to string) error
-	SyncDir() error                      // what was created, renamed or removed lasts from then on
-	Lock(name string) (io.Closer, error) // fails while another process holds it
+	SyncDir() error                      // makes earlier creations, renames and removals durable
+	Lock(name string) (io.Closer, error) // fails with ErrLocked while another process holds the lock
 }
 
-// File is one that is written at its end.
+// File is a file that is written at its end.
 type File interface {
 	io.Writer
 	Sync() error
@@ -31,7 +31,7 @@
 	Close() error
 }
 
-// Reader is a file that is read anywhere.
+// Reader is a file that is read at any offset.
 type Reader interface {
 	io.ReaderAt
 	Size() int64
@@ -41,7 +41,7 @@
 // ErrLocked is returned by Lock and by the functions that open a store.
 var ErrLocked = errors.New("another process has the store open")
 
-// Dir is a folder of the operating system.
+// Dir is a directory of the operating system.
 type Dir string
 
 // List returns the names of the regular files, sorted.
@@ -83,7 +83,7 @@
 	return sizedFile{f, info.Size()}, nil
 }
 
-// Create creates a file; it fails where the name exists.
+// Create creates a file; it fails if the name exists.
 func (d Dir) Create(name string) (File, error) {
 	f, err := os.OpenFile(d.path(name), os.O_WRONLY|os.O_CREATE|os.O_EXCL|os.O_APPEND, 0o600)
 	if err != nil {
@@ -104,7 +104,7 @@
 // Remove removes a file.
 func (d Dir) Remove(name string) error { return os.Remove(d.path(name)) }
 
-// Rename replaces to by from.
+// Rename renames a file; an existing file called to is replaced.
 func (d Dir) Rename(from, to string) error { return os.Rename(d.path(from), d.path(to)) }
 
 // SyncDir makes earlier creations, renames and removals durable.
@@ -117,7 +117,7 @@
 	return f.Sync()
 }
 
-// Lock takes an exclusive lock of the file for this process, or returns an error that wraps ErrLocked.
+// Lock takes an exclusive lock on a file, or returns an error that wraps ErrLocked.
 func (d Dir) Lock(name string) (io.Closer, error) {
 	f, err := os.OpenFile(d.path(name), os.O_RDWR|os.O_CREATE, 0o600)
 	if err != nil {
@@ -130,5 +130,5 @@
 	return f, nil
 }
 
-// isFull tells whether an error says that the disk is full.
+// isFull reports whether an error means that the disk or quota is full.
 func isFull(err error) bool { return errors.Is(err, syscall.ENOSPC) || errors.Is(err, syscall.EDQUOT) }
--- a/internal/kv/idle_test.go
+++ b/internal/kv/idle_test.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// WaitIdle waits until the background has nothing to do, or has failed or found the disk full; then it returns that error.
+// WaitIdle waits until the background goroutine has nothing to do, or returns the error if it failed or found the disk full.
 func (db *DB) WaitIdle() error {
 	for {
 		db.mu.Lock()
--- a/internal/kv/iterator.go
+++ b/internal/kv/iterator.go
@@ -2,10 +2,10 @@
 
 import "slices"
 
-// iterator returns the next entry of a sorted source; ok is false at its end.
+// iterator returns the next entry of a sorted source; ok is false at the end.
 type iterator func() (e entry, ok bool, err error)
 
-// mergeIterators merges sorted iterators into one. There are about a dozen, so each step looks through all of them.
+// mergeIterators merges sorted iterators into one. There are about a dozen, so each step compares all of them.
 func mergeIterators(sources []iterator) (iterator, error) {
 	type head struct {
 		e    entry
--- a/internal/kv/log.go
+++ b/internal/kv/log.go
@@ -10,13 +10,14 @@
 
 // Options configures a Log. The zero value of a field stands for its default.
 type Options struct {
-	SegmentBytes int64                            // size at which a new segment is started; default 4 MiB
-	Report       func(Cut)                        // called when a torn tail is cut off; may be nil
+	SegmentBytes int64                            // size in bytes at which a new segment is started; default 4 MiB
+	OnTornTail   func(TornTail)                   // called when a torn tail is cut off; may be nil
 	Apply        func(first uint64, list []Batch) // called with batches once they are synced, in order, before Append returns; may be nil
 }
 
-// The errors of a Log. ErrFull wrote nothing, and writing goes on once there is space. ErrReadOnly is final until the store is
-// opened anew: after a failed write or sync it is unknown what is on disk, and a record behind a torn one could not be recovered.
+// The errors of a Log. With ErrFull nothing was written, and writes succeed again once there is space. ErrReadOnly is final until
+// the store is reopened: after a failed write or sync it is unknown what is on disk, and a record behind a torn one could not be
+// recovered.
 var (
 	ErrFull     = errors.New("the disk is full; nothing was written, and writing goes on once there is room")
 	ErrReadOnly = errors.New("the log takes nothing more, since a write or a sync has failed; open it anew")
@@ -26,7 +27,7 @@
 // lockName is the file whose lock keeps a second process from opening the store.
 const lockName = "LOCK"
 
-// Log is an open log. Its methods may be called from any goroutine.
+// Log is an open write-ahead log. Its methods may be called from any goroutine.
 type Log struct {
 	fs   FS
 	opts Options
@@ -35,19 +36,19 @@
 	// mu guards the fields up to closed. It is not held over a write or a sync.
 	mu        sync.Mutex
 	committed *sync.Cond       // signalled when a group is finished
-	pending   []*pendingCommit // the next group
-	writing   bool             // one writer commits a group for all that wait
+	pending   []*pendingCommit // batches of the next group
+	writing   bool             // a writer is committing a group
 	next      uint64           // the next sequence number
 	failed    error
 	closed    bool
 
-	// The open segment; of the writer that commits a group.
+	// The open segment. Only the writer that commits a group uses it.
 	name string
 	file File
-	size int64 // bytes that are synced
+	size int64 // synced bytes
 }
 
-// pendingCommit is a writer that waits for its batch to be durable.
+// pendingCommit is a batch whose writer waits until it is durable.
 type pendingCommit struct {
 	payload  []byte
 	seq      uint64
@@ -55,8 +56,8 @@
 	err      error
 }
 
-// OpenLog recovers the log of a folder and returns the committed batches. A torn tail is cut off. A corrupt log gives a
-// *CorruptionError, and nothing is changed; a folder that another process has open gives ErrLocked.
+// OpenLog recovers the log of a directory and returns the committed batches. A torn tail is cut off. For a corrupt log it returns
+// a *CorruptionError and changes nothing; for a directory that another process has open it returns ErrLocked.
 func OpenLog(fs FS, o Options) (l *Log, entries []Entry, err error) {
 	if o.SegmentBytes <= 0 {
 		o.SegmentBytes = 4 << 20
@@ -86,13 +87,13 @@
 	return l, p.Entries, nil
 }
 
-// readSegments reads the segments of a folder, in order.
+// readSegments reads the segments of a directory, in order.
 func readSegments(fs FS) (list []Segment, err error) {
 	names, err := fs.List()
 	if err != nil {
 		return nil, err
 	}
-	for _, name := range names { // the names sort as their first numbers do
+	for _, name := range names { // names sort like the first sequence numbers in them
 		var first uint64
 		if n, err := fmt.Sscanf(name, segmentPattern, &first); n != 1 || err != nil || !strings.HasSuffix(name, ".log") {
 			continue
@@ -106,12 +107,12 @@
 	return list, nil
 }
 
-// prepareTail carries out a recovery's plan, so that the next record follows what is committed. After a crash in between it is
-// carried out again.
+// prepareTail executes a recovery plan, so that the next record follows the committed ones. If it is interrupted by a crash, the
+// next recovery executes it again.
 func (l *Log) prepareTail(p RecoveryPlan) error {
-	if p.Cut != nil && p.Cut.Complete {
-		if err := l.fs.Remove(p.Cut.File); err != nil {
-			return fmt.Errorf("%s: %w", p.Cut.File, err)
+	if p.TornTail != nil && p.TornTail.Headerless {
+		if err := l.fs.Remove(p.TornTail.File); err != nil {
+			return fmt.Errorf("%s: %w", p.TornTail.File, err)
 		}
 		if err := l.fs.SyncDir(); err != nil {
 			return fmt.Errorf("folder: %w", err)
@@ -123,21 +124,21 @@
 			return fmt.Errorf("%s: %w", l.name, err)
 		}
 		l.file = file
-		if err := l.syncTail(p.Cut); err != nil {
+		if err := l.syncTail(p.TornTail); err != nil {
 			_ = file.Close()
 			return err
 		}
 	}
-	if p.Cut != nil && l.opts.Report != nil {
-		l.opts.Report(*p.Cut)
+	if p.TornTail != nil && l.opts.OnTornTail != nil {
+		l.opts.OnTornTail(*p.TornTail)
 	}
 	return nil
 }
 
-// syncTail cuts a torn tail off the open segment and syncs it. What recovery read may be in the kernel's memory only, and is
-// acknowledged by being shown to readers.
-func (l *Log) syncTail(cut *Cut) error {
-	if cut != nil && !cut.Complete {
+// syncTail cuts a torn tail off the open segment and syncs it. What recovery read may be only in the kernel's page cache; showing
+// it to readers acknowledges it, so it has to be durable first.
+func (l *Log) syncTail(cut *TornTail) error {
+	if cut != nil && !cut.Headerless {
 		if err := l.file.Truncate(l.size); err != nil {
 			return fmt.Errorf("%s: %w", l.name, err)
 		}
@@ -151,8 +152,8 @@
 	return nil
 }
 
-// Append writes a batch and returns its sequence number once it is on disk, with all that came before it. Writers that
-// come while another writes share the next sync.
+// Append writes a batch and returns its sequence number once it and all earlier batches are on disk. Writers that arrive while
+// another one writes share the next sync.
 func (l *Log) Append(b Batch) (seq uint64, err error) {
 	payload, err := b.encode()
 	if err != nil {
@@ -171,7 +172,7 @@
 	return c.seq, c.err
 }
 
-// commitGroup writes for all that wait. The caller holds the lock; it is released over the write.
+// commitGroup writes the pending batches. The caller holds the lock; it is released during the write.
 func (l *Log) commitGroup() {
 	l.writing = true
 	group, first := l.takeGroup(), l.next
@@ -201,7 +202,7 @@
 	l.committed.Broadcast()
 }
 
-// takeGroup takes as many of the pending commits as fit into a record, the first one in any case.
+// takeGroup removes and returns as many pending commits as fit into a record, at least one.
 func (l *Log) takeGroup() (group []*pendingCommit) {
 	group, l.pending = l.pending, nil
 	total := 0
@@ -214,7 +215,7 @@
 	return group
 }
 
-// decodePayloads returns batches of the log's own: a caller of Append may go on using the slices of its batch.
+// decodePayloads returns copies of the batches: a caller of Append may reuse the slices of its batch.
 func decodePayloads(group []*pendingCommit) (batches []Batch) {
 	for _, c := range group {
 		b, err := decodeBatch(c.payload)
@@ -226,7 +227,7 @@
 	return batches
 }
 
-// write appends the group as one record and syncs it. An error that is not ErrFull is final.
+// write appends the group as one record and syncs it. Any error other than ErrFull is final.
 func (l *Log) write(first uint64, list []*pendingCommit) error {
 	if l.file == nil || l.size >= l.opts.SegmentBytes {
 		if err := l.startSegment(first); err != nil {
@@ -255,7 +256,7 @@
 	return nil
 }
 
-// startSegment creates a new segment. All of the one before is synced.
+// startSegment creates a new segment. The previous one is synced to its end.
 func (l *Log) startSegment(first uint64) error {
 	name := fmt.Sprintf(segmentPattern, first)
 	file, err := l.fs.Create(name)
@@ -293,7 +294,7 @@
 	return nil
 }
 
-// Trim removes the segments that hold only batches up to a sequence number. The last segment stays.
+// Trim removes the segments that hold only batches up to a sequence number. The last segment is kept.
 func (l *Log) Trim(upTo uint64) error {
 	names, err := l.fs.List()
 	if err != nil {
@@ -319,21 +320,21 @@
 	return nil
 }
 
-// Next is the sequence number that the next batch gets.
+// Next returns the sequence number that the next batch gets.
 func (l *Log) Next() uint64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.next
 }
 
-// Err returns why nothing can be written any more; nil while it can.
+// Err returns the error after which nothing can be written any more; nil for none.
 func (l *Log) Err() error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.failed
 }
 
-// Close waits for the writers, closes the open segment and releases the lock of the folder.
+// Close waits for the writers, closes the open segment and releases the lock of the directory.
 func (l *Log) Close() error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/kv/log_test.go
+++ b/internal/kv/log_test.go
@@ -1,7 +1,7 @@
 package kv_test
 
-// The log against a disk that cuts, fails, fills up and flips bits. What is acknowledged must be there afterwards, what
-// is there must be whole, and damage must be told by file and offset.
+// Tests of the log on a simulated disk that truncates files, fails, fills up and flips bits. Acknowledged batches must be recovered,
+// recovered batches must be complete, and corruption must be reported with the file and offset.
 
 import (
 	"errors"
@@ -21,7 +21,7 @@
 	"gullfall/internal/lab/disk"
 )
 
-// batch is the n-th of a test: its contents tell its number.
+// batch returns the n-th batch of a test; its content depends on n.
 func batch(n int) kv.Batch {
 	b := kv.Batch{{Kind: kv.Put, Key: fmt.Appendf(nil, "key %d", n%7), Value: []byte(strings.Repeat(fmt.Sprint(n, " "), 1+n%9))}}
 	if n%3 == 0 {
@@ -35,7 +35,7 @@
 
 var small = kv.Options{SegmentBytes: 300}
 
-// fill opens a log, appends batches from..to-1 and closes it.
+// fill opens a log, appends the batches from..to-1 and closes it.
 func fill(t testing.TB, d *disk.Disk, from, to int) {
 	t.Helper()
 	l, _, err := kv.OpenLog(d, small)
@@ -52,7 +52,7 @@
 	}
 }
 
-// check opens a log and checks that it holds batches 1..n, n at least most and at most more; it returns n.
+// check opens a log and checks that it holds the batches 1..n, with n between least and most; it returns n.
 func check(t testing.TB, d *disk.Disk, least, most int) int {
 	t.Helper()
 	l, entries, err := kv.OpenLog(d, small)
@@ -69,12 +69,12 @@
 		}
 	}
 	if len(entries) < least || len(entries) > most {
-		t.Fatalf("%d batches, %d to %d are possible", len(entries), least, most)
+		t.Fatalf("%d batches, want %d to %d", len(entries), least, most)
 	}
 	return len(entries)
 }
 
-// segments are the log's files, in order.
+// segments returns the names of the log's files, in order.
 func segments(d *disk.Disk) (names []string) {
 	all, _ := d.List()
 	for _, n := range all {
@@ -85,7 +85,8 @@
 	return names
 }
 
-// TestLogTruncatedAnywhere: the log is cut at every byte, with what follows gone: a prefix is there, and it can be written on.
+// TestLogTruncatedAnywhere truncates the log at every byte, without the later segments: a prefix of the batches must be recovered,
+// and the log must accept further writes.
 func TestLogTruncatedAnywhere(t *testing.T) {
 	d := disk.New()
 	fill(t, d, 1, 40)
@@ -115,7 +116,7 @@
 	t.Logf("%d offsets", offsets)
 }
 
-// TestEarlierSegmentTruncated: an earlier segment that is cut while later ones are there is damage, told by file and offset.
+// TestEarlierSegmentTruncated truncates a segment that has successors: that is corruption, to be reported with file and offset.
 func TestEarlierSegmentTruncated(t *testing.T) {
 	d := disk.New()
 	fill(t, d, 1, 40)
@@ -130,17 +131,18 @@
 			t.Fatalf("cut at %d: %v", at, err)
 		}
 		if diff := cmp.Diff(whole[:at], c.Get(names[1])); diff != "" {
-			t.Fatal("a refused open has changed the file")
+			t.Fatal("an open that failed has changed the file")
 		}
 	}
 	c := d.Clone()
 	c.Remove(names[1])
 	if _, _, err := kv.OpenLog(c, small); err == nil || !strings.Contains(err.Error(), "missing") {
-		t.Errorf("a segment that is missing: %v", err)
+		t.Errorf("with a missing segment: %v", err)
 	}
 }
 
-// TestBitFlipInLog: one bit flipped anywhere is damage, or costs the last batch as a torn tail; it is never served.
+// TestBitFlipInLog flips each bit: the flip must be reported as corruption or cost only the end of the log as a torn tail. A corrupt
+// batch must never be returned.
 func TestBitFlipInLog(t *testing.T) {
 	d := disk.New()
 	fill(t, d, 1, 25)
@@ -154,11 +156,11 @@
 				c.Put(name, bad)
 				l, entries, err := kv.OpenLog(c, small)
 				if err != nil {
-					continue // told
+					continue // reported
 				}
 				l.Close()
 				if len(entries) < 23 {
-					t.Fatalf("%s, byte %d, bit %d: only %d batches, and no word of it", name, at, bit, len(entries))
+					t.Fatalf("%s, byte %d, bit %d: only %d batches, and no error", name, at, bit, len(entries))
 				}
 				for i, e := range entries {
 					if diff := cmp.Diff(batch(i+1), e.Batch); diff != "" {
@@ -170,8 +172,8 @@
 	}
 }
 
-// TestCrashOfLog: the power goes at every operation, with what was not synced kept or lost by chance; and again while the log
-// is being recovered. All that was acknowledged is there.
+// TestCrashOfLog loses power at every operation, with unsynced data kept or lost at random, and again during recovery. All
+// acknowledged batches must be recovered.
 func TestCrashOfLog(t *testing.T) {
 	d := disk.New()
 	fill(t, d, 1, 30)
@@ -181,7 +183,7 @@
 		for seed := range uint64(4) {
 			chance := rand.New(rand.NewPCG(seed, uint64(at)))
 			d := disk.New()
-			d.FailAt(at, errors.New("power goes"))
+			d.FailAt(at, errors.New("power loss"))
 			acked := 0
 			if l, _, err := kv.OpenLog(d, small); err == nil {
 				for n := 1; n < 30; n++ {
@@ -192,9 +194,9 @@
 				}
 			}
 			c := d.Crash(chance)
-			for again := 1; ; again++ { // recovery is cut after each of its operations in turn
+			for again := 1; ; again++ { // recovery is interrupted at each of its operations in turn
 				e := c.Crash(rand.New(rand.NewPCG(seed, uint64(again))))
-				e.FailAt(again, errors.New("power goes"))
+				e.FailAt(again, errors.New("power loss"))
 				l, _, err := kv.OpenLog(e, small)
 				if c = e.Crash(chance); err == nil {
 					_ = l
@@ -210,8 +212,9 @@
 	t.Logf("%d states", states)
 }
 
-// TestFailure: an operation that fails is told; what failed is final, what was acknowledged before it is there.
-func TestFailure(t *testing.T) {
+// TestFailedOperationIsFinal lets each operation fail: the error must be returned and be final, and all batches acknowledged
+// before it must be recovered.
+func TestFailedOperationIsFinal(t *testing.T) {
 	d := disk.New()
 	fill(t, d, 1, 20)
 	total, _ := d.Ops()
@@ -232,7 +235,7 @@
 					t.Fatalf("operation %d: %v", at, err)
 				}
 				if _, err := l.Append(batch(n)); !errors.Is(err, kv.ErrReadOnly) || l.Err() == nil {
-					t.Fatalf("operation %d: it takes more after a failure: %v", at, err)
+					t.Fatalf("operation %d: a write after a failure: %v", at, err)
 				}
 				break
 			}
@@ -243,11 +246,11 @@
 	}
 }
 
-// TestLogOnFullDisk: a disk that fills up at any byte refuses by name and goes on by itself once there is room.
+// TestLogOnFullDisk fills the disk at various bytes: Append must return ErrFull, and succeed again once there is space.
 func TestLogOnFullDisk(t *testing.T) {
-	for room := int64(0); room < 1500; room += 7 {
+	for space := int64(0); space < 1500; space += 7 {
 		d := disk.New()
-		d.SetFreeSpace(room)
+		d.SetFreeSpace(space)
 		l, _, err := kv.OpenLog(d, small)
 		if err != nil {
 			t.Fatal(err)
@@ -259,7 +262,7 @@
 			case err == nil:
 				n++
 			case !errors.Is(err, kv.ErrFull) || !errors.Is(err, syscall.ENOSPC) || refused > 0:
-				t.Fatalf("room %d, batch %d: %v", room, n, err)
+				t.Fatalf("free space %d, batch %d: %v", space, n, err)
 			default:
 				refused++
 				d.SetFreeSpace(1 << 20)
@@ -268,15 +271,16 @@
 		if err := l.Close(); err != nil {
 			t.Fatal(err)
 		}
-		check(t, d.Crash(rand.New(rand.NewPCG(uint64(room), 1))), 24, 24)
+		check(t, d.Crash(rand.New(rand.NewPCG(uint64(space), 1))), 24, 24)
 	}
 }
 
-// TestTogether: writers that come together share syncs, and each gets a number of its own. In virtual time, where all
-// that can wait waits while a sync takes its time: on a loaded machine they came one after the other now and then.
-func TestTogether(t *testing.T) { synctest.Test(t, testTogether) }
+// TestConcurrentWritersShareSyncs checks that concurrent writers share syncs, and that each gets its own sequence number. It runs
+// in virtual time, in which all writers are waiting during a sync: in real time, on a loaded machine, they sometimes arrived one
+// after the other.
+func TestConcurrentWritersShareSyncs(t *testing.T) { synctest.Test(t, testConcurrentWritersShareSyncs) }
 
-func testTogether(t *testing.T) {
+func testConcurrentWritersShareSyncs(t *testing.T) {
 	d := disk.New()
 	d.SetSyncTime(time.Millisecond)
 	l, _, err := kv.OpenLog(d, kv.Options{})
@@ -311,11 +315,11 @@
 		t.Error(err)
 	}
 	if _, err := l.Append(batch(1)); !errors.Is(err, kv.ErrClosed) {
-		t.Errorf("written after its end: %v", err)
+		t.Errorf("write after Close: %v", err)
 	}
 }
 
-// TestSalvage: of a damaged log all that is whole is saved, and what is lost is named.
+// TestSalvage checks that all complete batches of a corrupt log are returned, and the lost sequence numbers are listed.
 func TestSalvage(t *testing.T) {
 	d := disk.New()
 	fill(t, d, 1, 40)
@@ -339,7 +343,7 @@
 	}
 }
 
-// TestLogOnOperatingSystem: the same on the operating system's files.
+// TestLogOnOperatingSystem writes and reopens the log on files of the operating system.
 func TestLogOnOperatingSystem(t *testing.T) {
 	dir := kv.Dir(t.TempDir())
 	for round := range 3 {
@@ -364,7 +368,7 @@
 	}
 }
 
-// TestInvalidBatches: what can't be kept is refused, and costs nothing.
+// TestInvalidBatches checks that invalid batches are rejected, and use no sequence number.
 func TestInvalidBatches(t *testing.T) {
 	l, _, err := kv.OpenLog(disk.New(), kv.Options{})
 	if err != nil {
@@ -387,7 +391,7 @@
 	}
 }
 
-// FuzzRecover: whatever bytes a segment has, recovery returns whole batches in order, or says what is wrong.
+// FuzzRecover checks that for any content of segments, recovery returns complete batches in order or an error.
 func FuzzRecover(f *testing.F) {
 	d := disk.New()
 	fill(f, d, 1, 20)
@@ -401,8 +405,8 @@
 				t.Errorf("entry %d is %+v", i, e)
 			}
 		}
-		if err == nil && p.Cut != nil && p.Cut.File != "2" {
-			t.Errorf("cut %+v", p.Cut)
+		if err == nil && p.TornTail != nil && p.TornTail.File != "2" {
+			t.Errorf("torn tail %+v", p.TornTail)
 		}
 		kv.Salvage([]kv.Segment{{Name: "1", Bytes: first}})
 	})
--- a/internal/kv/manifest.go
+++ b/internal/kv/manifest.go
@@ -14,14 +14,14 @@
 	tablePattern  = "%08d.table"
 )
 
-// manifest lists the runs, in order, and the sequence number up to which they hold everything.
+// manifest lists the runs, in order, and the sequence number up to which they hold all batches.
 type manifest struct {
 	flushed uint64   // all batches up to this number are in the runs
 	next    uint64   // the number of the next table's file
 	runs    []uint64 // numbers of the tables' files, newest first
 }
 
-var errManifestCorrupt = errors.New("manifest is damaged")
+var errManifestCorrupt = errors.New("manifest is corrupt")
 
 func (m manifest) encode() []byte {
 	out := append([]byte(manifestMagic), formatVersion, 0, 0, 0)
@@ -35,23 +35,23 @@
 }
 
 func decodeManifest(raw []byte) (m manifest, err error) {
-	const head = 28
-	if len(raw) < head+4 || string(raw[:4]) != manifestMagic || raw[4] != formatVersion {
+	const headerSize = 28
+	if len(raw) < headerSize+4 || string(raw[:4]) != manifestMagic || raw[4] != formatVersion {
 		return m, errManifestCorrupt
 	}
 	n := int(binary.LittleEndian.Uint32(raw[24:]))
-	if n > 1<<20 || len(raw) != head+8*n+4 || crc32.Checksum(raw[:len(raw)-4], castagnoli) != binary.LittleEndian.Uint32(raw[len(raw)-4:]) {
+	if n > 1<<20 || len(raw) != headerSize+8*n+4 || crc32.Checksum(raw[:len(raw)-4], castagnoli) != binary.LittleEndian.Uint32(raw[len(raw)-4:]) {
 		return m, errManifestCorrupt
 	}
 	m.flushed, m.next = binary.LittleEndian.Uint64(raw[8:]), binary.LittleEndian.Uint64(raw[16:])
 	for i := range n {
-		m.runs = append(m.runs, binary.LittleEndian.Uint64(raw[head+8*i:]))
+		m.runs = append(m.runs, binary.LittleEndian.Uint64(raw[headerSize+8*i:]))
 	}
 	return m, nil
 }
 
-// installManifest writes the manifest beside the current one, syncs it, and renames it over that: a crash leaves one of the two,
-// never a part of either.
+// installManifest writes the manifest to a new file, syncs it, and renames it to replace the current one: a crash leaves one of
+// the two, never a part of either.
 func (db *DB) installManifest(m manifest) error {
 	file, err := db.createReplacing(manifestNew)
 	if err == nil {
--- a/internal/kv/memtable.go
+++ b/internal/kv/memtable.go
@@ -6,15 +6,15 @@
 	"github.com/google/btree"
 )
 
-// iteratorBatch is how many entries an iterator takes from the tree at once.
+// iteratorBatch is how many entries an iterator reads from the tree at once.
 const iteratorBatch = 64
 
-// memtable holds the batches that are in the log and not yet in a run.
+// memtable holds the changes that are in the log and not yet in a run.
 type memtable struct {
 	tree       *btree.BTreeG[entry]
 	tombstones []rangeTombstone
-	bytes      int64
-	maxSeq     uint64
+	bytes      int64  // approximate memory in use
+	maxSeq     uint64 // sequence number of the last batch
 }
 
 func newMemtable() *memtable {
@@ -31,7 +31,7 @@
 		case Delete:
 			m.tree.ReplaceOrInsert(entry{key: op.Key, seq: seq, deleted: true})
 		case DeleteRange:
-			var same []entry // of the same batch: the tombstone has their sequence number and would not cover them
+			var same []entry // of the same batch: the tombstone has the same sequence number and would not cover them
 			m.tree.AscendRange(entry{key: op.Key, seq: ^uint64(0)}, entry{key: op.Value, seq: ^uint64(0)}, func(e entry) bool {
 				if e.seq == seq {
 					same = append(same, e)
@@ -58,7 +58,7 @@
 	return found, ok
 }
 
-// iterator reads a copy-on-write clone of the entries from a key on.
+// iterator returns the entries from a key on, read from a copy-on-write clone.
 func (m *memtable) iterator(from []byte) iterator {
 	tree := m.tree.Clone()
 	at := entry{key: from, seq: ^uint64(0)}
@@ -70,7 +70,7 @@
 				list = append(list, e)
 				return len(list) <= iteratorBatch
 			})
-			if done = len(list) <= iteratorBatch; !done { // the last one is where the next batch begins
+			if done = len(list) <= iteratorBatch; !done { // the next batch begins with the last one
 				at, list = list[iteratorBatch], list[:iteratorBatch]
 			}
 		}
--- a/internal/kv/salvage_test.go
+++ b/internal/kv/salvage_test.go
@@ -2,8 +2,8 @@
 
 import "slices"
 
-// Salvage returns what could be saved from corrupt segments: all complete batches, by number, the first of each; and the ranges
-// of numbers that are lost.
+// Salvage returns the complete batches of corrupt segments, ordered by sequence number and without duplicates, and the ranges of
+// sequence numbers that are lost.
 func Salvage(segments []Segment) (saved []Entry, lost [][2]uint64) {
 	for _, s := range segments {
 		for at := 0; at+recordHeaderSize <= len(s.Bytes); {
--- a/internal/kv/table.go
+++ b/internal/kv/table.go
@@ -13,14 +13,14 @@
 )
 
 const (
-	tableMagic   = "GFKT"
-	tableFooter  = 36 // offsets of index, filter and tombstones, highest sequence number: 8 each; magic 4
-	blockBytes   = 4 << 10
-	bitsPerKey   = 10
-	filterHashes = 7
+	tableMagic      = "GFKT"
+	tableFooterSize = 36 // offsets of index, filter and tombstones, highest sequence number: 8 each; magic 4
+	blockSize       = 4 << 10
+	bitsPerKey      = 10
+	filterHashes    = 7
 )
 
-// entry is one version of a key: its value, or that it was deleted.
+// entry is one version of a key: a value or a deletion.
 type entry struct {
 	key     []byte
 	seq     uint64
@@ -42,7 +42,7 @@
 	return 0
 }
 
-// rangeTombstone deletes all versions below seq of the keys from start to before end.
+// rangeTombstone deletes all versions below seq of the keys in [start, end).
 type rangeTombstone struct {
 	start, end []byte
 	seq        uint64
@@ -74,14 +74,14 @@
 	}
 }
 
-// section writes bytes and their checksum, and returns where they begin.
+// section writes bytes and their checksum, and returns the offset at which they begin.
 func (w *tableWriter) section(raw []byte) (at int64) {
 	at = w.offset
 	w.write(binary.LittleEndian.AppendUint32(raw, crc32.Checksum(raw, castagnoli)))
 	return at
 }
 
-// add appends an entry; entries come in order.
+// add appends an entry. Entries must be added in order.
 func (w *tableWriter) add(e entry) {
 	if !bytes.Equal(e.key, w.lastKey) || len(w.hashes) == 0 {
 		w.hashes = append(w.hashes, xxhash.Sum64(e.key))
@@ -97,12 +97,12 @@
 	w.block = binary.AppendUvarint(w.block, uint64(len(e.value)))
 	w.block = append(w.block, e.value...)
 	w.lastKey = append(w.lastKey[:0], e.key...)
-	if w.count++; len(w.block) >= blockBytes {
+	if w.count++; len(w.block) >= blockSize {
 		w.finishBlock()
 	}
 }
 
-// finishBlock writes the block; the index gets its last key, its offset and its length.
+// finishBlock writes the block, and adds its last key, offset and length to the index.
 func (w *tableWriter) finishBlock() {
 	if len(w.block) == 0 {
 		return
@@ -129,17 +129,17 @@
 			raw = append(raw, k...)
 		}
 	}
-	spans := w.section(raw)
-	foot := binary.LittleEndian.AppendUint64(nil, uint64(index))
-	foot = binary.LittleEndian.AppendUint64(foot, uint64(filter))
-	foot = binary.LittleEndian.AppendUint64(foot, uint64(spans))
-	foot = binary.LittleEndian.AppendUint64(foot, upTo)
-	foot = append(foot, tableMagic...)
-	w.section(foot)
+	tombstones := w.section(raw)
+	footer := binary.LittleEndian.AppendUint64(nil, uint64(index))
+	footer = binary.LittleEndian.AppendUint64(footer, uint64(filter))
+	footer = binary.LittleEndian.AppendUint64(footer, uint64(tombstones))
+	footer = binary.LittleEndian.AppendUint64(footer, upTo)
+	footer = append(footer, tableMagic...)
+	w.section(footer)
 	return w.err
 }
 
-// newFilter is a bloom filter of keys' hashes, by double hashing (Kirsch and Mitzenmacher).
+// newFilter returns a bloom filter of the hashes of keys, by double hashing (Kirsch and Mitzenmacher).
 func newFilter(hashes []uint64) []byte {
 	bits := uint64(max(64, len(hashes)*bitsPerKey))
 	raw := make([]byte, (bits+7)/8)
@@ -153,7 +153,7 @@
 	return raw
 }
 
-// mayContain tells whether a filter may contain a key; false is certain.
+// mayContain reports whether a filter may contain a key; false is certain.
 func mayContain(filter []byte, key []byte) bool {
 	h, bits := xxhash.Sum64(key), uint64(len(filter))*8
 	for i, d := uint64(0), h>>33|1; i < filterHashes; i++ {
@@ -165,15 +165,15 @@
 	return true
 }
 
-// blockHandle is an entry of the index: where a block lies.
+// blockHandle is an entry of the index: the last key and the location of a block.
 type blockHandle struct {
 	lastKey []byte
 	offset  int64
 	length  int
 }
 
-// table is a sorted table open for reading. Several goroutines may use it. No entry is returned of a block that does not match
-// its checksum.
+// table is a sorted table open for reading. Its methods may be called from any goroutine. No entry is returned from a block that
+// does not match its checksum.
 type table struct {
 	name       string
 	in         io.ReaderAt
@@ -181,24 +181,24 @@
 	index      []blockHandle
 	filter     []byte
 	tombstones []rangeTombstone
-	maxSeq     uint64 // highest sequence number in it
+	maxSeq     uint64 // highest sequence number in the table
 }
 
 func (t *table) corrupt(at int64, cause string) error {
 	return &CorruptionError{t.name, at, "table: " + cause}
 }
 
-// read returns n bytes at an offset that match the checksum behind them.
+// read returns n bytes at an offset, and verifies the checksum that follows them.
 func (t *table) read(at int64, n int) ([]byte, error) {
 	if at < 0 || n < 0 || at+int64(n)+4 > t.size {
-		return nil, t.corrupt(at, "points beyond its end")
+		return nil, t.corrupt(at, "offset beyond the end of the file")
 	}
 	raw := make([]byte, n+4)
 	if _, err := t.in.ReadAt(raw, at); err != nil && err != io.EOF {
 		return nil, fmt.Errorf("%s: %w", t.name, err)
 	}
 	if crc32.Checksum(raw[:n], castagnoli) != binary.LittleEndian.Uint32(raw[n:]) {
-		return nil, t.corrupt(at, "checksum")
+		return nil, t.corrupt(at, "checksum mismatch")
 	}
 	return raw[:n:n], nil
 }
@@ -206,13 +206,13 @@
 // openTable reads a table's footer, index, filter and tombstones.
 func openTable(name string, in io.ReaderAt, size int64) (*table, error) {
 	t := &table{name: name, in: in, size: size}
-	footerAt := size - tableFooter - 4
-	footer, err := t.read(footerAt, tableFooter)
+	footerAt := size - tableFooterSize - 4
+	footer, err := t.read(footerAt, tableFooterSize)
 	if err != nil {
 		return nil, err
 	}
 	if string(footer[32:]) != tableMagic {
-		return nil, t.corrupt(footerAt, "no foot")
+		return nil, t.corrupt(footerAt, "invalid footer")
 	}
 	indexAt := int64(binary.LittleEndian.Uint64(footer))
 	filterAt := int64(binary.LittleEndian.Uint64(footer[8:]))
@@ -225,7 +225,7 @@
 		return nil, err
 	}
 	if len(t.filter) == 0 {
-		return nil, t.corrupt(filterAt, "filter")
+		return nil, t.corrupt(filterAt, "empty filter")
 	}
 	if err := t.readTombstones(tombstonesAt, footerAt); err != nil {
 		return nil, err
@@ -233,7 +233,7 @@
 	return t, nil
 }
 
-// readIndex reads the index, which lies from at to before end.
+// readIndex reads the index, which is at the offsets [at, end).
 func (t *table) readIndex(at, end int64) error {
 	raw, err := t.read(at, int(end-at-4))
 	if err != nil {
@@ -243,15 +243,15 @@
 		var b blockHandle
 		var ok bool
 		if b.lastKey, raw, ok = readBytes(raw, MaxKey); !ok {
-			return t.corrupt(at, "index")
+			return t.corrupt(at, "invalid key in the index")
 		}
 		offset, n := binary.Uvarint(raw)
 		if n <= 0 {
-			return t.corrupt(at, "index")
+			return t.corrupt(at, "invalid offset in the index")
 		}
 		length, m := binary.Uvarint(raw[n:])
 		if m <= 0 || offset > uint64(at) || length > uint64(at)-offset {
-			return t.corrupt(at, "index")
+			return t.corrupt(at, "invalid length in the index")
 		}
 		b.offset, b.length, raw = int64(offset), int(length), raw[n+m:]
 		t.index = append(t.index, b)
@@ -259,7 +259,7 @@
 	return nil
 }
 
-// readTombstones reads the range tombstones, which lie from at to before end.
+// readTombstones reads the range tombstones, which are at the offsets [at, end).
 func (t *table) readTombstones(at, end int64) error {
 	raw, err := t.read(at, int(end-at-4))
 	if err != nil {
@@ -268,30 +268,30 @@
 	for len(raw) > 0 {
 		seq, n := binary.Uvarint(raw)
 		if n <= 0 {
-			return t.corrupt(at, "ranges")
+			return t.corrupt(at, "invalid sequence number of a range tombstone")
 		}
 		s, ok := rangeTombstone{seq: seq}, false
 		if s.start, raw, ok = readBytes(raw[n:], MaxKey); ok {
 			s.end, raw, ok = readBytes(raw, MaxKey)
 		}
 		if !ok {
-			return t.corrupt(at, "ranges")
+			return t.corrupt(at, "invalid key of a range tombstone")
 		}
 		t.tombstones = append(t.tombstones, s)
 	}
 	return nil
 }
 
-// readBytes reads a length of at most most, and so many bytes, off the front.
-func readBytes(raw []byte, most int) (field, rest []byte, ok bool) {
+// readBytes reads a length of at most limit and that many bytes from the front.
+func readBytes(raw []byte, limit int) (field, rest []byte, ok bool) {
 	n, used := binary.Uvarint(raw)
-	if used <= 0 || n > uint64(most) || n > uint64(len(raw)-used) {
+	if used <= 0 || n > uint64(limit) || n > uint64(len(raw)-used) {
 		return nil, nil, false
 	}
 	return raw[used : used+int(n) : used+int(n)], raw[used+int(n):], true
 }
 
-// block reads the entries of a block.
+// block returns the entries of a block.
 func (t *table) block(i int) (list []entry, err error) {
 	b := t.index[i]
 	raw, err := t.read(b.offset, b.length)
@@ -309,20 +309,20 @@
 			}
 		}
 		if !ok {
-			return nil, t.corrupt(b.offset, "entry")
+			return nil, t.corrupt(b.offset, "invalid entry")
 		}
 		list = append(list, e)
 	}
 	return list, nil
 }
 
-// get returns the newest version of a key up to a sequence number; found is false where there is none.
+// get returns the newest version of a key up to a sequence number; found is false if there is none.
 func (t *table) get(key []byte, upTo uint64) (e entry, found bool, err error) {
 	if !mayContain(t.filter, key) {
 		return e, false, nil
 	}
 	i := sort.Search(len(t.index), func(i int) bool { return bytes.Compare(t.index[i].lastKey, key) >= 0 })
-	for ; i < len(t.index); i++ { // versions of a key may go on in the next block
+	for ; i < len(t.index); i++ { // the versions of a key may continue in the next block
 		list, err := t.block(i)
 		if err != nil {
 			return e, false, err
@@ -338,7 +338,7 @@
 	return e, false, nil
 }
 
-// iterator reads the entries from a key on, in order.
+// iterator returns the entries from a key on, in order.
 func (t *table) iterator(from []byte) iterator {
 	i := sort.Search(len(t.index), func(i int) bool { return bytes.Compare(t.index[i].lastKey, from) >= 0 })
 	var list []entry
--- a/internal/kv/view.go
+++ b/internal/kv/view.go
@@ -5,7 +5,7 @@
 	"slices"
 )
 
-// View reads the store as of one sequence number, while writing goes on. It must be closed.
+// View is a consistent view of the store as of one sequence number, unaffected by later writes. It must be closed.
 type View struct {
 	db        *DB
 	seq       uint64
@@ -14,7 +14,7 @@
 	closed    bool
 }
 
-// Snapshot opens a view of all batches that are visible now.
+// Snapshot opens a view of all batches that are currently visible.
 func (db *DB) Snapshot() *View {
 	db.mu.Lock()
 	defer db.mu.Unlock()
@@ -45,10 +45,10 @@
 	v.db.releaseRuns(v.runs)
 }
 
-// Seq is the sequence number that the view reads as of.
+// Seq returns the sequence number as of which the view reads.
 func (v *View) Seq() uint64 { return v.seq }
 
-// tombstoneSeq is the highest sequence number of a range tombstone of the view that contains the key; 0 for none.
+// tombstoneSeq returns the highest sequence number of the view's range tombstones that contain the key; 0 for none.
 func (v *View) tombstoneSeq(key []byte) (seq uint64) {
 	v.eachTombstone(func(t rangeTombstone) {
 		if t.seq > seq && t.contains(key) {
@@ -58,7 +58,7 @@
 	return seq
 }
 
-// tombstonesFrom lists the range tombstones of the view that end behind a key, in the order of their ends.
+// tombstonesFrom returns the view's range tombstones that end after a key, ordered by their ends.
 func (v *View) tombstonesFrom(key []byte) (list []rangeTombstone) {
 	v.eachTombstone(func(t rangeTombstone) {
 		if bytes.Compare(t.end, key) > 0 {
@@ -69,7 +69,7 @@
 	return list
 }
 
-// eachTombstone visits the range tombstones that were written before the view was opened.
+// eachTombstone calls visit for the range tombstones that were written before the view was opened.
 func (v *View) eachTombstone(visit func(rangeTombstone)) {
 	visitAll := func(list []rangeTombstone) {
 		for _, t := range list {
@@ -106,8 +106,8 @@
 	return bytes.Clone(found.value), nil
 }
 
-// Each calls each for the keys of a prefix, in order, until it returns false. The slices are valid during the call only.
-func (v *View) Each(prefix []byte, each func(key, value []byte) bool) error {
+// Each calls visit for the keys with a prefix, in order, until it returns false. The slices are valid only during the call.
+func (v *View) Each(prefix []byte, visit func(key, value []byte) bool) error {
 	next, err := v.iterator(prefix)
 	if err != nil {
 		return err
@@ -121,13 +121,13 @@
 		if !ok || !bytes.HasPrefix(e.key, prefix) {
 			return nil
 		}
-		if newest.accept(e) && !each(e.key, e.value) {
+		if newest.accept(e) && !visit(e.key, e.value) {
 			return nil
 		}
 	}
 }
 
-// iterator merges the memory tables and the runs, from a key on.
+// iterator returns the merged entries of the memory tables and the runs, from a key on.
 func (v *View) iterator(from []byte) (iterator, error) {
 	var sources []iterator
 	for _, m := range v.memtables {
@@ -139,11 +139,11 @@
 	return mergeIterators(sources)
 }
 
-// newestVersions picks, of entries in order, the newest version of each key as of a sequence number, unless it is deleted.
+// newestVersions selects, from entries in order, the newest version of each key as of a sequence number, unless it is deleted.
 type newestVersions struct {
 	seq        uint64
-	tombstones []rangeTombstone // in the order of their ends; those that end before the current key are dropped
-	key        []byte           // of the last version
+	tombstones []rangeTombstone // ordered by their ends; those that end before the current key are dropped
+	key        []byte           // key of the last version
 	started    bool
 }
 
--- a/internal/kv/write.go
+++ b/internal/kv/write.go
@@ -1,8 +1,8 @@
 package kv
 
-// Write makes a batch durable, and visible to views opened after it. The batch is in the log first, then in the memory table,
-// then visible. While both memory tables are full it waits for one to be flushed. It returns an error that wraps ErrFull,
-// ErrReadOnly, ErrClosed, ErrKey, ErrValue or ErrBatch.
+// Write makes a batch durable, and visible to views that are opened afterwards. The batch is written to the log first, then to the
+// memory table, and then becomes visible. While both memory tables are full, Write waits for one to be flushed. An error wraps
+// ErrFull, ErrReadOnly, ErrClosed, ErrKey, ErrValue or ErrBatch.
 func (db *DB) Write(b Batch) error {
 	db.mu.Lock()
 	for db.memtablesFull() && db.failed == nil && db.diskFull == nil {
@@ -20,7 +20,7 @@
 	return err
 }
 
-// apply adds batches that the log has just synced, in their order, to the memory table.
+// apply adds batches that the log has just synced to the memory table, in order.
 func (db *DB) apply(first uint64, list []Batch) {
 	db.mu.Lock()
 	defer db.mu.Unlock()
@@ -31,7 +31,7 @@
 	db.rotateMemtable()
 }
 
-// rotateMemtable hands a full memory table to the background. The caller holds the lock.
+// rotateMemtable hands a full memory table to the background goroutine. The caller holds the lock.
 func (db *DB) rotateMemtable() {
 	if db.immutable == nil && db.active.bytes >= db.cfg.MemoryBytes {
 		db.immutable, db.active = db.active, newMemtable()
@@ -39,7 +39,7 @@
 	}
 }
 
-// memtablesFull tells whether both memory tables are full, so that a write has to wait. The caller holds the lock.
+// memtablesFull reports whether both memory tables are full, so that a write has to wait. The caller holds the lock.
 func (db *DB) memtablesFull() bool {
 	return db.immutable != nil && db.active.bytes >= db.cfg.MemoryBytes
 }
--- a/internal/store/disk.go
+++ b/internal/store/disk.go
@@ -51,7 +51,7 @@
 		return nil, err
 	}
 	db, err := openRetryingLock(kv.Dir(folder), kv.Config{
-		Report: func(c kv.Cut) {
+		OnTornTail: func(c kv.TornTail) {
 			log.Warn("store recovered from an interrupted write; unacknowledged bytes are cut off", "file", c.File, "offset", c.Offset, "bytes", c.Bytes)
 		},
 		OnFailure: func(err error) { log.Error("store can't be written", "cause", err) },
