--- a/internal/lease/holder.go
+++ b/internal/lease/holder.go
@@ -4,22 +4,22 @@
 	"time"
 )
 
-// RequestKind is what a holder does next.
+// RequestKind is the kind of a Request.
 type RequestKind uint8
 
 // The kinds of a Request.
 const (
-	Wait     RequestKind = iota // nothing before Next
+	Wait     RequestKind = iota // send nothing until Next
 	Campaign                    // request the duty
 	Renew                       // extend the lease
 )
 
-// Request is a request to be sent.
+// Request is a request that the holder is to send.
 type Request struct {
 	Kind    RequestKind
-	Term    uint64 // Renew: of the lease
+	Term    uint64 // for Renew: term of the lease
 	Version uint64 // the version of the lease that this holder knows
-	Number  uint64 // names the request to which an answer belongs, so that a late answer is ignored
+	Number  uint64 // identifies the request in its answer, so that late answers are ignored
 }
 
 // Holder is one coordinator's side of the lease of one duty. It is not safe for concurrent use.
@@ -27,23 +27,24 @@
 	config      Config
 	holding     bool
 	grant       Grant
-	actUntil    time.Duration // it may act before it
-	sentAt      time.Duration // of the last request
-	inFlight    bool          // a request waits for its result
-	lastRequest uint64        // its number
-	version     uint64        // of the lease, by the last answer
+	actUntil    time.Duration // the holder may act before it
+	sentAt      time.Duration // when the last request was sent
+	inFlight    bool          // the last request has no answer yet
+	lastRequest uint64        // number of the last request
+	version     uint64        // version of the lease in the last answer
 	nextAt      time.Duration // when the next request is due
 	pause       time.Duration // added to the wait after a denial; differs between coordinators
 	resigned    bool
 }
 
-// NewHolder returns a holder that campaigns first after a pause, which differs between coordinators so that not all ask at once.
+// NewHolder returns a holder that first campaigns after a pause, which differs between coordinators so that they do not all send
+// at once.
 func NewHolder(c Config, now, pause time.Duration) *Holder {
 	return &Holder{config: c.withDefaults(), version: 1, nextAt: now + pause, pause: max(pause, time.Millisecond)}
 }
 
-// MayAct tells whether the duty may be acted on now, and returns the fencing token. It must be called before each act: an earlier
-// result does not hold after a pause of the process.
+// MayAct reports whether the duty may be acted on now, and returns the fencing token. It must be called before each action: after
+// a pause of the process an earlier result is no longer valid.
 func (h *Holder) MayAct(now time.Duration) (token uint64, ok bool) {
 	if !h.holding || h.resigned || now >= h.actUntil {
 		return 0, false
@@ -51,7 +52,7 @@
 	return h.grant.Token, true
 }
 
-// Next returns when Step has the next request.
+// Next returns the time at which Step has the next request.
 func (h *Holder) Next() time.Duration { return h.nextAt }
 
 // Step returns the request to send now. One request is in flight at a time, until Granted, VersionStale, Denied or Unanswered is
@@ -68,7 +69,7 @@
 	return Request{Campaign, 0, h.version, h.lastRequest}
 }
 
-// Granted handles a grant for request n. The lease counts from when that was sent.
+// Granted handles a grant for request n. The lease counts from when the request was sent.
 func (h *Holder) Granted(now time.Duration, n uint64, g Grant) {
 	if !h.inFlight || n != h.lastRequest || h.resigned {
 		return
@@ -76,13 +77,13 @@
 	h.inFlight, h.holding, h.grant, h.version = false, true, g, g.Version
 	h.actUntil = h.sentAt + h.config.Acting()
 	h.nextAt = h.sentAt + time.Duration(h.config.Renew*float64(h.config.Acting()))
-	if h.nextAt <= now { // the answer took long
+	if h.nextAt <= now { // the answer came late
 		h.nextAt = now + h.config.Acting()/20
 	}
 }
 
-// VersionStale handles the answer to request n that the lease has another version. A lease that is held goes on to its end; the next
-// request is due at once.
+// VersionStale handles the answer to request n that the lease has another version. A lease that is held continues until its end;
+// the next request is due at once.
 func (h *Holder) VersionStale(now time.Duration, n, version uint64) {
 	if !h.inFlight || n != h.lastRequest {
 		return
@@ -102,7 +103,7 @@
 	h.nextAt = now + h.config.Length/4 + h.pause
 }
 
-// Unanswered handles the timeout of request n. A lease that is held goes on to its end.
+// Unanswered handles the timeout of request n. A lease that is held continues until its end.
 func (h *Holder) Unanswered(now time.Duration, n uint64) {
 	if n != h.lastRequest {
 		return
--- a/internal/lease/lessor.go
+++ b/internal/lease/lessor.go
@@ -7,26 +7,26 @@
 	"time"
 )
 
-// Lessor grants duties. It is a part of the replicated store's state: requests are applied in the order of the log, with the clock
-// of the leader that received them. It is not safe for concurrent use.
+// Lessor grants leases of duties. It is part of the replicated store's state: requests are applied in the order of the log, with
+// the clock of the leader that received them. It is not safe for concurrent use.
 type Lessor struct {
 	config Config
 	duties map[string]*Record
 }
 
-// Record is a grant as snapshots hold it.
+// Record is a grant as it is stored in snapshots.
 type Record struct {
 	Grant
-	Until  time.Duration // by the leader's clock
-	Length time.Duration // of its lease, as its holder requested
+	Until  time.Duration // end of the lease, by the leader's clock
+	Length time.Duration // length of the lease, as its holder requested
 }
 
-// NewLessor returns a lessor for which every duty is free.
+// NewLessor returns a lessor that has granted no duty yet.
 func NewLessor(c Config) (*Lessor, error) {
 	return &Lessor{config: c.withDefaults(), duties: map[string]*Record{}}, c.Check()
 }
 
-// record returns the record of a duty, a new one where there is none.
+// record returns the record of a duty, a new one if there is none.
 func (l *Lessor) record(name string) *Record {
 	d := l.duties[name]
 	if d == nil {
@@ -36,9 +36,9 @@
 	return d
 }
 
-// Grant grants a campaign for a duty that is free, or whose lease has expired. The length comes with the request, so that all members
-// hold a lease alike, whatever their settings. A holder that campaigns gets a new term. known is the version of the lease that
-// the sender knows, or AnyVersion. With an error, ErrHeld or ErrStaleVersion, the current grant is returned.
+// Grant grants a campaign for a duty that is free, or whose lease has expired. The length is part of the request, so that all
+// members apply it alike, whatever their settings. A holder that campaigns gets a new term. known is the version of the lease that
+// the sender knows, or AnyVersion. With an error, ErrHeld or ErrStaleVersion, it returns the current grant.
 func (l *Lessor) Grant(now time.Duration, duty, who string, length time.Duration, known uint64) (Grant, error) {
 	d := l.record(duty)
 	if d.Holder != "" && d.Holder != who && now < d.Until {
@@ -51,8 +51,8 @@
 	return d.Grant, nil
 }
 
-// Renew extends the holder's lease by its length from now. With an error, ErrTermOver or ErrStaleVersion, the current grant is
-// returned.
+// Renew extends the holder's lease to its length from now. With an error, ErrTermOver or ErrStaleVersion, it returns the current
+// grant.
 func (l *Lessor) Renew(now time.Duration, duty, who string, term, known uint64) (Grant, error) {
 	d := l.record(duty)
 	if d.Holder != who || d.Term != term {
@@ -65,7 +65,7 @@
 	return d.Grant, nil
 }
 
-// Revoke frees a duty for the holder of a term; ErrTermOver tells that it holds it no more.
+// Revoke frees a duty on behalf of the holder of a term; ErrTermOver means that it no longer holds the duty.
 func (l *Lessor) Revoke(duty, who string, term uint64) error {
 	d := l.record(duty)
 	if d.Holder != who || d.Term != term {
@@ -75,8 +75,8 @@
 	return nil
 }
 
-// Promote extends all leases by their lengths from now. It is called when another leader begins, whose clock is not the one by
-// which they were granted.
+// Promote extends all leases to their lengths from now. It is called for the first command of a new leader, whose clock is not the
+// one by which they were granted.
 func (l *Lessor) Promote(now time.Duration) {
 	for _, d := range l.duties {
 		if d.Holder != "" {
@@ -85,22 +85,22 @@
 	}
 }
 
-// Expired tells whether a duty's lease has expired by the leader's clock, or nobody holds it: its last holder acts no more.
+// Expired reports whether a duty's lease has expired by the leader's clock, or nobody holds it: its last holder no longer acts.
 func (l *Lessor) Expired(now time.Duration, duty string) bool {
 	d := l.duties[duty]
 	return d == nil || d.Holder == "" || now >= d.Until
 }
 
-// Holds tells whether a token is the current holder's: nobody has been granted the duty since, and it was not revoked.
+// Holds reports whether a token is the current holder's: nobody has been granted the duty since, and it was not revoked.
 func (l *Lessor) Holds(duty string, token uint64) bool {
 	d := l.duties[duty]
 	return d != nil && d.Holder != "" && d.Token == token
 }
 
-// Forget removes the record of a duty, so that its tokens begin anew. It is for duties without a fence.
+// Forget removes the record of a duty, so that its tokens start again. It must be used only for duties without a fence.
 func (l *Lessor) Forget(duty string) { delete(l.duties, duty) }
 
-// Grants lists the grants of all duties that were ever held, by name.
+// Grants returns the grants of all duties that were ever requested, ordered by name.
 func (l *Lessor) Grants() (list []Grant) {
 	for _, name := range slices.Sorted(maps.Keys(l.duties)) {
 		list = append(list, l.duties[name].Grant)
@@ -108,7 +108,7 @@
 	return list
 }
 
-// Snapshot lists all records, by name.
+// Snapshot returns all records, ordered by name.
 func (l *Lessor) Snapshot() (list []Record) {
 	for _, name := range slices.Sorted(maps.Keys(l.duties)) {
 		list = append(list, *l.duties[name])
@@ -120,7 +120,7 @@
 func (l *Lessor) Restore(list []Record) {
 	l.duties = map[string]*Record{}
 	for _, g := range list {
-		g.Version = max(g.Version, 1) // 0 in the first form
+		g.Version = max(g.Version, 1) // 0 in the first format
 		l.duties[g.Duty] = &g
 	}
 }
--- a/internal/statemachine/command.go
+++ b/internal/statemachine/command.go
@@ -8,7 +8,7 @@
 	"gullfall/internal/lease"
 )
 
-// ID identifies a command: the N-th of a writer, which is one process. A command without one may be applied twice.
+// ID identifies a command: the N-th of a writer, which is one process. A command without an ID may be applied twice.
 type ID struct {
 	Writer string
 	N      uint64
@@ -16,11 +16,11 @@
 
 // Condition must hold for a command to be applied. One of Key, Duty and Lapsed is set.
 type Condition struct {
-	Key      string `json:",omitempty"` // has Revision; 0 for a key without a value
+	Key      string `json:",omitempty"` // the key must be at Revision; 0 for a key without a value
 	Revision uint64 `json:",omitempty"`
-	Duty     string `json:",omitempty"` // is held under the fencing token Token
+	Duty     string `json:",omitempty"` // the duty must be held under the fencing token Token
 	Token    uint64 `json:",omitempty"`
-	Lapsed   string `json:",omitempty"` // this coordinator's presence has expired by the leader's clock
+	Lapsed   string `json:",omitempty"` // the presence of this coordinator must have expired by the leader's clock
 }
 
 // Pair is a key and its new value; nil removes the key.
@@ -33,15 +33,15 @@
 type LeaseOp struct {
 	Kind     LeaseOpKind `json:"What"`
 	Duty     string
-	Presence bool // Duty is a coordinator's name, and the lease its presence
-	Who      string
-	Term     uint64 `json:",omitempty"` // Renew, Resign
-	// KnownVersion, of Campaign and Renew, is the version of the lease that Who knows; lease.AnyVersion in the log's first form.
+	Presence bool   // Duty is a coordinator's name, and the lease its presence
+	Who      string // the coordinator that sends the operation
+	Term     uint64 `json:",omitempty"` // for Renew and Resign: term of the lease
+	// KnownVersion, for Campaign and Renew, is the version of the lease that Who knows; lease.AnyVersion in the log's first format.
 	KnownVersion uint64        `json:"Heard,omitempty"`
-	Length       time.Duration `json:",omitempty"` // Campaign: of the lease, by the leader's clock
+	Length       time.Duration `json:",omitempty"` // for Campaign: length of the lease, by the leader's clock
 }
 
-// LeaseOpKind is the kind of a LeaseOp. Its numbers are stored in the log.
+// LeaseOpKind is the kind of a LeaseOp. Its values are stored in the log.
 type LeaseOpKind uint8
 
 // The kinds of a LeaseOp.
@@ -56,17 +56,17 @@
 type Command struct {
 	ID         ID            `json:",omitzero"`
 	At         time.Duration // the stamp: the leader's clock when it received the command
-	LeaderTerm uint64        `json:"LedTerm"` // its term then
+	LeaderTerm uint64        `json:"LedTerm"` // the stamp: the leader's term when it received the command
 	If         []Condition   `json:",omitempty"`
 	Lease      *LeaseOp      `json:",omitempty"`
 	Put        []Pair        `json:",omitempty"`
 
-	// Key and Value are a command of the first form of the log: one value, without conditions or stamp.
+	// Key and Value are a command of the log's first format: one value, without conditions or stamp.
 	Key   string `json:",omitempty"`
 	Value []byte `json:",omitempty"`
 }
 
-// Check returns why a command is invalid. It is called before the command is logged.
+// Check returns an error for an invalid command. It is called before the command is logged.
 func (c *Command) Check() error {
 	for _, p := range c.Put {
 		if p.Key == "" || len(p.Key) > 256 || len(p.Value) > MaxValue {
@@ -79,29 +79,29 @@
 	return nil
 }
 
-// The causes for which a command is not applied, as Result.Failed has them. They are stored and sent.
+// The values of Result.Failed: why a command is not applied. They are stored and sent.
 const (
-	StaleStamp   = "stamp"    // the leader changed meanwhile; the command is sent again
+	StaleStamp   = "stamp"    // the leader changed in between; the command is sent again
 	Conflict     = "conflict" // a condition does not hold
 	HeldByOther  = "held"     // another coordinator holds the duty
 	TermOver     = "over"     // the term is over
-	StaleVersion = "unheard"  // the sender does not know the lease's last grant; Result.Grant has it
+	StaleVersion = "unheard"  // the sender does not know the last grant of the lease; Result.Grant has it
 	Full         = "full"     // no further key is accepted
-	Expired      = "old"      // its number is outside the writer's window of results
+	Expired      = "old"      // the command's number is outside the writer's window of results
 )
 
 // Result is the result of a command.
 type Result struct {
-	Index  uint64 // in the log; all before it was applied
-	Failed string `json:",omitempty"` // a cause; empty for a command that was applied
-	Why    string `json:",omitempty"` // in words
+	Index  uint64 // index in the log; all entries before it were applied
+	Failed string `json:",omitempty"` // why it was not applied, one of the constants; empty for a command that was applied
+	Why    string `json:",omitempty"` // the details of Failed, for a reader
 	Grant  lease.Grant
 }
 
-// ErrNotDone is wrapped by the errors of commands that were not applied.
+// ErrNotDone is wrapped by the error of a command that was not applied.
 var ErrNotDone = errors.New("not done")
 
-// Err returns nil for a command that was applied.
+// Err returns an error that wraps ErrNotDone, or nil for a command that was applied.
 func (r Result) Err() error {
 	if r.Failed == "" {
 		return nil
--- a/internal/statemachine/snapshot.go
+++ b/internal/statemachine/snapshot.go
@@ -7,8 +7,8 @@
 	"gullfall/internal/lease"
 )
 
-// kept is the form of a snapshot. A change of it needs another Version.
-type kept struct {
+// snapshotData is the format of a snapshot. Changing it requires another Version.
+type snapshotData struct {
 	Version  int
 	Index    uint64
 	Term     uint64
@@ -22,12 +22,12 @@
 
 // Snapshot encodes the state.
 func (s *State) Snapshot() ([]byte, error) {
-	return json.Marshal(kept{snapshotVersion, s.index, s.term, s.values, s.duties.Snapshot(), s.presence.Snapshot(), s.sessions})
+	return json.Marshal(snapshotData{snapshotVersion, s.index, s.term, s.values, s.duties.Snapshot(), s.presence.Snapshot(), s.sessions})
 }
 
-// Restore replaces the state by a snapshot. It also reads the first form, a list of values without a version.
+// Restore replaces the state by a snapshot. It also reads the first format, a map of values without a version.
 func (s *State) Restore(data []byte) error {
-	var k kept
+	var k snapshotData
 	if err := json.Unmarshal(data, &k); err != nil {
 		return fmt.Errorf("snapshot of the store: %w", err)
 	}
@@ -43,7 +43,7 @@
 			k.Values[key] = Entry{value, 1}
 		}
 	default:
-		return fmt.Errorf("snapshot of the store: version %d; this program knows up to %d: start the newer one", k.Version, snapshotVersion)
+		return fmt.Errorf("snapshot of the store: version %d; this program knows up to %d: start the newer release", k.Version, snapshotVersion)
 	}
 	if k.Values == nil {
 		k.Values = map[string]Entry{}
--- a/internal/statemachine/statemachine.go
+++ b/internal/statemachine/statemachine.go
@@ -1,18 +1,18 @@
-// Package statemachine is the state that the coordinators' store replicates, and the meaning of the commands of its log: values with
-// revisions, leases of duties and presences, and the results of earlier commands. It looks at no clock and does no I/O: every
-// member applies the same commands in the same order and has to come to the same state.
+// Package statemachine is the state machine of the coordinators' replicated store: values with revisions, leases of duties and
+// presences, and the results of earlier commands, with the rules by which the commands of the log change them. It reads no clock
+// and does no I/O: every member applies the same commands in the same order and must reach the same state.
 //
-// A command is applied as a whole or not at all:
+// A command is applied atomically. The steps, in order:
 //
-//	earlier command   a number of its writer that was applied before: the first result again, nothing else
-//	stamp             its leader's term is the term it was logged in; else nothing, and the writer sends it again
-//	new term          all leases run anew from the first stamp of a leader: its clock is not the last one's
-//	If                every condition holds, else nothing
-//	Lease             granted, renewed, revoked or forgotten, else nothing; a sender that does not know the last grant is told of it
-//	Put               each value, with the index of the command as its revision; nil removes the key
+//	earlier command   a number that its writer has used before: returns the first result and changes nothing
+//	stamp             the leader's term in it must be the term it was logged in; otherwise rejected, and the writer sends it again
+//	new term          all leases start again from the first stamp of a leader, since its clock is not that of the previous one
+//	If                every condition must hold, otherwise rejected
+//	Lease             granted, renewed, revoked or forgotten, otherwise rejected; a sender that does not know the last grant gets it
+//	Put               sets each value, with the index of the command as its revision; nil removes the key
 //
-// A stamp is the leader's clock and term when it received the command. One of another term than the command was logged in could
-// date a lease back to before another leader's grants: two coordinators would do one duty at the same time.
+// A stamp is the leader's clock and term when it received the command. A stamp of a term other than the one in which the command
+// was logged could date a lease back to before another leader's grants: two coordinators would perform a duty at the same time.
 package statemachine
 
 import (
@@ -28,23 +28,23 @@
 
 // Bounds of the state.
 const (
-	MaxKeys      = 20_000  // values
+	MaxKeys      = 20_000  // keys with a value
 	MaxValue     = 4 << 20 // bytes of one value
-	MaxWriters   = 4096    // with a session; the one whose last command is oldest is evicted first
-	resultWindow = 64      // results kept of a writer, which has fewer commands in flight
+	MaxWriters   = 4096    // writers with a session; the one whose last command is oldest is evicted first
+	resultWindow = 64      // results kept per writer; a writer has fewer commands in flight
 )
 
-// Entry is a value and the index of the command that put it.
+// Entry is a value, and as its revision the index of the command that put it.
 type Entry struct {
 	Value    []byte
 	Revision uint64
 }
 
-// clientSession is what is known of a writer, so that a command that is sent twice is applied once.
+// clientSession holds the latest results of a writer, so that a command that is sent twice is applied once.
 type clientSession struct {
 	LastIndex uint64            `json:"Used"` // log index of its last command
 	HighestN  uint64            `json:"Most"` // its highest number
-	Results   map[uint64]Result `json:"Done"` // by number, the last resultWindow
+	Results   map[uint64]Result `json:"Done"` // results by number, of the last resultWindow numbers
 }
 
 // State is the replicated state. It is not safe for concurrent use.
@@ -57,7 +57,7 @@
 	sessions map[string]*clientSession
 }
 
-// New returns an empty state. The length of a lease comes with its request.
+// New returns an empty state. The length of a lease is part of its request.
 func New() *State {
 	s := &State{values: map[string]Entry{}, sessions: map[string]*clientSession{}}
 	s.duties, _ = lease.NewLessor(lease.Config{}) // the defaults are valid
@@ -77,13 +77,13 @@
 // Values returns all values. The caller must not change the map.
 func (s *State) Values() map[string]Entry { return s.values }
 
-// Duties lists the grants of duties, by name.
+// Duties returns the grants of duties, ordered by name.
 func (s *State) Duties() []lease.Grant { return s.duties.Grants() }
 
-// Present lists the presences that were ever granted and not forgotten, with their ends by the leader's clock.
+// Present returns the presences that were ever granted and not forgotten, with their ends by the leader's clock.
 func (s *State) Present() []lease.Record { return s.presence.Snapshot() }
 
-// Apply applies a command that is logged at an index in a term, and returns the keys that changed.
+// Apply applies the command that is logged at an index in a term, and returns its result and the keys that changed.
 func (s *State) Apply(index, term uint64, c *Command) (r Result, changed []string) {
 	s.index = index
 	if c.Key != "" { // the first form
@@ -100,7 +100,7 @@
 		}
 	}
 	if c.LeaderTerm != term {
-		// The result is not kept: the writer sends the command again under the same number.
+		// The result is not recorded: the writer sends the command again under the same number.
 		return Result{Index: index, Failed: StaleStamp, Why: "the leader changed meanwhile"}, nil
 	}
 	if s.term != term {
@@ -115,7 +115,7 @@
 	return r, changed
 }
 
-// session returns a writer's session, a new one where there is none; nil for a command without a writer.
+// session returns the session of a writer, a new one if there is none; nil for a command without a writer.
 func (s *State) session(writer string) *clientSession {
 	if writer == "" {
 		return nil
@@ -129,20 +129,20 @@
 	return session
 }
 
-// record keeps the result of the writer's n-th command, and drops those outside the window.
+// record stores the result of the writer's n-th command, and drops the results outside the window.
 func (c *clientSession) record(index, n uint64, r Result) {
 	c.LastIndex, c.HighestN, c.Results[n] = index, max(c.HighestN, n), r
 	maps.DeleteFunc(c.Results, func(n uint64, _ Result) bool { return n+resultWindow <= c.HighestN })
 }
 
-// evictSession drops the session whose last command is the oldest, where there are more than MaxWriters.
+// evictSession drops the session whose last command is the oldest, if there are more than MaxWriters.
 func (s *State) evictSession() {
 	if len(s.sessions) <= MaxWriters {
 		return
 	}
 	names := slices.Collect(maps.Keys(s.sessions))
 	oldest := slices.MinFunc(names, func(a, b string) int {
-		// A new session has LastIndex 0, which wraps to the highest number: it is not the one to evict.
+		// A new session has LastIndex 0, which wraps to the highest number, so it is not evicted.
 		x, y := s.sessions[a].LastIndex-1, s.sessions[b].LastIndex-1
 		return cmp.Or(cmp.Compare(x, y), cmp.Compare(a, b))
 	})
@@ -178,7 +178,7 @@
 	return r, changed
 }
 
-// newKeys counts the pairs with a value whose key has none yet.
+// newKeys counts the pairs that add a key.
 func (s *State) newKeys(pairs []Pair) (n int) {
 	for _, p := range pairs {
 		if _, exists := s.values[p.Key]; !exists && p.Value != nil {
@@ -188,7 +188,7 @@
 	return n
 }
 
-// violation returns why a condition does not hold; empty where it does.
+// violation returns why a condition does not hold; empty if it does.
 func (s *State) violation(now time.Duration, c Condition) string {
 	switch {
 	case c.Duty != "" && !s.duties.Holds(c.Duty, c.Token):
@@ -201,7 +201,7 @@
 	return ""
 }
 
-// executeLeaseOp applies an operation on a lease, and adds its outcome to the result.
+// executeLeaseOp applies an operation on a lease, and adds the outcome to the result.
 func (s *State) executeLeaseOp(r Result, now time.Duration, op *LeaseOp) Result {
 	lessor := s.duties
 	if op.Presence {
--- a/internal/statemachine/statemachine_test.go
+++ b/internal/statemachine/statemachine_test.go
@@ -13,8 +13,8 @@
 
 func put(key, value string) []Pair { return []Pair{{key, []byte(value)}} }
 
-// TestCommand: each row of the package's table, after one command at index 1 in term 1 that put a=1 and had granted n0 the
-// duty d and its presence at stamp 0.
+// TestCommand checks each row of the package's table, after commands in term 1 that put a=1 and granted n0 the duty d and its
+// presence at stamp 0.
 func TestCommand(t *testing.T) {
 	for _, c := range []struct {
 		name   string
@@ -25,21 +25,21 @@
 		value  string // of a, afterwards
 	}{
 		{"put", 9, 1, Command{LeaderTerm: 1, Put: put("a", "2")}, "", "2"},
-		{"taken before", 9, 1, Command{ID: ID{"w", 1}, LeaderTerm: 1, Put: put("a", "2")}, "", "1"},
-		{"of another term than its stamp", 9, 2, Command{LeaderTerm: 1, Put: put("a", "2")}, StaleStamp, "1"},
-		{"at its revision", 9, 1, Command{LeaderTerm: 1, If: []Condition{{Key: "a", Revision: 1}}, Put: put("a", "2")}, "", "2"},
-		{"at another revision", 9, 1, Command{LeaderTerm: 1, If: []Condition{{Key: "a", Revision: 2}}, Put: put("a", "2")}, Conflict, "1"},
-		{"not there, and it is", 9, 1, Command{LeaderTerm: 1, If: []Condition{{Key: "a"}}, Put: put("a", "2")}, Conflict, "1"},
-		{"under the duty's token", 9, 1, Command{LeaderTerm: 1, If: []Condition{{Duty: "d", Token: 1}}, Put: put("a", "2")}, "", "2"},
-		{"under an old token", 9, 1, Command{LeaderTerm: 1, If: []Condition{{Duty: "d", Token: 0}}, Put: put("a", "2")}, Conflict, "1"},
-		{"while it is present", 9, 1, Command{LeaderTerm: 1, At: 4*s - 1, If: []Condition{{Lapsed: "n0"}}, Put: put("a", "2")}, Conflict, "1"},
-		{"once its presence is over", 9, 1, Command{LeaderTerm: 1, At: 4 * s, If: []Condition{{Lapsed: "n0"}}, Put: put("a", "2")}, "", "2"},
-		{"a new leader holds it from its first moment", 9, 2, Command{LeaderTerm: 2, At: 900 * s, If: []Condition{{Lapsed: "n0"}}, Put: put("a", "2")}, Conflict, "1"},
-		{"a lease that is another's undoes the put", 9, 1, Command{LeaderTerm: 1, Lease: &LeaseOp{Kind: Campaign, Duty: "d", Who: "n1"}, Put: put("a", "2")}, HeldByOther, "1"},
-		{"a term that is over", 9, 1, Command{LeaderTerm: 1, Lease: &LeaseOp{Kind: Renew, Duty: "d", Who: "n0", Term: 7}, Put: put("a", "2")}, TermOver, "1"},
-		{"one that is present is not forgotten", 9, 1, Command{LeaderTerm: 1, Lease: &LeaseOp{Kind: Forget, Presence: true, Duty: "n0"}, Put: put("a", "2")}, HeldByOther, "1"},
+		{"already applied", 9, 1, Command{ID: ID{"w", 1}, LeaderTerm: 1, Put: put("a", "2")}, "", "1"},
+		{"stamp of another term", 9, 2, Command{LeaderTerm: 1, Put: put("a", "2")}, StaleStamp, "1"},
+		{"expected revision", 9, 1, Command{LeaderTerm: 1, If: []Condition{{Key: "a", Revision: 1}}, Put: put("a", "2")}, "", "2"},
+		{"another revision", 9, 1, Command{LeaderTerm: 1, If: []Condition{{Key: "a", Revision: 2}}, Put: put("a", "2")}, Conflict, "1"},
+		{"expected no value", 9, 1, Command{LeaderTerm: 1, If: []Condition{{Key: "a"}}, Put: put("a", "2")}, Conflict, "1"},
+		{"current token of the duty", 9, 1, Command{LeaderTerm: 1, If: []Condition{{Duty: "d", Token: 1}}, Put: put("a", "2")}, "", "2"},
+		{"old token of the duty", 9, 1, Command{LeaderTerm: 1, If: []Condition{{Duty: "d", Token: 0}}, Put: put("a", "2")}, Conflict, "1"},
+		{"presence not yet expired", 9, 1, Command{LeaderTerm: 1, At: 4*s - 1, If: []Condition{{Lapsed: "n0"}}, Put: put("a", "2")}, Conflict, "1"},
+		{"presence expired", 9, 1, Command{LeaderTerm: 1, At: 4 * s, If: []Condition{{Lapsed: "n0"}}, Put: put("a", "2")}, "", "2"},
+		{"a new leader extends the presence from its first stamp", 9, 2, Command{LeaderTerm: 2, At: 900 * s, If: []Condition{{Lapsed: "n0"}}, Put: put("a", "2")}, Conflict, "1"},
+		{"no put if another holds the lease", 9, 1, Command{LeaderTerm: 1, Lease: &LeaseOp{Kind: Campaign, Duty: "d", Who: "n1"}, Put: put("a", "2")}, HeldByOther, "1"},
+		{"renewal of a past term", 9, 1, Command{LeaderTerm: 1, Lease: &LeaseOp{Kind: Renew, Duty: "d", Who: "n0", Term: 7}, Put: put("a", "2")}, TermOver, "1"},
+		{"a presence that has not expired is not forgotten", 9, 1, Command{LeaderTerm: 1, Lease: &LeaseOp{Kind: Forget, Presence: true, Duty: "n0"}, Put: put("a", "2")}, HeldByOther, "1"},
 		{"removed", 9, 1, Command{LeaderTerm: 1, Put: []Pair{{"a", nil}}}, "", ""},
-		{"the first form", 9, 5, Command{Key: "a", Value: []byte("2")}, "", "2"},
+		{"first format", 9, 5, Command{Key: "a", Value: []byte("2")}, "", "2"},
 	} {
 		st := New()
 		for i, first := range []Command{
@@ -59,35 +59,36 @@
 	}
 }
 
-// TestOldNumberRejected: a number that is long past is turned back, not applied anew, and writers stay bounded.
+// TestOldNumberRejected checks that a command with a number outside the window is rejected instead of applied again, and that the
+// number of sessions is bounded.
 func TestOldNumberRejected(t *testing.T) {
 	st := New()
 	for i := uint64(1); i <= 200; i++ {
 		st.Apply(i, 1, &Command{ID: ID{"w", i}, LeaderTerm: 1, Put: put("a", fmt.Sprint(i))})
 	}
 	if r, _ := st.Apply(201, 1, &Command{ID: ID{"w", 1}, LeaderTerm: 1, Put: put("a", "again")}); r.Failed != Expired {
-		t.Errorf("a number long past: %+v", r)
+		t.Errorf("a number outside the window: %+v", r)
 	}
 	for i := range uint64(2 * MaxWriters) {
 		st.Apply(300+i, 1, &Command{ID: ID{fmt.Sprint("w", i), 1}, LeaderTerm: 1, Put: put("b", "x")})
 	}
 	if len(st.sessions) > MaxWriters {
-		t.Errorf("%d writers are remembered", len(st.sessions))
+		t.Errorf("%d sessions, want at most MaxWriters", len(st.sessions))
 	}
 	last := Command{ID: ID{fmt.Sprint("w", 2*MaxWriters-1), 1}, LeaderTerm: 1, Put: put("b", "twice")}
 	if st.Apply(99999, 1, &last); string(st.values["b"].Value) != "x" {
-		t.Error("the latest writer was forgotten")
+		t.Error("the session of the latest writer was evicted")
 	}
 }
 
-// TestSnapshotAfterAnyCommand: two members, of which one goes through a snapshot after any command, come to the same state and the
-// same results; a command that is applied again changes nothing.
+// TestSnapshotAfterAnyCommand applies random commands to two members, of which one is restored from its snapshot after some of
+// them: both must reach the same state and results. Some commands are repeated.
 func TestSnapshotAfterAnyCommand(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		a, b := New(), New()
 		var clock time.Duration
 		term := uint64(1)
-		var given []Command
+		var issued []Command
 		for i := range rapid.IntRange(1, 40).Draw(t, "commands") {
 			name := func(of string, n int) string { return of + rapid.StringMatching(fmt.Sprintf("[0-%d]", n)).Draw(t, of) }
 			clock += time.Duration(rapid.IntRange(0, 5000).Draw(t, "ms")) * time.Millisecond
@@ -95,8 +96,8 @@
 				term, clock = term+1, time.Duration(rapid.IntRange(0, 1e6).Draw(t, "clock"))*time.Millisecond
 			}
 			var c Command
-			if len(given) > 0 && rapid.IntRange(0, 4).Draw(t, "again") == 0 {
-				c = given[rapid.IntRange(0, len(given)-1).Draw(t, "which")]
+			if len(issued) > 0 && rapid.IntRange(0, 4).Draw(t, "again") == 0 {
+				c = issued[rapid.IntRange(0, len(issued)-1).Draw(t, "which")]
 			} else {
 				c = Command{ID: ID{name("w", 2), uint64(i + 1)}, At: clock, LeaderTerm: term}
 				switch rapid.IntRange(0, 2).Draw(t, "kind") {
@@ -108,7 +109,7 @@
 				case 2:
 					c.Lease = &LeaseOp{Kind: Renew, Duty: name("d", 1), Who: name("n", 2), Term: uint64(rapid.IntRange(1, 3).Draw(t, "term"))}
 				}
-				given = append(given, c)
+				issued = append(issued, c)
 			}
 			copied := c
 			ra, _ := a.Apply(uint64(i+1), term, &c)
@@ -135,15 +136,15 @@
 	})
 }
 
-// TestRestoreForms: the first form of a snapshot is taken, a later version is turned back with what to do.
-func TestRestoreForms(t *testing.T) {
+// TestRestoreFormats checks that a snapshot of the first format is read, and that one of a later version or an invalid one is rejected.
+func TestRestoreFormats(t *testing.T) {
 	st := New()
 	if err := st.Restore([]byte(`{"members":"bGlzdA=="}`)); err != nil || string(st.values["members"].Value) != "list" {
-		t.Errorf("the first form: %v, %q", err, st.values["members"].Value)
+		t.Errorf("the first format: %v, %q", err, st.values["members"].Value)
 	}
 	for _, bad := range []string{`{"Version":3}`, `nonsense`, `{"Version":2,"Values":7}`} {
 		if st.Restore([]byte(bad)) == nil {
-			t.Errorf("%s was taken", bad)
+			t.Errorf("%s was accepted", bad)
 		}
 	}
 }
