--- a/internal/kv/compaction.go
+++ b/internal/kv/compaction.go
@@ -12,11 +12,11 @@
 )
 
 const (
-	// diskFullRetryInterval is how long the background waits before it tries again on a full disk.
+	// diskFullRetryInterval is the pause before a flush or merge is retried on a full disk.
 	diskFullRetryInterval = 100 * time.Millisecond
-	// mergeBurst is how many bytes a merge may write ahead of the rate limit.
+	// mergeBurst is the number of bytes that a merge may write ahead of the rate limit.
 	mergeBurst = 1 << 20
-	// mergePaceStep is how many bytes a merge writes between two waits for the rate limit.
+	// mergePaceStep is the number of bytes that a merge writes between two waits for the rate limit.
 	mergePaceStep = 64 << 10
 )
 
--- a/internal/kv/memtable.go
+++ b/internal/kv/memtable.go
@@ -6,7 +6,7 @@
 	"github.com/google/btree"
 )
 
-// iteratorBatch is how many entries an iterator reads from the tree at once.
+// iteratorBatch is the number of entries that an iterator reads from the tree at once.
 const iteratorBatch = 64
 
 // memtable holds the changes that are in the log and not yet in a run.
--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -6,7 +6,7 @@
 // never compared with another's, so it may jump when its process restarts, but not while it runs.
 //
 //	campaign   granted if the duty is free, or its lease has expired by the lessor's clock: a new term and a higher token
-//	renew      granted to the holder of the term, expired or not, as long as nobody else has been granted the duty
+//	renew      granted to the holder of the term, expired or not, as long as no other holder has been granted the duty
 //	version    both are granted only to a request that names the lease's version, which increases by one with each grant. A request
 //	           with an older version gets the current one in reply, and the holder sends another at once: a coordinator that can
 //	           send but not receive gets no duty, and keeps none
@@ -69,7 +69,7 @@
 	Holder string // empty for a free duty
 	Term   uint64 // increases with each campaign that is granted
 	Token  uint64 // the fencing token, increases with each term
-	// Version is 1 for a duty that nobody held yet, and increases by 1 with each grant, renewals included.
+	// Version is 1 for a duty that was never granted, and increases by 1 with each grant, renewals included.
 	Version uint64
 }
 
--- a/internal/lease/lease_test.go
+++ b/internal/lease/lease_test.go
@@ -276,7 +276,7 @@
 }
 
 // TestHolderWithoutAnswersGetsNoDuty checks that a coordinator whose requests arrive but that gets no answers keeps a duty only
-// until its lease ends, so that another one gets it. Without versions nobody else would get it for as long as the fault lasts.
+// until its lease ends, so that another one gets it. Without versions no other holder would get it while the fault lasts.
 func TestHolderWithoutAnswersGetsNoDuty(t *testing.T) {
 	simulateFault := func(withVersions bool) (acted map[int]int, longestGap time.Duration) {
 		c := Config{Length: 10 * s}
--- a/internal/lease/lessor.go
+++ b/internal/lease/lessor.go
@@ -85,13 +85,13 @@
 	}
 }
 
-// Expired reports whether a duty's lease has expired by the leader's clock, or nobody holds it: its last holder no longer acts.
+// Expired reports whether a duty's lease has expired by the leader's clock, or the duty is free: its last holder no longer acts.
 func (l *Lessor) Expired(now time.Duration, duty string) bool {
 	d := l.duties[duty]
 	return d == nil || d.Holder == "" || now >= d.Until
 }
 
-// Holds reports whether a token is the current holder's: nobody has been granted the duty since, and it was not revoked.
+// Holds reports whether a token is the current holder's: the duty was not granted since, and the lease was not revoked.
 func (l *Lessor) Holds(duty string, token uint64) bool {
 	d := l.duties[duty]
 	return d != nil && d.Holder != "" && d.Token == token
--- a/internal/store/chunks.go
+++ b/internal/store/chunks.go
@@ -33,9 +33,9 @@
 			return nil, err
 		}
 	}
-	head := binary.BigEndian.AppendUint64([]byte{chunked}, uint64(len(data)))
-	head = binary.BigEndian.AppendUint32(head, crc32.Checksum(data, castagnoli))
-	return append(head, prefix...), nil
+	header := binary.BigEndian.AppendUint64([]byte{chunked}, uint64(len(data)))
+	header = binary.BigEndian.AppendUint32(header, crc32.Checksum(data, castagnoli))
+	return append(header, prefix...), nil
 }
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
--- a/internal/store/disk.go
+++ b/internal/store/disk.go
@@ -46,11 +46,11 @@
 
 // openDisk opens a member's directory, and migrates the format of an earlier release.
 func openDisk(dir string, log *slog.Logger) (*disk, error) {
-	folder := filepath.Join(dir, "kv")
-	if err := os.MkdirAll(folder, 0o700); err != nil {
+	kvDir := filepath.Join(dir, "kv")
+	if err := os.MkdirAll(kvDir, 0o700); err != nil {
 		return nil, err
 	}
-	db, err := openRetryingLock(kv.Dir(folder), kv.Config{
+	db, err := openRetryingLock(kv.Dir(kvDir), kv.Config{
 		OnTornTail: func(c kv.TornTail) {
 			log.Warn("store recovered from an interrupted write; unacknowledged bytes are cut off", "file", c.File, "offset", c.Offset, "bytes", c.Bytes)
 		},
@@ -69,10 +69,10 @@
 }
 
 // openRetryingLock opens a store. It retries for lockTimeout while another process, which may be about to end, has the store open.
-func openRetryingLock(folder kv.Dir, cfg kv.Config) (db *kv.DB, err error) {
+func openRetryingLock(dir kv.Dir, cfg kv.Config) (db *kv.DB, err error) {
 	err = kv.ErrLocked
 	for end := time.Now().Add(lockTimeout); errors.Is(err, kv.ErrLocked) && time.Now().Before(end); {
-		if db, err = kv.Open(folder, cfg); errors.Is(err, kv.ErrLocked) {
+		if db, err = kv.Open(dir, cfg); errors.Is(err, kv.ErrLocked) {
 			time.Sleep(lockPollInterval)
 		}
 	}
--- a/internal/store/disk_test.go
+++ b/internal/store/disk_test.go
@@ -306,9 +306,9 @@
 	must(sink.Close())
 
 	// An interrupted migration must leave the old files unchanged, and its own writes must not count.
-	folder := filepath.Join(dir, "kv")
-	must(os.MkdirAll(folder, 0o700))
-	partial, err := kv.Open(kv.Dir(folder), kv.Config{})
+	kvDir := filepath.Join(dir, "kv")
+	must(os.MkdirAll(kvDir, 0o700))
+	partial, err := kv.Open(kv.Dir(kvDir), kv.Config{})
 	must(err)
 	if _, err := newDisk(partial, func(d *disk) error {
 		return errors.Join(migrateBolt(d, dir), d.StoreLog(&raft.Log{Index: 99}), errors.New("power loss"))
--- a/internal/store/snapshots.go
+++ b/internal/store/snapshots.go
@@ -19,7 +19,7 @@
 	"gullfall/internal/kv"
 )
 
-// retainedSnapshots is how many snapshots are kept: the previous one may still be being sent to a member.
+// retainedSnapshots is the number of snapshots that are kept: a member may still be receiving the previous one.
 const retainedSnapshots = 2
 
 // List returns the finished snapshots, the newest first. With Open and Create it implements raft.SnapshotStore.
@@ -52,7 +52,7 @@
 		view.Close()
 		return nil, nil, fmt.Errorf("snapshot %s: %w", id, err)
 	}
-	r := &snapshotReader{ctx: d.ctx, view: view, head: h, checksum: crc32.New(castagnoli)}
+	r := &snapshotReader{ctx: d.ctx, view: view, header: h, checksum: crc32.New(castagnoli)}
 	if d.snapshotRate != nil {
 		if bytesPerSecond := d.snapshotRate(&h.Meta); bytesPerSecond > 0 {
 			r.limiter = rate.NewLimiter(rate.Limit(bytesPerSecond), defaultPartSize)
@@ -68,14 +68,14 @@
 	}
 	id := fmt.Sprintf("%016x-%016x-%016x", term, index, time.Now().UnixNano())
 	w := &snapshotWriter{disk: d, checksum: crc32.New(castagnoli)}
-	w.head.Meta = raft.SnapshotMeta{Version: version, ID: id, Index: index, Term: term, Configuration: members, ConfigurationIndex: membersIndex}
+	w.header.Meta = raft.SnapshotMeta{Version: version, ID: id, Index: index, Term: term, Configuration: members, ConfigurationIndex: membersIndex}
 	return w, nil
 }
 
 // snapshotWriter writes a snapshot in parts, so that it is never in memory as a whole.
 type snapshotWriter struct {
 	disk     *disk
-	head     snapshotHeader
+	header   snapshotHeader
 	checksum hash.Hash32
 	buf      []byte
 	parts    int
@@ -83,12 +83,12 @@
 }
 
 // ID returns the name of the snapshot.
-func (w *snapshotWriter) ID() string { return w.head.Meta.ID }
+func (w *snapshotWriter) ID() string { return w.header.Meta.ID }
 
 // Write appends to the content.
 func (w *snapshotWriter) Write(p []byte) (n int, err error) {
 	w.checksum.Write(p)
-	w.head.Meta.Size += int64(len(p))
+	w.header.Meta.Size += int64(len(p))
 	for n = len(p); len(p) > 0; {
 		take := min(w.disk.partSize-len(w.buf), len(p))
 		w.buf, p = append(w.buf, p[:take]...), p[take:]
@@ -116,8 +116,8 @@
 		return nil
 	}
 	w.finished = true
-	w.head.Sum = w.checksum.Sum32()
-	raw, err := json.Marshal(w.head)
+	w.header.Sum = w.checksum.Sum32()
+	raw, err := json.Marshal(w.header)
 	if err == nil {
 		err = w.flush()
 	}
@@ -151,7 +151,7 @@
 type snapshotReader struct {
 	ctx      context.Context
 	view     *kv.View
-	head     snapshotHeader
+	header   snapshotHeader
 	checksum hash.Hash32
 	limiter  *rate.Limiter // nil for no limit
 	current  bytes.Reader  // the unread rest of the last part that was loaded
@@ -161,16 +161,16 @@
 
 // Read returns the content, and an error instead of io.EOF if the checksum does not match.
 func (r *snapshotReader) Read(p []byte) (n int, err error) {
-	if r.offset == r.head.Meta.Size {
-		if r.checksum.Sum32() != r.head.Sum {
-			return 0, fmt.Errorf("snapshot %s: checksum mismatch", r.head.Meta.ID)
+	if r.offset == r.header.Meta.Size {
+		if r.checksum.Sum32() != r.header.Sum {
+			return 0, fmt.Errorf("snapshot %s: checksum mismatch", r.header.Meta.ID)
 		}
 		return 0, io.EOF
 	}
 	if r.current.Len() == 0 {
-		data, err := r.view.Get(key(keySnapshotPart, []byte(r.head.Meta.ID), encodePart(r.part)))
+		data, err := r.view.Get(key(keySnapshotPart, []byte(r.header.Meta.ID), encodePart(r.part)))
 		if err != nil {
-			return 0, fmt.Errorf("snapshot %s, part %d: %w", r.head.Meta.ID, r.part, err)
+			return 0, fmt.Errorf("snapshot %s, part %d: %w", r.header.Meta.ID, r.part, err)
 		}
 		if r.limiter != nil {
 			if err := r.limiter.WaitN(r.ctx, len(data)); err != nil { // a part is never larger than the limiter's burst
