--- a/internal/platform/attempttable.go
+++ b/internal/platform/attempttable.go
@@ -6,39 +6,39 @@
 	"gullfall/internal/coordinator"
 )
 
-// lateAnswerWindow is how long after the deadline of a cancelled attempt its answer may still come.
+// lateAnswerWindow is the time after the deadline of a cancelled attempt in which its answer may still arrive.
 const lateAnswerWindow = 10 * time.Second
 
-// pendingAttempt is an attempt that is queued or out on a connection.
+// pendingAttempt is an attempt that is queued or in flight on a connection.
 type pendingAttempt struct {
 	*coordinator.Attempt
-	begunAt    time.Time // when its frame was begun; zero while queued
-	cancelling bool      // the coordinator has given it up
+	begunAt    time.Time // when its frame was encoded for writing; zero while queued
+	cancelling bool      // the coordinator has cancelled it
 }
 
-// begun tells whether the attempt may have reached the data node.
+// begun reports whether the attempt may have reached the data node.
 func (p *pendingAttempt) begun() bool { return !p.begunAt.IsZero() }
 
-// attemptTable knows the attempts of one connection, and so which answers may come on it. Attempts are named by the ids
-// of their parts.
+// attemptTable holds the attempts on one connection, and so determines which answers may arrive on it. Its keys are the ids
+// of parts.
 type attemptTable struct {
 	pending      map[string]*pendingAttempt
-	cancelled    map[string]time.Time // until when a late answer may come
-	lastAnswered string               // its answer may come twice
+	cancelled    map[string]time.Time // by id, until when a late answer may arrive
+	lastAnswered string               // id whose answer may arrive a second time
 }
 
 func newAttemptTable() attemptTable {
 	return attemptTable{pending: map[string]*pendingAttempt{}, cancelled: map[string]time.Time{}}
 }
 
-// conflicts tells whether an attempt with this id may not go out on the connection: a late answer to an earlier one could
-// not be told from the answer to the new one.
+// conflicts reports whether an attempt with this id must not be sent on the connection, because a late answer to an earlier
+// attempt could not be distinguished from the answer to the new one.
 func (t *attemptTable) conflicts(id string) bool {
 	_, cancelled := t.cancelled[id]
 	return cancelled || t.pending[id] != nil
 }
 
-// anyBegun tells whether an attempt is out.
+// anyBegun reports whether any attempt is in flight.
 func (t *attemptTable) anyBegun() bool {
 	for _, pending := range t.pending {
 		if pending.begun() {
@@ -48,14 +48,15 @@
 	return false
 }
 
-// expects tells whether an answer with this id may come.
+// expects reports whether an answer with this id may arrive.
 func (t *attemptTable) expects(id string) bool {
 	pending := t.pending[id]
 	_, cancelled := t.cancelled[id]
 	return pending != nil && pending.begun() || cancelled || id == t.lastAnswered
 }
 
-// answered takes an attempt out on its answer. It returns nil where the attempt was cancelled or answered before.
+// answered removes and returns the attempt that an answer belongs to. It returns nil if the attempt was already cancelled or
+// answered.
 func (t *attemptTable) answered(id string) *pendingAttempt {
 	delete(t.cancelled, id)
 	pending := t.pending[id]
@@ -67,7 +68,7 @@
 	return pending
 }
 
-// cancel takes out an attempt that the data node was told to give up, and forgets those whose late answers come no more.
+// cancel removes an attempt whose cancel frame was written, and drops cancelled ids whose window for late answers has ended.
 func (t *attemptTable) cancel(pending *pendingAttempt) {
 	delete(t.pending, pending.ID)
 	now := time.Now()
@@ -79,7 +80,7 @@
 	t.cancelled[pending.ID] = pending.Deadline.Add(lateAnswerWindow)
 }
 
-// reset forgets which late answers may come: the connection is a new one.
+// reset clears the ids whose late answers were expected on the previous connection.
 func (t *attemptTable) reset() {
 	t.lastAnswered = ""
 	clear(t.cancelled)
--- a/internal/platform/chunkreader.go
+++ b/internal/platform/chunkreader.go
@@ -9,11 +9,11 @@
 	"strings"
 )
 
-// chunkReader reads a body in chunks (RFC 9112, 7.1); its end is io.EOF.
+// chunkReader decodes the chunked transfer coding (RFC 9112, 7.1). It returns io.EOF at the end of the body.
 type chunkReader struct {
 	in      *textproto.Reader
-	left    int64 // bytes of the chunk
-	inChunk bool  // the line end behind a chunk is still to come
+	left    int64 // unread bytes of the current chunk
+	inChunk bool  // the line end after the current chunk has not been read
 	done    bool
 }
 
@@ -31,7 +31,7 @@
 	return n, unexpectedEOF(err)
 }
 
-// nextChunk reads up to the bytes of the next chunk, or to the end of the body.
+// nextChunk reads up to the data of the next chunk, or to the end of the body.
 func (c *chunkReader) nextChunk() error {
 	if c.inChunk {
 		if line, err := c.in.ReadLine(); err != nil || line != "" {
@@ -54,7 +54,7 @@
 	return c.readTrailers()
 }
 
-// readTrailers skips what follows the last chunk.
+// readTrailers skips the trailer fields after the last chunk.
 func (c *chunkReader) readTrailers() error {
 	for {
 		line, err := c.in.ReadLine()
@@ -68,7 +68,7 @@
 	}
 }
 
-// unexpectedEOF turns the error of a body that ends too early into io.ErrUnexpectedEOF.
+// unexpectedEOF converts io.EOF, which here means a truncated body, to io.ErrUnexpectedEOF.
 func unexpectedEOF(err error) error {
 	if errors.Is(err, io.EOF) {
 		return io.ErrUnexpectedEOF
--- a/internal/platform/clientconn.go
+++ b/internal/platform/clientconn.go
@@ -13,36 +13,36 @@
 )
 
 const (
-	// A connection must have brought its first request completely within firstRequestTimeout, and each further one within
-	// requestTimeout of its first byte. One that is idle for longer than idleTimeout is closed.
+	// The first request must have arrived completely within firstRequestTimeout of the connection being accepted, and each
+	// further one within requestTimeout of its first byte. A connection that is idle for longer than idleTimeout is closed.
 	firstRequestTimeout = 2 * time.Second
 	requestTimeout      = 2 * time.Second
 	idleTimeout         = 30 * time.Second
-	// errorWriteTimeout is the most that an error may take to be written.
+	// errorWriteTimeout is the time limit for writing an error response.
 	errorWriteTimeout = time.Second
-	// lingerTimeout is how long a client may read what it was sent before its connection is closed: a close while more comes
-	// in would discard it.
+	// lingerTimeout limits how long the connection is read after the last response: closing it while the client
+	// still sends would reset it and discard the response.
 	lingerTimeout = 500 * time.Millisecond
-	// lateAnswerWrite is how long after its deadline an answer may still be written.
+	// lateAnswerWrite is the time after the deadline of a query in which its answer may still be written.
 	lateAnswerWrite = 400 * time.Millisecond
-	// drainFirstRequestTimeout is how long a new connection has for its first request while all idle ones are closed.
+	// drainFirstRequestTimeout limits the time for the first request of a new connection while all idle ones are closed.
 	drainFirstRequestTimeout = time.Second
 )
 
-// clientConn is one connection of a client. Its own goroutine, in run, is the only one that closes it: whoever wants it gone
-// sets its read deadline under the lock of the server. So a request is either read, and then answered, or left unread.
+// clientConn is one connection of a client. Only its own goroutine, in run, closes it; others request that by setting its read
+// deadline under the lock of the server. So a request is either read completely and answered, or not read at all.
 type clientConn struct {
 	server   *Server
 	conn     net.Conn
 	in       clientReader
-	text     *textproto.Reader // over in
-	reserved bool              // memory is reserved for what the client sends ahead
+	text     *textproto.Reader // reads from in
+	reserved bool              // memory is reserved for data that the client sends ahead
 
-	// The server's lock guards what follows.
+	// The lock of the server guards the fields below.
 	phase   connPhase
 	since   time.Time // when the phase began
-	active  bool      // a request has come
-	evicted bool      // it is to go, unless a request has just been read
+	active  bool      // a request has been received
+	evicted bool      // asked to end, unless a request has just been read
 }
 
 func newClientConn(s *Server, nc net.Conn) *clientConn {
@@ -79,7 +79,7 @@
 	}
 }
 
-// release gives back all that the connection holds.
+// release closes the connection and releases its resources.
 func (c *clientConn) release() {
 	_ = c.conn.Close()
 	if c.reserved {
@@ -88,7 +88,7 @@
 	c.server.unregister(c)
 }
 
-// setPhase begins a phase, in which reads end at the deadline. What was read before is served: an eviction comes too late.
+// setPhase enters a phase and sets its read deadline. It cancels a pending eviction: a request that was already read is served.
 func (c *clientConn) setPhase(p connPhase, deadline time.Time) {
 	c.server.mu.Lock()
 	defer c.server.mu.Unlock()
@@ -105,11 +105,11 @@
 	_ = c.conn.SetReadDeadline(deadline)
 }
 
-// isIdle tells whether nothing is owed to the client. The caller holds the server's lock.
+// isIdle reports whether the connection is new or between requests. The caller holds the lock of the server.
 func (c *clientConn) isIdle() bool { return c.phase == phaseNew || c.phase == phaseIdle }
 
-// drainDeadline is until when a connection between requests is kept while all of them are closed: one that is new has its
-// first request on the way. The caller holds the server's lock.
+// drainDeadline returns until when a connection between requests is kept while all idle ones are closed: the first request of
+// a new connection may be on the way. The caller holds the lock of the server.
 func (c *clientConn) drainDeadline() time.Time {
 	if c.active {
 		return time.Now()
@@ -117,7 +117,7 @@
 	return time.Now().Add(drainFirstRequestTimeout)
 }
 
-// finishIdle ends a connection on which no request has begun. One that makes room for another goes at once.
+// finishIdle ends a connection that is between requests. An evicted one is closed without lingering.
 func (c *clientConn) finishIdle(err error) {
 	c.server.mu.Lock()
 	evicted := c.evicted
@@ -127,7 +127,7 @@
 	}
 }
 
-// reject answers a request that could not be read, if its client is still there, and ends the connection.
+// reject sends the error response to a request that could not be read, unless the client has gone, and ends the connection.
 func (c *clientConn) reject(err error) {
 	var httpErr *httpError
 	if !errors.As(err, &httpErr) {
@@ -143,8 +143,8 @@
 	}
 }
 
-// lingerClose ends the connection from our side: nothing that comes in from here on is used. It is read on for a while, and
-// no more of it than it takes to see its end, because a close over unread bytes would discard what was written.
+// lingerClose closes the sending side and discards further input until the client closes too, for at most lingerTimeout:
+// closing a connection with unread input would reset it and discard what was written. It reads at a limited rate.
 func (c *clientConn) lingerClose() {
 	half, ok := c.conn.(interface{ CloseWrite() error })
 	if !ok || half.CloseWrite() != nil {
@@ -161,8 +161,8 @@
 	}
 }
 
-// serve gives a request its one final answer and tells whether the connection goes on. While the query is out the connection
-// is read on: its end is the client leaving.
+// serve sends the response to a request and reports whether the connection stays open. While the request executes it keeps
+// reading, to detect that the client disconnects.
 func (c *clientConn) serve(req *request) bool {
 	c.setPhase(phaseExecuting, time.Time{})
 	ctx, cancel := context.WithCancelCause(context.Background())
@@ -178,7 +178,7 @@
 	r := c.respond(ctx, req)
 	_ = c.conn.SetReadDeadline(time.Now())
 	clientEnded := !errors.Is(<-readAhead, os.ErrDeadlineExceeded)
-	// Nothing reads now: what the client sends from here on is either read after this answer, or never.
+	// No goroutine reads now: what the client sends from here on is read either after this response or never.
 	r.last = req.close || clientEnded || c.closesAfterAnswer()
 	if !c.write(r) {
 		return false
@@ -189,8 +189,8 @@
 	return !r.last
 }
 
-// closesAfterAnswer tells whether the server wants the connection to end with the answer in hand. Requests that were read
-// ahead are answered before.
+// closesAfterAnswer reports whether the server wants to close the connection after the current response. It returns false
+// while requests that were read ahead are unanswered.
 func (c *clientConn) closesAfterAnswer() bool {
 	if len(c.in.ahead)+c.text.R.Buffered() > 0 {
 		return false
@@ -200,7 +200,7 @@
 	return c.server.draining || c.server.crowdedOut()
 }
 
-// reserveReadAhead reserves memory for what a client sends ahead; it is given back when the connection ends.
+// reserveReadAhead reserves memory for data that the client sends ahead; release returns it.
 func (c *clientConn) reserveReadAhead() bool {
 	if !c.reserved {
 		c.reserved = c.server.reserveMemory(maxReadAheadBytes)
@@ -208,7 +208,7 @@
 	return c.reserved
 }
 
-// respond finds the answer to a request.
+// respond returns the response to a request.
 func (c *clientConn) respond(ctx context.Context, req *request) response {
 	switch {
 	case req.method == "POST":
@@ -221,7 +221,7 @@
 	return errorResponse(404, "not found")
 }
 
-// respondQuery finds the answer to a query.
+// respondQuery executes a query and returns the response.
 func (c *clientConn) respondQuery(ctx context.Context, req *request) response {
 	q, err := parseQuery(req)
 	var httpErr *httpError
@@ -236,17 +236,17 @@
 	case errors.Is(context.Cause(ctx), errReadAhead):
 		return errorResponse(400, errReadAhead.Error())
 	case err != nil:
-		// The client may have closed its sending side only, and still read.
+		// The client may have closed only its sending side and still be reading.
 		return errorResponse(500, "the client closed the connection")
 	}
 	r := c.answerResponse(q.ID, answer)
 	if end := q.Deadline.Add(lateAnswerWrite); end.After(time.Now()) {
-		r.writeBy = end // a later answer has as long as an error
+		r.writeBy = end // otherwise it has errorWriteTimeout
 	}
 	return r
 }
 
-// answerResponse turns the coordinator's answer to a query into a response.
+// answerResponse converts the coordinator's answer to a response.
 func (c *clientConn) answerResponse(id string, answer coordinator.Answer) response {
 	switch answer.Status {
 	case coordinator.Answered:
@@ -268,7 +268,7 @@
 	return errorResponse(500, "failed")
 }
 
-// write sends a response and tells whether all of it was written.
+// write sends a response and reports whether all of it was written.
 func (c *clientConn) write(r response) bool {
 	_ = c.conn.SetWriteDeadline(r.writeBy)
 	if _, err := c.conn.Write(r.encode()); err != nil {
--- a/internal/platform/connlimit.go
+++ b/internal/platform/connlimit.go
@@ -6,19 +6,18 @@
 	"time"
 )
 
-// pollInterval is how often a new connection that has no place looks for one.
+// pollInterval is the retry interval after a failed accept, for a new connection above the limit, and while lingering.
 const pollInterval = 10 * time.Millisecond
 
-// connPhase is what a client's connection is about. Connections are closed to make room for others in the order of their
-// phases.
+// connPhase is the phase of a client's connection. Connections are evicted in the order of their phases.
 type connPhase int
 
 const (
-	phaseClosing   connPhase = iota // it has its last answer; what else it sends is not used
-	phaseNew                        // nothing has come
-	phaseReading                    // a request has begun
+	phaseClosing   connPhase = iota // its last response was written; further input is discarded
+	phaseNew                        // nothing has been received
+	phaseReading                    // a request is being read
 	phaseIdle                       // between requests
-	phaseExecuting                  // a request is out
+	phaseExecuting                  // a request is being executed
 )
 
 func (p connPhase) String() string {
@@ -37,8 +36,8 @@
 	return fmt.Sprintf("connPhase(%d)", int(p))
 }
 
-// evictableAfter is how long a connection is left in a phase before it may be closed to make room for another. One that has
-// a request out is never closed.
+// evictableAfter maps phases to the time in that phase after which a connection may be evicted. A connection that executes a
+// request is never evicted.
 var evictableAfter = map[connPhase]time.Duration{
 	phaseClosing: 100 * time.Millisecond,
 	phaseNew:     250 * time.Millisecond,
@@ -46,8 +45,8 @@
 	phaseIdle:    2 * time.Second,
 }
 
-// placeConn gives a connection its place. Where all are taken, another connection must go for it; where none may go yet, it
-// waits. A connection whose request is being answered is never closed, but its answer comes within its deadline.
+// placeConn registers a new connection. At the limit it waits until another connection has been evicted or has ended. A
+// connection that executes a request is never evicted, but the deadline of the request bounds the wait.
 func (s *Server) placeConn(nc net.Conn) *clientConn {
 	c := newClientConn(s, nc)
 	for !s.register(c) {
@@ -56,7 +55,7 @@
 	return c
 }
 
-// register notes a connection if there is room for it; otherwise another is asked to go.
+// register adds a connection if the limit allows it; otherwise it evicts another one and returns false.
 func (s *Server) register(c *clientConn) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -72,7 +71,7 @@
 	return true
 }
 
-// unregister gives back the place of a connection that has ended.
+// unregister removes a connection that has ended.
 func (s *Server) unregister(c *clientConn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -82,9 +81,9 @@
 	delete(s.conns, c)
 }
 
-// evict asks one connection to end, and tells whether there is one that may: of those in the earliest phase, not before
-// least, the one that has been in it for longest. The connection itself settles whether it still can: one that has just read
-// a request answers it. The caller holds the lock.
+// evict asks one connection to end, and reports whether one may be evicted: of those in the earliest phase, at or after
+// least, the one that has been in it the longest. The connection itself decides whether it can still end: if it has just read
+// a request, it answers that first. The caller holds the lock.
 func (s *Server) evict(least connPhase) bool {
 	var first *clientConn
 	now := time.Now()
@@ -104,14 +103,14 @@
 	return true
 }
 
-// crowdedOut tells whether an answer is to close its connection, and closes an idle one where that is enough. Clients that open a connection for each request and keep it
-// would soon have no other left: an idle one goes first, and where none has been idle for long enough, this one. The caller
-// holds the lock.
+// crowdedOut reports whether a response must close its connection to keep the number of active ones below the limit. Clients
+// that open a connection for each request and keep it would otherwise reach that limit. It evicts a connection that has been
+// idle for long enough, if there is one; only otherwise must the current connection close. The caller holds the lock.
 func (s *Server) crowdedOut() bool {
 	return s.ActiveConns > 0 && s.active > s.ActiveConns/2 && !s.evict(phaseIdle)
 }
 
-// reserveMemory reserves n bytes for bodies, or gives them back where n is negative. It tells whether there is room for them.
+// reserveMemory reserves n bytes of BodyMemory, or releases them if n is negative. It reports whether they were available.
 func (s *Server) reserveMemory(n int64) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/platform/connpool.go
+++ b/internal/platform/connpool.go
@@ -11,26 +11,26 @@
 	"gullfall/internal/coordinator"
 )
 
-// errNoDescriptor reports a connection for which no descriptor came free.
-var errNoDescriptor = errors.New("no descriptor left")
+// errNoDescriptor reports a connection for which no descriptor became free in time.
+var errNoDescriptor = errors.New("no descriptor available")
 
-// ConnPool owns the connections to all data nodes and the descriptors that they hold. Its exported fields are set before
-// its first use.
+// ConnPool owns the connections to all data nodes and the descriptors that they hold. Its exported fields must be set before
+// first use.
 type ConnPool struct {
 	Coordinator    *coordinator.Coordinator
 	Log            *slog.Logger
 	Dial           func(ctx context.Context, addr string) (net.Conn, error)
-	Streams        int           // parts that one connection carries at once
-	ConnectTimeout time.Duration // within which a connection comes up, a frame is written, a health check is answered
-	IdleTimeout    time.Duration // after which the peer closes an idle connection; 0 where not known
-	Connections    chan struct{} // a semaphore of descriptors: it holds one element for each connection
+	Streams        int           // limit on concurrent parts on one connection
+	ConnectTimeout time.Duration // limit for a dial, for writing a frame, and for answering a health check
+	IdleTimeout    time.Duration // after which the peer closes an idle connection; 0 if unknown
+	Connections    chan struct{} // semaphore of descriptors: one element for each connection
 
-	// mu guards pools. It is taken before a nodePool's own.
+	// mu guards pools. It is locked before the mutex of a nodePool.
 	mu    sync.Mutex
 	pools map[*nodePool]bool
 }
 
-// Dispatch carries out what the coordinator wants of one data node, until the data node has left the list.
+// Dispatch executes the commands of the coordinator for one data node, until the data node has left the list.
 func (p *ConnPool) Dispatch(n *coordinator.Node) {
 	np := &nodePool{ConnPool: p, node: n}
 	p.register(np)
@@ -55,7 +55,7 @@
 	}
 }
 
-// register makes the connections to a data node known to closeLeastRecentlyUsed.
+// register makes the connections to a data node visible to closeLeastRecentlyUsed.
 func (p *ConnPool) register(np *nodePool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -72,8 +72,8 @@
 	delete(p.pools, np)
 }
 
-// closeLeastRecentlyUsed closes the idle connection that was used least recently, so that its descriptor comes free. Where
-// there are more data nodes than descriptors, each data node gets one in turn. The caller holds no nodePool's lock.
+// closeLeastRecentlyUsed closes the least recently used idle connection to free its descriptor. If there are more data nodes
+// than descriptors, the data nodes thus take turns. The caller must not hold the lock of a nodePool.
 func (p *ConnPool) closeLeastRecentlyUsed() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -88,7 +88,7 @@
 	}
 }
 
-// leastRecentlyUsed returns the idle connection that was used least recently, nil where none is idle. The caller holds p.mu.
+// leastRecentlyUsed returns the least recently used idle connection, nil if none is idle. The caller holds p.mu.
 func (p *ConnPool) leastRecentlyUsed() (oldest *nodeConn) {
 	var used time.Time
 	for np := range p.pools {
@@ -104,7 +104,7 @@
 	return oldest
 }
 
-// nodePool is all connections to one data node.
+// nodePool holds the connections to one data node.
 type nodePool struct {
 	*ConnPool
 	node *coordinator.Node
@@ -114,7 +114,7 @@
 	conns []*nodeConn
 }
 
-// acquire returns a connection that can take a call, and starts a new one where there is none. The caller holds np.mu.
+// acquire returns a connection that can take a call, and starts a new one if there is none. The caller holds np.mu.
 func (np *nodePool) acquire(call []*coordinator.Attempt) *nodeConn {
 	now := time.Now()
 	for _, c := range np.conns {
@@ -126,14 +126,14 @@
 	select {
 	case np.Connections <- struct{}{}:
 		c.hasSlot = true
-	default: // run waits for a descriptor
+	default: // run waits for a descriptor instead
 	}
 	np.conns = append(np.conns, c)
 	go c.run()
 	return c
 }
 
-// send queues a call.
+// send queues a call on a connection that can take it.
 func (np *nodePool) send(call []*coordinator.Attempt) {
 	np.mu.Lock()
 	defer np.mu.Unlock()
@@ -147,8 +147,8 @@
 	c.enqueue(f)
 }
 
-// cancel gives up an attempt. One that was not begun is only forgotten. One that was is followed by a cancel frame, or its
-// connection is closed where that is full: the data node would not read the frame.
+// cancel cancels an attempt. If it was not begun, it is only dropped. Otherwise a cancel frame is queued, or the connection is
+// closed if all of its streams are in use: the data node would not read the frame.
 func (np *nodePool) cancel(a *coordinator.Attempt) {
 	np.mu.Lock()
 	defer np.mu.Unlock()
@@ -176,7 +176,7 @@
 	}
 }
 
-// rejectUnsent reports all attempts that are queued and not begun as overloaded, so that they go to another data node.
+// rejectUnsent reports all queued attempts as overloaded, so that they are sent to another data node.
 func (np *nodePool) rejectUnsent() {
 	np.mu.Lock()
 	defer np.mu.Unlock()
@@ -190,7 +190,7 @@
 	}
 }
 
-// closeIdle closes the connections that carry nothing.
+// closeIdle closes all idle connections.
 func (np *nodePool) closeIdle() {
 	np.mu.Lock()
 	defer np.mu.Unlock()
--- a/internal/platform/frame.go
+++ b/internal/platform/frame.go
@@ -14,57 +14,57 @@
 	"gullfall/internal/coordinator"
 )
 
-// A frame on the wire is a length of four bytes, least significant first, a letter, and the rest. The length counts the
-// letter and the rest.
+// A frame on the wire is a length of four bytes in little-endian order, a type byte, and the payload. The length counts the
+// type byte and the payload.
 const (
 	frameLengthBytes = 4
 	frameHeadBytes   = frameLengthBytes + 1
 
-	maxFrameBytes = maxBody + 1<<10 // the longest frame that a data node may send
-	maxFrameLine  = 1 << 10         // the longest line in it, bytes
+	maxFrameBytes = maxBody + 1<<10 // longest frame that a data node may send
+	maxFrameLine  = 1 << 10         // longest line in a frame, and longest payload of a frame that is not an answer
 )
 
-// The letters of frames.
+// Frame types.
 const (
-	letterCall        = 'Q' // a line for each part, with the text of the query behind it
-	letterCancel      = 'X' // the id of a part
-	letterHealthCheck = 'P' // empty, or its answer: ok or err
-	letterLoadCheck   = 'L' // empty, or its answer: a load report or err
-	letterAnswer      = 'A' // a line, with the value behind it
-	letterError       = 'E' // what the data node could not use, in words
+	letterCall        = 'Q' // for each part a line, followed by the text of the query
+	letterCancel      = 'X' // id of a part
+	letterHealthCheck = 'P' // empty; the answer holds ok or err
+	letterLoadCheck   = 'L' // empty; the answer holds a load report or err
+	letterAnswer      = 'A' // a line, followed by the value
+	letterError       = 'E' // message from a data node that could not use a frame
 
 	lettersFromNode = "APLE"
 )
 
-// The options in a part's line of a call, and the answer to a check that failed.
+// Options in the line of a part in a call, and the answer to a failed check.
 const (
 	optionTimeLeft       = "d=" // milliseconds
 	optionIdempotencyKey = ",k="
 	checkFailed          = "err"
 )
 
-// answerOutcomes are the outcomes by their words in an answer.
+// answerOutcomes maps the outcome words of an answer to outcomes.
 var answerOutcomes = map[string]coordinator.Outcome{"ok": coordinator.OK, "err": coordinator.Errored, "busy": coordinator.Overloaded}
 
-// errCorrupt reports bytes that a data node should not have sent. Its connection can't be read any further.
+// errCorrupt reports bytes that a data node should not have sent. The connection can't be read any further.
 var errCorrupt = errors.New("corrupt frame")
 
-// beginFrame returns a frame without its rest; finishFrame completes it.
+// beginFrame returns a frame without payload; finishFrame completes it.
 func beginFrame(letter byte) []byte {
 	frame := make([]byte, frameLengthBytes, frameHeadBytes)
 	return append(frame, letter)
 }
 
-// finishFrame sets the length of a frame whose rest was appended.
+// finishFrame sets the length of a frame whose payload has been appended.
 func finishFrame(frame []byte) []byte {
 	binary.LittleEndian.PutUint32(frame, uint32(len(frame)-frameLengthBytes))
 	return frame
 }
 
-// isEmpty tells whether a frame has no rest.
+// isEmpty reports whether a frame has no payload.
 func isEmpty(frame []byte) bool { return len(frame) == frameHeadBytes }
 
-// appendPart adds a part to a call. timeLeft is how long the coordinator waits for its answer.
+// appendPart appends a part to a call. timeLeft is how long the coordinator will wait for the answer.
 func appendPart(frame []byte, a *coordinator.Attempt, timeLeft time.Duration) []byte {
 	frame = fmt.Appendf(frame, "%s %d "+optionTimeLeft+"%d", a.ID, a.Shard, timeLeft.Milliseconds())
 	if a.IdempotencyKey != "" {
@@ -73,13 +73,13 @@
 	return fmt.Appendf(frame, " %d\n%s", len(a.Text), a.Text)
 }
 
-// cancelFrame tells the data node to give up a part.
+// cancelFrame returns a frame that asks the data node to cancel a part.
 func cancelFrame(id string) []byte { return finishFrame(append(beginFrame(letterCancel), id...)) }
 
-// loadCheckFrame asks the data node for its load report.
+// loadCheckFrame returns a frame that asks the data node for its load report.
 func loadCheckFrame() []byte { return finishFrame(beginFrame(letterLoadCheck)) }
 
-// receivedFrame is what a data node has sent: the answer to a part, or to a health check where the id is empty.
+// receivedFrame is a frame from a data node: the answer to a part, or to a health check if the id is empty.
 type receivedFrame struct {
 	id         string
 	outcome    coordinator.Outcome
@@ -87,24 +87,24 @@
 	loadReport map[string]float64
 }
 
-// frameReader reads the frames of a data node. It takes nothing for an answer that may be anything else: an error that wraps
-// errCorrupt means that the sender and the reader no longer agree where frames begin.
+// frameReader reads the frames of a data node. It accepts only what is unambiguously a valid answer: an error that wraps
+// errCorrupt means that sender and reader no longer agree on where frames begin.
 type frameReader struct {
 	in      *bufio.Reader
-	expects func(id string) bool // whether the answer to a part may come
+	expects func(id string) bool // reports whether the answer to a part may arrive
 }
 
 func newFrameReader(in io.Reader, expects func(id string) bool) *frameReader {
 	return &frameReader{in: bufio.NewReaderSize(in, maxFrameLine), expects: expects}
 }
 
-// awaitFrame returns once the first byte of a frame is there.
+// awaitFrame blocks until the first byte of a frame has arrived.
 func (r *frameReader) awaitFrame() error {
 	_, err := r.in.Peek(1)
 	return err
 }
 
-// next reads a frame. No memory is taken for it before its head is plausible.
+// next reads a frame. It allocates memory only after the header has been validated.
 func (r *frameReader) next() (receivedFrame, error) {
 	head, err := r.in.Peek(frameHeadBytes)
 	if err != nil {
@@ -112,7 +112,7 @@
 	}
 	n, letter := parseHead(head)
 	if !plausibleHead(n, letter) {
-		return receivedFrame{}, fmt.Errorf("%w: %d bytes, letter %q", errCorrupt, n+1, letter)
+		return receivedFrame{}, fmt.Errorf("%w: %d bytes, type %q", errCorrupt, n+1, letter)
 	}
 	if _, err := r.in.Discard(frameHeadBytes); err != nil {
 		return receivedFrame{}, err
@@ -123,17 +123,17 @@
 	return r.readShort(n, letter)
 }
 
-// readShort reads the n bytes of a frame that is no answer to a part.
+// readShort reads the n payload bytes of a frame other than an answer to a part.
 func (r *frameReader) readShort(n int, letter byte) (receivedFrame, error) {
 	if n > maxFrameLine {
-		return receivedFrame{}, fmt.Errorf("%w: %q of %d bytes", errCorrupt, letter, n)
+		return receivedFrame{}, fmt.Errorf("%w: frame of type %q has %d bytes", errCorrupt, letter, n)
 	}
 	rest := make([]byte, n)
 	if _, err := io.ReadFull(r.in, rest); err != nil {
 		return receivedFrame{}, err
 	}
 	if letter == letterError {
-		return receivedFrame{}, fmt.Errorf("%w: the data node could not use a frame: %.200q", errCorrupt, rest)
+		return receivedFrame{}, fmt.Errorf("%w: data node reported an error: %.200q", errCorrupt, rest)
 	}
 	report := strings.TrimSpace(string(rest))
 	f := receivedFrame{outcome: coordinator.OK, loadReport: parseLoadReport(report)}
@@ -143,32 +143,32 @@
 	return f, nil
 }
 
-// readAnswer reads the n bytes of an answer: a line "ID OUTCOME SCORE REPORT", then the value.
+// readAnswer reads the n payload bytes of an answer: a line "ID OUTCOME SCORE REPORT", then the value.
 func (r *frameReader) readAnswer(n int) (receivedFrame, error) {
 	line, err := r.in.ReadSlice('\n')
 	if errors.Is(err, bufio.ErrBufferFull) || len(line) > n {
-		err = fmt.Errorf("%w: line without an end", errCorrupt)
+		err = fmt.Errorf("%w: unterminated answer line", errCorrupt)
 	}
 	if err != nil {
 		return receivedFrame{}, err
 	}
 	words := strings.Fields(string(line))
 	if len(words) < 4 || answerOutcomes[words[1]] == 0 || !r.expects(words[0]) {
-		return receivedFrame{}, fmt.Errorf("%w: answer %.200q", errCorrupt, line)
+		return receivedFrame{}, fmt.Errorf("%w: invalid answer line %.200q", errCorrupt, line)
 	}
 	value := make([]byte, n-len(line))
 	if _, err := io.ReadFull(r.in, value); err != nil {
 		return receivedFrame{}, err
 	}
-	// With a wrong length the value is cut, and its rest follows, or it holds the beginning of the next frame.
+	// A wrong length either truncates the value, so that its remainder follows, or includes the start of the next frame.
 	if !isText(value) || !r.frameFollows() {
-		return receivedFrame{}, fmt.Errorf("%w: value of %s", errCorrupt, words[0])
+		return receivedFrame{}, fmt.Errorf("%w: invalid value of part %s", errCorrupt, words[0])
 	}
 	return receivedFrame{id: words[0], outcome: answerOutcomes[words[1]], value: value,
 		loadReport: parseLoadReport(strings.Join(words[3:], " "))}, nil
 }
 
-// frameFollows tells whether the bytes that have come in behind a frame, if any, begin another.
+// frameFollows reports whether the bytes buffered behind a frame, if any, start with a valid frame header.
 func (r *frameReader) frameFollows() bool {
 	if r.in.Buffered() == 0 {
 		return true
@@ -177,17 +177,17 @@
 	return err == nil && plausibleHead(parseHead(next))
 }
 
-// parseHead returns the length of a frame's rest, and its letter.
+// parseHead returns the payload length and the type of a frame.
 func parseHead(head []byte) (n int, letter byte) {
 	return int(binary.LittleEndian.Uint32(head)) - 1, head[frameLengthBytes]
 }
 
-// plausibleHead tells whether a data node may send a frame with this head.
+// plausibleHead reports whether a data node may send a frame with this header.
 func plausibleHead(n int, letter byte) bool {
 	return n >= 0 && n < maxFrameBytes && strings.IndexByte(lettersFromNode, letter) >= 0
 }
 
-// isText tells whether a client can be handed a value unchanged: UTF-8, with no control character but line ends and tabs.
+// isText reports whether a value can be passed to a client unchanged: UTF-8 without control characters except line ends and tabs.
 func isText(value []byte) bool {
 	return utf8.Valid(value) && bytes.IndexFunc(value, func(r rune) bool { return r < ' ' && r != '\n' && r != '\r' && r != '\t' }) < 0
 }
--- a/internal/platform/httprequest.go
+++ b/internal/platform/httprequest.go
@@ -18,23 +18,23 @@
 const (
 	maxBody   = queryjson.MaxBytes
 	maxHeader = 16 << 10
-	// freeBodyBytes of a body may always come in. Of longer ones only as many come in at once as Server.BodyMemory has room for.
+	// freeBodyBytes of a body may always be read. Longer bodies are read only while Server.BodyMemory has room for them.
 	freeBodyBytes = 4 << 10
 )
 
-// singleHeaders are the headers that a request may hold once: which of two counts would be a guess.
+// singleHeaders are the headers that a request may hold only once: with two values it would be ambiguous which one applies.
 var singleHeaders = []string{"Content-Length", "Transfer-Encoding", "Req-Id", "Req-Owner", "Req-Deadline-Ms", "Idempotency-Key"}
 
-// request is one that was read completely.
+// request is an HTTP request that was read completely.
 type request struct {
 	method, path string
 	header       textproto.MIMEHeader
 	body         []byte
-	close        bool      // the client wants the connection to end with the answer
-	arrived      time.Time // when its last byte had come in
+	close        bool      // the client wants the connection closed after the response
+	arrived      time.Time // when its last byte arrived
 }
 
-// httpError is the answer to a request that can't be read or understood.
+// httpError is the error response to a request that can't be read or parsed.
 type httpError struct {
 	status int
 	text   string
@@ -46,7 +46,7 @@
 	return &httpError{status, fmt.Sprintf(format, args...)}
 }
 
-// readRequest reads one request.
+// readRequest reads one request, headers and body.
 func (c *clientConn) readRequest() (*request, error) {
 	req, err := c.readHead()
 	if err != nil {
@@ -57,7 +57,7 @@
 		return nil, err
 	}
 	if strings.EqualFold(req.header.Get("Expect"), "100-continue") {
-		// An error shows in the next read.
+		// A write error shows up in the next read.
 		_ = c.conn.SetWriteDeadline(time.Now().Add(errorWriteTimeout))
 		_, _ = io.WriteString(c.conn, "HTTP/1.1 100 Continue\r\n\r\n")
 	}
@@ -92,14 +92,14 @@
 		close: words[2] == "HTTP/1.0" || strings.EqualFold(header.Get("Connection"), "close")}, nil
 }
 
-// bodyFraming says where a body ends: after its last chunk, or after size bytes.
+// bodyFraming tells where a body ends: after its last chunk, or after size bytes.
 type bodyFraming struct {
 	chunked bool
 	size    int64 // of a body that is not chunked
 }
 
-// parseBodyFraming reads the headers that frame a body. A request with a length and a coding could hide another request in its
-// body, so that is an error.
+// parseBodyFraming parses the headers that frame a body. Having both a length and a transfer coding is an error, because it
+// could hide another request in the body (request smuggling).
 func parseBodyFraming(header textproto.MIMEHeader) (bodyFraming, error) {
 	coding, coded := header["Transfer-Encoding"]
 	length, sized := header["Content-Length"]
@@ -123,7 +123,7 @@
 
 // readBody reads a body of at most maxBody bytes.
 func (c *clientConn) readBody(framing bodyFraming) ([]byte, error) {
-	c.in.allowance = maxBody + maxHeader // the chunks' own lines included
+	c.in.allowance = maxBody + maxHeader // includes the chunk size lines and trailers
 	in := io.LimitReader(c.text.R, framing.size)
 	if framing.chunked {
 		in = io.LimitReader(&chunkReader{in: c.text}, maxBody+1)
@@ -141,7 +141,7 @@
 	return body, nil
 }
 
-// readAll reads a body, and takes no more memory for it than it has brought or there is room for.
+// readAll reads a body. Beyond freeBodyBytes it reserves memory first, and fails if none is left.
 func (c *clientConn) readAll(in io.Reader) ([]byte, error) {
 	body, err := io.ReadAll(io.LimitReader(in, freeBodyBytes))
 	if err != nil || len(body) < freeBodyBytes {
@@ -155,8 +155,8 @@
 	return append(body, rest...), err
 }
 
-// requestError turns the error of a read into the answer to a request that is too large, too slow or malformed. The error of
-// a connection that has ended is returned as it is: nobody is there to read an answer.
+// requestError converts a read error to the error response for a request that is too large, too slow or malformed. The error
+// of a connection that has ended is returned unchanged, since no client is left to read a response.
 func (c *clientConn) requestError(err error) error {
 	var netErr net.Error
 	var httpErr *httpError
@@ -173,7 +173,7 @@
 	return httpErrorf(400, "%v", err)
 }
 
-// parseQuery reads the query in a request. Its deadline counts from the request's last byte.
+// parseQuery parses the query in a request. Its deadline counts from the last byte of the request.
 func parseQuery(req *request) (coordinator.Query, error) {
 	h := req.header
 	class, _, _ := strings.Cut(strings.TrimPrefix(req.path, "/"), "/")
--- a/internal/platform/httpresponse.go
+++ b/internal/platform/httpresponse.go
@@ -10,7 +10,7 @@
 	"gullfall/internal/coordinator"
 )
 
-// statusText holds the reason phrases of the statuses in use.
+// statusText maps the status codes in use to their reason phrases.
 var statusText = map[int]string{
 	200: "OK",
 	400: "Bad Request",
@@ -23,21 +23,21 @@
 	503: "Service Unavailable",
 }
 
-// response is one final answer as it goes to a client.
+// response is a final HTTP response to a client.
 type response struct {
 	status  int
-	header  []byte // further lines of the head
+	header  []byte // additional header lines
 	body    []byte
-	last    bool      // the connection ends with it
-	writeBy time.Time // until when it may be written
+	last    bool      // the connection is closed after it
+	writeBy time.Time // write deadline
 }
 
-// errorResponse tells a client what is wrong.
+// errorResponse returns a response whose body holds an error text.
 func errorResponse(status int, text string) response {
 	return response{status: status, body: errorBody(text), writeBy: time.Now().Add(errorWriteTimeout)}
 }
 
-// encode returns the bytes of a response.
+// encode returns the wire form of a response.
 func (r response) encode() []byte {
 	var out bytes.Buffer
 	fmt.Fprintf(&out, "HTTP/1.1 %d %s\r\nContent-Type: application/json\r\nContent-Length: %d\r\n", r.status,
@@ -51,7 +51,7 @@
 	return out.Bytes()
 }
 
-// answerBody is an answer as clients get it. It fails for a document that is no text: JSON could only hold it changed.
+// answerBody encodes an answer as JSON. It fails for a document that is not valid UTF-8, which JSON would alter.
 func answerBody(a coordinator.Answer) ([]byte, error) {
 	type hit struct {
 		Shard int    `json:"shard"`
@@ -64,7 +64,7 @@
 	for _, value := range a.Values {
 		for _, doc := range value.Docs {
 			if !utf8.Valid(doc) {
-				return nil, fmt.Errorf("document of shard %d is no text", value.Shard)
+				return nil, fmt.Errorf("document of shard %d is not valid UTF-8", value.Shard)
 			}
 			body.Hits = append(body.Hits, hit{value.Shard, string(doc)})
 		}
@@ -72,13 +72,13 @@
 	return json.Marshal(body)
 }
 
-// errorBody is an error as clients get it.
+// errorBody encodes an error text as JSON.
 func errorBody(text string) []byte {
-	data, _ := json.Marshal(map[string]string{"error": text}) // strings can always be encoded
+	data, _ := json.Marshal(map[string]string{"error": text}) // encoding strings never fails
 	return data
 }
 
-// retryAfter is the header that tells when to come back, or nothing where d is 0.
+// retryAfter returns a Retry-After header line, or nil if d is not positive.
 func retryAfter(d time.Duration) []byte {
 	if d <= 0 {
 		return nil
--- a/internal/platform/listener.go
+++ b/internal/platform/listener.go
@@ -10,24 +10,24 @@
 	"gullfall/internal/coordinator"
 )
 
-// Server serves clients. Its exported fields are set before its first use.
+// Server serves clients over HTTP. Its exported fields must be set before first use.
 type Server struct {
 	Coordinator *coordinator.Coordinator
 	Log         *slog.Logger
-	MaxConns    int   // connections that may be open
-	ActiveConns int   // connections with requests that clients may have; from half of it on idle ones are closed early
-	BodyMemory  int64 // bytes that longer bodies may take while they come in
-	// RetryAfter is when to come back, sent where the server itself rejects a request; 0 where nothing may be sent.
+	MaxConns    int   // limit on open connections
+	ActiveConns int   // limit on connections that have sent a request; above half of it idle ones are closed early; 0: no limit
+	BodyMemory  int64 // bytes that may be reserved for long bodies and for data that clients send ahead
+	// RetryAfter is sent in the Retry-After header of requests that the server itself rejects; 0 omits the header.
 	RetryAfter time.Duration
 
-	// mu guards what follows, but for wg, and the phase of each connection.
+	// mu guards the fields up to wg, and the phase of each connection.
 	mu          sync.Mutex
 	conns       map[*clientConn]bool
-	active      int // of conns, those that have brought a request
+	active      int // number of conns that have sent a request
 	bodyBytes   int64
-	draining    bool      // answers close their connections
-	answerBy    time.Time // when queries that come in are answered at the latest; zero unless it drains
-	closingIdle bool      // being between requests closes a connection too
+	draining    bool      // responses close their connections
+	answerBy    time.Time // latest deadline of queries received from now on; zero unless draining
+	closingIdle bool      // connections are also closed between requests
 
 	wg sync.WaitGroup
 }
@@ -49,14 +49,14 @@
 	}
 }
 
-// Drain makes each answer from now on close its connection. Queries that come in from now on are answered by answerBy.
+// Drain makes each further response close its connection. Queries received from now on are answered by answerBy.
 func (s *Server) Drain(answerBy time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.draining, s.answerBy = true, answerBy
 }
 
-// capDeadline returns the deadline of a query that comes in now: earlier than asked for while the server drains.
+// capDeadline returns the deadline of a query received now: while the server drains, no later than answerBy.
 func (s *Server) capDeadline(deadline time.Time) time.Time {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -66,7 +66,7 @@
 	return deadline
 }
 
-// CloseIdle closes the connections that are between requests, now and from now on.
+// CloseIdle closes the connections that are between requests, and each further one once its request is answered.
 func (s *Server) CloseIdle() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -78,5 +78,5 @@
 	}
 }
 
-// Wait returns once all connections are closed.
+// Wait blocks until all connections are closed.
 func (s *Server) Wait() { s.wg.Wait() }
--- a/internal/platform/loadreport.go
+++ b/internal/platform/loadreport.go
@@ -7,8 +7,8 @@
 	"strings"
 )
 
-// parseLoadReport reads a load report: name=value pairs with commas between them, or a JSON object. A field that is not a
-// finite number is skipped.
+// parseLoadReport parses a load report: comma-separated name=value pairs, or a JSON object. Fields that are not finite
+// numbers are skipped.
 func parseLoadReport(text string) map[string]float64 {
 	if strings.HasPrefix(text, "{") {
 		return parseJSONLoadReport(text)
--- a/internal/platform/nodeconn.go
+++ b/internal/platform/nodeconn.go
@@ -15,14 +15,15 @@
 )
 
 const (
-	// lateConnectFactor times the connect timeout is how long a connection may take to come up. What waited for it is
-	// turned back after one connect timeout; what comes next can use it.
+	// lateConnectFactor is the time limit for establishing a connection, in connect timeouts. What waits for the connection
+	// fails after one connect timeout; later calls can still use it.
 	lateConnectFactor = 8
-	// extraConnIdleTimeout is how long a data node's second connection, and any further, is kept idle.
+	// extraConnIdleTimeout is the idle timeout of any connection to a data node beyond the first.
 	extraConnIdleTimeout = 2 * time.Second
-	// idleMarginDiv: a connection is closed this part of the peer's idle timeout before the peer would close it.
+	// idleMarginDiv sets the safety margin before the peer's idle timeout, as a fraction 1/idleMarginDiv of it.
 	idleMarginDiv = 8
-	// slotPollDiv and minSlotPoll set how often a connection without a descriptor looks for one.
+	// slotPollDiv and minSlotPoll set the polling interval of a connection that waits for a descriptor: 1/slotPollDiv of the
+	// connect timeout, but at least minSlotPoll.
 	slotPollDiv = 32
 	minSlotPoll = time.Millisecond
 )
@@ -31,11 +32,11 @@
 type connState int
 
 const (
-	connWaiting    connState = iota // for a descriptor
-	connConnecting                  // it comes up
-	connLate                        // it still comes up after the connect timeout; nothing waits for it
-	connReady                       // it is open
-	connClosed                      // it has ended, or is about to be opened anew
+	connWaiting    connState = iota // waiting for a descriptor
+	connConnecting                  // being established
+	connLate                        // still being established after the connect timeout; nothing waits for it
+	connReady                       // open
+	connClosed                      // ended, or about to be reopened
 )
 
 func (s connState) String() string {
@@ -54,34 +55,34 @@
 	return fmt.Sprintf("connState(%d)", int(s))
 }
 
-// nodeConn is one connection to a data node. Its goroutine, in run, is the only one that writes to it, and it alone settles
-// what is out on it when it ends. The lock of its pool guards its fields.
+// nodeConn is one connection to a data node. Its goroutine, in run, is the only one that writes to it, and the only one that
+// reports the attempts in flight on it when it ends. The lock of its pool guards its fields.
 type nodeConn struct {
 	pool       *nodePool
-	wake       chan struct{} // tells the writer to look at queue and state
+	wake       chan struct{} // signals the writer to check queue and state
 	state      connState
 	hasSlot    bool               // it holds a descriptor
-	netConn    net.Conn           // the last that was opened; nil before
-	cancelDial context.CancelFunc // nil while no attempt to open it runs
+	netConn    net.Conn           // most recently opened connection; nil before the first
+	cancelDial context.CancelFunc // nil while no dial is in progress
 
 	queue    []queuedFrame
 	attempts attemptTable
-	probes   []*probe // written, in the order of their answers
+	probes   []*probe // written, in the order in which answers are expected
 
-	wroteFrame   bool      // a frame went out since it was opened last
-	inFrame      bool      // a frame has begun to come in
-	abandoned    bool      // closed from our side with attempts out: they may have run, and it need not be opened anew for them
-	unresponsive bool      // an attempt on it was cancelled, and nothing was received since that was sent
-	lastReceived time.Time // when the last frame came
-	lastUsed     time.Time // when the last frame came or went
+	wroteFrame   bool      // a frame was written since the last dial
+	inFrame      bool      // a frame is partly received
+	abandoned    bool      // closed by us with attempts in flight, which may have run; not reopened for them
+	unresponsive bool      // an attempt was cancelled, and nothing has been received since it was sent
+	lastReceived time.Time // when the last frame was received
+	lastUsed     time.Time // when the last frame was received or written
 }
 
 func newNodeConn(np *nodePool, now time.Time) *nodeConn {
 	return &nodeConn{pool: np, wake: make(chan struct{}, 1), attempts: newAttemptTable(), lastUsed: now}
 }
 
-// accepts tells whether the connection can take a call. One stream stays free, since behind the last one frames wait unread,
-// cancels included. The caller holds the lock.
+// accepts reports whether the connection can take a call. One stream stays free, because a data node with all streams of a
+// connection in use reads no further frames from it, not even cancels. The caller holds the lock.
 func (c *nodeConn) accepts(call []*coordinator.Attempt, now time.Time) bool {
 	if c.state == connClosed || c.state == connLate || c.unresponsive || c.inFrame {
 		return false
@@ -92,18 +93,18 @@
 	return !slices.ContainsFunc(call, func(a *coordinator.Attempt) bool { return c.attempts.conflicts(a.ID) })
 }
 
-// isIdle tells whether an open or coming connection carries nothing. The caller holds the lock.
+// isIdle reports whether a connection that is open or being established carries nothing. The caller holds the lock.
 func (c *nodeConn) isIdle() bool {
 	return c.state != connClosed && len(c.attempts.pending) == 0 && len(c.queue) == 0 && !c.probing()
 }
 
-// idleExpired tells whether the peer may be about to close the connection. The caller holds the lock.
+// idleExpired reports whether the peer may be about to close the connection for being idle. The caller holds the lock.
 func (c *nodeConn) idleExpired(now time.Time) bool {
 	return c.pool.IdleTimeout > 0 && len(c.attempts.pending) == 0 && !now.Before(c.idleDeadline())
 }
 
-// idleDeadline is when an idle connection is closed: well before the peer does so, and soon where an earlier connection to
-// the same data node can be used. The caller holds the lock.
+// idleDeadline returns when an idle connection is to be closed: well before the peer closes it, and within
+// extraConnIdleTimeout if an earlier connection to the same data node is usable. The caller holds the lock.
 func (c *nodeConn) idleDeadline() time.Time {
 	timeout := c.pool.IdleTimeout - c.pool.IdleTimeout/idleMarginDiv
 	for _, earlier := range c.pool.conns {
@@ -117,7 +118,7 @@
 	return c.lastUsed.Add(timeout)
 }
 
-// close ends the connection; its writer settles the rest. The caller holds the lock.
+// close closes the connection; run then reports what was in flight. The caller holds the lock.
 func (c *nodeConn) close() {
 	c.state = connClosed
 	if c.netConn != nil {
@@ -129,7 +130,7 @@
 	c.wakeWriter()
 }
 
-// wakeWriter makes the writer look at queue and state.
+// wakeWriter makes the writer check queue and state.
 func (c *nodeConn) wakeWriter() {
 	select {
 	case c.wake <- struct{}{}:
@@ -137,9 +138,9 @@
 	}
 }
 
-// run opens the connection, writes what is queued, and settles what is out at the end. A connection that breaks under
-// attempts is opened anew at once: whether that succeeds tells a data node that has died from one that only lost a
-// connection, and what was not begun goes out on the new one.
+// run opens the connection, writes queued frames, and at the end reports what was in flight. A connection that breaks while it
+// carries attempts is reopened at once: success distinguishes a data node that only lost a connection from one that has died,
+// and the attempts not yet begun are sent on the new connection.
 func (c *nodeConn) run() {
 	var nc net.Conn
 	err := c.acquireSlot()
@@ -162,8 +163,8 @@
 	c.finish(err)
 }
 
-// acquireSlot waits for a descriptor, for as long as a connection may take to come up. It looks for an idle connection to
-// close over and over: one that was in use as the wait began may become idle before it ends.
+// acquireSlot waits for a descriptor, at most for the connect timeout. It polls for an idle connection to close, because one
+// that was in use when the wait began may become idle before it ends.
 func (c *nodeConn) acquireSlot() error {
 	if c.hasSlot {
 		return nil
@@ -186,7 +187,7 @@
 	}
 }
 
-// dial opens the connection. A first one that was reset says nothing of the data node yet.
+// dial opens the connection. It retries once after a reset, which alone does not show that the data node is down.
 func (c *nodeConn) dial() (net.Conn, error) {
 	ctx, cancel := context.WithDeadline(context.Background(), time.Now().Add(lateConnectFactor*c.pool.ConnectTimeout))
 	defer cancel()
@@ -202,7 +203,7 @@
 	return nc, err
 }
 
-// dialBegins notes that the connection comes up. One that is opened anew stays closed until that has succeeded.
+// dialBegins records that a dial is in progress. A connection that is reopened stays in connClosed until the dial has succeeded.
 func (c *nodeConn) dialBegins(cancel context.CancelFunc) {
 	c.pool.mu.Lock()
 	defer c.pool.mu.Unlock()
@@ -212,8 +213,8 @@
 	}
 }
 
-// dialEnds notes how an attempt to open the connection ended, and returns how many connections its data node has. One that
-// was closed meanwhile stays so.
+// dialEnds records the result of a dial, and returns the number of connections to the data node. A connection that was closed
+// meanwhile stays closed.
 func (c *nodeConn) dialEnds(nc net.Conn, err error) (conns int) {
 	c.pool.mu.Lock()
 	defer c.pool.mu.Unlock()
@@ -230,8 +231,8 @@
 	return len(c.pool.conns)
 }
 
-// connectOverdue turns back what has waited for the connection for the connect timeout. The connection goes on coming up,
-// unless another one of the same data node does so already: dials that take long hold no more than one descriptor each node.
+// connectOverdue fails what has waited for the connection for the whole connect timeout. The dial continues, unless another
+// late dial to the same data node is already in progress: slow dials hold at most one descriptor for each data node.
 func (c *nodeConn) connectOverdue() {
 	c.pool.mu.Lock()
 	defer c.pool.mu.Unlock()
@@ -248,8 +249,8 @@
 	}
 }
 
-// failAll reports all that waits for the connection or is out on it: what was not begun ends as unsent, what was as begun.
-// The caller holds the lock.
+// failAll reports every attempt and health check that waits for the connection or is in flight on it: those not begun with
+// outcome unsent, begun attempts with outcome begun. The caller holds the lock.
 func (c *nodeConn) failAll(unsent, begun coordinator.Outcome) {
 	for id, pending := range c.attempts.pending {
 		delete(c.attempts.pending, id)
@@ -270,7 +271,7 @@
 	c.queue, c.probes = nil, nil
 }
 
-// fail reports an attempt that ended with its connection. The caller holds the lock.
+// fail reports an attempt that ended with its connection; a cancelled one counts as cancelled. The caller holds the lock.
 func (c *nodeConn) fail(pending *pendingAttempt, outcome coordinator.Outcome) {
 	if pending.cancelling {
 		outcome = coordinator.Cancelled
@@ -278,8 +279,8 @@
 	c.pool.Coordinator.Report(pending.Attempt, coordinator.Result{Outcome: outcome})
 }
 
-// shouldReconnect tells whether a connection that ended is to be opened anew: it carries attempts, and the data node took
-// what was written to it. So each reconnect follows some progress, and a data node that closes at once gets no storm of them.
+// shouldReconnect reports whether a connection that ended must be reopened: it carries attempts, and the data node accepted
+// what was written to it. Since each reconnect requires progress, a data node that closes at once causes no reconnect storm.
 func (c *nodeConn) shouldReconnect(err error) bool {
 	c.pool.mu.Lock()
 	defer c.pool.mu.Unlock()
@@ -294,7 +295,7 @@
 	return false
 }
 
-// reconnected goes on with a new connection. What was out on the old one is lost: it may have run.
+// reconnected switches to a new connection. Attempts in flight on the old one are reported as lost, since they may have run.
 func (c *nodeConn) reconnected() {
 	c.pool.mu.Lock()
 	defer c.pool.mu.Unlock()
@@ -314,7 +315,7 @@
 	c.lastUsed = time.Now()
 }
 
-// finish reports what was out as the connection ended, and gives its descriptor back.
+// finish reports what was in flight when the connection ended, and releases the descriptor.
 func (c *nodeConn) finish(err error) {
 	c.pool.mu.Lock()
 	defer c.pool.mu.Unlock()
--- a/internal/platform/nodereader.go
+++ b/internal/platform/nodereader.go
@@ -10,13 +10,13 @@
 	"gullfall/internal/coordinator"
 )
 
-// readFrameTimeout is how long a frame may take from its first byte to its last. Data nodes write frames at a stroke.
+// readFrameTimeout limits the time from the first byte of a frame to its last. Data nodes write each frame in one piece.
 const readFrameTimeout = 100 * time.Millisecond
 
-// errUnrequested reports bytes that came while no answer was due.
-var errUnrequested = errors.New("data without a request")
+// errUnrequested reports data that arrived while no answer was expected.
+var errUnrequested = errors.New("unsolicited data")
 
-// readFrames takes in frames until the connection ends.
+// readFrames reads and handles frames until the connection ends.
 func (c *nodeConn) readFrames(nc net.Conn) {
 	in := newFrameReader(nc, c.expects)
 	var err error
@@ -25,7 +25,7 @@
 	}
 	c.pool.mu.Lock()
 	defer c.pool.mu.Unlock()
-	// A frame that does not come completely although the connection holds has a wrong length.
+	// A frame that stays incomplete while the connection is open has a wrong length.
 	cutFrame := c.inFrame && errors.Is(err, os.ErrDeadlineExceeded)
 	c.abandoned = c.abandoned || errors.Is(err, errCorrupt) || cutFrame
 	if c.abandoned && c.state != connClosed {
@@ -34,9 +34,9 @@
 	c.close()
 }
 
-// readFrame waits for a frame and takes it in.
+// readFrame waits for a frame, reads it and handles it.
 func (c *nodeConn) readFrame(nc net.Conn, in *frameReader) error {
-	// An error of a deadline shows in the next read: the connection is closed.
+	// If setting a deadline fails, the connection is closed and the next read fails too.
 	_ = nc.SetReadDeadline(time.Time{})
 	if err := in.awaitFrame(); err != nil {
 		return err
@@ -56,8 +56,8 @@
 	return nil
 }
 
-// frameBegins notes that something comes in. Where no answer is due, the connection is closed before it may carry the next
-// attempt, whose answer the bytes could be taken for.
+// frameBegins records that data is arriving. If no answer is expected, it closes the connection before the next attempt is
+// sent on it, since the data could be mistaken for the answer to that attempt.
 func (c *nodeConn) frameBegins() error {
 	c.pool.mu.Lock()
 	defer c.pool.mu.Unlock()
@@ -69,20 +69,20 @@
 	return errUnrequested
 }
 
-// expects tells whether the answer to a part may come on this connection.
+// expects reports whether the answer to a part may arrive on this connection.
 func (c *nodeConn) expects(id string) bool {
 	c.pool.mu.Lock()
 	defer c.pool.mu.Unlock()
 	return c.attempts.expects(id)
 }
 
-// frameReceived notes that a frame was read completely. The caller holds the lock.
+// frameReceived records that a frame was read completely. The caller holds the lock.
 func (c *nodeConn) frameReceived() {
 	c.lastReceived = time.Now()
 	c.lastUsed, c.unresponsive, c.inFrame = c.lastReceived, false, false
 }
 
-// handleAnswer reports the answer to a part. One to a cancelled attempt, or a second one, is skipped.
+// handleAnswer reports the answer to a part. It ignores answers to cancelled attempts, and duplicates.
 func (c *nodeConn) handleAnswer(f receivedFrame) {
 	c.pool.mu.Lock()
 	defer c.pool.mu.Unlock()
@@ -97,7 +97,7 @@
 	c.pool.mu.Lock()
 	defer c.pool.mu.Unlock()
 	if len(c.probes) == 0 {
-		return fmt.Errorf("%w: answer to no health check", errCorrupt)
+		return fmt.Errorf("%w: unsolicited answer to a health check", errCorrupt)
 	}
 	c.frameReceived()
 	c.probeAnswered(coordinator.Result{Outcome: f.outcome, LoadReport: f.loadReport})
--- a/internal/platform/nodewriter.go
+++ b/internal/platform/nodewriter.go
@@ -7,24 +7,24 @@
 	"gullfall/internal/coordinator"
 )
 
-// writeFrameTimeout is the most that a frame may take to be written. The time left that a call tells is right as its frame is
-// begun, and may be too long by 150 ms at its end.
+// writeFrameTimeout limits how long writing a frame may take. The time left in a call is computed when its frame is encoded,
+// and may exceed the true value by at most 150 ms once the frame is written.
 const writeFrameTimeout = 140 * time.Millisecond
 
-// queuedFrame is a frame that waits to be written; one field is set.
+// queuedFrame is a frame waiting to be written. Exactly one field is set.
 type queuedFrame struct {
 	call   []*pendingAttempt
 	cancel *pendingAttempt
 	probe  *probe
 }
 
-// enqueue leaves a frame for the writer. The parts that a connection may carry bound the queue. The caller holds the lock.
+// enqueue queues a frame for the writer. The limit on parts per connection bounds the queue. The caller holds the lock.
 func (c *nodeConn) enqueue(f queuedFrame) {
 	c.queue = append(c.queue, f)
 	c.wakeWriter()
 }
 
-// writeFrames serves the queue until the connection ends, which is no error, or a frame can't be written.
+// writeFrames writes queued frames until the connection is closed, when it returns nil, or a write fails.
 func (c *nodeConn) writeFrames(nc net.Conn) error {
 	for {
 		f, data, open := c.nextFrame()
@@ -34,7 +34,7 @@
 		if data == nil {
 			continue
 		}
-		// An error of the deadline shows in the write: the connection is closed.
+		// If setting the deadline fails, the connection is closed and the write fails too.
 		_ = nc.SetWriteDeadline(time.Now().Add(min(c.pool.ConnectTimeout, writeFrameTimeout)))
 		_, err := nc.Write(data)
 		c.frameWritten(f, err)
@@ -44,8 +44,8 @@
 	}
 }
 
-// nextFrame takes a frame off the queue, or waits where that is empty. There are no data if it waited, or if the frame has
-// nothing to say any more. open tells whether the connection goes on.
+// nextFrame removes a frame from the queue, or waits if the queue is empty. data is nil if it waited or if the frame has become
+// obsolete. open reports whether the connection remains open.
 func (c *nodeConn) nextFrame() (f queuedFrame, data []byte, open bool) {
 	c.pool.mu.Lock()
 	if c.state == connClosed {
@@ -66,7 +66,7 @@
 		return f, nil, false
 	}
 	end := c.idleDeadline()
-	if !end.After(now) { // attempts are out on it
+	if !end.After(now) { // attempts are in flight
 		end = now.Add(c.pool.IdleTimeout / idleMarginDiv)
 	}
 	c.pool.mu.Unlock()
@@ -74,7 +74,7 @@
 	return f, nil, true
 }
 
-// wait pauses the writer until it is woken, or until end where idle connections are closed.
+// wait blocks the writer until it is woken or, if an idle timeout is set, until end.
 func (c *nodeConn) wait(end time.Time) {
 	if c.pool.IdleTimeout <= 0 {
 		<-c.wake
@@ -88,8 +88,8 @@
 	}
 }
 
-// frameWritten settles a frame. A call that was not written completely has never run. A cancelled attempt has ended once the
-// data node was told, so that no retry of it goes out before.
+// frameWritten records the result of writing a frame. A call that was not written completely has not run and is queued again.
+// A cancelled attempt is reported only once its cancel frame is written, so that no retry is sent earlier.
 func (c *nodeConn) frameWritten(f queuedFrame, err error) {
 	c.pool.mu.Lock()
 	defer c.pool.mu.Unlock()
@@ -108,8 +108,8 @@
 	}
 }
 
-// encode returns the bytes of a frame and marks what it carries as begun. It returns nil for a frame that has nothing to say
-// any more. The caller holds the lock.
+// encode returns the wire form of a frame and marks its attempts as begun. It returns nil for a frame that has become
+// obsolete. The caller holds the lock.
 func (c *nodeConn) encode(f queuedFrame) []byte {
 	switch {
 	case f.probe != nil:
@@ -120,21 +120,21 @@
 		return loadCheckFrame()
 	case f.cancel != nil:
 		if c.attempts.pending[f.cancel.ID] != f.cancel {
-			return nil // it was answered meanwhile
+			return nil // it has been answered meanwhile
 		}
 		return cancelFrame(f.cancel.ID)
 	}
 	return c.encodeCall(f.call)
 }
 
-// encodeCall returns the bytes of a call, without the parts that may not be sent any more: these are reported.
+// encodeCall returns the wire form of a call. It leaves out and reports parts that must no longer be sent.
 func (c *nodeConn) encodeCall(call []*pendingAttempt) []byte {
 	now := time.Now()
 	frame := beginFrame(letterCall)
 	for _, pending := range call {
 		timeLeft := pending.Deadline.Sub(now)
 		if c.attempts.pending[pending.ID] != pending || timeLeft < time.Millisecond {
-			continue // it was cancelled, or is about to be
+			continue // it has been cancelled, or its deadline is less than 1 ms away
 		}
 		if outcome, ok := pending.Sendable(now); !ok {
 			delete(c.attempts.pending, pending.ID)
--- a/internal/platform/pagecodec.go
+++ b/internal/platform/pagecodec.go
@@ -15,38 +15,38 @@
 	"gullfall/internal/coordinator"
 )
 
-// page is one message of discovery.
+// page is one message from discovery: a complete list of data nodes, or changes to it.
 type page struct {
 	Version int64             `json:"version"`
 	Full    bool              `json:"full"`
 	Servers []json.RawMessage `json:"servers"`
 }
 
-// endpointEntry is an entry of a page: one data node.
+// endpointEntry is an entry of a page, describing one data node.
 type endpointEntry struct {
 	ID, Addr, Zone, State string
-	Cell                  int // its shard set
+	Cell                  int // shard set
 	Weight                float64
 	Started               float64 `json:"started_ms"`
 }
 
-// endpointStates are the states of data nodes by discovery's words.
+// endpointStates maps the state names of discovery to states of data nodes.
 var endpointStates = map[string]coordinator.State{
 	"SERVING":  coordinator.Serving,
 	"DRAINING": coordinator.Draining,
 	"DELETED":  coordinator.Gone,
 }
 
-// errNoID reports an entry of the list that names no data node.
-var errNoID = errors.New("no id")
+// errNoID reports an entry of the list without the id of a data node.
+var errNoID = errors.New("entry without an id")
 
-// decodePage reads a page.
+// decodePage decodes the JSON form of a page.
 func decodePage(data []byte) (p page, err error) {
 	err = json.Unmarshal(data, &p)
 	return p, err
 }
 
-// decodeEntry reads an entry of a page. A state that is not known reads as draining, so that nothing new is sent.
+// decodeEntry decodes an entry of a page. An unknown state is treated as draining, so that nothing new is sent.
 func decodeEntry(raw json.RawMessage, log *slog.Logger) (coordinator.Member, error) {
 	e := endpointEntry{Weight: 1}
 	if err := json.Unmarshal(raw, &e); err != nil {
@@ -67,14 +67,14 @@
 	return m, nil
 }
 
-// endpointList is the list of data nodes as discovery's pages have made it. The entries stay in discovery's form, so that
-// they can be stored with fields that this version does not know.
+// endpointList is the list of data nodes that results from the pages received so far. Entries are kept in their encoded form,
+// so that storing them preserves fields unknown to this version.
 type endpointList struct {
 	version int64
 	entries map[string]json.RawMessage // by id
 }
 
-// merge takes a page into the list and returns the members that it names. An entry that can't be read is left out.
+// merge applies a page to the list and returns the members that the page names. An entry that can't be decoded is skipped.
 func (l *endpointList) merge(p page, log *slog.Logger) (members []coordinator.Member) {
 	if p.Full || l.entries == nil {
 		l.entries = map[string]json.RawMessage{}
@@ -96,7 +96,7 @@
 	return members
 }
 
-// members is the complete list, by id.
+// members returns the complete list, sorted by id.
 func (l *endpointList) members(log *slog.Logger) (members []coordinator.Member) {
 	for _, id := range slices.Sorted(maps.Keys(l.entries)) {
 		if m, err := decodeEntry(l.entries[id], log); err == nil {
@@ -106,7 +106,7 @@
 	return members
 }
 
-// encode returns the complete list as a page.
+// encode returns the complete list encoded as a page.
 func (l *endpointList) encode() ([]byte, error) {
 	p := page{Version: l.version, Full: true, Servers: []json.RawMessage{}}
 	for _, id := range slices.Sorted(maps.Keys(l.entries)) {
@@ -115,17 +115,17 @@
 	return json.Marshal(p)
 }
 
-// errCutPage reports a message of discovery whose rest never came.
-var errCutPage = errors.New("message cut")
+// errCutPage reports a truncated message from discovery.
+var errCutPage = errors.New("message truncated")
 
-// pageReader reads discovery's messages: JSON objects, each on a line or indented over several, and blank lines between
-// them. A blank line within an object is an error: the rest of the message is lost, and blank lines alone would keep such a
-// watch open forever.
+// pageReader reads messages from discovery: JSON objects, each on one line or indented over several, separated by blank lines.
+// A blank line within an object is an error: the rest of the message is lost, and the blank lines that follow as keep-alives
+// would keep the watch open forever.
 type pageReader struct {
 	in       *bufio.Reader
-	onIdle   func() // called at each blank line between messages: nothing has changed
+	onIdle   func() // called at each blank line between messages, which means that nothing has changed
 	message  []byte
-	depth    int // of braces and brackets that are open
+	depth    int // number of open braces and brackets
 	inString bool
 	escaped  bool
 }
@@ -134,13 +134,13 @@
 	return &pageReader{in: bufio.NewReader(in), onIdle: onIdle}
 }
 
-// next reads one message.
+// next reads the next message.
 func (r *pageReader) next() (*page, error) {
 	r.message, r.depth, r.inString, r.escaped = r.message[:0], 0, false, false
 	for {
 		line, err := r.in.ReadBytes('\n')
 		line = bytes.TrimSpace(line)
-		if err != nil && (err != io.EOF || len(line) == 0) { // a body of a length may lack its last line's end
+		if err != nil && (err != io.EOF || len(line) == 0) { // a body with a length may lack the final line end
 			return nil, err
 		}
 		switch {
@@ -161,16 +161,16 @@
 		}
 		p := new(page)
 		if err := json.Unmarshal(r.message, p); err != nil {
-			return nil, fmt.Errorf("list not understood: %w", err)
+			return nil, fmt.Errorf("decode list: %w", err)
 		}
 		return p, nil
 	}
 }
 
-// continues tells whether a line that begins an object may have its rest on further lines.
+// continues reports whether an object that begins with this line may continue on further lines.
 func continues(line []byte) bool { return bytes.IndexByte([]byte("{[,"), line[len(line)-1]) >= 0 }
 
-// trackDepth follows how many braces and brackets are open at the end of a line.
+// trackDepth updates the number of open braces and brackets after a line.
 func (r *pageReader) trackDepth(line []byte) {
 	for _, b := range line {
 		switch {
--- a/internal/platform/readahead.go
+++ b/internal/platform/readahead.go
@@ -8,37 +8,38 @@
 )
 
 const (
-	// maxReadAheadBytes is the most that is read of a connection while a request of it is out: one request of the longest kind.
+	// maxReadAheadBytes is the most that is read from a connection while one of its requests is executing: one request of
+	// maximum size.
 	maxReadAheadBytes = maxBody + maxHeader
-	// freeReadAheadBytes may always be read ahead; beyond it a connection needs room in the memory for long bodies.
+	// freeReadAheadBytes may always be read ahead; beyond it, memory is reserved from Server.BodyMemory.
 	freeReadAheadBytes = freeBodyBytes
 	readAheadStep      = 2 << 10
-	// arrivalStep is how close two arrivals may lie to be kept as one, at the time of the first.
+	// arrivalStep is the interval within which arrivals are recorded as one, at the time of the first.
 	arrivalStep = 5 * time.Millisecond
 )
 
-// errReadAhead reports a client that has sent more ahead of its answer than is kept for it.
+// errReadAhead reports a client that has sent more ahead of its answer than may be buffered.
 var errReadAhead = errors.New("too much was sent ahead of the answer")
 
-// arrival says when the bytes of a connection up to an offset had been read.
+// arrival is the time by which the bytes of a connection up to offset end had been read.
 type arrival struct {
 	end int64
 	at  time.Time
 }
 
-// clientReader is the reading side of a client's connection. While a request is out, readAhead reads on, so that the client's
-// leaving is seen behind whatever it has sent ahead; later reads take that first. Each byte's time of arrival is known,
-// because a request's deadline counts from its last byte. One goroutine uses it at a time.
+// clientReader is the reading side of a client's connection. While a request is executing, readAhead keeps reading, so that a
+// disconnect is detected even behind pipelined data; later reads take the buffered data first. It records when bytes arrive,
+// because the deadline of a request counts from its last byte. One goroutine uses it at a time.
 type clientReader struct {
 	conn      net.Conn
-	allowance int64 // bytes that the request in hand may still bring
+	allowance int64 // bytes that may still be read for the current request
 	ahead     []byte
 	consumed  int64
 	received  int64
 	arrivals  []arrival
 }
 
-// Read implements io.Reader. It ends once the allowance is used up.
+// Read implements io.Reader. It returns io.EOF once the allowance is used up.
 func (in *clientReader) Read(p []byte) (int, error) {
 	if in.allowance <= 0 {
 		return 0, io.EOF
@@ -63,7 +64,7 @@
 	return n, err
 }
 
-// recordArrival notes that n bytes were read off the connection.
+// recordArrival records that n bytes were read from the connection.
 func (in *clientReader) recordArrival(n int) {
 	if n <= 0 {
 		return
@@ -77,8 +78,8 @@
 	in.arrivals = append(in.arrivals, arrival{in.received, now})
 }
 
-// arrivedAt returns when the last byte of what was consumed, but for the unread ones that a buffer above still holds, had
-// come in. Earlier arrivals are forgotten.
+// arrivedAt returns when the last consumed byte arrived, not counting the unread bytes that a buffer above still holds. It
+// discards earlier arrivals.
 func (in *clientReader) arrivedAt(unread int) time.Time {
 	end := in.consumed - int64(unread)
 	for len(in.arrivals) > 1 && in.arrivals[0].end < end {
@@ -90,8 +91,8 @@
 	return in.arrivals[0].at
 }
 
-// readAhead reads until the connection ends, its read deadline passes, or more has come than may be kept. reserve takes the
-// memory beyond what is free.
+// readAhead reads until the connection ends, its read deadline passes, or more has arrived than may be buffered. It calls
+// reserve once before it buffers more than freeReadAheadBytes.
 func (in *clientReader) readAhead(reserve func() bool) error {
 	reserved := false
 	step := make([]byte, readAheadStep)
--- a/internal/platform/watch.go
+++ b/internal/platform/watch.go
@@ -11,35 +11,35 @@
 	"gullfall/internal/membership"
 )
 
-// Watch follows the list of data nodes at discovery. It has one connection, opened anew after the last version seen whenever
-// it ends, and a second one while it moves to another address. Its exported fields are set before Run.
+// Watch follows the list of data nodes at discovery. It holds one connection, which it reopens after the last version received
+// whenever it ends, and a second one while it moves to another address. Its exported fields must be set before Run.
 type Watch struct {
 	Source   *coordinator.Source
 	Log      *slog.Logger
 	Dial     func(ctx context.Context, addr string) (net.Conn, error)
-	Persist  func(list []byte)       // takes the list, in discovery's form, after each change; may be nil
-	Schedule membership.PollSchedule // when discovery is called
-	Random   func() float64          // from 0 to 1, not the same in each coordinator
-	// ConfirmTimeout is how long a cached list is used before discovery has answered; 0 sets no bound.
+	Persist  func(list []byte)       // receives the list, in the form used by discovery, after each change; may be nil
+	Schedule membership.PollSchedule // timing of calls to discovery
+	Random   func() float64          // returns a number from 0 to 1 that differs between coordinators
+	// ConfirmTimeout is how long a cached list is used before discovery has confirmed it; 0 means no limit.
 	ConfirmTimeout time.Duration
 
-	moves   chan string // addresses to go over to
+	moves   chan string // addresses to move to
 	addr    string
 	list    endpointList
-	listed  bool // there is a list, from discovery or cached
-	moved   bool // and not from the address in use
-	failing bool // the last call failed, and was logged
+	listed  bool // a list is present, received or cached
+	moved   bool // the list is from an address other than addr
+	failing bool // the last call failed, which was logged
 
-	confirmed bool // discovery has answered since the start
-	withheld  bool // the cached list is not used
+	confirmed bool // discovery has confirmed or replaced the list since the start
+	withheld  bool // the cached list is not in use
 }
 
-// NewWatch returns a watch on discovery at addr.
+// NewWatch returns a watch on discovery at addr, with Random set.
 func NewWatch(addr string) *Watch {
 	return &Watch{addr: addr, moves: make(chan string), Random: rand.Float64}
 }
 
-// Restore starts from a cached list, as Persist got it.
+// Restore loads a cached list, as passed to Persist.
 func (w *Watch) Restore(cached []byte) {
 	p, err := decodePage(cached)
 	if err != nil {
@@ -51,7 +51,7 @@
 	w.Source.ReplaceList(w.merge(p), true)
 }
 
-// Move goes over to discovery at another address. It returns once Run knows of it, or ctx ends.
+// Move switches to discovery at another address. It returns once Run has taken the address, or ctx ends.
 func (w *Watch) Move(ctx context.Context, addr string) {
 	select {
 	case w.moves <- addr:
@@ -59,7 +59,7 @@
 	}
 }
 
-// Run watches until ctx ends.
+// Run follows discovery until ctx ends.
 func (w *Watch) Run(ctx context.Context) {
 	r := &watchRun{Watch: w, events: make(chan watchEvent), retry: time.NewTimer(w.Schedule.FirstDelay(w.Random()))}
 	defer r.retry.Stop()
@@ -85,13 +85,13 @@
 	}
 }
 
-// watchRun is the connections of a watch that runs. While it moves, the old connection is followed until the new one has
-// brought its list: another address may be another agent, whose versions need not be those of the first.
+// watchRun is the state of a running watch. During a move it follows the old connection until the first page has arrived on the
+// new one: another address may be another agent, whose version numbers need not match those of the first.
 type watchRun struct {
 	*Watch
 	events        chan watchEvent
 	current, next *watchConn
-	retry         *time.Timer // when to connect again
+	retry         *time.Timer // fires when it is time to connect again
 }
 
 // open starts a connection.
@@ -118,7 +118,7 @@
 	r.next = r.open(ctx)
 }
 
-// connect opens the connection that is missing.
+// connect opens the missing connection.
 func (r *watchRun) connect(ctx context.Context) {
 	switch {
 	case r.next != nil:
@@ -129,7 +129,7 @@
 	}
 }
 
-// handle takes in what a connection has brought. What comes of one that was stopped meanwhile is skipped.
+// handle processes an event of a connection. It ignores events of connections that were stopped meanwhile.
 func (r *watchRun) handle(e watchEvent) {
 	if e.from != r.current && e.from != r.next {
 		return
@@ -148,7 +148,7 @@
 	}
 }
 
-// opened notes that discovery has begun to answer.
+// opened records that discovery has begun to answer.
 func (r *watchRun) opened() {
 	r.Schedule.Succeeded()
 	if r.failing {
@@ -157,7 +157,7 @@
 	r.failing = false
 }
 
-// pageReceived takes in a page. With its first one, a new connection replaces the current one.
+// pageReceived applies a page. The first page of a new connection makes it the current one.
 func (r *watchRun) pageReceived(from *watchConn, p *page) {
 	if from == r.next {
 		if r.current != nil {
@@ -169,7 +169,7 @@
 	r.apply(*p)
 }
 
-// ended sets when to connect again, unless another connection is under way.
+// ended schedules a reconnect, unless another connection is already being opened.
 func (r *watchRun) ended(from *watchConn, err error) {
 	from.stop()
 	if from == r.current {
@@ -186,7 +186,7 @@
 	}
 }
 
-// apply takes a page into the list and passes the change on.
+// apply merges a page into the list and passes the change to Source and Persist.
 func (w *Watch) apply(p page) {
 	changed := w.merge(p)
 	switch {
@@ -202,15 +202,15 @@
 	w.persist()
 }
 
-// merge takes a page into the list and returns the members that it names.
+// merge merges a page into the list and returns the members that the page names.
 func (w *Watch) merge(p page) []coordinator.Member {
 	changed := w.list.merge(p, w.Log)
 	w.Schedule.ListLength = len(w.list.entries)
 	return changed
 }
 
-// withhold stops the use of a cached list that discovery has not confirmed in time. It may name data nodes whose drain was
-// notified before this process began: they would get work for as long as discovery is away.
+// withhold stops using a cached list that discovery has not confirmed in time. The list may name data nodes whose drain was
+// announced before this process started: they would be sent work for as long as discovery is unreachable.
 func (w *Watch) withhold() {
 	if w.confirmed || !w.listed {
 		return
@@ -224,7 +224,7 @@
 	w.Source.ApplyChanges(members)
 }
 
-// confirmCached takes a cached list for the present one: discovery was asked for what has changed since, and nothing has.
+// confirmCached marks a cached list as current: discovery, asked for changes since its version, has reported none.
 func (w *Watch) confirmCached() {
 	if w.withheld {
 		w.Source.ReplaceList(w.list.members(w.Log), false)
@@ -232,7 +232,7 @@
 	w.confirmed, w.withheld = true, false
 }
 
-// persist passes on the complete list.
+// persist passes the complete list to Persist.
 func (w *Watch) persist() {
 	if w.Persist == nil {
 		return
--- a/internal/platform/watchconn.go
+++ b/internal/platform/watchconn.go
@@ -14,23 +14,23 @@
 	"gullfall/internal/membership"
 )
 
-// watchTarget is the resource that is watched at discovery, and resumeParam the version to begin after.
+// watchTarget is the resource to watch at discovery. resumeParam adds the version after which changes are requested.
 const (
 	watchTarget = "/discovery/hosts?watch=1"
 	resumeParam = "&after="
 )
 
-// watchConn is one connection to discovery, or the attempt to open one.
+// watchConn is a connection to discovery, established or being established.
 type watchConn struct {
 	addr    string
-	resumes bool          // it is asked for what has changed after a version
-	after   int64         // that version
-	timeout time.Duration // how long it may bring nothing before its first line
+	resumes bool          // asks only for changes after a version
+	after   int64         // version to resume after
+	timeout time.Duration // limit for the dial, the request and any silence before the first line
 	events  chan<- watchEvent
 	stop    context.CancelFunc
 }
 
-// target is the resource that the connection asks for.
+// target returns the resource to request.
 func (c *watchConn) target() string {
 	if c.resumes {
 		return watchTarget + resumeParam + strconv.FormatInt(c.after, 10)
@@ -38,14 +38,14 @@
 	return watchTarget
 }
 
-// watchEventKind is what a connection to discovery has brought.
+// watchEventKind is the kind of a watchEvent.
 type watchEventKind int
 
 const (
-	watchOpened    watchEventKind = iota // the first byte of its messages
-	watchUnchanged                       // that nothing has changed
-	watchPage                            // a page
-	watchEnded                           // its end
+	watchOpened    watchEventKind = iota // the first byte of the messages has arrived
+	watchUnchanged                       // discovery reports that nothing has changed
+	watchPage                            // a page has arrived
+	watchEnded                           // the connection has ended
 )
 
 func (k watchEventKind) String() string {
@@ -62,15 +62,15 @@
 	return fmt.Sprintf("watchEventKind(%d)", int(k))
 }
 
-// watchEvent is one thing that a connection to discovery has brought.
+// watchEvent is an event on a connection to discovery.
 type watchEvent struct {
 	from *watchConn
 	kind watchEventKind
-	page *page // of watchPage
-	err  error // of watchEnded
+	page *page // for watchPage
+	err  error // for watchEnded
 }
 
-// send passes on what the connection has brought, unless it was stopped.
+// send delivers an event, unless the connection was stopped.
 func (c *watchConn) send(ctx context.Context, e watchEvent) {
 	e.from = c
 	select {
@@ -79,7 +79,7 @@
 	}
 }
 
-// runConn runs a connection until it ends.
+// runConn runs a connection until it ends, and then sends watchEnded.
 func (w *Watch) runConn(ctx context.Context, c *watchConn) {
 	begun := time.Now()
 	err := w.readPages(ctx, c)
@@ -87,7 +87,7 @@
 	c.send(ctx, watchEvent{kind: watchEnded, err: err})
 }
 
-// readPages opens a connection and passes on what it brings, until it ends.
+// readPages opens a connection and sends its events until it ends.
 func (w *Watch) readPages(ctx context.Context, c *watchConn) error {
 	dialing, cancel := context.WithDeadline(ctx, time.Now().Add(c.timeout))
 	nc, err := w.Dial(dialing, c.addr)
@@ -106,7 +106,7 @@
 	if err != nil {
 		return err
 	}
-	// The head alone says nothing: the call may still wait its turn, and end.
+	// The response header does not show that the list follows: the call may still be queued at discovery, and end without it.
 	opened := &onFirstByte{in: body, call: func() {
 		in.timeout = membership.SilenceTimeout
 		c.send(ctx, watchEvent{kind: watchOpened})
@@ -121,15 +121,15 @@
 	}
 }
 
-// sendRequest asks discovery for the list.
+// sendRequest requests the list from discovery.
 func (c *watchConn) sendRequest(nc net.Conn) error {
-	// An error of the deadline shows in the write.
+	// If setting the deadline fails, the write fails too.
 	_ = nc.SetWriteDeadline(time.Now().Add(c.timeout))
 	_, err := fmt.Fprintf(nc, "GET %s HTTP/1.1\r\nHost: %s\r\n\r\n", c.target(), c.addr)
 	return err
 }
 
-// readResponseHead reads the head of discovery's answer and returns its body.
+// readResponseHead reads the header of the response and returns its body.
 func readResponseHead(in *textproto.Reader) (io.Reader, error) {
 	status, err := in.ReadLine()
 	if err != nil {
@@ -145,7 +145,7 @@
 	return responseBody(in, header)
 }
 
-// responseBody is the body of an answer: chunked, of a length, or up to the end of the connection.
+// responseBody returns the body of a response: chunked, of a given length, or up to the end of the connection.
 func responseBody(in *textproto.Reader, header textproto.MIMEHeader) (io.Reader, error) {
 	if strings.EqualFold(header.Get("Transfer-Encoding"), "chunked") {
 		return &chunkReader{in: in}, nil
@@ -161,7 +161,7 @@
 	return io.LimitReader(in.R, int64(n)), nil
 }
 
-// onFirstByte calls a function once, when the first byte comes.
+// onFirstByte calls a function once, when the first byte has been read.
 type onFirstByte struct {
 	in   io.Reader
 	call func()
@@ -176,14 +176,14 @@
 	return n, err
 }
 
-// silenceTimeoutReader reads a connection for as long as it goes on bringing something.
+// silenceTimeoutReader reads from a connection and fails if no data arrives for the duration of timeout.
 type silenceTimeoutReader struct {
 	conn    net.Conn
-	timeout time.Duration // the longest that it may bring nothing
+	timeout time.Duration // longest wait for data
 }
 
 func (r *silenceTimeoutReader) Read(p []byte) (int, error) {
-	// An error of the deadline shows in the read.
+	// If setting the deadline fails, the read fails too.
 	_ = r.conn.SetReadDeadline(time.Now().Add(r.timeout))
 	return r.conn.Read(p)
 }
--- a/internal/queryjson/queryjson.go
+++ b/internal/queryjson/queryjson.go
@@ -1,5 +1,5 @@
-// Package queryjson reads the JSON form in which both fronts receive the parts of a query. Whether the deployment knows a shard is for
-// the coordinator to say.
+// Package queryjson decodes the JSON form in which both fronts receive the parts of a query. It does not check whether a shard
+// exists in the deployment; the coordinator does.
 package queryjson
 
 import (
@@ -11,13 +11,13 @@
 	"gullfall/internal/coordinator"
 )
 
-// MaxBytes is the longest form that the fronts read.
+// MaxBytes is the size limit of the JSON form.
 const MaxBytes = 64 << 10
 
-// Parts reads {"shards":[{"shard":3,"weight":0.5,"cost":9000,"key":"..."}],"q":"..."}; cost is in microseconds. It returns the parts of
-// a query and the text that each carries. An error wraps coordinator.ErrInvalidQuery.
+// Parts decodes {"shards":[{"shard":3,"weight":0.5,"cost":9000,"key":"..."}],"q":"..."}, where cost is in microseconds. It returns
+// the parts of a query and the text that all of them carry. Errors wrap coordinator.ErrInvalidQuery.
 func Parts(raw []byte) (parts []coordinator.Part, text string, err error) {
-	// The struct has no name and its fields no tags because clients read both in the errors of encoding/json.
+	// The struct has no name and its fields have no tags, because errors of encoding/json quote both and are sent to clients.
 	var body struct {
 		Shards []struct {
 			Shard  *int
@@ -34,7 +34,7 @@
 		if s.Shard == nil {
 			return nil, "", fmt.Errorf("%w: a part without its shard", coordinator.ErrInvalidQuery)
 		}
-		if !(math.Abs(s.Cost) < math.MaxInt32) { // beyond what a time.Duration holds, or no number
+		if !(math.Abs(s.Cost) < math.MaxInt32) { // beyond the range of time.Duration, or NaN
 			return nil, "", fmt.Errorf("%w: cost of shard %d", coordinator.ErrInvalidQuery, *s.Shard)
 		}
 		parts = append(parts, coordinator.Part{Shard: *s.Shard, Weight: s.Weight, Key: s.Key,
