--- a/internal/faults/cuttable_test.go
+++ b/internal/faults/cuttable_test.go
@@ -6,10 +6,10 @@
 	"time"
 )
 
-// cuttableListener is a listener whose connections can be cut.
+// cuttableListener is a listener whose accepted connections can be closed at once.
 type cuttableListener struct {
 	net.Listener
-	narrow bool // a reader's slowness is soon felt; a Flight stream's own window does as much
+	narrow bool // use a minimal send buffer, so that a slow reader soon blocks writes; Flight streams have a window for that
 	mu     sync.Mutex
 	open   []net.Conn
 }
@@ -27,7 +27,7 @@
 	return nc, err
 }
 
-// cut closes all connections.
+// cut closes all accepted connections.
 func (l *cuttableListener) cut() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -37,5 +37,5 @@
 	l.open = nil
 }
 
-// cutAfter leaves the other parts of a call time to be answered before the connection goes.
+// cutAfter is the delay before a connection is cut, in which the other parts of the call are answered.
 const cutAfter = 50 * time.Millisecond
--- a/internal/faults/dialgate_test.go
+++ b/internal/faults/dialgate_test.go
@@ -14,16 +14,16 @@
 	"gullfall/internal/coordinator"
 )
 
-// dialGate holds connections to a data node back until it is opened.
+// dialGate blocks dials to data nodes until open is closed.
 type dialGate struct {
 	open    chan struct{}
 	waiting atomic.Int32
 }
 
-// dialGates are by the data node's address.
+// dialGates maps addresses of data nodes to their *dialGate.
 var dialGates sync.Map
 
-// awaitGate waits for the gate of an address, if there is one.
+// awaitGate waits until the gate of an address, if it has one, is open.
 func awaitGate(ctx context.Context, addr string) error {
 	held, ok := dialGates.Load(addr)
 	if !ok {
@@ -39,7 +39,7 @@
 	}
 }
 
-// holdDials lets no connection to a data node come up until release is called.
+// holdDials blocks dials to all data nodes until release is called.
 func (r *rig) holdDials() (g *dialGate, release func()) {
 	g = &dialGate{open: make(chan struct{})}
 	for _, n := range r.nodes {
@@ -53,13 +53,13 @@
 	}
 }
 
-// whileDialing are what may happen while a part waits for its connection, in both protocols. Nothing may be sent after it.
+// whileDialing are events while a part waits for its connection, after which the part must not be sent.
 var whileDialing = []struct {
 	name string
 	play func(r *rig, leave func(), done <-chan string) []string
 	want []string
 }{
-	{"the client leaves", func(_ *rig, leave func(), done <-chan string) []string {
+	{"the client disconnects", func(_ *rig, leave func(), done <-chan string) []string {
 		leave()
 		return []string{<-done}
 	}, []string{"gone", "sent 0"}},
@@ -70,14 +70,14 @@
 		}
 		return []string{<-done}
 	}, []string{"rejected", "sent 0"}},
-	{"the list leaves the data nodes out", func(r *rig, _ func(), done <-chan string) []string {
+	{"a complete list omits the data nodes", func(r *rig, _ func(), done <-chan string) []string {
 		r.list.ReplaceList(nil, false)
 		return []string{<-done}
 	}, []string{"rejected", "sent 0"}},
 }
 
-// TestHeldConnections: what may no longer be sent once a connection has come up is not, also where the settings let no
-// attempt be cancelled.
+// TestHeldConnections: a part that must no longer be sent when its connection is established is not sent, even if the settings
+// allow no attempt to be cancelled.
 func TestHeldConnections(t *testing.T) {
 	for _, h := range whileDialing {
 		for _, p := range protocols {
@@ -94,7 +94,7 @@
 					go func() { done <- r.query(ctx, "report", "club", 0) }()
 					r.until("a connection is being opened", func() bool { return g.waiting.Load() > 0 })
 					got := h.play(r, leave, done)
-					time.Sleep(20 * time.Millisecond) // the program has heard that the client has left
+					time.Sleep(20 * time.Millisecond) // until the program has noticed the disconnect
 					release()
 					time.Sleep(100 * time.Millisecond)
 					got = append(got, fmt.Sprint("sent ", r.b.startsAt("n1")+r.b.startsAt("n2")))
@@ -107,7 +107,7 @@
 	}
 }
 
-// dial opens a connection to a data node, once its gate is open.
+// dial opens a connection to a data node once its gate is open.
 func dial(ctx context.Context, addr string) (net.Conn, error) {
 	if err := awaitGate(ctx, addr); err != nil {
 		return nil, err
--- a/internal/faults/faults_test.go
+++ b/internal/faults/faults_test.go
@@ -1,6 +1,6 @@
-// Package faults holds the loopback fault suite that both protocols must pass with equal results. Clients and data nodes are
-// stand-ins written here; the coordinator, the servers and the dispatchers are the program's own. A stand-in does what its case
-// says to each attempt of a part, and counts attempts that overlap.
+// Package faults tests faults on loopback connections, with equal expected results for both protocols. Clients and data nodes are
+// stand-ins; the coordinator, the servers and the dispatchers are those of the program. A stand-in data node performs the action
+// of the test case on each attempt of a part, and counts overlapping attempts.
 package faults
 
 import (
@@ -17,8 +17,8 @@
 
 var faults = []struct {
 	name    string
-	down    int      // data nodes that nobody listens for
-	actions []string // see nodeScript
+	down    int      // data nodes without a listener
+	actions []string // see nodeScript.actions
 	play    func(r *rig) []string
 	want    []string
 }{
@@ -27,13 +27,13 @@
 	{"no data node listens", 2, []string{"ok"}, one("report"), []string{"rejected"}},
 	{"overloaded", 0, []string{"busy", "ok"}, one("report"), []string{"complete 0/2 1/2"}},
 	{"error", 0, []string{"0:err", "ok"}, one("report"), []string{"complete 0/2 1/1"}},
-	// Nothing of what came before the cut may stand in the answer.
+	// Nothing received before the connection was cut may appear in the answer.
 	{"cut halfway", 0, []string{"0:cut", "ok"}, one("report"), []string{"complete 0/2 1/1"}},
-	// A corrupt answer is a failed attempt; the data node has not died and stays in use.
+	// A corrupt answer fails the attempt; the data node counts as alive and stays in use.
 	{"corrupt", 0, []string{"0:corrupt", "ok"}, one("report"), []string{"complete 0/2 1/1"}},
 	{"always cut", 0, []string{"cut"}, one("report"), []string{"rejected"}},
 	{"silent", 0, []string{"0:silent", "0:silent", "0:silent"}, one("report"), []string{"rejected"}},
-	{"silent part of an answer that may be partial", 0, []string{"0:silent", "0:silent", "0:silent"}, one("board"),
+	{"silent part of a query that may be answered partially", 0, []string{"0:silent", "0:silent", "0:silent"}, one("board"),
 		[]string{"partial 1/1"}},
 	{"bad input", 0, []string{"ok"}, func(r *rig) []string {
 		got := []string{r.queryWithin3s("no-class", "club", 0), r.queryWithin3s("report", "nobody", 0),
@@ -44,22 +44,22 @@
 		ctx, cancel := context.WithDeadline(context.Background(), time.Now().Add(3*time.Second))
 		done := make(chan string, 1)
 		go func() { done <- r.query(ctx, "report", "club", 0, 1) }()
-		r.until("both parts are out", func() bool { return r.b.startsAt("n1")+r.b.startsAt("n2") == 2 })
+		r.until("both parts are in flight", func() bool { return r.b.startsAt("n1")+r.b.startsAt("n2") == 2 })
 		cancel()
 		got := <-done
-		r.until("both parts are given up", func() bool {
+		r.until("both parts are cancelled", func() bool {
 			r.b.mu.Lock()
 			defer r.b.mu.Unlock()
 			return r.b.cancelled == 2
 		})
-		r.until("nothing is held", func() bool { return r.coordinator.OpenCount() == 0 })
+		r.until("no query or part is open", func() bool { return r.coordinator.OpenCount() == 0 })
 		return []string{got}
 	}, []string{"gone"}},
-	// The part that was out as the drain came still counts; nothing new goes there.
+	// A part in flight when the drain begins is still answered; nothing new is sent to the data node.
 	{"drain", 0, []string{"hold"}, func(r *rig) []string {
 		done := make(chan string, 1)
 		go func() { done <- r.queryWithin3s("report", "club", 0) }()
-		r.until("the part is out", func() bool { return r.b.startsAt("n1")+r.b.startsAt("n2") == 1 })
+		r.until("the part is in flight", func() bool { return r.b.startsAt("n1")+r.b.startsAt("n2") == 1 })
 		drained := r.nodes[0]
 		if r.b.startsAt("n2") == 1 {
 			drained = r.nodes[1]
@@ -73,19 +73,19 @@
 		}
 		return append(got, fmt.Sprint("sent to it ", r.b.startsAt(drained.ID)))
 	}, []string{"complete 0/1", "complete 1/1", "complete 1/1", "complete 1/1", "complete 1/1", "complete 1/1", "sent to it 1"}},
-	// The key belongs to the query and goes with each attempt of each of its parts, further ones included; another
-	// class does without, whatever its client sends.
+	// The key of a query is sent with every attempt of each of its parts, retries included; in a class that is not keyed it is
+	// not sent, even if the client provides one.
 	{"keyed", 0, []string{"0:err", "ok"}, func(r *rig) []string {
 		got := []string{r.queryWithin3s("entry#5c0f6e1a", "club", 0, 1), r.queryWithin3s("report#5c0f6e1a", "club", 0)}
 		return append(got, fmt.Sprintf("%q", r.b.keys))
 	}, []string{"complete 0/2 1/1", "complete 0/2", `["5c0f6e1a" "5c0f6e1a" "5c0f6e1a" "" ""]`}},
-	{"keyed without a key, and with what no wire carries", 0, []string{"ok"}, func(r *rig) []string {
+	{"keyed without a key, and with invalid keys", 0, []string{"ok"}, func(r *rig) []string {
 		got := []string{r.queryWithin3s("entry", "club", 0), r.queryWithin3s("entry#a,d=1", "club", 0), r.queryWithin3s("entry#a b", "club", 0),
 			r.queryWithin3s("entry#"+strings.Repeat("k", 129), "club", 0), r.queryWithin3s("entry#"+strings.Repeat("k", 128), "club", 0)}
 		return append(got, fmt.Sprint("sent ", r.b.startsAt("n1")+r.b.startsAt("n2")))
 	}, []string{"bad input", "bad input", "bad input", "bad input", "complete 0/1", "sent 1"}},
-	// A complete list without a data node means that it is gone.
-	{"missing in the list", 0, []string{"ok"}, func(r *rig) []string {
+	// A data node missing in a complete list is gone.
+	{"missing in a complete list", 0, []string{"ok"}, func(r *rig) []string {
 		r.list.ReplaceList(r.nodes[1:], false)
 		var got []string
 		for range 5 {
@@ -96,7 +96,7 @@
 	{"SIGTERM", 0, []string{"hold"}, func(r *rig) []string {
 		done, ended := make(chan string, 1), make(chan bool)
 		go func() { done <- r.queryWithin3s("report", "club", 0, 1) }()
-		r.until("both parts are out", func() bool { return r.b.startsAt("n1")+r.b.startsAt("n2") == 2 })
+		r.until("both parts are in flight", func() bool { return r.b.startsAt("n1")+r.b.startsAt("n2") == 2 })
 		go func() { r.drain(); close(ended) }()
 		time.Sleep(50 * time.Millisecond)
 		var got []string
@@ -112,12 +112,13 @@
 	}, []string{"complete 0/1 1/1", "ended"}},
 }
 
-// one sends one query of two parts.
+// one returns a case that sends one query of two parts.
 func one(class string) func(*rig) []string {
 	return func(r *rig) []string { return []string{r.queryWithin3s(class, "club", 0, 1)} }
 }
 
-// TestFaults: each fault has the same result for both protocols, and no part ever has two attempts out.
+// TestFaults checks that each fault has the same result in every combination of protocols, and that a part never has two attempts
+// in flight.
 func TestFaults(t *testing.T) {
 	for _, f := range faults {
 		for _, p := range protocols {
@@ -130,18 +131,18 @@
 				r.b.mu.Lock()
 				defer r.b.mu.Unlock()
 				if r.b.overlaps > 0 {
-					t.Errorf("%d attempts began while another of their part was out", r.b.overlaps)
+					t.Errorf("%d attempts began while another one of the same part was in flight", r.b.overlaps)
 				}
 				if r.coordinator.OpenCount() > 0 {
-					t.Errorf("%d queries and parts are still held", r.coordinator.OpenCount())
+					t.Errorf("%d queries and parts are still open", r.coordinator.OpenCount())
 				}
 			})
 		}
 	}
 }
 
-// TestSlowReader: a client that reads nothing holds its own answer, until its own deadline and no longer; others
-// are answered meanwhile.
+// TestSlowReader: a client that does not read must delay only its own answer, and only until its deadline; other clients are
+// answered meanwhile.
 func TestSlowReader(t *testing.T) {
 	for _, p := range protocols {
 		t.Run(p.name, func(t *testing.T) {
@@ -150,14 +151,14 @@
 			r.b.fill = strings.Repeat(" ", p.fillBytes)
 			end := time.Now().Add(time.Second)
 			p.readSlowly(t, r.addr, end)
-			r.until("the parts were asked for", func() bool { return r.b.startsAt("n1")+r.b.startsAt("n2") == 4 })
+			r.until("the parts are in flight", func() bool { return r.b.startsAt("n1")+r.b.startsAt("n2") == 4 })
 			if got := r.queryWithin3s("report", "club", 0); !strings.HasPrefix(got, "complete 0/1") {
-				t.Errorf("beside a slow reader: %.40q", got)
+				t.Errorf("other client: got %.40q", got)
 			}
 			if !time.Now().Before(end) {
-				t.Errorf("the other client was answered only after the slow one's deadline")
+				t.Errorf("the other client was answered only after the deadline of the slow reader")
 			}
-			for range 20 { // each takes its own connection or stream, and none waits for the slow one
+			for range 20 { // each uses its own connection or stream; none must wait for the slow reader
 				r.queryWithin3s("report", "club", 0)
 			}
 			r.drain()
--- a/internal/faults/harness_test.go
+++ b/internal/faults/harness_test.go
@@ -18,23 +18,23 @@
 	"gullfall/internal/membership"
 )
 
-// protocol is how data nodes are started and reached, and how clients are served and ask: one of the two, or a mix.
+// protocol combines a protocol to data nodes with a protocol to clients, with stand-ins for both.
 type protocol struct {
 	name        string
 	startNode   func(ln net.Listener, b *nodeScript, name string) (stop func())
 	dispatcher  func(c *coordinator.Coordinator) coordinator.Dispatcher
 	startServer func(c *coordinator.Coordinator, ln net.Listener) (query queryFunc, drain func())
-	readSlowly  func(t *testing.T, addr string, end time.Time) // queries shards 0 to 3 and reads nothing of the answer
-	fillBytes   int                                            // bytes that make a part too long for its buffers
+	readSlowly  func(t *testing.T, addr string, end time.Time) // queries shards 0 to 3 without reading the answer
+	fillBytes   int                                            // document size that exceeds the socket and stream buffers
 }
 
 var protocols = []protocol{
 	{"platform", startFrameNode, dispatchFrames, serveHTTP, readHTTPSlowly, 15_000},
 	{"flight", startFlightNode, dispatchFlight, serveFlight, readFlightSlowly, 200_000},
-	// The coordinator joins clients of either protocol with data nodes of either.
+	// The coordinator connects clients of either protocol to data nodes of either.
 	{"platform to flight", startFlightNode, dispatchFlight, serveHTTP, readHTTPSlowly, 15_000},
 	{"flight to platform", startFrameNode, dispatchFrames, serveFlight, readFlightSlowly, 60_000},
-	// Calls as one stream, to data nodes and from clients.
+	// DoExchange, to data nodes and from clients.
 	{"flight calls", startCallNode, dispatchFlight, serveFlight, readFlightSlowly, 200_000},
 	{"exchange", startCallNode, dispatchFlight, serveExchange, readFlightSlowly, 200_000},
 	{"exchange to platform", startFrameNode, dispatchFrames, serveExchange, readFlightSlowly, 60_000},
@@ -42,18 +42,18 @@
 
 var quiet = slog.New(slog.NewTextHandler(io.Discard, nil))
 
-// queryFunc sends one query, of a class or of "class#key" where it carries an idempotency key. It returns how that ended: a
-// result with its documents, "rejected", "failed", "bad input", "gone" (the client left), "lost" (its connection was) or
-// "overtime".
+// queryFunc sends a query of a class, given as "class#key" for a query with an idempotency key. It returns the outcome: a
+// result with its documents, "rejected", "failed", "bad input", "gone" (the client disconnected), "lost" (the connection was lost)
+// or "overtime" (the deadline was exceeded).
 type queryFunc func(ctx context.Context, class, owner string, shards ...int) string
 
-// result is a query's answer.
+// result is the answer to a query.
 type result struct {
 	complete bool
 	docs     []string
 }
 
-// String is "complete" or "partial" with the documents in order.
+// String returns "complete" or "partial" followed by the sorted documents.
 func (r result) String() string {
 	slices.Sort(r.docs)
 	if !r.complete {
@@ -62,27 +62,27 @@
 	return "complete " + strings.Join(r.docs, " ")
 }
 
-// nodeScript is what the stand-in data nodes do, and what they have seen.
+// nodeScript defines what the stand-in data nodes do, and records the attempts that they receive.
 type nodeScript struct {
-	actions []string // for each attempt of a part, the last one for all further ones
-	fill    string   // makes documents longer
+	actions []string // by attempt of a part; the last applies to all further attempts
+	fill    string   // appended to documents to make them longer
 
-	// mu guards what follows, but for release.
+	// mu guards the fields below, except release.
 	mu           sync.Mutex
-	attempts     map[string]int  // by part
-	inFlight     map[int]attempt // by a number of its own
+	attempts     map[string]int  // by part id
+	inFlight     map[int]attempt // by attempt number
 	begun        int
-	overlaps     int // attempts that began while another of their part was out
+	overlaps     int // attempts that began while another one of the same part was in flight
 	cancelled    int
 	startsByNode map[string]int // by data node
-	keys         []string       // of attempts, in order of their beginning
-	release      chan struct{}  // closed to let go of attempts that are held
+	keys         []string       // idempotency keys of attempts, in order of their start
+	release      chan struct{}  // closed to answer held attempts
 }
 
-// attempt is one that is out at a data node.
+// attempt is an attempt in flight at a data node.
 type attempt struct{ node, id string }
 
-// start notes an attempt and returns its number and what is to be done to it.
+// start records an attempt and returns its number and the action for it.
 func (b *nodeScript) start(node, id, key string) (number int, action string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -98,7 +98,7 @@
 	b.begun++
 	b.inFlight[b.begun] = attempt{node, id}
 	action = b.actions[min(n, len(b.actions)-1)]
-	if shard, rest, ok := strings.Cut(action, ":"); ok { // an action for one shard only
+	if shard, rest, ok := strings.Cut(action, ":"); ok { // the action applies to one shard only
 		if action = "ok"; strings.HasSuffix(id, "."+shard) {
 			action = rest
 		}
@@ -106,14 +106,14 @@
 	return b.begun, action
 }
 
-// end notes that an attempt is over. It comes before the coordinator can know.
+// end records the end of an attempt. It must be called before the coordinator can learn of it.
 func (b *nodeScript) end(number int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	delete(b.inFlight, number)
 }
 
-// cancel notes that the coordinator gave an attempt up.
+// cancel records that the coordinator cancelled an attempt.
 func (b *nodeScript) cancel(number int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -121,21 +121,21 @@
 	b.cancelled++
 }
 
-// connsCut notes that all that is out at a data node ends with its connections.
+// connsCut records that the connections of a data node are closed, which ends its attempts.
 func (b *nodeScript) connsCut(node string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	maps.DeleteFunc(b.inFlight, func(_ int, a attempt) bool { return a.node == node })
 }
 
-// startsAt is how many attempts a data node got.
+// startsAt returns the number of attempts sent to a data node.
 func (b *nodeScript) startsAt(node string) int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.startsByNode[node]
 }
 
-// doc is the value of a part. It names the shard and the attempt that gave it.
+// doc returns the value of a part. It names the shard and the attempt that produced it.
 func (b *nodeScript) doc(id string) string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -143,7 +143,7 @@
 	return fmt.Sprintf("%s/%d", shard, b.attempts[id]) + b.fill
 }
 
-// rig is a coordinator between stand-ins, on loopback sockets.
+// rig is a coordinator with stand-in clients and data nodes, on loopback sockets.
 type rig struct {
 	t           *testing.T
 	b           *nodeScript
@@ -155,6 +155,7 @@
 	addr        string
 }
 
+// settings returns the default settings of a rig.
 func settings() aggregator.Settings {
 	class := func(name string, floor float64) aggregator.Class {
 		return aggregator.Class{Name: name, LatencyObjective: time.Second, Deadline: 3 * time.Second, Priority: 1, LateShare: 0.1,
@@ -172,11 +173,13 @@
 	}
 }
 
+// newRig starts a rig with the default settings; down data nodes have no listener.
 func newRig(t *testing.T, p protocol, down int, acts ...string) *rig {
 	t.Helper()
 	return newRigWith(t, settings(), p, down, acts...)
 }
 
+// newRigWith is like newRig with other settings.
 func newRigWith(t *testing.T, set aggregator.Settings, p protocol, down int, acts ...string) *rig {
 	t.Helper()
 	b := &nodeScript{actions: acts, attempts: map[string]int{}, inFlight: map[int]attempt{}, startsByNode: map[string]int{},
@@ -194,7 +197,7 @@
 		name := fmt.Sprintf("n%d", i+1)
 		ln := listen(t)
 		if i < down {
-			ln.Close() // nobody listens there
+			ln.Close() // dials are refused
 		} else {
 			t.Cleanup(p.startNode(ln, b, name))
 		}
@@ -223,12 +226,12 @@
 	return r.query(ctx, class, owner, shards...)
 }
 
-// until waits for a condition that must come about.
+// until waits until a condition is met, and fails the test after 10 s.
 func (r *rig) until(what string, met func() bool) {
 	r.t.Helper()
 	for end := time.Now().Add(10 * time.Second); !met(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			r.t.Errorf("never: %s", what)
+			r.t.Errorf("condition not met within 10 s: %s", what)
 			return
 		}
 	}
--- a/internal/faults/runningparts_test.go
+++ b/internal/faults/runningparts_test.go
@@ -2,11 +2,11 @@
 
 import "sync"
 
-// runningParts are the parts that a data node's stand-in has begun on one connection and not ended, each under the number that its
-// script gave it.
+// runningParts holds the parts that a stand-in data node is executing on one connection, with the attempt numbers from its
+// nodeScript.
 type runningParts struct {
 	mu      sync.Mutex
-	numbers map[string]int // by the part's id
+	numbers map[string]int // by part id
 }
 
 func (r *runningParts) add(id string, number int) {
@@ -15,7 +15,7 @@
 	r.numbers[id] = number
 }
 
-// settle calls end for a part that runs, and reports whether it did. A part is ended once.
+// settle calls end if the part is running, and reports whether it was. Each part is ended only once.
 func (r *runningParts) settle(id string, end func(number int)) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -27,7 +27,7 @@
 	return runs
 }
 
-// settleAll calls end for every part that runs.
+// settleAll calls end for every running part.
 func (r *runningParts) settleAll(end func(number int)) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/faults/standins_flight_test.go
+++ b/internal/faults/standins_flight_test.go
@@ -1,6 +1,6 @@
 package faults
 
-// Stand-in clients and data nodes of Arrow Flight, written from its public forms.
+// Stand-in clients and data nodes for Arrow Flight, written from its public specification.
 
 import (
 	"context"
@@ -33,16 +33,16 @@
 		Connections: make(chan struct{}, 64)}).Dispatch
 }
 
-// newFlightServer is a Flight front with no limit but its memory.
+// newFlightServer returns a Flight server whose only limit is memory.
 func newFlightServer(c *coordinator.Coordinator) *flight.Server {
 	server, err := flight.New(flight.Options{Coordinator: c, Log: quiet, Memory: 16 << 20})
 	if err != nil {
-		panic(err) // no option could be wrong
+		panic(err) // the options are valid
 	}
 	return server
 }
 
-// flightNode is a Flight data node.
+// flightNode is a Flight data node that answers parts by DoGet.
 type flightNode struct {
 	arrowflight.BaseFlightServer
 	l    *cuttableListener
@@ -98,7 +98,7 @@
 	return send(s.b.doc(ticket.ID))
 }
 
-// callNode is a Flight data node that takes the parts of a call on one stream.
+// callNode is a Flight data node that answers all parts of a call on one DoExchange stream.
 type callNode struct{ flightNode }
 
 func startCallNode(ln net.Listener, b *nodeScript, name string) (stop func()) {
@@ -178,14 +178,14 @@
 	}
 }
 
-// answerMeta is the metadata of an answer's batches.
+// answerMeta is the metadata of the record batches of an answer.
 type answerMeta struct {
 	Complete bool
 	Status   string
 	RetryMS  int64 `json:"retry_ms"`
 }
 
-// readAll reads a stream to its end, unless there was an error before.
+// readAll reads a stream to its end. It returns err at once if it is not nil.
 func readAll(in *arrowflight.Reader, err error) (docs []string, meta answerMeta, _ error) {
 	for err == nil && in.Next() {
 		values := in.RecordBatch().Column(1).(*array.Binary)
@@ -200,7 +200,7 @@
 	return docs, meta, err
 }
 
-// serveExchange is the Flight server and a client that asks by DoExchange, a stream for each query.
+// serveExchange starts a Flight server and returns a client that queries it by DoExchange, with one stream for each query.
 func serveExchange(c *coordinator.Coordinator, ln net.Listener) (queryFunc, func()) {
 	server := newFlightServer(c)
 	go server.Serve(ln, 64)
@@ -208,7 +208,7 @@
 	client := arrowflight.NewClientFromConn(cc, nil)
 	ask := func(ctx context.Context, class, owner string, shards ...int) string {
 		end, _ := ctx.Deadline()
-		asking, cancel := context.WithCancel(context.WithoutCancel(ctx)) // its time is in the question
+		asking, cancel := context.WithCancel(context.WithoutCancel(ctx)) // the deadline is sent in the request
 		defer cancel()
 		defer context.AfterFunc(ctx, func() {
 			if ctx.Err() == context.Canceled {
@@ -254,7 +254,7 @@
 	}
 }
 
-// grpcClient is a client's channel. It never retries by itself.
+// grpcClient returns a gRPC channel that does not retry.
 func grpcClient(addr string) *grpc.ClientConn {
 	cc, err := grpc.NewClient("passthrough:///"+addr, grpc.WithDisableRetry(),
 		grpc.WithTransportCredentials(insecure.NewCredentials()))
@@ -264,7 +264,7 @@
 	return cc
 }
 
-// ticket is a Flight client's query.
+// ticket returns the Flight ticket of a query.
 func ticket(class, owner string, shards ...int) []byte {
 	class, key, keyed := strings.Cut(class, "#")
 	if keyed {
@@ -273,7 +273,7 @@
 	return fmt.Appendf(nil, `{"class":%q,"owner":%q,%s`, class, owner, queryParts(shards)[1:])
 }
 
-// serveFlight is the Flight server and its client.
+// serveFlight starts a Flight server and returns a client that queries it by DoGet.
 func serveFlight(c *coordinator.Coordinator, ln net.Listener) (queryFunc, func()) {
 	server := newFlightServer(c)
 	go server.Serve(ln, 64)
--- a/internal/faults/standins_platform_test.go
+++ b/internal/faults/standins_platform_test.go
@@ -1,6 +1,6 @@
 package faults
 
-// Stand-in clients and data nodes of the platform's protocol, written from its public form.
+// Stand-in clients and data nodes for the platform's protocol, written from its public specification.
 
 import (
 	"bufio"
@@ -22,13 +22,13 @@
 	"gullfall/internal/platform"
 )
 
-// dispatchFrames reaches data nodes by the platform's protocol.
+// dispatchFrames returns a dispatcher for data nodes of the platform's protocol.
 func dispatchFrames(c *coordinator.Coordinator) coordinator.Dispatcher {
 	return (&platform.ConnPool{Coordinator: c, Log: quiet, Dial: dial, Streams: 32, ConnectTimeout: 250 * time.Millisecond,
 		IdleTimeout: 30 * time.Second, Connections: make(chan struct{}, 64)}).Dispatch
 }
 
-// startFrameNode is a data node of the platform's protocol.
+// startFrameNode starts a data node of the platform's protocol.
 func startFrameNode(ln net.Listener, b *nodeScript, name string) (stop func()) {
 	l := &cuttableListener{Listener: ln}
 	go func() {
@@ -43,7 +43,7 @@
 	return func() { ln.Close(); l.cut() }
 }
 
-// serveFrames answers the frames on one connection.
+// serveFrames handles the frames received on one connection.
 func serveFrames(nc net.Conn, l *cuttableListener, b *nodeScript, name string) {
 	running := runningParts{numbers: map[string]int{}}
 	defer func() {
@@ -108,7 +108,7 @@
 	}
 }
 
-// serveHTTP is the platform's server and its client.
+// serveHTTP starts a server of the platform's protocol and returns a client that queries it.
 func serveHTTP(c *coordinator.Coordinator, ln net.Listener) (queryFunc, func()) {
 	clients := &platform.Server{Coordinator: c, Log: quiet, MaxConns: 64, BodyMemory: 1 << 20}
 	go clients.Serve(&cuttableListener{Listener: ln, narrow: true})
@@ -154,7 +154,7 @@
 	return ask, func() { clients.Drain(time.Now().Add(time.Minute)); clients.CloseIdle(); ln.Close(); clients.Wait() }
 }
 
-// writePost writes a request.
+// writePost writes the request of a query.
 func writePost(nc net.Conn, id, class, owner string, end time.Time, shards []int) {
 	body := queryParts(shards)
 	class, key, keyed := strings.Cut(class, "#")
@@ -165,9 +165,9 @@
 		"Content-Length: %d\r\n\r\n%s", class, id, owner, time.Until(end).Milliseconds(), key, len(body), body)
 }
 
-// readHTTPSlowly sends a query and reads nothing.
+// readHTTPSlowly sends a query and does not read the answer.
 func readHTTPSlowly(t *testing.T, addr string, end time.Time) {
-	d := net.Dialer{Control: func(_, _ string, rc syscall.RawConn) error { // before the window is told
+	d := net.Dialer{Control: func(_, _ string, rc syscall.RawConn) error { // set before the window is advertised
 		return rc.Control(func(fd uintptr) { syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_RCVBUF, 1) })
 	}}
 	nc, err := d.Dial("tcp", addr)
@@ -178,7 +178,7 @@
 	writePost(nc, "slow", "report", "club", end, []int{0, 1, 2, 3})
 }
 
-// queryParts is a query's parts in JSON.
+// queryParts returns the JSON form of a query with these shards.
 func queryParts(shards []int) string {
 	var list []string
 	for _, s := range shards {
@@ -187,7 +187,7 @@
 	return `{"shards":[` + strings.Join(list, ",") + `],"q":"c41e77d0"}`
 }
 
-// ids are new for each request.
+// ids returns a channel of unique query ids.
 func ids() <-chan string {
 	out := make(chan string)
 	go func() {
--- a/internal/platform/bench_test.go
+++ b/internal/platform/bench_test.go
@@ -17,8 +17,8 @@
 	"gullfall/internal/membership"
 )
 
-// BenchmarkQuery takes queries of eight parts from Execute to their answers: the event loop, the codec of frames both ways and a
-// connection to a data node that answers at once.
+// BenchmarkQuery measures queries of eight parts from Execute to their answers: the event loop, the frame codec in both
+// directions, and a connection to a data node that answers at once.
 func BenchmarkQuery(b *testing.B) {
 	log := slog.New(slog.DiscardHandler)
 	set := aggregator.Settings{Aggregators: 1, Tick: time.Microsecond, ShardSets: 1, Shards: 8, Reach: 1, CallCost: time.Millisecond,
@@ -53,7 +53,7 @@
 	}
 }
 
-// answerFrames answers each part of each call with a value of a hundred bytes.
+// answerFrames answers each part of each call with a value of 100 bytes.
 func answerFrames(conn net.Conn) {
 	in := bufio.NewReader(conn)
 	value := strings.Repeat("v", 100)
--- a/internal/platform/descriptors_test.go
+++ b/internal/platform/descriptors_test.go
@@ -19,8 +19,8 @@
 	"gullfall/internal/membership"
 )
 
-// counted takes itself off the number of open connections when its owner closes it: the descriptor is free from then on,
-// whether or not the peer has noticed.
+// counted is a connection that decrements the count of open connections when its owner closes it: from then on the descriptor
+// is free, whether or not the peer has noticed.
 type counted struct {
 	net.Conn
 	open *atomic.Int64
@@ -32,10 +32,10 @@
 	return c.Conn.Close()
 }
 
-// TestMoreNodesThanDescriptors: three data nodes share two descriptors. An idle connection makes room for another data
-// node's; while both are in use a part waits for one that comes free, and where none does, the data node is not blamed: it
-// is sent parts again as soon as there is room. If each part beyond counted as a failed connection, a coordinator with fewer
-// descriptors than data nodes would take most of them for dead or cold.
+// TestMoreNodesThanDescriptors: three data nodes share two descriptors. An idle connection is closed for another data node; while
+// both are in use, a part waits for one to become free. If none does, this must not count as a failure of the data node, which is
+// sent parts again as soon as a descriptor is free. Otherwise a coordinator with fewer descriptors than data nodes would treat
+// most of them as dead or cold.
 func TestMoreNodesThanDescriptors(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const nodes = 3
@@ -89,7 +89,7 @@
 				t.Errorf("query %d was not answered", i)
 			}
 		}
-		// Both descriptors in use for longer than a part may wait for one.
+		// Both descriptors are in use for longer than a part may wait for one.
 		takes.Store(int64(900 * time.Millisecond))
 		done := make(chan bool, 2)
 		for i := range 2 {
@@ -99,14 +99,14 @@
 		ask(2)
 		takes.Store(int64(time.Millisecond))
 		if a, b := <-done, <-done; !a || !b {
-			t.Errorf("what was out was not answered: %v, %v", a, b)
+			t.Errorf("answered of the two queries in flight: %v, %v", a, b)
 		}
 		for i := range 6 {
 			if !ask(2) {
-				t.Errorf("query %d to a data node that was only not asked was not answered", i)
+				t.Errorf("query %d to the data node that had no descriptor was not answered", i)
 			}
 		}
-		// Both in use for less than that: the part goes out as soon as one of them carries nothing.
+		// Both are in use for less than that: the part is sent as soon as one of them is idle.
 		takes.Store(int64(100 * time.Millisecond))
 		for i := range 2 {
 			go func() { done <- ask(i) }()
@@ -115,7 +115,7 @@
 		takes.Store(int64(time.Millisecond))
 		begun := time.Now()
 		if !ask(2) || time.Since(begun) > 100*time.Millisecond {
-			t.Errorf("a part waited %v for a descriptor; one came free after 50 ms", time.Since(begun))
+			t.Errorf("a part waited %v for a descriptor; one became free after 50 ms", time.Since(begun))
 		}
 		<-done
 		<-done
@@ -125,7 +125,7 @@
 		list.ReplaceList(nil, false)
 		time.Sleep(time.Minute)
 		if len(pool.Connections) > 0 || open.Load() > 0 {
-			t.Errorf("%d descriptors and %d connections were not given back", len(pool.Connections), open.Load())
+			t.Errorf("%d descriptors and %d connections were not released", len(pool.Connections), open.Load())
 		}
 		stop()
 	})
--- a/internal/platform/ending_test.go
+++ b/internal/platform/ending_test.go
@@ -14,10 +14,10 @@
 	"gullfall/internal/membership"
 )
 
-// endings are about what is owed at the instants in which something ends, over loopback connections. Each scenario holds the
-// instant, so that the bad order comes every time; docs/design/ending.md names them beside the paths.
+// endings test races at the end of queries and connections, over loopback connections. Each scenario forces the unfavourable
+// order of events; docs/design/ending.md lists them beside the code paths.
 var endings = []scenario{
-	// A close over unread bytes resets the connection: the client that still sends would lose its answer.
+	// Closing a connection with unread bytes resets it: a client that still sends would lose its answer.
 	{"bytes come in with the last answer", "n1", `
 		c1 send query q1 2000 0
 		n1 expect Q q1.0
@@ -32,67 +32,67 @@
 		c1 send raw "nonsense\r\n\r\n"
 		c1 expect 400 close
 		c1 expect end`},
-	// What comes in after the shutdown is not begun, and the client is not reset.
+	// A request that arrives after CloseWrite is not started, and the connection is not reset.
 	{"a request comes in as its idle connection is shut", "n1", `
 		c1 send raw "GET /up HTTP/1.1\r\n\r\n"
 		c1 expect 200
-		c1 at-shut send query q1 2000 0
-		s1 send rest
+		c1 at-close-write send query q1 2000 0
+		s1 send close-idle
 		c1 expect end
 		n1 expect -`},
-	// What was read before is answered, whoever wants the connection closed.
+	// A request that was already read is answered, even if the connection is being closed or evicted.
 	{"a request was read in the moment its connection is to be shut", "n1", `
 		c1 send raw "GET /up HTTP/1.1\r\n\r\n"
 		c1 expect 200
 		wait 20ms
-		c1 at-read rest
+		c1 at-read close-idle
 		c1 send query q1 2000 0
 		n1 expect Q q1.0
 		n1 send A q1.0 ok v
 		c1 expect 200 close
 		c1 expect end`},
-	{"a request was read in the moment its connection is to make room", "n1 most=1", `
+	{"a request was read in the moment its connection is to make room", "n1 maxconns=1", `
 		c1 send raw ""
 		wait 260ms
-		c1 at-read crowd
+		c1 at-read new-conn
 		c1 send query q1 2000 0
 		n1 expect Q q1.0
 		n1 send A q1.0 ok v
 		c1 expect 200`},
-	{"a request in pieces whose connection is to make room", "n1 most=1", `
+	{"a request in pieces whose connection is to make room", "n1 maxconns=1", `
 		c1 send raw "POST /report HTTP/1.1\r\n"
 		wait 1050ms
-		c1 at-read crowd
+		c1 at-read new-conn
 		c1 send raw "Content-Length: 5\r\n"
 		c1 expect 408 close
 		c1 expect end`},
-	// Requests that were sent ahead are read already: each gets its answer before the connection ends.
+	// Pipelined requests have already been read: each is answered before the connection ends.
 	{"pipelined requests as it drains", "n1", `
-		c1 send both q1 2000 q2 2000 2
+		c1 send pipelined q1 2000 q2 2000 2
 		n1 expect Q q1.0
 		s1 send drain
-		s1 send rest
+		s1 send close-idle
 		n1 send A q1.0 ok v
 		c1 expect 200 {"complete":true,"hits":[{"shard":0,"doc":"v"}]}
 		n1 expect Q q2.2
 		n1 send A q2.2 ok w
 		c1 expect 200 close {"complete":true,"hits":[{"shard":2,"doc":"w"}]}
 		c1 expect end`},
-	// The time of a request that was sent ahead runs from when it came in, not from its turn.
+	// The deadline of a pipelined request counts from its arrival, not from when its execution starts.
 	{"a pipelined request's time", "n1", `
-		c1 send both q1 2000 q2 300 2
+		c1 send pipelined q1 2000 q2 300 2
 		n1 expect Q q1.0
 		wait 350ms
 		n1 send A q1.0 ok v
 		c1 expect 200
 		c1 expect 400
 		n1 expect -`},
-	// The end of a connection is behind what was sent ahead: it must be seen all the same.
+	// A disconnect must be detected even behind pipelined data.
 	{"a client that leaves with a request sent ahead", "n1", `
-		c1 send both q1 2000 q2 2000 2
+		c1 send pipelined q1 2000 q2 2000 2
 		n1 expect Q q1.0
 		c1 close
-		n1 find X q1.0
+		n1 expect-now X q1.0
 		n1 expect -`},
 	{"a client that floods its connection", "n1", `
 		c1 send query q1 2000 0
@@ -101,7 +101,7 @@
 		c1 expect 400 close
 		n1 expect X q1.0
 		n1 expect -`},
-	// A client that closed its sending side can't be told from one that left; it gets an answer and nothing is begun for it.
+	// A half-close can't be distinguished from a disconnect: the client gets a response, and its query is cancelled or not started.
 	{"a half-close that waits for the answer", "n1", `
 		c1 send query q1 2000 0
 		n1 expect Q q1.0
@@ -116,7 +116,7 @@
 		c1 expect 500 close
 		n1 release
 		n1 expect -`},
-	// A part that waits for a connection is looked at again as its frame is written.
+	// A part that waits for a connection is checked again when its frame is written.
 	{"a client leaves while its part waits for a connection", "n1", `
 		n1 hold
 		c1 send query q1 2000 0
@@ -166,7 +166,7 @@
 		c1 expect 503 after {"error":"refused"}
 		n1 release
 		n1 expect -`},
-	// A connection that comes up late is kept for the parts that come next: none is opened anew while n1 is held again.
+	// A connection that is established late is kept for later parts: no new one is opened while dials to n1 are held again.
 	{"a connection that comes up late serves the next part", "n1", `
 		n1 hold
 		c1 send query q1 700 0
@@ -182,7 +182,7 @@
 		n1 send A q2.0 ok v
 		c2 expect 200
 		n1 release`},
-	// A list may be indented, and come as a body of a length.
+	// A list may be indented over several lines.
 	{"an indented list", "n1 n2", `
 		d1 expect GET /discovery/hosts?watch=1&after=41
 		d1 send indented {"version":42,"full":true,"servers":[{"id":"n2","addr":"n2","cell":1,"state":"SERVING"}]}
@@ -194,7 +194,7 @@
 		n2 expect Q q2.1
 		n2 send A q2.1 ok v
 		c2 expect 200`},
-	// An agent that is silent from a process's first moment may know of drains: the remembered list holds for a while only.
+	// An agent that is silent since the process started may know of drains: the cached list is used only for a limited time.
 	{"a remembered list that discovery does not confirm", "n1 confirm=200", `
 		d1 expect GET /discovery/hosts?watch=1&after=41
 		c1 send query q1 2000 0
@@ -219,10 +219,10 @@
 		n1 expect Q q2.0
 		n1 send A q2.0 ok v
 		c1 expect 200`},
-	// Where nothing has changed since the version that is remembered, a blank line is all that comes.
+	// If nothing has changed since the cached version, discovery sends only a blank line.
 	{"a remembered list that a blank line confirms", "n1 confirm=200", `
 		d1 expect GET /discovery/hosts?watch=1&after=41
-		d1 send line
+		d1 send blank-line
 		wait 210ms
 		c1 send query q1 2000 0
 		n1 expect Q q1.0
@@ -233,7 +233,7 @@
 		wait 210ms
 		c1 send query q1 2000 0
 		c1 expect 503 after {"error":"refused"}
-		d1 send line
+		d1 send blank-line
 		wait 10ms
 		c1 send query q2 2000 0
 		n1 expect Q q2.0
@@ -241,8 +241,7 @@
 		c1 expect 200`},
 }
 
-// TestLateAnswer: where the program comes to a query only after its time, the client still gets its answer: late is better
-// than never.
+// TestLateAnswer: a query that is processed only after its deadline must still be answered, not dropped silently.
 func TestLateAnswer(t *testing.T) {
 	log := slog.New(slog.DiscardHandler)
 	set := aggregator.Settings{Aggregators: 1, Tick: 5 * time.Millisecond, ShardSets: 1, Shards: 1, Reach: 1,
@@ -267,7 +266,7 @@
 	}
 }
 
-// TestEndings plays scenarios in real time.
+// TestEndings runs scenarios over loopback connections, in real time.
 func TestEndings(t *testing.T) {
 	for _, s := range endings {
 		t.Run(s.name, func(t *testing.T) {
--- a/internal/platform/formats_test.go
+++ b/internal/platform/formats_test.go
@@ -18,9 +18,9 @@
 	"gullfall/internal/membership"
 )
 
-// TestFrameForms records what is written to a data node that never answers (a call of two parts of a keyed class,
-// and what gives the parts up), and compares it with what earlier versions wrote. Time is virtual, so that the time left
-// that a frame tells is the same each time.
+// TestFrameForms compares the frames written to a data node that never answers (a call of two parts of a keyed class, and the
+// cancels of these parts) with those of earlier versions. It uses virtual time, so that the time left in the call is the same
+// in each run.
 func TestFrameForms(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var mu sync.Mutex
@@ -56,7 +56,7 @@
 	})
 }
 
-// startFrameCoordinator runs a coordinator before one data node whose connections come by dial.
+// startFrameCoordinator runs a coordinator with one data node whose connections are opened by dial.
 func startFrameCoordinator(t *testing.T, dial func(context.Context, string) (net.Conn, error)) *coordinator.Coordinator {
 	t.Helper()
 	log := slog.New(slog.DiscardHandler)
@@ -82,7 +82,7 @@
 	return k
 }
 
-// TestRemembersEarlierList reads a list of data nodes as an earlier version kept it, and keeps it in the same form.
+// TestRemembersEarlierList restores a list of data nodes that an earlier version stored, and stores it again unchanged.
 func TestRemembersEarlierList(t *testing.T) {
 	known, err := os.ReadFile("testdata/remembered.json")
 	if err != nil {
--- a/internal/platform/frame_test.go
+++ b/internal/platform/frame_test.go
@@ -30,7 +30,7 @@
 		}
 	}
 	if !isEmpty(beginFrame(letterCall)) || isEmpty(call) {
-		t.Error("a call is empty as long as it has no part")
+		t.Error("isEmpty must be true exactly for a call without parts")
 	}
 }
 
@@ -49,20 +49,20 @@
 		{"answers to checks", frameOf("L{\"util\":0.5,\"name\":\"a\"}") + frameOf("Lerr") + frameOf("Pok"), []receivedFrame{
 			{"", coordinator.OK, nil, map[string]float64{"util": 0.5}}, {"", coordinator.Errored, nil, map[string]float64{}},
 			{"", coordinator.OK, nil, map[string]float64{}}}, io.EOF},
-		{"cut in its head", answer[:3], nil, io.EOF},
-		{"cut in its value", answer[:len(answer)-1], nil, io.ErrUnexpectedEOF},
-		{"letter that data nodes don't send", frameOf("Qq.3"), nil, errCorrupt},
+		{"truncated in its header", answer[:3], nil, io.EOF},
+		{"truncated in its value", answer[:len(answer)-1], nil, io.ErrUnexpectedEOF},
+		{"type that data nodes don't send", frameOf("Qq.3"), nil, errCorrupt},
 		{"length zero", "\x00\x00\x00\x00A", nil, errCorrupt},
-		{"too long", "\xff\xff\xff\x7fA", nil, errCorrupt},
-		{"load report that is too long", frameOf("L" + strings.Repeat("x", maxFrameLine+1)), nil, errCorrupt},
+		{"length over the limit", "\xff\xff\xff\x7fA", nil, errCorrupt},
+		{"load report over the limit", frameOf("L" + strings.Repeat("x", maxFrameLine+1)), nil, errCorrupt},
 		{"data node reports an error", frameOf("Ewhat was that"), nil, errCorrupt},
-		{"id that is not expected", frameOf("Aother ok 0 -\nvalue"), nil, errCorrupt},
-		{"outcome that is not known", frameOf("Aq.3 fine 0 -\nvalue"), nil, errCorrupt},
-		{"line that is too short", frameOf("Aq.3 ok 0\nvalue"), nil, errCorrupt},
-		{"line without an end", frameOf("A" + strings.Repeat("x", maxFrameLine+1)), nil, errCorrupt},
+		{"unexpected id", frameOf("Aother ok 0 -\nvalue"), nil, errCorrupt},
+		{"unknown outcome", frameOf("Aq.3 fine 0 -\nvalue"), nil, errCorrupt},
+		{"answer line with words missing", frameOf("Aq.3 ok 0\nvalue"), nil, errCorrupt},
+		{"unterminated line", frameOf("A" + strings.Repeat("x", maxFrameLine+1)), nil, errCorrupt},
 		{"line longer than the frame", frameOf("Aq.3 ok") + " 0 -\n", nil, errCorrupt},
 		{"control character in the value", frameOf("Aq.3 ok 0 -\na\x00b"), nil, errCorrupt},
-		{"length that cuts the value", frameOf("Aq.3 ok 0 -\nval") + "ue of the answer", nil, errCorrupt},
+		{"length that truncates the value", frameOf("Aq.3 ok 0 -\nval") + "ue of the answer", nil, errCorrupt},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			r := newFrameReader(strings.NewReader(c.in), func(id string) bool { return id == "q.3" })
--- a/internal/platform/hookedconn_test.go
+++ b/internal/platform/hookedconn_test.go
@@ -7,7 +7,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// hookedConn is the program's end of a client's connection.
+// hookedConn is the server's end of a client connection. It runs the client's hooks at its reads, writes and CloseWrite.
 type hookedConn struct {
 	net.Conn
 	client *actor
@@ -32,19 +32,19 @@
 	if !ok {
 		return errors.ErrUnsupported
 	}
-	h.client.fire("at-shut")
+	h.client.fire("at-close-write")
 	return half.CloseWrite()
 }
 
-// Close tells of a close over bytes that were not read: it resets the connection, and what was written may go with it.
+// Close reports an error if unread bytes remain: such a close resets the connection and may discard what was written.
 func (h *hookedConn) Close() error {
 	if unread := unread(h.Conn); unread > 0 {
-		h.client.complain("%s: its connection was closed over %d unread bytes", h.client.name, unread)
+		h.client.complain("%s: connection closed with %d unread bytes", h.client.name, unread)
 	}
 	return h.Conn.Close()
 }
 
-// unread is how many bytes have come in on a connection that nobody has read; 0 where it can't be told.
+// unread returns the number of received bytes that have not been read; 0 if it can't be determined.
 func unread(nc net.Conn) (n int) {
 	tcp, ok := nc.(*net.TCPConn)
 	if !ok {
--- a/internal/platform/httpresponse_test.go
+++ b/internal/platform/httpresponse_test.go
@@ -7,7 +7,7 @@
 	"gullfall/internal/coordinator"
 )
 
-// TestAnswerBody: documents go to clients as they came or not at all; JSON would change what is no text.
+// TestAnswerBody: documents are passed to clients unchanged or not at all; JSON would alter invalid UTF-8.
 func TestAnswerBody(t *testing.T) {
 	for doc, fit := range map[string]bool{"d\u00e9j\u00e0 \"vu\"\n": true, "\xff\xfe": false} {
 		body, err := answerBody(coordinator.Answer{Complete: true, Values: []coordinator.PartValue{{Shard: 1, Docs: [][]byte{[]byte(doc)}}}})
--- a/internal/platform/keyed_test.go
+++ b/internal/platform/keyed_test.go
@@ -14,9 +14,9 @@
 	"gullfall/internal/membership"
 )
 
-// TestKeyedRepeatIsNotLate: the holders drop a repeat for 300 ms from the first attempt that may have run. The second
-// data node's connection takes longer than what is left of that: nothing is written to it. A connection that is quick
-// enough gets the repeat, and so does a late one in a class that may be repeated freely.
+// TestKeyedRepeatIsNotLate: data nodes recognize duplicates of a keyed part for 300 ms after the first attempt that may have run. If
+// the connection for the retry takes longer than what is left of that window, the retry must not be sent, since it could run
+// twice. It is sent on a connection that is fast enough, and at any time in a class whose parts are safe to repeat.
 func TestKeyedRepeatIsNotLate(t *testing.T) {
 	for _, c := range []struct {
 		name   string
@@ -24,9 +24,9 @@
 		dial   time.Duration
 		want   int32
 	}{
-		{"keyed, too late", aggregator.Keyed, 220 * time.Millisecond, 1},
-		{"keyed, in time", aggregator.Keyed, 50 * time.Millisecond, 2},
-		{"safe, as late", aggregator.Safe, 220 * time.Millisecond, 2},
+		{"keyed, after the window", aggregator.Keyed, 220 * time.Millisecond, 1},
+		{"keyed, within the window", aggregator.Keyed, 50 * time.Millisecond, 2},
+		{"safe, after the window", aggregator.Safe, 220 * time.Millisecond, 2},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
--- a/internal/platform/listener_test.go
+++ b/internal/platform/listener_test.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// TestErrorReachesSender: a client that is still sending its 60 MB reads its error, not a reset, and little of what
-// it sends is taken in.
+// TestErrorReachesSender: a client that is still sending a body of 60 MB must receive the error response instead of a reset, and
+// the server must not read the whole body.
 func TestErrorReachesSender(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -36,7 +36,7 @@
 		}
 		nc.Close()
 		if n := <-sent; n >= 60_000_000 {
-			t.Errorf("%d bytes were taken in", n)
+			t.Errorf("the server accepted %d bytes", n)
 		}
 	}
 	clients.Wait()
--- a/internal/platform/nodeconn_test.go
+++ b/internal/platform/nodeconn_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// TestCloseIdleSparesProbes: closing idle connections must not cut a probe that is still waited for, which would
-// look like a reset; one that has timed out holds nothing.
+// TestCloseIdleSparesProbes: closing idle connections must not close one with a pending probe, which would then be reported as
+// reset. A probe that has timed out does not keep its connection open.
 func TestCloseIdleSparesProbes(t *testing.T) {
 	for _, done := range []bool{false, true} {
 		l := &nodePool{}
@@ -19,8 +19,8 @@
 	}
 }
 
-// TestSpareConnections: a second connection to a data node is closed soon after its use, unless the first can't be
-// used; with churn and give-ups they took all descriptors.
+// TestSpareConnections: a second connection to a data node has a short idle timeout, unless the first one is unresponsive. With
+// the full timeout, membership changes and cancelled attempts left enough extra connections open to exhaust the descriptors.
 func TestSpareConnections(t *testing.T) {
 	l := &nodePool{ConnPool: &ConnPool{IdleTimeout: 8 * time.Second}}
 	first, second := &nodeConn{pool: l}, &nodeConn{pool: l}
@@ -29,7 +29,7 @@
 		first.unresponsive = silent
 		want := map[bool]time.Duration{false: 2 * time.Second, true: 7 * time.Second}[silent]
 		if got := second.idleDeadline().Sub(second.lastUsed); got != want {
-			t.Errorf("first silent: %v; the second is kept for %v", silent, got)
+			t.Errorf("first unresponsive: %v; the second is kept for %v", silent, got)
 		}
 		if got := first.idleDeadline().Sub(first.lastUsed); got != 7*time.Second {
 			t.Errorf("the first is kept for %v", got)
--- a/internal/platform/pagecodec_test.go
+++ b/internal/platform/pagecodec_test.go
@@ -9,7 +9,7 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// TestPages: discovery's messages on a line or indented, and what can't be one, which ends the watch at once.
+// TestPages checks that messages are read whether on one line or indented, and that a malformed one is an error at once.
 func TestPages(t *testing.T) {
 	indented := "{\n  \"version\": 7,\n  \"full\": true,\n  \"servers\": [\n    {\n      \"id\": \"a}\\\"{\"\n    },\n    {\n      \"id\": \"b\"\n    }\n  ]\n}\n"
 	for _, c := range []struct {
@@ -18,13 +18,13 @@
 		entries    int
 		end        error
 	}{
-		{"a line each, blank lines between", "\n{\"version\":1,\"servers\":[{\"id\":\"a\"}]}\n\n{\"version\":2}\n", []int64{1, 2}, 1, io.EOF},
-		{"indented, then a line", indented + "\n{\"version\":8}\n", []int64{7, 8}, 2, io.EOF},
-		{"as the page shows it", "{\"version\":43,\"full\":false,\"servers\":[\r\n {\"id\":\"a\",\"cell\":3}]}\r\n", []int64{43}, 1, io.EOF},
-		{"without its line's end", "{\"version\":3,\"full\":true,\"servers\":[{\"id\":\"a\"}]}", []int64{3}, 1, io.EOF},
-		{"cut within a line", "{\"version\":\n", nil, 0, errCutPage},
-		{"cut between lines, then kept alive", "{\n  \"version\": 7,\n\n\n", nil, 0, errCutPage},
-		{"cut by the end", "{\n  \"version\": 7,\n", nil, 0, io.EOF},
+		{"one message per line, separated by blank lines", "\n{\"version\":1,\"servers\":[{\"id\":\"a\"}]}\n\n{\"version\":2}\n", []int64{1, 2}, 1, io.EOF},
+		{"indented, then on one line", indented + "\n{\"version\":8}\n", []int64{7, 8}, 2, io.EOF},
+		{"broken after a bracket, with CRLF", "{\"version\":43,\"full\":false,\"servers\":[\r\n {\"id\":\"a\",\"cell\":3}]}\r\n", []int64{43}, 1, io.EOF},
+		{"without a final line end", "{\"version\":3,\"full\":true,\"servers\":[{\"id\":\"a\"}]}", []int64{3}, 1, io.EOF},
+		{"truncated within a line", "{\"version\":\n", nil, 0, errCutPage},
+		{"truncated between lines, then blank lines", "{\n  \"version\": 7,\n\n\n", nil, 0, errCutPage},
+		{"truncated by the end of the connection", "{\n  \"version\": 7,\n", nil, 0, io.EOF},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			pages := newPageReader(strings.NewReader(c.text), func() {})
@@ -47,6 +47,6 @@
 	}
 	pages := newPageReader(strings.NewReader("[}\n"), func() {})
 	if p, err := pages.next(); err == nil {
-		t.Errorf("read %+v from what is no object", p)
+		t.Errorf("read %+v from input that is not an object", p)
 	}
 }
--- a/internal/platform/scenario_client_test.go
+++ b/internal/platform/scenario_client_test.go
@@ -1,19 +1,19 @@
 package platform
 
-// clientScenarios are about clients: what they may send, how their connections end and make room, and what they get.
+// clientScenarios test client connections: requests, responses, limits, eviction and closing.
 var clientScenarios = []scenario{
-	// Guards rule 1: what is given up gets its answer at once, and clients are told when to come back.
+	// Rule 1: a query that is given up is answered at once, with a Retry-After header.
 	{"a query without a data node is refused at once", "n1", `
 		c1 send query q1 2000 1
 		wait 20ms
 		c1 expect 503 after {"error":"refused"}`},
-	// Guards against work that nobody waits for.
-	{"a client that leaves has its parts given up", "n1", `
+	// Data nodes must not keep working on parts whose client has left.
+	{"the parts of a client that disconnects are cancelled", "n1", `
 		c1 send query q1 2000 0
 		n1 expect Q q1.0
 		c1 close
 		n1 expect X q1.0`},
-	{"bad input never reaches the coordinator", "n1", `
+	{"invalid requests are rejected", "n1", `
 		c1 send query q1 2000 9
 		c1 expect 400
 		c1 send query q1 0 0
@@ -40,8 +40,8 @@
 		c4 send long
 		c4 expect 431 close
 		n1 expect -`},
-	// Guards the rules on duplicates and lost requests: what could be read in two ways is not passed on.
-	{"ambiguous framing and names", "n1", `
+	// An ambiguous request is rejected: read in two ways, it could be executed twice or lost.
+	{"ambiguous framing and duplicate headers are rejected", "n1", `
 		c1 send raw "POST /report HTTP/1.1\r\nContent-Length: \r\nTransfer-Encoding: chunked\r\n\r\n"
 		c1 expect 400 close
 		c2 send raw "POST /report HTTP/1.1\r\nContent-Length: 2\r\nContent-Length: 2\r\n\r\n{}"
@@ -57,9 +57,9 @@
 		c7 send raw "POST /entry HTTP/1.1\r\nContent-Length: 2\r\nIdempotency-Key: a\r\nIdempotency-Key: b\r\n\r\n{}"
 		c7 expect 400 close
 		n1 expect -`},
-	// Guards the 3 s that a bad client is owed: silence and half a request are ended within 2 s of connecting, however
-	// slowly more comes; on a connection in use each request has 2 s of its own.
-	{"clients that say nothing, or half", "n1", `
+	// A misbehaving client must be closed within 3 s: a connection without a complete request ends 2 s after it was opened, however
+	// slowly more arrives; later requests on it have 2 s each.
+	{"silent clients and incomplete requests time out", "n1", `
 		c1 send raw ""
 		c2 send raw "POST /report HT"
 		c3 send raw "GET /up HTTP/1.1\r\n\r\n"
@@ -78,9 +78,9 @@
 		c3 expect -
 		wait 100ms
 		c3 expect 408 close`},
-	// Guards clients that open a connection for each request and keep it: half of what they may have stays open. Beyond
-	// it one that rested for 2 s goes, or else the one answered.
-	{"kept connections leave room for others", "n1 busy=4", `
+	// Clients that open a connection for each request and keep it may hold half of the limit. Beyond that, a connection that has
+	// been idle for 2 s is closed, or else the one that was just answered.
+	{"kept connections are closed at half of the limit", "n1 activeconns=4", `
 		c1 send raw "GET /up HTTP/1.1\r\n\r\n"
 		c1 expect 200 {}
 		c2 send raw "GET /up HTTP/1.1\r\n\r\n"
@@ -97,12 +97,11 @@
 		c4 expect 200 {}
 		c2 expect end
 		c1 expect -`},
-	// Guards memory and usual clients: two long bodies that don't come on leave no room for a third, but a short one
-	// needs none.
-	{"long bodies that stop coming", "n1", `
-		c1 send part 60000 5000
-		c2 send part 60000 5000
-		c3 send part 60000 5000
+	// Memory for bodies is limited: two stalled long bodies leave no room for a third, but a short one needs no reservation.
+	{"stalled long bodies don't block short ones", "n1", `
+		c1 send partial-body 60000 5000
+		c2 send partial-body 60000 5000
+		c3 send partial-body 60000 5000
 		c3 expect 503 after close
 		c3 expect end
 		c4 send query q1 2000 0
@@ -111,10 +110,10 @@
 		c4 expect 200
 		wait 2s
 		c1 expect 408 close
-		c5 send part 60000 60000
+		c5 send partial-body 60000 60000
 		c5 expect 400`},
-	// Guards usual clients: nine connections may be open; the silent go first, then those that rest.
-	{"idle connections make room for others", "n1", `
+	// Nine connections may be open; connections without a request are evicted first, then idle ones.
+	{"silent and idle connections are evicted for new ones", "n1", `
 		c1 send raw "GET /up HTTP/1.1\r\n\r\n"
 		c1 expect 200
 		wait 10ms
@@ -153,7 +152,7 @@
 		c12 expect 200
 		c4 expect end
 		c5 expect -`},
-	{"a body in chunks", "n1", `
+	{"a chunked body", "n1", `
 		c1 send raw "POST /report HTTP/1.1\r\nReq-Id: a\r\nReq-Owner: club\r\nReq-Deadline-Ms: 900\r\nTransfer-Encoding: chunked\r\n\r\n"
 		c1 send raw "e;x=1\r\n{\"shards\":[{\"s\r\n20\r\nhard\":0,\"weight\":1}],\"q\":\"text\"}\r\n0\r\nTrailer: 1\r\n\r\n"
 		n1 expect Q a.0
@@ -161,7 +160,7 @@
 		c1 expect 200
 		c1 send raw "POST /report HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n"
 		c1 expect 400 close`},
-	// Guards what was taken before and after SIGTERM: answers go out, connections end between requests.
+	// Requests accepted before and after SIGTERM are answered; connections close between requests.
 	{"SIGTERM", "n1", `
 		c1 send query q1 2000 0
 		c2 send raw "GET /up HTTP/1.1\r\n\r\n"
@@ -174,7 +173,7 @@
 		c3 expect 200 close
 		c3 expect end
 		c2 expect -
-		s1 send rest
+		s1 send close-idle
 		c2 expect end
 		c1 expect -
 		n1 send A q1.0 ok v
--- a/internal/platform/scenario_node_test.go
+++ b/internal/platform/scenario_node_test.go
@@ -5,11 +5,11 @@
 	"strings"
 )
 
-// nodeScenarios are about data nodes: what is written to them, what they may send, and how connections break.
+// nodeScenarios test the protocol to data nodes: what is written to them, what they may send, and broken connections.
 var nodeScenarios = []scenario{
-	// Guards the form of a part: a data node that is sent a keyed part without its key turns the whole run away. The key
-	// is the query's, whatever its id; a query of another class has none.
-	{"a keyed part carries its query's key", "n1", `
+	// A data node that is sent a keyed part without its key rejects the whole test run. The key is that of the query, regardless
+	// of the query's id; a query of another class has none.
+	{"a keyed part carries the key of its query", "n1", `
 		c1 send entry q1 2000 0 5c0f6e1a2b3d4c59a8b7c6d5e4f30211
 		n1 expect Q q1.0(k=5c0f6e1a2b3d4c59a8b7c6d5e4f30211)
 		n1 send A q1.0 err
@@ -36,8 +36,8 @@
 		n1 expect Q q2.0
 		n1 send A q2.0 ok w
 		c1 expect 200 {"complete":true,"hits":[{"shard":0,"doc":"w"}]}`},
-	// Guards the rule against twin attempts: a data node reads no further while a connection carries all it may, so a
-	// frame that gives a part up would lie unread while the part is sent elsewhere.
+	// A part must not have two attempts in flight: a data node stops reading while all streams of a connection are in use, so a
+	// cancel frame would stay unread while the part is sent elsewhere.
 	{"one stream of a connection stays free", "n1 streams=2", `
 		c1 send query q1 2000 0
 		n1 expect Q q1.0
@@ -46,13 +46,13 @@
 		n1 expect -
 		c1 close
 		n1 expect X q1.0`},
-	{"a part is given up by closing a connection that is full", "n1 streams=1", `
+	{"a part is cancelled by closing a connection whose streams are all in use", "n1 streams=1", `
 		c1 send query q1 2000 0
 		n1 expect Q q1.0
 		c1 close
 		n1 expect end`},
-	// Guards the rule against twin attempts: the time-out is told before the query ends.
-	{"an attempt that times out is given up at the data node", "n1", `
+	// A part must not have two attempts in flight: the data node is told of the timeout before the query ends.
+	{"an attempt that times out is cancelled at the data node", "n1", `
 		c1 send query q1 3000 0
 		n1 expect Q q1.0
 		wait 1s
@@ -60,8 +60,8 @@
 		c1 expect 503 after {"error":"refused"}
 		n1 send A q1.0 ok late
 		c1 expect -`},
-	// Guards the process: a bad frame costs its connection, and what was out on it is tried again.
-	{"a frame that can't be read ends its connection only", "n1 n2", `
+	// An invalid frame ends only its connection, and the attempts in flight on it are retried.
+	{"an invalid frame ends only its connection", "n1 n2", `
 		c1 send query q1 2000 0,1
 		n1 expect Q q1.0
 		n2 expect Q q1.1
@@ -71,9 +71,8 @@
 		n1 expect Q q1.0
 		n1 send A q1.0 ok v0
 		c1 expect 200`},
-	// Guards values: what comes is the answer to a part that is out, or it ends the connection. An unreadable report
-	// costs the report only.
-	{"what a data node may send", "n1", `
+	// A frame must be the answer to a part in flight; anything else ends the connection. An invalid load report is only ignored.
+	{"only answers to parts in flight are accepted", "n1", `
 		c1 send query q1 2000 0
 		n1 expect Q q1.0
 		n1 send A q1.0 ok v0 util=oops
@@ -90,8 +89,8 @@
 		n1 expect Q q2.0
 		n1 send A q2.0 ok v
 		c1 expect 200 {"complete":true,"hits":[{"shard":0,"doc":"v"}]}`},
-	{"frames that are none", "n1", corruptFrames()},
-	// Guards against resets: the data node's machine closes idle connections after 30 s.
+	{"corrupt frames", "n1", corruptFrames()},
+	// The data node's machine closes idle connections after 30 s; a part sent at that moment would meet a reset.
 	{"an idle connection is closed before the peer does so", "n1", `
 		c1 send query q1 2000 0
 		n1 expect Q q1.0
@@ -101,9 +100,9 @@
 		n1 expect -
 		wait 1s
 		n1 expect end`},
-	// Guards against taking a lost connection for a dead data node: with the second one the query was given up, and all
-	// later ones sent their parts one by one.
-	{"connections that are cut", "n1", `
+	// A lost connection must not count as a dead data node: after a second loss the query failed, and all later queries sent their
+	// parts one by one.
+	{"lost connections are reopened and their parts retried", "n1", `
 		c1 send query q1 2000 0,2
 		n1 expect Q q1.0,q1.2
 		n1 close
@@ -115,7 +114,7 @@
 		c1 expect 200
 		c1 send query q2 2000 0,2
 		n1 expect Q q2.0,q2.2`},
-	{"a data node that ended a connection is reached by a new one", "n1", `
+	{"a data node that closed an idle connection is sent parts on a new one", "n1", `
 		c1 send query q1 2000 0
 		n1 expect Q q1.0
 		n1 send A q1.0 ok v
@@ -125,8 +124,8 @@
 		n1 expect Q q2.0
 		n1 send A q2.0 ok v
 		c1 expect 200`},
-	// Guards the loop: a peer that does not read holds up neither it nor other data nodes.
-	{"a data node that never reads", "m1 n2", `
+	// A peer that does not read must block neither the event loop nor other data nodes.
+	{"a data node that never reads does not block others", "m1 n2", `
 		c1 send query q1 3000 0
 		c2 send query q2 3000 1
 		n2 expect Q q2.1
@@ -134,7 +133,7 @@
 		c2 expect 200
 		wait 1200ms
 		c1 expect 503 after {"error":"refused"}`},
-	{"a connection that never comes up", "h1 n2", `
+	{"a connection that is never established does not block others", "h1 n2", `
 		c1 send query q1 3000 0
 		c2 send query q2 3000 1
 		n2 expect Q q2.1
@@ -142,7 +141,7 @@
 		c2 expect 200
 		wait 1200ms
 		c1 expect 503 after {"error":"refused"}`},
-	{"an ejected data node is probed and comes back", "n1", `
+	{"an ejected data node is probed and readmitted", "n1", `
 		c1 send query q1 3000 0
 		n1 expect Q q1.0
 		n1 send A q1.0 err
@@ -160,22 +159,22 @@
 		c1 expect 200`},
 }
 
-// corruptFrames is a scenario in which each query's first answer is one of those that can't be used. It ends the
-// connection, costs little time, and the next attempt's value is the one that the client gets.
+// corruptFrames returns a script in which the first answer to each query is a corrupt frame. It must end the connection soon, and
+// the client must receive the value of the next attempt.
 func corruptFrames() (script string) {
 	for i, frame := range []string{
-		`\x00\x00\x00\x00`,                                        // no letter
-		`\x00\x00\x00\xc0Aq.0 ok 1 -\nvvvv`,                       // 3 GB
-		`\x10\x00\x00\x00Zq.0 ok 1 -\nvvvv`,                       // another letter
-		`noise noise noise`,                                       // no frame
-		`\x00\x40\x00\x00Aq.0 ok 1 -` + strings.Repeat("x", 2000), // a line that is too long
-		`\x10\x00\x00\x00Aq.0 ok 1 - vvvv`,                        // a line that does not end in its frame
-		`\x10\x00\x00\x00Aq.0 ok\nvvvvvvvv`,                       // a line with words missing
-		`\x0e\x00\x00\x00Aq.0 ok 1 -\nvvvvvv`,                     // a length that is too short
-		`\x20\x00\x00\x00Aq.0 ok 1 -\nvvvv`,                       // too long, with nothing behind
-		`\x15\x00\x00\x00Aq.0 ok 1 -\nvvvv\x10\x00\x00\x00A`,      // and with the next frame in it
-		`\x10\x00\x00\x00Aq.0 ok 1 -\nvv\xff\xfe`,                 // no text
-		`\x0f\x00\x00\x00Lutil=0.5`,                               // no probe is out
+		`\x00\x00\x00\x00`,                                        // no type
+		`\x00\x00\x00\xc0Aq.0 ok 1 -\nvvvv`,                       // length of 3 GB
+		`\x10\x00\x00\x00Zq.0 ok 1 -\nvvvv`,                       // unknown type
+		`noise noise noise`,                                       // not a frame
+		`\x00\x40\x00\x00Aq.0 ok 1 -` + strings.Repeat("x", 2000), // line too long
+		`\x10\x00\x00\x00Aq.0 ok 1 - vvvv`,                        // line not terminated within its frame
+		`\x10\x00\x00\x00Aq.0 ok\nvvvvvvvv`,                       // line with words missing
+		`\x0e\x00\x00\x00Aq.0 ok 1 -\nvvvvvv`,                     // length too short
+		`\x20\x00\x00\x00Aq.0 ok 1 -\nvvvv`,                       // length too long, with nothing after it
+		`\x15\x00\x00\x00Aq.0 ok 1 -\nvvvv\x10\x00\x00\x00A`,      // length too long, with the next frame in the value
+		`\x10\x00\x00\x00Aq.0 ok 1 -\nvv\xff\xfe`,                 // invalid UTF-8
+		`\x0f\x00\x00\x00Lutil=0.5`,                               // no probe is pending
 		`\x05\x00\x00\x00Ewhat`,
 	} {
 		id := fmt.Sprintf("%c", 'a'+i)
--- a/internal/platform/scenario_test.go
+++ b/internal/platform/scenario_test.go
@@ -6,17 +6,22 @@
 	"testing/synctest"
 )
 
-// scenario is a script that is played between clients, data nodes, discovery and the program. A line is an actor, a verb
-// (send, expect, close, wait) and a text. The actors: c1, c2 ... clients; n1, n2 ... data nodes, n1 for the even shards and n2
-// for the odd; m1 a data node for the even shards that takes connections and never reads; h1 one whose connections never come
-// up; d1 discovery; s1 the signals. A data node's connection carries 32 parts, or as many as streams= says; busy= is what
-// clients may have. "expect -" says that nothing has come, find expects what has come already, "expect end" that the
+// scenario is a script that runs the program against scripted clients, data nodes and discovery. Each line is "wait DURATION", or
+// an actor, a verb (send, expect, close ...; see step) and an argument. Actors: c1, c2 ... are clients; n1 is a data node for the
+// even shards and n2 for the odd ones; m1 is a data node for the even shards that accepts connections and never reads; h1 is one
+// whose connections are never established; d1, d2 ... are discovery addresses; s1 sends signals and commands to the program.
+//
+// Options in nodes: streams= is the number of parts per data node connection (32 by default), maxconns= and activeconns= set
+// MaxConns and ActiveConns of the server, confirm= sets the watch's ConfirmTimeout in ms; nocancel=1 and slowstart=1 change the
+// settings.
+//
+// "expect -" checks that no message has arrived, "expect-now" that a message has already arrived, and "expect end" that the
 // connection was closed.
 type scenario struct {
 	name, nodes, script string
 }
 
-// TestScenarios plays scenarios in virtual time.
+// TestScenarios runs scenarios over in-memory pipes, in virtual time.
 func TestScenarios(t *testing.T) {
 	for _, s := range slices.Concat(clientScenarios, nodeScenarios, watchScenarios) {
 		t.Run(s.name, func(t *testing.T) {
--- a/internal/platform/scenario_watch_test.go
+++ b/internal/platform/scenario_watch_test.go
@@ -1,23 +1,23 @@
 package platform
 
-// watchScenarios are about the watch on discovery.
+// watchScenarios test the watch on discovery.
 var watchScenarios = []scenario{
-	{"the watch is opened anew after the last version, and when it falls silent", "n1 n2", `
+	{"the watch resumes after the last version when it ends or becomes silent", "n1 n2", `
 		d1 expect GET /discovery/hosts?watch=1&after=41
 		d1 send page {"version":42,"full":false,"servers":[{"id":"n1","addr":"n1","cell":0,"state":"SERVING","weight":1}]}
 		d1 close
 		wait 300ms
 		d1 expect GET /discovery/hosts?watch=1&after=42
-		d1 send line
+		d1 send blank-line
 		wait 3500ms
-		d1 send line
+		d1 send blank-line
 		wait 3500ms
 		d1 expect -
 		wait 1s
 		d1 expect end
 		wait 300ms
 		d1 expect GET /discovery/hosts?watch=1&after=42`},
-	// Guards the rule on drains: changes hold from when they are told, complete lists too.
+	// Drains must take effect as soon as they are announced, by a change or by a complete list.
 	{"a drain, a bad entry and a complete list are applied at once", "n1 n2", `
 		d1 expect GET /discovery/hosts?watch=1&after=41
 		d1 send page {"version":42,"servers":[7,{"id":"n1","addr":"n1","cell":0,"state":"DRAINING"}]}
@@ -35,8 +35,8 @@
 		n1 send A q3.0 ok v
 		c1 expect 200
 		n2 expect -`},
-	// Guards a reload: the old discovery is heard until the new one has told its whole list, even when the new one comes
-	// up late, and the old one no more from then on.
+	// When a reload changes the address, the old discovery is followed until the new one has sent its complete list, even if the
+	// new one is established late, and not after that.
 	{"the watch moves to another address", "n1 n2", `
 		d1 expect GET /discovery/hosts?watch=1&after=41
 		s1 send move d2
@@ -63,7 +63,7 @@
 		wait 300ms
 		d2 expect GET /discovery/hosts?watch=1&after=7
 		d1 expect -`},
-	{"a second move before the first is through, and an old address that goes first", "n1", `
+	{"a second move before the first has finished, and the old address closes first", "n1", `
 		d1 expect GET /discovery/hosts?watch=1&after=41
 		s1 send move d2
 		d2 expect GET /discovery/hosts?watch=1
@@ -80,7 +80,7 @@
 		n1 expect Q q1.0
 		n1 send A q1.0 ok v
 		c1 expect 200`},
-	{"a list that can't be read costs the watch only", "n1", `
+	{"an invalid list ends only the watch", "n1", `
 		d1 expect GET /discovery/hosts?watch=1&after=41
 		d1 send page {"version":
 		d1 expect end
--- a/internal/platform/scenarioworld_test.go
+++ b/internal/platform/scenarioworld_test.go
@@ -26,22 +26,22 @@
 	"gullfall/internal/membership"
 )
 
-// actor is one party of a scenario.
+// actor is a client, a data node, a discovery address or the signal source of a scenario.
 type actor struct {
 	name   string
-	dials  chan net.Conn // from the program
+	dials  chan net.Conn // connections that the program has opened
 	nc     net.Conn
 	msgs   chan string
-	headed net.Conn
+	headed net.Conn // connection on which the response header was sent
 
 	complain func(format string, args ...any)
 
 	mu    sync.Mutex
-	hooks map[string]func() // by instant, each once
-	gate  chan struct{}     // connections come up once it is closed; nil where they do at once
+	hooks map[string]func() // by the event that runs them, each once
+	gate  chan struct{}     // dials succeed once it is closed; nil: at once
 }
 
-// network is what connects the actors and the program.
+// network is the kind of connection between the actors and the program.
 type network int
 
 const (
@@ -49,7 +49,7 @@
 	loopback                // in real time
 )
 
-// world is the program and the actors of a scenario.
+// world holds the program and the actors of a scenario.
 type world struct {
 	t       *testing.T
 	network network
@@ -59,20 +59,20 @@
 	clients     *Server
 	nodes       *ConnPool
 	watch       *Watch
-	ctx         context.Context // of the program
+	ctx         context.Context // context of the program
 	stop        context.CancelFunc
 	unwatch     context.CancelFunc // ends the watch
-	watching    chan struct{}      // closed once it has ended
-	serving     sync.WaitGroup     // of the connections in crowd
+	watching    chan struct{}      // closed once the watch has ended
+	serving     sync.WaitGroup     // goroutines that serve the connections in crowd
 
-	// mu guards what follows.
+	// mu guards the fields below.
 	mu     sync.Mutex
 	actors map[string]*actor
-	ends   map[string]time.Time // by the query's id, when its client's time is over
-	crowd  []net.Conn           // of clients that only take a place
+	ends   map[string]time.Time // deadlines of queries at the client, by id
+	crowd  []net.Conn           // of clients that only occupy a connection
 }
 
-// settle lets all that can happen now happen.
+// settle waits until the program has processed all input.
 func (w *world) settle() {
 	if w.network == loopback {
 		time.Sleep(3 * time.Millisecond)
@@ -81,7 +81,7 @@
 	synctest.Wait()
 }
 
-// pair is one connection, as its two ends see it.
+// pair returns the two ends of a new connection.
 func (w *world) pair() (ours, theirs net.Conn) {
 	if w.network == pipes {
 		return net.Pipe()
@@ -100,7 +100,7 @@
 	return ours, theirs
 }
 
-// fire runs what is to happen at an instant.
+// fire runs the hook for an event, if one is set, and removes it.
 func (a *actor) fire(instant string) {
 	a.mu.Lock()
 	f := a.hooks[instant]
@@ -111,7 +111,7 @@
 	}
 }
 
-// at notes what is to happen at an instant.
+// at sets the hook for an event.
 func (a *actor) at(instant string, f func()) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -121,7 +121,7 @@
 	a.hooks[instant] = f
 }
 
-// play runs a scenario, and checks that everything is given back at its end.
+// play runs a scenario, and checks at its end that all resources are released.
 func play(t *testing.T, network network, s scenario) {
 	t.Helper()
 	w := newWorld(t, network, s.nodes)
@@ -132,7 +132,7 @@
 	w.end()
 }
 
-// newWorld starts the program between the actors that nodes names; a word with "=" is an option.
+// newWorld starts the program with the data nodes named in nodes; a word with "=" is an option.
 func newWorld(t *testing.T, network network, nodes string) *world {
 	t.Helper()
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
@@ -152,7 +152,7 @@
 	w.watch.Source, w.watch.Log, w.watch.Dial = c.AddSource(membership.Spec{Name: "discovery"}), log, w.dial
 	var list []string
 	confirm := 0
-	options := map[string]*int{"streams": &w.nodes.Streams, "busy": &w.clients.ActiveConns, "most": &w.clients.MaxConns, "confirm": &confirm}
+	options := map[string]*int{"streams": &w.nodes.Streams, "activeconns": &w.clients.ActiveConns, "maxconns": &w.clients.MaxConns, "confirm": &confirm}
 	for _, id := range strings.Fields(nodes) {
 		if key, n, ok := strings.Cut(id, "="); ok {
 			if to := options[key]; to != nil {
@@ -173,7 +173,7 @@
 	return w
 }
 
-// worldSettings are the settings of a scenario.
+// worldSettings returns the settings of a scenario.
 func worldSettings(nodes string) aggregator.Settings {
 	set := aggregator.Settings{Aggregators: 1, Tick: 5 * time.Millisecond, ShardSets: 2, Shards: 4, Reach: 1,
 		Classes: []aggregator.Class{{Name: "report", LatencyObjective: time.Second, Deadline: 3 * time.Second, Priority: 1,
@@ -187,13 +187,13 @@
 	if strings.Contains(nodes, "nocancel=1") {
 		set.Limits.CanCancel = false
 	}
-	if strings.Contains(nodes, "slowstart=1") { // a data node that has just started may be sent next to nothing
+	if strings.Contains(nodes, "slowstart=1") { // a newly started data node may be sent almost nothing
 		set.Rules.OverloadMultiple, set.Rules.OverloadWindow, set.Rules.InitialCapacity, set.Rules.WarmupTime = 2, time.Second, 0.001, time.Minute
 	}
 	return set
 }
 
-// step plays one line of a script.
+// step runs one line of a script.
 func (w *world) step(number int, line string) {
 	w.t.Helper()
 	words := strings.SplitN(line, " ", 3)
@@ -209,14 +209,14 @@
 	switch words[1] {
 	case "send":
 		w.send(a, words[2])
-	case "expect", "find":
+	case "expect", "expect-now":
 		wait := time.Second
-		if words[1] == "find" || words[2] == "-" {
+		if words[1] == "expect-now" || words[2] == "-" {
 			wait = 0
 		}
 		got, want := w.next(a, wait), words[2]
 		if n := len(want); a.name[0] == 'c' && len(got) > n && !strings.Contains(want, "{") {
-			got = strings.TrimSpace(got[:n]) // the status only
+			got = strings.TrimSpace(got[:n]) // compare the status only
 		}
 		if diff := cmp.Diff(want, got); diff != "" {
 			w.t.Errorf("line %d, %s: (-want +got)\n%s", number, line, diff)
@@ -224,7 +224,7 @@
 	case "close":
 		a.nc.Close()
 		a.nc = nil
-		for <-a.msgs != "end" { // what its own reader saw of it
+		for <-a.msgs != "end" { // discard what its reader still received
 		}
 	case "half-close":
 		if err := a.nc.(*net.TCPConn).CloseWrite(); err != nil {
@@ -236,15 +236,15 @@
 		a.mu.Unlock()
 	case "release":
 		close(a.gate)
-	case "at-read", "at-write", "at-shut":
+	case "at-read", "at-write", "at-close-write":
 		a.at(words[1], func() { w.instant(a, words[2]) })
 	default:
 		w.t.Fatalf("line %d: verb %q", number, words[1])
 	}
 }
 
-// end checks that everything is given back, what is kept for connections, clients and data nodes included: with no data node
-// listed and no client left, nothing may go on running.
+// end checks that all resources are released, including those held for connections, clients and data nodes: with no data node
+// listed and no client left, nothing may keep running.
 func (w *world) end() {
 	w.t.Helper()
 	w.unwatch()
@@ -275,7 +275,7 @@
 	}
 	w.settle()
 	if len(w.nodes.Connections) > 0 {
-		w.t.Errorf("%d connections were not given back", len(w.nodes.Connections))
+		w.t.Errorf("%d connections were not released", len(w.nodes.Connections))
 	}
 	if s := w.clients; len(s.conns)+s.active > 0 || s.bodyBytes > 0 {
 		w.t.Errorf("%d client connections, %d of them used, and %d bytes are still held", len(s.conns), s.active, s.bodyBytes)
@@ -286,19 +286,19 @@
 	w.stop()
 }
 
-// givenBack tells whether nothing is held any more.
+// givenBack reports whether all resources are released.
 func (w *world) givenBack() bool {
 	w.clients.mu.Lock()
 	defer w.clients.mu.Unlock()
 	return len(w.nodes.Connections)+len(w.clients.conns)+w.coordinator.OpenCount() == 0
 }
 
-// instant does what happens at a held instant.
+// instant runs the action of a hook.
 func (w *world) instant(a *actor, what string) {
 	switch what {
-	case "rest":
+	case "close-idle":
 		w.clients.CloseIdle()
-	case "crowd": // a new connection needs the place
+	case "new-conn": // a new connection needs room
 		ours, theirs := w.pair()
 		w.mu.Lock()
 		w.crowd = append(w.crowd, ours)
@@ -307,10 +307,11 @@
 		time.Sleep(50 * time.Millisecond)
 	default:
 		w.send(a, strings.TrimPrefix(what, "send "))
-		time.Sleep(20 * time.Millisecond) // it has come in
+		time.Sleep(20 * time.Millisecond) // until the program has received it
 	}
 }
 
+// actor returns the actor of that name, and creates it if needed.
 func (w *world) actor(name string) *actor {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -320,7 +321,7 @@
 	return w.actors[name]
 }
 
-// dial is the network as the program sees it.
+// dial opens connections for the program.
 func (w *world) dial(ctx context.Context, addr string) (net.Conn, error) {
 	if addr[0] == 'h' {
 		<-ctx.Done()
@@ -342,7 +343,7 @@
 	return ours, nil
 }
 
-// accept takes the next connection that the program opened, if there is one and none is in hand.
+// accept takes the next connection that the program has opened, unless the actor already has one.
 func (w *world) accept(a *actor) {
 	if a.nc == nil {
 		select {
@@ -355,7 +356,7 @@
 	}
 }
 
-// next is the next message of an actor, "-" where none comes in time.
+// next returns the next message that an actor receives, "-" if none arrives within wait.
 func (w *world) next(a *actor, wait time.Duration) string {
 	if wait == 0 && w.network == loopback {
 		time.Sleep(50 * time.Millisecond)
@@ -379,7 +380,7 @@
 	}
 }
 
-// read turns what comes into messages.
+// read converts what arrives on a connection to messages.
 func (w *world) read(a *actor, nc net.Conn) {
 	in := textproto.NewReader(bufio.NewReader(nc))
 	for {
@@ -410,7 +411,7 @@
 	}
 }
 
-// checkTimes compares what parts tell of the time that is left with what their clients have left.
+// checkTimes checks that the time left given for parts does not exceed that of their clients by more than 20 ms.
 func (w *world) checkTimes(left map[string]time.Duration) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -421,11 +422,12 @@
 			continue
 		}
 		if most := time.Until(end) + 20*time.Millisecond; told > most {
-			w.t.Errorf("part %s tells of %v that are left; its client waits for %v", id, told, most)
+			w.t.Errorf("part %s has %v left; its client waits for at most %v", id, told, most)
 		}
 	}
 }
 
+// send runs the verb send: it sends a message on the connection of an actor, or a command to the program.
 func (w *world) send(a *actor, text string) {
 	if a.name[0] == 'c' && a.nc == nil {
 		ours, theirs := w.pair()
@@ -442,7 +444,7 @@
 	case words[0] == "move":
 		w.watch.Move(w.ctx, words[1])
 		return
-	case text == "rest":
+	case text == "close-idle":
 		w.clients.CloseIdle()
 		return
 	case words[0] == "raw":
@@ -450,12 +452,12 @@
 		if data, err = strconv.Unquote(strings.TrimPrefix(text, "raw ")); err != nil {
 			w.t.Fatal(err)
 		}
-	case words[0] == "part":
+	case words[0] == "partial-body":
 		n, _ := strconv.Atoi(words[2])
 		data = "POST /report HTTP/1.1\r\nContent-Length: " + words[1] + "\r\n\r\n" + strings.Repeat("x", n)
 	case text == "long":
 		data = "GET /up HTTP/1.1\r\nX: " + strings.Repeat("x", 200_000) + "\r\n\r\n"
-	case words[0] == "both": // two queries in one write
+	case words[0] == "pipelined": // two queries in one write
 		data = w.queryText(strings.SplitN(words[1]+" "+words[2]+" 0", " ", 3), "report") + w.queryText(strings.SplitN(words[3], " ", 3), "report")
 	case words[0] == "query", words[0] == "entry":
 		data = w.queryText(words[1:], words[0])
@@ -467,10 +469,10 @@
 		data = frameOf(fmt.Sprintf("A%s %s 1 util=0.5,odd=x\n%s", words[1], words[2], value))
 	case words[0] == "L":
 		data = frameOf("L" + strings.TrimPrefix(text, "L "))
-	case words[0] == "page", words[0] == "line", words[0] == "indented", words[0] == "restarted":
+	case words[0] == "page", words[0] == "blank-line", words[0] == "indented", words[0] == "restarted":
 		line := strings.TrimSpace(strings.TrimPrefix(text, words[0])) + "\n"
 		switch words[0] {
-		case "line":
+		case "blank-line":
 			line = "\n"
 		case "indented":
 			var out bytes.Buffer
@@ -482,7 +484,7 @@
 			line = fmt.Sprintf(`{"version":42,"servers":[{"id":%q,"addr":%[1]q,"cell":0,"state":"SERVING","started_ms":%d}]}`+"\n",
 				words[1], time.Now().UnixMilli())
 		}
-		if a.headed != a.nc { // the head of the watch's answer, once a connection
+		if a.headed != a.nc { // the response header, once per connection
 			a.headed = a.nc
 			data = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 		}
@@ -493,11 +495,11 @@
 		w.t.Errorf("%s has no connection to send %q on", a.name, text)
 		return
 	}
-	go func() { io.WriteString(nc, data) }() // a pipe takes what is read only
+	go func() { io.WriteString(nc, data) }() // a write to a pipe blocks until it is read
 	w.settle()
 }
 
-// queryText is a query: its id, its time in ms, its shards and maybe its key.
+// queryText returns the request for a query. words are its id, its deadline in ms, its shards and, for an entry, its key.
 func (w *world) queryText(words []string, kind string) string {
 	class, key, shards := "report", "", words[2]
 	if kind == "entry" {
--- a/internal/platform/seed_test.go
+++ b/internal/platform/seed_test.go
@@ -6,5 +6,5 @@
 	_ "pgregory.net/rapid" // registers the flag
 )
 
-// The random histories are the same each time, so that a verdict is; -rapid.seed on the command line tries others.
+// A fixed seed makes the result of the random tests reproducible; -rapid.seed on the command line overrides it.
 func init() { flag.Set("rapid.seed", "20261201") }
--- a/internal/platform/testwire_test.go
+++ b/internal/platform/testwire_test.go
@@ -11,6 +11,8 @@
 	"time"
 )
 
+// readResponse reads an HTTP response. It returns the status, "after" if Retry-After is set, "close" if the connection closes, and
+// the body.
 func readResponse(in *textproto.Reader) (string, error) {
 	line, err := in.ReadLine()
 	if err != nil {
@@ -33,12 +35,13 @@
 	return text + " " + string(body), err
 }
 
+// frameText reads a frame and returns its type and payload; of a call only the ids and keys of the parts.
 func frameText(in *bufio.Reader) (string, error) {
 	text, _, err := frameTimes(in)
 	return text, err
 }
 
-// frameTimes reads a frame, and the time that each part of it tells.
+// frameTimes is like frameText, and also returns the time left that a call gives for each part, by id.
 func frameTimes(in *bufio.Reader) (string, map[string]time.Duration, error) {
 	var size uint32
 	if err := binary.Read(in, binary.LittleEndian, &size); err != nil {
@@ -75,6 +78,7 @@
 	return strings.TrimSpace(text + " " + rest), left, nil
 }
 
+// frameOf returns a frame with the given type and payload.
 func frameOf(body string) string {
 	return string(binary.LittleEndian.AppendUint32(nil, uint32(len(body)))) + body
 }
--- a/internal/platform/watchfleet_test.go
+++ b/internal/platform/watchfleet_test.go
@@ -20,8 +20,8 @@
 	"gullfall/internal/membership"
 )
 
-// overloadedDiscovery lists to one caller at a time. Whoever has waited for longer than patience is cut off, but has taken its
-// turn by then; beyond queue waiting calls, further ones are rejected.
+// overloadedDiscovery sends the list to one caller at a time. A call that has waited for longer than patience is closed without
+// a list, after it has used up its turn; while more than queue calls wait, further ones are rejected.
 type overloadedDiscovery struct {
 	turn           chan struct{}
 	waiting, calls atomic.Int32
@@ -64,15 +64,15 @@
 	}
 	o.served.Add(1)
 	line := `{"version":42,"servers":[]}` + "\n"
-	for err := error(nil); err == nil; time.Sleep(2 * time.Second) { // then nothing changes
+	for err := error(nil); err == nil; time.Sleep(2 * time.Second) { // no further changes
 		_, err = fmt.Fprintf(nc, "%x\r\n%s\r\n", len(line), line)
 		line = "\n"
 	}
 }
 
-// TestListCallsOfAFleet: 80 coordinators that start together, each with the list as it was, all hear of the changes
-// soon, though discovery can't list to all of them within the time that it lets a call wait. If those that are cut off together
-// called again together, none of them would ever be served.
+// TestListCallsOfAFleet: 80 coordinators that start together with a cached list must all receive the changes soon, although
+// discovery can't serve all of them within the time that it lets a call wait. If those that are closed together retried together,
+// they would time out together again and never be served.
 func TestListCallsOfAFleet(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const coordinators, nodes = 80, 60
--- a/internal/platform/watchsilence_test.go
+++ b/internal/platform/watchsilence_test.go
@@ -22,12 +22,12 @@
 	"gullfall/internal/membership"
 )
 
-// silentDiscovery says nothing between two moments: connections come up and stay silent forever, those that were open before
-// too. Half of the data nodes drain in that time; who calls later is told so.
+// silentDiscovery sends nothing from one time until another: connections opened in that period, or open when it begins, stay
+// silent forever. Half of the data nodes start draining in that period; later calls receive the new states.
 type silentDiscovery struct {
 	from, until time.Time
 	nodes       int
-	turn        chan struct{} // a service makes lists one after the other; nil for an agent, which has them
+	turn        chan struct{} // held while a service makes a list, one at a time; nil for an agent, which has the list ready
 }
 
 func (q *silentDiscovery) dial(context.Context, string) (net.Conn, error) {
@@ -36,10 +36,10 @@
 	return ours, nil
 }
 
-// list is a complete list, in which the even data nodes have the state.
+// list returns a complete list in which the even data nodes have the given state.
 func (q *silentDiscovery) list(even string) string {
 	var list []string
-	for i := range 60 { // they make it a long list
+	for i := range 60 { // make the list long
 		list = append(list, fmt.Sprintf(`{"id":"old%d","addr":"old%d","cell":0,"state":"DRAINING"}`, i, i))
 	}
 	for i := range q.nodes {
@@ -77,7 +77,7 @@
 	}
 	for {
 		if before && !time.Now().Before(q.from) {
-			io.Copy(io.Discard, nc) // this watch never brings anything again
+			io.Copy(io.Discard, nc) // this watch stays silent forever
 			return
 		}
 		if _, err := fmt.Fprintf(nc, "%x\r\n%s\r\n", len(line), line); err != nil {
@@ -88,7 +88,7 @@
 	}
 }
 
-// partRecorder notes when data nodes were last sent a part, each of which is answered at once.
+// partRecorder records when each data node was last sent a part. It answers each part at once.
 type partRecorder struct {
 	mu   sync.Mutex
 	last map[string]time.Time
@@ -119,19 +119,19 @@
 	return ours, nil
 }
 
-// silentFleet is a fleet whose discovery falls silent.
+// silentFleet describes a fleet whose discovery becomes silent for a while.
 type silentFleet struct {
-	pushed       bool // discovery is an agent that pushes changes; else a service that is polled
-	coordinators int  // that run
-	others       int  // as the settings have it
+	pushed       bool // discovery is an agent that pushes changes; otherwise a service that is polled
+	coordinators int  // number running
+	others       int  // number of other coordinators in the settings
 	grace        time.Duration
-	phase        time.Duration // from the start to the silence
+	phase        time.Duration // from the start to the beginning of the silence
 	silence      time.Duration
 	seed         uint64
 }
 
-// overdueDrains runs a fleet through a silence. It returns how long after discovery fell silent the last part came at a drained
-// data node, and how many of the others got parts at all.
+// overdueDrains runs a fleet through a silence. It returns how long after the beginning of the silence the last part was sent to a
+// drained data node, and how many of the other data nodes were sent parts.
 func overdueDrains(t *testing.T, fleet silentFleet) (last time.Duration, served int) {
 	t.Helper()
 	const nodes = 4
@@ -186,43 +186,43 @@
 	return last, served
 }
 
-// TestDrainsAfterSilence: a fleet whose discovery fell silent for 5 s hears of the drains in time once it is back: a
-// coordinator calls its own agent again sooner than a service that lists to all coordinators. What is judged is the last frame
-// that a drained data node gets from any coordinator.
+// TestDrainsAfterSilence: after discovery was silent for up to 5 s, coordinators must learn of drains in time. A coordinator
+// retries its own agent sooner than a service that is shared by all coordinators. The test measures the last part that any
+// coordinator sends to a drained data node.
 func TestDrainsAfterSilence(t *testing.T) {
 	for _, c := range []struct {
 		name                 string
 		pushed               bool
-		coordinators, others int // others: as the settings have it
+		coordinators, others int // others: number of other coordinators in the settings
 		grace                time.Duration
 	}{
 		{"pushed, grace 2 s", true, 10, 299, 2 * time.Second},
 		{"pushed, grace 500 ms", true, 4, 3, 500 * time.Millisecond},
-		{"asked, grace 2 s", false, 10, 299, 2 * time.Second},
-		{"asked, grace 500 ms", false, 4, 3, 500 * time.Millisecond},
+		{"polled, grace 2 s", false, 10, 299, 2 * time.Second},
+		{"polled, grace 500 ms", false, 4, 3, 500 * time.Millisecond},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				phase, silence := 2*membership.KeepAliveInterval+50*time.Millisecond, 5*time.Second // the worst moment: a line has just come
+				phase, silence := 2*membership.KeepAliveInterval+50*time.Millisecond, 5*time.Second // worst case: a line has just arrived
 				if !c.pushed {
-					// After the first call of each. It ends before the silence is noticed: a call that meets it may wait, see below.
+					// After the first call of each coordinator. It ends before the silence is noticed: a call made during it may wait, see below.
 					phase, silence = 2*membership.KeepAliveInterval+c.grace/2+150*time.Millisecond, 2500*time.Millisecond
 				}
 				last, served := overdueDrains(t, silentFleet{c.pushed, c.coordinators, c.others, c.grace, phase, silence, 1})
 				if last > membership.NotifiedAfter+c.grace {
-					t.Errorf("a drained data node got a part %v after discovery fell silent; %v are allowed", last, membership.NotifiedAfter+c.grace)
+					t.Errorf("a drained data node was sent a part %v after discovery became silent; %v are allowed", last, membership.NotifiedAfter+c.grace)
 				}
 				if last < silence || served == 0 {
-					t.Errorf("the last part came after %v, %d others were served: nothing was tested", last, served)
+					t.Errorf("last part after %v, %d others served: the test had no effect", last, served)
 				}
 			})
 		})
 	}
 }
 
-// TestDrainsAfterAnySilence: the same for any length of silence. An agent's drains are heard within the grace of its
-// return, or of what counts as told if that is later. A service's are heard within what a call waits and the pause
-// after it, which the settings' clock allows for once a call has failed.
+// TestDrainsAfterAnySilence checks the same for random lengths of silence. Drains announced by an agent must take effect within the
+// grace, counted from its return or from membership.NotifiedAfter, whichever is later. Those of a service must take effect within
+// the timeout of a call and the pause after it, since the settings allow for that once a call has failed.
 func TestDrainsAfterAnySilence(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		pushed := rapid.Bool().Draw(r, "pushed")
@@ -231,12 +231,12 @@
 		phase := time.Duration(rapid.IntRange(2000, 6000).Draw(r, "phase_ms")) * time.Millisecond
 		seed := rapid.Uint64().Draw(r, "seed")
 		bound := max(silence, membership.NotifiedAfter) + grace
-		if calls := (&membership.PollSchedule{}); !pushed && silence > membership.SilenceTimeout-membership.KeepAliveInterval { // a call may have met it
+		if calls := (&membership.PollSchedule{}); !pushed && silence > membership.SilenceTimeout-membership.KeepAliveInterval { // a call may have been made during it
 			bound = max(bound, silence+calls.Timeout()+time.Second+100*time.Millisecond)
 		}
 		synctest.Test(t, func(t *testing.T) {
 			if last, _ := overdueDrains(t, silentFleet{pushed, 3, 2, grace, phase, silence, seed}); last > bound {
-				t.Errorf("a drained data node got a part %v after discovery fell silent; %v are allowed", last, bound)
+				t.Errorf("a drained data node was sent a part %v after discovery became silent; %v are allowed", last, bound)
 			}
 		})
 		if t.Failed() {
