--- a/internal/faults/cuttable_test.go
+++ b/internal/faults/cuttable_test.go
@@ -9,15 +9,15 @@
 // cuttableListener is a listener whose accepted connections can be closed at once.
 type cuttableListener struct {
 	net.Listener
-	narrow bool // use a minimal send buffer, so that a slow reader soon blocks writes; Flight streams have a window for that
-	mu     sync.Mutex
-	open   []net.Conn
+	smallSendBuffer bool // use a minimal send buffer, so that a slow reader soon blocks writes; Flight streams have a window for that
+	mu              sync.Mutex
+	open            []net.Conn
 }
 
 func (l *cuttableListener) Accept() (net.Conn, error) {
 	nc, err := l.Listener.Accept()
 	if err == nil {
-		if l.narrow {
+		if l.smallSendBuffer {
 			nc.(*net.TCPConn).SetWriteBuffer(1)
 		}
 		l.mu.Lock()
--- a/internal/faults/dialgate_test.go
+++ b/internal/faults/dialgate_test.go
@@ -76,13 +76,13 @@
 	}, []string{"rejected", "sent 0"}},
 }
 
-// TestHeldConnections: a part that must no longer be sent when its connection is established is not sent, even if the settings
-// allow no attempt to be cancelled.
-func TestHeldConnections(t *testing.T) {
-	for _, h := range whileDialing {
+// TestNothingSentAfterDelayedDial: a part that must no longer be sent when its connection is established is not sent, even if the
+// settings allow no attempt to be cancelled.
+func TestNothingSentAfterDelayedDial(t *testing.T) {
+	for _, e := range whileDialing {
 		for _, p := range protocols {
 			for _, cancels := range []bool{true, false} {
-				t.Run(fmt.Sprintf("%s/%s/cancels=%v", h.name, p.name, cancels), func(t *testing.T) {
+				t.Run(fmt.Sprintf("%s/%s/cancels=%v", e.name, p.name, cancels), func(t *testing.T) {
 					t.Parallel()
 					set := settings()
 					set.Limits.CanCancel = cancels
@@ -92,13 +92,13 @@
 					defer leave()
 					done := make(chan string, 1)
 					go func() { done <- r.query(ctx, "report", "club", 0) }()
-					r.until("a connection is being opened", func() bool { return g.waiting.Load() > 0 })
-					got := h.play(r, leave, done)
+					r.waitUntil("a connection is being opened", func() bool { return g.waiting.Load() > 0 })
+					got := e.play(r, leave, done)
 					time.Sleep(20 * time.Millisecond) // until the program has noticed the disconnect
 					release()
 					time.Sleep(100 * time.Millisecond)
-					got = append(got, fmt.Sprint("sent ", r.b.startsAt("n1")+r.b.startsAt("n2")))
-					if diff := cmp.Diff(h.want, got); diff != "" {
+					got = append(got, fmt.Sprint("sent ", r.script.startsAt("n1")+r.script.startsAt("n2")))
+					if diff := cmp.Diff(e.want, got); diff != "" {
 						t.Errorf("(-want +got)\n%s", diff)
 					}
 				})
--- a/internal/faults/faults_test.go
+++ b/internal/faults/faults_test.go
@@ -22,67 +22,67 @@
 	play    func(r *rig) []string
 	want    []string
 }{
-	{"served", 0, []string{"ok"}, one("report"), []string{"complete 0/1 1/1"}},
-	{"refused connection", 1, []string{"ok"}, one("report"), []string{"complete 0/1 1/1"}},
-	{"no data node listens", 2, []string{"ok"}, one("report"), []string{"rejected"}},
-	{"overloaded", 0, []string{"busy", "ok"}, one("report"), []string{"complete 0/2 1/2"}},
-	{"error", 0, []string{"0:err", "ok"}, one("report"), []string{"complete 0/2 1/1"}},
+	{"served", 0, []string{"ok"}, twoPartQuery("report"), []string{"complete 0/1 1/1"}},
+	{"refused connection", 1, []string{"ok"}, twoPartQuery("report"), []string{"complete 0/1 1/1"}},
+	{"no data node listens", 2, []string{"ok"}, twoPartQuery("report"), []string{"rejected"}},
+	{"overloaded", 0, []string{"busy", "ok"}, twoPartQuery("report"), []string{"complete 0/2 1/2"}},
+	{"error", 0, []string{"0:err", "ok"}, twoPartQuery("report"), []string{"complete 0/2 1/1"}},
 	// Nothing received before the connection was cut may appear in the answer.
-	{"cut halfway", 0, []string{"0:cut", "ok"}, one("report"), []string{"complete 0/2 1/1"}},
+	{"cut halfway", 0, []string{"0:cut", "ok"}, twoPartQuery("report"), []string{"complete 0/2 1/1"}},
 	// A corrupt answer fails the attempt; the data node counts as alive and stays in use.
-	{"corrupt", 0, []string{"0:corrupt", "ok"}, one("report"), []string{"complete 0/2 1/1"}},
-	{"always cut", 0, []string{"cut"}, one("report"), []string{"rejected"}},
-	{"silent", 0, []string{"0:silent", "0:silent", "0:silent"}, one("report"), []string{"rejected"}},
-	{"silent part of a query that may be answered partially", 0, []string{"0:silent", "0:silent", "0:silent"}, one("board"),
+	{"corrupt", 0, []string{"0:corrupt", "ok"}, twoPartQuery("report"), []string{"complete 0/2 1/1"}},
+	{"always cut", 0, []string{"cut"}, twoPartQuery("report"), []string{"rejected"}},
+	{"silent", 0, []string{"0:silent", "0:silent", "0:silent"}, twoPartQuery("report"), []string{"rejected"}},
+	{"silent part of a query that may be answered partially", 0, []string{"0:silent", "0:silent", "0:silent"}, twoPartQuery("board"),
 		[]string{"partial 1/1"}},
 	{"bad input", 0, []string{"ok"}, func(r *rig) []string {
 		got := []string{r.queryWithin3s("no-class", "club", 0), r.queryWithin3s("report", "nobody", 0),
 			r.queryWithin3s("report", "club", 4), r.queryWithin3s("report", "club", 1, 1), r.queryWithin3s("report", "club")}
-		return append(got, fmt.Sprint("sent ", r.b.startsAt("n1")+r.b.startsAt("n2")))
+		return append(got, fmt.Sprint("sent ", r.script.startsAt("n1")+r.script.startsAt("n2")))
 	}, []string{"bad input", "bad input", "bad input", "bad input", "bad input", "sent 0"}},
 	{"cancelled", 0, []string{"silent"}, func(r *rig) []string {
 		ctx, cancel := context.WithDeadline(context.Background(), time.Now().Add(3*time.Second))
 		done := make(chan string, 1)
 		go func() { done <- r.query(ctx, "report", "club", 0, 1) }()
-		r.until("both parts are in flight", func() bool { return r.b.startsAt("n1")+r.b.startsAt("n2") == 2 })
+		r.waitUntil("both parts are in flight", func() bool { return r.script.startsAt("n1")+r.script.startsAt("n2") == 2 })
 		cancel()
 		got := <-done
-		r.until("both parts are cancelled", func() bool {
-			r.b.mu.Lock()
-			defer r.b.mu.Unlock()
-			return r.b.cancelled == 2
+		r.waitUntil("both parts are cancelled", func() bool {
+			r.script.mu.Lock()
+			defer r.script.mu.Unlock()
+			return r.script.cancelled == 2
 		})
-		r.until("no query or part is open", func() bool { return r.coordinator.OpenCount() == 0 })
+		r.waitUntil("no query or part is open", func() bool { return r.coordinator.OpenCount() == 0 })
 		return []string{got}
 	}, []string{"gone"}},
 	// A part in flight when the drain begins is still answered; nothing new is sent to the data node.
 	{"drain", 0, []string{"hold"}, func(r *rig) []string {
 		done := make(chan string, 1)
 		go func() { done <- r.queryWithin3s("report", "club", 0) }()
-		r.until("the part is in flight", func() bool { return r.b.startsAt("n1")+r.b.startsAt("n2") == 1 })
+		r.waitUntil("the part is in flight", func() bool { return r.script.startsAt("n1")+r.script.startsAt("n2") == 1 })
 		drained := r.nodes[0]
-		if r.b.startsAt("n2") == 1 {
+		if r.script.startsAt("n2") == 1 {
 			drained = r.nodes[1]
 		}
 		drained.State = coordinator.Draining
 		r.list.ApplyChanges([]coordinator.Member{drained})
-		close(r.b.release)
+		close(r.script.release)
 		got := []string{<-done}
 		for range 5 {
 			got = append(got, r.queryWithin3s("report", "club", 1))
 		}
-		return append(got, fmt.Sprint("sent to it ", r.b.startsAt(drained.ID)))
+		return append(got, fmt.Sprint("sent to it ", r.script.startsAt(drained.ID)))
 	}, []string{"complete 0/1", "complete 1/1", "complete 1/1", "complete 1/1", "complete 1/1", "complete 1/1", "sent to it 1"}},
 	// The key of a query is sent with every attempt of each of its parts, retries included; in a class that is not keyed it is
 	// not sent, even if the client provides one.
 	{"keyed", 0, []string{"0:err", "ok"}, func(r *rig) []string {
 		got := []string{r.queryWithin3s("entry#5c0f6e1a", "club", 0, 1), r.queryWithin3s("report#5c0f6e1a", "club", 0)}
-		return append(got, fmt.Sprintf("%q", r.b.keys))
+		return append(got, fmt.Sprintf("%q", r.script.keys))
 	}, []string{"complete 0/2 1/1", "complete 0/2", `["5c0f6e1a" "5c0f6e1a" "5c0f6e1a" "" ""]`}},
 	{"keyed without a key, and with invalid keys", 0, []string{"ok"}, func(r *rig) []string {
 		got := []string{r.queryWithin3s("entry", "club", 0), r.queryWithin3s("entry#a,d=1", "club", 0), r.queryWithin3s("entry#a b", "club", 0),
 			r.queryWithin3s("entry#"+strings.Repeat("k", 129), "club", 0), r.queryWithin3s("entry#"+strings.Repeat("k", 128), "club", 0)}
-		return append(got, fmt.Sprint("sent ", r.b.startsAt("n1")+r.b.startsAt("n2")))
+		return append(got, fmt.Sprint("sent ", r.script.startsAt("n1")+r.script.startsAt("n2")))
 	}, []string{"bad input", "bad input", "bad input", "bad input", "complete 0/1", "sent 1"}},
 	// A data node missing in a complete list is gone.
 	{"missing in a complete list", 0, []string{"ok"}, func(r *rig) []string {
@@ -91,12 +91,12 @@
 		for range 5 {
 			got = append(got, r.queryWithin3s("report", "club", 1))
 		}
-		return append(got, fmt.Sprint("sent to it ", r.b.startsAt("n1")))
+		return append(got, fmt.Sprint("sent to it ", r.script.startsAt("n1")))
 	}, []string{"complete 1/1", "complete 1/1", "complete 1/1", "complete 1/1", "complete 1/1", "sent to it 0"}},
 	{"SIGTERM", 0, []string{"hold"}, func(r *rig) []string {
 		done, ended := make(chan string, 1), make(chan bool)
 		go func() { done <- r.queryWithin3s("report", "club", 0, 1) }()
-		r.until("both parts are in flight", func() bool { return r.b.startsAt("n1")+r.b.startsAt("n2") == 2 })
+		r.waitUntil("both parts are in flight", func() bool { return r.script.startsAt("n1")+r.script.startsAt("n2") == 2 })
 		go func() { r.drain(); close(ended) }()
 		time.Sleep(50 * time.Millisecond)
 		var got []string
@@ -105,15 +105,15 @@
 			got = append(got, "ended with a query open")
 		default:
 		}
-		close(r.b.release)
+		close(r.script.release)
 		got = append(got, <-done)
 		<-ended
 		return append(got, "ended")
 	}, []string{"complete 0/1 1/1", "ended"}},
 }
 
-// one returns a case that sends one query of two parts.
-func one(class string) func(*rig) []string {
+// twoPartQuery returns a case that sends one query of two parts.
+func twoPartQuery(class string) func(*rig) []string {
 	return func(r *rig) []string { return []string{r.queryWithin3s(class, "club", 0, 1)} }
 }
 
@@ -128,10 +128,10 @@
 				if diff := cmp.Diff(f.want, f.play(r)); diff != "" {
 					t.Errorf("(-want +got)\n%s", diff)
 				}
-				r.b.mu.Lock()
-				defer r.b.mu.Unlock()
-				if r.b.overlaps > 0 {
-					t.Errorf("%d attempts began while another one of the same part was in flight", r.b.overlaps)
+				r.script.mu.Lock()
+				defer r.script.mu.Unlock()
+				if r.script.overlaps > 0 {
+					t.Errorf("%d attempts began while another one of the same part was in flight", r.script.overlaps)
 				}
 				if r.coordinator.OpenCount() > 0 {
 					t.Errorf("%d queries and parts are still open", r.coordinator.OpenCount())
@@ -148,10 +148,10 @@
 		t.Run(p.name, func(t *testing.T) {
 			t.Parallel()
 			r := newRig(t, p, 0, "ok")
-			r.b.fill = strings.Repeat(" ", p.fillBytes)
+			r.script.fill = strings.Repeat(" ", p.fillBytes)
 			end := time.Now().Add(time.Second)
 			p.readSlowly(t, r.addr, end)
-			r.until("the parts are in flight", func() bool { return r.b.startsAt("n1")+r.b.startsAt("n2") == 4 })
+			r.waitUntil("the parts are in flight", func() bool { return r.script.startsAt("n1")+r.script.startsAt("n2") == 4 })
 			if got := r.queryWithin3s("report", "club", 0); !strings.HasPrefix(got, "complete 0/1") {
 				t.Errorf("other client: got %.40q", got)
 			}
--- a/internal/faults/harness_test.go
+++ b/internal/faults/harness_test.go
@@ -35,12 +35,12 @@
 	{"platform to flight", startFlightNode, dispatchFlight, serveHTTP, readHTTPSlowly, 15_000},
 	{"flight to platform", startFrameNode, dispatchFrames, serveFlight, readFlightSlowly, 60_000},
 	// DoExchange, to data nodes and from clients.
-	{"flight calls", startCallNode, dispatchFlight, serveFlight, readFlightSlowly, 200_000},
-	{"exchange", startCallNode, dispatchFlight, serveExchange, readFlightSlowly, 200_000},
+	{"flight calls", startExchangeNode, dispatchFlight, serveFlight, readFlightSlowly, 200_000},
+	{"exchange", startExchangeNode, dispatchFlight, serveExchange, readFlightSlowly, 200_000},
 	{"exchange to platform", startFrameNode, dispatchFrames, serveExchange, readFlightSlowly, 60_000},
 }
 
-var quiet = slog.New(slog.NewTextHandler(io.Discard, nil))
+var discardLog = slog.New(slog.NewTextHandler(io.Discard, nil))
 
 // queryFunc sends a query of a class, given as "class#key" for a query with an idempotency key. It returns the outcome: a
 // result with its documents, "rejected", "failed", "bad input", "gone" (the client disconnected), "lost" (the connection was lost)
@@ -146,7 +146,7 @@
 // rig is a coordinator with stand-in clients and data nodes, on loopback sockets.
 type rig struct {
 	t           *testing.T
-	b           *nodeScript
+	script      *nodeScript
 	list        *coordinator.Source
 	query       queryFunc
 	drain       func()
@@ -192,7 +192,7 @@
 	t.Cleanup(stop)
 	go c.Run(ctx)
 	c.RegisterDispatcher("", p.dispatcher(c))
-	r := &rig{t: t, b: b, coordinator: c, list: c.AddSource(membership.Spec{Name: "list"})}
+	r := &rig{t: t, script: b, coordinator: c, list: c.AddSource(membership.Spec{Name: "list"})}
 	for i := range 2 {
 		name := fmt.Sprintf("n%d", i+1)
 		ln := listen(t)
@@ -226,12 +226,12 @@
 	return r.query(ctx, class, owner, shards...)
 }
 
-// until waits until a condition is met, and fails the test after 10 s.
-func (r *rig) until(what string, met func() bool) {
+// waitUntil waits until a condition is met, and fails the test after 10 s.
+func (r *rig) waitUntil(condition string, met func() bool) {
 	r.t.Helper()
 	for end := time.Now().Add(10 * time.Second); !met(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			r.t.Errorf("condition not met within 10 s: %s", what)
+			r.t.Errorf("condition not met within 10 s: %s", condition)
 			return
 		}
 	}
--- a/internal/faults/standins_flight_test.go
+++ b/internal/faults/standins_flight_test.go
@@ -29,13 +29,13 @@
 )
 
 func dispatchFlight(c *coordinator.Coordinator) coordinator.Dispatcher {
-	return (&flight.Nodes{Coordinator: c, Log: quiet, Dial: dial, Streams: 32, Connect: 250 * time.Millisecond,
+	return (&flight.Nodes{Coordinator: c, Log: discardLog, Dial: dial, Streams: 32, Connect: 250 * time.Millisecond,
 		Connections: make(chan struct{}, 64)}).Dispatch
 }
 
 // newFlightServer returns a Flight server whose only limit is memory.
 func newFlightServer(c *coordinator.Coordinator) *flight.Server {
-	server, err := flight.New(flight.Options{Coordinator: c, Log: quiet, Memory: 16 << 20})
+	server, err := flight.New(flight.Options{Coordinator: c, Log: discardLog, Memory: 16 << 20})
 	if err != nil {
 		panic(err) // the options are valid
 	}
@@ -63,7 +63,7 @@
 	if err := json.Unmarshal(t.Ticket, &ticket); err != nil {
 		return status.Error(codes.InvalidArgument, err.Error())
 	}
-	number, act := s.b.start(s.name, ticket.ID, ticket.Key)
+	number, action := s.b.start(s.name, ticket.ID, ticket.Key)
 	end := s.b.end
 	defer func() { end(number) }()
 	b := array.NewRecordBuilder(memory.DefaultAllocator, flight.Schema)
@@ -74,7 +74,7 @@
 		defer w.Close()
 		return w.WriteWithAppMetadata(b.NewRecordBatch(), []byte(`{"load":{"util":0.5}}`))
 	}
-	switch act {
+	switch action {
 	case "busy":
 		return status.Error(codes.ResourceExhausted, "busy")
 	case "err":
@@ -98,25 +98,25 @@
 	return send(s.b.doc(ticket.ID))
 }
 
-// callNode is a Flight data node that answers all parts of a call on one DoExchange stream.
-type callNode struct{ flightNode }
+// exchangeNode is a Flight data node that answers all parts of a call on one DoExchange stream.
+type exchangeNode struct{ flightNode }
 
-func startCallNode(ln net.Listener, b *nodeScript, name string) (stop func()) {
+func startExchangeNode(ln net.Listener, b *nodeScript, name string) (stop func()) {
 	s := grpc.NewServer()
 	l := &cuttableListener{Listener: ln}
-	arrowflight.RegisterFlightServiceServer(s, &callNode{flightNode{l: l, b: b, name: name}})
+	arrowflight.RegisterFlightServiceServer(s, &exchangeNode{flightNode{l: l, b: b, name: name}})
 	go s.Serve(l)
 	return s.Stop
 }
 
-func (s *callNode) DoExchange(stream arrowflight.FlightService_DoExchangeServer) error {
+func (s *exchangeNode) DoExchange(stream arrowflight.FlightService_DoExchangeServer) error {
 	running := runningParts{numbers: map[string]int{}}
 	defer running.settleAll(s.b.cancel)
-	var writing sync.Mutex
+	var writeMu sync.Mutex
 	w := arrowflight.NewRecordWriter(stream, ipc.WithSchema(flight.Schema))
-	tell := func(shard int, doc string, m flight.PartResponse) {
-		writing.Lock()
-		defer writing.Unlock()
+	writeResponse := func(shard int, doc string, m flight.PartResponse) {
+		writeMu.Lock()
+		defer writeMu.Unlock()
 		b := array.NewRecordBuilder(memory.DefaultAllocator, flight.Schema)
 		defer b.Release()
 		if doc != "" {
@@ -129,29 +129,29 @@
 	for {
 		m, err := stream.Recv()
 		if errors.Is(err, io.EOF) {
-			writing.Lock()
-			defer writing.Unlock()
+			writeMu.Lock()
+			defer writeMu.Unlock()
 			return w.Close()
 		} else if err != nil {
 			return err
 		}
-		var ask flight.CallRequest
-		if err := json.Unmarshal(m.GetAppMetadata(), &ask); err != nil {
+		var request flight.CallRequest
+		if err := json.Unmarshal(m.GetAppMetadata(), &request); err != nil {
 			return status.Error(codes.InvalidArgument, err.Error())
 		}
-		if ask.Cancel != "" {
-			running.settle(ask.Cancel, s.b.cancel)
+		if request.Cancel != "" {
+			running.settle(request.Cancel, s.b.cancel)
 		}
-		for _, p := range ask.Parts {
-			number, act := s.b.start(s.name, p.ID, p.Key)
+		for _, p := range request.Parts {
+			number, action := s.b.start(s.name, p.ID, p.Key)
 			running.add(p.ID, number)
 			answer := func(m flight.PartResponse, doc string) {
 				if running.settle(p.ID, s.b.end) {
 					m.ID = p.ID
-					tell(p.Shard, doc, m)
+					writeResponse(p.Shard, doc, m)
 				}
 			}
-			switch act {
+			switch action {
 			case "ok":
 				answer(flight.PartResponse{Last: true, Load: map[string]float64{"util": 0.5}}, s.b.doc(p.ID))
 			case "busy":
@@ -165,10 +165,10 @@
 				}()
 			case "corrupt":
 				running.settle(p.ID, s.b.end)
-				tell(p.Shard+100, s.b.doc(p.ID), flight.PartResponse{ID: p.ID, Last: true})
+				writeResponse(p.Shard+100, s.b.doc(p.ID), flight.PartResponse{ID: p.ID, Last: true})
 			case "cut":
 				go func() {
-					tell(p.Shard, "half", flight.PartResponse{ID: p.ID})
+					writeResponse(p.Shard, "half", flight.PartResponse{ID: p.ID})
 					time.Sleep(cutAfter)
 					s.b.connsCut(s.name)
 					s.l.cut()
@@ -219,8 +219,8 @@
 		if err != nil {
 			return "lost"
 		}
-		question := append(fmt.Appendf(nil, `{"id":"q","deadline_ms":%d,`, max(1, time.Until(end).Milliseconds())), ticket(class, owner, shards...)[1:]...)
-		stream.Send(&arrowflight.FlightData{AppMetadata: question, FlightDescriptor: &arrowflight.FlightDescriptor{
+		request := append(fmt.Appendf(nil, `{"id":"q","deadline_ms":%d,`, max(1, time.Until(end).Milliseconds())), ticket(class, owner, shards...)[1:]...)
+		stream.Send(&arrowflight.FlightData{AppMetadata: request, FlightDescriptor: &arrowflight.FlightDescriptor{
 			Type: arrowflight.DescriptorPATH, Path: []string{strings.Split(class, "#")[0]}}})
 		stream.CloseSend()
 		in, err := arrowflight.NewRecordReader(stream)
--- a/internal/faults/standins_platform_test.go
+++ b/internal/faults/standins_platform_test.go
@@ -24,7 +24,7 @@
 
 // dispatchFrames returns a dispatcher for data nodes of the platform's protocol.
 func dispatchFrames(c *coordinator.Coordinator) coordinator.Dispatcher {
-	return (&platform.ConnPool{Coordinator: c, Log: quiet, Dial: dial, Streams: 32, ConnectTimeout: 250 * time.Millisecond,
+	return (&platform.ConnPool{Coordinator: c, Log: discardLog, Dial: dial, Streams: 32, ConnectTimeout: 250 * time.Millisecond,
 		IdleTimeout: 30 * time.Second, Connections: make(chan struct{}, 64)}).Dispatch
 }
 
@@ -77,18 +77,18 @@
 			id := words[0]
 			_, key, _ := strings.Cut(words[2], ",k=")
 			rest = after[n:]
-			number, act := b.start(name, id, key)
+			number, action := b.start(name, id, key)
 			running.add(id, number)
 			answer := func(end, value string) {
 				if running.settle(id, b.end) {
 					write(id, end, value)
 				}
 			}
-			switch act {
+			switch action {
 			case "ok":
 				answer("ok", b.doc(id))
 			case "busy", "err":
-				answer(act, "")
+				answer(action, "")
 			case "hold":
 				go func() { <-b.release; answer("ok", b.doc(id)) }()
 			case "corrupt":
@@ -110,10 +110,10 @@
 
 // serveHTTP starts a server of the platform's protocol and returns a client that queries it.
 func serveHTTP(c *coordinator.Coordinator, ln net.Listener) (queryFunc, func()) {
-	clients := &platform.Server{Coordinator: c, Log: quiet, MaxConns: 64, BodyMemory: 1 << 20}
-	go clients.Serve(&cuttableListener{Listener: ln, narrow: true})
-	ids := ids()
-	ask := func(ctx context.Context, class, owner string, shards ...int) string {
+	clients := &platform.Server{Coordinator: c, Log: discardLog, MaxConns: 64, BodyMemory: 1 << 20}
+	go clients.Serve(&cuttableListener{Listener: ln, smallSendBuffer: true})
+	ids := newQueryIDs()
+	query := func(ctx context.Context, class, owner string, shards ...int) string {
 		nc, err := net.Dial("tcp", ln.Addr().String())
 		if err != nil {
 			return err.Error()
@@ -151,7 +151,7 @@
 		}
 		return result{answer.Complete, docs}.String()
 	}
-	return ask, func() { clients.Drain(time.Now().Add(time.Minute)); clients.CloseIdle(); ln.Close(); clients.Wait() }
+	return query, func() { clients.Drain(time.Now().Add(time.Minute)); clients.CloseIdle(); ln.Close(); clients.Wait() }
 }
 
 // writePost writes the request of a query.
@@ -187,8 +187,8 @@
 	return `{"shards":[` + strings.Join(list, ",") + `],"q":"c41e77d0"}`
 }
 
-// ids returns a channel of unique query ids.
-func ids() <-chan string {
+// newQueryIDs returns a channel of unique query ids.
+func newQueryIDs() <-chan string {
 	out := make(chan string)
 	go func() {
 		for i := 0; ; i++ {
--- a/internal/platform/bench_test.go
+++ b/internal/platform/bench_test.go
@@ -78,7 +78,7 @@
 				return
 			}
 			rest = after[length:]
-			if _, err := io.WriteString(conn, frameOf(fmt.Sprintf("A%s ok %d -\n%s", id, len(value), value))); err != nil {
+			if _, err := io.WriteString(conn, encodeFrame(fmt.Sprintf("A%s ok %d -\n%s", id, len(value), value))); err != nil {
 				return
 			}
 		}
--- a/internal/platform/clientconn.go
+++ b/internal/platform/clientconn.go
@@ -23,8 +23,8 @@
 	// lingerTimeout limits how long the connection is read after the last response: closing it while the client
 	// still sends would reset it and discard the response.
 	lingerTimeout = 500 * time.Millisecond
-	// lateAnswerWrite is the time after the deadline of a query in which its answer may still be written.
-	lateAnswerWrite = 400 * time.Millisecond
+	// lateAnswerGrace is the time after the deadline of a query in which its answer may still be written.
+	lateAnswerGrace = 400 * time.Millisecond
 	// drainFirstRequestTimeout limits the time for the first request of a new connection while all idle ones are closed.
 	drainFirstRequestTimeout = time.Second
 )
@@ -135,9 +135,9 @@
 	}
 	r := errorResponse(httpErr.status, httpErr.text)
 	if httpErr.status == 503 {
-		r.header = retryAfter(c.server.RetryAfter)
+		r.header = retryAfterHeader(c.server.RetryAfter)
 	}
-	r.last = true
+	r.closeConn = true
 	if c.write(r) {
 		c.lingerClose()
 	}
@@ -179,14 +179,14 @@
 	_ = c.conn.SetReadDeadline(time.Now())
 	clientEnded := !errors.Is(<-readAhead, os.ErrDeadlineExceeded)
 	// No goroutine reads now: what the client sends from here on is read either after this response or never.
-	r.last = req.close || clientEnded || c.closesAfterAnswer()
+	r.closeConn = req.close || clientEnded || c.closesAfterAnswer()
 	if !c.write(r) {
 		return false
 	}
-	if r.last {
+	if r.closeConn {
 		c.lingerClose()
 	}
-	return !r.last
+	return !r.closeConn
 }
 
 // closesAfterAnswer reports whether the server wants to close the connection after the current response. It returns false
@@ -197,7 +197,7 @@
 	}
 	c.server.mu.Lock()
 	defer c.server.mu.Unlock()
-	return c.server.draining || c.server.crowdedOut()
+	return c.server.draining || c.server.mustShedConn()
 }
 
 // reserveReadAhead reserves memory for data that the client sends ahead; release returns it.
@@ -240,7 +240,7 @@
 		return errorResponse(500, "the client closed the connection")
 	}
 	r := c.answerResponse(q.ID, answer)
-	if end := q.Deadline.Add(lateAnswerWrite); end.After(time.Now()) {
+	if end := q.Deadline.Add(lateAnswerGrace); end.After(time.Now()) {
 		r.writeBy = end // otherwise it has errorWriteTimeout
 	}
 	return r
@@ -262,7 +262,7 @@
 		return response{status: 200, body: body, writeBy: time.Now().Add(errorWriteTimeout)}
 	case coordinator.Rejected:
 		r := errorResponse(503, "refused")
-		r.header = retryAfter(answer.RetryAfter)
+		r.header = retryAfterHeader(answer.RetryAfter)
 		return r
 	}
 	return errorResponse(500, "failed")
--- a/internal/platform/connlimit.go
+++ b/internal/platform/connlimit.go
@@ -84,29 +84,29 @@
 // evict asks one connection to end, and reports whether one may be evicted: of those in the earliest phase, at or after
 // least, the one that has been in it the longest. The connection itself decides whether it can still end: if it has just read
 // a request, it answers that first. The caller holds the lock.
-func (s *Server) evict(least connPhase) bool {
-	var first *clientConn
+func (s *Server) evict(minPhase connPhase) bool {
+	var candidate *clientConn
 	now := time.Now()
 	for c := range s.conns {
-		if c.evicted || c.phase < least || c.phase == phaseExecuting || now.Sub(c.since) < evictableAfter[c.phase] {
+		if c.evicted || c.phase < minPhase || c.phase == phaseExecuting || now.Sub(c.since) < evictableAfter[c.phase] {
 			continue
 		}
-		if first == nil || c.phase < first.phase || c.phase == first.phase && c.since.Before(first.since) {
-			first = c
+		if candidate == nil || c.phase < candidate.phase || c.phase == candidate.phase && c.since.Before(candidate.since) {
+			candidate = c
 		}
 	}
-	if first == nil {
+	if candidate == nil {
 		return false
 	}
-	first.evicted = true
-	_ = first.conn.SetReadDeadline(now)
+	candidate.evicted = true
+	_ = candidate.conn.SetReadDeadline(now)
 	return true
 }
 
-// crowdedOut reports whether a response must close its connection to keep the number of active ones below the limit. Clients
+// mustShedConn reports whether a response must close its connection to keep the number of active ones below the limit. Clients
 // that open a connection for each request and keep it would otherwise reach that limit. It evicts a connection that has been
 // idle for long enough, if there is one; only otherwise must the current connection close. The caller holds the lock.
-func (s *Server) crowdedOut() bool {
+func (s *Server) mustShedConn() bool {
 	return s.ActiveConns > 0 && s.active > s.ActiveConns/2 && !s.evict(phaseIdle)
 }
 
--- a/internal/platform/connpool.go
+++ b/internal/platform/connpool.go
@@ -36,20 +36,20 @@
 	p.register(np)
 	defer p.unregister(np)
 	for {
-		o := n.NextCommand(context.Background())
+		command := n.NextCommand(context.Background())
 		switch {
-		case o == nil:
+		case command == nil:
 			np.closeIdle()
 			return
-		case o.Call != nil:
-			np.send(o.Call)
-		case o.Cancel != nil:
-			np.cancel(o.Cancel)
-		case o.RejectQueued:
+		case command.Call != nil:
+			np.send(command.Call)
+		case command.Cancel != nil:
+			np.cancel(command.Cancel)
+		case command.RejectQueued:
 			np.rejectUnsent()
-		case o.Probe:
+		case command.Probe:
 			np.sendProbe()
-		case o.CloseIdle:
+		case command.CloseIdle:
 			np.closeIdle()
 		}
 	}
@@ -125,7 +125,7 @@
 	c := newNodeConn(np, now)
 	select {
 	case np.Connections <- struct{}{}:
-		c.hasSlot = true
+		c.hasDescriptor = true
 	default: // run waits for a descriptor instead
 	}
 	np.conns = append(np.conns, c)
--- a/internal/platform/descriptors_test.go
+++ b/internal/platform/descriptors_test.go
@@ -19,15 +19,15 @@
 	"gullfall/internal/membership"
 )
 
-// counted is a connection that decrements the count of open connections when its owner closes it: from then on the descriptor
+// countedConn is a connection that decrements the count of open connections when its owner closes it: from then on the descriptor
 // is free, whether or not the peer has noticed.
-type counted struct {
+type countedConn struct {
 	net.Conn
 	open *atomic.Int64
 	once sync.Once
 }
 
-func (c *counted) Close() error {
+func (c *countedConn) Close() error {
 	c.once.Do(func() { c.open.Add(-1) })
 	return c.Conn.Close()
 }
@@ -50,26 +50,26 @@
 		}
 		ctx, stop := context.WithCancel(t.Context())
 		go c.Run(ctx)
-		var open, most, takes, number atomic.Int64
-		takes.Store(int64(time.Millisecond))
+		var open, maxOpen, answerDelay, queries atomic.Int64
+		answerDelay.Store(int64(time.Millisecond))
 		dial := func(context.Context, string) (net.Conn, error) {
 			ours, theirs := net.Pipe()
-			most.Store(max(most.Load(), open.Add(1)))
+			maxOpen.Store(max(maxOpen.Load(), open.Add(1)))
 			go func() {
 				defer theirs.Close()
 				in := bufio.NewReader(theirs)
 				for {
-					text, err := frameText(in)
+					text, err := readFrameText(in)
 					if err != nil {
 						return
 					}
 					if id, asked := strings.CutPrefix(text, "Q "); asked {
-						time.Sleep(time.Duration(takes.Load()))
-						io.WriteString(theirs, frameOf("A"+id+" ok 1 -\nv"))
+						time.Sleep(time.Duration(answerDelay.Load()))
+						io.WriteString(theirs, encodeFrame("A"+id+" ok 1 -\nv"))
 					}
 				}
 			}()
-			return &counted{Conn: ours, open: &open}, nil
+			return &countedConn{Conn: ours, open: &open}, nil
 		}
 		pool := &ConnPool{Coordinator: c, Log: log, Dial: dial, Streams: 32, ConnectTimeout: 250 * time.Millisecond, IdleTimeout: 30 * time.Second, Connections: make(chan struct{}, 2)}
 		c.RegisterDispatcher("", pool.Dispatch)
@@ -79,48 +79,48 @@
 			all = append(all, coordinator.Member{ID: fmt.Sprint("n", i), Addr: fmt.Sprint("n", i), ShardSet: i, Weight: 1})
 		}
 		list.ReplaceList(all, false)
-		ask := func(shard int) bool {
-			a, err := c.Execute(ctx, coordinator.Query{ID: fmt.Sprint("q", number.Add(1)), Class: "report", Deadline: time.Now().Add(2 * time.Second), Text: "text",
+		query := func(shard int) bool {
+			a, err := c.Execute(ctx, coordinator.Query{ID: fmt.Sprint("q", queries.Add(1)), Class: "report", Deadline: time.Now().Add(2 * time.Second), Text: "text",
 				Parts: []coordinator.Part{{Shard: shard, Weight: 1}}})
 			return err == nil && a.Status == coordinator.Answered
 		}
 		for i := range 12 {
-			if !ask(i % nodes) {
+			if !query(i % nodes) {
 				t.Errorf("query %d was not answered", i)
 			}
 		}
 		// Both descriptors are in use for longer than a part may wait for one.
-		takes.Store(int64(900 * time.Millisecond))
+		answerDelay.Store(int64(900 * time.Millisecond))
 		done := make(chan bool, 2)
 		for i := range 2 {
-			go func() { done <- ask(i) }()
+			go func() { done <- query(i) }()
 		}
 		time.Sleep(50 * time.Millisecond)
-		ask(2)
-		takes.Store(int64(time.Millisecond))
+		query(2)
+		answerDelay.Store(int64(time.Millisecond))
 		if a, b := <-done, <-done; !a || !b {
 			t.Errorf("answered of the two queries in flight: %v, %v", a, b)
 		}
 		for i := range 6 {
-			if !ask(2) {
+			if !query(2) {
 				t.Errorf("query %d to the data node that had no descriptor was not answered", i)
 			}
 		}
 		// Both are in use for less than that: the part is sent as soon as one of them is idle.
-		takes.Store(int64(100 * time.Millisecond))
+		answerDelay.Store(int64(100 * time.Millisecond))
 		for i := range 2 {
-			go func() { done <- ask(i) }()
+			go func() { done <- query(i) }()
 		}
 		time.Sleep(50 * time.Millisecond)
-		takes.Store(int64(time.Millisecond))
+		answerDelay.Store(int64(time.Millisecond))
 		begun := time.Now()
-		if !ask(2) || time.Since(begun) > 100*time.Millisecond {
+		if !query(2) || time.Since(begun) > 100*time.Millisecond {
 			t.Errorf("a part waited %v for a descriptor; one became free after 50 ms", time.Since(begun))
 		}
 		<-done
 		<-done
-		if most.Load() > 2 {
-			t.Errorf("%d connections were open; there are descriptors for 2", most.Load())
+		if maxOpen.Load() > 2 {
+			t.Errorf("%d connections were open; there are descriptors for 2", maxOpen.Load())
 		}
 		list.ReplaceList(nil, false)
 		time.Sleep(time.Minute)
--- a/internal/platform/ending_test.go
+++ b/internal/platform/ending_test.go
@@ -14,9 +14,9 @@
 	"gullfall/internal/membership"
 )
 
-// endings test races at the end of queries and connections, over loopback connections. Each scenario forces the unfavourable
+// loopbackScenarios test races at the end of queries and connections, over loopback connections. Each scenario forces the unfavourable
 // order of events; docs/design/ending.md lists them beside the code paths.
-var endings = []scenario{
+var loopbackScenarios = []scenario{
 	// Closing a connection with unread bytes resets it: a client that still sends would lose its answer.
 	{"bytes come in with the last answer", "n1", `
 		c1 send query q1 2000 0
@@ -250,8 +250,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	w := &world{t: t, network: loopback}
-	ours, theirs := w.pair()
+	w := &harness{t: t, network: loopback}
+	ours, theirs := w.connPair()
 	defer ours.Close()
 	clients := &Server{Coordinator: c, Log: log, MaxConns: 9, BodyMemory: 1 << 20}
 	go func() { clients.placeConn(theirs).run() }()
@@ -266,12 +266,12 @@
 	}
 }
 
-// TestEndings runs scenarios over loopback connections, in real time.
-func TestEndings(t *testing.T) {
-	for _, s := range endings {
+// TestLoopbackScenarios runs scenarios over loopback connections, in real time.
+func TestLoopbackScenarios(t *testing.T) {
+	for _, s := range loopbackScenarios {
 		t.Run(s.name, func(t *testing.T) {
 			t.Parallel()
-			play(t, loopback, s)
+			runScenario(t, loopback, s)
 		})
 	}
 }
--- a/internal/platform/formats_test.go
+++ b/internal/platform/formats_test.go
@@ -18,10 +18,10 @@
 	"gullfall/internal/membership"
 )
 
-// TestFrameForms compares the frames written to a data node that never answers (a call of two parts of a keyed class, and the
-// cancels of these parts) with those of earlier versions. It uses virtual time, so that the time left in the call is the same
-// in each run.
-func TestFrameForms(t *testing.T) {
+// TestFramesMatchEarlierVersions compares the frames written to a data node that never answers (a call of two parts of a keyed
+// class, and the cancels of these parts) with those of earlier versions. It uses virtual time, so that the time left in the call
+// is the same in each run.
+func TestFramesMatchEarlierVersions(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var mu sync.Mutex
 		var written bytes.Buffer
@@ -42,8 +42,8 @@
 			return ours, nil
 		}
 		k := startFrameCoordinator(t, dial)
-		ctx, leave := context.WithTimeout(t.Context(), 400*time.Millisecond)
-		defer leave()
+		ctx, cancel := context.WithTimeout(t.Context(), 400*time.Millisecond)
+		defer cancel()
 		_, err := k.Execute(ctx, coordinator.Query{ID: "query", Class: "entry", IdempotencyKey: "key", Text: "text of the query",
 			Deadline: time.Now().Add(1500 * time.Millisecond), Parts: []coordinator.Part{{Shard: 0, Weight: 0.5}, {Shard: 1, Weight: 0.5}}})
 		if err == nil {
@@ -82,9 +82,9 @@
 	return k
 }
 
-// TestRemembersEarlierList restores a list of data nodes that an earlier version stored, and stores it again unchanged.
-func TestRemembersEarlierList(t *testing.T) {
-	known, err := os.ReadFile("testdata/remembered.json")
+// TestRestoreListOfEarlierVersion restores a list of data nodes that an earlier version stored, and stores it again unchanged.
+func TestRestoreListOfEarlierVersion(t *testing.T) {
+	stored, err := os.ReadFile("testdata/remembered.json")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -95,14 +95,14 @@
 	w := NewWatch("discovery")
 	w.Log = slog.New(slog.NewTextHandler(io.Discard, nil))
 	w.Source = k.AddSource(membership.Spec{Name: "list"})
-	w.Restore(known)
+	w.Restore(stored)
 	claims := w.Source.Records()
 	if len(claims) != 2 || claims[0].ID != "a" || claims[0].ShardSet != 1 || claims[0].Zone != "recife" || claims[1].State != coordinator.Draining ||
 		!claims[1].Started.Equal(time.UnixMilli(1_790_000_000_000)) {
 		t.Errorf("the list holds %+v", claims)
 	}
-	var kept []byte
-	w.Persist = func(list []byte) { kept = list }
+	var persisted []byte
+	w.Persist = func(list []byte) { persisted = list }
 	w.persist()
-	golden.Bytes(t, "remembered.json", kept)
+	golden.Bytes(t, "remembered.json", persisted)
 }
--- a/internal/platform/frame.go
+++ b/internal/platform/frame.go
@@ -18,7 +18,7 @@
 // type byte and the payload.
 const (
 	frameLengthBytes = 4
-	frameHeadBytes   = frameLengthBytes + 1
+	frameHeaderBytes = frameLengthBytes + 1
 
 	maxFrameBytes = maxBody + 1<<10 // longest frame that a data node may send
 	maxFrameLine  = 1 << 10         // longest line in a frame, and longest payload of a frame that is not an answer
@@ -26,14 +26,14 @@
 
 // Frame types.
 const (
-	letterCall        = 'Q' // for each part a line, followed by the text of the query
-	letterCancel      = 'X' // id of a part
-	letterHealthCheck = 'P' // empty; the answer holds ok or err
-	letterLoadCheck   = 'L' // empty; the answer holds a load report or err
-	letterAnswer      = 'A' // a line, followed by the value
-	letterError       = 'E' // message from a data node that could not use a frame
-
-	lettersFromNode = "APLE"
+	frameTypeCall        = 'Q' // for each part a line, followed by the text of the query
+	frameTypeCancel      = 'X' // id of a part
+	frameTypeHealthCheck = 'P' // empty; the answer holds ok or err
+	frameTypeLoadCheck   = 'L' // empty; the answer holds a load report or err
+	frameTypeAnswer      = 'A' // a line, followed by the value
+	frameTypeError       = 'E' // message from a data node that could not use a frame
+
+	nodeFrameTypes = "APLE"
 )
 
 // Options in the line of a part in a call, and the answer to a failed check.
@@ -50,9 +50,9 @@
 var errCorrupt = errors.New("corrupt frame")
 
 // beginFrame returns a frame without payload; finishFrame completes it.
-func beginFrame(letter byte) []byte {
-	frame := make([]byte, frameLengthBytes, frameHeadBytes)
-	return append(frame, letter)
+func beginFrame(frameType byte) []byte {
+	frame := make([]byte, frameLengthBytes, frameHeaderBytes)
+	return append(frame, frameType)
 }
 
 // finishFrame sets the length of a frame whose payload has been appended.
@@ -62,7 +62,7 @@
 }
 
 // isEmpty reports whether a frame has no payload.
-func isEmpty(frame []byte) bool { return len(frame) == frameHeadBytes }
+func isEmpty(frame []byte) bool { return len(frame) == frameHeaderBytes }
 
 // appendPart appends a part to a call. timeLeft is how long the coordinator will wait for the answer.
 func appendPart(frame []byte, a *coordinator.Attempt, timeLeft time.Duration) []byte {
@@ -74,10 +74,10 @@
 }
 
 // cancelFrame returns a frame that asks the data node to cancel a part.
-func cancelFrame(id string) []byte { return finishFrame(append(beginFrame(letterCancel), id...)) }
+func cancelFrame(id string) []byte { return finishFrame(append(beginFrame(frameTypeCancel), id...)) }
 
 // loadCheckFrame returns a frame that asks the data node for its load report.
-func loadCheckFrame() []byte { return finishFrame(beginFrame(letterLoadCheck)) }
+func loadCheckFrame() []byte { return finishFrame(beginFrame(frameTypeLoadCheck)) }
 
 // receivedFrame is a frame from a data node: the answer to a part, or to a health check if the id is empty.
 type receivedFrame struct {
@@ -106,36 +106,36 @@
 
 // next reads a frame. It allocates memory only after the header has been validated.
 func (r *frameReader) next() (receivedFrame, error) {
-	head, err := r.in.Peek(frameHeadBytes)
+	header, err := r.in.Peek(frameHeaderBytes)
 	if err != nil {
 		return receivedFrame{}, err
 	}
-	n, letter := parseHead(head)
-	if !plausibleHead(n, letter) {
-		return receivedFrame{}, fmt.Errorf("%w: %d bytes, type %q", errCorrupt, n+1, letter)
+	n, frameType := parseHeader(header)
+	if !validHeader(n, frameType) {
+		return receivedFrame{}, fmt.Errorf("%w: %d bytes, type %q", errCorrupt, n+1, frameType)
 	}
-	if _, err := r.in.Discard(frameHeadBytes); err != nil {
+	if _, err := r.in.Discard(frameHeaderBytes); err != nil {
 		return receivedFrame{}, err
 	}
-	if letter == letterAnswer {
+	if frameType == frameTypeAnswer {
 		return r.readAnswer(n)
 	}
-	return r.readShort(n, letter)
+	return r.readControlFrame(n, frameType)
 }
 
-// readShort reads the n payload bytes of a frame other than an answer to a part.
-func (r *frameReader) readShort(n int, letter byte) (receivedFrame, error) {
+// readControlFrame reads the n payload bytes of a frame other than an answer to a part.
+func (r *frameReader) readControlFrame(n int, frameType byte) (receivedFrame, error) {
 	if n > maxFrameLine {
-		return receivedFrame{}, fmt.Errorf("%w: frame of type %q has %d bytes", errCorrupt, letter, n)
+		return receivedFrame{}, fmt.Errorf("%w: frame of type %q has %d bytes", errCorrupt, frameType, n)
 	}
-	rest := make([]byte, n)
-	if _, err := io.ReadFull(r.in, rest); err != nil {
+	payload := make([]byte, n)
+	if _, err := io.ReadFull(r.in, payload); err != nil {
 		return receivedFrame{}, err
 	}
-	if letter == letterError {
-		return receivedFrame{}, fmt.Errorf("%w: data node reported an error: %.200q", errCorrupt, rest)
+	if frameType == frameTypeError {
+		return receivedFrame{}, fmt.Errorf("%w: data node reported an error: %.200q", errCorrupt, payload)
 	}
-	report := strings.TrimSpace(string(rest))
+	report := strings.TrimSpace(string(payload))
 	f := receivedFrame{outcome: coordinator.OK, loadReport: parseLoadReport(report)}
 	if report == checkFailed {
 		f.outcome = coordinator.Errored
@@ -173,18 +173,18 @@
 	if r.in.Buffered() == 0 {
 		return true
 	}
-	next, err := r.in.Peek(frameHeadBytes)
-	return err == nil && plausibleHead(parseHead(next))
+	next, err := r.in.Peek(frameHeaderBytes)
+	return err == nil && validHeader(parseHeader(next))
 }
 
-// parseHead returns the payload length and the type of a frame.
-func parseHead(head []byte) (n int, letter byte) {
-	return int(binary.LittleEndian.Uint32(head)) - 1, head[frameLengthBytes]
+// parseHeader returns the payload length and the type of a frame.
+func parseHeader(header []byte) (n int, frameType byte) {
+	return int(binary.LittleEndian.Uint32(header)) - 1, header[frameLengthBytes]
 }
 
-// plausibleHead reports whether a data node may send a frame with this header.
-func plausibleHead(n int, letter byte) bool {
-	return n >= 0 && n < maxFrameBytes && strings.IndexByte(lettersFromNode, letter) >= 0
+// validHeader reports whether a data node may send a frame with this header.
+func validHeader(n int, frameType byte) bool {
+	return n >= 0 && n < maxFrameBytes && strings.IndexByte(nodeFrameTypes, frameType) >= 0
 }
 
 // isText reports whether a value can be passed to a client unchanged: UTF-8 without control characters except line ends and tabs.
--- a/internal/platform/frame_test.go
+++ b/internal/platform/frame_test.go
@@ -13,7 +13,7 @@
 )
 
 func TestFrameEncoding(t *testing.T) {
-	call := beginFrame(letterCall)
+	call := beginFrame(frameTypeCall)
 	call = appendPart(call, &coordinator.Attempt{ID: "q.0", Shard: 0, Text: "text"}, 240*time.Millisecond)
 	call = appendPart(call, &coordinator.Attempt{ID: "q.3", Shard: 3, IdempotencyKey: "key", Text: "more\ntext"}, 1999*time.Microsecond)
 	for _, c := range []struct {
@@ -29,13 +29,13 @@
 			t.Errorf("%s (-want +got)\n%s", c.name, diff)
 		}
 	}
-	if !isEmpty(beginFrame(letterCall)) || isEmpty(call) {
+	if !isEmpty(beginFrame(frameTypeCall)) || isEmpty(call) {
 		t.Error("isEmpty must be true exactly for a call without parts")
 	}
 }
 
 func TestFrameReader(t *testing.T) {
-	answer := frameOf("Aq.3 ok 18 inflight=7,util=0.5\nvalue")
+	answer := encodeFrame("Aq.3 ok 18 inflight=7,util=0.5\nvalue")
 	load := map[string]float64{"inflight": 7, "util": 0.5}
 	for _, c := range []struct {
 		name, in string
@@ -44,25 +44,25 @@
 	}{
 		{"nothing", "", nil, io.EOF},
 		{"answer", answer, []receivedFrame{{"q.3", coordinator.OK, []byte("value"), load}}, io.EOF},
-		{"answers without a value", frameOf("Aq.3 busy 0 -\n") + frameOf("Aq.3 err 0 -\n"), []receivedFrame{
+		{"answers without a value", encodeFrame("Aq.3 busy 0 -\n") + encodeFrame("Aq.3 err 0 -\n"), []receivedFrame{
 			{"q.3", coordinator.Overloaded, []byte{}, map[string]float64{}}, {"q.3", coordinator.Errored, []byte{}, map[string]float64{}}}, io.EOF},
-		{"answers to checks", frameOf("L{\"util\":0.5,\"name\":\"a\"}") + frameOf("Lerr") + frameOf("Pok"), []receivedFrame{
+		{"answers to checks", encodeFrame("L{\"util\":0.5,\"name\":\"a\"}") + encodeFrame("Lerr") + encodeFrame("Pok"), []receivedFrame{
 			{"", coordinator.OK, nil, map[string]float64{"util": 0.5}}, {"", coordinator.Errored, nil, map[string]float64{}},
 			{"", coordinator.OK, nil, map[string]float64{}}}, io.EOF},
 		{"truncated in its header", answer[:3], nil, io.EOF},
 		{"truncated in its value", answer[:len(answer)-1], nil, io.ErrUnexpectedEOF},
-		{"type that data nodes don't send", frameOf("Qq.3"), nil, errCorrupt},
+		{"type that data nodes don't send", encodeFrame("Qq.3"), nil, errCorrupt},
 		{"length zero", "\x00\x00\x00\x00A", nil, errCorrupt},
 		{"length over the limit", "\xff\xff\xff\x7fA", nil, errCorrupt},
-		{"load report over the limit", frameOf("L" + strings.Repeat("x", maxFrameLine+1)), nil, errCorrupt},
-		{"data node reports an error", frameOf("Ewhat was that"), nil, errCorrupt},
-		{"unexpected id", frameOf("Aother ok 0 -\nvalue"), nil, errCorrupt},
-		{"unknown outcome", frameOf("Aq.3 fine 0 -\nvalue"), nil, errCorrupt},
-		{"answer line with words missing", frameOf("Aq.3 ok 0\nvalue"), nil, errCorrupt},
-		{"unterminated line", frameOf("A" + strings.Repeat("x", maxFrameLine+1)), nil, errCorrupt},
-		{"line longer than the frame", frameOf("Aq.3 ok") + " 0 -\n", nil, errCorrupt},
-		{"control character in the value", frameOf("Aq.3 ok 0 -\na\x00b"), nil, errCorrupt},
-		{"length that truncates the value", frameOf("Aq.3 ok 0 -\nval") + "ue of the answer", nil, errCorrupt},
+		{"load report over the limit", encodeFrame("L" + strings.Repeat("x", maxFrameLine+1)), nil, errCorrupt},
+		{"data node reports an error", encodeFrame("Ewhat was that"), nil, errCorrupt},
+		{"unexpected id", encodeFrame("Aother ok 0 -\nvalue"), nil, errCorrupt},
+		{"unknown outcome", encodeFrame("Aq.3 fine 0 -\nvalue"), nil, errCorrupt},
+		{"answer line with words missing", encodeFrame("Aq.3 ok 0\nvalue"), nil, errCorrupt},
+		{"unterminated line", encodeFrame("A" + strings.Repeat("x", maxFrameLine+1)), nil, errCorrupt},
+		{"line longer than the frame", encodeFrame("Aq.3 ok") + " 0 -\n", nil, errCorrupt},
+		{"control character in the value", encodeFrame("Aq.3 ok 0 -\na\x00b"), nil, errCorrupt},
+		{"length that truncates the value", encodeFrame("Aq.3 ok 0 -\nval") + "ue of the answer", nil, errCorrupt},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			r := newFrameReader(strings.NewReader(c.in), func(id string) bool { return id == "q.3" })
--- a/internal/platform/hookedconn_test.go
+++ b/internal/platform/hookedconn_test.go
@@ -16,14 +16,14 @@
 func (h *hookedConn) Read(p []byte) (int, error) {
 	n, err := h.Conn.Read(p)
 	if n > 0 {
-		h.client.fire("at-read")
+		h.client.runHook("at-read")
 	}
 	return n, err
 }
 
 func (h *hookedConn) Write(p []byte) (int, error) {
 	n, err := h.Conn.Write(p)
-	h.client.fire("at-write")
+	h.client.runHook("at-write")
 	return n, err
 }
 
@@ -32,20 +32,20 @@
 	if !ok {
 		return errors.ErrUnsupported
 	}
-	h.client.fire("at-close-write")
+	h.client.runHook("at-close-write")
 	return half.CloseWrite()
 }
 
 // Close reports an error if unread bytes remain: such a close resets the connection and may discard what was written.
 func (h *hookedConn) Close() error {
-	if unread := unread(h.Conn); unread > 0 {
-		h.client.complain("%s: connection closed with %d unread bytes", h.client.name, unread)
+	if unread := unreadBytes(h.Conn); unread > 0 {
+		h.client.errorf("%s: connection closed with %d unread bytes", h.client.name, unread)
 	}
 	return h.Conn.Close()
 }
 
-// unread returns the number of received bytes that have not been read; 0 if it can't be determined.
-func unread(nc net.Conn) (n int) {
+// unreadBytes returns the number of received bytes that have not been read; 0 if it can't be determined.
+func unreadBytes(nc net.Conn) (n int) {
 	tcp, ok := nc.(*net.TCPConn)
 	if !ok {
 		return 0
--- a/internal/platform/httprequest.go
+++ b/internal/platform/httprequest.go
@@ -22,8 +22,8 @@
 	freeBodyBytes = 4 << 10
 )
 
-// singleHeaders are the headers that a request may hold only once: with two values it would be ambiguous which one applies.
-var singleHeaders = []string{"Content-Length", "Transfer-Encoding", "Req-Id", "Req-Owner", "Req-Deadline-Ms", "Idempotency-Key"}
+// uniqueHeaders are the headers that a request may hold only once: with two values it would be ambiguous which one applies.
+var uniqueHeaders = []string{"Content-Length", "Transfer-Encoding", "Req-Id", "Req-Owner", "Req-Deadline-Ms", "Idempotency-Key"}
 
 // request is an HTTP request that was read completely.
 type request struct {
@@ -82,7 +82,7 @@
 	if err != nil {
 		return nil, c.requestError(err)
 	}
-	for _, key := range singleHeaders {
+	for _, key := range uniqueHeaders {
 		if len(header[key]) > 1 {
 			return nil, httpErrorf(400, "%s stands twice", key)
 		}
--- a/internal/platform/httpresponse.go
+++ b/internal/platform/httpresponse.go
@@ -25,11 +25,11 @@
 
 // response is a final HTTP response to a client.
 type response struct {
-	status  int
-	header  []byte // additional header lines
-	body    []byte
-	last    bool      // the connection is closed after it
-	writeBy time.Time // write deadline
+	status    int
+	header    []byte // additional header lines
+	body      []byte
+	closeConn bool      // the connection is closed after it
+	writeBy   time.Time // write deadline
 }
 
 // errorResponse returns a response whose body holds an error text.
@@ -43,7 +43,7 @@
 	fmt.Fprintf(&out, "HTTP/1.1 %d %s\r\nContent-Type: application/json\r\nContent-Length: %d\r\n", r.status,
 		statusText[r.status], len(r.body))
 	out.Write(r.header)
-	if r.last {
+	if r.closeConn {
 		out.WriteString("Connection: close\r\n")
 	}
 	out.WriteString("\r\n")
@@ -78,8 +78,8 @@
 	return data
 }
 
-// retryAfter returns a Retry-After header line, or nil if d is not positive.
-func retryAfter(d time.Duration) []byte {
+// retryAfterHeader returns a Retry-After header line, or nil if d is not positive.
+func retryAfterHeader(d time.Duration) []byte {
 	if d <= 0 {
 		return nil
 	}
--- a/internal/platform/keyed_test.go
+++ b/internal/platform/keyed_test.go
@@ -14,10 +14,10 @@
 	"gullfall/internal/membership"
 )
 
-// TestKeyedRepeatIsNotLate: data nodes recognize duplicates of a keyed part for 300 ms after the first attempt that may have run. If
+// TestKeyedRetryWithinDedupWindow: data nodes recognize duplicates of a keyed part for 300 ms after the first attempt that may have run. If
 // the connection for the retry takes longer than what is left of that window, the retry must not be sent, since it could run
 // twice. It is sent on a connection that is fast enough, and at any time in a class whose parts are safe to repeat.
-func TestKeyedRepeatIsNotLate(t *testing.T) {
+func TestKeyedRetryWithinDedupWindow(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		effect aggregator.Effect
@@ -35,12 +35,12 @@
 					Classes: []aggregator.Class{{Name: "entry", LatencyObjective: time.Second, Deadline: 2 * time.Second, Priority: 1, CompleteShare: 1, MinShare: 1,
 						Effect: c.effect, DedupWindow: 300 * time.Millisecond}},
 					Limits: aggregator.Limits{MaxAttempts: 2, CanCancel: true, ConnectTimeout: 250 * time.Millisecond}}
-				k, err := coordinator.New(set, 1, log, membership.Config{})
+				coord, err := coordinator.New(set, 1, log, membership.Config{})
 				if err != nil {
 					t.Fatal(err)
 				}
 				ctx, stop := context.WithCancel(t.Context())
-				go k.Run(ctx)
+				go coord.Run(ctx)
 				var frames, dials atomic.Int32
 				dial := func(ctx context.Context, _ string) (net.Conn, error) {
 					if dials.Add(1) > 1 {
@@ -48,7 +48,7 @@
 					}
 					ours, theirs := net.Pipe()
 					a := &actor{name: "n", msgs: make(chan string, 9)}
-					go new(world).read(a, theirs)
+					go new(harness).readMessages(a, theirs)
 					go func() {
 						for msg := range a.msgs {
 							if msg == "end" {
@@ -61,16 +61,16 @@
 								end = "err"
 							}
 							if msg[0] == 'Q' {
-								theirs.Write([]byte(frameOf("Aq.0 " + end + " 1 -\nv")))
+								theirs.Write([]byte(encodeFrame("Aq.0 " + end + " 1 -\nv")))
 							}
 						}
 					}()
 					return ours, nil
 				}
-				k.RegisterDispatcher("", (&ConnPool{Coordinator: k, Log: log, Dial: dial, Streams: 32, ConnectTimeout: 250 * time.Millisecond, Connections: make(chan struct{}, 9)}).Dispatch)
-				list := k.AddSource(membership.Spec{Name: "list"})
+				coord.RegisterDispatcher("", (&ConnPool{Coordinator: coord, Log: log, Dial: dial, Streams: 32, ConnectTimeout: 250 * time.Millisecond, Connections: make(chan struct{}, 9)}).Dispatch)
+				list := coord.AddSource(membership.Spec{Name: "list"})
 				list.ReplaceList([]coordinator.Member{{ID: "a", Weight: 1}, {ID: "b", Weight: 1}}, false)
-				answer, err := k.Execute(ctx, coordinator.Query{ID: "q", Class: "entry", IdempotencyKey: "k1", Text: "text", Deadline: time.Now().Add(1500 * time.Millisecond),
+				answer, err := coord.Execute(ctx, coordinator.Query{ID: "q", Class: "entry", IdempotencyKey: "k1", Text: "text", Deadline: time.Now().Add(1500 * time.Millisecond),
 					Parts: []coordinator.Part{{Weight: 1}}})
 				if err != nil || (answer.Status == coordinator.Answered) != (c.want == 2) {
 					t.Errorf("answer %v, error %v", answer, err)
--- a/internal/platform/nodeconn.go
+++ b/internal/platform/nodeconn.go
@@ -22,10 +22,10 @@
 	extraConnIdleTimeout = 2 * time.Second
 	// idleMarginDiv sets the safety margin before the peer's idle timeout, as a fraction 1/idleMarginDiv of it.
 	idleMarginDiv = 8
-	// slotPollDiv and minSlotPoll set the polling interval of a connection that waits for a descriptor: 1/slotPollDiv of the
-	// connect timeout, but at least minSlotPoll.
-	slotPollDiv = 32
-	minSlotPoll = time.Millisecond
+	// descriptorPollDiv and minDescriptorPoll set the polling interval of a connection that waits for a descriptor: the connect
+	// timeout divided by descriptorPollDiv, but at least minDescriptorPoll.
+	descriptorPollDiv = 32
+	minDescriptorPoll = time.Millisecond
 )
 
 // connState is the state of a connection to a data node.
@@ -58,12 +58,12 @@
 // nodeConn is one connection to a data node. Its goroutine, in run, is the only one that writes to it, and the only one that
 // reports the attempts in flight on it when it ends. The lock of its pool guards its fields.
 type nodeConn struct {
-	pool       *nodePool
-	wake       chan struct{} // signals the writer to check queue and state
-	state      connState
-	hasSlot    bool               // it holds a descriptor
-	netConn    net.Conn           // most recently opened connection; nil before the first
-	cancelDial context.CancelFunc // nil while no dial is in progress
+	pool          *nodePool
+	wake          chan struct{} // signals the writer to check queue and state
+	state         connState
+	hasDescriptor bool               // it holds a descriptor
+	netConn       net.Conn           // most recently opened connection; nil before the first
+	cancelDial    context.CancelFunc // nil while no dial is in progress
 
 	queue    []queuedFrame
 	attempts attemptTable
@@ -143,7 +143,7 @@
 // and the attempts not yet begun are sent on the new connection.
 func (c *nodeConn) run() {
 	var nc net.Conn
-	err := c.acquireSlot()
+	err := c.acquireDescriptor()
 	if err == nil {
 		nc, err = c.dial()
 	}
@@ -163,21 +163,21 @@
 	c.finish(err)
 }
 
-// acquireSlot waits for a descriptor, at most for the connect timeout. It polls for an idle connection to close, because one
+// acquireDescriptor waits for a descriptor, at most for the connect timeout. It polls for an idle connection to close, because one
 // that was in use when the wait began may become idle before it ends.
-func (c *nodeConn) acquireSlot() error {
-	if c.hasSlot {
+func (c *nodeConn) acquireDescriptor() error {
+	if c.hasDescriptor {
 		return nil
 	}
 	timeout := time.NewTimer(c.pool.ConnectTimeout)
 	defer timeout.Stop()
-	poll := time.NewTicker(max(c.pool.ConnectTimeout/slotPollDiv, minSlotPoll))
+	poll := time.NewTicker(max(c.pool.ConnectTimeout/descriptorPollDiv, minDescriptorPoll))
 	defer poll.Stop()
 	for {
 		c.pool.closeLeastRecentlyUsed()
 		select {
 		case c.pool.Connections <- struct{}{}:
-			c.hasSlot = true
+			c.hasDescriptor = true
 			return nil
 		case <-poll.C:
 		case <-timeout.C:
@@ -191,20 +191,20 @@
 func (c *nodeConn) dial() (net.Conn, error) {
 	ctx, cancel := context.WithDeadline(context.Background(), time.Now().Add(lateConnectFactor*c.pool.ConnectTimeout))
 	defer cancel()
-	c.dialBegins(cancel)
+	c.dialStarted(cancel)
 	overdue := time.AfterFunc(c.pool.ConnectTimeout, c.connectOverdue)
 	defer overdue.Stop()
 	nc, err := c.pool.Dial(ctx, c.pool.node.Addr())
 	if errors.Is(err, syscall.ECONNRESET) {
 		nc, err = c.pool.Dial(ctx, c.pool.node.Addr())
 	}
-	conns := c.dialEnds(nc, err)
+	conns := c.dialEnded(nc, err)
 	c.pool.Log.Debug("connection opened", "node", c.pool.node.ID(), "held", conns, "cause", err)
 	return nc, err
 }
 
-// dialBegins records that a dial is in progress. A connection that is reopened stays in connClosed until the dial has succeeded.
-func (c *nodeConn) dialBegins(cancel context.CancelFunc) {
+// dialStarted records that a dial is in progress. A connection that is reopened stays in connClosed until the dial has succeeded.
+func (c *nodeConn) dialStarted(cancel context.CancelFunc) {
 	c.pool.mu.Lock()
 	defer c.pool.mu.Unlock()
 	c.cancelDial = cancel
@@ -213,9 +213,9 @@
 	}
 }
 
-// dialEnds records the result of a dial, and returns the number of connections to the data node. A connection that was closed
+// dialEnded records the result of a dial, and returns the number of connections to the data node. A connection that was closed
 // meanwhile stays closed.
-func (c *nodeConn) dialEnds(nc net.Conn, err error) (conns int) {
+func (c *nodeConn) dialEnded(nc net.Conn, err error) (conns int) {
 	c.pool.mu.Lock()
 	defer c.pool.mu.Unlock()
 	c.cancelDial = nil
@@ -335,7 +335,7 @@
 		begun = coordinator.ConnectionLost
 	}
 	c.failAll(unsent, begun)
-	if c.hasSlot {
+	if c.hasDescriptor {
 		<-c.pool.Connections
 	}
 }
--- a/internal/platform/nodereader.go
+++ b/internal/platform/nodereader.go
@@ -13,8 +13,8 @@
 // readFrameTimeout limits the time from the first byte of a frame to its last. Data nodes write each frame in one piece.
 const readFrameTimeout = 100 * time.Millisecond
 
-// errUnrequested reports data that arrived while no answer was expected.
-var errUnrequested = errors.New("unsolicited data")
+// errUnsolicited reports data that arrived while no answer was expected.
+var errUnsolicited = errors.New("unsolicited data")
 
 // readFrames reads and handles frames until the connection ends.
 func (c *nodeConn) readFrames(nc net.Conn) {
@@ -26,8 +26,8 @@
 	c.pool.mu.Lock()
 	defer c.pool.mu.Unlock()
 	// A frame that stays incomplete while the connection is open has a wrong length.
-	cutFrame := c.inFrame && errors.Is(err, os.ErrDeadlineExceeded)
-	c.abandoned = c.abandoned || errors.Is(err, errCorrupt) || cutFrame
+	truncatedFrame := c.inFrame && errors.Is(err, os.ErrDeadlineExceeded)
+	c.abandoned = c.abandoned || errors.Is(err, errCorrupt) || truncatedFrame
 	if c.abandoned && c.state != connClosed {
 		c.pool.Log.Info("invalid frame from data node", "node", c.pool.node.ID(), "cause", err)
 	}
@@ -41,7 +41,7 @@
 	if err := in.awaitFrame(); err != nil {
 		return err
 	}
-	if err := c.frameBegins(); err != nil {
+	if err := c.frameStarted(); err != nil {
 		return err
 	}
 	_ = nc.SetReadDeadline(time.Now().Add(readFrameTimeout))
@@ -56,9 +56,9 @@
 	return nil
 }
 
-// frameBegins records that data is arriving. If no answer is expected, it closes the connection before the next attempt is
+// frameStarted records that data is arriving. If no answer is expected, it closes the connection before the next attempt is
 // sent on it, since the data could be mistaken for the answer to that attempt.
-func (c *nodeConn) frameBegins() error {
+func (c *nodeConn) frameStarted() error {
 	c.pool.mu.Lock()
 	defer c.pool.mu.Unlock()
 	c.inFrame = true
@@ -66,7 +66,7 @@
 		return nil
 	}
 	c.close()
-	return errUnrequested
+	return errUnsolicited
 }
 
 // expects reports whether the answer to a part may arrive on this connection.
--- a/internal/platform/nodewriter.go
+++ b/internal/platform/nodewriter.go
@@ -130,7 +130,7 @@
 // encodeCall returns the wire form of a call. It leaves out and reports parts that must no longer be sent.
 func (c *nodeConn) encodeCall(call []*pendingAttempt) []byte {
 	now := time.Now()
-	frame := beginFrame(letterCall)
+	frame := beginFrame(frameTypeCall)
 	for _, pending := range call {
 		timeLeft := pending.Deadline.Sub(now)
 		if c.attempts.pending[pending.ID] != pending || timeLeft < time.Millisecond {
--- a/internal/platform/pagecodec.go
+++ b/internal/platform/pagecodec.go
@@ -115,8 +115,8 @@
 	return json.Marshal(p)
 }
 
-// errCutPage reports a truncated message from discovery.
-var errCutPage = errors.New("message truncated")
+// errTruncatedMessage reports a truncated message from discovery.
+var errTruncatedMessage = errors.New("message truncated")
 
 // pageReader reads messages from discovery: JSON objects, each on one line or indented over several, separated by blank lines.
 // A blank line within an object is an error: the rest of the message is lost, and the blank lines that follow as keep-alives
@@ -148,14 +148,14 @@
 			r.onIdle()
 			continue
 		case len(line) == 0:
-			return nil, errCutPage
+			return nil, errTruncatedMessage
 		}
 		begins := len(r.message) == 0
 		r.message = append(append(r.message, line...), '\n')
 		r.trackDepth(line)
 		if r.depth > 0 {
-			if begins && !continues(line) {
-				return nil, errCutPage
+			if begins && !mayContinue(line) {
+				return nil, errTruncatedMessage
 			}
 			continue
 		}
@@ -167,8 +167,8 @@
 	}
 }
 
-// continues reports whether an object that begins with this line may continue on further lines.
-func continues(line []byte) bool { return bytes.IndexByte([]byte("{[,"), line[len(line)-1]) >= 0 }
+// mayContinue reports whether an object that begins with this line may continue on further lines.
+func mayContinue(line []byte) bool { return bytes.IndexByte([]byte("{[,"), line[len(line)-1]) >= 0 }
 
 // trackDepth updates the number of open braces and brackets after a line.
 func (r *pageReader) trackDepth(line []byte) {
--- a/internal/platform/pagecodec_test.go
+++ b/internal/platform/pagecodec_test.go
@@ -9,8 +9,8 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// TestPages checks that messages are read whether on one line or indented, and that a malformed one is an error at once.
-func TestPages(t *testing.T) {
+// TestPageReader checks that messages are read whether on one line or indented, and that a malformed one is an error at once.
+func TestPageReader(t *testing.T) {
 	indented := "{\n  \"version\": 7,\n  \"full\": true,\n  \"servers\": [\n    {\n      \"id\": \"a}\\\"{\"\n    },\n    {\n      \"id\": \"b\"\n    }\n  ]\n}\n"
 	for _, c := range []struct {
 		name, text string
@@ -22,8 +22,8 @@
 		{"indented, then on one line", indented + "\n{\"version\":8}\n", []int64{7, 8}, 2, io.EOF},
 		{"broken after a bracket, with CRLF", "{\"version\":43,\"full\":false,\"servers\":[\r\n {\"id\":\"a\",\"cell\":3}]}\r\n", []int64{43}, 1, io.EOF},
 		{"without a final line end", "{\"version\":3,\"full\":true,\"servers\":[{\"id\":\"a\"}]}", []int64{3}, 1, io.EOF},
-		{"truncated within a line", "{\"version\":\n", nil, 0, errCutPage},
-		{"truncated between lines, then blank lines", "{\n  \"version\": 7,\n\n\n", nil, 0, errCutPage},
+		{"truncated within a line", "{\"version\":\n", nil, 0, errTruncatedMessage},
+		{"truncated between lines, then blank lines", "{\n  \"version\": 7,\n\n\n", nil, 0, errTruncatedMessage},
 		{"truncated by the end of the connection", "{\n  \"version\": 7,\n", nil, 0, io.EOF},
 	} {
 		t.Run(c.name, func(t *testing.T) {
--- a/internal/platform/readahead.go
+++ b/internal/platform/readahead.go
@@ -12,10 +12,10 @@
 	// maximum size.
 	maxReadAheadBytes = maxBody + maxHeader
 	// freeReadAheadBytes may always be read ahead; beyond it, memory is reserved from Server.BodyMemory.
-	freeReadAheadBytes = freeBodyBytes
-	readAheadStep      = 2 << 10
-	// arrivalStep is the interval within which arrivals are recorded as one, at the time of the first.
-	arrivalStep = 5 * time.Millisecond
+	freeReadAheadBytes   = freeBodyBytes
+	readAheadBufferBytes = 2 << 10
+	// arrivalResolution is the interval within which arrivals are recorded as one, at the time of the first.
+	arrivalResolution = 5 * time.Millisecond
 )
 
 // errReadAhead reports a client that has sent more ahead of its answer than may be buffered.
@@ -71,7 +71,7 @@
 	}
 	in.received += int64(n)
 	now := time.Now()
-	if last := len(in.arrivals) - 1; last >= 0 && now.Sub(in.arrivals[last].at) < arrivalStep {
+	if last := len(in.arrivals) - 1; last >= 0 && now.Sub(in.arrivals[last].at) < arrivalResolution {
 		in.arrivals[last].end = in.received
 		return
 	}
@@ -95,11 +95,11 @@
 // reserve once before it buffers more than freeReadAheadBytes.
 func (in *clientReader) readAhead(reserve func() bool) error {
 	reserved := false
-	step := make([]byte, readAheadStep)
+	buf := make([]byte, readAheadBufferBytes)
 	for {
-		n, err := in.conn.Read(step)
+		n, err := in.conn.Read(buf)
 		in.recordArrival(n)
-		in.ahead = append(in.ahead, step[:n]...)
+		in.ahead = append(in.ahead, buf[:n]...)
 		if err != nil {
 			return err
 		}
--- a/internal/platform/scenario_test.go
+++ b/internal/platform/scenario_test.go
@@ -25,7 +25,7 @@
 func TestScenarios(t *testing.T) {
 	for _, s := range slices.Concat(clientScenarios, nodeScenarios, watchScenarios) {
 		t.Run(s.name, func(t *testing.T) {
-			synctest.Test(t, func(t *testing.T) { play(t, pipes, s) })
+			synctest.Test(t, func(t *testing.T) { runScenario(t, pipes, s) })
 		})
 	}
 }
--- a/internal/platform/scenarioworld_test.go
+++ b/internal/platform/scenarioworld_test.go
@@ -28,13 +28,13 @@
 
 // actor is a client, a data node, a discovery address or the signal source of a scenario.
 type actor struct {
-	name   string
-	dials  chan net.Conn // connections that the program has opened
-	nc     net.Conn
-	msgs   chan string
-	headed net.Conn // connection on which the response header was sent
+	name         string
+	dials        chan net.Conn // connections that the program has opened
+	nc           net.Conn
+	msgs         chan string
+	headerSentOn net.Conn // connection on which the response header was sent
 
-	complain func(format string, args ...any)
+	errorf func(format string, args ...any)
 
 	mu    sync.Mutex
 	hooks map[string]func() // by the event that runs them, each once
@@ -49,8 +49,8 @@
 	loopback                // in real time
 )
 
-// world holds the program and the actors of a scenario.
-type world struct {
+// harness holds the program and the actors of a scenario.
+type harness struct {
 	t       *testing.T
 	network network
 	set     aggregator.Settings
@@ -62,18 +62,18 @@
 	ctx         context.Context // context of the program
 	stop        context.CancelFunc
 	unwatch     context.CancelFunc // ends the watch
-	watching    chan struct{}      // closed once the watch has ended
-	serving     sync.WaitGroup     // goroutines that serve the connections in crowd
+	watchDone   chan struct{}      // closed once the watch has ended
+	serveExtra  sync.WaitGroup     // goroutines that serve the connections in extraConns
 
 	// mu guards the fields below.
-	mu     sync.Mutex
-	actors map[string]*actor
-	ends   map[string]time.Time // deadlines of queries at the client, by id
-	crowd  []net.Conn           // of clients that only occupy a connection
+	mu         sync.Mutex
+	actors     map[string]*actor
+	deadlines  map[string]time.Time // deadlines of queries at the client, by id
+	extraConns []net.Conn           // of clients that only occupy a connection
 }
 
-// settle waits until the program has processed all input.
-func (w *world) settle() {
+// waitSettled waits until the program has processed all input.
+func (w *harness) waitSettled() {
 	if w.network == loopback {
 		time.Sleep(3 * time.Millisecond)
 		return
@@ -81,8 +81,8 @@
 	synctest.Wait()
 }
 
-// pair returns the two ends of a new connection.
-func (w *world) pair() (ours, theirs net.Conn) {
+// connPair returns the two ends of a new connection.
+func (w *harness) connPair() (ours, theirs net.Conn) {
 	if w.network == pipes {
 		return net.Pipe()
 	}
@@ -100,49 +100,49 @@
 	return ours, theirs
 }
 
-// fire runs the hook for an event, if one is set, and removes it.
-func (a *actor) fire(instant string) {
+// runHook runs the hook for an event, if one is set, and removes it.
+func (a *actor) runHook(event string) {
 	a.mu.Lock()
-	f := a.hooks[instant]
-	delete(a.hooks, instant)
+	f := a.hooks[event]
+	delete(a.hooks, event)
 	a.mu.Unlock()
 	if f != nil {
 		f()
 	}
 }
 
-// at sets the hook for an event.
-func (a *actor) at(instant string, f func()) {
+// setHook sets the hook for an event.
+func (a *actor) setHook(event string, f func()) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if a.hooks == nil {
 		a.hooks = map[string]func(){}
 	}
-	a.hooks[instant] = f
+	a.hooks[event] = f
 }
 
-// play runs a scenario, and checks at its end that all resources are released.
-func play(t *testing.T, network network, s scenario) {
+// runScenario runs a scenario, and checks at its end that all resources are released.
+func runScenario(t *testing.T, network network, s scenario) {
 	t.Helper()
-	w := newWorld(t, network, s.nodes)
+	w := newHarness(t, network, s.nodes)
 	for i, line := range strings.Split(strings.TrimSpace(s.script), "\n") {
-		w.settle()
-		w.step(i+1, strings.TrimSpace(line))
+		w.waitSettled()
+		w.runStep(i+1, strings.TrimSpace(line))
 	}
-	w.end()
+	w.checkReleased()
 }
 
-// newWorld starts the program with the data nodes named in nodes; a word with "=" is an option.
-func newWorld(t *testing.T, network network, nodes string) *world {
+// newHarness starts the program with the data nodes named in nodes; a word with "=" is an option.
+func newHarness(t *testing.T, network network, nodes string) *harness {
 	t.Helper()
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
-	set := worldSettings(nodes)
+	set := scenarioSettings(nodes)
 	c, err := coordinator.New(set, 7, log, membership.Config{})
 	if err != nil {
 		t.Fatal(err)
 	}
 	ctx, stop := context.WithCancel(t.Context())
-	w := &world{t: t, network: network, actors: map[string]*actor{}, ends: map[string]time.Time{}, set: set, ctx: ctx, stop: stop, coordinator: c,
+	w := &harness{t: t, network: network, actors: map[string]*actor{}, deadlines: map[string]time.Time{}, set: set, ctx: ctx, stop: stop, coordinator: c,
 		clients: &Server{Coordinator: c, Log: log, MaxConns: 9, BodyMemory: 2 * maxBody, RetryAfter: time.Second}}
 	go c.Run(ctx)
 	w.nodes = &ConnPool{Coordinator: c, Log: log, Dial: w.dial, Streams: 32, ConnectTimeout: set.Limits.ConnectTimeout,
@@ -166,15 +166,15 @@
 	w.actor("d1")
 	w.watch.ConfirmTimeout = time.Duration(confirm) * time.Millisecond
 	w.watch.Restore(fmt.Appendf(nil, `{"version":41,"servers":[%s]}`, strings.Join(list, ",")))
-	w.watching = make(chan struct{})
+	w.watchDone = make(chan struct{})
 	var watched context.Context
 	watched, w.unwatch = context.WithCancel(ctx)
-	go func() { w.watch.Run(watched); close(w.watching) }()
+	go func() { w.watch.Run(watched); close(w.watchDone) }()
 	return w
 }
 
-// worldSettings returns the settings of a scenario.
-func worldSettings(nodes string) aggregator.Settings {
+// scenarioSettings returns the settings of a scenario.
+func scenarioSettings(nodes string) aggregator.Settings {
 	set := aggregator.Settings{Aggregators: 1, Tick: 5 * time.Millisecond, ShardSets: 2, Shards: 4, Reach: 1,
 		Classes: []aggregator.Class{{Name: "report", LatencyObjective: time.Second, Deadline: 3 * time.Second, Priority: 1,
 			LateShare: 0.1, CompleteShare: 1, MinShare: 1}, {Name: "entry", LatencyObjective: time.Second, Deadline: 3 * time.Second, Priority: 1,
@@ -193,8 +193,8 @@
 	return set
 }
 
-// step runs one line of a script.
-func (w *world) step(number int, line string) {
+// runStep runs one line of a script.
+func (w *harness) runStep(number int, line string) {
 	w.t.Helper()
 	words := strings.SplitN(line, " ", 3)
 	if words[0] == "wait" {
@@ -237,15 +237,15 @@
 	case "release":
 		close(a.gate)
 	case "at-read", "at-write", "at-close-write":
-		a.at(words[1], func() { w.instant(a, words[2]) })
+		a.setHook(words[1], func() { w.runHookAction(a, words[2]) })
 	default:
 		w.t.Fatalf("line %d: verb %q", number, words[1])
 	}
 }
 
-// end checks that all resources are released, including those held for connections, clients and data nodes: with no data node
+// checkReleased checks that all resources are released, including those held for connections, clients and data nodes: with no data node
 // listed and no client left, nothing may keep running.
-func (w *world) end() {
+func (w *harness) checkReleased() {
 	w.t.Helper()
 	w.unwatch()
 	for _, a := range w.actors {
@@ -254,15 +254,15 @@
 		}
 	}
 	w.mu.Lock()
-	for _, nc := range w.crowd {
+	for _, nc := range w.extraConns {
 		nc.Close()
 	}
 	w.mu.Unlock()
-	w.serving.Wait()
-	<-w.watching
+	w.serveExtra.Wait()
+	<-w.watchDone
 	w.watch.Source.ReplaceList(nil, false)
 	for end := time.Now().Add(10 * time.Second); time.Now().Before(end); {
-		if w.network == loopback && w.givenBack() {
+		if w.network == loopback && w.allReleased() {
 			break
 		}
 		time.Sleep(20 * time.Millisecond)
@@ -273,7 +273,7 @@
 			a.nc = nil
 		}
 	}
-	w.settle()
+	w.waitSettled()
 	if len(w.nodes.Connections) > 0 {
 		w.t.Errorf("%d connections were not released", len(w.nodes.Connections))
 	}
@@ -286,43 +286,43 @@
 	w.stop()
 }
 
-// givenBack reports whether all resources are released.
-func (w *world) givenBack() bool {
+// allReleased reports whether all resources are released.
+func (w *harness) allReleased() bool {
 	w.clients.mu.Lock()
 	defer w.clients.mu.Unlock()
 	return len(w.nodes.Connections)+len(w.clients.conns)+w.coordinator.OpenCount() == 0
 }
 
-// instant runs the action of a hook.
-func (w *world) instant(a *actor, what string) {
-	switch what {
+// runHookAction runs the action of a hook.
+func (w *harness) runHookAction(a *actor, action string) {
+	switch action {
 	case "close-idle":
 		w.clients.CloseIdle()
 	case "new-conn": // a new connection needs room
-		ours, theirs := w.pair()
+		ours, theirs := w.connPair()
 		w.mu.Lock()
-		w.crowd = append(w.crowd, ours)
+		w.extraConns = append(w.extraConns, ours)
 		w.mu.Unlock()
-		w.serving.Go(func() { w.clients.placeConn(theirs).run() })
+		w.serveExtra.Go(func() { w.clients.placeConn(theirs).run() })
 		time.Sleep(50 * time.Millisecond)
 	default:
-		w.send(a, strings.TrimPrefix(what, "send "))
+		w.send(a, strings.TrimPrefix(action, "send "))
 		time.Sleep(20 * time.Millisecond) // until the program has received it
 	}
 }
 
 // actor returns the actor of that name, and creates it if needed.
-func (w *world) actor(name string) *actor {
+func (w *harness) actor(name string) *actor {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.actors[name] == nil {
-		w.actors[name] = &actor{name: name, complain: w.t.Errorf, dials: make(chan net.Conn, 9), msgs: make(chan string, 99)}
+		w.actors[name] = &actor{name: name, errorf: w.t.Errorf, dials: make(chan net.Conn, 9), msgs: make(chan string, 99)}
 	}
 	return w.actors[name]
 }
 
 // dial opens connections for the program.
-func (w *world) dial(ctx context.Context, addr string) (net.Conn, error) {
+func (w *harness) dial(ctx context.Context, addr string) (net.Conn, error) {
 	if addr[0] == 'h' {
 		<-ctx.Done()
 		return nil, ctx.Err()
@@ -338,18 +338,18 @@
 			return nil, ctx.Err()
 		}
 	}
-	ours, theirs := w.pair()
+	ours, theirs := w.connPair()
 	a.dials <- theirs
 	return ours, nil
 }
 
 // accept takes the next connection that the program has opened, unless the actor already has one.
-func (w *world) accept(a *actor) {
+func (w *harness) accept(a *actor) {
 	if a.nc == nil {
 		select {
 		case a.nc = <-a.dials:
 			if a.name[0] != 'm' {
-				go w.read(a, a.nc)
+				go w.readMessages(a, a.nc)
 			}
 		default:
 		}
@@ -357,14 +357,14 @@
 }
 
 // next returns the next message that an actor receives, "-" if none arrives within wait.
-func (w *world) next(a *actor, wait time.Duration) string {
+func (w *harness) next(a *actor, wait time.Duration) string {
 	if wait == 0 && w.network == loopback {
 		time.Sleep(50 * time.Millisecond)
 	}
 	for end := time.Now().Add(wait); ; time.Sleep(time.Millisecond) {
-		w.settle()
+		w.waitSettled()
 		w.accept(a)
-		w.settle()
+		w.waitSettled()
 		select {
 		case msg := <-a.msgs:
 			if msg == "end" && a.nc != nil {
@@ -380,8 +380,8 @@
 	}
 }
 
-// read converts what arrives on a connection to messages.
-func (w *world) read(a *actor, nc net.Conn) {
+// readMessages converts what arrives on a connection to messages.
+func (w *harness) readMessages(a *actor, nc net.Conn) {
 	in := textproto.NewReader(bufio.NewReader(nc))
 	for {
 		var msg string
@@ -391,8 +391,8 @@
 			msg, err = readResponse(in)
 		case 'n':
 			var left map[string]time.Duration
-			msg, left, err = frameTimes(in.R)
-			w.checkTimes(left)
+			msg, left, err = readFrame(in.R)
+			w.checkTimeLeft(left)
 		case 'd':
 			if msg, err = in.ReadLine(); err == nil {
 				msg = strings.TrimSuffix(msg, " HTTP/1.1")
@@ -411,29 +411,29 @@
 	}
 }
 
-// checkTimes checks that the time left given for parts does not exceed that of their clients by more than 20 ms.
-func (w *world) checkTimes(left map[string]time.Duration) {
+// checkTimeLeft checks that the time left given for parts does not exceed that of their clients by more than 20 ms.
+func (w *harness) checkTimeLeft(left map[string]time.Duration) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	for id, told := range left {
+	for id, timeLeft := range left {
 		query, _, _ := strings.Cut(id, ".")
-		end, known := w.ends[query]
+		end, known := w.deadlines[query]
 		if !known {
 			continue
 		}
-		if most := time.Until(end) + 20*time.Millisecond; told > most {
-			w.t.Errorf("part %s has %v left; its client waits for at most %v", id, told, most)
+		if limit := time.Until(end) + 20*time.Millisecond; timeLeft > limit {
+			w.t.Errorf("part %s has %v left; its client waits for at most %v", id, timeLeft, limit)
 		}
 	}
 }
 
 // send runs the verb send: it sends a message on the connection of an actor, or a command to the program.
-func (w *world) send(a *actor, text string) {
+func (w *harness) send(a *actor, text string) {
 	if a.name[0] == 'c' && a.nc == nil {
-		ours, theirs := w.pair()
+		ours, theirs := w.connPair()
 		a.nc = ours
 		go func() { w.clients.placeConn(&hookedConn{theirs, a}).run() }()
-		go w.read(a, a.nc)
+		go w.readMessages(a, a.nc)
 	}
 	words := strings.SplitN(text, " ", 4)
 	var data string
@@ -466,9 +466,9 @@
 		if len(words) > 3 {
 			value = words[3]
 		}
-		data = frameOf(fmt.Sprintf("A%s %s 1 util=0.5,odd=x\n%s", words[1], words[2], value))
+		data = encodeFrame(fmt.Sprintf("A%s %s 1 util=0.5,odd=x\n%s", words[1], words[2], value))
 	case words[0] == "L":
-		data = frameOf("L" + strings.TrimPrefix(text, "L "))
+		data = encodeFrame("L" + strings.TrimPrefix(text, "L "))
 	case words[0] == "page", words[0] == "blank-line", words[0] == "indented", words[0] == "restarted":
 		line := strings.TrimSpace(strings.TrimPrefix(text, words[0])) + "\n"
 		switch words[0] {
@@ -484,8 +484,8 @@
 			line = fmt.Sprintf(`{"version":42,"servers":[{"id":%q,"addr":%[1]q,"cell":0,"state":"SERVING","started_ms":%d}]}`+"\n",
 				words[1], time.Now().UnixMilli())
 		}
-		if a.headed != a.nc { // the response header, once per connection
-			a.headed = a.nc
+		if a.headerSentOn != a.nc { // the response header, once per connection
+			a.headerSentOn = a.nc
 			data = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 		}
 		data += fmt.Sprintf("%x\r\n%s\r\n", len(line), line)
@@ -496,11 +496,11 @@
 		return
 	}
 	go func() { io.WriteString(nc, data) }() // a write to a pipe blocks until it is read
-	w.settle()
+	w.waitSettled()
 }
 
 // queryText returns the request for a query. words are its id, its deadline in ms, its shards and, for an entry, its key.
-func (w *world) queryText(words []string, kind string) string {
+func (w *harness) queryText(words []string, kind string) string {
 	class, key, shards := "report", "", words[2]
 	if kind == "entry" {
 		class = "entry"
@@ -514,7 +514,7 @@
 	body := `{"shards":[` + strings.Join(parts, ",") + `],"q":"text"}`
 	if ms, err := strconv.Atoi(words[1]); err == nil {
 		w.mu.Lock()
-		w.ends[words[0]] = time.Now().Add(time.Duration(ms) * time.Millisecond)
+		w.deadlines[words[0]] = time.Now().Add(time.Duration(ms) * time.Millisecond)
 		w.mu.Unlock()
 	}
 	return fmt.Sprintf("POST /%s HTTP/1.1\r\nReq-Id: %s\r\nReq-Owner: club\r\nReq-Deadline-Ms: %s\r\n%s"+
--- a/internal/platform/testwire_test.go
+++ b/internal/platform/testwire_test.go
@@ -35,14 +35,14 @@
 	return text + " " + string(body), err
 }
 
-// frameText reads a frame and returns its type and payload; of a call only the ids and keys of the parts.
-func frameText(in *bufio.Reader) (string, error) {
-	text, _, err := frameTimes(in)
+// readFrameText reads a frame and returns its type and payload; of a call only the ids and keys of the parts.
+func readFrameText(in *bufio.Reader) (string, error) {
+	text, _, err := readFrame(in)
 	return text, err
 }
 
-// frameTimes is like frameText, and also returns the time left that a call gives for each part, by id.
-func frameTimes(in *bufio.Reader) (string, map[string]time.Duration, error) {
+// readFrame is like readFrameText, and also returns the time left that a call gives for each part, by id.
+func readFrame(in *bufio.Reader) (string, map[string]time.Duration, error) {
 	var size uint32
 	if err := binary.Read(in, binary.LittleEndian, &size); err != nil {
 		return "", nil, err
@@ -62,8 +62,8 @@
 			if after[:n] != "text" {
 				return "", nil, fmt.Errorf("text %q", after[:n])
 			}
-			told, _, _ := strings.Cut(strings.TrimPrefix(words[2], "d="), ",")
-			ms, err := strconv.Atoi(told)
+			timeLeft, _, _ := strings.Cut(strings.TrimPrefix(words[2], "d="), ",")
+			ms, err := strconv.Atoi(timeLeft)
 			if err != nil {
 				return "", nil, fmt.Errorf("time %q", words[2])
 			}
@@ -78,7 +78,7 @@
 	return strings.TrimSpace(text + " " + rest), left, nil
 }
 
-// frameOf returns a frame with the given type and payload.
-func frameOf(body string) string {
+// encodeFrame returns a frame with the given type and payload.
+func encodeFrame(body string) string {
 	return string(binary.LittleEndian.AppendUint32(nil, uint32(len(body)))) + body
 }
--- a/internal/platform/watch.go
+++ b/internal/platform/watch.go
@@ -23,12 +23,12 @@
 	// ConfirmTimeout is how long a cached list is used before discovery has confirmed it; 0 means no limit.
 	ConfirmTimeout time.Duration
 
-	moves   chan string // addresses to move to
-	addr    string
-	list    endpointList
-	listed  bool // a list is present, received or cached
-	moved   bool // the list is from an address other than addr
-	failing bool // the last call failed, which was logged
+	moves             chan string // addresses to move to
+	addr              string
+	list              endpointList
+	hasList           bool // a list is present, received or cached
+	listFromOtherAddr bool // the list is from an address other than addr
+	failing           bool // the last call failed, which was logged
 
 	confirmed bool // discovery has confirmed or replaced the list since the start
 	withheld  bool // the cached list is not in use
@@ -47,7 +47,7 @@
 		return
 	}
 	p.Full = true
-	w.listed = true
+	w.hasList = true
 	w.Source.ReplaceList(w.merge(p), true)
 }
 
@@ -97,7 +97,7 @@
 // open starts a connection.
 func (r *watchRun) open(ctx context.Context) *watchConn {
 	c := &watchConn{addr: r.addr, timeout: r.Schedule.Timeout(), events: r.events}
-	if r.listed && !r.moved {
+	if r.hasList && !r.listFromOtherAddr {
 		c.resumes, c.after = true, r.list.version
 	}
 	ctx, c.stop = context.WithCancel(ctx)
@@ -111,7 +111,7 @@
 		return
 	}
 	r.Log.Info("watch on discovery moves", "from", r.addr, "to", addr)
-	r.addr, r.moved = addr, true
+	r.addr, r.listFromOtherAddr = addr, true
 	if r.next != nil {
 		r.next.stop()
 	}
@@ -165,7 +165,7 @@
 		}
 		r.current, r.next = r.next, nil
 	}
-	r.moved = r.moved && r.current.addr != r.addr
+	r.listFromOtherAddr = r.listFromOtherAddr && r.current.addr != r.addr
 	r.apply(*p)
 }
 
@@ -197,7 +197,7 @@
 	default:
 		w.Source.ApplyChanges(changed)
 	}
-	w.listed = true
+	w.hasList = true
 	w.confirmed, w.withheld = true, false
 	w.persist()
 }
@@ -212,7 +212,7 @@
 // withhold stops using a cached list that discovery has not confirmed in time. The list may name data nodes whose drain was
 // announced before this process started: they would be sent work for as long as discovery is unreachable.
 func (w *Watch) withhold() {
-	if w.confirmed || !w.listed {
+	if w.confirmed || !w.hasList {
 		return
 	}
 	w.Log.Warn("cached list not confirmed; nothing is sent until discovery answers", "lines", len(w.list.entries))
--- a/internal/platform/watchconn.go
+++ b/internal/platform/watchconn.go
@@ -89,8 +89,8 @@
 
 // readPages opens a connection and sends its events until it ends.
 func (w *Watch) readPages(ctx context.Context, c *watchConn) error {
-	dialing, cancel := context.WithDeadline(ctx, time.Now().Add(c.timeout))
-	nc, err := w.Dial(dialing, c.addr)
+	dialCtx, cancel := context.WithDeadline(ctx, time.Now().Add(c.timeout))
+	nc, err := w.Dial(dialCtx, c.addr)
 	cancel()
 	if err != nil {
 		return err
--- a/internal/platform/watchfleet_test.go
+++ b/internal/platform/watchfleet_test.go
@@ -20,8 +20,8 @@
 	"gullfall/internal/membership"
 )
 
-// overloadedDiscovery sends the list to one caller at a time. A call that has waited for longer than patience is closed without
-// a list, after it has used up its turn; while more than queue calls wait, further ones are rejected.
+// overloadedDiscovery sends the list to one caller at a time. A call that has waited for longer than maxCallWait is closed without
+// a list, after it has used up its turn; while more than maxWaiting calls wait, further ones are rejected.
 type overloadedDiscovery struct {
 	turn           chan struct{}
 	waiting, calls atomic.Int32
@@ -30,8 +30,8 @@
 
 const (
 	listDuration = 60 * time.Millisecond
-	patience     = 2 * time.Second
-	queue        = 40
+	maxCallWait  = 2 * time.Second
+	maxWaiting   = 40
 )
 
 func (o *overloadedDiscovery) dial(context.Context, string) (net.Conn, error) {
@@ -47,9 +47,9 @@
 	if _, err := in.ReadMIMEHeader(); err != nil {
 		return
 	}
-	came := time.Now()
+	received := time.Now()
 	o.calls.Add(1)
-	if o.waiting.Add(1) > queue {
+	if o.waiting.Add(1) > maxWaiting {
 		o.waiting.Add(-1)
 		io.WriteString(nc, "HTTP/1.1 503 Service Unavailable\r\n\r\n")
 		return
@@ -59,7 +59,7 @@
 	time.Sleep(listDuration)
 	<-o.turn
 	o.waiting.Add(-1)
-	if time.Since(came) > patience {
+	if time.Since(received) > maxCallWait {
 		return
 	}
 	o.served.Add(1)
@@ -70,10 +70,10 @@
 	}
 }
 
-// TestListCallsOfAFleet: 80 coordinators that start together with a cached list must all receive the changes soon, although
-// discovery can't serve all of them within the time that it lets a call wait. If those that are closed together retried together,
-// they would time out together again and never be served.
-func TestListCallsOfAFleet(t *testing.T) {
+// TestOverloadedDiscoveryServesAllCoordinators: 80 coordinators that start together with a cached list must all receive the
+// changes soon, although discovery can't serve all of them within the time that it lets a call wait. If those that are closed
+// together retried together, they would time out together again and never be served.
+func TestOverloadedDiscoveryServesAllCoordinators(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const coordinators, nodes = 80, 60
 		var known []string
@@ -97,8 +97,8 @@
 			go w.Run(ctx)
 		}
 		time.Sleep(20 * time.Second)
-		if served, asks := o.served.Load(), o.calls.Load(); served != coordinators || asks > 3*coordinators {
-			t.Errorf("%d of %d coordinators were served; %d calls", served, coordinators, asks)
+		if served, calls := o.served.Load(), o.calls.Load(); served != coordinators || calls > 3*coordinators {
+			t.Errorf("%d of %d coordinators were served; %d calls", served, coordinators, calls)
 		}
 		stop()
 		time.Sleep(10 * time.Second)
--- a/internal/platform/watchsilence_test.go
+++ b/internal/platform/watchsilence_test.go
@@ -100,7 +100,7 @@
 		defer theirs.Close()
 		in := bufio.NewReader(theirs)
 		for {
-			text, err := frameText(in)
+			text, err := readFrameText(in)
 			if err != nil {
 				return
 			}
@@ -112,7 +112,7 @@
 			l.last[addr] = time.Now()
 			l.mu.Unlock()
 			for _, id := range strings.Split(ids, ",") {
-				io.WriteString(theirs, frameOf("A"+id+" ok 1 -\nv"))
+				io.WriteString(theirs, encodeFrame("A"+id+" ok 1 -\nv"))
 			}
 		}
 	}()
@@ -130,9 +130,9 @@
 	seed         uint64
 }
 
-// overdueDrains runs a fleet through a silence. It returns how long after the beginning of the silence the last part was sent to a
+// runSilentFleet runs a fleet through a silence. It returns how long after the beginning of the silence the last part was sent to a
 // drained data node, and how many of the other data nodes were sent parts.
-func overdueDrains(t *testing.T, fleet silentFleet) (last time.Duration, served int) {
+func runSilentFleet(t *testing.T, fleet silentFleet) (last time.Duration, served int) {
 	t.Helper()
 	const nodes = 4
 	ctx, stop := context.WithCancel(t.Context())
@@ -145,7 +145,7 @@
 	set := aggregator.Settings{Aggregators: fleet.coordinators, Tick: 5 * time.Millisecond, ShardSets: 1, Shards: 1, Reach: 1,
 		Classes: []aggregator.Class{{Name: "report", LatencyObjective: time.Second, Deadline: 2 * time.Second, Priority: 1, CompleteShare: 1, MinShare: 1}},
 		Limits:  aggregator.Limits{MaxAttempts: 3, CanCancel: true, ConnectTimeout: 250 * time.Millisecond}}
-	var asking sync.WaitGroup
+	var clients sync.WaitGroup
 	for i := range fleet.coordinators {
 		c, err := coordinator.New(set, fleet.seed+uint64(i), log, membership.Config{})
 		if err != nil {
@@ -161,7 +161,7 @@
 		watching, unwatch := context.WithCancel(ctx)
 		done := make(chan bool)
 		go func() { w.Run(watching); close(done) }()
-		asking.Go(func() {
+		clients.Go(func() {
 			for n := 0; time.Now().Before(q.until.Add(14 * time.Second)); n++ {
 				c.Execute(ctx, coordinator.Query{ID: fmt.Sprint("q", n), Class: "report", Deadline: time.Now().Add(time.Second), Text: "text",
 					Parts: []coordinator.Part{{Shard: 0, Weight: 1}}})
@@ -172,7 +172,7 @@
 			w.Source.ReplaceList(nil, false)
 		})
 	}
-	asking.Wait()
+	clients.Wait()
 	time.Sleep(time.Minute)
 	stop()
 	synctest.Wait()
@@ -205,10 +205,10 @@
 			synctest.Test(t, func(t *testing.T) {
 				phase, silence := 2*membership.KeepAliveInterval+50*time.Millisecond, 5*time.Second // worst case: a line has just arrived
 				if !c.pushed {
-					// After the first call of each coordinator. It ends before the silence is noticed: a call made during it may wait, see below.
+					// After the first call of each coordinator. It ends before it is noticed: a call made during it may wait, see below.
 					phase, silence = 2*membership.KeepAliveInterval+c.grace/2+150*time.Millisecond, 2500*time.Millisecond
 				}
-				last, served := overdueDrains(t, silentFleet{c.pushed, c.coordinators, c.others, c.grace, phase, silence, 1})
+				last, served := runSilentFleet(t, silentFleet{c.pushed, c.coordinators, c.others, c.grace, phase, silence, 1})
 				if last > membership.NotifiedAfter+c.grace {
 					t.Errorf("a drained data node was sent a part %v after discovery became silent; %v are allowed", last, membership.NotifiedAfter+c.grace)
 				}
@@ -220,10 +220,10 @@
 	}
 }
 
-// TestDrainsAfterAnySilence checks the same for random lengths of silence. Drains announced by an agent must take effect within the
+// TestDrainsAfterRandomSilence checks the same for random lengths of silence. Drains announced by an agent must take effect within the
 // grace, counted from its return or from membership.NotifiedAfter, whichever is later. Those of a service must take effect within
 // the timeout of a call and the pause after it, since the settings allow for that once a call has failed.
-func TestDrainsAfterAnySilence(t *testing.T) {
+func TestDrainsAfterRandomSilence(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		pushed := rapid.Bool().Draw(r, "pushed")
 		grace := time.Duration(rapid.IntRange(400, 3000).Draw(r, "grace_ms")) * time.Millisecond
@@ -235,7 +235,7 @@
 			bound = max(bound, silence+calls.Timeout()+time.Second+100*time.Millisecond)
 		}
 		synctest.Test(t, func(t *testing.T) {
-			if last, _ := overdueDrains(t, silentFleet{pushed, 3, 2, grace, phase, silence, seed}); last > bound {
+			if last, _ := runSilentFleet(t, silentFleet{pushed, 3, 2, grace, phase, silence, seed}); last > bound {
 				t.Errorf("a drained data node was sent a part %v after discovery became silent; %v are allowed", last, bound)
 			}
 		})
