--- a/internal/platform/connlimit.go
+++ b/internal/platform/connlimit.go
@@ -82,7 +82,7 @@
 }
 
 // evict asks one connection to end, and reports whether one may be evicted: of those in the earliest phase, at or after
-// least, the one that has been in it the longest. The connection itself decides whether it can still end: if it has just read
+// minPhase, the one that has been in it the longest. The connection itself decides whether it can still end: if it has just read
 // a request, it answers that first. The caller holds the lock.
 func (s *Server) evict(minPhase connPhase) bool {
 	var candidate *clientConn
@@ -103,9 +103,9 @@
 	return true
 }
 
-// mustShedConn reports whether a response must close its connection to keep the number of active ones below the limit. Clients
-// that open a connection for each request and keep it would otherwise reach that limit. It evicts a connection that has been
-// idle for long enough, if there is one; only otherwise must the current connection close. The caller holds the lock.
+// mustShedConn reports whether a response must close its connection. Clients that open a connection for each request and keep
+// it would otherwise soon reach ActiveConns. While more than half of ActiveConns are active, it evicts a connection that has
+// been idle for long enough; the current connection must close only if there is none. The caller holds the lock.
 func (s *Server) mustShedConn() bool {
 	return s.ActiveConns > 0 && s.active > s.ActiveConns/2 && !s.evict(phaseIdle)
 }
--- a/internal/platform/ending_test.go
+++ b/internal/platform/ending_test.go
@@ -250,8 +250,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	w := &harness{t: t, network: loopback}
-	ours, theirs := w.connPair()
+	h := &harness{t: t, network: loopback}
+	ours, theirs := h.connPair()
 	defer ours.Close()
 	clients := &Server{Coordinator: c, Log: log, MaxConns: 9, BodyMemory: 1 << 20}
 	go func() { clients.placeConn(theirs).run() }()
--- a/internal/platform/scenarioworld_test.go
+++ b/internal/platform/scenarioworld_test.go
@@ -73,8 +73,8 @@
 }
 
 // waitSettled waits until the program has processed all input.
-func (w *harness) waitSettled() {
-	if w.network == loopback {
+func (h *harness) waitSettled() {
+	if h.network == loopback {
 		time.Sleep(3 * time.Millisecond)
 		return
 	}
@@ -82,20 +82,20 @@
 }
 
 // connPair returns the two ends of a new connection.
-func (w *harness) connPair() (ours, theirs net.Conn) {
-	if w.network == pipes {
+func (h *harness) connPair() (ours, theirs net.Conn) {
+	if h.network == pipes {
 		return net.Pipe()
 	}
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
-		w.t.Fatal(err)
+		h.t.Fatal(err)
 	}
 	defer ln.Close()
 	if ours, err = net.Dial("tcp", ln.Addr().String()); err != nil {
-		w.t.Fatal(err)
+		h.t.Fatal(err)
 	}
 	if theirs, err = ln.Accept(); err != nil {
-		w.t.Fatal(err)
+		h.t.Fatal(err)
 	}
 	return ours, theirs
 }
@@ -124,12 +124,12 @@
 // runScenario runs a scenario, and checks at its end that all resources are released.
 func runScenario(t *testing.T, network network, s scenario) {
 	t.Helper()
-	w := newHarness(t, network, s.nodes)
+	h := newHarness(t, network, s.nodes)
 	for i, line := range strings.Split(strings.TrimSpace(s.script), "\n") {
-		w.waitSettled()
-		w.runStep(i+1, strings.TrimSpace(line))
+		h.waitSettled()
+		h.runStep(i+1, strings.TrimSpace(line))
 	}
-	w.checkReleased()
+	h.checkReleased()
 }
 
 // newHarness starts the program with the data nodes named in nodes; a word with "=" is an option.
@@ -142,17 +142,17 @@
 		t.Fatal(err)
 	}
 	ctx, stop := context.WithCancel(t.Context())
-	w := &harness{t: t, network: network, actors: map[string]*actor{}, deadlines: map[string]time.Time{}, set: set, ctx: ctx, stop: stop, coordinator: c,
+	h := &harness{t: t, network: network, actors: map[string]*actor{}, deadlines: map[string]time.Time{}, set: set, ctx: ctx, stop: stop, coordinator: c,
 		clients: &Server{Coordinator: c, Log: log, MaxConns: 9, BodyMemory: 2 * maxBody, RetryAfter: time.Second}}
 	go c.Run(ctx)
-	w.nodes = &ConnPool{Coordinator: c, Log: log, Dial: w.dial, Streams: 32, ConnectTimeout: set.Limits.ConnectTimeout,
+	h.nodes = &ConnPool{Coordinator: c, Log: log, Dial: h.dial, Streams: 32, ConnectTimeout: set.Limits.ConnectTimeout,
 		IdleTimeout: set.Limits.ConnIdle, Connections: make(chan struct{}, 9)}
-	c.RegisterDispatcher("", w.nodes.Dispatch)
-	w.watch = NewWatch("d1")
-	w.watch.Source, w.watch.Log, w.watch.Dial = c.AddSource(membership.Spec{Name: "discovery"}), log, w.dial
+	c.RegisterDispatcher("", h.nodes.Dispatch)
+	h.watch = NewWatch("d1")
+	h.watch.Source, h.watch.Log, h.watch.Dial = c.AddSource(membership.Spec{Name: "discovery"}), log, h.dial
 	var list []string
 	confirm := 0
-	options := map[string]*int{"streams": &w.nodes.Streams, "activeconns": &w.clients.ActiveConns, "maxconns": &w.clients.MaxConns, "confirm": &confirm}
+	options := map[string]*int{"streams": &h.nodes.Streams, "activeconns": &h.clients.ActiveConns, "maxconns": &h.clients.MaxConns, "confirm": &confirm}
 	for _, id := range strings.Fields(nodes) {
 		if key, n, ok := strings.Cut(id, "="); ok {
 			if to := options[key]; to != nil {
@@ -160,17 +160,17 @@
 			}
 			continue
 		}
-		w.actor(id)
+		h.actor(id)
 		list = append(list, fmt.Sprintf(`{"id":%q,"addr":%q,"cell":%d,"state":"SERVING"}`, id, id, (id[1]+1)%2))
 	}
-	w.actor("d1")
-	w.watch.ConfirmTimeout = time.Duration(confirm) * time.Millisecond
-	w.watch.Restore(fmt.Appendf(nil, `{"version":41,"servers":[%s]}`, strings.Join(list, ",")))
-	w.watchDone = make(chan struct{})
+	h.actor("d1")
+	h.watch.ConfirmTimeout = time.Duration(confirm) * time.Millisecond
+	h.watch.Restore(fmt.Appendf(nil, `{"version":41,"servers":[%s]}`, strings.Join(list, ",")))
+	h.watchDone = make(chan struct{})
 	var watched context.Context
-	watched, w.unwatch = context.WithCancel(ctx)
-	go func() { w.watch.Run(watched); close(w.watchDone) }()
-	return w
+	watched, h.unwatch = context.WithCancel(ctx)
+	go func() { h.watch.Run(watched); close(h.watchDone) }()
+	return h
 }
 
 // scenarioSettings returns the settings of a scenario.
@@ -194,32 +194,32 @@
 }
 
 // runStep runs one line of a script.
-func (w *harness) runStep(number int, line string) {
-	w.t.Helper()
+func (h *harness) runStep(number int, line string) {
+	h.t.Helper()
 	words := strings.SplitN(line, " ", 3)
 	if words[0] == "wait" {
 		d, err := time.ParseDuration(words[1])
 		if err != nil {
-			w.t.Fatal(err)
+			h.t.Fatal(err)
 		}
 		time.Sleep(d)
 		return
 	}
-	a := w.actor(words[0])
+	a := h.actor(words[0])
 	switch words[1] {
 	case "send":
-		w.send(a, words[2])
+		h.send(a, words[2])
 	case "expect", "expect-now":
 		wait := time.Second
 		if words[1] == "expect-now" || words[2] == "-" {
 			wait = 0
 		}
-		got, want := w.next(a, wait), words[2]
+		got, want := h.next(a, wait), words[2]
 		if n := len(want); a.name[0] == 'c' && len(got) > n && !strings.Contains(want, "{") {
 			got = strings.TrimSpace(got[:n]) // compare the status only
 		}
 		if diff := cmp.Diff(want, got); diff != "" {
-			w.t.Errorf("line %d, %s: (-want +got)\n%s", number, line, diff)
+			h.t.Errorf("line %d, %s: (-want +got)\n%s", number, line, diff)
 		}
 	case "close":
 		a.nc.Close()
@@ -228,7 +228,7 @@
 		}
 	case "half-close":
 		if err := a.nc.(*net.TCPConn).CloseWrite(); err != nil {
-			w.t.Fatal(err)
+			h.t.Fatal(err)
 		}
 	case "hold":
 		a.mu.Lock()
@@ -237,97 +237,97 @@
 	case "release":
 		close(a.gate)
 	case "at-read", "at-write", "at-close-write":
-		a.setHook(words[1], func() { w.runHookAction(a, words[2]) })
+		a.setHook(words[1], func() { h.runHookAction(a, words[2]) })
 	default:
-		w.t.Fatalf("line %d: verb %q", number, words[1])
+		h.t.Fatalf("line %d: verb %q", number, words[1])
 	}
 }
 
 // checkReleased checks that all resources are released, including those held for connections, clients and data nodes: with no data node
 // listed and no client left, nothing may keep running.
-func (w *harness) checkReleased() {
-	w.t.Helper()
-	w.unwatch()
-	for _, a := range w.actors {
+func (h *harness) checkReleased() {
+	h.t.Helper()
+	h.unwatch()
+	for _, a := range h.actors {
 		if a.nc != nil && a.name[0] != 'n' {
 			a.nc.Close()
 		}
 	}
-	w.mu.Lock()
-	for _, nc := range w.extraConns {
+	h.mu.Lock()
+	for _, nc := range h.extraConns {
 		nc.Close()
 	}
-	w.mu.Unlock()
-	w.serveExtra.Wait()
-	<-w.watchDone
-	w.watch.Source.ReplaceList(nil, false)
+	h.mu.Unlock()
+	h.serveExtra.Wait()
+	<-h.watchDone
+	h.watch.Source.ReplaceList(nil, false)
 	for end := time.Now().Add(10 * time.Second); time.Now().Before(end); {
-		if w.network == loopback && w.allReleased() {
+		if h.network == loopback && h.allReleased() {
 			break
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
-	for _, a := range w.actors {
-		for w.accept(a); a.nc != nil; w.accept(a) {
+	for _, a := range h.actors {
+		for h.accept(a); a.nc != nil; h.accept(a) {
 			a.nc.Close()
 			a.nc = nil
 		}
 	}
-	w.waitSettled()
-	if len(w.nodes.Connections) > 0 {
-		w.t.Errorf("%d connections were not released", len(w.nodes.Connections))
+	h.waitSettled()
+	if len(h.nodes.Connections) > 0 {
+		h.t.Errorf("%d connections were not released", len(h.nodes.Connections))
 	}
-	if s := w.clients; len(s.conns)+s.active > 0 || s.bodyBytes > 0 {
-		w.t.Errorf("%d client connections, %d of them used, and %d bytes are still held", len(s.conns), s.active, s.bodyBytes)
+	if s := h.clients; len(s.conns)+s.active > 0 || s.bodyBytes > 0 {
+		h.t.Errorf("%d client connections, %d of them used, and %d bytes are still held", len(s.conns), s.active, s.bodyBytes)
 	}
-	if w.coordinator.OpenCount() > 0 {
-		w.t.Errorf("%d queries and parts are still held", w.coordinator.OpenCount())
+	if h.coordinator.OpenCount() > 0 {
+		h.t.Errorf("%d queries and parts are still held", h.coordinator.OpenCount())
 	}
-	w.stop()
+	h.stop()
 }
 
 // allReleased reports whether all resources are released.
-func (w *harness) allReleased() bool {
-	w.clients.mu.Lock()
-	defer w.clients.mu.Unlock()
-	return len(w.nodes.Connections)+len(w.clients.conns)+w.coordinator.OpenCount() == 0
+func (h *harness) allReleased() bool {
+	h.clients.mu.Lock()
+	defer h.clients.mu.Unlock()
+	return len(h.nodes.Connections)+len(h.clients.conns)+h.coordinator.OpenCount() == 0
 }
 
 // runHookAction runs the action of a hook.
-func (w *harness) runHookAction(a *actor, action string) {
+func (h *harness) runHookAction(a *actor, action string) {
 	switch action {
 	case "close-idle":
-		w.clients.CloseIdle()
+		h.clients.CloseIdle()
 	case "new-conn": // a new connection needs room
-		ours, theirs := w.connPair()
-		w.mu.Lock()
-		w.extraConns = append(w.extraConns, ours)
-		w.mu.Unlock()
-		w.serveExtra.Go(func() { w.clients.placeConn(theirs).run() })
+		ours, theirs := h.connPair()
+		h.mu.Lock()
+		h.extraConns = append(h.extraConns, ours)
+		h.mu.Unlock()
+		h.serveExtra.Go(func() { h.clients.placeConn(theirs).run() })
 		time.Sleep(50 * time.Millisecond)
 	default:
-		w.send(a, strings.TrimPrefix(action, "send "))
+		h.send(a, strings.TrimPrefix(action, "send "))
 		time.Sleep(20 * time.Millisecond) // until the program has received it
 	}
 }
 
 // actor returns the actor of that name, and creates it if needed.
-func (w *harness) actor(name string) *actor {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	if w.actors[name] == nil {
-		w.actors[name] = &actor{name: name, errorf: w.t.Errorf, dials: make(chan net.Conn, 9), msgs: make(chan string, 99)}
+func (h *harness) actor(name string) *actor {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	if h.actors[name] == nil {
+		h.actors[name] = &actor{name: name, errorf: h.t.Errorf, dials: make(chan net.Conn, 9), msgs: make(chan string, 99)}
 	}
-	return w.actors[name]
+	return h.actors[name]
 }
 
 // dial opens connections for the program.
-func (w *harness) dial(ctx context.Context, addr string) (net.Conn, error) {
+func (h *harness) dial(ctx context.Context, addr string) (net.Conn, error) {
 	if addr[0] == 'h' {
 		<-ctx.Done()
 		return nil, ctx.Err()
 	}
-	a := w.actor(addr)
+	a := h.actor(addr)
 	a.mu.Lock()
 	gate := a.gate
 	a.mu.Unlock()
@@ -338,18 +338,18 @@
 			return nil, ctx.Err()
 		}
 	}
-	ours, theirs := w.connPair()
+	ours, theirs := h.connPair()
 	a.dials <- theirs
 	return ours, nil
 }
 
 // accept takes the next connection that the program has opened, unless the actor already has one.
-func (w *harness) accept(a *actor) {
+func (h *harness) accept(a *actor) {
 	if a.nc == nil {
 		select {
 		case a.nc = <-a.dials:
 			if a.name[0] != 'm' {
-				go w.readMessages(a, a.nc)
+				go h.readMessages(a, a.nc)
 			}
 		default:
 		}
@@ -357,14 +357,14 @@
 }
 
 // next returns the next message that an actor receives, "-" if none arrives within wait.
-func (w *harness) next(a *actor, wait time.Duration) string {
-	if wait == 0 && w.network == loopback {
+func (h *harness) next(a *actor, wait time.Duration) string {
+	if wait == 0 && h.network == loopback {
 		time.Sleep(50 * time.Millisecond)
 	}
 	for end := time.Now().Add(wait); ; time.Sleep(time.Millisecond) {
-		w.waitSettled()
-		w.accept(a)
-		w.waitSettled()
+		h.waitSettled()
+		h.accept(a)
+		h.waitSettled()
 		select {
 		case msg := <-a.msgs:
 			if msg == "end" && a.nc != nil {
@@ -381,7 +381,7 @@
 }
 
 // readMessages converts what arrives on a connection to messages.
-func (w *harness) readMessages(a *actor, nc net.Conn) {
+func (h *harness) readMessages(a *actor, nc net.Conn) {
 	in := textproto.NewReader(bufio.NewReader(nc))
 	for {
 		var msg string
@@ -392,7 +392,7 @@
 		case 'n':
 			var left map[string]time.Duration
 			msg, left, err = readFrame(in.R)
-			w.checkTimeLeft(left)
+			h.checkTimeLeft(left)
 		case 'd':
 			if msg, err = in.ReadLine(); err == nil {
 				msg = strings.TrimSuffix(msg, " HTTP/1.1")
@@ -412,45 +412,45 @@
 }
 
 // checkTimeLeft checks that the time left given for parts does not exceed that of their clients by more than 20 ms.
-func (w *harness) checkTimeLeft(left map[string]time.Duration) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
+func (h *harness) checkTimeLeft(left map[string]time.Duration) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
 	for id, timeLeft := range left {
 		query, _, _ := strings.Cut(id, ".")
-		end, known := w.deadlines[query]
+		end, known := h.deadlines[query]
 		if !known {
 			continue
 		}
 		if limit := time.Until(end) + 20*time.Millisecond; timeLeft > limit {
-			w.t.Errorf("part %s has %v left; its client waits for at most %v", id, timeLeft, limit)
+			h.t.Errorf("part %s has %v left; its client waits for at most %v", id, timeLeft, limit)
 		}
 	}
 }
 
 // send runs the verb send: it sends a message on the connection of an actor, or a command to the program.
-func (w *harness) send(a *actor, text string) {
+func (h *harness) send(a *actor, text string) {
 	if a.name[0] == 'c' && a.nc == nil {
-		ours, theirs := w.connPair()
+		ours, theirs := h.connPair()
 		a.nc = ours
-		go func() { w.clients.placeConn(&hookedConn{theirs, a}).run() }()
-		go w.readMessages(a, a.nc)
+		go func() { h.clients.placeConn(&hookedConn{theirs, a}).run() }()
+		go h.readMessages(a, a.nc)
 	}
 	words := strings.SplitN(text, " ", 4)
 	var data string
 	switch {
 	case text == "drain":
-		w.clients.Drain(time.Now().Add(time.Minute))
+		h.clients.Drain(time.Now().Add(time.Minute))
 		return
 	case words[0] == "move":
-		w.watch.Move(w.ctx, words[1])
+		h.watch.Move(h.ctx, words[1])
 		return
 	case text == "close-idle":
-		w.clients.CloseIdle()
+		h.clients.CloseIdle()
 		return
 	case words[0] == "raw":
 		var err error
 		if data, err = strconv.Unquote(strings.TrimPrefix(text, "raw ")); err != nil {
-			w.t.Fatal(err)
+			h.t.Fatal(err)
 		}
 	case words[0] == "partial-body":
 		n, _ := strconv.Atoi(words[2])
@@ -458,9 +458,9 @@
 	case text == "long":
 		data = "GET /up HTTP/1.1\r\nX: " + strings.Repeat("x", 200_000) + "\r\n\r\n"
 	case words[0] == "pipelined": // two queries in one write
-		data = w.queryText(strings.SplitN(words[1]+" "+words[2]+" 0", " ", 3), "report") + w.queryText(strings.SplitN(words[3], " ", 3), "report")
+		data = h.queryText(strings.SplitN(words[1]+" "+words[2]+" 0", " ", 3), "report") + h.queryText(strings.SplitN(words[3], " ", 3), "report")
 	case words[0] == "query", words[0] == "entry":
-		data = w.queryText(words[1:], words[0])
+		data = h.queryText(words[1:], words[0])
 	case words[0] == "A":
 		value := ""
 		if len(words) > 3 {
@@ -477,7 +477,7 @@
 		case "indented":
 			var out bytes.Buffer
 			if err := json.Indent(&out, []byte(line), "", "  "); err != nil {
-				w.t.Fatal(err)
+				h.t.Fatal(err)
 			}
 			line = out.String()
 		case "restarted":
@@ -492,15 +492,15 @@
 	}
 	nc := a.nc
 	if nc == nil {
-		w.t.Errorf("%s has no connection to send %q on", a.name, text)
+		h.t.Errorf("%s has no connection to send %q on", a.name, text)
 		return
 	}
 	go func() { io.WriteString(nc, data) }() // a write to a pipe blocks until it is read
-	w.waitSettled()
+	h.waitSettled()
 }
 
 // queryText returns the request for a query. words are its id, its deadline in ms, its shards and, for an entry, its key.
-func (w *harness) queryText(words []string, kind string) string {
+func (h *harness) queryText(words []string, kind string) string {
 	class, key, shards := "report", "", words[2]
 	if kind == "entry" {
 		class = "entry"
@@ -513,9 +513,9 @@
 	}
 	body := `{"shards":[` + strings.Join(parts, ",") + `],"q":"text"}`
 	if ms, err := strconv.Atoi(words[1]); err == nil {
-		w.mu.Lock()
-		w.deadlines[words[0]] = time.Now().Add(time.Duration(ms) * time.Millisecond)
-		w.mu.Unlock()
+		h.mu.Lock()
+		h.deadlines[words[0]] = time.Now().Add(time.Duration(ms) * time.Millisecond)
+		h.mu.Unlock()
 	}
 	return fmt.Sprintf("POST /%s HTTP/1.1\r\nReq-Id: %s\r\nReq-Owner: club\r\nReq-Deadline-Ms: %s\r\n%s"+
 		"Content-Length: %d\r\n\r\n%s", class, words[0], words[1], key, len(body), body)
