--- a/internal/platform/scenarioworld_test.go
+++ b/internal/platform/scenarioworld_test.go
@@ -26,22 +26,22 @@
 	"gullfall/internal/membership"
 )
 
-// actor is one party of a scenario.
+// actor is a client, a data node, a discovery address or the signal source of a scenario.
 type actor struct {
-	name   string
-	dials  chan net.Conn // from the program
-	nc     net.Conn
-	msgs   chan string
-	headed net.Conn
+	name         string
+	dials        chan net.Conn // connections that the program has opened
+	nc           net.Conn
+	msgs         chan string
+	headerSentOn net.Conn // connection on which the response header was sent
 
-	complain func(format string, args ...any)
+	errorf func(format string, args ...any)
 
 	mu    sync.Mutex
-	hooks map[string]func() // by instant, each once
-	gate  chan struct{}     // connections come up once it is closed; nil where they do at once
+	hooks map[string]func() // by the event that runs them, each once
+	gate  chan struct{}     // dials succeed once it is closed; nil: at once
 }
 
-// network is what connects the actors and the program.
+// network is the kind of connection between the actors and the program.
 type network int
 
 const (
@@ -49,8 +49,8 @@
 	loopback                // in real time
 )
 
-// world is the program and the actors of a scenario.
-type world struct {
+// harness holds the program and the actors of a scenario.
+type harness struct {
 	t       *testing.T
 	network network
 	set     aggregator.Settings
@@ -59,100 +59,100 @@
 	clients     *Server
 	nodes       *ConnPool
 	watch       *Watch
-	ctx         context.Context // of the program
+	ctx         context.Context // context of the program
 	stop        context.CancelFunc
 	unwatch     context.CancelFunc // ends the watch
-	watching    chan struct{}      // closed once it has ended
-	serving     sync.WaitGroup     // of the connections in crowd
+	watchDone   chan struct{}      // closed once the watch has ended
+	serveExtra  sync.WaitGroup     // goroutines that serve the connections in extraConns
 
-	// mu guards what follows.
-	mu     sync.Mutex
-	actors map[string]*actor
-	ends   map[string]time.Time // by the query's id, when its client's time is over
-	crowd  []net.Conn           // of clients that only take a place
+	// mu guards the fields below.
+	mu         sync.Mutex
+	actors     map[string]*actor
+	deadlines  map[string]time.Time // deadlines of queries at the client, by id
+	extraConns []net.Conn           // of clients that only occupy a connection
 }
 
-// settle lets all that can happen now happen.
-func (w *world) settle() {
-	if w.network == loopback {
+// waitSettled waits until the program has processed all input.
+func (h *harness) waitSettled() {
+	if h.network == loopback {
 		time.Sleep(3 * time.Millisecond)
 		return
 	}
 	synctest.Wait()
 }
 
-// pair is one connection, as its two ends see it.
-func (w *world) pair() (ours, theirs net.Conn) {
-	if w.network == pipes {
+// connPair returns the two ends of a new connection.
+func (h *harness) connPair() (ours, theirs net.Conn) {
+	if h.network == pipes {
 		return net.Pipe()
 	}
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
-		w.t.Fatal(err)
+		h.t.Fatal(err)
 	}
 	defer ln.Close()
 	if ours, err = net.Dial("tcp", ln.Addr().String()); err != nil {
-		w.t.Fatal(err)
+		h.t.Fatal(err)
 	}
 	if theirs, err = ln.Accept(); err != nil {
-		w.t.Fatal(err)
+		h.t.Fatal(err)
 	}
 	return ours, theirs
 }
 
-// fire runs what is to happen at an instant.
-func (a *actor) fire(instant string) {
+// runHook runs the hook for an event, if one is set, and removes it.
+func (a *actor) runHook(event string) {
 	a.mu.Lock()
-	f := a.hooks[instant]
-	delete(a.hooks, instant)
+	f := a.hooks[event]
+	delete(a.hooks, event)
 	a.mu.Unlock()
 	if f != nil {
 		f()
 	}
 }
 
-// at notes what is to happen at an instant.
-func (a *actor) at(instant string, f func()) {
+// setHook sets the hook for an event.
+func (a *actor) setHook(event string, f func()) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if a.hooks == nil {
 		a.hooks = map[string]func(){}
 	}
-	a.hooks[instant] = f
+	a.hooks[event] = f
 }
 
-// play runs a scenario, and checks that everything is given back at its end.
-func play(t *testing.T, network network, s scenario) {
+// runScenario runs a scenario, and checks at its end that all resources are released.
+func runScenario(t *testing.T, network network, s scenario) {
 	t.Helper()
-	w := newWorld(t, network, s.nodes)
+	h := newHarness(t, network, s.nodes)
 	for i, line := range strings.Split(strings.TrimSpace(s.script), "\n") {
-		w.settle()
-		w.step(i+1, strings.TrimSpace(line))
+		h.waitSettled()
+		h.runStep(i+1, strings.TrimSpace(line))
 	}
-	w.end()
+	h.checkReleased()
 }
 
-// newWorld starts the program between the actors that nodes names; a word with "=" is an option.
-func newWorld(t *testing.T, network network, nodes string) *world {
+// newHarness starts the program with the data nodes named in nodes; a word with "=" is an option.
+func newHarness(t *testing.T, network network, nodes string) *harness {
 	t.Helper()
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
-	set := worldSettings(nodes)
+	set := scenarioSettings(nodes)
 	c, err := coordinator.New(set, 7, log, membership.Config{})
 	if err != nil {
 		t.Fatal(err)
 	}
 	ctx, stop := context.WithCancel(t.Context())
-	w := &world{t: t, network: network, actors: map[string]*actor{}, ends: map[string]time.Time{}, set: set, ctx: ctx, stop: stop, coordinator: c,
+	h := &harness{t: t, network: network, actors: map[string]*actor{}, deadlines: map[string]time.Time{}, set: set, ctx: ctx, stop: stop, coordinator: c,
 		clients: &Server{Coordinator: c, Log: log, MaxConns: 9, BodyMemory: 2 * maxBody, RetryAfter: time.Second}}
 	go c.Run(ctx)
-	w.nodes = &ConnPool{Coordinator: c, Log: log, Dial: w.dial, Streams: 32, ConnectTimeout: set.Limits.ConnectTimeout,
+	h.nodes = &ConnPool{Coordinator: c, Log: log, Dial: h.dial, Streams: 32, ConnectTimeout: set.Limits.ConnectTimeout,
 		IdleTimeout: set.Limits.ConnIdle, Connections: make(chan struct{}, 9)}
-	c.RegisterDispatcher("", w.nodes.Dispatch)
-	w.watch = NewWatch("d1")
-	w.watch.Source, w.watch.Log, w.watch.Dial = c.AddSource(membership.Spec{Name: "discovery"}), log, w.dial
+	c.RegisterDispatcher("", h.nodes.Dispatch)
+	h.watch = NewWatch("d1")
+	h.watch.Source, h.watch.Log, h.watch.Dial = c.AddSource(membership.Spec{Name: "discovery"}), log, h.dial
 	var list []string
 	confirm := 0
-	options := map[string]*int{"streams": &w.nodes.Streams, "busy": &w.clients.ActiveConns, "most": &w.clients.MaxConns, "confirm": &confirm}
+	options := map[string]*int{"streams": &h.nodes.Streams, "activeconns": &h.clients.ActiveConns, "maxconns": &h.clients.MaxConns, "confirm": &confirm}
 	for _, id := range strings.Fields(nodes) {
 		if key, n, ok := strings.Cut(id, "="); ok {
 			if to := options[key]; to != nil {
@@ -160,21 +160,21 @@
 			}
 			continue
 		}
-		w.actor(id)
+		h.actor(id)
 		list = append(list, fmt.Sprintf(`{"id":%q,"addr":%q,"cell":%d,"state":"SERVING"}`, id, id, (id[1]+1)%2))
 	}
-	w.actor("d1")
-	w.watch.ConfirmTimeout = time.Duration(confirm) * time.Millisecond
-	w.watch.Restore(fmt.Appendf(nil, `{"version":41,"servers":[%s]}`, strings.Join(list, ",")))
-	w.watching = make(chan struct{})
+	h.actor("d1")
+	h.watch.ConfirmTimeout = time.Duration(confirm) * time.Millisecond
+	h.watch.Restore(fmt.Appendf(nil, `{"version":41,"servers":[%s]}`, strings.Join(list, ",")))
+	h.watchDone = make(chan struct{})
 	var watched context.Context
-	watched, w.unwatch = context.WithCancel(ctx)
-	go func() { w.watch.Run(watched); close(w.watching) }()
-	return w
+	watched, h.unwatch = context.WithCancel(ctx)
+	go func() { h.watch.Run(watched); close(h.watchDone) }()
+	return h
 }
 
-// worldSettings are the settings of a scenario.
-func worldSettings(nodes string) aggregator.Settings {
+// scenarioSettings returns the settings of a scenario.
+func scenarioSettings(nodes string) aggregator.Settings {
 	set := aggregator.Settings{Aggregators: 1, Tick: 5 * time.Millisecond, ShardSets: 2, Shards: 4, Reach: 1,
 		Classes: []aggregator.Class{{Name: "report", LatencyObjective: time.Second, Deadline: 3 * time.Second, Priority: 1,
 			LateShare: 0.1, CompleteShare: 1, MinShare: 1}, {Name: "entry", LatencyObjective: time.Second, Deadline: 3 * time.Second, Priority: 1,
@@ -187,48 +187,48 @@
 	if strings.Contains(nodes, "nocancel=1") {
 		set.Limits.CanCancel = false
 	}
-	if strings.Contains(nodes, "slowstart=1") { // a data node that has just started may be sent next to nothing
+	if strings.Contains(nodes, "slowstart=1") { // a newly started data node may be sent almost nothing
 		set.Rules.OverloadMultiple, set.Rules.OverloadWindow, set.Rules.InitialCapacity, set.Rules.WarmupTime = 2, time.Second, 0.001, time.Minute
 	}
 	return set
 }
 
-// step plays one line of a script.
-func (w *world) step(number int, line string) {
-	w.t.Helper()
+// runStep runs one line of a script.
+func (h *harness) runStep(number int, line string) {
+	h.t.Helper()
 	words := strings.SplitN(line, " ", 3)
 	if words[0] == "wait" {
 		d, err := time.ParseDuration(words[1])
 		if err != nil {
-			w.t.Fatal(err)
+			h.t.Fatal(err)
 		}
 		time.Sleep(d)
 		return
 	}
-	a := w.actor(words[0])
+	a := h.actor(words[0])
 	switch words[1] {
 	case "send":
-		w.send(a, words[2])
-	case "expect", "find":
+		h.send(a, words[2])
+	case "expect", "expect-now":
 		wait := time.Second
-		if words[1] == "find" || words[2] == "-" {
+		if words[1] == "expect-now" || words[2] == "-" {
 			wait = 0
 		}
-		got, want := w.next(a, wait), words[2]
+		got, want := h.next(a, wait), words[2]
 		if n := len(want); a.name[0] == 'c' && len(got) > n && !strings.Contains(want, "{") {
-			got = strings.TrimSpace(got[:n]) // the status only
+			got = strings.TrimSpace(got[:n]) // compare the status only
 		}
 		if diff := cmp.Diff(want, got); diff != "" {
-			w.t.Errorf("line %d, %s: (-want +got)\n%s", number, line, diff)
+			h.t.Errorf("line %d, %s: (-want +got)\n%s", number, line, diff)
 		}
 	case "close":
 		a.nc.Close()
 		a.nc = nil
-		for <-a.msgs != "end" { // what its own reader saw of it
+		for <-a.msgs != "end" { // discard what its reader still received
 		}
 	case "half-close":
 		if err := a.nc.(*net.TCPConn).CloseWrite(); err != nil {
-			w.t.Fatal(err)
+			h.t.Fatal(err)
 		}
 	case "hold":
 		a.mu.Lock()
@@ -236,97 +236,98 @@
 		a.mu.Unlock()
 	case "release":
 		close(a.gate)
-	case "at-read", "at-write", "at-shut":
-		a.at(words[1], func() { w.instant(a, words[2]) })
+	case "at-read", "at-write", "at-close-write":
+		a.setHook(words[1], func() { h.runHookAction(a, words[2]) })
 	default:
-		w.t.Fatalf("line %d: verb %q", number, words[1])
+		h.t.Fatalf("line %d: verb %q", number, words[1])
 	}
 }
 
-// end checks that everything is given back, what is kept for connections, clients and data nodes included: with no data node
-// listed and no client left, nothing may go on running.
-func (w *world) end() {
-	w.t.Helper()
-	w.unwatch()
-	for _, a := range w.actors {
+// checkReleased checks that all resources are released, including those held for connections, clients and data nodes: with no data node
+// listed and no client left, nothing may keep running.
+func (h *harness) checkReleased() {
+	h.t.Helper()
+	h.unwatch()
+	for _, a := range h.actors {
 		if a.nc != nil && a.name[0] != 'n' {
 			a.nc.Close()
 		}
 	}
-	w.mu.Lock()
-	for _, nc := range w.crowd {
+	h.mu.Lock()
+	for _, nc := range h.extraConns {
 		nc.Close()
 	}
-	w.mu.Unlock()
-	w.serving.Wait()
-	<-w.watching
-	w.watch.Source.ReplaceList(nil, false)
+	h.mu.Unlock()
+	h.serveExtra.Wait()
+	<-h.watchDone
+	h.watch.Source.ReplaceList(nil, false)
 	for end := time.Now().Add(10 * time.Second); time.Now().Before(end); {
-		if w.network == loopback && w.givenBack() {
+		if h.network == loopback && h.allReleased() {
 			break
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
-	for _, a := range w.actors {
-		for w.accept(a); a.nc != nil; w.accept(a) {
+	for _, a := range h.actors {
+		for h.accept(a); a.nc != nil; h.accept(a) {
 			a.nc.Close()
 			a.nc = nil
 		}
 	}
-	w.settle()
-	if len(w.nodes.Connections) > 0 {
-		w.t.Errorf("%d connections were not given back", len(w.nodes.Connections))
+	h.waitSettled()
+	if len(h.nodes.Connections) > 0 {
+		h.t.Errorf("%d connections were not released", len(h.nodes.Connections))
 	}
-	if s := w.clients; len(s.conns)+s.active > 0 || s.bodyBytes > 0 {
-		w.t.Errorf("%d client connections, %d of them used, and %d bytes are still held", len(s.conns), s.active, s.bodyBytes)
+	if s := h.clients; len(s.conns)+s.active > 0 || s.bodyBytes > 0 {
+		h.t.Errorf("%d client connections, %d of them used, and %d bytes are still held", len(s.conns), s.active, s.bodyBytes)
 	}
-	if w.coordinator.OpenCount() > 0 {
-		w.t.Errorf("%d queries and parts are still held", w.coordinator.OpenCount())
+	if h.coordinator.OpenCount() > 0 {
+		h.t.Errorf("%d queries and parts are still held", h.coordinator.OpenCount())
 	}
-	w.stop()
+	h.stop()
 }
 
-// givenBack tells whether nothing is held any more.
-func (w *world) givenBack() bool {
-	w.clients.mu.Lock()
-	defer w.clients.mu.Unlock()
-	return len(w.nodes.Connections)+len(w.clients.conns)+w.coordinator.OpenCount() == 0
+// allReleased reports whether all resources are released.
+func (h *harness) allReleased() bool {
+	h.clients.mu.Lock()
+	defer h.clients.mu.Unlock()
+	return len(h.nodes.Connections)+len(h.clients.conns)+h.coordinator.OpenCount() == 0
 }
 
-// instant does what happens at a held instant.
-func (w *world) instant(a *actor, what string) {
-	switch what {
-	case "rest":
-		w.clients.CloseIdle()
-	case "crowd": // a new connection needs the place
-		ours, theirs := w.pair()
-		w.mu.Lock()
-		w.crowd = append(w.crowd, ours)
-		w.mu.Unlock()
-		w.serving.Go(func() { w.clients.placeConn(theirs).run() })
+// runHookAction runs the action of a hook.
+func (h *harness) runHookAction(a *actor, action string) {
+	switch action {
+	case "close-idle":
+		h.clients.CloseIdle()
+	case "new-conn": // a new connection needs room
+		ours, theirs := h.connPair()
+		h.mu.Lock()
+		h.extraConns = append(h.extraConns, ours)
+		h.mu.Unlock()
+		h.serveExtra.Go(func() { h.clients.placeConn(theirs).run() })
 		time.Sleep(50 * time.Millisecond)
 	default:
-		w.send(a, strings.TrimPrefix(what, "send "))
-		time.Sleep(20 * time.Millisecond) // it has come in
+		h.send(a, strings.TrimPrefix(action, "send "))
+		time.Sleep(20 * time.Millisecond) // until the program has received it
 	}
 }
 
-func (w *world) actor(name string) *actor {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	if w.actors[name] == nil {
-		w.actors[name] = &actor{name: name, complain: w.t.Errorf, dials: make(chan net.Conn, 9), msgs: make(chan string, 99)}
-	}
-	return w.actors[name]
+// actor returns the actor of that name, and creates it if needed.
+func (h *harness) actor(name string) *actor {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	if h.actors[name] == nil {
+		h.actors[name] = &actor{name: name, errorf: h.t.Errorf, dials: make(chan net.Conn, 9), msgs: make(chan string, 99)}
+	}
+	return h.actors[name]
 }
 
-// dial is the network as the program sees it.
-func (w *world) dial(ctx context.Context, addr string) (net.Conn, error) {
+// dial opens connections for the program.
+func (h *harness) dial(ctx context.Context, addr string) (net.Conn, error) {
 	if addr[0] == 'h' {
 		<-ctx.Done()
 		return nil, ctx.Err()
 	}
-	a := w.actor(addr)
+	a := h.actor(addr)
 	a.mu.Lock()
 	gate := a.gate
 	a.mu.Unlock()
@@ -337,33 +338,33 @@
 			return nil, ctx.Err()
 		}
 	}
-	ours, theirs := w.pair()
+	ours, theirs := h.connPair()
 	a.dials <- theirs
 	return ours, nil
 }
 
-// accept takes the next connection that the program opened, if there is one and none is in hand.
-func (w *world) accept(a *actor) {
+// accept takes the next connection that the program has opened, unless the actor already has one.
+func (h *harness) accept(a *actor) {
 	if a.nc == nil {
 		select {
 		case a.nc = <-a.dials:
 			if a.name[0] != 'm' {
-				go w.read(a, a.nc)
+				go h.readMessages(a, a.nc)
 			}
 		default:
 		}
 	}
 }
 
-// next is the next message of an actor, "-" where none comes in time.
-func (w *world) next(a *actor, wait time.Duration) string {
-	if wait == 0 && w.network == loopback {
+// next returns the next message that an actor receives, "-" if none arrives within wait.
+func (h *harness) next(a *actor, wait time.Duration) string {
+	if wait == 0 && h.network == loopback {
 		time.Sleep(50 * time.Millisecond)
 	}
 	for end := time.Now().Add(wait); ; time.Sleep(time.Millisecond) {
-		w.settle()
-		w.accept(a)
-		w.settle()
+		h.waitSettled()
+		h.accept(a)
+		h.waitSettled()
 		select {
 		case msg := <-a.msgs:
 			if msg == "end" && a.nc != nil {
@@ -379,8 +380,8 @@
 	}
 }
 
-// read turns what comes into messages.
-func (w *world) read(a *actor, nc net.Conn) {
+// readMessages converts what arrives on a connection to messages.
+func (h *harness) readMessages(a *actor, nc net.Conn) {
 	in := textproto.NewReader(bufio.NewReader(nc))
 	for {
 		var msg string
@@ -390,8 +391,8 @@
 			msg, err = readResponse(in)
 		case 'n':
 			var left map[string]time.Duration
-			msg, left, err = frameTimes(in.R)
-			w.checkTimes(left)
+			msg, left, err = readFrame(in.R)
+			h.checkTimeLeft(left)
 		case 'd':
 			if msg, err = in.ReadLine(); err == nil {
 				msg = strings.TrimSuffix(msg, " HTTP/1.1")
@@ -410,95 +411,96 @@
 	}
 }
 
-// checkTimes compares what parts tell of the time that is left with what their clients have left.
-func (w *world) checkTimes(left map[string]time.Duration) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	for id, told := range left {
+// checkTimeLeft checks that the time left given for parts does not exceed that of their clients by more than 20 ms.
+func (h *harness) checkTimeLeft(left map[string]time.Duration) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	for id, timeLeft := range left {
 		query, _, _ := strings.Cut(id, ".")
-		end, known := w.ends[query]
+		end, known := h.deadlines[query]
 		if !known {
 			continue
 		}
-		if most := time.Until(end) + 20*time.Millisecond; told > most {
-			w.t.Errorf("part %s tells of %v that are left; its client waits for %v", id, told, most)
+		if limit := time.Until(end) + 20*time.Millisecond; timeLeft > limit {
+			h.t.Errorf("part %s has %v left; its client waits for at most %v", id, timeLeft, limit)
 		}
 	}
 }
 
-func (w *world) send(a *actor, text string) {
+// send runs the verb send: it sends a message on the connection of an actor, or a command to the program.
+func (h *harness) send(a *actor, text string) {
 	if a.name[0] == 'c' && a.nc == nil {
-		ours, theirs := w.pair()
+		ours, theirs := h.connPair()
 		a.nc = ours
-		go func() { w.clients.placeConn(&hookedConn{theirs, a}).run() }()
-		go w.read(a, a.nc)
+		go func() { h.clients.placeConn(&hookedConn{theirs, a}).run() }()
+		go h.readMessages(a, a.nc)
 	}
 	words := strings.SplitN(text, " ", 4)
 	var data string
 	switch {
 	case text == "drain":
-		w.clients.Drain(time.Now().Add(time.Minute))
+		h.clients.Drain(time.Now().Add(time.Minute))
 		return
 	case words[0] == "move":
-		w.watch.Move(w.ctx, words[1])
+		h.watch.Move(h.ctx, words[1])
 		return
-	case text == "rest":
-		w.clients.CloseIdle()
+	case text == "close-idle":
+		h.clients.CloseIdle()
 		return
 	case words[0] == "raw":
 		var err error
 		if data, err = strconv.Unquote(strings.TrimPrefix(text, "raw ")); err != nil {
-			w.t.Fatal(err)
+			h.t.Fatal(err)
 		}
-	case words[0] == "part":
+	case words[0] == "partial-body":
 		n, _ := strconv.Atoi(words[2])
 		data = "POST /report HTTP/1.1\r\nContent-Length: " + words[1] + "\r\n\r\n" + strings.Repeat("x", n)
 	case text == "long":
 		data = "GET /up HTTP/1.1\r\nX: " + strings.Repeat("x", 200_000) + "\r\n\r\n"
-	case words[0] == "both": // two queries in one write
-		data = w.queryText(strings.SplitN(words[1]+" "+words[2]+" 0", " ", 3), "report") + w.queryText(strings.SplitN(words[3], " ", 3), "report")
+	case words[0] == "pipelined": // two queries in one write
+		data = h.queryText(strings.SplitN(words[1]+" "+words[2]+" 0", " ", 3), "report") + h.queryText(strings.SplitN(words[3], " ", 3), "report")
 	case words[0] == "query", words[0] == "entry":
-		data = w.queryText(words[1:], words[0])
+		data = h.queryText(words[1:], words[0])
 	case words[0] == "A":
 		value := ""
 		if len(words) > 3 {
 			value = words[3]
 		}
-		data = frameOf(fmt.Sprintf("A%s %s 1 util=0.5,odd=x\n%s", words[1], words[2], value))
+		data = encodeFrame(fmt.Sprintf("A%s %s 1 util=0.5,odd=x\n%s", words[1], words[2], value))
 	case words[0] == "L":
-		data = frameOf("L" + strings.TrimPrefix(text, "L "))
-	case words[0] == "page", words[0] == "line", words[0] == "indented", words[0] == "restarted":
+		data = encodeFrame("L" + strings.TrimPrefix(text, "L "))
+	case words[0] == "page", words[0] == "blank-line", words[0] == "indented", words[0] == "restarted":
 		line := strings.TrimSpace(strings.TrimPrefix(text, words[0])) + "\n"
 		switch words[0] {
-		case "line":
+		case "blank-line":
 			line = "\n"
 		case "indented":
 			var out bytes.Buffer
 			if err := json.Indent(&out, []byte(line), "", "  "); err != nil {
-				w.t.Fatal(err)
+				h.t.Fatal(err)
 			}
 			line = out.String()
 		case "restarted":
 			line = fmt.Sprintf(`{"version":42,"servers":[{"id":%q,"addr":%[1]q,"cell":0,"state":"SERVING","started_ms":%d}]}`+"\n",
 				words[1], time.Now().UnixMilli())
 		}
-		if a.headed != a.nc { // the head of the watch's answer, once a connection
-			a.headed = a.nc
+		if a.headerSentOn != a.nc { // the response header, once per connection
+			a.headerSentOn = a.nc
 			data = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 		}
 		data += fmt.Sprintf("%x\r\n%s\r\n", len(line), line)
 	}
 	nc := a.nc
 	if nc == nil {
-		w.t.Errorf("%s has no connection to send %q on", a.name, text)
+		h.t.Errorf("%s has no connection to send %q on", a.name, text)
 		return
 	}
-	go func() { io.WriteString(nc, data) }() // a pipe takes what is read only
-	w.settle()
+	go func() { io.WriteString(nc, data) }() // a write to a pipe blocks until it is read
+	h.waitSettled()
 }
 
-// queryText is a query: its id, its time in ms, its shards and maybe its key.
-func (w *world) queryText(words []string, kind string) string {
+// queryText returns the request for a query. words are its id, its deadline in ms, its shards and, for an entry, its key.
+func (h *harness) queryText(words []string, kind string) string {
 	class, key, shards := "report", "", words[2]
 	if kind == "entry" {
 		class = "entry"
@@ -511,9 +513,9 @@
 	}
 	body := `{"shards":[` + strings.Join(parts, ",") + `],"q":"text"}`
 	if ms, err := strconv.Atoi(words[1]); err == nil {
-		w.mu.Lock()
-		w.ends[words[0]] = time.Now().Add(time.Duration(ms) * time.Millisecond)
-		w.mu.Unlock()
+		h.mu.Lock()
+		h.deadlines[words[0]] = time.Now().Add(time.Duration(ms) * time.Millisecond)
+		h.mu.Unlock()
 	}
 	return fmt.Sprintf("POST /%s HTTP/1.1\r\nReq-Id: %s\r\nReq-Owner: club\r\nReq-Deadline-Ms: %s\r\n%s"+
 		"Content-Length: %d\r\n\r\n%s", class, words[0], words[1], key, len(body), body)
--- a/internal/platform/watchfleet_test.go
+++ b/internal/platform/watchfleet_test.go
@@ -20,8 +20,8 @@
 	"gullfall/internal/membership"
 )
 
-// overloadedDiscovery lists to one caller at a time. Whoever has waited for longer than patience is cut off, but has taken its
-// turn by then; beyond queue waiting calls, further ones are rejected.
+// overloadedDiscovery sends the list to one caller at a time. A call that has waited for longer than maxCallWait is closed without
+// a list, after it has used up its turn; while more than maxWaiting calls wait, further ones are rejected.
 type overloadedDiscovery struct {
 	turn           chan struct{}
 	waiting, calls atomic.Int32
@@ -30,8 +30,8 @@
 
 const (
 	listDuration = 60 * time.Millisecond
-	patience     = 2 * time.Second
-	queue        = 40
+	maxCallWait  = 2 * time.Second
+	maxWaiting   = 40
 )
 
 func (o *overloadedDiscovery) dial(context.Context, string) (net.Conn, error) {
@@ -47,9 +47,9 @@
 	if _, err := in.ReadMIMEHeader(); err != nil {
 		return
 	}
-	came := time.Now()
+	received := time.Now()
 	o.calls.Add(1)
-	if o.waiting.Add(1) > queue {
+	if o.waiting.Add(1) > maxWaiting {
 		o.waiting.Add(-1)
 		io.WriteString(nc, "HTTP/1.1 503 Service Unavailable\r\n\r\n")
 		return
@@ -59,21 +59,21 @@
 	time.Sleep(listDuration)
 	<-o.turn
 	o.waiting.Add(-1)
-	if time.Since(came) > patience {
+	if time.Since(received) > maxCallWait {
 		return
 	}
 	o.served.Add(1)
 	line := `{"version":42,"servers":[]}` + "\n"
-	for err := error(nil); err == nil; time.Sleep(2 * time.Second) { // then nothing changes
+	for err := error(nil); err == nil; time.Sleep(2 * time.Second) { // no further changes
 		_, err = fmt.Fprintf(nc, "%x\r\n%s\r\n", len(line), line)
 		line = "\n"
 	}
 }
 
-// TestListCallsOfAFleet: 80 coordinators that start together, each with the list as it was, all hear of the changes
-// soon, though discovery can't list to all of them within the time that it lets a call wait. If those that are cut off together
-// called again together, none of them would ever be served.
-func TestListCallsOfAFleet(t *testing.T) {
+// TestOverloadedDiscoveryServesAllCoordinators: 80 coordinators that start together with a cached list must all receive the
+// changes soon, although discovery can't serve all of them within the time that it lets a call wait. If those that are closed
+// together retried together, they would time out together again and never be served.
+func TestOverloadedDiscoveryServesAllCoordinators(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const coordinators, nodes = 80, 60
 		var known []string
@@ -97,8 +97,8 @@
 			go w.Run(ctx)
 		}
 		time.Sleep(20 * time.Second)
-		if served, asks := o.served.Load(), o.calls.Load(); served != coordinators || asks > 3*coordinators {
-			t.Errorf("%d of %d coordinators were served; %d calls", served, coordinators, asks)
+		if served, calls := o.served.Load(), o.calls.Load(); served != coordinators || calls > 3*coordinators {
+			t.Errorf("%d of %d coordinators were served; %d calls", served, coordinators, calls)
 		}
 		stop()
 		time.Sleep(10 * time.Second)
