--- a/cmd/gullfall/main.go
+++ b/cmd/gullfall/main.go
@@ -1,6 +1,6 @@
-// Command gullfall is the coordinator and its operators' command line. Without a command it serves. One file holds one command or
-// one part of the daemon; main.go holds the list of commands and the exit statuses: 1 where a command failed, 2 where the command
-// line was not understood.
+// Command gullfall is the coordinator daemon and its command line for operators. Without a command it serves. Each file holds one command
+// or one part of the daemon; main.go holds the list of commands. The exit status is 1 if a command failed, and 2 if the command line is
+// invalid.
 package main
 
 import (
@@ -15,17 +15,17 @@
 	"gullfall/internal/config"
 )
 
-// commands are the commands of the command line.
+// commands lists the commands of the command line.
 type commands struct {
-	Serve   serveCmd   `cmd:"" default:"1" help:"Coordinate queries (this is what gullfall does without a word). Reads NODE_CONFIG and deploy/gullfall.toml."`
-	Check   checkCmd   `cmd:"" help:"Read and check all configuration; name every faulty key."`
-	Dnssd   dnssdCmd   `cmd:"" name:"dnssd" help:"Show what DNS-SD records say of data nodes."`
-	Zones   zonesCmd   `cmd:"" help:"Show the verdicts on zones, and leave or return to one by hand."`
-	Store   storeCmd   `cmd:"" help:"Show and change who is a member of the coordinators' store."`
-	Peers   peersCmd   `cmd:"" help:"Show who of the coordinators is there, and who reaches whom."`
-	Work    workCmd    `cmd:"" help:"Take data nodes out for work, in an order that the coordinators settle among themselves."`
-	Duties  dutiesCmd  `cmd:"" help:"Show which coordinator holds which duty, or hand one on."`
-	Version versionCmd `cmd:"" help:"Say which version this is."`
+	Serve   serveCmd   `cmd:"" default:"1" help:"Coordinate queries (the default command). Reads NODE_CONFIG and deploy/gullfall.toml."`
+	Check   checkCmd   `cmd:"" help:"Check all configuration and print every faulty key."`
+	Dnssd   dnssdCmd   `cmd:"" name:"dnssd" help:"Show the data nodes in DNS-SD records."`
+	Zones   zonesCmd   `cmd:"" help:"Show the verdicts on zones, and drain or undrain a zone."`
+	Store   storeCmd   `cmd:"" help:"Show and change the members of the coordinators' store."`
+	Peers   peersCmd   `cmd:"" help:"Show the state of the coordinators and which ones reach each other."`
+	Work    workCmd    `cmd:"" help:"Take data nodes out of service for maintenance, in an order that the coordinators agree on."`
+	Duties  dutiesCmd  `cmd:"" help:"Show which coordinator holds each duty, or release one."`
+	Version versionCmd `cmd:"" help:"Print the version."`
 }
 
 func main() {
@@ -34,7 +34,7 @@
 		kong.ConfigureHelp(kong.HelpOptions{Compact: true}))
 	k, err := parser.Parse(os.Args[1:])
 	if err != nil {
-		fmt.Fprintf(os.Stderr, "gullfall: %v; gullfall --help tells what there is\n", err)
+		fmt.Fprintf(os.Stderr, "gullfall: %v; see gullfall --help\n", err)
 		os.Exit(2)
 	}
 	if err := k.Run(); err != nil {
@@ -45,13 +45,13 @@
 
 type serveCmd struct{}
 
-// Run serves until it is told to end.
+// Run serves until a signal ends the process.
 func (serveCmd) Run() error {
 	level := new(slog.LevelVar)
 	return run(level, func(format string) *slog.Logger { return newLogger(os.Stderr, format, level) })
 }
 
-// newLogger logs in the format that the configuration names: "json", else text.
+// newLogger returns a logger that writes JSON if format is "json", otherwise text.
 func newLogger(w io.Writer, format string, level slog.Leveler) *slog.Logger {
 	if format == "json" {
 		return slog.New(slog.NewJSONHandler(w, &slog.HandlerOptions{Level: level}))
@@ -60,10 +60,10 @@
 }
 
 type checkCmd struct {
-	Deploy string `default:"deploy/gullfall.toml" help:"The file of our own."`
+	Deploy string `default:"deploy/gullfall.toml" help:"Deploy file to check."`
 }
 
-// Run reads all configuration as serving would, and opens nothing.
+// Run loads all configuration as the daemon does, but opens neither the store nor any socket.
 func (c checkCmd) Run() error {
 	faults := 0
 	cfg, err := config.Load(os.Getenv)
@@ -72,7 +72,7 @@
 		if len(cfg.Raw) == 0 {
 			fmt.Println("settings: not in the file; they are to come from the store")
 		} else {
-			faults += printFaults(cfg.Adopt(cfg.Raw))
+			faults += printFaults(cfg.ApplySettings(cfg.Raw))
 		}
 	}
 	deploy, err := config.LoadDeploy(c.Deploy, cfg.Name)
@@ -102,7 +102,7 @@
 
 type versionCmd struct{}
 
-// Run prints the version as the build has recorded it.
+// Run prints the version and revision recorded by the build.
 func (versionCmd) Run() error { //nolint:unparam // kong calls Run methods that return an error
 	version, revision := "(devel)", "unknown revision"
 	if info, ok := debug.ReadBuildInfo(); ok {
--- a/cmd/gullfall/serve.go
+++ b/cmd/gullfall/serve.go
@@ -186,7 +186,7 @@
 	if len(d.cfg.Known) == 0 {
 		d.cfg.Known = d.store.Get(store.EndpointList)
 	}
-	if err := d.cfg.Adopt(d.cfg.Raw); err != nil {
+	if err := d.cfg.ApplySettings(d.cfg.Raw); err != nil {
 		return err
 	}
 	d.store.Put(store.Settings, d.cfg.Raw)
--- a/cmd/gullfall/sources.go
+++ b/cmd/gullfall/sources.go
@@ -31,7 +31,7 @@
 // followOtherSources starts what deploy/gullfall.toml names besides discovery: the fixed list and the DNS-SD zones. The list that
 // a zone told last is kept in the store, and holds after a restart until the zone's servers answer.
 func (d *daemon) followOtherSources(ctx context.Context) error {
-	if fixed := d.deploy.Fixed(); len(fixed) > 0 {
+	if fixed := d.deploy.FixedNodes(); len(fixed) > 0 {
 		d.coordinator.AddSource(membership.Spec{Name: "fixed list", Rank: fixedRank}).ReplaceList(fixed, false)
 	}
 	zones := d.deploy.DNSSD.Zones()
@@ -43,7 +43,7 @@
 		Idle: limits.ConnIdle, Connections: d.connections}
 	d.coordinator.RegisterDispatcher(dnssd.Flight, nodes.Dispatch)
 	client := dnssd.NewClient(d.deploy.DNSSD.Questions, max(minDNSSockets, d.cfg.Limits.Sockets/dnsSocketsDiv))
-	listener := &dnssd.Listener{Allow: d.deploy.DNSSD.Allowed()}
+	listener := &dnssd.Listener{Allow: d.deploy.DNSSD.NotifySources()}
 	for _, zone := range zones {
 		listener.Followers = append(listener.Followers, d.zoneFollower(zone, client))
 	}
--- a/internal/config/check.go
+++ b/internal/config/check.go
@@ -6,15 +6,15 @@
 	"net/netip"
 )
 
-// minSecretBytes is the shortest secret that seals anything.
+// minSecretBytes is the minimum length of a secret key.
 const minSecretBytes = 16
 
-// faults are the errors of a check. Each begins with the key that it is about.
+// faults collects the errors of a check. Each begins with the faulty key.
 type faults []error
 
 func (f *faults) add(format string, args ...any) { *f = append(*f, fmt.Errorf(format, args...)) }
 
-// checkLoopback adds a fault unless addr is an address of this machine, with a port.
+// checkLoopback adds a fault unless addr is a loopback address and port.
 func (f *faults) checkLoopback(key, addr string) {
 	if ap, err := netip.ParseAddrPort(addr); err != nil {
 		f.add("%s: %w", key, err)
@@ -23,14 +23,14 @@
 	}
 }
 
-// checkOptionalLoopback is checkLoopback for an address that may be empty.
+// checkOptionalLoopback works like checkLoopback but allows an empty addr.
 func (f *faults) checkOptionalLoopback(key, addr string) {
 	if addr != "" {
 		f.checkLoopback(key, addr)
 	}
 }
 
-// checkLoopbackPort is checkLoopback for a port that must not be 0.
+// checkLoopbackPort works like checkLoopback and also rejects port 0.
 func (f *faults) checkLoopbackPort(key, addr string) {
 	if ap, err := netip.ParseAddrPort(addr); err != nil {
 		f.add("%s: %w", key, err)
@@ -39,18 +39,18 @@
 	}
 }
 
-// checkNetworks adds a fault unless each of a list is a network or an address.
+// checkNetworks adds a fault unless each entry of list is a network or an address.
 func (f *faults) checkNetworks(key string, list []string) {
-	if _, err := networks(list); err != nil {
+	if _, err := parseNetworks(list); err != nil {
 		f.add("%s: %w", key, err)
 	}
 }
 
-// checkSecret checks a key that seals: its id is that of no key before it, and its secret is long enough. An error never holds the
-// secret.
+// checkSecret checks an encryption key: its id is within 1 and 255 and not in seen, to which it is added, and its secret is long enough.
+// The fault never contains the secret.
 func (f *faults) checkSecret(key string, id int, secret string, seen map[int]bool) {
 	if id < 1 || id > 255 || seen[id] {
-		f.add("%s.id: %d is not within 1 and 255, or another's", key, id)
+		f.add("%s.id: %d is not within 1 and 255, or is a duplicate", key, id)
 	}
 	seen[id] = true
 	if raw, err := base64.StdEncoding.DecodeString(secret); err != nil || len(raw) < minSecretBytes {
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,6 +1,6 @@
-// Package config reads and checks all configuration and gives it defaults: the file that NODE_CONFIG names, the NODE_ variables, and the
-// deploy file. An error names the faulty key. On a reload the file is read again and checked as at the start; this package says which
-// keys may change while serving.
+// Package config loads all configuration, checks it and applies defaults: the file that NODE_CONFIG names, the NODE_ environment
+// variables, and the deploy file. Errors name the faulty key. A reload reads and checks the file as at startup and reports the changed
+// keys that need a restart.
 package config
 
 import (
@@ -25,29 +25,29 @@
 	minSockets      = 64
 )
 
-// Limits is what one process may use.
+// Limits are the resources that one process may use. Sockets is the number of open descriptors.
 type Limits struct {
 	Cores    float64 `json:"cores"`
 	MemoryMB int     `json:"memory_mb"`
 	Sockets  int     `json:"sockets"`
 }
 
-// Config is what the configuration file and the variables say.
+// Config is the configuration from the file and the environment variables.
 type Config struct {
 	Name      string
 	Listen    string
 	Discovery string
 	Seed      uint64
 	Limits    Limits
-	Known     json.RawMessage // in discovery's form; may be empty
-	Raw       json.RawMessage // the settings object; empty where it is to come from the store
+	Known     json.RawMessage // list of data nodes in discovery's format; may be empty
+	Raw       json.RawMessage // settings object; empty if it is to be read from the store
 	Settings  aggregator.Settings
-	Streams   int // parts that one connection to a data node carries at once
+	Streams   int // maximum concurrent parts on one connection to a data node
 
-	discoveryInFile string // what the file says, where a variable says something else
+	discoveryInFile string // value in the file, which NODE_DISCOVERY may override in Discovery
 }
 
-// Load reads the file that NODE_CONFIG names; the other variables, where set, come before it.
+// Load reads the file that NODE_CONFIG names. The other NODE_ variables, if set, override it.
 func Load(getenv func(string) string) (Config, error) {
 	path := getenv("NODE_CONFIG")
 	if path == "" {
@@ -60,9 +60,9 @@
 	return Parse(raw, getenv)
 }
 
-// Reload reads the file again and returns the configuration to go on with; on an error that is c. NODE_DISCOVERY holds for the start
-// only: a discovery that has changed in the file comes before it. restart names the keys that have changed and need a restart; their old
-// values stay.
+// Reload reads the file again and returns the configuration to continue with, which is c if there is an error. NODE_DISCOVERY applies
+// until discovery changes in the file, whose new value then replaces it. restart lists the changed keys that need a restart; next keeps
+// their old values.
 func (c Config) Reload(getenv func(string) string) (next Config, restart []string, err error) {
 	if next, err = Load(getenv); err != nil {
 		return c, nil, err
@@ -70,7 +70,7 @@
 	if len(next.Raw) == 0 {
 		next.Raw = c.Raw
 	}
-	if err := next.Adopt(next.Raw); err != nil {
+	if err := next.ApplySettings(next.Raw); err != nil {
 		return c, nil, err
 	}
 	if next.discoveryInFile == c.discoveryInFile {
@@ -78,14 +78,14 @@
 	} else {
 		next.Discovery = next.discoveryInFile
 	}
-	restart = c.changedForRestart(next)
+	restart = c.keysNeedingRestart(next)
 	next.Name, next.Listen, next.Limits.Sockets = c.Name, c.Listen, c.Limits.Sockets
 	next.Raw, next.Settings, next.Streams = c.Raw, c.Settings, c.Streams
 	return next, restart, nil
 }
 
-// changedForRestart are the keys in which next differs and that hold for as long as the process runs.
-func (c Config) changedForRestart(next Config) (keys []string) {
+// keysNeedingRestart returns the keys that differ in next and can't change while the process runs.
+func (c Config) keysNeedingRestart(next Config) (keys []string) {
 	for _, k := range []struct {
 		key     string
 		changed bool
@@ -102,7 +102,7 @@
 	return keys
 }
 
-// Parse reads a configuration, in JSON with comments and trailing commas.
+// Parse decodes and checks a configuration in JSON, in which comments and trailing commas are allowed. NODE_ variables override it.
 func Parse(raw []byte, getenv func(string) string) (Config, error) {
 	var f struct {
 		Name, Listen, Discovery, Seed string
@@ -133,11 +133,11 @@
 		return c, fmt.Errorf("seed: %q is not up to 16 hex digits", f.Seed)
 	}
 	c.Seed = seed
-	err = c.Limits.complete()
+	err = c.Limits.checkAndSetDefaults()
 	return c, err
 }
 
-// applyEnvironment puts the variables that are set in place of what the file says.
+// applyEnvironment overrides values of the file by the NODE_ variables that are set.
 func (c *Config) applyEnvironment(getenv func(string) string) {
 	for _, v := range []struct {
 		variable string
@@ -162,10 +162,10 @@
 	return nil
 }
 
-// complete checks the limits and gives those that are missing their defaults.
-func (l *Limits) complete() error {
+// checkAndSetDefaults checks the limits and sets missing ones to their defaults.
+func (l *Limits) checkAndSetDefaults() error {
 	if l.Cores < 0 || l.MemoryMB < 0 || l.Sockets < 0 {
-		return errors.New("limits: a figure is negative")
+		return errors.New("limits: a value is negative")
 	}
 	setDefault(&l.Cores, defaultCores)
 	setDefault(&l.MemoryMB, defaultMemoryMB)
@@ -176,10 +176,10 @@
 	return nil
 }
 
-// Adopt takes the settings object, of the file or of the store.
-func (c *Config) Adopt(settings json.RawMessage) (err error) {
+// ApplySettings decodes and checks a settings object, from the file or the store, and applies it to c.
+func (c *Config) ApplySettings(settings json.RawMessage) (err error) {
 	if len(settings) == 0 {
-		return errors.New("settings: missing, in the file and in the store")
+		return errors.New("settings: missing in both the file and the store")
 	}
 	if c.Settings, err = Settings(settings); err != nil {
 		return err
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-const good = `{"name":"n3","listen":"127.0.0.4:5000","discovery":"127.0.2.1:8500","seed":"8c1f30d27a5be964",
+const validConfig = `{"name":"n3","listen":"127.0.0.4:5000","discovery":"127.0.2.1:8500","seed":"8c1f30d27a5be964",
  "limits":{"cores":1.0,"memory_mb":192,"sockets":1024},"known":{"version":41,"full":true,"servers":[]},
  "settings":{"TickS":0.005,"Classes":[{"Name":"a","AimS":1,"HardLimitS":2,"Effect":"safe"}],
   "FamilyInfo":{"Sets":4,"Slabs":16,"Width":1,"ClassNeed":[1.0]},"Limits":{"ConnectTimeoutS":0.25,"StreamsPerConn":32}}}`
@@ -17,26 +17,26 @@
 func load(text string, env map[string]string) (Config, error) {
 	c, err := Parse([]byte(text), func(k string) string { return env[k] })
 	if err == nil {
-		err = c.Adopt(c.Raw)
+		err = c.ApplySettings(c.Raw)
 	}
 	return c, err
 }
 
-func TestGoodConfiguration(t *testing.T) {
-	c, err := load(good, map[string]string{"NODE_NAME": "n4"})
+func TestValidConfiguration(t *testing.T) {
+	c, err := load(validConfig, map[string]string{"NODE_NAME": "n4"})
 	if err != nil {
 		t.Fatal(err)
 	}
 	if c.Name != "n4" || c.Seed != 0x8c1f30d27a5be964 || c.Streams != 32 || c.Settings.ShardSets != 4 || len(c.Known) == 0 {
 		t.Errorf("got %+v", c)
 	}
-	small, err := load(strings.Replace(good, `"limits":{"cores":1.0,"memory_mb":192,"sockets":1024},`, "", 1), nil)
+	small, err := load(strings.Replace(validConfig, `"limits":{"cores":1.0,"memory_mb":192,"sockets":1024},`, "", 1), nil)
 	if err != nil || small.Limits != (Limits{1, 192, 1024}) {
 		t.Errorf("defaults: %+v, %v", small.Limits, err)
 	}
 }
 
-// TestErrorsNameTheKey: whoever edits a configuration finds the faulty key in the message.
+// TestErrorsNameTheKey: the error of a faulty configuration names the faulty key.
 func TestErrorsNameTheKey(t *testing.T) {
 	for _, c := range []struct{ from, to, key string }{
 		{`"name":"n3"`, `"name":""`, "name"},
@@ -55,8 +55,8 @@
 		{`"TickS":0.005`, `"TickS":0.005,"Balancers":80,"Me":-1`, "Me"},
 		{`"settings"`, `"other"`, "settings"},
 	} {
-		text := strings.Replace(good, c.from, c.to, 1)
-		if text == good {
+		text := strings.Replace(validConfig, c.from, c.to, 1)
+		if text == validConfig {
 			t.Fatalf("%s is not in the configuration", c.from)
 		}
 		if _, err := load(text, nil); err == nil || !strings.Contains(err.Error(), c.key) {
@@ -65,18 +65,18 @@
 	}
 }
 
-// TestComments: the file may carry comments and trailing commas; a fault behind them is still found.
-func TestComments(t *testing.T) {
-	text := strings.Replace(good, "{", "{ // the coordinator of Recife\n/* its */", 1)
+// TestCommentsAreAccepted: comments are accepted, and a syntax error after them is still reported.
+func TestCommentsAreAccepted(t *testing.T) {
+	text := strings.Replace(validConfig, "{", "{ // the coordinator of Recife\n/* its */", 1)
 	if _, err := load(text, nil); err != nil {
 		t.Error(err)
 	}
 	if _, err := load(text+"}", nil); err == nil {
-		t.Error("a brace too many was taken")
+		t.Error("a superfluous closing brace was accepted")
 	}
 }
 
-func TestDeployFile(t *testing.T) {
+func TestDeployFileErrorsNameTheKey(t *testing.T) {
 	dir := t.TempDir()
 	for i, c := range []struct{ text, key string }{
 		{"", ""},
@@ -104,7 +104,7 @@
 		{"[log]\nformat = \"xml\"", "log.format"},
 		{"[[node]]\nid = \"a\"\naddr = \"127.0.0.1:1\"\n[[node]]\nid = \"a\"\naddr = \"127.0.0.1:2\"", "node[1].id"},
 		{"[[node]]\nid = \"a\"\naddr = \"127.0.0.1:1\"\nproto = \"smoke\"", "node[0].proto"},
-		{"[log]\nlevel = \"loud\"\n[flight]\nlisten = \"here\"", "flight.listen"}, // every one is named
+		{"[log]\nlevel = \"loud\"\n[flight]\nlisten = \"here\"", "flight.listen"}, // the error names every faulty key
 		{"[store]\nlisten = \"127.0.0.1:8300\"", "store.listen"},
 		{"[store]\nskew = 0.5", "store.skew"},
 		{"[work]\nbudget = 100", "work.budget"},
@@ -134,8 +134,7 @@
 	}
 }
 
-// TestShippedDeployFile: the file in the repository reads without error and leaves everything off, as the
-// platform needs it.
+// TestShippedDeployFile: the deploy file in the repository is valid and leaves all features disabled, as the platform requires.
 func TestShippedDeployFile(t *testing.T) {
 	d, err := LoadDeploy("../../"+DeployFile, "n0")
 	if err != nil || d.Flight.Listen != "" || len(d.DNSSD.Zone) != 0 || d.DNSSD.Notify != "" || d.DNSSD.Serve != "" || d.Store.Directory != "" ||
@@ -144,22 +143,22 @@
 	}
 }
 
-// TestReload: a faulty file changes nothing and its key is named; a discovery that has changed in the file comes
-// before the variable of the start; what needs a restart is named and stays.
+// TestReload: a faulty file changes nothing and the error names the key; a discovery address that changes in the file overrides
+// NODE_DISCOVERY; keys that need a restart are reported and keep their old values.
 func TestReload(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "config.json")
 	env := func(k string) string {
 		return map[string]string{"NODE_CONFIG": path, "NODE_DISCOVERY": "127.0.2.1:8500"}[k]
 	}
 	write := func(from, to string) {
-		if err := os.WriteFile(path, []byte(strings.Replace(good, from, to, 1)), 0o600); err != nil {
+		if err := os.WriteFile(path, []byte(strings.Replace(validConfig, from, to, 1)), 0o600); err != nil {
 			t.Fatal(err)
 		}
 	}
 	write("", "")
 	cfg, err := Load(env)
 	if err == nil {
-		err = cfg.Adopt(cfg.Raw)
+		err = cfg.ApplySettings(cfg.Raw)
 	}
 	if err != nil {
 		t.Fatal(err)
@@ -169,7 +168,7 @@
 		{"127.0.2.1:8500", "127.0.2.2:8500", "127.0.2.2:8500", "[]", ""},
 		{"127.0.2.1:8500", "nowhere", "127.0.2.2:8500", "[]", "discovery"},
 		{`"AimS":1`, `"AimS":0`, "127.0.2.2:8500", "[]", "settings"},
-		{good, "{", "127.0.2.2:8500", "[]", "configuration"},
+		{validConfig, "{", "127.0.2.2:8500", "[]", "configuration"},
 		{`"AimS":1`, `"AimS":1.5`, "127.0.2.1:8500", "[settings]", ""},
 		{"127.0.0.4:5000", "127.0.0.5:5000", "127.0.2.1:8500", "[listen]", ""},
 		{`"memory_mb":192`, `"memory_mb":64`, "127.0.2.1:8500", "[]", ""},
@@ -190,21 +189,21 @@
 	}
 }
 
-// TestPeersKeys: each faulty key of the coordinators' talk is named, and a sound file has none.
-func TestPeersKeys(t *testing.T) {
-	const sound = "[peers]\nlisten = \"127.0.0.1:7946\"\nfleet = \"f\"\nseeds = [\"127.0.0.2:7946\"]\n[[peers.key]]\nid = 1\nsecret = \"MDEyMzQ1Njc4OWFiY2RlZg==\"\n"
+// TestPeersErrorsNameTheKey: the error names each faulty key of the peers section, and a valid section has no error.
+func TestPeersErrorsNameTheKey(t *testing.T) {
+	const validPeers = "[peers]\nlisten = \"127.0.0.1:7946\"\nfleet = \"f\"\nseeds = [\"127.0.0.2:7946\"]\n[[peers.key]]\nid = 1\nsecret = \"MDEyMzQ1Njc4OWFiY2RlZg==\"\n"
 	for _, c := range []struct{ name, text, want string }{
-		{"sound", sound, ""},
-		{"off", "", ""},
+		{"valid", validPeers, ""},
+		{"disabled", "", ""},
 		{"seeds without a listener", "[peers]\nseeds = [\"127.0.0.1:1\"]\n", "peers.listen"},
-		{"not loopback", strings.Replace(sound, "127.0.0.1:7946", "10.0.0.1:7946", 1), "peers.listen"},
-		{"a seed without a port", strings.Replace(sound, "127.0.0.2:7946", "127.0.0.2", 1), "peers.seeds[0]"},
-		{"no fleet", strings.Replace(sound, "\"f\"", "\"\"", 1), "peers.fleet"},
-		{"no key", strings.Split(sound, "[[")[0], "peers.key"},
-		{"a short key", strings.Replace(sound, "MDEyMzQ1Njc4OWFiY2RlZg==", "MDEy", 1), "peers.key[0].secret"},
-		{"id", strings.Replace(sound, "id = 1", "id = 0", 1), "peers.key[0].id"},
-		{"timeout", strings.Replace(sound, "fleet", "period = \"1s\"\ntimeout = \"900ms\"\nfleet", 1), "peers.timeout"},
-		{"unknown", strings.Replace(sound, "fleet", "flet = 1\nfleet", 1), "peers.flet"},
+		{"not loopback", strings.Replace(validPeers, "127.0.0.1:7946", "10.0.0.1:7946", 1), "peers.listen"},
+		{"a seed without a port", strings.Replace(validPeers, "127.0.0.2:7946", "127.0.0.2", 1), "peers.seeds[0]"},
+		{"no fleet", strings.Replace(validPeers, "\"f\"", "\"\"", 1), "peers.fleet"},
+		{"no key", strings.Split(validPeers, "[[")[0], "peers.key"},
+		{"a short key", strings.Replace(validPeers, "MDEyMzQ1Njc4OWFiY2RlZg==", "MDEy", 1), "peers.key[0].secret"},
+		{"key id 0", strings.Replace(validPeers, "id = 1", "id = 0", 1), "peers.key[0].id"},
+		{"a timeout over half of the period", strings.Replace(validPeers, "fleet", "period = \"1s\"\ntimeout = \"900ms\"\nfleet", 1), "peers.timeout"},
+		{"an unknown key", strings.Replace(validPeers, "fleet", "flet = 1\nfleet", 1), "peers.flet"},
 	} {
 		path := filepath.Join(t.TempDir(), "gullfall.toml")
 		if err := os.WriteFile(path, []byte(c.text), 0o600); err != nil {
--- a/internal/config/datanodes.go
+++ b/internal/config/datanodes.go
@@ -8,29 +8,29 @@
 	"gullfall/internal/membership"
 )
 
-// Membership is how returns of data nodes are damped (RFC 2439).
+// Membership configures flap damping of data nodes that return (RFC 2439).
 type Membership struct {
 	HalfLife        Span `toml:"half_life"`
 	Suppress, Reuse float64
 	MaxSuppress     Span `toml:"longest"`
 }
 
-// Node is a data node that the deploy file names.
+// Node is a data node of the fixed list in the deploy file.
 type Node struct {
 	ID, Addr, Zone, Proto string
 	ShardSet              int `toml:"cell"`
 	Weight                float64
 }
 
-// Damping is the part of the membership's figures that the file gives.
+// Damping returns the damping parameters in the form of internal/membership.
 func (d *Deploy) Damping() membership.Config {
 	m := d.Membership
 	return membership.Config{HalfLife: time.Duration(m.HalfLife), Suppress: m.Suppress, Reuse: m.Reuse,
 		MaxSuppress: time.Duration(m.MaxSuppress)}
 }
 
-// Fixed are the data nodes that the file names.
-func (d *Deploy) Fixed() (list []membership.Record) {
+// FixedNodes returns the data nodes of the fixed list.
+func (d *Deploy) FixedNodes() (list []membership.Record) {
 	for _, n := range d.Node {
 		r := membership.Record{ID: n.ID, Addr: n.Addr, Zone: n.Zone, ShardSet: n.ShardSet, Weight: n.Weight, StartUnknown: true}
 		if n.Proto == "flight" {
@@ -46,7 +46,7 @@
 	for i, n := range d.Node {
 		key := fmt.Sprintf("node[%d]", i)
 		if n.ID == "" || seen[n.ID] {
-			f.add("%s.id: %q is missing or another's", key, n.ID)
+			f.add("%s.id: %q is missing or a duplicate", key, n.ID)
 		}
 		seen[n.ID] = true
 		n.check(f, key)
--- a/internal/config/deploy.go
+++ b/internal/config/deploy.go
@@ -10,10 +10,10 @@
 	"github.com/BurntSushi/toml"
 )
 
-// DeployFile is where the deploy file lies, seen from the repository's root.
+// DeployFile is the path of the deploy file, relative to the repository's root.
 const DeployFile = "deploy/gullfall.toml"
 
-// Deploy is the deploy file. What it does not name is off, or has its default.
+// Deploy is the content of the deploy file. A section or key that is missing is disabled or has its default.
 type Deploy struct {
 	Log        Log
 	Flight     FlightFront
@@ -27,16 +27,16 @@
 	Admin      Admin
 }
 
-// Log is how much is logged, and how.
+// Log configures the log's level and format.
 type Log struct {
 	Level  string // debug, info, warn or error
 	Format string // text or json
 }
 
-// Span is a length of time, written as "1m30s".
+// Span is a duration, written as "1m30s".
 type Span time.Duration
 
-// UnmarshalText reads a Span.
+// UnmarshalText parses a Span and rejects a negative one.
 func (s *Span) UnmarshalText(text []byte) error {
 	d, err := time.ParseDuration(string(text))
 	if err == nil && d < 0 {
@@ -46,8 +46,8 @@
 	return err
 }
 
-// LoadDeploy reads the deploy file; everything is off where there is none. name is this coordinator's. The error names every faulty key,
-// not only the first.
+// LoadDeploy reads and checks the deploy file. If there is none, all its features are disabled. name is this coordinator's name. The
+// error joins one error for each faulty key.
 func LoadDeploy(path, name string) (Deploy, error) {
 	var d Deploy
 	md, err := toml.DecodeFile(path, &d)
@@ -66,7 +66,7 @@
 	return d, errors.Join(f...)
 }
 
-// Check fills in the defaults of a Deploy that was not loaded from a file, and names every faulty key.
+// Check applies defaults to a Deploy that was changed after loading or not loaded from a file. Its error names every faulty key.
 func (d *Deploy) Check(name string) error {
 	d.defaults()
 	return errors.Join(d.check(name)...)
@@ -82,7 +82,7 @@
 	}
 }
 
-// setDefault sets a key that is not given.
+// setDefault sets *key to value if it has its zero value.
 func setDefault[T comparable](key *T, value T) {
 	var zero T
 	if *key == zero {
@@ -90,7 +90,7 @@
 	}
 }
 
-// check names the faulty keys, in the order of the file's sections.
+// check returns an error for each faulty key.
 func (d *Deploy) check(name string) []error {
 	var f faults
 	d.Log.check(&f)
@@ -127,5 +127,5 @@
 var levels = map[string]slog.Level{"debug": slog.LevelDebug, "info": slog.LevelInfo, "warn": slog.LevelWarn,
 	"error": slog.LevelError}
 
-// SlogLevel is the level in slog's terms.
+// SlogLevel returns the level as a slog.Level.
 func (l Log) SlogLevel() slog.Level { return levels[l.Level] }
--- a/internal/config/dnssd.go
+++ b/internal/config/dnssd.go
@@ -15,12 +15,12 @@
 
 // Bounds of the keys under dnssd.
 const (
-	minQuestions = 4 // a second
+	minQuestions = 4 // queries per second
 	minPoll      = 50 * time.Millisecond
 	maxPoll      = 500 * time.Millisecond
 )
 
-// DNSSD is which zones are followed for data nodes, and where our own service is described.
+// DNSSD configures the DNS-SD zones that are followed for data nodes, and the records that advertise this coordinator's own service.
 type DNSSD struct {
 	Serve, Domain string
 	Networks      []string
@@ -33,7 +33,7 @@
 	Key           []Key
 }
 
-// Zone is a domain that is followed.
+// Zone is a domain whose records are followed.
 type Zone struct {
 	Domain   string
 	Services []string
@@ -42,7 +42,7 @@
 	Key      string
 }
 
-// Key signs messages (RFC 8945).
+// Key is a TSIG key, which signs DNS messages (RFC 8945).
 type Key struct{ Name, Algorithm, Secret string }
 
 func (d *DNSSD) defaults() {
@@ -73,11 +73,11 @@
 	f.checkOptionalLoopback("dnssd.serve", d.Serve)
 	if d.Notify != "" {
 		if f.checkLoopback("dnssd.notify", d.Notify); len(d.Allow) == 0 {
-			f.add("dnssd.allow: empty; dnssd.notify needs to know whose messages count")
+			f.add("dnssd.allow: empty; dnssd.notify needs the addresses from which messages are accepted")
 		}
 	}
 	if _, ok := dns.IsDomainName(d.Domain); !ok {
-		f.add("dnssd.domain: %q is no domain", d.Domain)
+		f.add("dnssd.domain: %q is not a domain name", d.Domain)
 	}
 	f.checkNetworks("dnssd.networks", d.Networks)
 	f.checkNetworks("dnssd.allow", d.Allow)
@@ -111,10 +111,10 @@
 	for i, z := range d.Zone {
 		key := fmt.Sprintf("dnssd.zone[%d]", i)
 		if _, ok := dns.IsDomainName(z.Domain); !ok || z.Domain == "." {
-			f.add("%s.domain: %q is no domain", key, z.Domain)
+			f.add("%s.domain: %q is not a domain name", key, z.Domain)
 		}
 		if seen[z.Domain] {
-			f.add("%s.domain: %q is there twice", key, z.Domain)
+			f.add("%s.domain: %q is a duplicate", key, z.Domain)
 		}
 		seen[z.Domain] = true
 		z.check(f, key)
@@ -124,7 +124,7 @@
 	}
 }
 
-// check looks at the services and servers of a zone.
+// check checks the services and servers of a zone.
 func (z *Zone) check(f *faults, key string) {
 	for _, s := range z.Services {
 		if !isService(s) {
@@ -139,15 +139,15 @@
 	}
 }
 
-// isService reports whether a name is of the form _name._tcp.
+// isService reports whether name has the form _name._tcp.
 func isService(name string) bool {
 	labels := strings.Split(name, ".")
 	return len(labels) == 2 && strings.HasPrefix(labels[0], "_") && len(labels[0]) >= 2 && labels[1] == "_tcp"
 }
 
-// Zones are the zones to be followed. The file has been checked.
+// Zones returns the zones to follow. The configuration must have been checked.
 func (d *DNSSD) Zones() (list []dnssd.Zone) {
-	allowed, _ := networks(d.Networks)
+	allowed, _ := parseNetworks(d.Networks)
 	for _, z := range d.Zone {
 		out := dnssd.Zone{Domain: z.Domain, Services: z.Services, Servers: z.Servers, Transfer: z.Transfer, Networks: allowed}
 		for _, k := range d.Key {
@@ -160,14 +160,14 @@
 	return list
 }
 
-// Allowed are the addresses whose NOTIFY messages count. The file has been checked.
-func (d *DNSSD) Allowed() *bart.Lite {
-	set, _ := networks(d.Allow)
+// NotifySources returns the addresses from which NOTIFY messages are accepted. The configuration must have been checked.
+func (d *DNSSD) NotifySources() *bart.Lite {
+	set, _ := parseNetworks(d.Allow)
 	return set
 }
 
-// networks reads a set of addresses, as "10.1.0.0/16" or "10.1.0.7".
-func networks(list []string) (*bart.Lite, error) {
+// parseNetworks parses a list of parseNetworks and addresses, such as "10.1.0.0/16" and "10.1.0.7".
+func parseNetworks(list []string) (*bart.Lite, error) {
 	set := new(bart.Lite)
 	for _, s := range list {
 		p, err := netip.ParsePrefix(s)
--- a/internal/config/flight.go
+++ b/internal/config/flight.go
@@ -20,7 +20,7 @@
 	minTokenBytes            = 16
 )
 
-// FlightFront is the Arrow Flight front.
+// FlightFront configures the Arrow Flight front.
 type FlightFront struct {
 	Listen      string
 	Connections int
@@ -33,32 +33,32 @@
 	Class       []FlightClass
 }
 
-// FlightOwner is a tenant that may send queries, by user and password or by a token.
+// FlightOwner is a tenant that may send queries. It authenticates with a user name and password, or with a token.
 type FlightOwner struct{ Name, User, Password, Token string }
 
-// FlightNetwork names the owner of clients that connect from a network without credentials.
+// FlightNetwork assigns clients that connect from a network without credentials to an owner.
 type FlightNetwork struct{ Network, Owner string }
 
-// TicketKey seals tickets. Of several the first seals, and all open.
+// TicketKey is a key that encrypts tickets. New tickets use the first key; all keys are accepted for decryption.
 type TicketKey struct {
 	ID     int
 	Secret string
 }
 
-// FlightLimits is what clients may use, by scope.
+// FlightLimits are the limits on clients, by scope.
 type FlightLimits struct {
 	Connection, Owner, Network, All LimitSet
 	Grace, Stall                    Span
 }
 
-// LimitSet are the limits of one scope; 0 for none.
+// LimitSet are the limits of one scope; 0 means no limit.
 type LimitSet struct {
 	Streams, Queries int
 	Rate, Burst      float64
 	Bytes            int64
 }
 
-// FlightClass gives a class a schema of its own.
+// FlightClass defines the schema of a class.
 type FlightClass struct {
 	Name   string
 	Column []flight.Field
@@ -66,65 +66,65 @@
 
 func (f *FlightFront) defaults() { setDefault(&f.Connections, defaultFlightConnections) }
 
-func (f *FlightFront) check(to *faults) {
-	to.checkOptionalLoopback("flight.listen", f.Listen)
+func (f *FlightFront) check(errs *faults) {
+	errs.checkOptionalLoopback("flight.listen", f.Listen)
 	if f.Connections < 0 {
-		to.add("flight.connections: %d is negative", f.Connections)
+		errs.add("flight.connections: %d is negative", f.Connections)
 	}
-	f.checkOwners(to)
-	f.checkNetworks(to)
-	to.checkNetworks("flight.allowed", f.Allowed)
-	to.checkNetworks("flight.denied", f.Denied)
+	f.checkOwners(errs)
+	f.checkNetworks(errs)
+	errs.checkNetworks("flight.allowed", f.Allowed)
+	errs.checkNetworks("flight.denied", f.Denied)
 	ids := map[int]bool{}
 	for i, k := range f.TicketKey {
-		to.checkSecret(fmt.Sprintf("flight.ticket_key[%d]", i), k.ID, k.Secret, ids)
+		errs.checkSecret(fmt.Sprintf("flight.ticket_key[%d]", i), k.ID, k.Secret, ids)
 	}
 	if err := f.Admission().Check(); err != nil {
-		to.add("flight.limits.%w", err)
+		errs.add("flight.limits.%w", err)
 	}
-	f.checkClasses(to)
+	f.checkClasses(errs)
 }
 
-func (f *FlightFront) checkOwners(to *faults) {
+func (f *FlightFront) checkOwners(errs *faults) {
 	for i, o := range f.Owner {
 		key := fmt.Sprintf("flight.owner[%d]", i)
 		if o.Name == "" || len(o.Name) > maxOwnerBytes {
-			to.add("%s.name: missing, or over 255 bytes", key)
+			errs.add("%s.name: missing, or over 255 bytes", key)
 		}
 		if (o.User == "") != (o.Password == "") || o.User == "" && o.Token == "" {
-			to.add("%s: user and password, or a token, are needed", key)
+			errs.add("%s: user and password, or a token, are needed", key)
 		}
 		if o.Token != "" && len(o.Token) < minTokenBytes {
-			to.add("%s.token: under 16 characters", key)
+			errs.add("%s.token: under 16 characters", key)
 		}
 	}
 }
 
-func (f *FlightFront) checkNetworks(to *faults) {
+func (f *FlightFront) checkNetworks(errs *faults) {
 	for i, n := range f.Network {
 		if _, err := netip.ParsePrefix(n.Network); err != nil {
-			to.add("flight.network[%d].network: %w", i, err)
+			errs.add("flight.network[%d].network: %w", i, err)
 		}
 		if n.Owner == "" {
-			to.add("flight.network[%d].owner: missing", i)
+			errs.add("flight.network[%d].owner: missing", i)
 		}
 	}
 }
 
-func (f *FlightFront) checkClasses(to *faults) {
+func (f *FlightFront) checkClasses(errs *faults) {
 	seen := map[string]bool{}
 	for i, c := range f.Class {
 		if c.Name == "" || seen[c.Name] {
-			to.add("flight.class[%d].name: %q is missing or another's", i, c.Name)
+			errs.add("flight.class[%d].name: %q is missing or a duplicate", i, c.Name)
 		}
 		seen[c.Name] = true
 		if _, err := flight.NewSchema(c.Column); err != nil {
-			to.add("flight.class[%d].column: %w", i, err)
+			errs.add("flight.class[%d].column: %w", i, err)
 		}
 	}
 }
 
-// Admission is what clients may use.
+// Admission returns the limits on clients in the form of internal/admission.
 func (f *FlightFront) Admission() admission.Config {
 	set := func(l LimitSet) admission.Limits {
 		return admission.Limits{Streams: l.Streams, Queries: l.Queries, Rate: l.Rate, Burst: l.Burst, Bytes: l.Bytes}
@@ -133,7 +133,7 @@
 		All: set(f.Limits.All), SlowReaderGrace: time.Duration(f.Limits.Grace), StallTimeout: time.Duration(f.Limits.Stall)}
 }
 
-// People says who may send queries. The file has been checked.
+// People returns the owners, and the networks that may connect. The configuration must have been checked.
 func (f *FlightFront) People() (p flight.People) {
 	for _, o := range f.Owner {
 		p.Owners = append(p.Owners, flight.Owner{Name: o.Name, User: o.User, Password: o.Password, Token: o.Token})
@@ -145,15 +145,15 @@
 		p.Networks.Insert(netip.MustParsePrefix(n.Network).Masked(), n.Owner)
 	}
 	if len(f.Allowed) > 0 {
-		p.Allowed, _ = networks(f.Allowed)
+		p.Allowed, _ = parseNetworks(f.Allowed)
 	}
 	if len(f.Denied) > 0 {
-		p.Denied, _ = networks(f.Denied)
+		p.Denied, _ = parseNetworks(f.Denied)
 	}
 	return p
 }
 
-// Keys are those that seal and open tickets. The file has been checked.
+// Keys returns the keys of tickets. The configuration must have been checked.
 func (f *FlightFront) Keys() (list []flight.Key) {
 	for _, k := range f.TicketKey {
 		raw, _ := base64.StdEncoding.DecodeString(k.Secret)
@@ -162,7 +162,7 @@
 	return list
 }
 
-// Schema is that of a class; nil where it has none of its own. The file has been checked.
+// Schema returns the schema defined for a class, or nil if there is none. The configuration must have been checked.
 func (f *FlightFront) Schema(class string) *arrow.Schema {
 	for _, c := range f.Class {
 		if c.Name == class {
--- a/internal/config/maintenance.go
+++ b/internal/config/maintenance.go
@@ -6,15 +6,15 @@
 	"gullfall/internal/maintenance"
 )
 
-// Work is how machines are taken out for maintenance; off while Enabled is false.
+// Work configures maintenance, by which machines are taken out of service; disabled unless Enabled is true.
 type Work struct {
 	Enabled   bool
-	Bound     Span     // how long machines of open requests are used without contact to the store
-	Lease     Span     // of the duty
-	Drift     float64  // by how much clocks may run fast or slow, as a share
-	Every     Span     // between looks at the plan
-	Duties    []string // further duties, beside that of maintenance
-	Floor     int      // these six: see maintenance.Limits
+	Bound     Span     // how long machines of open requests stay in use without contact to the store
+	Lease     Span     // duration of the lease on a duty
+	Drift     float64  // maximum relative error of clock rates
+	Every     Span     // interval at which the plan is checked
+	Duties    []string // names of duties in addition to maintenance
+	Floor     int      // this and the next five fields: see maintenance.Limits
 	PerShard  int      `toml:"per_shard"`
 	AtOnce    int      `toml:"at_once"`
 	Share     float64
@@ -22,7 +22,7 @@
 	Capacity  float64 `toml:"room"`
 	Hook      []string
 	HookTime  Span `toml:"hook_time"`
-	Budget    int  // bytes of plans that the lease holder writes in a second
+	Budget    int  // bytes of plans that the lease holder may write per second
 }
 
 // Bounds of the keys under work.
@@ -31,7 +31,7 @@
 	minLease     = 500 * time.Millisecond
 	minEvery     = 10 * time.Millisecond
 	maxDrift     = 0.5
-	minBudget    = 1024 // bytes a second
+	minBudget    = 1024 // bytes per second
 	maxDuties    = 32
 	maxDutyBytes = 64
 )
@@ -91,7 +91,7 @@
 	}
 }
 
-// Limits are the limits in the terms of internal/maintenance.
+// Limits returns the limits in the form of internal/maintenance.
 func (w *Work) Limits() maintenance.Limits {
 	return maintenance.Limits{Floor: w.Floor, PerShard: w.PerShard, AtOnce: w.AtOnce, Share: w.Share, ZoneShare: w.ZoneShare, Room: w.Capacity}
 }
--- a/internal/config/peers.go
+++ b/internal/config/peers.go
@@ -9,33 +9,33 @@
 	"gullfall/internal/swim"
 )
 
-// Admin is where the command line reaches a running coordinator.
+// Admin configures the socket on which a running coordinator serves the command line.
 type Admin struct {
-	Socket string // a path; off while empty
+	Socket string // path; disabled if empty
 }
 
-// Peers is how the coordinators watch each other; off while Listen is empty.
+// Peers configures the gossip by which coordinators monitor each other; disabled if Listen is empty.
 type Peers struct {
 	Listen   string
-	Fleet    string   // all that talk to each other name the same
-	Seeds    []string // where to join
+	Fleet    string   // name that all coordinators of one group share
+	Seeds    []string // addresses of coordinators through which to join
 	Key      []PeerKey
 	Route    []PeerRoute
 	Period   Span
 	Timeout  Span
-	MaxPause Span `toml:"bear"` // a coordinator that pauses for no longer is not declared dead
+	MaxPause Span `toml:"bear"` // longest pause of a coordinator that must not get it declared dead
 }
 
-// PeerKey seals what is sent. Of several the first seals, and all open.
+// PeerKey is a key that encrypts gossip packets. Sending uses the first key; all keys are accepted for decryption.
 type PeerKey struct {
 	ID     int
 	Secret string // base64
 }
 
-// PeerRoute is an address that is reached by another from here.
+// PeerRoute replaces an address by the one through which it is reached from here.
 type PeerRoute struct{ Addr, Via string }
 
-// maxFleetBytes is the longest name of a fleet.
+// maxFleetBytes is the maximum length of a fleet's name.
 const maxFleetBytes = 64
 
 func (p *Peers) check(f *faults) {
@@ -54,7 +54,7 @@
 		f.checkLoopbackPort(fmt.Sprintf("peers.route[%d].via", i), r.Via)
 	}
 	if p.Fleet == "" || len(p.Fleet) > maxFleetBytes {
-		f.add("peers.fleet: %q; give a name of 1 to 64 bytes, the same for all that talk to each other", p.Fleet)
+		f.add("peers.fleet: %q; give a name of 1 to 64 bytes, the same for all coordinators that are to gossip with each other", p.Fleet)
 	}
 	p.checkKeys(f)
 	if c := p.Swim("x", 0, 0); c.Period < 0 || c.Timeout < 0 || c.MaxPause < 0 || c.Period > 0 && c.Timeout > c.Period/2 {
@@ -64,7 +64,7 @@
 
 func (p *Peers) checkKeys(f *faults) {
 	if len(p.Key) == 0 {
-		f.add("peers.key: none; give one of 16 bytes or more in base64, the same for all")
+		f.add("peers.key: none; give one of 16 bytes or more in base64, the same for all coordinators")
 	}
 	ids := map[int]bool{}
 	for i, k := range p.Key {
@@ -72,13 +72,13 @@
 	}
 }
 
-// Swim is the configuration of the coordinators' membership protocol for one process.
+// Swim returns the configuration of the coordinators' membership protocol for one process.
 func (p *Peers) Swim(name string, process, seed uint64) swim.Config {
 	return swim.Config{Self: name, Addr: p.Listen, Process: process, RandomSeed: seed, Seeds: p.Seeds, Period: time.Duration(p.Period),
 		Timeout: time.Duration(p.Timeout), MaxPause: time.Duration(p.MaxPause)}
 }
 
-// Keys are those that seal and open what the coordinators send. The file has been checked.
+// Keys returns the keys of gossip packets. The configuration must have been checked.
 func (p *Peers) Keys() (list []gossip.Key) {
 	for _, k := range p.Key {
 		raw, _ := base64.StdEncoding.DecodeString(k.Secret)
@@ -87,7 +87,7 @@
 	return list
 }
 
-// Routes are the addresses that are reached by another.
+// Routes returns the replacement addresses, by the address that they replace.
 func (p *Peers) Routes() map[string]string {
 	routes := map[string]string{}
 	for _, r := range p.Route {
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -9,8 +9,7 @@
 	"gullfall/aggregator"
 )
 
-// wireSettings is the settings object in the words of the platform and of the simulator, which hand it over in the same form. Keys that
-// it does not name are skipped.
+// wireSettings is the settings object as the platform and the simulator send it, under their names. Unknown keys are ignored.
 type wireSettings struct {
 	Az        string
 	Balancers *int
@@ -49,8 +48,8 @@
 	"safe": aggregator.Safe, "keyed": aggregator.Keyed, "unsafe": aggregator.Unsafe,
 }
 
-// Settings turns the settings object into the module's terms. It checks only what the module can't see; the figures are for the module
-// to check. An error names the key.
+// Settings decodes the settings object into the module's form. It checks only what the module can't; the module checks the values
+// themselves. Errors name the key.
 func Settings(raw json.RawMessage) (aggregator.Settings, error) {
 	var wire wireSettings
 	if err := json.Unmarshal(raw, &wire); err != nil {
@@ -60,18 +59,18 @@
 	if err != nil {
 		return aggregator.Settings{}, err
 	}
-	info := wire.FamilyInfo
+	family := wire.FamilyInfo
 	set := aggregator.Settings{
 		Zone:            wire.Az,
 		Aggregators:     coordinators,
-		Tick:            Duration(wire.TickS),
+		Tick:            SecondsToDuration(wire.TickS),
 		OverQuotaFactor: wire.OverShareWorth,
 		PriorityPerWork: wire.WorthBy == "work",
-		ShardSets:       info.Sets,
-		Shards:          info.Slabs,
-		Reach:           info.Width,
-		CallCost:        Duration(info.CallCostS),
-		KeyCaches:       info.WarmKeys,
+		ShardSets:       family.Sets,
+		Shards:          family.Slabs,
+		Reach:           family.Width,
+		CallCost:        SecondsToDuration(family.CallCostS),
+		KeyCaches:       family.WarmKeys,
 		LateFailPrice:   wire.Prices.LateFail,
 		PollList:        wire.Discovery == "subscribe",
 		Limits:          wire.limits(),
@@ -84,8 +83,8 @@
 	return set, err
 }
 
-// coordinators is how many there are. Each takes its share of warming data nodes, probes and list calls by it, so that a wrong number
-// overloads them; a settings object without it is for one coordinator.
+// coordinators returns the number of coordinators, 1 if the settings object does not give it. Each coordinator computes its share of the
+// load on warming data nodes, of probes and of list calls from it, so a number that is too low overloads data nodes and discovery.
 func (w *wireSettings) coordinators() (int, error) {
 	count := 1
 	if w.Balancers != nil {
@@ -110,31 +109,31 @@
 		Probes:         w.Limits.MayProbe,
 		Gossip:         w.Limits.PeerMessages,
 		SendRetryAfter: w.Limits.RetryAfter,
-		MaxRetryAfter:  Duration(w.Limits.MaxRetryAfterS),
-		ConnectTimeout: Duration(w.Limits.ConnectTimeoutS),
-		ConnIdle:       Duration(w.Limits.ConnIdleS),
+		MaxRetryAfter:  SecondsToDuration(w.Limits.MaxRetryAfterS),
+		ConnectTimeout: SecondsToDuration(w.Limits.ConnectTimeoutS),
+		ConnIdle:       SecondsToDuration(w.Limits.ConnIdleS),
 	}
 }
 
 func (w *wireSettings) rules() aggregator.Rules {
 	return aggregator.Rules{
-		DrainGrace:       Duration(w.Rules.DrainGraceS),
+		DrainGrace:       SecondsToDuration(w.Rules.DrainGraceS),
 		OverloadMultiple: w.Rules.FallMultiple,
-		OverloadWindow:   Duration(w.Rules.TipAfterS),
+		OverloadWindow:   SecondsToDuration(w.Rules.TipAfterS),
 		InitialCapacity:  w.Rules.StartCapacity,
-		WarmupTime:       Duration(w.Rules.WarmAfterS),
-		RetryWindow:      Duration(w.Rules.BudgetWindowS),
+		WarmupTime:       SecondsToDuration(w.Rules.WarmAfterS),
+		RetryWindow:      SecondsToDuration(w.Rules.BudgetWindowS),
 		RetryFloor:       w.Rules.BudgetFree,
 		RetryRatio:       w.Rules.ExtraPerRequest,
-		PollInterval:     Duration(w.Rules.AskEveryS),
+		PollInterval:     SecondsToDuration(w.Rules.AskEveryS),
 	}
 }
 
-// classes joins the classes with the lists of FamilyInfo, each of which is empty or has one entry for each class. An effect that is not
-// known reads as unsafe: nothing of such a class is sent twice.
+// classes returns the classes with their entries in the lists of FamilyInfo, each of which is empty or has one entry per class. An
+// unknown effect is treated as unsafe, so that no part of such a class is sent twice.
 func (w *wireSettings) classes() (classes []aggregator.Class, err error) {
-	info := w.FamilyInfo
-	for _, n := range []int{len(info.ClassNeed), len(info.FloorByClass), len(info.PartialEarns), len(info.ClassFetch)} {
+	family := w.FamilyInfo
+	for _, n := range []int{len(family.ClassNeed), len(family.FloorByClass), len(family.PartialEarns), len(family.ClassFetch)} {
 		if n != 0 && n != len(w.Classes) {
 			return nil, fmt.Errorf("Settings: FamilyInfo: a list of %d entries for %d classes", n, len(w.Classes))
 		}
@@ -146,22 +145,22 @@
 		}
 		classes = append(classes, aggregator.Class{
 			Name:             c.Name,
-			LatencyObjective: Duration(c.AimS),
-			Deadline:         Duration(c.HardLimitS),
-			DedupWindow:      Duration(c.MemorySpanS),
+			LatencyObjective: SecondsToDuration(c.AimS),
+			Deadline:         SecondsToDuration(c.HardLimitS),
+			DedupWindow:      SecondsToDuration(c.MemorySpanS),
 			Effect:           effect,
 			Priority:         c.Gain,
 			LateShare:        c.LateWorth,
-			CompleteShare:    entryOr(info.ClassNeed, i, 1),
-			MinShare:         entryOr(info.FloorByClass, i, 1),
-			PartialShare:     entryOr(info.PartialEarns, i, 0),
-			SecondPhaseParts: entryOr(info.ClassFetch, i, 0),
+			CompleteShare:    entryOr(family.ClassNeed, i, 1),
+			MinShare:         entryOr(family.FloorByClass, i, 1),
+			PartialShare:     entryOr(family.PartialEarns, i, 0),
+			SecondPhaseParts: entryOr(family.ClassFetch, i, 0),
 		})
 	}
 	return classes, nil
 }
 
-// entryOr reads an optional list that has one entry for each class.
+// entryOr returns list[i], or missing if the list has no such entry.
 func entryOr[T any](list []T, i int, missing T) T {
 	if i < len(list) {
 		return list[i]
@@ -169,8 +168,8 @@
 	return missing
 }
 
-// Duration turns seconds into a Duration, rounded to whole microseconds and held within what a Duration can be.
-func Duration(s float64) time.Duration {
+// SecondsToDuration converts seconds to a time.Duration, rounded to whole microseconds and clamped to ±9e15 ns (about 104 days).
+func SecondsToDuration(s float64) time.Duration {
 	us := math.Round(s * 1e6)
 	return time.Duration(math.Max(-9e15, math.Min(9e15, us*1e3)))
 }
--- a/internal/config/store.go
+++ b/internal/config/store.go
@@ -8,24 +8,24 @@
 
 // Bounds of the keys under store.
 const (
-	defaultCatchUp = 4 << 20  // bytes a second
-	minCatchUp     = 64 << 10 // bytes a second
+	defaultCatchUp = 4 << 20  // bytes per second
+	minCatchUp     = 64 << 10 // bytes per second
 	minHeartbeat   = 50 * time.Millisecond
 	maxSkew        = 0.5
 )
 
-// Store is the replicated store of configuration and state, and which members it has.
+// Store configures the replicated store of configuration and state, and its members.
 type Store struct {
 	Directory string
 	Listen    string
-	Heartbeat Span // a leader not heard for so long is replaced; 1s
+	Heartbeat Span // time without contact after which a leader is replaced; default 1s
 	Peer      []Peer
 	Route     []PeerRoute
-	CatchUp   int     `toml:"catch_up"` // bytes of a snapshot that the leader sends a member far behind in a second; 4 MiB
-	Skew      float64 // by how much the clock that leases are counted by runs fast; to try their bound, 0 in service
+	CatchUp   int     `toml:"catch_up"` // bytes per second of a snapshot that the leader sends to a lagging member; default 4 MiB
+	Skew      float64 // relative rate error added to the clock of leases, to test their bound; 0 in production
 }
 
-// Pace is how many bytes of a snapshot the leader sends a member far behind in a second.
+// Pace returns the rate at which the leader sends a snapshot to a lagging member, in bytes per second.
 func (s Store) Pace() float64 {
 	if s.CatchUp == 0 {
 		return defaultCatchUp
@@ -33,7 +33,7 @@
 	return float64(s.CatchUp)
 }
 
-// Peer is one member of the store. A learner holds a copy and has no vote.
+// Peer is a member of the store. A learner has a copy but no vote.
 type Peer struct {
 	Name, Addr string
 	Learner    bool
@@ -51,11 +51,11 @@
 		f.checkOptionalLoopback(fmt.Sprintf("store.route[%d].addr", i), r.Addr)
 		f.checkOptionalLoopback(fmt.Sprintf("store.route[%d].via", i), r.Via)
 	}
-	s.checkFigures(f)
+	s.checkRanges(f)
 	s.checkMembers(f, name)
 }
 
-func (s *Store) checkFigures(f *faults) {
+func (s *Store) checkRanges(f *faults) {
 	if !(s.Skew > -maxSkew && s.Skew < maxSkew) {
 		f.add("store.skew: %v; between -0.5 and 0.5, and 0 in service", s.Skew)
 	}
@@ -67,16 +67,16 @@
 	}
 }
 
-// checkMembers checks that the members can elect a leader, and that this coordinator is one of them.
+// checkMembers checks that the members can elect a leader and include this coordinator.
 func (s *Store) checkMembers(f *faults, name string) {
-	votes := func(p Peer) bool { return !p.Learner }
-	self := func(p Peer) bool { return p.Name == name }
+	isVoter := func(p Peer) bool { return !p.Learner }
+	isSelf := func(p Peer) bool { return p.Name == name }
 	switch {
-	case len(s.Peer) > 0 && !slices.ContainsFunc(s.Peer, votes):
+	case len(s.Peer) > 0 && !slices.ContainsFunc(s.Peer, isVoter):
 		f.add("store.peer: all are learners; one at least must have a vote")
 	case (s.Listen != "") != (len(s.Peer) > 0):
 		f.add("store.listen, store.peer: one needs the other")
-	case len(s.Peer) > 0 && !slices.ContainsFunc(s.Peer, self):
+	case len(s.Peer) > 0 && !slices.ContainsFunc(s.Peer, isSelf):
 		f.add("store.peer: this coordinator, %q, is not among them", name)
 	}
 }
--- a/internal/config/zones.go
+++ b/internal/config/zones.go
@@ -6,8 +6,8 @@
 	"gullfall/internal/zones"
 )
 
-// Zones is how a zone that fails as a whole is left, and how fast work returns to it. A figure of 0 takes the default of internal/zones,
-// whose Config says what each means.
+// Zones configures how a zone that fails as a whole is taken out of use, and how fast load returns to it. zones.Config documents the
+// fields; 0 means the default of internal/zones.
 type Zones struct {
 	Enabled    bool
 	Window     Span
@@ -23,10 +23,10 @@
 	Spread     Span
 	Ramp       Span
 	Keep       float64
-	Drained    []string // zones that an operator has drained; read again on SIGHUP
+	Drained    []string // zones drained by an operator; reloaded on SIGHUP
 }
 
-// ZoneRules are the figures by which the states of zones are decided, with this coordinator's seed. They are unused where zones are off.
+// ZoneRules returns the configuration of zone detection with this coordinator's seed. It is unused if zones are disabled.
 func (d *Deploy) ZoneRules(seed uint64) zones.Config {
 	z := d.Zones
 	return zones.Config{Window: time.Duration(z.Window), Doubt: z.Doubt, Clear: z.Clear, Leave: z.Leave,
--- a/internal/simulator/codec.go
+++ b/internal/simulator/codec.go
@@ -9,7 +9,7 @@
 	"gullfall/aggregator"
 )
 
-// Names of the messages that come in.
+// Names of the incoming messages.
 const (
 	msgConfigure  = "CONFIGURE"
 	msgExit       = "EXIT"
@@ -23,7 +23,7 @@
 	msgMembers    = "MEMBERS"
 )
 
-// Names of the actions that go out.
+// Names of the outgoing actions.
 const (
 	actSend          = "TRANSMIT"
 	actCancel        = "CALL_OFF"
@@ -38,7 +38,7 @@
 	actPanic         = "PANIC"
 )
 
-// Words of the simulator that stand in an action.
+// Fixed values of action fields.
 const (
 	wakeToken = "wake"
 	allPeers  = "all"
@@ -68,7 +68,7 @@
 	"refused":    aggregator.ListCallFailed,
 }
 
-// Flags of INCOMING.
+// Bits of INCOMING's Bitmap field.
 const (
 	flagWorkKnown = 1
 	flagRetry     = 2
@@ -87,13 +87,13 @@
 	Do    [][]any         `json:"do"`
 }
 
-// configuration is what CONFIGURE says.
+// configuration holds the fields of a CONFIGURE message.
 type configuration struct {
 	seed     uint64
 	settings json.RawMessage
 }
 
-// decodeConfiguration reads a CONFIGURE. A seed that is no unsigned integer is read as a number and cut off.
+// decodeConfiguration decodes a CONFIGURE message. A seed that is not an unsigned 64-bit integer is read as a number and truncated.
 func decodeConfiguration(m *message) (c configuration) {
 	m.read(3, "Settings", &c.settings)
 	if len(m.fields) > 2 && json.Unmarshal(m.fields[2], &c.seed) != nil {
@@ -102,15 +102,15 @@
 	return c
 }
 
-// decodeSheet reads a SHEET: a list of data nodes under a number, which later messages name.
-func decodeSheet(m *message) (page int, list []aggregator.Member, err error) {
+// decodeSheet decodes a SHEET message: a numbered list of data nodes, to which later messages refer by that number.
+func decodeSheet(m *message) (number int, list []aggregator.Member, err error) {
 	var items []json.RawMessage
 	m.read(2, "Items", &items)
 	list, err = decodeMembers(items)
 	return m.integer(1, "Page"), list, err
 }
 
-// decodeMembers reads the entries of a list. A state that is not known reads as draining.
+// decodeMembers decodes the entries of a list. An unknown state is treated as draining.
 func decodeMembers(items []json.RawMessage) ([]aggregator.Member, error) {
 	list := make([]aggregator.Member, 0, len(items))
 	for _, item := range items {
@@ -137,30 +137,31 @@
 	return list, nil
 }
 
-// arrival is what INCOMING says of a query, or of a part where its shard is not negative.
+// arrival holds the fields of an INCOMING message. It announces a part if its shard is not negative, otherwise a query.
 type arrival struct {
 	id     string
-	number int // of the query; its parts carry the same
+	number int // number of the query; its parts carry the same one
 	shard  int
 	key    string
-	work   time.Duration // 0 where not known
+	work   time.Duration // expected work; 0 if unknown
 
-	weight float64 // of a part
+	weight float64 // parts only
 
-	count    int // of a query, as all that follows
-	timeLeft time.Duration
-	retry    bool
-	class    string
-	tenant   string
+	// The fields below are set for queries only.
+	partCount int // number of parts
+	timeLeft  time.Duration
+	retry     bool
+	class     string
+	tenant    string
 }
 
 func (a *arrival) isPart() bool { return a.shard >= 0 }
 
-// decodeArrival reads an INCOMING. Only the fields that the kind of arrival uses are read; the others may hold anything.
+// decodeArrival decodes an INCOMING message. Only the fields that apply to its kind are read; the others may hold any value.
 func decodeArrival(m *message) arrival {
 	a := arrival{id: m.text(2, "Job"), number: m.integer(4, "WholeNo"), shard: m.integer(6, "SegmentNo")}
 	flags := m.integer(11, "Bitmap")
-	a.key = m.label(9, "PathKey")
+	a.key = m.optionalText(9, "PathKey")
 	if flags&flagWorkKnown != 0 {
 		a.work = m.seconds(3, "ExpectedS")
 	}
@@ -168,9 +169,9 @@
 		a.weight = m.number(5, "Measure")
 		return a
 	}
-	a.count, a.timeLeft = m.integer(5, "Measure"), m.seconds(8, "LeftS")
+	a.partCount, a.timeLeft = m.integer(5, "Measure"), m.seconds(8, "LeftS")
 	a.retry = flags&flagRetry != 0
-	a.class, a.tenant = m.label(10, "Type"), m.label(7, "Tenant")
+	a.class, a.tenant = m.optionalText(10, "Type"), m.optionalText(7, "Tenant")
 	return a
 }
 
@@ -191,12 +192,12 @@
 		Replica:    m.text(2, "Server"),
 		Outcome:    outcomes[m.text(3, "Ending")],
 		Elapsed:    m.seconds(4, "WaitTimeS"),
-		LoadReport: m.report(5),
+		LoadReport: m.loadReport(5),
 	}
 }
 
-// encode turns one action of an instance into the simulator's form.
-func encode(node int, a aggregator.Action) []any {
+// encodeAction returns an instance's action in the simulator's format.
+func encodeAction(node int, a aggregator.Action) []any {
 	switch a.Kind {
 	case aggregator.Send:
 		return []any{actSend, node, a.Part, a.Replica, seconds(a.After)}
@@ -222,8 +223,8 @@
 	return encodePanic(node, fmt.Sprintf("action of unknown kind %d", a.Kind))
 }
 
-// encodePanic tells the simulator that an instance can't go on.
+// encodePanic returns the action that reports a failed instance to the simulator.
 func encodePanic(node int, cause any) []any { return []any{actPanic, node, fmt.Sprint(cause)} }
 
-// seconds is a time in the simulator's form, in whole microseconds.
+// seconds converts d to seconds, truncated to whole microseconds.
 func seconds(d time.Duration) float64 { return float64(d/time.Microsecond) / 1e6 }
--- a/internal/simulator/host.go
+++ b/internal/simulator/host.go
@@ -1,5 +1,5 @@
-// Package simulator runs the decision module behind the simulator's protocol: it reads batches of messages for many instances of the
-// module, hands each instance its events, and writes their actions back. It takes no decision of its own.
+// Package simulator runs instances of the decision module behind the simulator's line protocol: it decodes batches of messages, passes
+// each instance its events, and encodes the resulting actions. It makes no decisions of its own.
 package simulator
 
 import (
@@ -15,34 +15,34 @@
 	"gullfall/internal/config"
 )
 
-// bufferSize of both directions, in bytes.
+// bufferSize is the size of the input buffer and of the output buffer, in bytes.
 const bufferSize = 1 << 20
 
-// Host holds the instances of one process. They share the numbered lists of data nodes and nothing else.
+// Host holds the module instances of one process. They share only the numbered lists of data nodes.
 type Host struct {
 	instances map[int]*instance
 	lists     map[int][]aggregator.Member
 }
 
-// instance is one module, with the events and actions of the batch in hand.
+// instance is one decision module with the events and actions of the current batch.
 type instance struct {
 	node          int
 	module        *aggregator.Aggregator
 	classes       map[string]int
 	tenants       map[string]int
-	queryByNumber map[int]string // open queries
-	numberByQuery map[string]int // and back
+	queryByNumber map[int]string // query ids of open queries by number
+	numberByQuery map[string]int // the inverse of queryByNumber
 	events        []aggregator.Event
 	actions       []aggregator.Action
-	queued        bool // it has an event of the batch in hand
+	queued        bool // has an event in the current batch
 }
 
-// NewHost returns a host without instances.
+// NewHost returns a Host without instances.
 func NewHost() *Host {
 	return &Host{instances: map[int]*instance{}, lists: map[int][]aggregator.Member{}}
 }
 
-// Serve answers batches from r on w until r ends. An error names the line.
+// Serve reads batches from r and writes replies to w until r ends. Its errors give the line number.
 func Serve(r io.Reader, w io.Writer) error {
 	in, out := bufio.NewReaderSize(r, bufferSize), bufio.NewWriterSize(w, bufferSize)
 	encoder := json.NewEncoder(out)
@@ -54,7 +54,7 @@
 			return nil
 		}
 		if err == nil || errors.Is(err, io.EOF) {
-			err = host.answer(text, encoder, out)
+			err = host.processLine(text, encoder, out)
 		}
 		if err != nil {
 			return fmt.Errorf("line %d: %w", line, err)
@@ -62,8 +62,8 @@
 	}
 }
 
-// answer runs one line of input and writes the line of output.
-func (h *Host) answer(text []byte, encoder *json.Encoder, out *bufio.Writer) error {
+// processLine processes one line of input and writes the line of output.
+func (h *Host) processLine(text []byte, encoder *json.Encoder, out *bufio.Writer) error {
 	r, err := h.Batch(text)
 	if err != nil {
 		return err
@@ -74,8 +74,8 @@
 	return out.Flush()
 }
 
-// Batch runs one line of input and returns the line of output. The instances step once all messages have been applied, in the order
-// in which they got their first event.
+// Batch processes one line of input and returns the reply. After all messages have been applied, each instance with events steps
+// once, in the order of their first events.
 func (h *Host) Batch(text []byte) (*reply, error) {
 	var b batch
 	if err := json.Unmarshal(text, &b); err != nil {
@@ -96,17 +96,17 @@
 			queue = append(queue, in)
 		}
 	}
-	now := config.Duration(*b.TimeS)
+	now := config.SecondsToDuration(*b.TimeS)
 	for _, in := range queue {
 		in.queued = false
-		if h.instances[in.node] == in { // it may have ended since
+		if h.instances[in.node] == in { // a later message may have removed or replaced it
 			answer.Do = in.step(now, answer.Do)
 		}
 	}
 	return answer, nil
 }
 
-// receive applies one message and returns the instance that has an event from it, if any.
+// receive decodes and applies one message. It returns the instance that the message has an event for, or nil.
 func (h *Host) receive(raw []byte, answer *reply) (*instance, error) {
 	m, err := decodeMessage(raw)
 	if err != nil {
@@ -121,8 +121,8 @@
 
 func (h *Host) apply(m *message, answer *reply) (*instance, error) {
 	if m.name == msgSheet {
-		page, list, err := decodeSheet(m)
-		h.lists[page] = list
+		number, list, err := decodeSheet(m)
+		h.lists[number] = list
 		return nil, err
 	}
 	node := m.integer(1, "NodeId")
@@ -142,13 +142,14 @@
 		return nil, nil
 	}
 	if e.Kind == aggregator.ClientGone {
-		in.forget(e.Query)
+		in.removeQuery(e.Query)
 	}
 	in.events = append(in.events, e)
 	return in, nil
 }
 
-// configure starts an instance, in place of an earlier one. Settings that the module can't work with are answered by a PANIC.
+// configure starts an instance and replaces an earlier one of the same node. Settings that the module rejects are answered with a PANIC
+// action.
 func (h *Host) configure(node int, m *message, answer *reply) (*instance, error) {
 	c := decodeConfiguration(m)
 	if m.err != nil {
@@ -175,11 +176,11 @@
 	return in, nil
 }
 
-// event is what the module is to see of a message; ok is false where that is nothing.
+// event converts a message to an event of the module; ok is false if the message has none.
 func (h *Host) event(in *instance, m *message) (e aggregator.Event, ok bool) {
 	switch m.name {
 	case msgIncoming:
-		return in.arrive(decodeArrival(m)), true
+		return in.arrivalEvent(decodeArrival(m)), true
 	case msgCompleted:
 		return decodeAttemptEnd(m), true
 	case msgClientGone:
@@ -197,7 +198,7 @@
 	return e, false
 }
 
-// listEvent finds the list that a message names by its number.
+// listEvent converts a MEMBERS message to an event with the list that it refers to by number.
 func (h *Host) listEvent(m *message) (e aggregator.Event, ok bool) {
 	kind, known := listKinds[m.text(3, "Form")]
 	if !known {
@@ -210,20 +211,20 @@
 	return e, true
 }
 
-// arrive is the event of a query or a part. A part names its query by the number that both carry.
-func (in *instance) arrive(a arrival) aggregator.Event {
+// arrivalEvent returns the event for the arrival of a query or a part. A part refers to its query by number.
+func (in *instance) arrivalEvent(a arrival) aggregator.Event {
 	e := aggregator.Event{Shard: a.shard, Key: a.key, Work: a.work}
 	if a.isPart() {
 		e.Kind, e.Part, e.Query, e.Weight = aggregator.PartArrived, a.id, in.queryByNumber[a.number], a.weight
 		return e
 	}
 	in.queryByNumber[a.number], in.numberByQuery[a.id] = a.id, a.number
-	e.Kind, e.Query, e.PartCount, e.TimeLeft, e.Retry = aggregator.QueryArrived, a.id, a.count, a.timeLeft, a.retry
+	e.Kind, e.Query, e.PartCount, e.TimeLeft, e.Retry = aggregator.QueryArrived, a.id, a.partCount, a.timeLeft, a.retry
 	e.Class, e.Tenant = indexOf(in.classes, a.class), indexOf(in.tenants, a.tenant)
 	return e
 }
 
-// indexOf is -1 for a name that is not known.
+// indexOf returns the index of a name, or -1 if it is unknown.
 func indexOf(names map[string]int, name string) int {
 	if i, ok := names[name]; ok {
 		return i
@@ -231,15 +232,15 @@
 	return -1
 }
 
-// forget drops the number of a query that has ended.
-func (in *instance) forget(query string) {
+// removeQuery removes the number of a query that has ended.
+func (in *instance) removeQuery(query string) {
 	if number, ok := in.numberByQuery[query]; ok {
 		delete(in.numberByQuery, query)
 		delete(in.queryByNumber, number)
 	}
 }
 
-// step hands the instance its events of the batch and appends its actions to do.
+// step passes the events of the batch to the module and appends its actions to do. A panic of the module becomes a PANIC action.
 func (in *instance) step(now time.Duration, do [][]any) (result [][]any) {
 	defer func() {
 		in.events = in.events[:0]
@@ -250,9 +251,9 @@
 	in.actions = in.module.Step(now, in.events, in.actions[:0])
 	for _, a := range in.actions {
 		if a.Kind == aggregator.Reject || a.Kind == aggregator.Fail || a.Kind == aggregator.Answer && a.Final {
-			in.forget(a.Query)
+			in.removeQuery(a.Query)
 		}
-		do = append(do, encode(in.node, a))
+		do = append(do, encodeAction(in.node, a))
 	}
 	return do
 }
--- a/internal/simulator/message.go
+++ b/internal/simulator/message.go
@@ -8,14 +8,14 @@
 	"gullfall/internal/config"
 )
 
-// message is one message, an array whose first member is its name. Its fields are read by position; the first failure sticks.
+// message is a JSON array whose first element is the message's name. Fields are read by position; err keeps the first decoding error.
 type message struct {
 	fields []json.RawMessage
 	name   string
 	err    error
 }
 
-// decodeMessage reads an array and its name. A name of the wrong type is left in the message's err.
+// decodeMessage decodes the array and the name. A name of the wrong type is reported in the message's err.
 func decodeMessage(raw []byte) (m message, err error) {
 	if err := json.Unmarshal(raw, &m.fields); err != nil {
 		return m, err
@@ -24,7 +24,7 @@
 	return m, nil
 }
 
-// read decodes a field into dst; a missing or null one leaves dst as it is.
+// read decodes a field into dst; a missing or null field leaves dst unchanged.
 func (m *message) read(position int, field string, dst any) {
 	if m.err != nil || position >= len(m.fields) {
 		return
@@ -39,8 +39,8 @@
 	return s
 }
 
-// label reads a text that some sites leave out by writing 0.
-func (m *message) label(position int, field string) string {
+// optionalText returns a string field; "" for another type, as some sites write 0 for an absent optionalText.
+func (m *message) optionalText(position int, field string) string {
 	var v any
 	m.read(position, field, &v)
 	s, _ := v.(string)
@@ -55,11 +55,11 @@
 func (m *message) integer(position int, field string) int { return int(m.number(position, field)) }
 
 func (m *message) seconds(position int, field string) time.Duration {
-	return config.Duration(m.number(position, field))
+	return config.SecondsToDuration(m.number(position, field))
 }
 
-// report reads a load report, an object of numbers; what is missing or of another form is no report.
-func (m *message) report(position int) map[string]float64 {
+// loadReport returns a load loadReport, an object of numbers; nil if the field is missing or has another type.
+func (m *message) loadReport(position int) map[string]float64 {
 	var report map[string]float64
 	if position >= len(m.fields) || json.Unmarshal(m.fields[position], &report) != nil {
 		return nil
