--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -1,5 +1,5 @@
-// Command simhost runs the decision module behind the simulator's protocol on standard input and output. It exits with status 1 and one
-// line on standard error where a line of input can't be read.
+// Command simhost runs the decision module behind the simulator's protocol on standard input and output. If a line of input can't be
+// decoded, it prints one line to standard error and exits with status 1.
 package main
 
 import (
--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -11,13 +11,13 @@
 	"testing"
 )
 
-// testCommands are an answer and a failure.
+// testCommands holds a command that succeeds and one that fails.
 var testCommands = map[string]Command{
 	"echo": func(_ context.Context, args json.RawMessage) (any, error) { return args, nil },
 	"fail": func(context.Context, json.RawMessage) (any, error) { return nil, errors.New("it can't") },
 }
 
-// startServer serves testCommands at a socket in a directory of its own.
+// startServer serves testCommands on a socket in a temporary directory.
 func startServer(t *testing.T) (path string) {
 	t.Helper()
 	path = filepath.Join(t.TempDir(), "admin")
@@ -44,7 +44,7 @@
 	}
 }
 
-func TestLinesThatAreNoRequests(t *testing.T) {
+func TestInvalidRequestLines(t *testing.T) {
 	path := startServer(t)
 	for line, want := range map[string]string{"nonsense\n": "not a request", strings.Repeat("x", maxRequestBytes+1) + "\n": "a line of over"} {
 		nc, err := net.Dial("unix", path)
@@ -60,9 +60,9 @@
 	}
 }
 
-// TestSocket: the socket is its owner's alone, one that a killed process left behind is replaced, and one that is served is
-// not; once the server has ended, callers are told that nobody answers.
-func TestSocket(t *testing.T) {
+// TestSocketModeAndReplacement: the socket has mode 0600; a stale socket of a killed process is replaced, one in use is not; after Close, calls fail
+// with ErrUnreachable.
+func TestSocketModeAndReplacement(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "admin")
 	ln, err := net.ListenUnix("unix", &net.UnixAddr{Name: path})
 	if err != nil {
--- a/internal/admin/client.go
+++ b/internal/admin/client.go
@@ -10,13 +10,13 @@
 )
 
 var (
-	// ErrUnreachable reports a socket that no coordinator serves.
+	// ErrUnreachable is returned by Call if no coordinator serves the socket.
 	ErrUnreachable = errors.New("no coordinator answers at the admin socket")
-	// ErrConnectionClosed reports a connection that ended without a response.
+	// ErrConnectionClosed is returned by Call if the connection was closed without a response.
 	ErrConnectionClosed = errors.New("the connection was closed: too many are open, or the coordinator ends")
 )
 
-// CommandError is the failure of a command, as the coordinator told it.
+// CommandError is the failure of a command as reported by the coordinator.
 type CommandError struct {
 	Command string
 	Reason  string
@@ -24,8 +24,8 @@
 
 func (e *CommandError) Error() string { return e.Reason }
 
-// Call sends a command to the coordinator that serves the socket at path, and reads its response into result. args may be nil.
-// It ends with ctx. What the coordinator itself could not do is a CommandError.
+// Call sends a command to the coordinator that serves the socket at path, and decodes the response into result. args may be nil.
+// Call returns when ctx ends. If the command itself failed, the error is a CommandError.
 func Call(ctx context.Context, path, command string, args, result any) error {
 	var d net.Dialer
 	nc, err := d.DialContext(ctx, "unix", path)
--- a/internal/admin/protocol.go
+++ b/internal/admin/protocol.go
@@ -2,16 +2,16 @@
 
 import "encoding/json"
 
-// maxRequestBytes is the most that a request's line may hold.
+// maxRequestBytes is the maximum length of a request line.
 const maxRequestBytes = 64 << 10
 
-// request is the line that a client sends.
+// request is a line from the client.
 type request struct {
 	Command string          `json:"command"`
 	Args    json.RawMessage `json:"args,omitempty"`
 }
 
-// response is the line that the server sends: a result, or why there is none.
+// response is a line from the server: a result, or the reason of a failure.
 type response struct {
 	OK     json.RawMessage `json:"ok,omitempty"`
 	Failed string          `json:"failed,omitempty"`
--- a/internal/admin/server.go
+++ b/internal/admin/server.go
@@ -1,9 +1,9 @@
-// Package admin is the operators' way to a running coordinator: a Unix socket that only its owner may use, with one JSON object
-// a line each way.
+// Package admin connects the command line to a running coordinator over a Unix socket that only its owner may use. Requests and
+// responses are JSON objects, one per line.
 //
 //	server.go    serves commands
 //	client.go    calls them
-//	protocol.go  the lines
+//	protocol.go  defines the lines
 package admin
 
 import (
@@ -21,35 +21,35 @@
 )
 
 const (
-	idleTimeout      = 30 * time.Second      // that a connection may say nothing
-	maxConns         = 16                    // connections at once; further ones are closed
-	acceptRetryDelay = 10 * time.Millisecond // after an error, most often for want of descriptors
+	idleTimeout      = 30 * time.Second      // after which a silent connection is closed
+	maxConns         = 16                    // concurrent connections; further ones are closed
+	acceptRetryDelay = 10 * time.Millisecond // after an error, most often a lack of descriptors
 	socketUmask      = 0o177                 // leaves mode 0600
 )
 
-// ErrInUse reports a socket that another process serves.
+// ErrInUse is returned by Serve if another process serves the socket.
 var ErrInUse = errors.New("another process serves")
 
-// Command serves one request; what it returns is encoded as the response.
+// Command handles one request; its result is encoded as JSON in the response.
 type Command func(ctx context.Context, args json.RawMessage) (any, error)
 
-// Server serves commands.
+// Server serves commands on a Unix socket.
 type Server struct {
 	listener net.Listener
 	commands map[string]Command
-	slots    chan struct{}   // holds one element for each connection
-	ctx      context.Context // of the commands
+	slots    chan struct{}   // semaphore with one element per connection
+	ctx      context.Context // canceled by Close; parent of the commands' contexts
 	stop     context.CancelFunc
 	wg       sync.WaitGroup
 }
 
-// Serve listens at a path, with mode 0600. A socket that an earlier process left behind is replaced; one that answers is not,
-// which is ErrInUse.
+// Serve starts a server on a socket at path, with mode 0600. It replaces a stale socket of an earlier process, and returns ErrInUse
+// for one that accepts connections.
 func Serve(path string, commands map[string]Command) (*Server, error) {
 	if err := removeStale(path); err != nil {
 		return nil, err
 	}
-	old := syscall.Umask(socketUmask) // the mode holds from the socket's first moment
+	old := syscall.Umask(socketUmask) // so that the socket never exists with a wider mode
 	listener, err := net.Listen("unix", path)
 	syscall.Umask(old)
 	if err != nil {
@@ -61,7 +61,7 @@
 	return s, nil
 }
 
-// removeStale removes a socket that nobody serves.
+// removeStale removes a socket that no process serves.
 func removeStale(path string) error {
 	nc, err := net.Dial("unix", path)
 	if err == nil {
@@ -69,12 +69,12 @@
 		return fmt.Errorf("admin.socket: %w %s", ErrInUse, filepath.Base(path))
 	}
 	if errors.Is(err, syscall.ECONNREFUSED) {
-		_ = os.Remove(path) // if it stays, listening fails and says why
+		_ = os.Remove(path) // if this fails, so does listening, with the cause
 	}
 	return nil
 }
 
-// Close ends the socket, its file and its connections.
+// Close closes the listener, which removes its file, and all connections, and waits for running commands.
 func (s *Server) Close() {
 	s.stop()
 	_ = s.listener.Close()
@@ -99,22 +99,22 @@
 		}
 		s.wg.Go(func() {
 			defer func() { <-s.slots }()
-			s.serve(nc)
+			s.serveConn(nc)
 		})
 	}
 }
 
-// serve answers the requests on one connection, until it ends or says nothing for idleTimeout.
-func (s *Server) serve(nc net.Conn) {
+// serveConn handles the requests of one connection until it is closed or idle for idleTimeout.
+func (s *Server) serveConn(nc net.Conn) {
 	closeConn := func() { _ = nc.Close() }
 	defer closeConn()
 	defer context.AfterFunc(s.ctx, closeConn)()
 	in, out := bufio.NewReaderSize(nc, maxRequestBytes), json.NewEncoder(nc)
 	for {
-		_ = nc.SetDeadline(time.Now().Add(idleTimeout)) // an error shows in the read
+		_ = nc.SetDeadline(time.Now().Add(idleTimeout)) // an error also fails the read
 		line, err := in.ReadSlice('\n')
 		if errors.Is(err, bufio.ErrBufferFull) {
-			_ = out.Encode(response{Failed: fmt.Sprintf("a line of over %d bytes", maxRequestBytes)}) // the connection ends
+			_ = out.Encode(response{Failed: fmt.Sprintf("a line of over %d bytes", maxRequestBytes)}) // the connection is closed next
 		}
 		if err != nil {
 			return
@@ -125,7 +125,7 @@
 	}
 }
 
-// respond serves one request.
+// respond runs the command of one request and returns its response.
 func (s *Server) respond(line []byte) response {
 	var req request
 	if err := json.Unmarshal(line, &req); err != nil {
