--- a/cmd/gullfall/admin.go
+++ b/cmd/gullfall/admin.go
@@ -16,19 +16,20 @@
 
 // Timeouts of commands over the admin socket.
 const (
-	// commandTimeout is how long the daemon works on a command that waits for the store.
+	// commandTimeout bounds a command in the daemon that waits for the store.
 	commandTimeout = 8 * time.Second
-	// answerTimeout is how long the command line waits for such a command's answer: longer, so that the cause arrives.
+	// answerTimeout is how long the command line waits for the response to such a command. It exceeds commandTimeout so that the
+	// daemon's error arrives.
 	answerTimeout = commandTimeout + 2*time.Second
-	// viewTimeout is how long it waits for what the daemon knows without the store.
+	// viewTimeout is how long the command line waits for a response that does not involve the store.
 	viewTimeout = 5 * time.Second
 )
 
-// refreshInterval is how often --watch shows a view anew.
+// refreshInterval is the interval at which --watch prints a view.
 const refreshInterval = time.Second
 
-// adminCommands are the commands that the daemon serves on its admin socket: those of the parts that are on. Each of peers,
-// maintenance and drains may be nil.
+// adminCommands returns the commands that the daemon serves on its admin socket. Each of peers, maintenance and drains may be nil,
+// which leaves out its commands.
 func adminCommands(peers *gossip.Gossip, maintenance *agent.Agent, members *store.Store, drains *zoneDrains) map[string]admin.Command {
 	commands := map[string]admin.Command{}
 	if maintenance != nil {
@@ -44,7 +45,7 @@
 	return commands
 }
 
-// command is an admin command whose arguments are of type A, with commandTimeout to work in.
+// command returns an admin command that decodes its arguments as type A and runs do with commandTimeout.
 func command[A, R any](do func(context.Context, A) (R, error)) admin.Command {
 	return func(ctx context.Context, raw json.RawMessage) (any, error) {
 		var args A
@@ -57,17 +58,17 @@
 	}
 }
 
-// view is an admin command without arguments that shows what the daemon knows.
+// view returns an admin command without arguments that returns part of the daemon's state.
 func view[R any](show func() (R, error)) admin.Command {
 	return func(context.Context, json.RawMessage) (any, error) { return show() }
 }
 
-// socketFlag names the admin socket of the coordinator that a command is meant for.
+// socketFlag selects the admin socket of the coordinator that a command addresses.
 type socketFlag struct {
 	Socket string `help:"The coordinator's admin socket; that of deploy/gullfall.toml by default."`
 }
 
-// path is the socket that the flag or deploy/gullfall.toml names.
+// path returns the socket given by the flag, or else by deploy/gullfall.toml.
 func (f socketFlag) path() (string, error) {
 	if f.Socket != "" {
 		return f.Socket, nil
@@ -83,7 +84,7 @@
 	return d.Admin.Socket, err
 }
 
-// call has the coordinator behind the socket carry out a command and reads its answer into result.
+// call runs a command at the coordinator behind the socket and decodes the response into result.
 func (f socketFlag) call(timeout time.Duration, command string, args, result any) error {
 	path, err := f.path()
 	if err != nil {
@@ -94,13 +95,13 @@
 	return admin.Call(ctx, path, command, args, result)
 }
 
-// ask is call with the time that commands which wait for the store need.
+// ask runs a command like call, with the timeout of commands that wait for the store.
 func (f socketFlag) ask(command string, args, result any) error {
 	return f.call(answerTimeout, command, args, result)
 }
 
-// repeat calls show once, or with --watch each refreshInterval until it fails.
-func repeat(watch bool, show func() error) error { //nolint:revive // the flag of the command line, passed on
+// repeat calls show once, or with --watch every refreshInterval until it fails.
+func repeat(watch bool, show func() error) error { //nolint:revive // the command line's --watch flag
 	for {
 		if err := show(); err != nil || !watch {
 			return err
@@ -109,5 +110,5 @@
 	}
 }
 
-// printJSON writes one object on a line to standard output.
+// printJSON writes v as one line of JSON to standard output.
 func printJSON(v any) error { return json.NewEncoder(os.Stdout).Encode(v) }
--- a/cmd/gullfall/agent.go
+++ b/cmd/gullfall/agent.go
@@ -15,14 +15,14 @@
 	"gullfall/internal/store"
 )
 
-// Times that the end of a drain leaves to the maintenance agent.
+// Timeouts of the maintenance agent's actions during a shutdown.
 const (
 	resignTimeout     = 2 * time.Second
 	agentCloseTimeout = time.Second
 )
 
-// startAgent starts the maintenance agent, by which machines are taken out for work; nil where deploy/gullfall.toml has it off.
-// Peers may be nil.
+// startAgent starts the maintenance agent, which takes machines out of service for maintenance. It returns nil if deploy/gullfall.toml
+// disables it. peers may be nil.
 func startAgent(deploy config.Deploy, cfg config.Config, c *coordinator.Coordinator, members *store.Store, peers *gossip.Gossip, log *slog.Logger) *agent.Agent {
 	work := deploy.Work
 	if !work.Enabled {
@@ -55,8 +55,8 @@
 	})
 }
 
-// resignDuty gives the agent's leases back at the beginning of a drain, so that another coordinator takes them over at once.
-// The drain does not wait for it.
+// resignDuty releases the agent's leases when a drain begins, so that another coordinator can acquire them at once. It runs in the
+// background, so the drain does not wait for it.
 func resignDuty(a *agent.Agent, log *slog.Logger) {
 	if a == nil {
 		return
@@ -70,8 +70,8 @@
 	}()
 }
 
-// closeAgent stops the agent at the end of a drain. Idle says that no attempt is in flight, so that maintenance need not wait
-// for this coordinator any longer.
+// closeAgent stops the agent at the end of a drain. idle reports that no attempt is in flight, so that maintenance no longer has to
+// wait for this coordinator.
 func closeAgent(a *agent.Agent, idle bool) {
 	if a == nil {
 		return
@@ -81,14 +81,14 @@
 	a.Close(ctx, idle)
 }
 
-// workWord is what the command line sends with a command on maintenance, a start excepted.
+// workWord holds the arguments of all maintenance and duty commands except "work start".
 type workWord struct {
 	By, Word, Machine, As, Name string
 	Request                     uint64
 	Fresh                       bool
 }
 
-// addMaintenanceCommands adds the commands of the maintenance agent.
+// addMaintenanceCommands adds the maintenance and duty commands.
 func addMaintenanceCommands(commands map[string]admin.Command, a *agent.Agent) {
 	commands["work start"] = command(func(ctx context.Context, request agent.Request) (agent.Planned, error) {
 		return a.Start(ctx, request)
--- a/cmd/gullfall/dnssd.go
+++ b/cmd/gullfall/dnssd.go
@@ -16,24 +16,24 @@
 	"gullfall/internal/membership"
 )
 
-// dnssdCmd shows records: browse looks once, watch follows them. Both use the daemon's own follower and membership table, so that
-// they show what it would decide.
+// dnssdCmd shows the records of zones, once (browse) or as they change (watch). Both use the daemon's follower and membership table, so
+// they show what the daemon would decide.
 type dnssdCmd struct {
-	Browse browseCmd `cmd:"" help:"Look once: what the records say, and why a data node is or is not used."`
-	Watch  watchCmd  `cmd:"" help:"Follow the records and tell each change."`
+	Browse browseCmd `cmd:"" help:"Print the current records, and why each data node is or is not used."`
+	Watch  watchCmd  `cmd:"" help:"Follow the records and print each change."`
 }
 
-// zoneFlags name the zones: those of the file, or one of its own.
+// zoneFlags select the zones: those of the deploy file, or a single one given by flags.
 type zoneFlags struct {
-	Deploy   string   `default:"deploy/gullfall.toml" help:"The file whose zones are read."`
-	Domain   string   `help:"Read this domain in place of the file's zones."`
-	Server   []string `help:"A server of --domain, as 127.0.0.1:5353."`
-	Service  []string `default:"_dn._tcp" help:"A service type of --domain."`
-	Transfer bool     `help:"Ask the servers of --domain for transfers."`
-	JSON     bool     `name:"json" help:"One JSON object a line."`
+	Deploy   string   `default:"deploy/gullfall.toml" help:"Deploy file whose zones are followed."`
+	Domain   string   `help:"Follow this domain instead of the file's zones."`
+	Server   []string `help:"Server of --domain, such as 127.0.0.1:5353."`
+	Service  []string `default:"_dn._tcp" help:"Service type of --domain."`
+	Transfer bool     `help:"Request zone transfers from the servers of --domain."`
+	JSON     bool     `name:"json" help:"Print one JSON object per line."`
 }
 
-// zones are those that the flags name.
+// zones returns the selected zones and the deploy file.
 func (z zoneFlags) zones() ([]dnssd.Zone, config.Deploy, error) {
 	deploy, err := config.LoadDeploy(z.Deploy, "")
 	if err != nil {
@@ -48,12 +48,12 @@
 		zones = deploy.DNSSD.Zones()
 	}
 	if len(zones) == 0 {
-		return nil, deploy, errors.New("no zone: name one by --domain and --server, or as dnssd.zone in " + z.Deploy)
+		return nil, deploy, errors.New("no zone: give one by --domain and --server, or as dnssd.zone in " + z.Deploy)
 	}
 	return zones, deploy, nil
 }
 
-// line is one line of output: a data node, or a message about a zone.
+// line is one line of output: a data node, or a message about a zone if Node is empty.
 type line struct {
 	At       time.Time `json:"at,omitzero"`
 	Zone     string    `json:"zone"`
@@ -66,21 +66,21 @@
 	Why      string    `json:"why,omitempty"`
 }
 
-// zoneDisplay prints what followers of zones report.
+// zoneDisplay prints the updates and problems that zone followers report.
 type zoneDisplay struct {
 	json     bool
-	onlyLast bool // the list is printed once at the end, not as it changes
+	onlyLast bool // print only the final list, not each change
 
-	mu       sync.Mutex // guards what follows, and orders the output
+	mu       sync.Mutex // guards the fields below and serializes the output
 	table    *membership.Table
-	lists    int                        // lists that have come
-	failed   string                     // why the last one that failed did
-	problems map[string][]dnssd.Problem // records that can't be used, by zone
+	lists    int                        // number of lists received
+	failed   string                     // cause of the last failed update
+	problems map[string][]dnssd.Problem // unusable records, by zone
 }
 
 func (d *zoneDisplay) print(l line) {
 	if d.json {
-		_ = printJSON(l) // as fmt.Printf below: a reader that has left ends the command by SIGPIPE
+		_ = printJSON(l) // ignored, as for fmt.Printf below: if the reader has exited, SIGPIPE ends the command
 		return
 	}
 	timestamp := ""
@@ -98,18 +98,18 @@
 	fmt.Printf("%s%-24s %-9s %-22s cell %-4s priority %-3d weight %-6g %s\n", timestamp, l.Node, l.State, l.Addr, cell, l.Priority, l.Weight, l.Why)
 }
 
-// printNode prints a data node as the table has it.
+// printNode prints a data node's entry in the table.
 func (d *zoneDisplay) printNode(at time.Time, zone string, m membership.Record) {
 	d.print(line{At: at, Zone: zone, Node: m.ID, State: m.State.String(), Addr: m.Addr, Cell: &m.ShardSet, Priority: m.Priority,
 		Weight: m.Weight, Why: d.table.Explain(m.ID)})
 }
 
-// printProblem prints why a record can't be used.
+// printProblem prints an unusable record with the cause.
 func (d *zoneDisplay) printProblem(at time.Time, zone string, p dnssd.Problem) {
 	d.print(line{At: at, Zone: zone, Why: "not usable: " + p.Instance + ": " + p.Cause.Error()})
 }
 
-// printResult prints what an update has changed.
+// printResult prints the changes and notes that result from an update.
 func (d *zoneDisplay) printResult(now time.Time, zone string, r membership.Result) {
 	if d.onlyLast {
 		return
@@ -124,7 +124,7 @@
 	}
 }
 
-// report takes the records of a zone that can't be used, and prints them where they have changed.
+// report stores the unusable records of a zone, and prints them if they have changed.
 func (d *zoneDisplay) report(zone string, list []dnssd.Problem) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -140,14 +140,14 @@
 	return a.Instance == b.Instance && a.Cause.Error() == b.Cause.Error()
 }
 
-// zoneUpdater passes the updates of one zone to the table of a display.
+// zoneUpdater applies the updates of one zone to the display's table.
 type zoneUpdater struct {
 	*zoneDisplay
 	zone   string
 	source *membership.Source
 }
 
-// Update takes a list, or that there was none.
+// Update applies a new list, or records why fetching one failed.
 func (u *zoneUpdater) Update(update membership.Update) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -160,7 +160,7 @@
 	u.printResult(now, u.zone, u.source.Update(now, update))
 }
 
-// Renew takes that nothing has changed.
+// Renew confirms that the zone's list is unchanged.
 func (u *zoneUpdater) Renew() {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -168,7 +168,7 @@
 	u.printResult(now, u.zone, u.source.Renew(now))
 }
 
-// CheckSerial takes a zone's serial and tells whether its list is to be fetched.
+// CheckSerial processes the zone's current serial and reports whether the list must be fetched.
 func (u *zoneUpdater) CheckSerial(serial uint32) bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -178,13 +178,14 @@
 	return fetch
 }
 
-// dnsQuestionsAtOnce bounds the questions to DNS servers that are open at once.
+// dnsQuestionsAtOnce is the maximum number of concurrent queries to DNS servers.
 const dnsQuestionsAtOnce = 16
 
-// anyShardSet lets every shard set be shown: which ones there are is the settings' to say, which these commands do not read.
+// anyShardSet is a shard set count that accepts every shard set in the records; these commands don't read the settings, which have the
+// actual count.
 const anyShardSet = 1 << 20
 
-// follow starts a follower for each zone, until ctx ends; the group ends with them.
+// follow starts a follower for each zone, which runs until ctx ends. The returned group waits for the followers.
 func (z zoneFlags) follow(ctx context.Context, display *zoneDisplay) (*sync.WaitGroup, error) {
 	zones, deploy, err := z.zones()
 	if err != nil {
@@ -215,10 +216,10 @@
 
 type browseCmd struct {
 	zoneFlags
-	For time.Duration `default:"1500ms" help:"How long answers are waited for."`
+	For time.Duration `default:"1500ms" help:"How long to wait for answers."`
 }
 
-// Run looks at the records once.
+// Run prints the records once.
 func (b browseCmd) Run() error {
 	ctx, cancel := context.WithTimeout(context.Background(), b.For)
 	defer cancel()
@@ -237,17 +238,17 @@
 		}
 	}
 	if display.lists == 0 {
-		return fmt.Errorf("no list has come; %s", display.failed)
+		return fmt.Errorf("no list received; %s", display.failed)
 	}
 	return nil
 }
 
 type watchCmd struct {
 	zoneFlags
-	For time.Duration `help:"End after this time; never where it is not given."`
+	For time.Duration `help:"Stop after this time; by default never."`
 }
 
-// Run follows the records until it is interrupted.
+// Run prints changes of the records until it is interrupted.
 func (w watchCmd) Run() error {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
 	defer stop()
--- a/cmd/gullfall/dnssd_test.go
+++ b/cmd/gullfall/dnssd_test.go
@@ -1,6 +1,6 @@
 package main
 
-// The commands that show records, against the stand-in name server.
+// The dnssd commands against the lab's name server, and the check command.
 
 import (
 	"encoding/json"
@@ -15,7 +15,7 @@
 	"gullfall/internal/lab/nameserver"
 )
 
-// output runs a command and returns what it prints.
+// output runs a command and returns its standard output.
 func output(t *testing.T, run func() error) (string, error) {
 	t.Helper()
 	r, w, err := os.Pipe()
@@ -32,7 +32,7 @@
 	return <-done, err
 }
 
-// TestDnssdCommands: browse tells what is used and why something is not; watch tells changes.
+// TestDnssdCommands: browse shows data nodes and why a record is not used; watch shows changes.
 func TestDnssdCommands(t *testing.T) {
 	zone := nameserver.NewZone("club.example", 4500)
 	s, err := nameserver.Start(zone, nil)
@@ -79,7 +79,7 @@
 	}
 }
 
-// TestCheck: every faulty key of both files is named.
+// TestCheck: the check command prints every faulty key and counts the faults.
 func TestCheck(t *testing.T) {
 	dir := t.TempDir()
 	write := func(name, text string) string {
--- a/cmd/gullfall/drain.go
+++ b/cmd/gullfall/drain.go
@@ -5,23 +5,24 @@
 	"time"
 )
 
-// The course of a shutdown, counted from SIGTERM. Clients go on connecting for a while, so the process keeps serving.
+// Delays of a shutdown, counted from SIGTERM. New clients still connect for a while, so the process keeps serving at first.
 const (
-	// idleGrace passes before idle client connections are closed.
+	// idleGrace is the delay before idle client connections are closed.
 	idleGrace = 500 * time.Millisecond
-	// listenGrace passes before the listener is closed.
+	// listenGrace is the delay before the listener is closed.
 	listenGrace = 900 * time.Millisecond
-	// readGrace is how long beyond the longest deadline of a class a client may take to read its answer.
+	// readGrace is the time after the longest deadline of any class that clients have to read their answers.
 	readGrace = 15 * time.Second
-	// killAfter bounds the time after which SIGKILL may come, 0.7 s more, where the longest deadline of a class is longer.
+	// killAfter caps the deadline of queries that arrive during the drain where the longest deadline of a class exceeds it: SIGKILL
+	// may come 0.7 s later.
 	killAfter = 3 * time.Second
-	// killSlack is how much later than killAfter a query that comes in during the drain is answered at the latest, so that
-	// SIGKILL finds none of them open.
+	// killSlack is added to killAfter for the latest time at which a query that arrives during the drain is answered, so that no
+	// such query is open at SIGKILL.
 	killSlack = 600 * time.Millisecond
 )
 
-// drain serves on while clients still come, then waits until all open queries are answered and read, until end, or until a
-// second signal. It tells whether all was answered and read.
+// drain keeps serving until listenGrace has passed, then waits until all open queries are answered and read, until end, or until a
+// second signal. It reports whether all were answered and read.
 func (d *daemon) drain(end time.Time) (answered bool) {
 	time.Sleep(idleGrace)
 	d.fronts.clients.CloseIdle()
--- a/cmd/gullfall/duties.go
+++ b/cmd/gullfall/duties.go
@@ -12,14 +12,14 @@
 )
 
 type dutiesCmd struct {
-	Show   dutiesShowCmd   `cmd:"" default:"withargs" help:"Show who holds which duty."`
-	HandOn dutiesHandOnCmd `cmd:"" help:"Have the coordinator behind the socket give a duty back, so that another takes it over."`
-	Try    dutiesTryCmd    `cmd:"" help:"Exit with status 0 only if the coordinator behind the socket holds a duty and the store takes its token; print the token."`
+	Show   dutiesShowCmd   `cmd:"" default:"withargs" help:"Show the holder of each duty."`
+	HandOn dutiesHandOnCmd `cmd:"" help:"Make the coordinator behind the socket release a duty, so that another takes it over."`
+	Try    dutiesTryCmd    `cmd:"" help:"Exit with status 0 only if the coordinator behind the socket holds a duty and the store accepts its token; print the token."`
 }
 
 type dutiesShowCmd struct{ maintenanceViewFlags }
 
-// Run shows the duties.
+// Run prints the duties and their holders.
 func (c dutiesShowCmd) Run() error {
 	return c.show(func(v agent.View) error {
 		t := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
@@ -40,7 +40,7 @@
 	})
 }
 
-// nobody is a name, or that there is none.
+// nobody returns name, or "nobody" if it is empty.
 func nobody(name string) string {
 	if name == "" {
 		return "nobody"
@@ -53,7 +53,7 @@
 	Name string `arg:"" default:"maintenance" help:"The duty."`
 }
 
-// Run has a duty handed on.
+// Run makes the coordinator release a duty.
 func (c dutiesHandOnCmd) Run() error {
 	var done bool
 	if err := c.ask("duties hand-on", workWord{Name: c.Name}, &done); err != nil {
@@ -69,10 +69,10 @@
 type dutiesTryCmd struct {
 	socketFlag
 	Name string `arg:"" help:"The duty."`
-	JSON bool   `name:"json" help:"For machines."`
+	JSON bool   `name:"json" help:"Print JSON."`
 }
 
-// Run tries a duty.
+// Run checks whether the coordinator holds a duty.
 func (c dutiesTryCmd) Run() error {
 	var t agent.DutyAttempt
 	if err := c.ask("duties try", workWord{Name: c.Name}, &t); err != nil {
--- a/cmd/gullfall/flightfront.go
+++ b/cmd/gullfall/flightfront.go
@@ -10,10 +10,10 @@
 	"gullfall/internal/flight"
 )
 
-// flightService is the DNS-SD service type under which our Arrow Flight front is found.
+// flightService is the DNS-SD service type of this coordinator's Arrow Flight front.
 const flightService = "_gullfall._tcp"
 
-// serveFlight serves Arrow Flight clients, where the front is on, and the records by which they find it.
+// serveFlight starts the Arrow Flight front and its DNS-SD records if flight.listen is set.
 func (d *daemon) serveFlight(ctx context.Context) error {
 	front := d.deploy.Flight
 	if front.Listen == "" {
@@ -41,7 +41,7 @@
 	return d.advertiseFlight(ctx)
 }
 
-// advertiseFlight serves DNS-SD records of our Flight front, where dnssd.serve names an address.
+// advertiseFlight serves DNS-SD records of the Flight front if dnssd.serve is set.
 func (d *daemon) advertiseFlight(ctx context.Context) error {
 	records := d.deploy.DNSSD
 	if records.Serve == "" {
--- a/cmd/gullfall/formats_test.go
+++ b/cmd/gullfall/formats_test.go
@@ -9,8 +9,8 @@
 	"gullfall/internal/store"
 )
 
-// TestOutputForms shows that what the command line prints for machines, what it asks a coordinator over the admin socket,
-// and the lists that it keeps in the store have the keys that earlier versions gave them.
+// TestOutputForms: the command line's JSON output, the requests and responses on the admin socket, and the lists in the store keep
+// the keys of earlier versions.
 func TestOutputForms(t *testing.T) {
 	golden.JSON(t, "forms.json", map[string]any{
 		"dnssd line":      golden.Filled[line](),
--- a/cmd/gullfall/gossip.go
+++ b/cmd/gullfall/gossip.go
@@ -17,14 +17,14 @@
 	"gullfall/internal/store"
 )
 
-// peerAddrsKey begins the key under which the store keeps the addresses of the other coordinators, by the name of the one that
-// knew them.
+// peerAddrsKey is the prefix of the store keys with the addresses of the other coordinators; the name of the coordinator that saved
+// them follows.
 const peerAddrsKey = "peers"
 
-// peerReportInterval is how often the coordinator is handed what others observe of data nodes.
+// peerReportInterval is the interval at which the coordinator receives the other coordinators' observations of data nodes.
 const peerReportInterval = 250 * time.Millisecond
 
-// startPeers starts gossip with the other coordinators; nil where deploy/gullfall.toml has it off.
+// startPeers starts gossip with the other coordinators. It returns nil if deploy/gullfall.toml disables it.
 func startPeers(ctx context.Context, deploy config.Deploy, cfg config.Config, c *coordinator.Coordinator, log *slog.Logger, members *store.Store) (*gossip.Gossip, error) {
 	if deploy.Peers.Listen == "" {
 		return nil, nil
@@ -43,8 +43,8 @@
 	return peers, nil
 }
 
-// gossipOptions adds to the configured seeds the addresses at which the others were last, so that a coordinator finds them after
-// a restart although its seeds are gone.
+// gossipOptions returns the options of gossip. Its seeds are the configured ones and the last known addresses of the other
+// coordinators, so that a restarted coordinator finds them even if no configured seed answers.
 func gossipOptions(p config.Peers, cfg config.Config, log *slog.Logger, members *store.Store) (gossip.Options, error) {
 	process, err := newProcessID()
 	if err != nil {
@@ -71,7 +71,7 @@
 	return options, nil
 }
 
-// newProcessID draws the number by which others tell this process from an earlier one of the same name.
+// newProcessID returns a random number that distinguishes this process from earlier ones of the same name.
 func newProcessID() (uint64, error) {
 	var raw [8]byte
 	if _, err := rand.Read(raw[:]); err != nil {
@@ -80,8 +80,7 @@
 	return binary.BigEndian.Uint64(raw[:]), nil
 }
 
-// saveLatest returns a function that hands a list to save without waiting for it: a list that was not saved yet gives way to a
-// newer one.
+// saveLatest returns a function that passes a list to save in the background. A list that is still queued is replaced by a newer one.
 func saveLatest(save func([]string)) func([]string) {
 	latest := make(chan []string, 1)
 	go func() {
@@ -98,7 +97,7 @@
 	}
 }
 
-// share tells the other coordinators what this one has observed of a data node.
+// share sends an observation of a data node to the other coordinators.
 func share(peers *gossip.Gossip, o coordinator.Observation) {
 	switch {
 	case o.Started:
@@ -117,7 +116,7 @@
 	}
 }
 
-// reportPeers hands the coordinator what the others observe of data nodes, until ctx ends.
+// reportPeers passes the other coordinators' observations of data nodes to the coordinator until ctx ends.
 func reportPeers(ctx context.Context, c *coordinator.Coordinator, peers *gossip.Gossip, self string) {
 	ticker := time.NewTicker(peerReportInterval)
 	defer ticker.Stop()
@@ -133,7 +132,7 @@
 	}
 }
 
-// peerReports are the data nodes that fail for another coordinator, or that another has seen start.
+// peerReports returns reports on the data nodes that fail for another coordinator, or that another has seen start.
 func peerReports(all map[string]observations.View, self string) (reports []coordinator.PeerReport) {
 	for id, v := range all {
 		report := coordinator.PeerReport{Node: id, Failing: v.Suspect && v.FailedBy != self, FailedAge: v.FailedAge, AnsweredAge: v.AnsweredAge}
--- a/cmd/gullfall/linked_test.go
+++ b/cmd/gullfall/linked_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// TestLinked: the vast days load a library into the daemon as it starts, which needs a program that names an
-// interpreter. .ci/run says where the deploy file's build has left it.
+// TestLinked: some of the platform's test runs preload a library into the daemon, which requires a dynamically linked program, one that
+// names an interpreter. .ci/run sets BUILT to the program that the deploy file builds.
 func TestLinked(t *testing.T) {
 	path := os.Getenv("BUILT")
 	if path == "" {
--- a/cmd/gullfall/main_test.go
+++ b/cmd/gullfall/main_test.go
@@ -31,12 +31,12 @@
  "FamilyInfo":{"Sets":1,"Slabs":4,"Width":1,"BundleMax":8},
  "Limits":{"Cancel":true,"SendCap":3,"ConnectTimeoutS":0.25,"ConnIdleS":30,"StreamsPerConn":32,"RetryAfter":true,"MaxRetryAfterS":2}}`
 
-// serve runs the daemon without its log.
+// serve runs the daemon with its log discarded.
 func serve() error {
 	return run(new(slog.LevelVar), func(string) *slog.Logger { return slog.New(slog.DiscardHandler) })
 }
 
-// free is an address that nobody listens on.
+// free returns a local address that was free a moment ago.
 func free(t *testing.T, network string) string {
 	t.Helper()
 	if network == "udp" {
@@ -55,7 +55,7 @@
 	return ln.Addr().String()
 }
 
-// get asks the platform's front on a new connection; "" where there is no answer.
+// get sends a GET request on a new connection and returns the status line, or "" without a response.
 func get(addr, path string) string {
 	nc, err := net.Dial("tcp", addr)
 	if err != nil {
@@ -69,8 +69,8 @@
 	return line
 }
 
-// TestProgram starts the whole program with both fronts, on settings that it finds in its store the second
-// time, and ends it by SIGTERM, after which it goes on serving for a while.
+// TestProgram runs the daemon with both fronts until SIGTERM, twice: the second run takes its settings from the store. After SIGTERM the
+// daemon keeps serving for listenGrace, but withdraws its DNS-SD records.
 func TestProgram(t *testing.T) {
 	dir := t.TempDir()
 	t.Chdir(dir)
@@ -122,17 +122,17 @@
 			t.Errorf("round %d: own records: %v, %v", round, m, err)
 		}
 		if round == 0 {
-			time.Sleep(3 * time.Second) // the store takes the settings once its one member leads
+			time.Sleep(3 * time.Second) // the settings are stored once the store's only member leads
 		}
 		start := time.Now()
 		syscall.Kill(os.Getpid(), syscall.SIGTERM)
 		time.Sleep(600 * time.Millisecond)
 		if got := get(listen, "/up"); got != "HTTP/1.1 200 OK" && time.Since(start) < listenGrace {
-			t.Errorf("round %d: a client that comes 0.6 s after SIGTERM gets %q", round, got)
+			t.Errorf("round %d: a client that connects 0.6 s after SIGTERM gets %q", round, got)
 		}
 		list := new(dns.Msg).SetQuestion("_gullfall._tcp.local.", dns.TypePTR)
 		if m, _, err := new(dns.Client).Exchange(list, records); err != nil || len(m.Answer) != 0 {
-			t.Errorf("round %d: who browses finds us while we drain: %v, %v", round, m, err)
+			t.Errorf("round %d: records are still served during the drain: %v, %v", round, m, err)
 		}
 		if err := <-ended; err != nil {
 			t.Errorf("round %d: %v", round, err)
@@ -140,8 +140,8 @@
 	}
 }
 
-// TestReload: SIGHUP, a faulty file and repeated ones, also one amid a drain, do not end the program, and the watch
-// goes to the address that the file names, though a variable named another at the start.
+// TestReload: repeated SIGHUPs, also with a faulty file or during a drain, do not end the daemon, and the watch moves to the discovery
+// address that changed in the file, although NODE_DISCOVERY gave another at startup.
 func TestReload(t *testing.T) {
 	t.Chdir(t.TempDir())
 	listen := free(t, "tcp")
@@ -208,7 +208,7 @@
 	}
 }
 
-// TestDrainEnds: a client that is slow with its request or its answer does not keep the program from ending.
+// TestDrainEnds: a client that never completes its request does not keep a drain from ending.
 func TestDrainEnds(t *testing.T) {
 	log := slog.New(slog.DiscardHandler)
 	c, err := coordinator.New(aggregator.Settings{ShardSets: 1, Shards: 1, Reach: 1,
@@ -227,7 +227,7 @@
 		t.Fatal(err)
 	}
 	defer nc.Close()
-	io.WriteString(nc, "POST /report HTTP/1.1\r\n") // and no more
+	io.WriteString(nc, "POST /report HTTP/1.1\r\n") // the rest of the request never follows
 	start := time.Now()
 	d := &daemon{coordinator: c, fronts: fronts{listener: ln, clients: clients}, log: log}
 	d.drain(start.Add(listenGrace + 300*time.Millisecond))
