--- a/cmd/gullfall/admin.go
+++ b/cmd/gullfall/admin.go
@@ -18,10 +18,9 @@
 const (
 	// commandTimeout bounds a command in the daemon that waits for the store.
 	commandTimeout = 8 * time.Second
-	// answerTimeout is how long the command line waits for the response to such a command. It exceeds commandTimeout so that the
-	// daemon's error arrives.
+	// answerTimeout is the command line's timeout for such a command. It exceeds commandTimeout so that the daemon's error arrives.
 	answerTimeout = commandTimeout + 2*time.Second
-	// viewTimeout is how long the command line waits for a response that does not involve the store.
+	// viewTimeout is the command line's timeout for a command that does not wait for the store.
 	viewTimeout = 5 * time.Second
 )
 
@@ -95,13 +94,13 @@
 	return admin.Call(ctx, path, command, args, result)
 }
 
-// ask runs a command like call, with the timeout of commands that wait for the store.
-func (f socketFlag) ask(command string, args, result any) error {
+// callWithStore runs a command like call, with the timeout of commands that wait for the store.
+func (f socketFlag) callWithStore(command string, args, result any) error {
 	return f.call(answerTimeout, command, args, result)
 }
 
 // repeat calls show once, or with --watch every refreshInterval until it fails.
-func repeat(watch bool, show func() error) error { //nolint:revive // the command line's --watch flag
+func repeat(watch bool, show func() error) error { //nolint:revive // the flag of the command line, passed on
 	for {
 		if err := show(); err != nil || !watch {
 			return err
--- a/cmd/gullfall/agent.go
+++ b/cmd/gullfall/agent.go
@@ -81,8 +81,8 @@
 	a.Close(ctx, idle)
 }
 
-// workWord holds the arguments of all maintenance and duty commands except "work start".
-type workWord struct {
+// workArgs holds the arguments of all maintenance and duty commands except "work start".
+type workArgs struct {
 	By, Word, Machine, As, Name string
 	Request                     uint64
 	Fresh                       bool
@@ -93,22 +93,22 @@
 	commands["work start"] = command(func(ctx context.Context, request agent.Request) (agent.Planned, error) {
 		return a.Start(ctx, request)
 	})
-	commands["work look"] = command(func(ctx context.Context, w workWord) (agent.View, error) {
+	commands["work look"] = command(func(ctx context.Context, w workArgs) (agent.View, error) {
 		return a.View(ctx, w.Fresh)
 	})
-	commands["work order"] = command(func(ctx context.Context, w workWord) (uint64, error) {
+	commands["work order"] = command(func(ctx context.Context, w workArgs) (uint64, error) {
 		return w.Request, a.Order(ctx, w.By, w.Word, w.Request)
 	})
-	commands["work done"] = command(func(ctx context.Context, w workWord) (string, error) {
+	commands["work done"] = command(func(ctx context.Context, w workArgs) (string, error) {
 		return w.Machine, a.Done(ctx, w.By, w.Machine, w.As)
 	})
-	commands["work forget"] = command(func(ctx context.Context, w workWord) (string, error) {
+	commands["work forget"] = command(func(ctx context.Context, w workArgs) (string, error) {
 		return w.Name, a.Forget(ctx, w.By, w.Name)
 	})
-	commands["duties hand-on"] = command(func(ctx context.Context, w workWord) (bool, error) {
+	commands["duties hand-on"] = command(func(ctx context.Context, w workArgs) (bool, error) {
 		return true, a.HandOver(ctx, w.Name)
 	})
-	commands["duties try"] = command(func(ctx context.Context, w workWord) (agent.DutyAttempt, error) {
+	commands["duties try"] = command(func(ctx context.Context, w workArgs) (agent.DutyAttempt, error) {
 		return a.TryDuty(ctx, w.Name)
 	})
 }
--- a/cmd/gullfall/dnssd.go
+++ b/cmd/gullfall/dnssd.go
@@ -53,8 +53,8 @@
 	return zones, deploy, nil
 }
 
-// line is one line of output: a data node, or a message about a zone if Node is empty.
-type line struct {
+// outputLine is one line of output: a data node, or a message about a zone if Node is empty.
+type outputLine struct {
 	At       time.Time `json:"at,omitzero"`
 	Zone     string    `json:"zone"`
 	Node     string    `json:"node,omitempty"`
@@ -68,17 +68,17 @@
 
 // zoneDisplay prints the updates and problems that zone followers report.
 type zoneDisplay struct {
-	json     bool
-	onlyLast bool // print only the final list, not each change
+	json      bool
+	finalOnly bool // print only the final list, not each change
 
-	mu       sync.Mutex // guards the fields below and serializes the output
-	table    *membership.Table
-	lists    int                        // number of lists received
-	failed   string                     // cause of the last failed update
-	problems map[string][]dnssd.Problem // unusable records, by zone
+	mu          sync.Mutex // guards the fields below and serializes the output
+	table       *membership.Table
+	listCount   int                        // number of lists received
+	lastFailure string                     // cause of the last failed update
+	problems    map[string][]dnssd.Problem // unusable records, by zone
 }
 
-func (d *zoneDisplay) print(l line) {
+func (d *zoneDisplay) print(l outputLine) {
 	if d.json {
 		_ = printJSON(l) // ignored, as for fmt.Printf below: if the reader has exited, SIGPIPE ends the command
 		return
@@ -100,18 +100,18 @@
 
 // printNode prints a data node's entry in the table.
 func (d *zoneDisplay) printNode(at time.Time, zone string, m membership.Record) {
-	d.print(line{At: at, Zone: zone, Node: m.ID, State: m.State.String(), Addr: m.Addr, Cell: &m.ShardSet, Priority: m.Priority,
+	d.print(outputLine{At: at, Zone: zone, Node: m.ID, State: m.State.String(), Addr: m.Addr, Cell: &m.ShardSet, Priority: m.Priority,
 		Weight: m.Weight, Why: d.table.Explain(m.ID)})
 }
 
 // printProblem prints an unusable record with the cause.
 func (d *zoneDisplay) printProblem(at time.Time, zone string, p dnssd.Problem) {
-	d.print(line{At: at, Zone: zone, Why: "not usable: " + p.Instance + ": " + p.Cause.Error()})
+	d.print(outputLine{At: at, Zone: zone, Why: "not usable: " + p.Instance + ": " + p.Cause.Error()})
 }
 
 // printResult prints the changes and notes that result from an update.
 func (d *zoneDisplay) printResult(now time.Time, zone string, r membership.Result) {
-	if d.onlyLast {
+	if d.finalOnly {
 		return
 	}
 	for _, m := range r.Changes {
@@ -119,7 +119,7 @@
 	}
 	for _, n := range r.Notes {
 		if n.ID == "" {
-			d.print(line{At: now, Zone: zone, Why: string(n.Cause) + ": " + n.Detail})
+			d.print(outputLine{At: now, Zone: zone, Why: string(n.Cause) + ": " + n.Detail})
 		}
 	}
 }
@@ -128,7 +128,7 @@
 func (d *zoneDisplay) report(zone string, list []dnssd.Problem) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if !d.onlyLast && !slices.EqualFunc(list, d.problems[zone], equalProblems) {
+	if !d.finalOnly && !slices.EqualFunc(list, d.problems[zone], equalProblems) {
 		for _, p := range list {
 			d.printProblem(time.Now(), zone, p)
 		}
@@ -152,9 +152,9 @@
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	if update.Basis == membership.Failed {
-		u.failed = u.zone + ": " + update.Cause
+		u.lastFailure = u.zone + ": " + update.Cause
 	} else {
-		u.lists++
+		u.listCount++
 	}
 	now := time.Now()
 	u.printResult(now, u.zone, u.source.Update(now, update))
@@ -178,8 +178,8 @@
 	return fetch
 }
 
-// dnsQuestionsAtOnce is the maximum number of concurrent queries to DNS servers.
-const dnsQuestionsAtOnce = 16
+// maxDNSQueries is the maximum number of concurrent queries to DNS servers.
+const maxDNSQueries = 16
 
 // anyShardSet is a shard set count that accepts every shard set in the records; these commands don't read the settings, which have the
 // actual count.
@@ -197,7 +197,7 @@
 		return nil, err
 	}
 	display.json, display.problems = z.JSON, map[string][]dnssd.Problem{}
-	client := dnssd.NewClient(deploy.DNSSD.Questions, dnsQuestionsAtOnce)
+	client := dnssd.NewClient(deploy.DNSSD.Questions, maxDNSQueries)
 	var followers sync.WaitGroup
 	for _, zone := range zones {
 		source := display.table.Source(membership.Spec{Name: zone.Domain, Damped: true})
@@ -223,7 +223,7 @@
 func (b browseCmd) Run() error {
 	ctx, cancel := context.WithTimeout(context.Background(), b.For)
 	defer cancel()
-	display := &zoneDisplay{onlyLast: true}
+	display := &zoneDisplay{finalOnly: true}
 	followers, err := b.follow(ctx, display)
 	if err != nil {
 		return err
@@ -237,8 +237,8 @@
 			display.printProblem(time.Time{}, zone, p)
 		}
 	}
-	if display.lists == 0 {
-		return fmt.Errorf("no list received; %s", display.failed)
+	if display.listCount == 0 {
+		return fmt.Errorf("no list received; %s", display.lastFailure)
 	}
 	return nil
 }
--- a/cmd/gullfall/dnssd_test.go
+++ b/cmd/gullfall/dnssd_test.go
@@ -15,8 +15,8 @@
 	"gullfall/internal/lab/nameserver"
 )
 
-// output runs a command and returns its standard output.
-func output(t *testing.T, run func() error) (string, error) {
+// captureStdout runs a command and returns its standard output.
+func captureStdout(t *testing.T, run func() error) (string, error) {
 	t.Helper()
 	r, w, err := os.Pipe()
 	if err != nil {
@@ -46,7 +46,7 @@
 		}
 	}
 	flags := zoneFlags{Deploy: filepath.Join(t.TempDir(), "none"), Domain: "club.example", Server: []string{s.Addr()}, Service: []string{"_dn._tcp"}}
-	text, err := output(t, browseCmd{flags, 300 * time.Millisecond}.Run)
+	text, err := captureStdout(t, browseCmd{flags, 300 * time.Millisecond}.Run)
 	for _, want := range []string{"s1", "127.0.0.1:7001", "draining", "outside dnssd.networks"} {
 		if err != nil || !strings.Contains(text, want) {
 			t.Errorf("browse, %v: no %q in %s", err, want, text)
@@ -54,13 +54,13 @@
 	}
 	flags.JSON = true
 	time.AfterFunc(600*time.Millisecond, func() { zone.Remove("Sala 1") })
-	text, err = output(t, watchCmd{flags, 2 * time.Second}.Run)
+	text, err = captureStdout(t, watchCmd{flags, 2 * time.Second}.Run)
 	if err != nil {
 		t.Error(err)
 	}
 	states := map[string]string{}
 	for raw := range strings.Lines(text) {
-		var l line
+		var l outputLine
 		if err := json.Unmarshal([]byte(raw), &l); err != nil {
 			t.Fatalf("%s: %v", raw, err)
 		}
@@ -70,17 +70,17 @@
 		t.Errorf("watch: %q", states)
 	}
 	s.Do("refuse on")
-	if _, err := output(t, browseCmd{flags, 300 * time.Millisecond}.Run); err == nil || !strings.Contains(err.Error(), "REFUSED") {
+	if _, err := captureStdout(t, browseCmd{flags, 300 * time.Millisecond}.Run); err == nil || !strings.Contains(err.Error(), "REFUSED") {
 		t.Errorf("browse where the server refuses: %v", err)
 	}
 	flags.Server = nil
-	if _, err := output(t, browseCmd{flags, time.Second}.Run); err == nil || !strings.Contains(err.Error(), "servers") {
+	if _, err := captureStdout(t, browseCmd{flags, time.Second}.Run); err == nil || !strings.Contains(err.Error(), "servers") {
 		t.Errorf("browse without a server: %v", err)
 	}
 }
 
-// TestCheck: the check command prints every faulty key and counts the faults.
-func TestCheck(t *testing.T) {
+// TestCheckNamesEveryFaultyKey: the check command prints every faulty key and counts the faults.
+func TestCheckNamesEveryFaultyKey(t *testing.T) {
 	dir := t.TempDir()
 	write := func(name, text string) string {
 		path := filepath.Join(dir, name)
@@ -90,10 +90,10 @@
 		return path
 	}
 	t.Setenv("NODE_CONFIG", write("c.json", `{"name":"n0","listen":"127.0.0.1:1","discovery":"127.0.0.1:2","seed":"1","settings":`+settings+`}`))
-	if text, err := output(t, checkCmd{Deploy: write("d.toml", "[log]\nlevel = \"warn\"\n")}.Run); err != nil || !strings.Contains(text, "sound") {
+	if text, err := captureStdout(t, checkCmd{Deploy: write("d.toml", "[log]\nlevel = \"warn\"\n")}.Run); err != nil || !strings.Contains(text, "sound") {
 		t.Errorf("sound files: %v, %s", err, text)
 	}
-	text, err := output(t, checkCmd{Deploy: write("d.toml", "[log]\nlevel = \"loud\"\n[dnssd]\npoll = \"9s\"\n[flight]\nlisten = \"x\"\n")}.Run)
+	text, err := captureStdout(t, checkCmd{Deploy: write("d.toml", "[log]\nlevel = \"loud\"\n[dnssd]\npoll = \"9s\"\n[flight]\nlisten = \"x\"\n")}.Run)
 	if err == nil || fmt.Sprint(err) != "3 faults" {
 		t.Errorf("three faults: %v", err)
 	}
--- a/cmd/gullfall/drain.go
+++ b/cmd/gullfall/drain.go
@@ -13,8 +13,8 @@
 	listenGrace = 900 * time.Millisecond
 	// readGrace is the time after the longest deadline of any class that clients have to read their answers.
 	readGrace = 15 * time.Second
-	// killAfter caps the deadline of queries that arrive during the drain where the longest deadline of a class exceeds it: SIGKILL
-	// may come 0.7 s later.
+	// killAfter caps the longest deadline of a class for queries that arrive during the drain. SIGKILL may come 0.7 s after the
+	// capped deadline.
 	killAfter = 3 * time.Second
 	// killSlack is added to killAfter for the latest time at which a query that arrives during the drain is answered, so that no
 	// such query is open at SIGKILL.
--- a/cmd/gullfall/duties.go
+++ b/cmd/gullfall/duties.go
@@ -35,13 +35,13 @@
 		if err := t.Flush(); err != nil {
 			return err
 		}
-		fmt.Printf("store: %s leads in term %d; %s has applied up to %d\n", nobody(v.Store.Leader), v.Store.Term, v.Store.Name, v.Store.Index)
+		fmt.Printf("store: %s leads in term %d; %s has applied up to %d\n", nameOrNobody(v.Store.Leader), v.Store.Term, v.Store.Name, v.Store.Index)
 		return nil
 	})
 }
 
-// nobody returns name, or "nobody" if it is empty.
-func nobody(name string) string {
+// nameOrNobody returns name, or "nobody" if it is empty.
+func nameOrNobody(name string) string {
 	if name == "" {
 		return "nobody"
 	}
@@ -56,7 +56,7 @@
 // Run makes the coordinator release a duty.
 func (c dutiesHandOnCmd) Run() error {
 	var done bool
-	if err := c.ask("duties hand-on", workWord{Name: c.Name}, &done); err != nil {
+	if err := c.callWithStore("duties hand-on", workArgs{Name: c.Name}, &done); err != nil {
 		return err
 	}
 	if !done {
@@ -75,7 +75,7 @@
 // Run checks whether the coordinator holds a duty.
 func (c dutiesTryCmd) Run() error {
 	var t agent.DutyAttempt
-	if err := c.ask("duties try", workWord{Name: c.Name}, &t); err != nil {
+	if err := c.callWithStore("duties try", workArgs{Name: c.Name}, &t); err != nil {
 		return err
 	}
 	if c.JSON {
--- a/cmd/gullfall/formats_test.go
+++ b/cmd/gullfall/formats_test.go
@@ -13,19 +13,19 @@
 // the keys of earlier versions.
 func TestOutputForms(t *testing.T) {
 	golden.JSON(t, "forms.json", map[string]any{
-		"dnssd line":      golden.Filled[line](),
+		"dnssd line":      golden.Filled[outputLine](),
 		"store":           golden.Filled[storeView](),
 		"store note":      golden.Filled[note](),
 		"store change":    golden.Filled[store.MemberChange](),
 		"store status":    golden.Filled[store.Status](),
-		"work word":       golden.Filled[workWord](),
+		"work word":       golden.Filled[workArgs](),
 		"work ask":        golden.Filled[agent.Request](),
 		"work view":       golden.Filled[agent.View](),
 		"work planned":    golden.Filled[agent.Planned](),
 		"duties try":      golden.Filled[agent.DutyAttempt](),
 		"zones":           golden.Filled[[]zoneView](),
 		"peers":           golden.Filled[peersView](),
-		"peers forget":    golden.Filled[forgotten](),
+		"peers forget":    golden.Filled[forgetResult](),
 		"learned":         golden.Filled[[]learnedView](),
 		"remembered list": golden.Filled[[]membership.Record](),
 	})
--- a/cmd/gullfall/gossip.go
+++ b/cmd/gullfall/gossip.go
@@ -17,9 +17,9 @@
 	"gullfall/internal/store"
 )
 
-// peerAddrsKey is the prefix of the store keys with the addresses of the other coordinators; the name of the coordinator that saved
-// them follows.
-const peerAddrsKey = "peers"
+// peerAddrsKeyPrefix is the first segment of the store keys that hold the addresses of the other coordinators. The name of the
+// coordinator that saved them is the second.
+const peerAddrsKeyPrefix = "peers"
 
 // peerReportInterval is the interval at which the coordinator receives the other coordinators' observations of data nodes.
 const peerReportInterval = 250 * time.Millisecond
@@ -37,7 +37,7 @@
 	if err != nil {
 		return nil, err
 	}
-	c.OnObservation(func(o coordinator.Observation) { share(peers, o) })
+	c.OnObservation(func(o coordinator.Observation) { shareObservation(peers, o) })
 	go reportPeers(ctx, c, peers, cfg.Name)
 	log.Info("watching the other coordinators", "listen", deploy.Peers.Listen, "fleet", deploy.Peers.Fleet)
 	return peers, nil
@@ -58,10 +58,10 @@
 		Log:        log,
 		WarmupTime: cfg.Settings.Rules.WarmupTime,
 	}
-	key := peerAddrsKey + "/" + cfg.Name
-	var last []string
-	if data := members.Get(key); len(data) > 0 && json.Unmarshal(data, &last) == nil {
-		options.Swim.Seeds = slices.Concat(options.Swim.Seeds, last)
+	key := peerAddrsKeyPrefix + "/" + cfg.Name
+	var lastAddrs []string
+	if data := members.Get(key); len(data) > 0 && json.Unmarshal(data, &lastAddrs) == nil {
+		options.Swim.Seeds = slices.Concat(options.Swim.Seeds, lastAddrs)
 	}
 	options.SaveAddrs = saveLatest(func(addrs []string) {
 		if data, err := json.Marshal(addrs); err == nil {
@@ -97,8 +97,8 @@
 	}
 }
 
-// share sends an observation of a data node to the other coordinators.
-func share(peers *gossip.Gossip, o coordinator.Observation) {
+// shareObservation sends an observation of a data node to the other coordinators.
+func shareObservation(peers *gossip.Gossip, o coordinator.Observation) {
 	switch {
 	case o.Started:
 		peers.ObserveStart(o.Node, o.StartAge)
@@ -126,14 +126,14 @@
 			return
 		case <-ticker.C:
 		}
-		if reports := peerReports(peers.AllObservations(), self); len(reports) > 0 {
+		if reports := newPeerReports(peers.AllObservations(), self); len(reports) > 0 {
 			c.ApplyPeerReports(reports)
 		}
 	}
 }
 
-// peerReports returns reports on the data nodes that fail for another coordinator, or that another has seen start.
-func peerReports(all map[string]observations.View, self string) (reports []coordinator.PeerReport) {
+// newPeerReports returns reports on the data nodes that fail for another coordinator, or that another has seen start.
+func newPeerReports(all map[string]observations.View, self string) (reports []coordinator.PeerReport) {
 	for id, v := range all {
 		report := coordinator.PeerReport{Node: id, Failing: v.Suspect && v.FailedBy != self, FailedAge: v.FailedAge, AnsweredAge: v.AnsweredAge}
 		if v.WarmupLeft > 0 && v.StartedBy != self {
--- a/cmd/gullfall/main_test.go
+++ b/cmd/gullfall/main_test.go
@@ -36,8 +36,8 @@
 	return run(new(slog.LevelVar), func(string) *slog.Logger { return slog.New(slog.DiscardHandler) })
 }
 
-// free returns a local address that was free a moment ago.
-func free(t *testing.T, network string) string {
+// freeAddr returns a local address on which nothing listens.
+func freeAddr(t *testing.T, network string) string {
 	t.Helper()
 	if network == "udp" {
 		pc, err := net.ListenPacket("udp", "127.0.0.1:0")
@@ -55,8 +55,8 @@
 	return ln.Addr().String()
 }
 
-// get sends a GET request on a new connection and returns the status line, or "" without a response.
-func get(addr, path string) string {
+// getStatusLine sends a GET request on a new connection and returns the status line, or "" without a response.
+func getStatusLine(addr, path string) string {
 	nc, err := net.Dial("tcp", addr)
 	if err != nil {
 		return ""
@@ -69,14 +69,14 @@
 	return line
 }
 
-// TestProgram runs the daemon with both fronts until SIGTERM, twice: the second run takes its settings from the store. After SIGTERM the
-// daemon keeps serving for listenGrace, but withdraws its DNS-SD records.
-func TestProgram(t *testing.T) {
+// TestServeUntilSIGTERM runs the daemon with both fronts until SIGTERM, twice: the second run takes its settings from the store. After
+// SIGTERM the daemon keeps serving for listenGrace, but withdraws its DNS-SD records.
+func TestServeUntilSIGTERM(t *testing.T) {
 	dir := t.TempDir()
 	t.Chdir(dir)
-	listen, second, records := free(t, "tcp"), free(t, "tcp"), free(t, "udp")
-	deploy := fmt.Sprintf("[flight]\nlisten = %q\n[dnssd]\nserve = %q\n[store]\ndirectory = %q\n", second,
-		records, filepath.Join(dir, "store"))
+	listen, flightAddr, dnsAddr := freeAddr(t, "tcp"), freeAddr(t, "tcp"), freeAddr(t, "udp")
+	deploy := fmt.Sprintf("[flight]\nlisten = %q\n[dnssd]\nserve = %q\n[store]\ndirectory = %q\n", flightAddr,
+		dnsAddr, filepath.Join(dir, "store"))
 	if err := os.Mkdir("deploy", 0o755); err != nil {
 		t.Fatal(err)
 	}
@@ -84,15 +84,15 @@
 		t.Fatal(err)
 	}
 	t.Setenv("NODE_CONFIG", filepath.Join(dir, "config.json"))
-	for round, given := range []string{`,"settings":` + settings, ""} {
+	for round, settingsJSON := range []string{`,"settings":` + settings, ""} {
 		config := fmt.Sprintf(`{"name":"n0","listen":%q,"discovery":%q,"seed":"8c1f30d27a5be964",
-			"limits":{"cores":1.0,"memory_mb":192,"sockets":1024}%s}`, listen, free(t, "tcp"), given)
+			"limits":{"cores":1.0,"memory_mb":192,"sockets":1024}%s}`, listen, freeAddr(t, "tcp"), settingsJSON)
 		if err := os.WriteFile("config.json", []byte(config), 0o644); err != nil {
 			t.Fatal(err)
 		}
 		ended := make(chan error, 1)
 		go func() { ended <- serve() }()
-		for end := time.Now().Add(20 * time.Second); get(listen, "/up") != "HTTP/1.1 200 OK"; time.Sleep(10 * time.Millisecond) {
+		for end := time.Now().Add(20 * time.Second); getStatusLine(listen, "/up") != "HTTP/1.1 200 OK"; time.Sleep(10 * time.Millisecond) {
 			select {
 			case err := <-ended:
 				t.Fatalf("round %d: ended with %v", round, err)
@@ -102,7 +102,7 @@
 				t.Fatalf("round %d: never up", round)
 			}
 		}
-		cc, err := grpc.NewClient("passthrough:///"+second, grpc.WithTransportCredentials(insecure.NewCredentials()))
+		cc, err := grpc.NewClient("passthrough:///"+flightAddr, grpc.WithTransportCredentials(insecure.NewCredentials()))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -118,7 +118,7 @@
 		cancel()
 		cc.Close()
 		q := new(dns.Msg).SetQuestion("n0._gullfall._tcp.local.", dns.TypeSRV)
-		if m, _, err := new(dns.Client).Exchange(q, records); err != nil || len(m.Answer) != 1 {
+		if m, _, err := new(dns.Client).Exchange(q, dnsAddr); err != nil || len(m.Answer) != 1 {
 			t.Errorf("round %d: own records: %v, %v", round, m, err)
 		}
 		if round == 0 {
@@ -127,11 +127,11 @@
 		start := time.Now()
 		syscall.Kill(os.Getpid(), syscall.SIGTERM)
 		time.Sleep(600 * time.Millisecond)
-		if got := get(listen, "/up"); got != "HTTP/1.1 200 OK" && time.Since(start) < listenGrace {
+		if got := getStatusLine(listen, "/up"); got != "HTTP/1.1 200 OK" && time.Since(start) < listenGrace {
 			t.Errorf("round %d: a client that connects 0.6 s after SIGTERM gets %q", round, got)
 		}
 		list := new(dns.Msg).SetQuestion("_gullfall._tcp.local.", dns.TypePTR)
-		if m, _, err := new(dns.Client).Exchange(list, records); err != nil || len(m.Answer) != 0 {
+		if m, _, err := new(dns.Client).Exchange(list, dnsAddr); err != nil || len(m.Answer) != 0 {
 			t.Errorf("round %d: records are still served during the drain: %v, %v", round, m, err)
 		}
 		if err := <-ended; err != nil {
@@ -140,11 +140,11 @@
 	}
 }
 
-// TestReload: repeated SIGHUPs, also with a faulty file or during a drain, do not end the daemon, and the watch moves to the discovery
-// address that changed in the file, although NODE_DISCOVERY gave another at startup.
-func TestReload(t *testing.T) {
+// TestReloadMovesWatch: repeated SIGHUPs, also with a faulty file or during a drain, do not end the daemon, and the watch moves to the
+// discovery address that changed in the file, although NODE_DISCOVERY gave another at startup.
+func TestReloadMovesWatch(t *testing.T) {
 	t.Chdir(t.TempDir())
-	listen := free(t, "tcp")
+	listen := freeAddr(t, "tcp")
 	watched := make(chan string, 9)
 	discovery := func(name string) string {
 		ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -195,7 +195,7 @@
 			expect(to.watch)
 		}
 	}
-	if got := get(listen, "/up"); got != "HTTP/1.1 200 OK" {
+	if got := getStatusLine(listen, "/up"); got != "HTTP/1.1 200 OK" {
 		t.Errorf("after reloads: %q", got)
 	}
 	write(second)
@@ -208,8 +208,8 @@
 	}
 }
 
-// TestDrainEnds: a client that never completes its request does not keep a drain from ending.
-func TestDrainEnds(t *testing.T) {
+// TestDrainEndsDespiteSlowClient: a client that never completes its request does not keep a drain from ending.
+func TestDrainEndsDespiteSlowClient(t *testing.T) {
 	log := slog.New(slog.DiscardHandler)
 	c, err := coordinator.New(aggregator.Settings{ShardSets: 1, Shards: 1, Reach: 1,
 		Classes: []aggregator.Class{{Name: "report", LatencyObjective: time.Second, Deadline: time.Second}}}, 1, log, membership.Config{})
--- a/cmd/gullfall/notes.go
+++ b/cmd/gullfall/notes.go
@@ -9,29 +9,29 @@
 	"gullfall/internal/store"
 )
 
-// noteKey begins the keys of operators' notes, which share the store with what is settled there.
-const noteKey = "notes/"
+// noteKeyPrefix is the key prefix of operators' notes, which separates them from the coordinators' own entries in the store.
+const noteKeyPrefix = "notes/"
 
-// maxNoteBytes bounds a note, in bytes.
+// maxNoteBytes is the maximum length of a note's value.
 const maxNoteBytes = 4096
 
-// note is a value under a key of the operators' own.
+// note is an operator's note in the store, a value under a key. The commands that read and write notes use it for requests and responses.
 type note struct {
 	Key, Value string
-	Revision   uint64  // 0: there is none
-	If         *uint64 // put only where this is the revision
-	Stale      bool    // read what is applied here
-	Conflict   string  // why it was not put
+	Revision   uint64  // revision of the value; 0 if there is none
+	If         *uint64 // write only if the note has this revision
+	Stale      bool    // read the local copy, which may be stale
+	Conflict   string  // why it was not written, if If did not match
 }
 
-// putNote writes a note, where If holds.
+// putNote writes a note, unless If is set and differs from its revision.
 func putNote(ctx context.Context, member *store.Store, n note) (note, error) {
-	c := statemachine.Command{Put: []statemachine.Pair{{Key: noteKey + n.Key, Value: []byte(n.Value)}}}
+	c := statemachine.Command{Put: []statemachine.Pair{{Key: noteKeyPrefix + n.Key, Value: []byte(n.Value)}}}
 	if n.Key == "" || n.Value == "" || len(n.Value) > maxNoteBytes {
 		return n, fmt.Errorf("a note needs a key, and a value of 1 to %d bytes", maxNoteBytes)
 	}
 	if n.If != nil {
-		c.If = []statemachine.Condition{{Key: noteKey + n.Key, Revision: *n.If}}
+		c.If = []statemachine.Condition{{Key: noteKeyPrefix + n.Key, Revision: *n.If}}
 	}
 	r, err := member.Do(ctx, c)
 	switch {
@@ -53,7 +53,7 @@
 		}
 	}
 	member.View(func(st *statemachine.State) {
-		e, _ := st.Get(noteKey + n.Key)
+		e, _ := st.Get(noteKeyPrefix + n.Key)
 		n.Value, n.Revision = string(e.Value), e.Revision
 	})
 	return n, nil
@@ -62,19 +62,19 @@
 type storeNoteCmd struct {
 	socketFlag
 	Key   string  `arg:"" help:"The note's key."`
-	Value string  `arg:"" optional:"" help:"Its value; without one it is read."`
-	If    *uint64 `help:"Put it only where this is the revision that was read; 0 for none yet."`
-	Stale bool    `help:"Read what is known here, without asking the store's leader."`
-	JSON  bool    `name:"json" help:"For machines."`
+	Value string  `arg:"" optional:"" help:"The value to write; without it the note is read."`
+	If    *uint64 `help:"Write only if the note has this revision; 0 if it must not exist yet."`
+	Stale bool    `help:"Read the local copy without contacting the store's leader."`
+	JSON  bool    `name:"json" help:"Print JSON."`
 }
 
-// Run reads or puts a note.
+// Run reads or writes a note.
 func (c storeNoteCmd) Run() error {
 	command, n := "store get", note{Key: c.Key, Value: c.Value, If: c.If, Stale: c.Stale}
 	if c.Value != "" {
 		command = "store put"
 	}
-	if err := c.ask(command, n, &n); err != nil {
+	if err := c.callWithStore(command, n, &n); err != nil {
 		return err
 	}
 	switch {
--- a/cmd/gullfall/observations.go
+++ b/cmd/gullfall/observations.go
@@ -11,16 +11,16 @@
 	"gullfall/internal/observations"
 )
 
-// learnedView is what all coordinators have told of a data node.
+// learnedView shows the combined observations of all coordinators of one data node.
 type learnedView struct {
 	Node      string  `json:"node"`
 	Doubtful  bool    `json:"doubtful"`
-	ColdS     float64 `json:"cold_s,omitempty"` // yet
-	LatencyMS float64 `json:"latency_ms"`       // below 0 where not known
-	Busy      float64 `json:"busy"`             // below 0 where not known
+	ColdS     float64 `json:"cold_s,omitempty"` // rest of the warm-up
+	LatencyMS float64 `json:"latency_ms"`       // negative if unknown
+	Busy      float64 `json:"busy"`             // utilization; negative if unknown
 }
 
-// learnedViews sorts what is known by data node.
+// learnedViews returns a view of each data node's observations, sorted by data node.
 func learnedViews(all map[string]observations.View) (list []learnedView) {
 	for _, id := range slices.Sorted(maps.Keys(all)) {
 		v := all[id]
@@ -35,13 +35,13 @@
 
 type peersLearnedCmd struct {
 	socketFlag
-	JSON bool `name:"json" help:"For machines."`
+	JSON bool `name:"json" help:"Print JSON."`
 }
 
-// Run shows what is learned.
+// Run prints the observations of all data nodes.
 func (p peersLearnedCmd) Run() error {
 	var list []learnedView
-	if err := p.ask("learned", nil, &list); err != nil {
+	if err := p.callWithStore("learned", nil, &list); err != nil {
 		return err
 	}
 	if p.JSON {
--- a/cmd/gullfall/peers.go
+++ b/cmd/gullfall/peers.go
@@ -19,20 +19,20 @@
 )
 
 type peersCmd struct {
-	Learned peersLearnedCmd `cmd:"" help:"Show what all coordinators have told of each data node."`
-	Show    peersShowCmd    `cmd:"" default:"withargs" help:"Show who of the coordinators is there, and who reaches whom."`
-	Forget  peersForgetCmd  `cmd:"" help:"Say that a dead coordinator is gone for good; it no longer counts for the majority."`
+	Learned peersLearnedCmd `cmd:"" help:"Show the observations of each data node that the coordinators share."`
+	Show    peersShowCmd    `cmd:"" default:"withargs" help:"Show the state of the coordinators and which ones reach each other."`
+	Forget  peersForgetCmd  `cmd:"" help:"Remove a dead coordinator for good; it no longer counts for the majority."`
 }
 
-// peersView is what `gullfall peers` shows.
+// peersView is the output of `gullfall peers`: one coordinator's view of all coordinators.
 type peersView struct {
 	Self     string     `json:"self"`
-	Verdict  string     `json:"verdict"` // connected, split, alone
+	Verdict  string     `json:"verdict"` // connected, split or alone
 	Here     int        `json:"here"`
 	Known    int        `json:"known"`
 	Majority bool       `json:"majority"`
 	Refused  string     `json:"refused,omitempty"`
-	Health   int        `json:"health"` // by how many times own times are widened, beside 1
+	Health   int        `json:"health"` // 0 if healthy; n if this coordinator's timeouts are multiplied by 1+n
 	Members  []peerView `json:"members"`
 	Counts   swim.Counts
 	Dropped  map[string]int64 `json:"dropped"`
@@ -40,27 +40,27 @@
 	Received int64            `json:"bytes_received"`
 }
 
-// peerView is one coordinator as another sees it.
+// peerView is one coordinator as seen by another.
 type peerView struct {
 	Name        string   `json:"name"`
 	Addr        string   `json:"addr"`
-	State       string   `json:"state"` // alive, partly, suspect, dead, left
+	State       string   `json:"state"` // alive, partly (reachable), suspect, dead or left
 	Incarnation uint64   `json:"incarnation"`
 	SinceS      float64  `json:"since_s"`
 	Suspectors  []string `json:"suspected_by,omitempty"`
 	Phi         float64  `json:"phi"`
-	HeardS      float64  `json:"heard_s"`   // since its last packet; below 0 for never
-	ReachedS    float64  `json:"reached_s"` // since its last direct ack; below 0 for never
+	HeardS      float64  `json:"heard_s"`   // since its last packet; negative if never
+	ReachedS    float64  `json:"reached_s"` // since its last direct ack; negative if never
 	RTTMS       float64  `json:"rtt_ms"`
 	CutFrom     []string `json:"not_reached_by,omitempty"`
 	CutTo       []string `json:"does_not_reach,omitempty"`
 }
 
-// addPeerCommands adds the commands that show and change the coordinators' view of each other.
+// addPeerCommands adds the commands that show the coordinators and their observations, and that remove a dead coordinator.
 func addPeerCommands(commands map[string]admin.Command, peers *gossip.Gossip, members *store.Store) {
 	commands["learned"] = view(func() ([]learnedView, error) { return learnedViews(peers.AllObservations()), nil })
 	commands["peers"] = view(func() (v peersView, err error) {
-		if !peers.View(func(s *swim.Swim) { v = viewOfPeers(s, peers.Since()) }) {
+		if !peers.View(func(s *swim.Swim) { v = newPeersView(s, peers.Since()) }) {
 			return v, errGossipEnded
 		}
 		v.Dropped = map[string]int64{
@@ -73,17 +73,17 @@
 		v.Sent, v.Received = peers.Traffic.BytesOut.Load(), peers.Traffic.BytesIn.Load()
 		return v, nil
 	})
-	commands["peers forget"] = command(func(_ context.Context, name string) (forgotten, error) {
+	commands["peers forget"] = command(func(_ context.Context, name string) (forgetResult, error) {
 		return forgetPeer(peers, members, name)
 	})
 }
 
-// errGossipEnded is the answer to a question that comes in while the coordinator shuts down.
+// errGossipEnded is returned for a command during shutdown, after gossip has stopped.
 var errGossipEnded = errors.New("gossip with the other coordinators has ended")
 
-// forgetPeer removes a dead coordinator from the view, so that it no longer counts for the majority. One that is not dead can't
-// be forgotten: it would be back with its next packet.
-func forgetPeer(peers *gossip.Gossip, members *store.Store, name string) (forgotten, error) {
+// forgetPeer removes a dead coordinator from the view, so that it no longer counts for the majority. A coordinator that is not dead
+// can't be removed, as its next packet would add it again.
+func forgetPeer(peers *gossip.Gossip, members *store.Store, name string) (forgetResult, error) {
 	err := fmt.Errorf("no coordinator %q is known", name)
 	peers.View(func(s *swim.Swim) {
 		if state, known := s.State(name); known && state == swim.Dead {
@@ -93,15 +93,15 @@
 		}
 	})
 	if err != nil {
-		return forgotten{}, err
+		return forgetResult{}, err
 	}
 	peers.Forget(name)
 	_, member := members.Status().Peers[name]
-	return forgotten{Name: name, Member: member}, nil
+	return forgetResult{Name: name, Member: member}, nil
 }
 
-// viewOfPeers is the view at a time on the gossip's own clock.
-func viewOfPeers(s *swim.Swim, now time.Duration) peersView {
+// newPeersView returns the view at time now of the gossip clock.
+func newPeersView(s *swim.Swim, now time.Duration) peersView {
 	quorum := s.Quorum()
 	v := peersView{Verdict: quorum.Kind.String(), Here: quorum.Connected, Known: quorum.Total, Majority: quorum.Majority,
 		Refused: s.Rejection(), Health: s.Health(), Counts: s.Counts(), Self: s.Self()}
@@ -123,19 +123,19 @@
 	return v
 }
 
-// maxPhiShown bounds the suspicion level that is printed; beyond it the figure says nothing more.
+// maxPhiShown is the highest suspicion level that is printed; higher values carry no further information.
 const maxPhiShown = 99
 
-// tenths is a span in seconds, rounded to tenths for the reader.
+// tenths returns d in seconds, rounded to tenths.
 func tenths(d time.Duration) float64 { return math.Round(d.Seconds()*10) / 10 }
 
 type peersShowCmd struct {
 	socketFlag
-	JSON  bool `name:"json" help:"For machines: one object, or one a line with --watch."`
-	Watch bool `help:"Show it anew each second, until interrupted."`
+	JSON  bool `name:"json" help:"Print JSON, with --watch one object per line."`
+	Watch bool `help:"Print it every second until interrupted."`
 }
 
-// Run shows the view of one coordinator.
+// Run prints the view of one coordinator.
 func (p peersShowCmd) Run() error {
 	return repeat(p.Watch, func() error {
 		var v peersView
@@ -149,7 +149,7 @@
 	})
 }
 
-// table prints the view, and below it who does not reach whom, where there is anybody.
+// table prints the view, followed by the coordinators that do not reach each other, if any.
 func (v peersView) table(w io.Writer) error {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprintf(t, "%s: %s, %d of %d here, majority %v, own times %d-fold\n", v.Self, v.Verdict, v.Here, v.Known, v.Majority, 1+v.Health)
@@ -161,12 +161,12 @@
 		fmt.Fprintf(t, "%s\t%s\t%d\t%.1f\t%.1f\t%.1f\t%.2f\t%s\n", m.Name, m.State, m.Incarnation, m.SinceS, m.HeardS, m.RTTMS, m.Phi,
 			strings.Join(m.Suspectors, " "))
 	}
-	v.cutMatrix(t)
+	v.unreachableMatrix(t)
 	return t.Flush()
 }
 
-// cutMatrix prints a row and a column for each coordinator that does not reach another, or is not reached; the others reach all.
-func (v peersView) cutMatrix(t *tabwriter.Writer) {
+// unreachableMatrix prints a matrix of the coordinators that do not reach another one or are not reached by one. The rest reach all others.
+func (v peersView) unreachableMatrix(t *tabwriter.Writer) {
 	if !slices.ContainsFunc(v.Members, func(m peerView) bool { return len(m.CutTo) > 0 }) {
 		return
 	}
@@ -192,10 +192,10 @@
 	}
 }
 
-// forgotten is what comes of a forget.
-type forgotten struct {
+// forgetResult is the result of removing a coordinator.
+type forgetResult struct {
 	Name   string
-	Member bool // of the store, still
+	Member bool // whether it is still a member of the store
 }
 
 type peersForgetCmd struct {
@@ -203,9 +203,9 @@
 	Name string `arg:"" help:"The dead coordinator's name."`
 }
 
-// Run tells all coordinators that one is gone for good.
+// Run removes a dead coordinator at all coordinators.
 func (p peersForgetCmd) Run() error {
-	var f forgotten
+	var f forgetResult
 	if err := p.call(viewTimeout, "peers forget", p.Name, &f); err != nil {
 		return err
 	}
--- a/cmd/gullfall/peers_test.go
+++ b/cmd/gullfall/peers_test.go
@@ -7,7 +7,7 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// TestPeersTable: the members, and as a matrix only those that have a cut.
+// TestPeersTable: the table lists all members; the matrix only those that do not reach another or are not reached.
 func TestPeersTable(t *testing.T) {
 	v := peersView{Self: "n0", Verdict: "connected", Here: 3, Known: 3, Majority: true, Members: []peerView{
 		{Name: "n0", State: "alive", Incarnation: 1, HeardS: -1},
--- a/cmd/gullfall/reload.go
+++ b/cmd/gullfall/reload.go
@@ -7,9 +7,9 @@
 	"gullfall/internal/config"
 )
 
-// reload reads the configuration again at each SIGHUP until ctx ends, also during a drain, as the list of data nodes still
-// counts then. A file with a faulty key changes nothing: the running configuration stays and the log names the key. Both files are
-// checked as a whole first; should a part still refuse what it is handed, the parts before it have their new values.
+// reload reloads the configuration at each SIGHUP until ctx ends, also during a drain, when the list of data nodes is still in use. Both
+// files are checked completely before anything is applied; after a faulty key the running configuration stays and the log names the key.
+// If a component still rejects its new values, those applied before it keep theirs.
 func (d *daemon) reload(ctx context.Context) {
 	current := d.cfg
 	for {
@@ -36,8 +36,8 @@
 	}
 }
 
-// reloadDeploy applies what may change at run time in deploy/gullfall.toml: the people, keys and limits of Arrow Flight, the
-// zones that are drained, and the keys of the coordinators' gossip, each where it was on at the start.
+// reloadDeploy applies the parts of deploy/gullfall.toml that may change at run time: owners, networks, keys and limits of Arrow Flight,
+// drained zones, and gossip keys. Each is applied only if its feature was enabled at startup.
 func (d *daemon) reloadDeploy(name string) error {
 	if d.fronts.flight == nil && d.drains == nil && d.peers == nil {
 		return nil
--- a/cmd/gullfall/serve.go
+++ b/cmd/gullfall/serve.go
@@ -27,65 +27,65 @@
 	"gullfall/internal/store"
 )
 
-// Shares of the descriptors that the process may open (limits.sockets), as divisors. Data nodes of both protocols have three
-// eighths, the Arrow Flight front one eighth where it is on, and all else one eighth; HTTP clients have the rest. A connection
+// Shares of the descriptors that the process may open (limits.sockets), as divisors. Connections to data nodes of both protocols get
+// three eighths, the Arrow Flight front one eighth if it is enabled, everything else one eighth, and HTTP clients the rest. A connection
 // beyond its share waits or is refused, so that no kind of connection starves another.
 const (
 	dataNodeSocketsOf8 = 3
 	flightSocketsDiv   = 8
 	clientSocketsDiv   = 2
-	// activeClientsDiv gives the connections that have sent a request beyond half of which an answer closes an idle connection, or
-	// its own, so that clients that connect anew for each request find a place.
-	activeClientsDiv = 3
+	// activeConnsDiv gives the share of connections that have sent a request. Beyond half of it, each answer closes an idle
+	// connection or its own, so that clients that open a connection per request are still accepted.
+	activeConnsDiv = 3
 )
 
 // Shares of limits.memory_mb, as divisors.
 const (
-	runtimeMemoryDiv    = 2  // what the Go runtime may use; the rest is for what it does not count
-	clientBodyMemoryDiv = 16 // bodies of HTTP requests that are being read
-	flightMemoryDiv     = 4  // answers that Arrow Flight clients are reading
+	runtimeMemoryDiv    = 2  // limit of the Go runtime; the rest is for memory that it does not count
+	clientBodyMemoryDiv = 16 // bodies of HTTP requests being read
+	flightMemoryDiv     = 4  // answers being read by Arrow Flight clients
 )
 
-// discoveryRank is the rank of what discovery says of a data node that several sources name: above the fixed list, below the
-// records of a DNS-SD zone.
+// discoveryRank is the rank of discovery among the sources that list a data node: above the fixed list, below DNS-SD zones.
 const discoveryRank = 20
 
-// watchRandomStream separates the random delays of the watch from the module's draws, which use the same seed.
+// watchRandomStream is the PCG stream of the watch's random delays. It makes them independent of the module, which uses the same seed.
 const watchRandomStream = 2
 
-// daemon is the serving process: its configuration and the parts that it starts and stops.
+// daemon is the serving process: its configuration and the components that it starts and stops.
 type daemon struct {
 	cfg     config.Config
 	deploy  config.Deploy
 	log     *slog.Logger
 	reloads chan os.Signal // SIGHUP
 	signals chan os.Signal // SIGTERM and SIGINT
-	failed  chan error     // a front that ended by itself
+	failed  chan error     // error of a front that ended by itself
 
 	store       *store.Store
 	coordinator *coordinator.Coordinator
-	drains      *zoneDrains // nil where zones are not watched
+	drains      *zoneDrains // nil if zones are not watched
 	connections chan struct{}
 	watch       *platform.Watch
-	peers       *gossip.Gossip // nil where coordinators do not talk
-	agent       *agent.Agent   // nil where machines are not taken out for maintenance
+	peers       *gossip.Gossip // nil if gossip is disabled
+	agent       *agent.Agent   // nil if maintenance is disabled
 	fronts      fronts
 
-	closers []func() // run at the end, the last one first
+	closers []func() // run at the end in reverse order
 }
 
-// fronts are what clients connect to.
+// fronts are the servers that clients connect to.
 type fronts struct {
 	listener   net.Listener
 	clients    *platform.Server
-	flight     *flight.Server // nil where Arrow Flight is off
-	advertised *dnssd.Service // nil where no records of our own are served
+	flight     *flight.Server // nil if Arrow Flight is disabled
+	advertised *dnssd.Service // nil if no DNS-SD records are served
 }
 
-// run serves until a signal ends the process or a front fails. The logger is made once the configuration names its format.
+// run serves until a signal ends the process or a front fails. The logger is created after its format has been read from the
+// configuration.
 func run(level *slog.LevelVar, newLogger func(format string) *slog.Logger) error {
 	d := &daemon{reloads: make(chan os.Signal, 1), signals: make(chan os.Signal, 2), failed: make(chan error, 2)}
-	// Before anything else: without a handler, SIGHUP would end the process.
+	// First, because SIGHUP without a handler would end the process.
 	signal.Notify(d.reloads, syscall.SIGHUP)
 	defer d.close()
 	if err := d.load(level, newLogger); err != nil {
@@ -104,7 +104,7 @@
 	return nil
 }
 
-// load reads both configuration files and takes over SIGTERM and SIGINT.
+// load reads both configuration files and starts handling SIGTERM and SIGINT.
 func (d *daemon) load(level *slog.LevelVar, newLogger func(format string) *slog.Logger) (err error) {
 	if d.cfg, err = config.Load(os.Getenv); err != nil {
 		return err
@@ -119,9 +119,9 @@
 	return nil
 }
 
-// start starts all parts, each after what it needs. An error leaves what was started to close.
+// start starts all components, each after those that it depends on. After an error, close stops the started ones.
 func (d *daemon) start() error {
-	for _, open := range []func() error{d.openStore, d.adoptSettings, d.createCoordinator} {
+	for _, open := range []func() error{d.openStore, d.loadSettings, d.createCoordinator} {
 		if err := open(); err != nil {
 			return err
 		}
@@ -134,7 +134,7 @@
 		d.followOtherSources,
 		d.joinPeers,
 		d.startMaintenance,
-		d.serveOperators,
+		d.serveAdmin,
 		d.serveFlight,
 		d.followReloads,
 		d.serveClients,
@@ -146,14 +146,15 @@
 	return nil
 }
 
-// shutDown drains: others are told first, then what clients have asked is answered, then the process may end.
+// shutDown announces the shutdown to the other coordinators and to clients that use the DNS-SD records, releases the duties, and waits
+// until open queries are answered.
 func (d *daemon) shutDown() {
 	if d.peers != nil {
 		d.peers.Leave()
 		d.onClose(d.peers.Close)
 	}
 	if d.fronts.advertised != nil {
-		d.fronts.advertised.Withdraw() // clients that find us by our records are to find another coordinator
+		d.fronts.advertised.Withdraw() // clients that browse the records then find only other coordinators
 	}
 	resignDuty(d.agent, d.log)
 	longest := longestDeadline(d.cfg.Settings)
@@ -174,12 +175,13 @@
 	if d.store, err = store.Open(d.deploy.Store, d.cfg.Name, d.log); err != nil {
 		return err
 	}
-	d.onClose(func() { _ = d.store.Close() }) // what was acknowledged is on the disk already
+	d.onClose(func() { _ = d.store.Close() }) // acknowledged writes are on disk already
 	return nil
 }
 
-// adoptSettings takes the settings and the list of data nodes of the last run from the store where the file lacks them.
-func (d *daemon) adoptSettings() error {
+// loadSettings applies the settings and writes them to the store. Settings and the list of data nodes that the file lacks are read
+// from the store, which has those of the last run.
+func (d *daemon) loadSettings() error {
 	if len(d.cfg.Raw) == 0 {
 		d.cfg.Raw = d.store.Get(store.Settings)
 	}
@@ -221,7 +223,8 @@
 	return nil
 }
 
-// followDiscovery connects the platform's data nodes and its watch on discovery, which starts from the list of the last run.
+// followDiscovery registers the dispatcher of the platform's data nodes and starts the watch on discovery, initially with the list of
+// the last run.
 func (d *daemon) followDiscovery(ctx context.Context) error {
 	limits, rules := d.cfg.Settings.Limits, d.cfg.Settings.Rules
 	d.connections = make(chan struct{}, d.cfg.Limits.Sockets*dataNodeSocketsOf8/8)
@@ -254,8 +257,8 @@
 	return nil
 }
 
-// serveOperators serves the operators' socket, where one is configured.
-func (d *daemon) serveOperators(context.Context) error {
+// serveAdmin serves the admin socket if one is configured.
+func (d *daemon) serveAdmin(context.Context) error {
 	if d.deploy.Admin.Socket == "" {
 		return nil
 	}
@@ -282,7 +285,7 @@
 	if d.deploy.Flight.Listen != "" {
 		maxConns -= sockets / flightSocketsDiv
 	}
-	d.fronts.clients = &platform.Server{Coordinator: d.coordinator, Log: d.log, MaxConns: maxConns, ActiveConns: sockets / activeClientsDiv,
+	d.fronts.clients = &platform.Server{Coordinator: d.coordinator, Log: d.log, MaxConns: maxConns, ActiveConns: sockets / activeConnsDiv,
 		BodyMemory: int64(d.cfg.Limits.MemoryMB) << 20 / clientBodyMemoryDiv, RetryAfter: d.coordinator.RetryAfter()}
 	go func() { d.failed <- d.fronts.clients.Serve(d.fronts.listener) }()
 	d.log.Info("serving", "name", d.cfg.Name, "listen", d.cfg.Listen)
@@ -294,7 +297,7 @@
 	return dialer.DialContext(ctx, "tcp", addr)
 }
 
-// longestDeadline is the longest time that a query of any class may take.
+// longestDeadline returns the longest deadline of any class.
 func longestDeadline(settings aggregator.Settings) (longest time.Duration) {
 	for _, class := range settings.Classes {
 		longest = max(longest, class.Deadline)
@@ -302,7 +305,7 @@
 	return longest
 }
 
-// applyLimits holds the Go runtime to the cores and the memory that the configuration gives.
+// applyLimits sets the Go runtime's limits on cores and memory from the configuration.
 func applyLimits(limits config.Limits) {
 	runtime.GOMAXPROCS(max(1, int(limits.Cores)))
 	debug.SetMemoryLimit(int64(limits.MemoryMB) << 20 / runtimeMemoryDiv)
--- a/cmd/gullfall/sources.go
+++ b/cmd/gullfall/sources.go
@@ -16,20 +16,20 @@
 	"gullfall/internal/store"
 )
 
-// Ranks of the sources besides discovery: of a data node that several name, the source of the highest rank counts.
+// Ranks of the sources other than discovery. If several sources list a data node, the one with the highest rank is used.
 const (
 	zoneRank  = 30
 	fixedRank = 10
 )
 
-// Questions to DNS servers may hold a sixteenth of the descriptors, and this many at least.
+// The number of concurrent DNS queries is limited to a sixteenth of the descriptors, but at least minDNSSockets.
 const (
 	dnsSocketsDiv = 16
 	minDNSSockets = 4
 )
 
-// followOtherSources starts what deploy/gullfall.toml names besides discovery: the fixed list and the DNS-SD zones. The list that
-// a zone told last is kept in the store, and holds after a restart until the zone's servers answer.
+// followOtherSources starts the sources in deploy/gullfall.toml: the fixed list and the DNS-SD zones. A zone's latest list is kept in the
+// store and used after a restart until the zone's servers answer.
 func (d *daemon) followOtherSources(ctx context.Context) error {
 	if fixed := d.deploy.FixedNodes(); len(fixed) > 0 {
 		d.coordinator.AddSource(membership.Spec{Name: "fixed list", Rank: fixedRank}).ReplaceList(fixed, false)
@@ -56,7 +56,7 @@
 	return nil
 }
 
-// zoneFollower returns a follower of a zone whose source starts from the list in the store.
+// zoneFollower returns a follower of a zone, whose source is initialized with the list in the store.
 func (d *daemon) zoneFollower(zone dnssd.Zone, client *dnssd.Client) *dnssd.Follower {
 	spec := membership.Spec{Name: zone.Domain, Rank: zoneRank, Damped: true, MaxStale: time.Duration(d.deploy.DNSSD.Stale)}
 	source := &storedSource{Source: d.coordinator.AddSource(spec), key: store.EndpointList + "/" + zone.Domain, store: d.store}
@@ -64,7 +64,7 @@
 	return &dnssd.Follower{Zone: zone, Client: client, Updater: source, Log: d.log, Poll: time.Duration(d.deploy.DNSSD.Poll)}
 }
 
-// listenForNotify takes NOTIFY messages (RFC 1996) for the followed zones, where dnssd.notify names an address.
+// listenForNotify receives NOTIFY messages (RFC 1996) for the followed zones if dnssd.notify is set.
 func (d *daemon) listenForNotify(ctx context.Context, listener *dnssd.Listener) error {
 	if d.deploy.DNSSD.Notify == "" {
 		return nil
@@ -81,27 +81,27 @@
 	return nil
 }
 
-// storedSource is a source whose list is written to the store at each change.
+// storedSource is a source that writes its list to the store when it changes.
 type storedSource struct {
 	*coordinator.Source
-	key   string
-	store *store.Store
-	last  []byte // as written last
+	key    string
+	store  *store.Store
+	stored []byte // list as last written to the store
 }
 
-// Update passes on what the zone has told and stores the resulting list.
+// Update applies an update of the zone and stores the resulting list if it has changed. A failed update is only applied.
 func (s *storedSource) Update(u membership.Update) {
 	if s.Source.Update(u); u.Basis == membership.Failed {
 		return
 	}
 	data, err := json.Marshal(s.Records())
-	if err == nil && !bytes.Equal(data, s.last) {
-		s.last = data
+	if err == nil && !bytes.Equal(data, s.stored) {
+		s.stored = data
 		s.store.Put(s.key, data)
 	}
 }
 
-// load starts from the list in the store.
+// load initializes the source with the list in the store.
 func (s *storedSource) load(log *slog.Logger) {
 	raw := s.store.Get(s.key)
 	if len(raw) == 0 {
--- a/cmd/gullfall/store.go
+++ b/cmd/gullfall/store.go
@@ -1,7 +1,7 @@
 package main
 
-// This file owns `gullfall store`: who is a member of the coordinators' store, and the operators' word on it. Who is gone for good
-// by what the coordinators see of each other is proposed for removal; it must never be removed without a word.
+// This file implements `gullfall store`, which shows and changes the members of the coordinators' store. Members that gossip has seen dead
+// or gone for long are proposed for removal; removing one always takes an operator's command.
 
 import (
 	"context"
@@ -22,17 +22,17 @@
 	"gullfall/internal/swim"
 )
 
-// goneAfter is how long a member is dead, or has left, before it is proposed for removal: longer than a machine takes to start.
-// Nobody is removed without an operator's command.
-const goneAfter = 10 * time.Minute
+// proposeRemovalAfter is the time for which a member must have been dead, or have left, before it is proposed for removal. It exceeds the
+// time that a machine takes to start.
+const proposeRemovalAfter = 10 * time.Minute
 
-// storeView is what `gullfall store` shows.
+// storeView is the output of `gullfall store`.
 type storeView struct {
 	Self    string        `json:"self"`
-	Leader  string        `json:"leader"` // empty for none
+	Leader  string        `json:"leader"` // empty if there is none
 	Term    uint64        `json:"term"`
-	Applied uint64        `json:"applied"` // by this member
-	HeardS  float64       `json:"heard_s"` // since the leader was heard; 0 at the leader
+	Applied uint64        `json:"applied"` // index of the last entry applied by this member
+	HeardS  float64       `json:"heard_s"` // since the last contact with the leader; 0 at the leader
 	Members []storeMember `json:"members"`
 }
 
@@ -40,12 +40,12 @@
 	Name     string `json:"name"`
 	Addr     string `json:"addr"`
 	Vote     bool   `json:"vote"`
-	Peer     string `json:"peer,omitempty"`     // its state among the coordinators, where they watch each other
-	Proposed string `json:"proposed,omitempty"` // for removal, and why
+	Peer     string `json:"peer,omitempty"`     // its state as a coordinator, if gossip is enabled
+	Proposed string `json:"proposed,omitempty"` // reason why it is proposed for removal
 }
 
-// viewOfStore joins the store's members with what is seen of them; peers may be nil.
-func viewOfStore(st store.Status, peers *gossip.Gossip) storeView {
+// newStoreView returns the store's members with their state in gossip. peers may be nil.
+func newStoreView(st store.Status, peers *gossip.Gossip) storeView {
 	v := storeView{Self: st.Name, Leader: st.Leader, Term: st.Term, Applied: st.Index, HeardS: st.Heard.Seconds()}
 	seen := map[string]swim.Member{}
 	var now time.Duration
@@ -60,30 +60,30 @@
 	for _, name := range slices.Sorted(maps.Keys(st.Peers)) {
 		m := storeMember{Name: name, Addr: st.Addrs[name], Vote: st.Peers[name] == "voter"}
 		if peers != nil {
-			m.Peer, m.Proposed = proposal(seen, name, now)
+			m.Peer, m.Proposed = removalProposal(seen, name, now)
 		}
 		v.Members = append(v.Members, m)
 	}
 	return v
 }
 
-// proposal tells what is seen of a member, and why it may be gone for good; empty where it may not.
-func proposal(seen map[string]swim.Member, name string, now time.Duration) (state, why string) {
+// removalProposal returns a member's state in gossip and the reason to propose its removal, which is empty if there is none.
+func removalProposal(seen map[string]swim.Member, name string, now time.Duration) (state, why string) {
 	m, known := seen[name]
 	switch since := now - m.Since; {
-	case !known && now > goneAfter:
+	case !known && now > proposeRemovalAfter:
 		return "unknown", "forgotten, or not seen since this coordinator started"
 	case !known:
 		return "unknown", ""
-	case m.State >= swim.Dead && since > goneAfter:
+	case m.State >= swim.Dead && since > proposeRemovalAfter:
 		return m.State.String(), fmt.Sprintf("%s for %v", m.State, since.Round(time.Second))
 	}
 	return m.State.String(), ""
 }
 
-// addStoreCommands adds the commands of this coordinator's member of the store. Peers may be nil.
+// addStoreCommands adds the commands that show and change the store. peers may be nil.
 func addStoreCommands(commands map[string]admin.Command, member *store.Store, peers *gossip.Gossip) {
-	commands["store"] = view(func() (storeView, error) { return viewOfStore(member.Status(), peers), nil })
+	commands["store"] = view(func() (storeView, error) { return newStoreView(member.Status(), peers), nil })
 	commands["store put"] = command(func(ctx context.Context, n note) (note, error) { return putNote(ctx, member, n) })
 	commands["store get"] = command(func(ctx context.Context, n note) (note, error) { return readNote(ctx, member, n) })
 	commands["store change"] = command(func(ctx context.Context, change store.MemberChange) (string, error) {
@@ -94,7 +94,7 @@
 	})
 }
 
-// isAlive tells whether a coordinator is seen to run; never where coordinators do not watch each other (peers is nil).
+// isAlive reports whether gossip considers a coordinator alive or suspect. It returns false if gossip is disabled (peers is nil).
 func isAlive(peers *gossip.Gossip, name string) (alive bool) {
 	if peers == nil {
 		return false
@@ -107,19 +107,19 @@
 }
 
 type storeCmd struct {
-	Note    storeNoteCmd    `cmd:"" help:"Read a small value of your own from the store, or put one there."`
-	Show    storeShowCmd    `cmd:"" default:"withargs" help:"Show the members of the coordinators' store, and who is proposed for removal."`
-	Add     storeAddCmd     `cmd:"" help:"Let a coordinator join as a learner; its own file names it as one."`
-	Vote    storeVoteCmd    `cmd:"" help:"Give the coordinator behind the socket a vote, once it has caught up."`
-	Recover storeRecoverCmd `cmd:"" help:"Where more than half of the votes are gone for good: go on with this member's copy alone."`
-	Remove  storeRemoveCmd  `cmd:"" help:"Take a member that is gone for good out of the store."`
+	Note    storeNoteCmd    `cmd:"" help:"Read or write a note, a small value under a key, in the store."`
+	Show    storeShowCmd    `cmd:"" default:"withargs" help:"Show the members of the coordinators' store, and which are proposed for removal."`
+	Add     storeAddCmd     `cmd:"" help:"Add a coordinator as a learner; its own deploy file must also list it as one."`
+	Vote    storeVoteCmd    `cmd:"" help:"Make the coordinator behind the socket a voter once it has caught up."`
+	Recover storeRecoverCmd `cmd:"" help:"If more than half of the voters are lost for good, continue with this member's copy alone."`
+	Remove  storeRemoveCmd  `cmd:"" help:"Remove a member that is lost for good."`
 }
 
 type storeRecoverCmd struct {
-	Alone bool `required:"" help:"Confirms that the other votes are gone for good: what only they had is lost, and they must not run again with what they hold."`
+	Alone bool `required:"" help:"Confirm that the other voters are lost for good: data that only they had is lost, and they must not run again with their copies."`
 }
 
-// Run makes this coordinator's copy the store; the coordinator must not run.
+// Run makes this coordinator's copy the whole store. The coordinator must not be running.
 func (c storeRecoverCmd) Run() error {
 	cfg, err := config.Load(os.Getenv)
 	if err != nil {
@@ -139,13 +139,13 @@
 
 type storeShowCmd struct {
 	socketFlag
-	JSON bool `name:"json" help:"For machines."`
+	JSON bool `name:"json" help:"Print JSON."`
 }
 
-// Run shows the members.
+// Run prints the members.
 func (c storeShowCmd) Run() error {
 	var v storeView
-	if err := c.ask("store", nil, &v); err != nil {
+	if err := c.callWithStore("store", nil, &v); err != nil {
 		return err
 	}
 	if c.JSON {
@@ -156,7 +156,7 @@
 
 func (v storeView) table(w io.Writer) error {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
-	fmt.Fprintf(t, "%s: %s leads in term %d; applied up to %d\n", v.Self, nobody(v.Leader), v.Term, v.Applied)
+	fmt.Fprintf(t, "%s: %s leads in term %d; applied up to %d\n", v.Self, nameOrNobody(v.Leader), v.Term, v.Applied)
 	fmt.Fprintln(t, "name\taddr\tvote\tamong the coordinators\tproposed for removal")
 	for _, m := range v.Members {
 		fmt.Fprintf(t, "%s\t%s\t%v\t%s\t%s\n", m.Name, m.Addr, m.Vote, m.Peer, m.Proposed)
@@ -164,19 +164,19 @@
 	return t.Flush()
 }
 
-func (f socketFlag) change(c store.MemberChange, said string) error {
+func (f socketFlag) change(c store.MemberChange, message string) error {
 	var what string
-	if err := f.ask("store change", c, &what); err != nil {
+	if err := f.callWithStore("store change", c, &what); err != nil {
 		return err
 	}
-	fmt.Println(said)
+	fmt.Println(message)
 	return nil
 }
 
 type storeAddCmd struct {
 	socketFlag
 	Name string `arg:"" help:"The coordinator's name."`
-	Addr string `arg:"" help:"Its store.listen, as 127.0.0.1:8300."`
+	Addr string `arg:"" help:"Its store.listen address, such as 127.0.0.1:8300."`
 }
 
 // Run adds a learner.
@@ -187,14 +187,14 @@
 
 type storeVoteCmd struct{ socketFlag }
 
-// Run gives a vote.
+// Run makes the coordinator a voter.
 func (c storeVoteCmd) Run() error {
 	return c.change(store.MemberChange{What: store.GiveVote}, "it has caught up, and has a vote now")
 }
 
 type storeRemoveCmd struct {
 	socketFlag
-	Name string `arg:"" help:"The member that is gone for good."`
+	Name string `arg:"" help:"The member's name."`
 }
 
 // Run removes a member.
--- a/cmd/gullfall/store_test.go
+++ b/cmd/gullfall/store_test.go
@@ -7,14 +7,15 @@
 	"gullfall/internal/swim"
 )
 
-// TestProposal: who is proposed for removal from the store, and why.
-func TestProposal(t *testing.T) {
+// TestRemovalProposal: a member is proposed for removal once it has been dead, gone or unknown for longer than
+// proposeRemovalAfter.
+func TestRemovalProposal(t *testing.T) {
 	now := time.Hour
 	seen := map[string]swim.Member{
 		"here":    {State: swim.Alive, Since: time.Second},
 		"suspect": {State: swim.Suspect, Since: time.Second},
-		"just":    {State: swim.Dead, Since: now - goneAfter},
-		"dead":    {State: swim.Dead, Since: now - goneAfter - time.Second},
+		"just":    {State: swim.Dead, Since: now - proposeRemovalAfter},
+		"dead":    {State: swim.Dead, Since: now - proposeRemovalAfter - time.Second},
 		"left":    {State: swim.Left, Since: time.Second},
 	}
 	for _, c := range []struct {
@@ -28,9 +29,9 @@
 		{"dead", now, "dead", "dead for 10m1s"},
 		{"left", now, "left", "left for 59m59s"},
 		{"nobody", now, "unknown", "forgotten, or not seen since this coordinator started"},
-		{"nobody", goneAfter, "unknown", ""},
+		{"nobody", proposeRemovalAfter, "unknown", ""},
 	} {
-		if state, why := proposal(seen, c.name, c.now); state != c.state || why != c.why {
+		if state, why := removalProposal(seen, c.name, c.now); state != c.state || why != c.why {
 			t.Errorf("%s at %v: %q, %q; want %q, %q", c.name, c.now, state, why, c.state, c.why)
 		}
 	}
--- a/cmd/gullfall/work.go
+++ b/cmd/gullfall/work.go
@@ -13,18 +13,18 @@
 )
 
 type workCmd struct {
-	Plan    workPlanCmd   `cmd:"" help:"Show in which order machines would go, and what can't go; nothing is asked for."`
-	Start   workStartCmd  `cmd:"" help:"Ask for work on machines."`
-	List    workListCmd   `cmd:"" help:"List the requests."`
-	Show    workShowCmd   `cmd:"" help:"Show a request, each machine, and who is waited for."`
-	Pause   workPauseCmd  `cmd:"" help:"Take no further machine out for a request; what is not handed over is taken back."`
-	Resume  workResumeCmd `cmd:"" help:"Go on with a request that is paused or has stopped."`
-	Abandon workGiveUpCmd `cmd:"" help:"Give a request up; machines that are out come back first."`
-	Done    workDoneCmd   `cmd:"" help:"Say that the work on a machine is done."`
-	Forget  workForgetCmd `cmd:"" help:"Say that a coordinator is gone for good; nothing waits for it any more."`
+	Plan    workPlanCmd    `cmd:"" help:"Show in which order machines would be taken out, and which can't be; makes no request."`
+	Start   workStartCmd   `cmd:"" help:"Request maintenance of machines."`
+	List    workListCmd    `cmd:"" help:"List the requests."`
+	Show    workShowCmd    `cmd:"" help:"Show a request with the state of each machine and the coordinators that it waits for."`
+	Pause   workPauseCmd   `cmd:"" help:"Take no further machines out for a request; machines not handed over yet return to service."`
+	Resume  workResumeCmd  `cmd:"" help:"Continue a request that is paused or has stopped."`
+	Abandon workAbandonCmd `cmd:"" help:"Abandon a request; machines that are out return to service first."`
+	Done    workDoneCmd    `cmd:"" help:"Report that the maintenance of a machine is done."`
+	Forget  workForgetCmd  `cmd:"" help:"Remove a coordinator that is lost for good, so that nothing waits for it any more."`
 }
 
-// operator is who asks, for the audit.
+// operator returns the name of the user who runs the command, for the audit log.
 func operator() string {
 	if u, err := user.Current(); err == nil {
 		return u.Username
@@ -32,19 +32,19 @@
 	return fmt.Sprint("uid ", os.Getuid())
 }
 
-// maintenanceViewFlags are those of the commands that show the maintenance agent's view.
+// maintenanceViewFlags are the flags of commands that show the maintenance agent's view.
 type maintenanceViewFlags struct {
 	socketFlag
-	JSON  bool `name:"json" help:"For machines."`
-	Stale bool `help:"Show what is known here, without asking the store's leader."`
-	Watch bool `help:"Show it anew each second, until interrupted."`
+	JSON  bool `name:"json" help:"Print JSON."`
+	Stale bool `help:"Show the local copy without contacting the store's leader."`
+	Watch bool `help:"Print it every second until interrupted."`
 }
 
-// show prints the view by table, or as JSON, once or again and again as the flags say.
+// show prints the view with table or as JSON, and repeats it with --watch.
 func (f maintenanceViewFlags) show(table func(agent.View) error) error {
 	return repeat(f.Watch, func() error {
 		var v agent.View
-		if err := f.ask("work look", workWord{Fresh: !f.Stale}, &v); err != nil {
+		if err := f.callWithStore("work look", workArgs{Fresh: !f.Stale}, &v); err != nil {
 			return err
 		}
 		if f.JSON {
@@ -56,7 +56,7 @@
 
 type workListCmd struct{ maintenanceViewFlags }
 
-// Run lists the requests.
+// Run prints the requests.
 func (c workListCmd) Run() error {
 	return c.show(func(v agent.View) error {
 		t := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
@@ -69,7 +69,7 @@
 	})
 }
 
-// countSteps counts the machines that are done with, and those that are neither done with nor waiting.
+// countSteps returns the number of machines that are done or abandoned, and of those that are neither that nor waiting.
 func countSteps(steps []*maintenance.Step) (done, inWork int) {
 	for _, step := range steps {
 		switch step.State {
@@ -83,15 +83,15 @@
 	return done, inWork
 }
 
-// auditLinesShown is how many of the latest audit lines `gullfall work show` prints.
-const auditLinesShown = 10
+// maxAuditEntriesShown is the number of latest audit entries that `gullfall work show` prints.
+const maxAuditEntriesShown = 10
 
 type workShowCmd struct {
 	maintenanceViewFlags
 	Request uint64 `arg:"" help:"The request's number."`
 }
 
-// Run shows a request.
+// Run prints a request.
 func (c workShowCmd) Run() error {
 	return c.show(func(v agent.View) error {
 		r := v.Plan.Request(c.Request)
@@ -107,14 +107,14 @@
 				fmt.Printf("%s: present %v, has seen %d calls of %d\n", co.Name, co.Present, co.Seen, v.Plan.Seen())
 			}
 		}
-		for _, a := range v.Plan.Audit[max(0, len(v.Plan.Audit)-auditLinesShown):] {
+		for _, a := range v.Plan.Audit[max(0, len(v.Plan.Audit)-maxAuditEntriesShown):] {
 			fmt.Printf("%s %s: %s\n", time.Unix(a.At, 0).Format(time.RFC3339), a.Who, a.What)
 		}
 		return nil
 	})
 }
 
-// stepTable prints each machine of a request, and the coordinators that may still have attempts in flight at one that drains.
+// stepTable prints the machines of a request. For a draining machine it lists the coordinators that may still have attempts in flight.
 func stepTable(r *maintenance.Request, coordinators []agent.CoordinatorView) error {
 	t := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(t, "machine\tstate\twave\tback as\tnot clear at")
@@ -130,47 +130,47 @@
 	return t.Flush()
 }
 
-// requestArg names a request.
+// requestArg selects a request.
 type requestArg struct {
 	socketFlag
 	Request uint64 `arg:"" help:"The request's number."`
 }
 
 // order sends one of maintenance.Pause, Resume and Abandon for the request.
-func (r requestArg) order(word string) error {
+func (r requestArg) order(order string) error {
 	var id uint64
-	if err := r.ask("work order", workWord{By: operator(), Word: word, Request: r.Request}, &id); err != nil {
+	if err := r.callWithStore("work order", workArgs{By: operator(), Word: order, Request: r.Request}, &id); err != nil {
 		return err
 	}
-	fmt.Printf("request %d: %s taken in\n", id, word)
+	fmt.Printf("request %d: %s taken in\n", id, order)
 	return nil
 }
 
 type (
-	workPauseCmd  struct{ requestArg }
-	workResumeCmd struct{ requestArg }
-	workGiveUpCmd struct{ requestArg }
+	workPauseCmd   struct{ requestArg }
+	workResumeCmd  struct{ requestArg }
+	workAbandonCmd struct{ requestArg }
 )
 
 // Run pauses a request.
 func (c workPauseCmd) Run() error { return c.order(maintenance.Pause) }
 
-// Run lets a request go on.
+// Run resumes a request.
 func (c workResumeCmd) Run() error { return c.order(maintenance.Resume) }
 
-// Run gives a request up.
-func (c workGiveUpCmd) Run() error { return c.order(maintenance.Abandon) }
+// Run abandons a request.
+func (c workAbandonCmd) Run() error { return c.order(maintenance.Abandon) }
 
 type workDoneCmd struct {
 	socketFlag
 	Machine string `arg:"" help:"The machine."`
-	As      string `help:"The name under which it comes back, if another."`
+	As      string `help:"The name under which it returns, if different."`
 }
 
-// Run passes on that a machine's work is done.
+// Run reports that the maintenance of a machine is done.
 func (c workDoneCmd) Run() error {
 	var machine string
-	if err := c.ask("work done", workWord{By: operator(), Machine: c.Machine, As: c.As}, &machine); err != nil {
+	if err := c.callWithStore("work done", workArgs{By: operator(), Machine: c.Machine, As: c.As}, &machine); err != nil {
 		return err
 	}
 	fmt.Printf("%s is given back, at the pace that a cold data node bears\n", machine)
@@ -179,13 +179,13 @@
 
 type workForgetCmd struct {
 	socketFlag
-	Name string `arg:"" help:"The coordinator that is gone for good."`
+	Name string `arg:"" help:"The coordinator's name."`
 }
 
-// Run passes on the operator's word.
+// Run removes a coordinator from the maintenance plan.
 func (c workForgetCmd) Run() error {
 	var name string
-	if err := c.ask("work forget", workWord{By: operator(), Name: c.Name}, &name); err != nil {
+	if err := c.callWithStore("work forget", workArgs{By: operator(), Name: c.Name}, &name); err != nil {
 		return err
 	}
 	fmt.Printf("%s is gone for good; nothing waits for it any more\n", name)
--- a/cmd/gullfall/workplan.go
+++ b/cmd/gullfall/workplan.go
@@ -12,23 +12,23 @@
 	"gullfall/internal/maintenance/agent"
 )
 
-// requestFlags say which machines go, and how.
+// requestFlags select the machines of a request and the conditions under which they are taken out.
 type requestFlags struct {
-	Machines      []string      `arg:"" optional:"" help:"Machines by the names of the list."`
+	Machines      []string      `arg:"" optional:"" help:"Names of machines."`
 	Zone          string        `help:"All machines of a zone."`
-	StartedBefore time.Time     `help:"All whose process was started before (RFC 3339): those of an older release." format:"2006-01-02T15:04:05Z07:00"`
+	StartedBefore time.Time     `help:"All machines whose process was started before this time (RFC 3339), that is, with an older release." format:"2006-01-02T15:04:05Z07:00"`
 	All           bool          `help:"All machines."`
-	Takes         time.Duration `default:"30m" help:"Longest that a machine is out; then it has failed."`
-	Back          time.Duration `default:"5m" help:"Longest until it serves again, beside its time to warm up."`
-	NotBefore     time.Time     `help:"Begin no sooner (RFC 3339)." format:"2006-01-02T15:04:05Z07:00"`
-	DoneBy        time.Time     `help:"Refuse what would end later (RFC 3339)." format:"2006-01-02T15:04:05Z07:00"`
-	AtOnce        int           `help:"Most machines of the request at once; 0 leaves it to the limits."`
-	Barred        []string      `help:"Hours in which nothing goes out, as 18:00-23:30."`
-	GoOn          bool          `help:"Go on without a machine that fails; otherwise the request stops."`
-	ByHand        bool          `help:"Only a word says that a machine is done, not a later start of its process."`
+	Takes         time.Duration `default:"30m" help:"Longest time that a machine may be out before it counts as failed."`
+	Back          time.Duration `default:"5m" help:"Longest time until it serves again, not counting its warm-up."`
+	NotBefore     time.Time     `help:"Do not begin before this time (RFC 3339)." format:"2006-01-02T15:04:05Z07:00"`
+	DoneBy        time.Time     `help:"Reject the request if it would end after this time (RFC 3339)." format:"2006-01-02T15:04:05Z07:00"`
+	AtOnce        int           `help:"Maximum number of the request's machines out at once; 0 for the configured limits."`
+	Barred        []string      `help:"Hours in which no machine is taken out, such as 18:00-23:30."`
+	GoOn          bool          `help:"Continue without a machine that fails; otherwise the request stops."`
+	ByHand        bool          `help:"Treat a machine as done only after 'work done', not when its process is restarted."`
 }
 
-// request is what the flags ask for.
+// request returns the request described by the flags.
 func (w requestFlags) request() (a agent.Request, err error) {
 	a = agent.Request{By: operator(), Machines: w.Machines, Zone: w.Zone, All: w.All, Takes: w.Takes, Back: w.Back, AtOnce: w.AtOnce, GoOn: w.GoOn, ByHand: w.ByHand}
 	for to, t := range map[*int64]time.Time{&a.NotBefore: w.NotBefore, &a.DoneBy: w.DoneBy} {
@@ -40,7 +40,7 @@
 		a.StartedBefore = w.StartedBefore.UnixMilli()
 	}
 	for _, text := range w.Barred {
-		h, err := hours(text)
+		h, err := parseHours(text)
 		if err != nil {
 			return a, err
 		}
@@ -49,13 +49,13 @@
 	return a, nil
 }
 
-// hours reads "18:00-23:30".
-func hours(text string) (h maintenance.Hours, err error) {
+// parseHours parses a daily interval such as "18:00-23:30".
+func parseHours(text string) (h maintenance.Hours, err error) {
 	from, to, ok := strings.Cut(text, "-")
 	for side, part := range map[*time.Duration]string{&h.From: from, &h.To: to} {
 		t, err := time.Parse("15:04", part)
 		if !ok || err != nil {
-			return h, fmt.Errorf("--barred %q: give hours as 18:00-23:30", text)
+			return h, fmt.Errorf("--barred %q: expected hours such as 18:00-23:30", text)
 		}
 		*side = time.Duration(t.Hour())*time.Hour + time.Duration(t.Minute())*time.Minute
 	}
@@ -65,11 +65,11 @@
 type workPlanCmd struct {
 	socketFlag
 	requestFlags
-	JSON bool   `name:"json" help:"For machines."`
-	HTML string `name:"html" help:"Write the plan as a page with a picture to this file."`
+	JSON bool   `name:"json" help:"Print JSON."`
+	HTML string `name:"html" help:"Write the plan to this file as an HTML page with a Gantt chart."`
 }
 
-// Run shows what a start would do.
+// Run prints the plan of a request without making it.
 func (c workPlanCmd) Run() error {
 	request, err := c.request()
 	if err != nil {
@@ -77,11 +77,11 @@
 	}
 	request.DryRun = true
 	var p agent.Planned
-	if err := c.ask("work start", request, &p); err != nil {
+	if err := c.callWithStore("work start", request, &p); err != nil {
 		return err
 	}
 	if c.HTML != "" {
-		if err := os.WriteFile(c.HTML, []byte(planPage(p)), 0o644); err != nil {
+		if err := os.WriteFile(c.HTML, []byte(planHTML(p)), 0o644); err != nil {
 			return err
 		}
 	}
@@ -94,11 +94,11 @@
 type workStartCmd struct {
 	socketFlag
 	requestFlags
-	DryRun bool `help:"Show what it would do, and do nothing."`
-	JSON   bool `name:"json" help:"For machines."`
+	DryRun bool `help:"Show the plan without making the request."`
+	JSON   bool `name:"json" help:"Print JSON."`
 }
 
-// Run asks for work.
+// Run requests maintenance.
 func (c workStartCmd) Run() error {
 	request, err := c.request()
 	if err != nil {
@@ -106,7 +106,7 @@
 	}
 	request.DryRun = c.DryRun
 	var p agent.Planned
-	if err := c.ask("work start", request, &p); err != nil {
+	if err := c.callWithStore("work start", request, &p); err != nil {
 		return err
 	}
 	if c.JSON {
@@ -119,17 +119,17 @@
 	return nil
 }
 
-// machinesShown is how many machines of a wave a table names.
-const machinesShown = 12
+// maxMachinesShown is the maximum number of machines of a wave that a table lists.
+const maxMachinesShown = 12
 
-// planTable prints a plan wave by wave.
+// planTable prints a plan with one line per wave.
 func planTable(w io.Writer, p agent.Planned) error {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(t, "wave\tafter\tmachines")
 	for i, wave := range p.Plan.Waves {
 		text := strings.Join(wave, " ")
-		if len(wave) > machinesShown {
-			text = fmt.Sprintf("%s and %d more", strings.Join(wave[:machinesShown], " "), len(wave)-machinesShown)
+		if len(wave) > maxMachinesShown {
+			text = fmt.Sprintf("%s and %d more", strings.Join(wave[:maxMachinesShown], " "), len(wave)-maxMachinesShown)
 		}
 		fmt.Fprintf(t, "%d\t%v\t%s\n", i+1, time.Duration(i)*p.Step, text)
 	}
@@ -144,15 +144,15 @@
 	return err
 }
 
-// planPage is the plan as a page with a Gantt picture, drawn as SVG.
-func planPage(p agent.Planned) string {
+// planHTML returns an HTML page with the plan as a Gantt chart in SVG.
+func planHTML(p agent.Planned) string {
 	const row, left, width = 14, 160, 900
 	var names, bars strings.Builder
 	y, waves := 0, max(len(p.Plan.Waves), 1)
 	for i, wave := range p.Plan.Waves {
 		for _, m := range wave {
-			if y < 2000*row { // a picture beyond is of no use
-				fmt.Fprintf(&names, `<text x="%d" y="%d" text-anchor="end">%s</text>`, left-6, y+row-3, escape(m))
+			if y < 2000*row { // a longer chart is not readable
+				fmt.Fprintf(&names, `<text x="%d" y="%d" text-anchor="end">%s</text>`, left-6, y+row-3, escapeHTML(m))
 				fmt.Fprintf(&bars, `<rect x="%d" y="%d" width="%d" height="%d"/>`, left+i*width/waves, y+2, max(1, width/waves-1), row-4)
 			}
 			y += row
@@ -166,7 +166,7 @@
 `, len(p.Plan.Waves), p.Step, p.Plan.Bound, time.Unix(p.Ends, 0).Format(time.RFC3339), left+width, height, names.String(), bars.String())
 }
 
-// escape makes text fit for HTML.
-func escape(s string) string {
+// escapeHTML escapes text for HTML.
+func escapeHTML(s string) string {
 	return strings.NewReplacer("&", "&amp;", "<", "&lt;", ">", "&gt;").Replace(s)
 }
--- a/cmd/gullfall/zonedrains.go
+++ b/cmd/gullfall/zonedrains.go
@@ -14,31 +14,31 @@
 	"gullfall/internal/zones"
 )
 
-// drainedKey is the key under which the store keeps the zones that are left by an operator's word.
+// drainedKey is the store key of the list of zones that operators have drained.
 const drainedKey = "zones/drained"
 
-// maxDrained bounds the zones that are drained by hand.
+// maxDrained is the maximum number of zones drained by operators.
 const maxDrained = 64
 
-// zoneDrains joins the zones that operators have drained by hand: those of deploy/gullfall.toml (zones.drained, of this
-// coordinator alone) and those in the store (of all that share it).
+// zoneDrains merges the zones that operators have drained: those in zones.drained of deploy/gullfall.toml, which apply to this
+// coordinator only, and those in the store, which apply to all coordinators that share it.
 type zoneDrains struct {
 	coordinator *coordinator.Coordinator
 	store       *store.Store
 	log         *slog.Logger
 
-	mu   sync.Mutex // guards file, and orders calls of DrainZones
-	file []string   // zones.drained, as read last
+	mu   sync.Mutex // guards file and serializes calls of DrainZones
+	file []string   // zones.drained as last read
 }
 
-// watch follows the store until ctx ends.
+// watch applies changes of the list in the store until ctx ends.
 func (z *zoneDrains) watch(ctx context.Context) {
 	last := ""
 	for {
 		changed := z.store.Changed()
 		if now := string(z.store.Get(drainedKey)); now != last {
 			if last = now; z.apply() != nil {
-				return // zones are not watched, which whoever drains one is told
+				return // zones are not watched; commands that drain one report it
 			}
 		}
 		select {
@@ -49,7 +49,7 @@
 	}
 }
 
-// reload takes over the list of deploy/gullfall.toml.
+// reload sets the list of deploy/gullfall.toml and applies it.
 func (z *zoneDrains) reload(file []string) error {
 	z.mu.Lock()
 	z.file = file
@@ -57,7 +57,7 @@
 	return z.apply()
 }
 
-// apply hands the joined list to the coordinator.
+// apply passes the merged list to the coordinator.
 func (z *zoneDrains) apply() error {
 	z.mu.Lock()
 	defer z.mu.Unlock()
@@ -74,7 +74,7 @@
 	return z.coordinator.DrainZones(names)
 }
 
-// storedZones decodes the list in the store.
+// storedZones decodes the list of zones as stored.
 func storedZones(raw []byte) (names []string, err error) {
 	if len(raw) > 0 {
 		err = json.Unmarshal(raw, &names)
@@ -82,7 +82,7 @@
 	return names, err
 }
 
-// drain has all coordinators that share the store leave a zone.
+// drain drains a zone at all coordinators that share the store.
 func (z *zoneDrains) drain(ctx context.Context, zone string) error {
 	known := slices.ContainsFunc(z.coordinator.Zones(), func(s zones.Status) bool { return s.Zone == zone })
 	if !known {
@@ -99,7 +99,7 @@
 	})
 }
 
-// undrain takes a drain back.
+// undrain reverts drain.
 func (z *zoneDrains) undrain(ctx context.Context, zone string) error {
 	return z.change(ctx, func(names []string) ([]string, error) {
 		at := slices.Index(names, zone)
@@ -110,8 +110,8 @@
 	})
 }
 
-// change replaces the list in the store by what edit makes of it. The write holds only where nobody else has written in the
-// meantime; else it is tried again on the new list, so that two operators at two coordinators do not undo each other.
+// change replaces the list in the store by the result of edit. The write is conditional on the revision that was read and is retried
+// with the new list after a conflict, so that two operators at two coordinators do not undo each other's changes.
 func (z *zoneDrains) change(ctx context.Context, edit func(names []string) ([]string, error)) error {
 	for {
 		if err := z.store.Sync(ctx); err != nil {
--- a/cmd/gullfall/zones.go
+++ b/cmd/gullfall/zones.go
@@ -17,22 +17,22 @@
 )
 
 type zonesCmd struct {
-	Show    zonesShowCmd    `cmd:"" default:"withargs" help:"Show the verdict on each zone, and why."`
-	Drain   zonesDrainCmd   `cmd:"" help:"Leave a zone, at all coordinators that share the store."`
-	Undrain zonesUndrainCmd `cmd:"" help:"Return to a zone that was left by an operator's word, at the pace of cold data nodes."`
+	Show    zonesShowCmd    `cmd:"" default:"withargs" help:"Show the verdict on each zone and its reason."`
+	Drain   zonesDrainCmd   `cmd:"" help:"Stop using a zone at all coordinators that share the store."`
+	Undrain zonesUndrainCmd `cmd:"" help:"Return to a drained zone, at the pace of data nodes that warm up."`
 }
 
 type zonesShowCmd struct {
 	socketFlag
-	JSON  bool `name:"json" help:"For machines: one list, or one a line with --watch."`
-	Watch bool `help:"Show it anew each second, until interrupted."`
+	JSON  bool `name:"json" help:"Print JSON, with --watch one list per line."`
+	Watch bool `help:"Print it every second until interrupted."`
 }
 
-// Run shows the zones.
+// Run prints the zones.
 func (c zonesShowCmd) Run() error {
 	return repeat(c.Watch, func() error {
 		var list []zoneView
-		if err := c.ask("zones", nil, &list); err != nil {
+		if err := c.callWithStore("zones", nil, &list); err != nil {
 			return err
 		}
 		if c.JSON {
@@ -42,7 +42,7 @@
 	})
 }
 
-// zonesTable prints one zone a line.
+// zonesTable prints a table with one line per zone.
 func zonesTable(w io.Writer, list []zoneView) error {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(t, "zone\tverdict\tsince_s\tfailing\tothers\tfailed returns\twhy")
@@ -56,22 +56,22 @@
 	return t.Flush()
 }
 
-// zoneArg names a zone.
+// zoneArg selects a zone.
 type zoneArg struct {
 	socketFlag
 	Zone string `arg:"" help:"The zone."`
 }
 
-// send sends "zones WORD" for the zone and prints done, a format that takes its name.
-func (z zoneArg) send(word, done string) error {
+// send runs the command "zones VERB" for the zone and prints format with the zone's name.
+func (z zoneArg) send(verb, format string) error {
 	if z.Zone == "" {
 		return errors.New("no zone is named")
 	}
 	var zone string
-	if err := z.ask("zones "+word, z.Zone, &zone); err != nil {
+	if err := z.callWithStore("zones "+verb, z.Zone, &zone); err != nil {
 		return err
 	}
-	fmt.Printf(done+"\n", zone)
+	fmt.Printf(format+"\n", zone)
 	return nil
 }
 
@@ -85,28 +85,28 @@
 	return c.send("drain", "%s is left by all coordinators that share the store, whatever is seen of it")
 }
 
-// Run takes that back.
+// Run undrains a zone.
 func (c zonesUndrainCmd) Run() error {
 	return c.send("undrain", "%s is returned to, at the pace of cold data nodes")
 }
 
-// zoneView is a zone as `gullfall zones` shows it.
+// zoneView is a zone in the output of `gullfall zones`.
 type zoneView struct {
 	Zone    string  `json:"zone"`
-	Verdict string  `json:"verdict"` // healthy, doubtful, out, returning
+	Verdict string  `json:"verdict"` // healthy, doubtful, out or returning
 	SinceS  float64 `json:"since_s"`
 	Nodes   int     `json:"nodes"`
 	Failing int     `json:"failing"`
 	Others  float64 `json:"others_failing_share"`
 	Waits   int     `json:"failed_returns"`
-	ReturnS float64 `json:"return_in_s,omitempty"` // of one that is out: no sooner
+	ReturnS float64 `json:"return_in_s,omitempty"` // least time until a zone that is out starts to return
 	Ramp    float64 `json:"returned_share,omitempty"`
 	Drained bool    `json:"drained"`
 	Panic   bool    `json:"all_suspect"`
 	Why     string  `json:"why"`
 }
 
-// zoneViews sorts zones by name.
+// zoneViews returns a view of each zone, sorted by name.
 func zoneViews(list []zones.Status, now time.Time) (views []zoneView) {
 	for _, s := range list {
 		v := zoneView{Zone: s.Zone, Verdict: s.State.String(), Nodes: s.Nodes, Failing: s.Failing, Others: math.Round(s.OthersShare*100) / 100, Waits: s.FailedRecoveries,
@@ -123,7 +123,7 @@
 	return views
 }
 
-// addZoneCommands adds the commands that show zones and drain them by hand.
+// addZoneCommands adds the commands that show, drain and undrain zones.
 func addZoneCommands(commands map[string]admin.Command, drains *zoneDrains) {
 	commands["zones"] = view(func() ([]zoneView, error) {
 		return zoneViews(drains.coordinator.Zones(), time.Now()), nil
--- a/cmd/gullfall/zones_test.go
+++ b/cmd/gullfall/zones_test.go
@@ -10,7 +10,7 @@
 	"gullfall/internal/zones"
 )
 
-// TestZonesTable: each zone's verdict, how long it is out yet, and that it was drained by hand.
+// TestZonesTable: the table shows each zone's verdict and whether it is drained, and a zone that is out the time until its return.
 func TestZonesTable(t *testing.T) {
 	now := time.Now()
 	views := zoneViews([]zones.Status{
--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -60,8 +60,8 @@
 	}
 }
 
-// TestSocketModeAndReplacement: the socket has mode 0600; a stale socket of a killed process is replaced, one in use is not; after Close, calls fail
-// with ErrUnreachable.
+// TestSocketModeAndReplacement: the socket has mode 0600; a stale socket of a killed process is replaced, one in use is not; after
+// Close, calls fail with ErrUnreachable.
 func TestSocketModeAndReplacement(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "admin")
 	ln, err := net.ListenUnix("unix", &net.UnixAddr{Name: path})
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -25,7 +25,7 @@
 	minSockets      = 64
 )
 
-// Limits are the resources that one process may use. Sockets is the number of open descriptors.
+// Limits are the resources that one process may use. Sockets is the maximum number of open descriptors.
 type Limits struct {
 	Cores    float64 `json:"cores"`
 	MemoryMB int     `json:"memory_mb"`
--- a/internal/config/datanodes.go
+++ b/internal/config/datanodes.go
@@ -10,9 +10,9 @@
 
 // Membership configures flap damping of data nodes that return (RFC 2439).
 type Membership struct {
-	HalfLife        Span `toml:"half_life"`
-	Suppress, Reuse float64
-	MaxSuppress     Span `toml:"longest"`
+	HalfLife        Span    `toml:"half_life"` // half-life of a penalty
+	Suppress, Reuse float64 // a return is suppressed from the penalty Suppress until it has decayed to Reuse
+	MaxSuppress     Span    `toml:"longest"` // longest suppression
 }
 
 // Node is a data node of the fixed list in the deploy file.
--- a/internal/config/dnssd.go
+++ b/internal/config/dnssd.go
@@ -22,13 +22,13 @@
 
 // DNSSD configures the DNS-SD zones that are followed for data nodes, and the records that advertise this coordinator's own service.
 type DNSSD struct {
-	Serve, Domain string
-	Networks      []string
-	Questions     float64 `toml:"questions_per_s"`
-	Poll          Span
-	Stale         Span
-	Notify        string
-	Allow         []string
+	Serve, Domain string   // address that serves this coordinator's own records, and their domain
+	Networks      []string // networks in which data nodes may be
+	Questions     float64  `toml:"questions_per_s"` // maximum rate of queries to DNS servers
+	Poll          Span     // interval at which a zone's serial is polled
+	Stale         Span     // how long a zone's data nodes are kept past their TTL while its servers don't answer
+	Notify        string   // address that receives NOTIFY messages; disabled if empty
+	Allow         []string // networks from which NOTIFY messages are accepted
 	Zone          []Zone
 	Key           []Key
 }
@@ -38,8 +38,8 @@
 	Domain   string
 	Services []string
 	Servers  []string
-	Transfer bool
-	Key      string
+	Transfer bool   // whether the servers may be asked for transfers
+	Key      string // name of the key that signs messages; none if empty
 }
 
 // Key is a TSIG key, which signs DNS messages (RFC 8945).
@@ -166,7 +166,7 @@
 	return set
 }
 
-// parseNetworks parses a list of parseNetworks and addresses, such as "10.1.0.0/16" and "10.1.0.7".
+// parseNetworks parses a list of networks and addresses, such as "10.1.0.0/16" and "10.1.0.7".
 func parseNetworks(list []string) (*bart.Lite, error) {
 	set := new(bart.Lite)
 	for _, s := range list {
--- a/internal/config/flight.go
+++ b/internal/config/flight.go
@@ -22,12 +22,12 @@
 
 // FlightFront configures the Arrow Flight front.
 type FlightFront struct {
-	Listen      string
-	Connections int
+	Listen      string // address; disabled if empty
+	Connections int    // maximum number of client connections
 	Owner       []FlightOwner
 	Network     []FlightNetwork
-	Allowed     []string
-	Denied      []string
+	Allowed     []string    // if not empty, only these networks may connect
+	Denied      []string    // networks that may not connect
 	TicketKey   []TicketKey `toml:"ticket_key"`
 	Limits      FlightLimits
 	Class       []FlightClass
@@ -48,7 +48,7 @@
 // FlightLimits are the limits on clients, by scope.
 type FlightLimits struct {
 	Connection, Owner, Network, All LimitSet
-	Grace, Stall                    Span
+	Grace, Stall                    Span // SlowReaderGrace and StallTimeout of admission.Config
 }
 
 // LimitSet are the limits of one scope; 0 means no limit.
--- a/internal/config/maintenance.go
+++ b/internal/config/maintenance.go
@@ -18,11 +18,11 @@
 	PerShard  int      `toml:"per_shard"`
 	AtOnce    int      `toml:"at_once"`
 	Share     float64
-	ZoneShare float64 `toml:"zone_share"`
-	Capacity  float64 `toml:"room"`
-	Hook      []string
-	HookTime  Span `toml:"hook_time"`
-	Budget    int  // bytes of plans that the lease holder may write per second
+	ZoneShare float64  `toml:"zone_share"`
+	Capacity  float64  `toml:"room"`
+	Hook      []string // command run when a machine is out and when its work is done; none if empty
+	HookTime  Span     `toml:"hook_time"` // longest run of the hook
+	Budget    int      // bytes of plans that the lease holder may write per second
 }
 
 // Bounds of the keys under work.
--- a/internal/simulator/codec.go
+++ b/internal/simulator/codec.go
@@ -148,7 +148,7 @@
 	weight float64 // parts only
 
 	// The fields below are set for queries only.
-	partCount int // number of parts
+	partCount int
 	timeLeft  time.Duration
 	retry     bool
 	class     string
--- a/internal/simulator/message.go
+++ b/internal/simulator/message.go
@@ -39,7 +39,7 @@
 	return s
 }
 
-// optionalText returns a string field; "" for another type, as some sites write 0 for an absent optionalText.
+// optionalText returns a string field; "" for another type, as some sites write 0 for an absent text.
 func (m *message) optionalText(position int, field string) string {
 	var v any
 	m.read(position, field, &v)
@@ -58,7 +58,7 @@
 	return config.SecondsToDuration(m.number(position, field))
 }
 
-// loadReport returns a load loadReport, an object of numbers; nil if the field is missing or has another type.
+// loadReport returns a load report, an object of numbers; nil if the field is missing or has another type.
 func (m *message) loadReport(position int) map[string]float64 {
 	var report map[string]float64
 	if position >= len(m.fields) || json.Unmarshal(m.fields[position], &report) != nil {
