--- a/internal/config/maintenance.go
+++ b/internal/config/maintenance.go
@@ -20,7 +20,7 @@
 	Share     float64
 	ZoneShare float64  `toml:"zone_share"`
 	Capacity  float64  `toml:"room"`
-	Hook      []string // command run when a machine is out and when its work is done; none if empty
+	Hook      []string // command run when a machine is out, and when it is back and has warmed up; none if empty
 	HookTime  Span     `toml:"hook_time"` // longest run of the hook
 	Budget    int      // bytes of plans that the lease holder may write per second
 }
