--- a/cmd/gullfall/gossip.go
+++ b/cmd/gullfall/gossip.go
@@ -17,14 +17,14 @@
 	"gullfall/internal/store"
 )
 
-// peerAddrsKey begins the key under which the store keeps the addresses of the other coordinators, by the name of the one that
-// knew them.
-const peerAddrsKey = "peers"
+// peerAddrsKeyPrefix is the first segment of the store keys that hold the addresses of the other coordinators. The name of the
+// coordinator that saved them is the second.
+const peerAddrsKeyPrefix = "peers"
 
-// peerReportInterval is how often the coordinator is handed what others observe of data nodes.
+// peerReportInterval is the interval at which the coordinator receives the other coordinators' observations of data nodes.
 const peerReportInterval = 250 * time.Millisecond
 
-// startPeers starts gossip with the other coordinators; nil where deploy/gullfall.toml has it off.
+// startPeers starts gossip with the other coordinators. It returns nil if deploy/gullfall.toml disables it.
 func startPeers(ctx context.Context, deploy config.Deploy, cfg config.Config, c *coordinator.Coordinator, log *slog.Logger, members *store.Store) (*gossip.Gossip, error) {
 	if deploy.Peers.Listen == "" {
 		return nil, nil
@@ -37,14 +37,14 @@
 	if err != nil {
 		return nil, err
 	}
-	c.OnObservation(func(o coordinator.Observation) { share(peers, o) })
+	c.OnObservation(func(o coordinator.Observation) { shareObservation(peers, o) })
 	go reportPeers(ctx, c, peers, cfg.Name)
 	log.Info("watching the other coordinators", "listen", deploy.Peers.Listen, "fleet", deploy.Peers.Fleet)
 	return peers, nil
 }
 
-// gossipOptions adds to the configured seeds the addresses at which the others were last, so that a coordinator finds them after
-// a restart although its seeds are gone.
+// gossipOptions returns the options of gossip. Its seeds are the configured ones and the last known addresses of the other
+// coordinators, so that a restarted coordinator finds them even if no configured seed answers.
 func gossipOptions(p config.Peers, cfg config.Config, log *slog.Logger, members *store.Store) (gossip.Options, error) {
 	process, err := newProcessID()
 	if err != nil {
@@ -58,10 +58,10 @@
 		Log:        log,
 		WarmupTime: cfg.Settings.Rules.WarmupTime,
 	}
-	key := peerAddrsKey + "/" + cfg.Name
-	var last []string
-	if data := members.Get(key); len(data) > 0 && json.Unmarshal(data, &last) == nil {
-		options.Swim.Seeds = slices.Concat(options.Swim.Seeds, last)
+	key := peerAddrsKeyPrefix + "/" + cfg.Name
+	var lastAddrs []string
+	if data := members.Get(key); len(data) > 0 && json.Unmarshal(data, &lastAddrs) == nil {
+		options.Swim.Seeds = slices.Concat(options.Swim.Seeds, lastAddrs)
 	}
 	options.SaveAddrs = saveLatest(func(addrs []string) {
 		if data, err := json.Marshal(addrs); err == nil {
@@ -71,7 +71,7 @@
 	return options, nil
 }
 
-// newProcessID draws the number by which others tell this process from an earlier one of the same name.
+// newProcessID returns a random number that distinguishes this process from earlier ones of the same name.
 func newProcessID() (uint64, error) {
 	var raw [8]byte
 	if _, err := rand.Read(raw[:]); err != nil {
@@ -80,8 +80,7 @@
 	return binary.BigEndian.Uint64(raw[:]), nil
 }
 
-// saveLatest returns a function that hands a list to save without waiting for it: a list that was not saved yet gives way to a
-// newer one.
+// saveLatest returns a function that passes a list to save in the background. A list that is still queued is replaced by a newer one.
 func saveLatest(save func([]string)) func([]string) {
 	latest := make(chan []string, 1)
 	go func() {
@@ -98,8 +97,8 @@
 	}
 }
 
-// share tells the other coordinators what this one has observed of a data node.
-func share(peers *gossip.Gossip, o coordinator.Observation) {
+// shareObservation sends an observation of a data node to the other coordinators.
+func shareObservation(peers *gossip.Gossip, o coordinator.Observation) {
 	switch {
 	case o.Started:
 		peers.ObserveStart(o.Node, o.StartAge)
@@ -117,7 +116,7 @@
 	}
 }
 
-// reportPeers hands the coordinator what the others observe of data nodes, until ctx ends.
+// reportPeers passes the other coordinators' observations of data nodes to the coordinator until ctx ends.
 func reportPeers(ctx context.Context, c *coordinator.Coordinator, peers *gossip.Gossip, self string) {
 	ticker := time.NewTicker(peerReportInterval)
 	defer ticker.Stop()
@@ -127,14 +126,14 @@
 			return
 		case <-ticker.C:
 		}
-		if reports := peerReports(peers.AllObservations(), self); len(reports) > 0 {
+		if reports := newPeerReports(peers.AllObservations(), self); len(reports) > 0 {
 			c.ApplyPeerReports(reports)
 		}
 	}
 }
 
-// peerReports are the data nodes that fail for another coordinator, or that another has seen start.
-func peerReports(all map[string]observations.View, self string) (reports []coordinator.PeerReport) {
+// newPeerReports returns reports on the data nodes that fail for another coordinator, or that another has seen start.
+func newPeerReports(all map[string]observations.View, self string) (reports []coordinator.PeerReport) {
 	for id, v := range all {
 		report := coordinator.PeerReport{Node: id, Failing: v.Suspect && v.FailedBy != self, FailedAge: v.FailedAge, AnsweredAge: v.AnsweredAge}
 		if v.WarmupLeft > 0 && v.StartedBy != self {
