--- a/internal/flight/abuse_test.go
+++ b/internal/flight/abuse_test.go
@@ -1,7 +1,7 @@
 package flight_test
 
-// Abuse of the server by clients that speak HTTP/2 by hand, and of the coordinator by data nodes that cut, lie or turn a
-// stream back. What is at fault may cost itself; everybody else is served as before.
+// Abuse of the server by clients that send raw HTTP/2 frames, and of the coordinator by data nodes that close, corrupt or refuse
+// streams. Only the faulty party may be affected; everyone else is served as before.
 
 import (
 	"bytes"
@@ -28,8 +28,8 @@
 	"gullfall/internal/flight"
 )
 
-// raw is a connection that speaks HTTP/2 by hand, after its greeting.
-func raw(t *testing.T, addr string) (net.Conn, *http2.Framer) {
+// dialHTTP2 opens a connection, sends the HTTP/2 preface and settings, and returns a framer for dialHTTP2 frames.
+func dialHTTP2(t *testing.T, addr string) (net.Conn, *http2.Framer) {
 	t.Helper()
 	nc, err := net.Dial("tcp", addr)
 	if err != nil {
@@ -46,7 +46,7 @@
 	return nc, f
 }
 
-// headers is the header block of a call.
+// headers returns the header block of a call.
 func headers(method string) []byte {
 	var b bytes.Buffer
 	e := hpack.NewEncoder(&b)
@@ -57,8 +57,8 @@
 	return b.Bytes()
 }
 
-// ends waits for the server to close a connection or send GOAWAY, and returns how long that took.
-func ends(f *http2.Framer) (time.Duration, string) {
+// waitForClose waits until the server closes a connection or sends GOAWAY. It returns how long that took and how it ended.
+func waitForClose(f *http2.Framer) (time.Duration, string) {
 	start := time.Now()
 	for {
 		frame, err := f.ReadFrame()
@@ -71,18 +71,18 @@
 	}
 }
 
-// TestAbuse: each abuse ends its own connection at most, and an honest client is served throughout.
-func TestAbuse(t *testing.T) {
-	s := start(t, flight.Options{}, time.Millisecond, nil)
+// TestHTTP2Abuse: each kind of abuse ends at most its own connection, and a well-behaved client is served throughout.
+func TestHTTP2Abuse(t *testing.T) {
+	s := startServer(t, flight.Options{}, time.Millisecond, nil)
 	good := s.client()
-	serves := func(what string) {
+	checkServed := func(what string) {
 		t.Helper()
 		if g, err := good.Get(t.Context(), good.Question("", 0, 1, 2, 3)); err != nil || !g.Complete {
-			t.Errorf("%s: an honest client: %v", what, err)
+			t.Errorf("%s: a well-behaved client: %v", what, err)
 		}
 	}
 	t.Run("pings", func(t *testing.T) {
-		_, f := raw(t, s.addr)
+		_, f := dialHTTP2(t, s.addr)
 		go func() {
 			for range 200 {
 				if f.WritePing(false, [8]byte{1}) != nil {
@@ -91,14 +91,14 @@
 				time.Sleep(time.Millisecond)
 			}
 		}()
-		if took, how := ends(f); took > 5*time.Second || !strings.Contains(how, "too_many_pings") {
+		if took, how := waitForClose(f); took > 5*time.Second || !strings.Contains(how, "too_many_pings") {
 			t.Errorf("a flood of pings ended by %q after %v", how, took)
 		}
-		serves("pings")
+		checkServed("pings")
 	})
 	t.Run("resets", func(t *testing.T) {
-		nc, f := raw(t, s.addr)
-		go func() { // what comes back is not of interest
+		nc, f := dialHTTP2(t, s.addr)
+		go func() { // discards the answers
 			for {
 				if _, err := f.ReadFrame(); err != nil {
 					return
@@ -108,35 +108,35 @@
 		for i := range 5000 {
 			id := uint32(2*i + 1)
 			if f.WriteHeaders(http2.HeadersFrameParam{StreamID: id, BlockFragment: headers("DoGet"), EndHeaders: true}) != nil || f.WriteRSTStream(id, http2.ErrCodeCancel) != nil {
-				break // it may be told to go
+				break // the server may close the connection
 			}
 		}
 		nc.Close()
-		serves("resets")
-		for end := time.Now().Add(5 * time.Second); s.core.OpenCount() > 0; time.Sleep(5 * time.Millisecond) {
+		checkServed("resets")
+		for end := time.Now().Add(5 * time.Second); s.coordinator.OpenCount() > 0; time.Sleep(5 * time.Millisecond) {
 			if time.Now().After(end) {
-				t.Fatalf("%d are open after a flood of resets", s.core.OpenCount())
+				t.Fatalf("%d queries are open after a flood of resets", s.coordinator.OpenCount())
 			}
 		}
 	})
-	t.Run("headers without end", func(t *testing.T) {
-		nc, f := raw(t, s.addr)
+	t.Run("endless headers", func(t *testing.T) {
+		nc, f := dialHTTP2(t, s.addr)
 		block := headers("DoGet")
 		f.WriteHeaders(http2.HeadersFrameParam{StreamID: 1, BlockFragment: block[:10]})
 		go func() {
-			for range 1000 { // 16 KiB of them are read at most
+			for range 1000 { // the server reads at most 16 KiB of them
 				if f.WriteContinuation(1, false, bytes.Repeat([]byte{0x40, 0x01, 'a', 0x01, 'b'}, 200)) != nil {
 					return
 				}
 			}
 		}()
-		if took, how := ends(f); took > 5*time.Second {
+		if took, how := waitForClose(f); took > 5*time.Second {
 			t.Errorf("ended by %q after %v", how, took)
 		}
 		nc.Close()
-		serves("headers")
+		checkServed("headers")
 	})
-	t.Run("silence", func(t *testing.T) {
+	t.Run("no handshake", func(t *testing.T) {
 		nc, err := net.Dial("tcp", s.addr)
 		if err != nil {
 			t.Fatal(err)
@@ -149,14 +149,14 @@
 			_, err = nc.Read(buf)
 		}
 		if took := time.Since(start); took > 4*time.Second {
-			t.Errorf("one that never greets is closed after %v", took)
+			t.Errorf("a connection without a handshake was closed after %v", took)
 		}
-		serves("silence")
+		checkServed("no handshake")
 	})
-	t.Run("lies about lengths", func(t *testing.T) {
-		_, f := raw(t, s.addr)
+	t.Run("wrong length prefix", func(t *testing.T) {
+		_, f := dialHTTP2(t, s.addr)
 		f.WriteHeaders(http2.HeadersFrameParam{StreamID: 1, BlockFragment: headers("DoGet"), EndHeaders: true})
-		f.WriteData(1, true, []byte{0, 0xff, 0xff, 0xff, 0xff, 1, 2, 3}) // a message of 4 GiB
+		f.WriteData(1, true, []byte{0, 0xff, 0xff, 0xff, 0xff, 1, 2, 3}) // announces a message of 4 GiB
 		for {
 			frame, err := f.ReadFrame()
 			if err != nil {
@@ -166,44 +166,44 @@
 				break
 			}
 		}
-		serves("lengths")
+		checkServed("lengths")
 	})
 }
 
-// faulty is a data node that does one thing wrong.
-type faulty struct {
+// faultyNode is a data node with one fault, which handle implements.
+type faultyNode struct {
 	arrowflight.BaseFlightServer
-	do func(parts []flight.PartRequest, w *arrowflight.Writer, stream arrowflight.FlightService_DoExchangeServer) error
+	handle func(parts []flight.PartRequest, w *arrowflight.Writer, stream arrowflight.FlightService_DoExchangeServer) error
 
 	mu    sync.Mutex
 	calls int
 	parts map[string]int
 }
 
-func (f *faulty) DoExchange(stream arrowflight.FlightService_DoExchangeServer) error {
+func (f *faultyNode) DoExchange(stream arrowflight.FlightService_DoExchangeServer) error {
 	m, err := stream.Recv()
 	if err != nil {
 		return err
 	}
-	var ask flight.CallRequest
-	if err := json.Unmarshal(m.GetAppMetadata(), &ask); err != nil {
+	var request flight.CallRequest
+	if err := json.Unmarshal(m.GetAppMetadata(), &request); err != nil {
 		return err
 	}
 	f.mu.Lock()
 	f.calls++
-	for _, p := range ask.Parts {
+	for _, p := range request.Parts {
 		f.parts[p.ID]++
 	}
 	f.mu.Unlock()
 	w := arrowflight.NewRecordWriter(stream, ipc.WithSchema(flight.Schema))
-	if err := f.do(ask.Parts, w, stream); err != nil {
+	if err := f.handle(request.Parts, w, stream); err != nil {
 		return err
 	}
 	return w.Close()
 }
 
-// row is a batch of one document.
-func row(w *arrowflight.Writer, shard int, doc string, m flight.PartResponse) error {
+// writeRow writes a batch of one document.
+func writeRow(w *arrowflight.Writer, shard int, doc string, m flight.PartResponse) error {
 	b := array.NewRecordBuilder(memory.DefaultAllocator, flight.Schema)
 	defer b.Release()
 	b.Field(0).(*array.Int32Builder).Append(int32(shard))
@@ -214,11 +214,11 @@
 	return w.WriteWithAppMetadata(rec, raw)
 }
 
-// behind puts a faulty data node behind a server; the others of the stand are sound.
-func behind(t *testing.T, f *faulty) (*stand, *grpc.Server) {
+// startWithFaultyNode starts a server with a faulty data node besides the working ones.
+func startWithFaultyNode(t *testing.T, f *faultyNode) (*testServer, *grpc.Server) {
 	t.Helper()
 	f.parts = map[string]int{}
-	s := start(t, flight.Options{}, time.Millisecond, nil)
+	s := startServer(t, flight.Options{}, time.Millisecond, nil)
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -231,11 +231,11 @@
 	for i, n := range s.nodes {
 		list = append(list, coordinator.Member{ID: n.ID, Addr: n.Addr(), ShardSet: i % 2, Weight: 1})
 	}
-	s.list.ReplaceList(list, false)
+	s.source.ReplaceList(list, false)
 	return s, g
 }
 
-// recorder keeps what a writer sends.
+// recorder records the messages that a writer sends.
 type recorder struct{ list []*arrowflight.FlightData }
 
 func (r *recorder) Send(m *arrowflight.FlightData) error {
@@ -243,8 +243,8 @@
 	return nil
 }
 
-// recorded are the messages of a stream of one batch: its schema, its dictionaries, and the batch.
-func recorded(schema *arrow.Schema, fill func(b *array.RecordBuilder), meta []byte) []*arrowflight.FlightData {
+// recordBatch returns the messages of a stream of one batch: its schema, its dictionaries, and the batch.
+func recordBatch(schema *arrow.Schema, fill func(b *array.RecordBuilder), meta []byte) []*arrowflight.FlightData {
 	var r recorder
 	w := arrowflight.NewRecordWriter(&r, ipc.WithSchema(schema))
 	b := array.NewRecordBuilder(memory.DefaultAllocator, schema)
@@ -256,78 +256,78 @@
 	return r.list
 }
 
-// TestFaultyCalls: whatever goes wrong on a call's stream, and at whichever of its messages, each query has its whole
-// answer from other data nodes, and what came before a fault is not mixed with what comes after.
-func TestFaultyCalls(t *testing.T) {
-	for name, do := range map[string]func(parts []flight.PartRequest, w *arrowflight.Writer, stream arrowflight.FlightService_DoExchangeServer) error{
-		"no answer at all": func([]flight.PartRequest, *arrowflight.Writer, arrowflight.FlightService_DoExchangeServer) error {
+// TestFaultyNodeStreams: when the stream of a call fails at any message, each query still gets its complete answer from other data
+// nodes, and documents received before the fault are not mixed with those received after it.
+func TestFaultyNodeStreams(t *testing.T) {
+	for name, handle := range map[string]func(parts []flight.PartRequest, w *arrowflight.Writer, stream arrowflight.FlightService_DoExchangeServer) error{
+		"no answer": func([]flight.PartRequest, *arrowflight.Writer, arrowflight.FlightService_DoExchangeServer) error {
 			return fmt.Errorf("broken")
 		},
-		"cut after half of a part": func(p []flight.PartRequest, w *arrowflight.Writer, _ arrowflight.FlightService_DoExchangeServer) error {
-			row(w, p[0].Shard, "half", flight.PartResponse{ID: p[0].ID})
+		"stream fails within a part": func(p []flight.PartRequest, w *arrowflight.Writer, _ arrowflight.FlightService_DoExchangeServer) error {
+			writeRow(w, p[0].Shard, "half", flight.PartResponse{ID: p[0].ID})
 			return fmt.Errorf("broken")
 		},
-		"ends well without an end of the part": func(p []flight.PartRequest, w *arrowflight.Writer, _ arrowflight.FlightService_DoExchangeServer) error {
-			return row(w, p[0].Shard, "half", flight.PartResponse{ID: p[0].ID})
+		"stream ends without the part's last batch": func(p []flight.PartRequest, w *arrowflight.Writer, _ arrowflight.FlightService_DoExchangeServer) error {
+			return writeRow(w, p[0].Shard, "half", flight.PartResponse{ID: p[0].ID})
 		},
-		"another shard's document": func(p []flight.PartRequest, w *arrowflight.Writer, _ arrowflight.FlightService_DoExchangeServer) error {
+		"document of another shard": func(p []flight.PartRequest, w *arrowflight.Writer, _ arrowflight.FlightService_DoExchangeServer) error {
 			for _, p := range p {
-				row(w, p.Shard+1, "x", flight.PartResponse{ID: p.ID, Last: true})
+				writeRow(w, p.Shard+1, "x", flight.PartResponse{ID: p.ID, Last: true})
 			}
 			return nil
 		},
-		"metadata that is none": func(p []flight.PartRequest, w *arrowflight.Writer, _ arrowflight.FlightService_DoExchangeServer) error {
+		"malformed metadata": func(p []flight.PartRequest, w *arrowflight.Writer, _ arrowflight.FlightService_DoExchangeServer) error {
 			b := array.NewRecordBuilder(memory.DefaultAllocator, flight.Schema)
 			defer b.Release()
 			return w.WriteWithAppMetadata(b.NewRecordBatch(), []byte("{"))
 		},
-		"parts that nobody asked for": func(p []flight.PartRequest, w *arrowflight.Writer, _ arrowflight.FlightService_DoExchangeServer) error {
-			return row(w, 0, "x", flight.PartResponse{ID: "nobody", Last: true})
+		"part that was not requested": func(p []flight.PartRequest, w *arrowflight.Writer, _ arrowflight.FlightService_DoExchangeServer) error {
+			return writeRow(w, 0, "x", flight.PartResponse{ID: "nobody", Last: true})
 		},
-		"too large": func(p []flight.PartRequest, w *arrowflight.Writer, _ arrowflight.FlightService_DoExchangeServer) error {
+		"part over the size limit": func(p []flight.PartRequest, w *arrowflight.Writer, _ arrowflight.FlightService_DoExchangeServer) error {
 			for range 4 {
-				row(w, p[0].Shard, strings.Repeat("x", 100<<10), flight.PartResponse{ID: p[0].ID})
+				writeRow(w, p[0].Shard, strings.Repeat("x", 100<<10), flight.PartResponse{ID: p[0].ID})
 			}
 			return nil
 		},
-		"a body that lies about its lengths": func(p []flight.PartRequest, w *arrowflight.Writer, stream arrowflight.FlightService_DoExchangeServer) error {
-			row(w, p[0].Shard, "half", flight.PartResponse{ID: p[0].ID})
+		"malformed batch header": func(p []flight.PartRequest, w *arrowflight.Writer, stream arrowflight.FlightService_DoExchangeServer) error {
+			writeRow(w, p[0].Shard, "half", flight.PartResponse{ID: p[0].ID})
 			return stream.Send(&arrowflight.FlightData{DataHeader: bytes.Repeat([]byte{0xff}, 64), DataBody: []byte("x")})
 		},
-		"a dictionary is missing": func(p []flight.PartRequest, _ *arrowflight.Writer, stream arrowflight.FlightService_DoExchangeServer) error {
+		"missing dictionary": func(p []flight.PartRequest, _ *arrowflight.Writer, stream arrowflight.FlightService_DoExchangeServer) error {
 			schema, err := flight.NewSchema([]flight.Field{{Name: "club", Type: "dictionary"}})
 			if err != nil {
 				return err
 			}
 			meta, _ := json.Marshal(flight.PartResponse{ID: p[0].ID, Last: true})
-			list := recorded(schema, func(b *array.RecordBuilder) { b.Field(0).(*array.BinaryDictionaryBuilder).AppendString("Olinda") }, meta)
+			list := recordBatch(schema, func(b *array.RecordBuilder) { b.Field(0).(*array.BinaryDictionaryBuilder).AppendString("Olinda") }, meta)
 			stream.Send(list[0])
 			stream.Send(list[len(list)-1])
 			return fmt.Errorf("broken")
 		},
-		"a schema that changes half-way": func(p []flight.PartRequest, w *arrowflight.Writer, stream arrowflight.FlightService_DoExchangeServer) error {
-			row(w, p[0].Shard, "half", flight.PartResponse{ID: p[0].ID})
+		"schema changes within the stream": func(p []flight.PartRequest, w *arrowflight.Writer, stream arrowflight.FlightService_DoExchangeServer) error {
+			writeRow(w, p[0].Shard, "half", flight.PartResponse{ID: p[0].ID})
 			schema, err := flight.NewSchema([]flight.Field{{Name: "x", Type: "int32"}})
 			if err != nil {
 				return err
 			}
 			meta, _ := json.Marshal(flight.PartResponse{ID: p[0].ID, Last: true})
-			for _, m := range recorded(schema, func(b *array.RecordBuilder) { b.Field(0).(*array.Int32Builder).Append(1) }, meta) {
+			for _, m := range recordBatch(schema, func(b *array.RecordBuilder) { b.Field(0).(*array.Int32Builder).Append(1) }, meta) {
 				stream.Send(m)
 			}
 			return fmt.Errorf("broken")
 		},
-		"turned away": func(p []flight.PartRequest, w *arrowflight.Writer, _ arrowflight.FlightService_DoExchangeServer) error {
+		"part rejected": func(p []flight.PartRequest, w *arrowflight.Writer, _ arrowflight.FlightService_DoExchangeServer) error {
 			for _, p := range p {
-				row(w, p.Shard, "x", flight.PartResponse{ID: p.ID, Status: "ResourceExhausted"})
+				writeRow(w, p.Shard, "x", flight.PartResponse{ID: p.ID, Status: "ResourceExhausted"})
 			}
 			return nil
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			f := &faulty{do: do}
-			s, _ := behind(t, f)
+			f := &faultyNode{handle: handle}
+			s, _ := startWithFaultyNode(t, f)
 			c := s.client()
 			for range 20 {
 				g, err := c.Get(t.Context(), c.Question("", 0, 2, 4, 6))
@@ -343,36 +343,36 @@
 			f.mu.Lock()
 			defer f.mu.Unlock()
 			if f.calls == 0 {
-				t.Error("the faulty data node was never asked")
+				t.Error("the faulty data node was never called")
 			}
 			for id, n := range f.parts {
 				if n > 1 {
-					t.Errorf("%s came to it %d times", id, n)
+					t.Errorf("part %s was sent to the faulty data node %d times", id, n)
 				}
 			}
 		})
 	}
 }
 
-// TestCutAtEachMessage: the connection of a data node is cut after each of the messages of a call of four parts.
-func TestCutAtEachMessage(t *testing.T) {
+// TestConnectionLostAtEachMessage: the connection to a data node is lost after each of the messages of a call of four parts.
+func TestConnectionLostAtEachMessage(t *testing.T) {
 	for after := range 5 {
 		t.Run(fmt.Sprint(after), func(t *testing.T) {
 			t.Parallel()
 			var g *grpc.Server
-			f := &faulty{do: func(p []flight.PartRequest, w *arrowflight.Writer, stream arrowflight.FlightService_DoExchangeServer) error {
+			f := &faultyNode{handle: func(p []flight.PartRequest, w *arrowflight.Writer, stream arrowflight.FlightService_DoExchangeServer) error {
 				for i, p := range p {
 					if i == after {
 						break
 					}
-					row(w, p.Shard, fmt.Sprintf("%016x", uint64(p.Shard+1)*0x9e3779b97f4a7c15), flight.PartResponse{ID: p.ID, Last: true})
+					writeRow(w, p.Shard, fmt.Sprintf("%016x", uint64(p.Shard+1)*0x9e3779b97f4a7c15), flight.PartResponse{ID: p.ID, Last: true})
 				}
-				time.Sleep(20 * time.Millisecond) // what was sent is to arrive
+				time.Sleep(20 * time.Millisecond) // lets the messages arrive
 				go g.Stop()
 				<-stream.Context().Done()
 				return stream.Context().Err()
 			}}
-			s, server := behind(t, f)
+			s, server := startWithFaultyNode(t, f)
 			g = server
 			c := s.client()
 			for range 5 {
@@ -385,37 +385,37 @@
 	}
 }
 
-// TestTransparentRetry: a stream that a data node turns back unprocessed (GOAWAY with a lower last stream) may be moved to
-// a new connection by the library. Only that second copy reaches a handler: no part is at a data node twice.
+// TestTransparentRetry: gRPC may retry a stream that a data node refuses unprocessed (GOAWAY with a lower last stream ID) on a new
+// connection. Only that retry reaches a handler: no data node runs a part twice.
 func TestTransparentRetry(t *testing.T) {
-	f := &faulty{parts: map[string]int{}, do: func(p []flight.PartRequest, w *arrowflight.Writer, _ arrowflight.FlightService_DoExchangeServer) error {
+	f := &faultyNode{parts: map[string]int{}, handle: func(p []flight.PartRequest, w *arrowflight.Writer, _ arrowflight.FlightService_DoExchangeServer) error {
 		for _, p := range p {
-			row(w, p.Shard, fmt.Sprintf("%016x", uint64(p.Shard+1)*0x9e3779b97f4a7c15), flight.PartResponse{ID: p.ID, Last: true})
+			writeRow(w, p.Shard, fmt.Sprintf("%016x", uint64(p.Shard+1)*0x9e3779b97f4a7c15), flight.PartResponse{ID: p.ID, Last: true})
 		}
 		return nil
 	}}
 	g := grpc.NewServer()
 	arrowflight.RegisterFlightServiceServer(g, f)
-	back, err := net.Listen("tcp", "127.0.0.1:0")
+	nodeListener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	go g.Serve(back)
+	go g.Serve(nodeListener)
 	t.Cleanup(g.Stop)
-	front, err := net.Listen("tcp", "127.0.0.1:0")
+	proxyListener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { front.Close() })
-	turned := make(chan struct{}, 99)
+	t.Cleanup(func() { proxyListener.Close() })
+	refused := make(chan struct{}, 99)
 	go func() {
 		for n := 0; ; n++ {
-			nc, err := front.Accept()
+			nc, err := proxyListener.Accept()
 			if err != nil {
 				return
 			}
 			if n > 0 {
-				up, err := net.Dial("tcp", back.Addr().String())
+				up, err := net.Dial("tcp", nodeListener.Addr().String())
 				if err != nil {
 					return
 				}
@@ -423,7 +423,7 @@
 				go func() { defer nc.Close(); copyAll(nc, up) }()
 				continue
 			}
-			go func() { // the first connection turns its first stream back
+			go func() { // the first connection refuses its first stream
 				defer nc.Close()
 				preface := make([]byte, len(http2.ClientPreface))
 				if _, err := nc.Read(preface); err != nil {
@@ -443,31 +443,31 @@
 						}
 					case *http2.HeadersFrame:
 						fr.WriteGoAway(0, http2.ErrCodeNo, nil)
-						turned <- struct{}{}
+						refused <- struct{}{}
 					}
 				}
 			}()
 		}
 	}()
-	s := start(t, flight.Options{}, 0, func(c *coordinator.Coordinator) coordinator.Dispatcher {
+	s := startServer(t, flight.Options{}, 0, func(c *coordinator.Coordinator) coordinator.Dispatcher {
 		return (&flight.Nodes{Coordinator: c, Log: slog.New(slog.DiscardHandler), Streams: 64, Connect: time.Second, Connections: make(chan struct{}, 64),
 			Dial: func(ctx context.Context, addr string) (net.Conn, error) {
 				return (&net.Dialer{}).DialContext(ctx, "tcp", addr)
 			}}).Dispatch
 	})
-	s.list.ReplaceList([]coordinator.Member{{ID: "turns", Addr: front.Addr().String(), Weight: 1}}, false)
+	s.source.ReplaceList([]coordinator.Member{{ID: "turns", Addr: proxyListener.Addr().String(), Weight: 1}}, false)
 	c := s.client()
 	if a, err := c.Get(t.Context(), c.Question("", 0, 1, 2, 3)); err != nil || !a.Complete {
 		t.Errorf("%v, complete %v", err, a.Complete)
 	}
-	if len(turned) == 0 {
-		t.Error("no stream was turned back")
+	if len(refused) == 0 {
+		t.Error("no stream was refused")
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for id, n := range f.parts {
 		if n != 1 {
-			t.Errorf("%s came to a handler %d times", id, n)
+			t.Errorf("part %s reached a handler %d times", id, n)
 		}
 	}
 }
--- a/internal/flight/actions.go
+++ b/internal/flight/actions.go
@@ -1,7 +1,7 @@
 package flight
 
-// DoAction: flights that are cancelled or renewed, sessions, and the load report. A flight or a session of another owner
-// is refused (PermissionDenied).
+// DoAction: cancelling and renewing flights, session options, and the load report. Actions on a flight or a session of another owner
+// are refused (PermissionDenied).
 
 import (
 	"context"
@@ -27,15 +27,15 @@
 	"gullfall/internal/session"
 )
 
-// The options of a session.
+// Names of the session options.
 const (
-	optionCodec = "compression" // of the columns' bytes: none, zstd or lz4
-	optionRows  = "batch_rows"  // most rows of a batch, 1 to 65536
+	optionCodec     = "compression" // codec of the columns: none, zstd or lz4
+	optionBatchRows = "batch_rows"  // maximum rows of a batch, 1 to 65536
 )
 
-var sessionChoices = []session.Option{
+var sessionOptionSpecs = []session.Option{
 	{Name: optionCodec, Values: []string{"none", "zstd", "lz4"}},
-	{Name: optionRows, Check: func(v string) error {
+	{Name: optionBatchRows, Check: func(v string) error {
 		if n, err := strconv.Atoi(v); err != nil || n < 1 || n > 65536 {
 			return fmt.Errorf("%q is not within 1 and 65536", v)
 		}
@@ -43,10 +43,10 @@
 	}},
 }
 
-// action is one that is offered.
+// action is an action that DoAction offers.
 type action struct {
 	description string
-	do          func(s *Server, ctx context.Context, body []byte) (proto.Message, error)
+	run         func(s *Server, ctx context.Context, body []byte) (proto.Message, error)
 }
 
 var actions map[string]action
@@ -62,7 +62,7 @@
 	}
 }
 
-// ListActions tells which actions are offered.
+// ListActions lists the offered actions.
 func (s *Server) ListActions(_ *flight.Empty, stream flight.FlightService_ListActionsServer) error {
 	names := make([]string, 0, len(actions))
 	for name := range actions {
@@ -77,7 +77,7 @@
 	return nil
 }
 
-// DoAction does one action.
+// DoAction runs one action.
 func (s *Server) DoAction(a *flight.Action, stream flight.FlightService_DoActionServer) error {
 	if a.GetType() == LoadAction {
 		s.mu.Lock()
@@ -91,7 +91,7 @@
 	if !known {
 		return status.Errorf(codes.Unimplemented, "action %q is not offered; ListActions tells which are", a.GetType())
 	}
-	result, err := act.do(s, stream.Context(), a.GetBody())
+	result, err := act.run(s, stream.Context(), a.GetBody())
 	if err != nil {
 		return err
 	}
@@ -102,23 +102,23 @@
 	return stream.Send(&flight.Result{Body: raw})
 }
 
-// ticketed finds the flight that an endpoint belongs to, and its owner.
-func (s *Server) ticketed(ctx context.Context, e *flight.FlightEndpoint) (t fetchTicket, owner string, err error) {
-	owner, payload, err := s.keys.open(time.Now(), forFetch, e.GetTicket().GetTicket())
+// flightOfEndpoint returns the flight that an endpoint belongs to, and its owner.
+func (s *Server) flightOfEndpoint(ctx context.Context, e *flight.FlightEndpoint) (t fetchTicket, owner string, err error) {
+	owner, payload, err := s.keys.verify(time.Now(), purposeFetch, e.GetTicket().GetTicket())
 	if err == nil {
 		err = json.Unmarshal(payload, &t)
 	}
 	if err != nil {
 		return t, "", status.Error(codes.InvalidArgument, err.Error())
 	}
-	if g := callerOf(ctx); g.authenticated && owner != g.client.Owner {
+	if c := callerOf(ctx); c.authenticated && owner != c.client.Owner {
 		return t, "", status.Error(codes.PermissionDenied, "the ticket belongs to another owner")
 	}
 	return t, owner, nil
 }
 
-// cancelFlight gives a flight up: parts that are out are cancelled at their data nodes by the coordinator. A flight that is
-// polled is known by its descriptor, one that is complete by its endpoints.
+// cancelFlight cancels a flight; the coordinator cancels its outstanding parts at their data nodes. A flight being polled is
+// identified by its descriptor, a complete one by its endpoints.
 func (s *Server) cancelFlight(ctx context.Context, body []byte) (proto.Message, error) {
 	var req gen.CancelFlightInfoRequest
 	if err := proto.Unmarshal(body, &req); err != nil {
@@ -127,17 +127,17 @@
 	var id, owner string
 	switch info := req.GetInfo(); {
 	case len(info.GetEndpoint()) > 0:
-		t, from, err := s.ticketed(ctx, info.GetEndpoint()[0])
+		t, from, err := s.flightOfEndpoint(ctx, info.GetEndpoint()[0])
 		if err != nil {
 			return nil, err
 		}
 		id, owner = t.Flight, from
-	case sealed(info.GetFlightDescriptor().GetCmd()):
-		from, payload, err := s.keys.open(time.Now(), forPoll, info.GetFlightDescriptor().GetCmd())
+	case isToken(info.GetFlightDescriptor().GetCmd()):
+		from, payload, err := s.keys.verify(time.Now(), purposePoll, info.GetFlightDescriptor().GetCmd())
 		if err != nil {
 			return nil, status.Error(codes.InvalidArgument, err.Error())
 		}
-		if g := callerOf(ctx); g.authenticated && from != g.client.Owner {
+		if c := callerOf(ctx); c.authenticated && from != c.client.Owner {
 			return nil, status.Error(codes.PermissionDenied, "the descriptor belongs to another owner")
 		}
 		id, owner = string(payload), from
@@ -145,9 +145,9 @@
 		return nil, status.Error(codes.InvalidArgument, "the info has neither an endpoint nor the descriptor of a poll")
 	}
 	s.mu.Lock()
-	running, was, err := s.flights.Cancel(time.Now(), id, owner)
-	if k := s.results[id]; running && k != nil && k.cancel != nil {
-		k.cancel()
+	running, state, err := s.flights.Cancel(time.Now(), id, owner)
+	if r := s.results[id]; running && r != nil && r.cancel != nil {
+		r.cancel()
 	}
 	s.mu.Unlock()
 	if err != nil {
@@ -156,20 +156,20 @@
 	result := &gen.CancelFlightInfoResult{Status: gen.CancelStatus_CANCEL_STATUS_CANCELLED}
 	switch {
 	case running:
-		result.Status = gen.CancelStatus_CANCEL_STATUS_CANCELLING // its parts may be out for a moment yet
-	case was == session.Ready || was == session.Failed:
+		result.Status = gen.CancelStatus_CANCEL_STATUS_CANCELLING // its parts may still run for a moment
+	case state == session.Ready || state == session.Failed:
 		result.Status = gen.CancelStatus_CANCEL_STATUS_NOT_CANCELLABLE
 	}
 	return result, nil
 }
 
-// renewEndpoint keeps a flight for longer, and returns the endpoint with a ticket that holds as long.
+// renewEndpoint extends the lifetime of a flight and returns the endpoint with a ticket that is valid as long.
 func (s *Server) renewEndpoint(ctx context.Context, body []byte) (proto.Message, error) {
 	var req gen.RenewFlightEndpointRequest
 	if err := proto.Unmarshal(body, &req); err != nil {
 		return nil, status.Errorf(codes.InvalidArgument, "body: %v", err)
 	}
-	t, owner, err := s.ticketed(ctx, req.GetEndpoint())
+	t, owner, err := s.flightOfEndpoint(ctx, req.GetEndpoint())
 	if err != nil {
 		return nil, err
 	}
@@ -181,10 +181,10 @@
 	}
 	payload, _ := json.Marshal(t)
 	return &flight.FlightEndpoint{ExpirationTime: timestamppb.New(until), Location: req.GetEndpoint().GetLocation(),
-		Ticket: &flight.Ticket{Ticket: s.keys.seal(forFetch, owner, until, payload)}}, nil
+		Ticket: &flight.Ticket{Ticket: s.keys.sign(purposeFetch, owner, until, payload)}}, nil
 }
 
-// sessionID is the session that a call names; empty for none.
+// sessionID returns the session that a call names, or "" if it names none.
 func sessionID(ctx context.Context) string {
 	if cookie, err := flightsession.GetIncomingCookieByName(ctx, flightsession.StatefulSessionCookieName); err == nil {
 		return cookie.Value
@@ -192,14 +192,14 @@
 	return ""
 }
 
-// sessionOptions are those of the session that a call names; none where it names none.
-func (s *Server) sessionOptions(ctx context.Context, g *caller) (o streamOptions, err error) {
+// sessionOptions returns the options of the session that a call names, or the zero value if it names none.
+func (s *Server) sessionOptions(ctx context.Context, c *caller) (o streamOptions, err error) {
 	id := sessionID(ctx)
 	if id == "" {
 		return o, nil
 	}
 	s.mu.Lock()
-	set, err := s.sessions.Options(time.Now(), id, g.client.Owner)
+	set, err := s.sessions.Options(time.Now(), id, c.client.Owner)
 	s.mu.Unlock()
 	if err != nil {
 		return o, sessionStatus(err)
@@ -207,13 +207,13 @@
 	if o.codec = set[optionCodec]; o.codec == "none" {
 		o.codec = ""
 	}
-	if rows := set[optionRows]; rows != "" {
-		o.rows, _ = strconv.Atoi(rows) // checked when it was set
+	if rows := set[optionBatchRows]; rows != "" {
+		o.rows, _ = strconv.Atoi(rows) // validated when it was set
 	}
 	return o, nil
 }
 
-// optionText is an option's value as text; empty takes it back.
+// optionText returns an option's value as text, "" for an option to unset; it returns false for a value of an unsupported type.
 func optionText(v *gen.SessionOptionValue) (string, bool) {
 	switch v := v.GetOptionValue().(type) {
 	case nil:
@@ -232,7 +232,7 @@
 		return nil, status.Errorf(codes.InvalidArgument, "body: %v", err)
 	}
 	result := &gen.SetSessionOptionsResult{Errors: map[string]*gen.SetSessionOptionsResult_Error{}}
-	fault := func(name string, v gen.SetSessionOptionsResult_ErrorValue) {
+	reject := func(name string, v gen.SetSessionOptionsResult_ErrorValue) {
 		result.Errors[name] = &gen.SetSessionOptionsResult_Error{Value: v}
 	}
 	set := map[string]string{}
@@ -240,7 +240,7 @@
 		if text, ok := optionText(v); ok {
 			set[name] = text
 		} else {
-			fault(name, gen.SetSessionOptionsResult_INVALID_VALUE)
+			reject(name, gen.SetSessionOptionsResult_INVALID_VALUE)
 		}
 	}
 	id, owner := sessionID(ctx), callerOf(ctx).client.Owner
@@ -257,16 +257,16 @@
 			s.Log.Info("session cookie not sent", "cause", err)
 		}
 	}
-	faults, err := s.sessions.Set(now, id, owner, set)
+	invalid, err := s.sessions.Set(now, id, owner, set)
 	if err != nil {
 		return nil, sessionStatus(err)
 	}
-	for name, err := range faults {
-		known := slices.ContainsFunc(sessionChoices, func(o session.Option) bool { return o.Name == name })
+	for name, err := range invalid {
+		known := slices.ContainsFunc(sessionOptionSpecs, func(o session.Option) bool { return o.Name == name })
 		if errors.Is(err, session.ErrInvalidOption) && !known {
-			fault(name, gen.SetSessionOptionsResult_INVALID_NAME)
+			reject(name, gen.SetSessionOptionsResult_INVALID_NAME)
 		} else {
-			fault(name, gen.SetSessionOptionsResult_INVALID_VALUE)
+			reject(name, gen.SetSessionOptionsResult_INVALID_VALUE)
 		}
 	}
 	return result, nil
--- a/internal/flight/auth.go
+++ b/internal/flight/auth.go
@@ -1,7 +1,7 @@
 package flight
 
-// Who asks: credentials in headers, the handshake, and owners by network. Secrets are compared in constant time, and an error does
-// not say which half of a credential was wrong.
+// Authentication by credentials in headers, by the handshake, and by network. Secrets are compared in constant time, and an error
+// does not reveal which half of a credential was wrong.
 
 import (
 	"context"
@@ -25,7 +25,7 @@
 	gen "github.com/apache/arrow-go/v18/arrow/flight/gen/flight"
 )
 
-// Owner is one that may ask.
+// Owner is an owner of queries with its credentials.
 type Owner struct {
 	Name     string
 	User     string // for basic credentials
@@ -33,49 +33,51 @@
 	Token    string // for bearer credentials
 }
 
-// People says who may ask. Its zero value lets all in and leaves the owner to the ticket.
+// People is the access policy. Its zero value admits everyone and takes the owner from the ticket.
 type People struct {
 	Owners   []Owner
-	Networks *bart.Table[string] // owner by network, where no credentials come; may be nil
-	Denied   *bart.Lite          // addresses that are turned away; may be nil
-	Allowed  *bart.Lite          // where not nil, only these are let in
+	Networks *bart.Table[string] // owner by network, for calls without credentials; may be nil
+	Denied   *bart.Lite          // addresses that are refused; may be nil
+	Allowed  *bart.Lite          // if not nil, only these addresses are admitted
 }
 
-// known tells whether anybody is to be known.
-func (p *People) known() bool { return len(p.Owners) > 0 || p.Networks != nil && p.Networks.Size() > 0 }
+// requiresAuth reports whether callers have to be authenticated.
+func (p *People) requiresAuth() bool {
+	return len(p.Owners) > 0 || p.Networks != nil && p.Networks.Size() > 0
+}
 
-func same(a, b string) bool {
+func secretsEqual(a, b string) bool {
 	x, y := sha256.Sum256([]byte(a)), sha256.Sum256([]byte(b))
 	return subtle.ConstantTimeCompare(x[:], y[:]) == 1
 }
 
-// basic finds the owner of a name and password.
-func (p *People) basic(user, password string) (owner string, ok bool) {
+// ownerByPassword returns the owner with this user name and password.
+func (p *People) ownerByPassword(user, password string) (owner string, ok bool) {
 	for _, o := range p.Owners {
-		if o.User != "" && same(o.User, user) && same(o.Password, password) {
+		if o.User != "" && secretsEqual(o.User, user) && secretsEqual(o.Password, password) {
 			owner, ok = o.Name, true
 		}
 	}
 	return owner, ok
 }
 
-// bearer finds the owner of a token that was given out by hand.
-func (p *People) bearer(token string) (owner string, ok bool) {
+// ownerByToken returns the owner with this configured token.
+func (p *People) ownerByToken(token string) (owner string, ok bool) {
 	for _, o := range p.Owners {
-		if o.Token != "" && same(o.Token, token) {
+		if o.Token != "" && secretsEqual(o.Token, token) {
 			owner, ok = o.Name, true
 		}
 	}
 	return owner, ok
 }
 
-// bearerTTL is how long a token of a handshake holds.
+// bearerTTL is how long a token from a handshake is valid.
 const bearerTTL = time.Hour
 
-var errCredentials = status.Error(codes.Unauthenticated, "credentials are not known; send authorization: Basic or Bearer, or do a Handshake")
+var errUnknownCredentials = status.Error(codes.Unauthenticated, "credentials are not known; send authorization: Basic or Bearer, or do a Handshake")
 
-// address is where a caller connects from.
-func address(ctx context.Context) netip.Addr {
+// remoteAddr returns the remoteAddr that a call comes from.
+func remoteAddr(ctx context.Context) netip.Addr {
 	if p, ok := grpcpeer.FromContext(ctx); ok {
 		if ap, err := netip.ParseAddrPort(p.Addr.String()); err == nil {
 			return ap.Addr().Unmap()
@@ -84,34 +86,34 @@
 	return netip.Addr{}
 }
 
-// authenticate finds who asks: by credentials, or else by network. Authenticated is false where nobody is configured, so that the
-// ticket names the owner.
+// authenticate returns the owner of a call, by credentials or else by network. If no owners are configured, authenticated is false and
+// the ticket names the owner.
 func (s *Server) authenticate(ctx context.Context) (owner string, authenticated bool, err error) {
-	people := s.people.Load()
-	addr := address(ctx)
-	if people.Denied != nil && people.Denied.Contains(addr) || people.Allowed != nil && !people.Allowed.Contains(addr) {
+	policy := s.policy.Load()
+	addr := remoteAddr(ctx)
+	if policy.Denied != nil && policy.Denied.Contains(addr) || policy.Allowed != nil && !policy.Allowed.Contains(addr) {
 		return "", false, status.Errorf(codes.PermissionDenied, "%v may not ask here", addr)
 	}
-	if !people.known() {
+	if !policy.requiresAuth() {
 		return "", false, nil
 	}
 	if md, ok := metadata.FromIncomingContext(ctx); ok && len(md.Get("authorization")) > 0 {
-		owner, known := s.checkCredentials(people, md.Get("authorization")[0])
+		owner, known := s.checkCredentials(policy, md.Get("authorization")[0])
 		if !known {
-			return "", false, errCredentials
+			return "", false, errUnknownCredentials
 		}
 		return owner, true, nil
 	}
-	if people.Networks != nil {
-		if owner, ok := people.Networks.Lookup(addr); ok {
+	if policy.Networks != nil {
+		if owner, ok := policy.Networks.Lookup(addr); ok {
 			return owner, true, nil
 		}
 	}
-	return "", false, errCredentials
+	return "", false, errUnknownCredentials
 }
 
-// checkCredentials finds the owner of an authorization header: Basic, or Bearer with a configured token or one of a handshake.
-func (s *Server) checkCredentials(people *People, header string) (owner string, known bool) {
+// checkCredentials returns the owner of an authorization header: Basic, or Bearer with a configured token or one from a handshake.
+func (s *Server) checkCredentials(policy *People, header string) (owner string, known bool) {
 	scheme, value, _ := strings.Cut(header, " ")
 	value = strings.TrimSpace(value)
 	switch strings.ToLower(scheme) {
@@ -121,31 +123,31 @@
 		if err != nil || !ok {
 			return "", false
 		}
-		return people.basic(user, password)
+		return policy.ownerByPassword(user, password)
 	case "bearer":
-		if owner, ok := people.bearer(value); ok {
+		if owner, ok := policy.ownerByToken(value); ok {
 			return owner, true
 		}
 		raw, err := base64.RawURLEncoding.DecodeString(value)
 		if err != nil {
 			return "", false
 		}
-		owner, _, err := s.keys.open(time.Now(), forBearer, raw)
+		owner, _, err := s.keys.verify(time.Now(), purposeBearer, raw)
 		return owner, err == nil
 	}
 	return "", false
 }
 
-// bearerToken is a bearer token for an owner.
+// bearerToken returns a new bearer token for an owner.
 func (s *Server) bearerToken(owner string) string {
-	return base64.RawURLEncoding.EncodeToString(s.keys.seal(forBearer, owner, time.Now().Add(bearerTTL), nil))
+	return base64.RawURLEncoding.EncodeToString(s.keys.sign(purposeBearer, owner, time.Now().Add(bearerTTL), nil))
 }
 
-// Handshake takes a name and a password, as BasicAuth in the payload or as a header, and returns a bearer token, in the
-// payload and as a header.
+// Handshake takes a name and a password, as BasicAuth in the payload or as a header, and returns a bearer token both in the payload
+// and as a header.
 func (s *Server) Handshake(stream flight.FlightService_HandshakeServer) error {
-	people := s.people.Load()
-	if !people.known() {
+	policy := s.policy.Load()
+	if !policy.requiresAuth() {
 		return status.Error(codes.Unimplemented, "no credentials are needed here; name the owner in the ticket")
 	}
 	owner := ""
@@ -155,12 +157,12 @@
 	}
 	if err == nil && len(req.GetPayload()) > 0 {
 		var b gen.BasicAuth
-		named := false
+		ok := false
 		if proto.Unmarshal(req.GetPayload(), &b) == nil {
-			owner, named = people.basic(b.GetUsername(), b.GetPassword())
+			owner, ok = policy.ownerByPassword(b.GetUsername(), b.GetPassword())
 		}
-		if !named {
-			return errCredentials
+		if !ok {
+			return errUnknownCredentials
 		}
 	} else if owner, _, err = s.authenticate(stream.Context()); err != nil {
 		return err
--- a/internal/flight/backoff.go
+++ b/internal/flight/backoff.go
@@ -2,27 +2,28 @@
 
 import "time"
 
-// Bounds of the pauses between connections that fail; they double.
+// Bounds of the pause after a failed connection. It doubles with each failure.
 const (
 	minBackoff = 50 * time.Millisecond
 	maxBackoff = time.Second
 )
 
-// backoff is when the next connection may be opened, once some have failed. Its methods take the time; it reads no clock.
+// backoff delays new connections to a data node after failures. Its methods take the current time as an argument.
 type backoff struct {
 	failures int
 	until    time.Time
 }
 
-// ready tells whether a connection may be opened.
+// ready reports whether a connection may be opened.
 func (b *backoff) ready(now time.Time) bool { return !now.Before(b.until) }
 
-// succeeded notes that a connection came up.
+// succeeded resets the pause after a connection came up.
 func (b *backoff) succeeded() { *b = backoff{} }
 
-// failed notes that a connection did not come up; jitter within 0 and 1 spreads those who wait for the same data node.
+// failed records that a connection did not come up. A random jitter between 0 and 1 keeps the clients of a data node from all
+// reconnecting at the same time.
 func (b *backoff) failed(now time.Time, jitter float64) {
-	if b.failures++; b.failures > 1 { // one may fail by chance, and is tried anew at once
+	if b.failures++; b.failures > 1 { // a single failure may be chance; the next connection may follow at once
 		pause := min(minBackoff<<min(b.failures-2, 10), maxBackoff)
 		b.until = now.Add(time.Duration(float64(pause) * (0.5 + jitter/2)))
 	}
--- a/internal/flight/codec.go
+++ b/internal/flight/codec.go
@@ -15,17 +15,17 @@
 	"gullfall/internal/coordinator"
 )
 
-// Schema is that of answers of classes that have none of their own: documents as bytes.
+// Schema is the schema of answers of classes without their own: documents as bytes.
 var Schema = arrow.NewSchema([]arrow.Field{
 	{Name: "shard", Type: arrow.PrimitiveTypes.Int32}, {Name: "doc", Type: arrow.BinaryTypes.Binary},
 }, nil)
 
 const (
-	// batchRows and batchBytes bound a record batch of an answer.
-	batchRows  = 1024
-	batchBytes = 256 << 10
-	// maxIPC bounds what is decoded of one document that is a batch.
-	maxIPC = 8 << 20
+	// maxBatchRows and maxBatchBytes bound a record batch of an answer.
+	maxBatchRows  = 1024
+	maxBatchBytes = 256 << 10
+	// maxIPCBytes bounds the size of a document that is an IPC stream.
+	maxIPCBytes = 8 << 20
 )
 
 // Field is a column of a class's schema.
@@ -34,15 +34,15 @@
 	Nullable   bool
 }
 
-// types are those that a column may have.
-var types = map[string]arrow.DataType{
+// columnTypes maps the names of column columnTypes to Arrow columnTypes.
+var columnTypes = map[string]arrow.DataType{
 	"bool": arrow.FixedWidthTypes.Boolean, "int32": arrow.PrimitiveTypes.Int32, "int64": arrow.PrimitiveTypes.Int64,
 	"float64": arrow.PrimitiveTypes.Float64, "string": arrow.BinaryTypes.String, "binary": arrow.BinaryTypes.Binary,
 	"timestamp": arrow.FixedWidthTypes.Timestamp_ms, "date": arrow.FixedWidthTypes.Date32,
 	"dictionary": &arrow.DictionaryType{IndexType: arrow.PrimitiveTypes.Int32, ValueType: arrow.BinaryTypes.String},
 }
 
-// NewSchema makes a class's schema; an error names the faulty column.
+// NewSchema returns a class's schema, or an error that names the invalid column.
 func NewSchema(fields []Field) (*arrow.Schema, error) {
 	if len(fields) == 0 {
 		return nil, errors.New("no columns")
@@ -50,10 +50,10 @@
 	var list []arrow.Field
 	seen := map[string]bool{}
 	for _, f := range fields {
-		t, known := types[strings.ToLower(f.Type)]
+		t, known := columnTypes[strings.ToLower(f.Type)]
 		switch {
 		case f.Name == "" || seen[f.Name]:
-			return nil, fmt.Errorf("column %q: name is missing or another's", f.Name)
+			return nil, fmt.Errorf("column %q: name is missing or used twice", f.Name)
 		case !known:
 			return nil, fmt.Errorf("column %q: type %q is none of bool, int32, int64, float64, string, binary, timestamp, date, dictionary", f.Name, f.Type)
 		}
@@ -63,22 +63,22 @@
 	return arrow.NewSchema(list, nil), nil
 }
 
-// batchMeta goes with each batch of an answer.
+// batchMeta is the metadata of each batch of an answer.
 type batchMeta struct {
-	ID       string `json:"id,omitempty"`    // of an exchange's query
-	Shard    *int   `json:"shard,omitempty"` // of all rows, where they are of one
-	Complete bool   `json:"complete"`        // whether the answer is whole
+	ID       string `json:"id,omitempty"`    // of the query, on an exchange
+	Shard    *int   `json:"shard,omitempty"` // of all rows, if they share one
+	Complete bool   `json:"complete"`        // whether the answer is complete
 	Last     bool   `json:"last,omitempty"`
-	Missing  []int  `json:"missing,omitempty"` // with the last one: shards that the answer lacks
+	Missing  []int  `json:"missing,omitempty"` // in the last batch: shards that the answer lacks
 }
 
-// streamOptions are what a client has asked for.
+// streamOptions are the options that a client has set for its streams.
 type streamOptions struct {
-	codec string // zstd, lz4 or empty
-	rows  int    // most rows of a batch
+	codec string // zstd, lz4, or empty for none
+	rows  int    // maximum rows of a batch; 0 if not set
 }
 
-// writerOptions are those of the IPC writer.
+// writerOptions returns the options of the IPC writer.
 func (o streamOptions) writerOptions(schema *arrow.Schema) []ipc.Option {
 	list := []ipc.Option{ipc.WithSchema(schema), ipc.WithAllocator(memory.DefaultAllocator)}
 	switch o.codec {
@@ -90,22 +90,22 @@
 	return list
 }
 
-// batchWriter is where batches go.
+// batchWriter writes record batches with their metadata.
 type batchWriter interface {
 	WriteWithAppMetadata(rec arrow.RecordBatch, meta []byte) error
 }
 
-// answerShare is the part of an answer that one stream carries.
+// answerShare is the portion of an answer that one stream carries.
 type answerShare struct {
-	id       string // of an exchange's query
+	id       string // of the query, on an exchange
 	complete bool
 	values   []coordinator.PartValue
 	missing  []int
 }
 
-// totalBytes is the bytes that the documents of hits take.
-func totalBytes(hits []coordinator.PartValue) (n int64) {
-	for _, h := range hits {
+// totalBytes returns the total size of the documents.
+func totalBytes(values []coordinator.PartValue) (n int64) {
+	for _, h := range values {
 		for _, doc := range h.Docs {
 			n += int64(len(doc))
 		}
@@ -113,17 +113,17 @@
 	return n
 }
 
-// errWrongSchema marks a data node's batch that is not of its class's schema.
+// errWrongSchema marks a data node's batch that does not have its class's schema.
 var errWrongSchema = errors.New("batch is not of the class's schema")
 
-// write writes a share batch by batch; after each one sent is called with the bytes of documents that it has carried.
-func write(out batchWriter, schema *arrow.Schema, s answerShare, o streamOptions, sent func(bytes int64)) error {
+// writeShare writes a share batch by batch. After each batch it calls sent with the size of the documents in it.
+func writeShare(out batchWriter, schema *arrow.Schema, s answerShare, o streamOptions, sent func(bytes int64)) error {
 	if schema.Equal(Schema) {
 		return writeDocs(out, s, o, sent)
 	}
 	for i, value := range s.values {
 		for j, doc := range value.Docs {
-			meta := batchMetadata{inner: s.meta, last: s.meta, shard: value.Shard}
+			meta := sliceMetadata{inner: s.meta, last: s.meta, shard: value.Shard}
 			if i == len(s.values)-1 && j == len(value.Docs)-1 {
 				meta.last = s.lastMeta
 			}
@@ -139,28 +139,28 @@
 	return nil
 }
 
-// batchMetadata makes the metadata of the slices of one document: of the last one, and of those before it.
-type batchMetadata struct {
+// sliceMetadata encodes the metadata of the slices of one document: last for the final slice, inner for those before it.
+type sliceMetadata struct {
 	inner, last func(shard *int) []byte
 	shard       int
 }
 
-// meta is the metadata of a batch that others follow; of one shard where all rows are.
+// meta returns the metadata of a batch that others follow. The shard is nil if the rows are of several shards.
 func (s *answerShare) meta(shard *int) []byte {
 	return batchMeta{ID: s.id, Complete: s.complete, Shard: shard}.encode()
 }
 
-// lastMeta is the metadata of the last batch of an answer.
+// lastMeta returns the metadata of the last batch of an answer.
 func (s *answerShare) lastMeta(shard *int) []byte {
 	return batchMeta{ID: s.id, Complete: s.complete, Shard: shard, Last: true, Missing: s.missing}.encode()
 }
 
 func (m batchMeta) encode() []byte {
-	raw, _ := json.Marshal(m) // it has no field that can't be encoded
+	raw, _ := json.Marshal(m) // all fields can be encoded
 	return raw
 }
 
-// writeEmpty writes a batch without rows, for its metadata.
+// writeEmpty writes a batch without rows that only carries metadata.
 func writeEmpty(out batchWriter, schema *arrow.Schema, meta []byte) error {
 	b := array.NewRecordBuilder(memory.DefaultAllocator, schema)
 	defer b.Release()
@@ -169,7 +169,7 @@
 	return out.WriteWithAppMetadata(rec, meta)
 }
 
-// writeDocs writes documents as rows. Batches hold rows of several shards, up to their bounds.
+// writeDocs writes documents as rows. A batch may hold rows of several shards, up to its size limits.
 func writeDocs(out batchWriter, s answerShare, o streamOptions, sent func(int64)) error {
 	w := newDocWriter(out, o, sent)
 	defer w.builder.Release()
@@ -186,29 +186,29 @@
 	return w.flush(s.lastMeta)
 }
 
-// docWriter gathers documents as rows of a batch.
+// docWriter collects documents as rows of a batch.
 type docWriter struct {
 	out     batchWriter
 	sent    func(int64)
 	maxRows int
 	builder *array.RecordBuilder
 
-	rows, bytes int  // of the batch that is being built
+	rows, bytes int  // of the batch being built
 	shard       int  // of its first row
 	mixed       bool // it has rows of several shards
 }
 
 func newDocWriter(out batchWriter, o streamOptions, sent func(int64)) *docWriter {
-	w := &docWriter{out: out, sent: sent, maxRows: batchRows, builder: array.NewRecordBuilder(memory.DefaultAllocator, Schema)}
+	w := &docWriter{out: out, sent: sent, maxRows: maxBatchRows, builder: array.NewRecordBuilder(memory.DefaultAllocator, Schema)}
 	if o.rows > 0 {
 		w.maxRows = min(w.maxRows, o.rows)
 	}
 	return w
 }
 
-// full tells whether a document has to go into the next batch.
+// full reports whether a document has to go into the next batch.
 func (w *docWriter) full(doc []byte) bool {
-	return w.rows > 0 && (w.rows >= w.maxRows || w.bytes+len(doc) > batchBytes)
+	return w.rows > 0 && (w.rows >= w.maxRows || w.bytes+len(doc) > maxBatchBytes)
 }
 
 func (w *docWriter) add(shard int, doc []byte) {
@@ -221,7 +221,7 @@
 	w.rows, w.bytes = w.rows+1, w.bytes+len(doc)
 }
 
-// flush writes the batch, with the metadata that meta makes for the shard of its rows, or for none where they are of several.
+// flush writes the batch. Its metadata comes from meta, called with the shard of the rows, or with nil if they are of several shards.
 func (w *docWriter) flush(meta func(shard *int) []byte) error {
 	var shard *int
 	if w.rows > 0 && !w.mixed {
@@ -237,7 +237,7 @@
 	return err
 }
 
-// EncodeBatch turns a batch into a document: an IPC stream of its own, whose columns are not copied by row.
+// EncodeBatch encodes a batch as a document: an IPC stream with the one batch. Columns are copied whole, not row by row.
 func EncodeBatch(rec arrow.RecordBatch) ([]byte, error) {
 	var buf bytes.Buffer
 	w := ipc.NewWriter(&buf, ipc.WithSchema(rec.Schema()))
@@ -250,15 +250,15 @@
 	return buf.Bytes(), nil
 }
 
-// writeBatch writes the one batch of a document that is an IPC stream, sliced where it has too many rows. What lies
-// about its lengths makes the library panic or err; both end here.
-func writeBatch(out batchWriter, schema *arrow.Schema, doc []byte, o streamOptions, meta batchMetadata) (err error) {
+// writeBatch writes the one batch of a document that is an IPC stream, in slices if it has too many rows. Invalid lengths in a
+// document make the Arrow library panic or return an error; both become errWrongSchema.
+func writeBatch(out batchWriter, schema *arrow.Schema, doc []byte, o streamOptions, meta sliceMetadata) (err error) {
 	defer func() {
 		if cause := recover(); cause != nil {
 			err = fmt.Errorf("%w: %v", errWrongSchema, cause)
 		}
 	}()
-	if len(doc) > maxIPC {
+	if len(doc) > maxIPCBytes {
 		return fmt.Errorf("%w: %d bytes", errWrongSchema, len(doc))
 	}
 	in, err := ipc.NewReader(bytes.NewReader(doc), ipc.WithAllocator(memory.DefaultAllocator))
@@ -280,15 +280,15 @@
 	} else if err := in.Err(); err != nil {
 		return fmt.Errorf("%w: %w", errWrongSchema, err)
 	}
-	most := rec.NumRows()
+	maxRows := rec.NumRows()
 	if o.rows > 0 {
-		most = min(most, int64(o.rows))
+		maxRows = min(maxRows, int64(o.rows))
 	}
-	if most == rec.NumRows() {
+	if maxRows == rec.NumRows() {
 		return out.WriteWithAppMetadata(rec, meta.last(&meta.shard))
 	}
-	for from := int64(0); from < rec.NumRows(); from += most {
-		to := min(from+most, rec.NumRows())
+	for from := int64(0); from < rec.NumRows(); from += maxRows {
+		to := min(from+maxRows, rec.NumRows())
 		part := rec.NewSlice(from, to)
 		encode := meta.inner
 		if to == rec.NumRows() {
--- a/internal/flight/codec_test.go
+++ b/internal/flight/codec_test.go
@@ -1,6 +1,6 @@
 package flight
 
-// Benchmarks of a batch: the cost of a row must be near zero where batches are passed on, and what rows cost otherwise.
+// Benchmarks of writing answers: the cost per row, which must be near zero where batches are passed on.
 
 import (
 	"fmt"
@@ -14,25 +14,28 @@
 	"gullfall/internal/coordinator"
 )
 
-// nowhere is a stream that drops what it gets.
-type nowhere struct{ bytes int64 }
+// discardStream discards what is sent and counts its bytes.
+type discardStream struct{ bytes int64 }
 
-func (n *nowhere) Send(m *flight.FlightData) error { n.bytes += int64(len(m.DataBody)); return nil }
+func (n *discardStream) Send(m *flight.FlightData) error {
+	n.bytes += int64(len(m.DataBody))
+	return nil
+}
 
-func benchmarkWrite(b *testing.B, schema *arrow.Schema, hits []coordinator.PartValue, codec string) {
+func benchmarkWrite(b *testing.B, schema *arrow.Schema, values []coordinator.PartValue, codec string) {
 	s := &Server{}
 	b.ReportAllocs()
-	b.SetBytes(totalBytes(hits))
+	b.SetBytes(totalBytes(values))
 	for b.Loop() {
-		out := s.newWriter(&nowhere{}, schema, streamOptions{codec: codec})
-		if err := write(out, schema, answerShare{complete: true, values: hits}, streamOptions{codec: codec}, func(int64) {}); err != nil {
+		out := s.newWriter(&discardStream{}, schema, streamOptions{codec: codec})
+		if err := writeShare(out, schema, answerShare{complete: true, values: values}, streamOptions{codec: codec}, func(int64) {}); err != nil {
 			b.Fatal(err)
 		}
 		out.Close()
 	}
 }
 
-// BenchmarkBatch passes on one batch of so many rows.
+// BenchmarkBatch passes on one batch of 10 to 100,000 rows.
 func BenchmarkBatch(b *testing.B) {
 	schema, err := NewSchema([]Field{{Name: "rating", Type: "int32"}, {Name: "games", Type: "int64"}})
 	if err != nil {
@@ -55,15 +58,15 @@
 	}
 }
 
-// BenchmarkDocuments writes documents as rows, by compression.
+// BenchmarkDocuments writes documents as rows with each codec.
 func BenchmarkDocuments(b *testing.B) {
 	for _, codec := range []string{"", "lz4", "zstd"} {
 		for _, n := range []int{1, 1000} {
-			hit := coordinator.PartValue{}
+			value := coordinator.PartValue{}
 			for i := range n {
-				hit.Docs = append(hit.Docs, fmt.Appendf(nil, "game %d: e4 e5 Nf3 Nc6 Bb5 a6 Ba4 Nf6 O-O Be7 Re1 b5", i))
+				value.Docs = append(value.Docs, fmt.Appendf(nil, "game %d: e4 e5 Nf3 Nc6 Bb5 a6 Ba4 Nf6 O-O Be7 Re1 b5", i))
 			}
-			b.Run(fmt.Sprintf("%s%d", codec, n), func(b *testing.B) { benchmarkWrite(b, Schema, []coordinator.PartValue{hit}, codec) })
+			b.Run(fmt.Sprintf("%s%d", codec, n), func(b *testing.B) { benchmarkWrite(b, Schema, []coordinator.PartValue{value}, codec) })
 		}
 	}
 }
--- a/internal/flight/compress.go
+++ b/internal/flight/compress.go
@@ -13,15 +13,15 @@
 	"github.com/apache/arrow-go/v18/arrow/memory"
 )
 
-// streamWriter is a stream's writer.
+// streamWriter writes the batches of one stream.
 type streamWriter interface {
 	batchWriter
 	Close() error
 }
 
-// newWriter opens the writer of a stream. Compressed batches of a schema without dictionaries go through a compressor
-// that all streams of the schema share, since
-// an encoder of its own for each stream costs more than all that it compresses; dictionaries are a stream's own.
+// newWriter returns the writer of a stream. Compressed batches of a schema without dictionaries go through a compressor that all
+// streams of the schema share, since an encoder for each stream costs more than the compression itself. A schema with dictionaries
+// can't share one, since dictionaries belong to a single stream.
 func (s *Server) newWriter(stream flight.DataStreamWriter, schema *arrow.Schema, o streamOptions) streamWriter {
 	if o.codec == "" || slices.ContainsFunc(schema.Fields(), func(f arrow.Field) bool { return f.Type.ID() == arrow.DICTIONARY }) {
 		return flight.NewRecordWriter(stream, o.writerOptions(schema)...)
@@ -34,7 +34,7 @@
 		}
 	}
 	p := &compressor{codec: o.codec, schema: schema, options: o.writerOptions(schema)}
-	s.compressors = append(s.compressors, p) // as many as there are classes and codecs
+	s.compressors = append(s.compressors, p) // at most one for each schema and codec
 	return &compressedWriter{stream: stream, compressor: p}
 }
 
@@ -44,18 +44,18 @@
 	schema  *arrow.Schema
 	options []ipc.Option
 
-	mu   sync.Mutex // guards what follows; never held over a send
-	w    *ipc.Writer
-	out  frameCollector
-	head *flight.FlightData // the schema's message
+	mu            sync.Mutex // guards the fields below; never held during a send
+	w             *ipc.Writer
+	out           messageCollector
+	schemaMessage *flight.FlightData // message with the schema
 }
 
-// frameCollector keeps what an IPC writer writes.
-type frameCollector struct{ list []*flight.FlightData }
+// messageCollector collects the messages of an IPC writer.
+type messageCollector struct{ list []*flight.FlightData }
 
-func (c *frameCollector) Start() error { return nil }
-func (c *frameCollector) Close() error { return nil }
-func (c *frameCollector) WritePayload(p ipc.Payload) error {
+func (c *messageCollector) Start() error { return nil }
+func (c *messageCollector) Close() error { return nil }
+func (c *messageCollector) WritePayload(p ipc.Payload) error {
 	meta := p.Meta()
 	defer meta.Release()
 	var body bytes.Buffer
@@ -66,14 +66,14 @@
 	return nil
 }
 
-// run compresses a batch; without one it returns the schema's message alone.
-func (p *compressor) run(rec arrow.RecordBatch) (head, body *flight.FlightData, err error) {
+// compress returns the message with the schema and that of a compressed batch; without a batch it returns the former alone.
+func (p *compressor) compress(rec arrow.RecordBatch) (schemaMessage, body *flight.FlightData, err error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	sound := false
+	succeeded := false
 	defer func() {
-		if p.out.list = nil; !sound {
-			p.w, p.head = nil, nil // what it has left behind is not known
+		if p.out.list = nil; !succeeded {
+			p.w, p.schemaMessage = nil, nil // the state of the writer is unknown
 		}
 	}()
 	if p.w == nil {
@@ -88,7 +88,7 @@
 		if len(p.out.list) != 2 {
 			return nil, nil, fmt.Errorf("%d messages where a schema and a batch were written", len(p.out.list))
 		}
-		p.head, p.out.list = p.out.list[0], nil
+		p.schemaMessage, p.out.list = p.out.list[0], nil
 	}
 	if rec != nil {
 		if err := p.w.Write(rec); err != nil {
@@ -99,41 +99,41 @@
 		}
 		body = p.out.list[0]
 	}
-	sound = true
-	return p.head, body, nil
+	succeeded = true
+	return p.schemaMessage, body, nil
 }
 
-// compressedWriter is a stream whose batches a compressor compresses.
+// compressedWriter writes a stream whose batches a shared compressor compresses.
 type compressedWriter struct {
 	stream     flight.DataStreamWriter
 	compressor *compressor
-	begun      bool
+	schemaSent bool
 }
 
 func (p *compressedWriter) WriteWithAppMetadata(rec arrow.RecordBatch, meta []byte) error {
-	head, body, err := p.compressor.run(rec)
+	schemaMessage, body, err := p.compressor.compress(rec)
 	if err != nil {
 		return err
 	}
-	if err := p.begin(head); err != nil {
+	if err := p.sendSchema(schemaMessage); err != nil {
 		return err
 	}
 	body.AppMetadata = meta
 	return p.stream.Send(body)
 }
 
-func (p *compressedWriter) begin(head *flight.FlightData) error {
-	if p.begun {
+func (p *compressedWriter) sendSchema(message *flight.FlightData) error {
+	if p.schemaSent {
 		return nil
 	}
-	p.begun = true
-	return p.stream.Send(&flight.FlightData{DataHeader: head.DataHeader, DataBody: head.DataBody})
+	p.schemaSent = true
+	return p.stream.Send(&flight.FlightData{DataHeader: message.DataHeader, DataBody: message.DataBody})
 }
 
 func (p *compressedWriter) Close() error {
-	head, _, err := p.compressor.run(nil)
+	schemaMessage, _, err := p.compressor.compress(nil)
 	if err != nil {
 		return err
 	}
-	return p.begin(head)
+	return p.sendSchema(schemaMessage)
 }
--- a/internal/flight/doget.go
+++ b/internal/flight/doget.go
@@ -14,10 +14,10 @@
 	"gullfall/internal/session"
 )
 
-// missing are the shards of parts that the hits lack.
-func missing(parts []coordinator.Part, hits []coordinator.PartValue) (list []int) {
+// missingShards returns the shards of parts that have no value.
+func missingShards(parts []coordinator.Part, values []coordinator.PartValue) (list []int) {
 	have := map[int]bool{}
-	for _, h := range hits {
+	for _, h := range values {
 		have[h.Shard] = true
 	}
 	for _, p := range parts {
@@ -28,54 +28,54 @@
 	return list
 }
 
-// DoGet fetches a range of a flight by its sealed ticket, or asks one query by a plain one.
+// DoGet fetches a range of a flight by its signed ticket, or runs the query of a plain ticket.
 func (s *Server) DoGet(t *flight.Ticket, stream flight.FlightService_DoGetServer) error {
 	ctx := stream.Context()
-	g := callerOf(ctx)
-	o, err := s.sessionOptions(ctx, g)
+	c := callerOf(ctx)
+	o, err := s.sessionOptions(ctx, c)
 	if err != nil {
 		return err
 	}
-	if sealed(t.GetTicket()) {
-		return s.fetchRange(ctx, g, t.GetTicket(), o, stream)
+	if isToken(t.GetTicket()) {
+		return s.fetchRange(ctx, c, t.GetTicket(), o, stream)
 	}
-	q, _, err := s.parseTicket(t.GetTicket(), g)
+	q, _, err := s.parseTicket(t.GetTicket(), c)
 	if err != nil {
 		return err
 	}
-	end, limited := ctx.Deadline()
-	if !limited {
+	deadline, hasDeadline := ctx.Deadline()
+	if !hasDeadline {
 		return status.Error(codes.InvalidArgument, "a deadline is needed")
 	}
-	q.Deadline = end
-	leave, err := s.admitQuery(g, q.Tenant)
+	q.Deadline = deadline
+	release, err := s.admitQuery(c, q.Tenant)
 	if err != nil {
 		return err
 	}
-	defer leave()
-	memory, err := s.reserve(g, q.Class, len(q.Parts))
+	defer release()
+	memory, err := s.reserve(c, q.Class, len(q.Parts))
 	if err != nil {
 		return err
 	}
 	answer, err := s.Coordinator.Execute(ctx, q)
-	if err := statusOf(ctx, answer, err, end); err != nil {
+	if err := statusOf(ctx, answer, err, deadline); err != nil {
 		memory.release()
 		return err
 	}
-	return s.sendAnswer(memory, stream, s.classOf(q.Class), answerShare{complete: answer.Complete, values: answer.Values, missing: missing(q.Parts, answer.Values)}, o)
+	return s.sendAnswer(memory, stream, s.classOf(q.Class), answerShare{complete: answer.Complete, values: answer.Values, missing: missingShards(q.Parts, answer.Values)}, o)
 }
 
-// sendAnswer writes a share of an answer to a stream. A reader that is slow holds up its own stream, until its deadline or
-// until it is evicted.
-func (s *Server) sendAnswer(memory *reservation, stream flight.DataStreamWriter, class Class, sh answerShare, o streamOptions) error {
-	total := totalBytes(sh.values)
+// sendAnswer writes a share of an answer to a stream. A slow reader blocks only its own stream, until its deadline or until it is
+// evicted.
+func (s *Server) sendAnswer(memory *reservation, stream flight.DataStreamWriter, class Class, share answerShare, o streamOptions) error {
+	total := totalBytes(share.values)
 	read, err := memory.commit(total)
 	if err != nil {
 		return err
 	}
 	out := s.newWriter(stream, class.Schema, o)
 	left := total
-	err = write(out, class.Schema, sh, o, func(n int64) { read(n); left -= n })
+	err = writeShare(out, class.Schema, share, o, func(n int64) { read(n); left -= n })
 	read(left)
 	if cerr := out.Close(); err == nil {
 		err = cerr
@@ -90,9 +90,9 @@
 	return err
 }
 
-// fetchRange sends one range of a flight.
+// fetchRange sends one range of a flight, once the flight's query has ended.
 func (s *Server) fetchRange(ctx context.Context, c *caller, raw []byte, o streamOptions, stream flight.DataStreamWriter) error {
-	owner, payload, err := s.keys.open(time.Now(), forFetch, raw)
+	owner, payload, err := s.keys.verify(time.Now(), purposeFetch, raw)
 	if err != nil {
 		return status.Error(codes.InvalidArgument, err.Error())
 	}
@@ -101,7 +101,7 @@
 	}
 	var ticket fetchTicket
 	if err := json.Unmarshal(payload, &ticket); err != nil {
-		return status.Error(codes.InvalidArgument, errToken.Error())
+		return status.Error(codes.InvalidArgument, errInvalidToken.Error())
 	}
 	for {
 		result, next, err := s.claimRange(c, ticket.Flight, owner, ticket.Range)
@@ -122,7 +122,7 @@
 	}
 }
 
-// sendRange sends a range of a flight whose answer is there, and notes whether all of it was sent.
+// sendRange sends a range of a flight that has its answer, and records whether all of it was sent.
 func (s *Server) sendRange(c *caller, result *flightResult, ticket fetchTicket, o streamOptions, stream flight.DataStreamWriter) error {
 	parts := result.ranges[ticket.Range]
 	var values []coordinator.PartValue
@@ -134,8 +134,8 @@
 		}
 	}
 	class := result.query.Class
-	share := answerShare{complete: result.answer.Complete, values: values, missing: missing(parts, values)}
-	// The answer itself is counted with the flights; memory is reserved for what is being sent of it.
+	share := answerShare{complete: result.answer.Complete, values: values, missing: missingShards(parts, values)}
+	// The stored answer is counted with the flights; this reservation covers what is being sent of it.
 	err := s.sendAnswer(&reservation{server: s, caller: c, class: class}, stream, s.classOf(class), share, o)
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/flight/exchange.go
+++ b/internal/flight/exchange.go
@@ -17,47 +17,47 @@
 	"gullfall/internal/coordinator"
 )
 
-// maxExchanged is how many queries of one exchange are open at once; further ones wait unread.
-const maxExchanged = 1024
+// maxExchangeQueries bounds the open queries of one exchange; further messages stay unread until a query ends.
+const maxExchangeQueries = 1024
 
-// exchangeRequest is a question of an exchange, in the metadata of a message without a body: a plain ticket with an id of the
-// client's and the milliseconds that it will wait, or {"cancel":"id"}.
+// exchangeRequest is a request on an exchange, in the metadata of a message without a body: a plain ticket with the client's own ID
+// and its timeout in milliseconds, or {"cancel":"id"}.
 type exchangeRequest struct {
 	ID         string `json:"id"`
 	DeadlineMS int64  `json:"deadline_ms"`
 	Cancel     string `json:"cancel"`
 }
 
-// exchangeError is what an exchange tells of a query that has no answer, in the metadata of a batch without rows.
+// exchangeError reports a query that ended without an answer, in the metadata of a batch without rows.
 type exchangeError struct {
 	ID      string `json:"id"`
-	Status  string `json:"status"` // a gRPC code's name
+	Status  string `json:"status"` // name of a gRPC code
 	Message string `json:"message"`
 	RetryMS int64  `json:"retry_ms,omitempty"`
 }
 
-// exchange is one stream.
+// exchange is one DoExchange stream.
 type exchange struct {
 	server  *Server
 	caller  *caller
 	stream  flight.FlightService_DoExchangeServer
-	class   Class // of all its queries, as its descriptor names it
+	class   Class // of all its queries, named in the descriptor
 	options streamOptions
 
-	places  chan struct{} // one for each query that may be open
+	slots   chan struct{} // holds one element for each open query
 	queries sync.WaitGroup
 
-	mu   sync.Mutex // guards open
-	open map[string]context.CancelFunc
+	mu      sync.Mutex // guards cancels
+	cancels map[string]context.CancelFunc
 
-	writing sync.Mutex // guards out; a slow reader holds it
+	writeMu sync.Mutex // guards out; held while a slow reader blocks a write
 	out     streamWriter
 }
 
-// DoExchange answers many queries of one class on one stream. Its first message has a descriptor whose path is the class.
+// DoExchange answers many queries of one class on one stream. The first message has a descriptor whose path is the class.
 func (s *Server) DoExchange(stream flight.FlightService_DoExchangeServer) error {
-	g := callerOf(stream.Context())
-	opts, err := s.sessionOptions(stream.Context(), g)
+	c := callerOf(stream.Context())
+	opts, err := s.sessionOptions(stream.Context(), c)
 	if err != nil {
 		return err
 	}
@@ -71,12 +71,12 @@
 	if first.GetFlightDescriptor().GetType() != flight.DescriptorPATH || len(path) != 1 {
 		return status.Error(codes.InvalidArgument, "the first message needs a descriptor whose path is a class")
 	}
-	ctx, stop := context.WithCancel(stream.Context())
-	e := &exchange{server: s, caller: g, stream: stream, class: s.classOf(path[0]), options: opts, open: map[string]context.CancelFunc{},
-		places: make(chan struct{}, maxExchanged)}
+	ctx, cancel := context.WithCancel(stream.Context())
+	e := &exchange{server: s, caller: c, stream: stream, class: s.classOf(path[0]), options: opts, cancels: map[string]context.CancelFunc{},
+		slots: make(chan struct{}, maxExchangeQueries)}
 	defer func() {
-		stop()
-		e.queries.Wait() // each has had its final answer, or its parts are being cancelled
+		cancel()
+		e.queries.Wait() // each has its final answer, or its parts are being cancelled
 	}()
 	for message := first; ; {
 		if err := e.handle(ctx, message); err != nil {
@@ -90,7 +90,7 @@
 	}
 }
 
-// handle takes one message of the client: a question or a cancellation in its metadata. An error ends the exchange.
+// handle processes one message of the client: a request or a cancellation in its metadata. An error ends the exchange.
 func (e *exchange) handle(ctx context.Context, message *flight.FlightData) error {
 	if len(message.GetDataHeader()) > 0 || len(message.GetDataBody()) > 0 {
 		return status.Error(codes.InvalidArgument, "questions go into the metadata of messages without a body")
@@ -107,69 +107,70 @@
 		e.cancel(request.Cancel)
 		return nil
 	}
-	return e.begin(ctx, request, raw)
+	return e.startQuery(ctx, request, raw)
 }
 
-// finish closes the stream once all queries have their answers.
+// finish closes the stream once all queries have ended.
 func (e *exchange) finish() error {
 	e.queries.Wait()
-	e.writing.Lock()
-	defer e.writing.Unlock()
+	e.writeMu.Lock()
+	defer e.writeMu.Unlock()
 	return e.openWriter().Close()
 }
 
-// begin starts a query once there is a place for it. An error ends the exchange.
-func (e *exchange) begin(ctx context.Context, q exchangeRequest, raw []byte) error {
-	if q.ID == "" || len(q.ID) > 64 {
-		return status.Errorf(codes.InvalidArgument, "question with an id of %d bytes; 1 to 64 are allowed", len(q.ID))
+// startQuery starts a query once fewer than maxExchangeQueries are open. An error ends the exchange.
+func (e *exchange) startQuery(ctx context.Context, request exchangeRequest, raw []byte) error {
+	if request.ID == "" || len(request.ID) > 64 {
+		return status.Errorf(codes.InvalidArgument, "question with an id of %d bytes; 1 to 64 are allowed", len(request.ID))
 	}
-	if q.DeadlineMS <= 0 {
-		return e.writeError(q.ID, status.Error(codes.InvalidArgument, "deadline_ms is needed"))
+	if request.DeadlineMS <= 0 {
+		return e.writeError(request.ID, status.Error(codes.InvalidArgument, "deadline_ms is needed"))
 	}
-	end := time.Now().Add(time.Duration(min(q.DeadlineMS, 3_600_000)) * time.Millisecond)
+	deadline := time.Now().Add(time.Duration(min(request.DeadlineMS, 3_600_000)) * time.Millisecond)
 	select {
-	case e.places <- struct{}{}:
+	case e.slots <- struct{}{}:
 	case <-ctx.Done():
 		return status.FromContextError(ctx.Err()).Err()
 	}
-	ctx, cancel := context.WithDeadline(ctx, end)
+	ctx, cancel := context.WithDeadline(ctx, deadline)
 	e.mu.Lock()
-	_, twice := e.open[q.ID]
-	if !twice {
-		e.open[q.ID] = cancel
+	_, duplicate := e.cancels[request.ID]
+	if !duplicate {
+		e.cancels[request.ID] = cancel
 	}
 	e.mu.Unlock()
-	if twice {
+	if duplicate {
 		cancel()
-		<-e.places
-		return e.writeError(q.ID, status.Error(codes.AlreadyExists, "a question of this id is open"))
+		<-e.slots
+		return e.writeError(request.ID, status.Error(codes.AlreadyExists, "a question of this id is open"))
 	}
 	e.queries.Go(func() {
 		defer func() {
 			cancel()
 			e.mu.Lock()
-			delete(e.open, q.ID)
+			delete(e.cancels, request.ID)
 			e.mu.Unlock()
-			<-e.places
+			<-e.slots
 		}()
-		if err := e.answer(ctx, q.ID, raw, end); err != nil {
-			_ = e.writeError(q.ID, err) // an error of the stream ends it, which all its queries see
+		if err := e.answer(ctx, request.ID, raw, deadline); err != nil {
+			_ = e.writeError(request.ID, err) // a write error ends the stream and thereby all its queries
 		}
 	})
 	return nil
 }
 
-// cancel gives up the query of an id, if it is open.
+// cancel cancels the query with this ID, if it is open.
 func (e *exchange) cancel(id string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if stop := e.open[id]; stop != nil {
-		stop()
+	if cancel := e.cancels[id]; cancel != nil {
+		cancel()
 	}
 }
 
-// answer asks one query and writes its answer. What it returns is told; it is nil once an answer was begun.
-func (e *exchange) answer(ctx context.Context, id string, raw []byte, end time.Time) error {
+// answer runs one query and writes its answer. The caller reports a returned error to the client; once batches of the answer have
+// been written, the result is nil unless the rest of the answer is unusable.
+func (e *exchange) answer(ctx context.Context, id string, raw []byte, deadline time.Time) error {
 	s := e.server
 	q, t, err := s.parseTicket(raw, e.caller)
 	if err != nil {
@@ -178,22 +179,22 @@
 	if t.Class != "" && t.Class != e.class.Name {
 		return status.Errorf(codes.InvalidArgument, "class %q on an exchange of class %q", t.Class, e.class.Name)
 	}
-	q.ID, q.Class, q.Deadline = rand.Text(), e.class.Name, end // the client's id is its own, and may be another's too
-	leave, err := s.admitQuery(e.caller, q.Tenant)
+	q.ID, q.Class, q.Deadline = rand.Text(), e.class.Name, deadline // another client may use the same ID
+	release, err := s.admitQuery(e.caller, q.Tenant)
 	if err != nil {
 		return err
 	}
-	defer leave()
+	defer release()
 	memory, err := s.reserve(e.caller, q.Class, len(q.Parts))
 	if err != nil {
 		return err
 	}
 	answer, err := s.Coordinator.Execute(ctx, q)
-	if errors.Is(err, coordinator.ErrClientGone) && time.Now().Before(end) {
+	if errors.Is(err, coordinator.ErrClientGone) && time.Now().Before(deadline) {
 		memory.release()
 		return status.Error(codes.Canceled, "was cancelled")
 	}
-	if err := statusOf(ctx, answer, err, end); err != nil {
+	if err := statusOf(ctx, answer, err, deadline); err != nil {
 		memory.release()
 		return err
 	}
@@ -204,25 +205,25 @@
 	}
 	left := total
 	defer func() { read(left) }()
-	e.writing.Lock()
-	defer e.writing.Unlock()
-	sh := answerShare{id: id, complete: answer.Complete, values: answer.Values, missing: missing(q.Parts, answer.Values)}
-	err = write(e.openWriter(), e.class.Schema, sh, e.options, func(n int64) { read(n); left -= n })
+	e.writeMu.Lock()
+	defer e.writeMu.Unlock()
+	share := answerShare{id: id, complete: answer.Complete, values: answer.Values, missing: missingShards(q.Parts, answer.Values)}
+	err = writeShare(e.openWriter(), e.class.Schema, share, e.options, func(n int64) { read(n); left -= n })
 	if errors.Is(err, errWrongSchema) {
 		s.Log.Error("answer not fit for the class's schema", "class", e.class.Name, "cause", err)
 		return e.writeErrorLocked(id, status.Error(codes.DataLoss, "a data node's answer can't be used"))
 	}
-	return nil // an error of the stream ends it, which all its queries see
+	return nil // a write error ends the stream and thereby all its queries
 }
 
-// writeError writes how a query ended that has no answer.
+// writeError reports a query that ended without an answer.
 func (e *exchange) writeError(id string, err error) error {
-	e.writing.Lock()
-	defer e.writing.Unlock()
+	e.writeMu.Lock()
+	defer e.writeMu.Unlock()
 	return e.writeErrorLocked(id, err)
 }
 
-// openWriter opens the stream's writer. The caller holds the lock.
+// openWriter returns the stream's writer, opening it on first use. The caller holds writeMu.
 func (e *exchange) openWriter() streamWriter {
 	if e.out == nil {
 		e.out = e.server.newWriter(e.stream, e.class.Schema, e.options)
@@ -230,7 +231,7 @@
 	return e.out
 }
 
-// writeErrorLocked is tell for one that holds the lock.
+// writeErrorLocked is writeError for callers that hold writeMu.
 func (e *exchange) writeErrorLocked(id string, err error) error {
 	st := status.Convert(err)
 	m := exchangeError{ID: id, Status: st.Code().String(), Message: st.Message()}
--- a/internal/flight/formats_test.go
+++ b/internal/flight/formats_test.go
@@ -8,8 +8,8 @@
 	"gullfall/internal/lab/golden"
 )
 
-// TestMessageForms shows that tickets, and the messages between coordinators and Flight data nodes, keep their keys.
-func TestMessageForms(t *testing.T) {
+// TestMessageFormats: tickets and the messages between coordinators and Flight data nodes keep their JSON keys.
+func TestMessageFormats(t *testing.T) {
 	golden.JSON(t, "forms.json", map[string]any{
 		"ticket":         golden.Filled[Ticket](),
 		"fetch ticket":   golden.Filled[fetchTicket](),
@@ -22,21 +22,21 @@
 	})
 }
 
-// ticketKey sealed the recorded ticket.
+// ticketKey is the key that signed the recorded ticket.
 var ticketKey = Key{ID: 3, Secret: []byte("a secret of sixteen bytes or more")}
 
-// TestOpensEarlierTicket opens a ticket that an earlier version sealed.
-func TestOpensEarlierTicket(t *testing.T) {
+// TestVerifiesEarlierTicket: a ticket that an earlier version signed is still valid, and signing it again gives the same bytes.
+func TestVerifiesEarlierTicket(t *testing.T) {
 	raw, err := os.ReadFile("testdata/ticket.bin")
 	if err != nil {
 		t.Fatal(err)
 	}
 	var keys keyring
 	keys.set([]Key{{ID: 4, Secret: []byte("another secret, newer than that one")}, ticketKey})
-	owner, payload, err := keys.open(time.Unix(1_900_000_000, 0), forFetch, raw)
+	owner, payload, err := keys.verify(time.Unix(1_900_000_000, 0), purposeFetch, raw)
 	if err != nil || owner != "club" || string(payload) != "payload" {
 		t.Errorf("owner %q, payload %q, error %v", owner, payload, err)
 	}
 	keys.set([]Key{ticketKey})
-	golden.Bytes(t, "ticket.bin", keys.seal(forFetch, "club", time.Unix(2_000_000_000, 0), []byte("payload")))
+	golden.Bytes(t, "ticket.bin", keys.sign(purposeFetch, "club", time.Unix(2_000_000_000, 0), []byte("payload")))
 }
--- a/internal/flight/info.go
+++ b/internal/flight/info.go
@@ -20,29 +20,29 @@
 	"gullfall/internal/session"
 )
 
-// Ticket is what a client asks with; the parts are in the form that package ask reads.
+// Ticket is a client's plain ticket. Its parts are read by package queryjson.
 type Ticket struct {
-	ID        string // made up where it is missing
+	ID        string // generated if missing
 	Class     string
 	Owner     string
 	Retry     bool
-	Key       string `json:"idempotency_key"` // what a keyed class needs, the same for each retry
-	Endpoints int    // GetFlightInfo, PollFlightInfo: ranges of parts that can be fetched apart; 1 where it is missing
+	Key       string `json:"idempotency_key"` // required by a keyed class, the same for each retry
+	Endpoints int    // GetFlightInfo, PollFlightInfo: number of ranges of parts that are fetched separately; 1 if missing
 }
 
-// maxEndpoints bounds the ranges of one flight.
+// maxEndpoints bounds the number of ranges of one flight.
 const maxEndpoints = 64
 
-// parseTicket reads a plain ticket into a query, whose owner is the caller's where that is known.
-func (s *Server) parseTicket(raw []byte, g *caller) (q coordinator.Query, t Ticket, err error) {
+// parseTicket reads a plain ticket into a query. Its owner is that of the caller, if authenticated; a ticket may not name another.
+func (s *Server) parseTicket(raw []byte, c *caller) (q coordinator.Query, t Ticket, err error) {
 	if err := json.Unmarshal(raw, &t); err != nil {
 		return q, t, status.Errorf(codes.InvalidArgument, "ticket: %v", err)
 	}
-	if g.authenticated {
-		if t.Owner != "" && t.Owner != g.client.Owner {
-			return q, t, status.Errorf(codes.PermissionDenied, "the ticket is for owner %q, and you are %q", t.Owner, g.client.Owner)
+	if c.authenticated {
+		if t.Owner != "" && t.Owner != c.client.Owner {
+			return q, t, status.Errorf(codes.PermissionDenied, "the ticket is for owner %q, and you are %q", t.Owner, c.client.Owner)
 		}
-		t.Owner = g.client.Owner
+		t.Owner = c.client.Owner
 	}
 	if len(t.Owner) > 255 {
 		return q, t, status.Errorf(codes.InvalidArgument, "owner of %d bytes; 255 are allowed", len(t.Owner))
@@ -58,17 +58,17 @@
 }
 
 // parseDescriptor reads a descriptor: a command that is a plain ticket, or a path of a class and its shards.
-func (s *Server) parseDescriptor(d *flight.FlightDescriptor, g *caller) (coordinator.Query, Ticket, error) {
+func (s *Server) parseDescriptor(d *flight.FlightDescriptor, c *caller) (coordinator.Query, Ticket, error) {
 	switch {
 	case d.GetType() == flight.DescriptorCMD && len(d.GetCmd()) > 0:
-		return s.parseTicket(d.GetCmd(), g)
+		return s.parseTicket(d.GetCmd(), c)
 	case d.GetType() == flight.DescriptorPATH && len(d.GetPath()) > 1:
 		path := d.GetPath()
-		q := coordinator.Query{ID: rand.Text(), Class: path[0], Tenant: g.client.Owner}
-		for _, word := range path[1:] {
-			shard, err := strconv.Atoi(word)
+		q := coordinator.Query{ID: rand.Text(), Class: path[0], Tenant: c.client.Owner}
+		for _, segment := range path[1:] {
+			shard, err := strconv.Atoi(segment)
 			if err != nil {
-				return q, Ticket{}, status.Errorf(codes.InvalidArgument, "path: %q is no shard; it is CLASS, SHARD, SHARD ...", word)
+				return q, Ticket{}, status.Errorf(codes.InvalidArgument, "path: %q is no shard; it is CLASS, SHARD, SHARD ...", segment)
 			}
 			q.Parts = append(q.Parts, coordinator.Part{Shard: shard, Weight: 1 / float64(len(path)-1)})
 		}
@@ -77,34 +77,34 @@
 	return coordinator.Query{}, Ticket{}, status.Error(codes.InvalidArgument, "the descriptor needs a ticket as its command, or a path of a class and its shards")
 }
 
-// flightResult is what the server has of a flight, beside its account in internal/session.
+// flightResult holds the query and the answer of a flight; internal/session tracks its state.
 type flightResult struct {
 	query    coordinator.Query
 	ranges   [][]coordinator.Part
-	received atomic.Int32 // parts that have come
+	received atomic.Int32 // number of parts received
 	cancel   context.CancelFunc
-	done     chan struct{} // closed once there is a final answer
+	done     chan struct{} // closed once the query has ended
 	answer   coordinator.Answer
-	err      error // where there is none
+	err      error // set if there is no answer
 }
 
-// fetchTicket is the payload of a sealed ticket.
+// fetchTicket is the payload of a signed ticket.
 type fetchTicket struct {
 	Flight string `json:"f"`
 	Range  int    `json:"r"`
 }
 
-// dropResults drops what belongs to flights that are over. The caller holds the lock.
+// dropResults cancels the queries of ended flights and removes their results. The caller holds the lock.
 func (s *Server) dropResults(ids []string) {
 	for _, id := range ids {
-		if k := s.results[id]; k != nil && k.cancel != nil {
-			k.cancel()
+		if result := s.results[id]; result != nil && result.cancel != nil {
+			result.cancel()
 		}
 		delete(s.results, id)
 	}
 }
 
-// sessionStatus is the status of an error of internal/session.
+// sessionStatus returns the gRPC status of an error of internal/session.
 func sessionStatus(err error) error {
 	switch {
 	case errors.Is(err, session.ErrOtherOwner):
@@ -118,7 +118,7 @@
 }
 
 // planFlight opens a flight for a query.
-func (s *Server) planFlight(q coordinator.Query, t Ticket) (id string, k *flightResult, err error) {
+func (s *Server) planFlight(q coordinator.Query, t Ticket) (id string, result *flightResult, err error) {
 	if err := s.Coordinator.Validate(&q); err != nil {
 		return "", nil, status.Error(codes.InvalidArgument, err.Error())
 	}
@@ -126,9 +126,9 @@
 	if n > maxEndpoints || n > len(q.Parts) {
 		return "", nil, status.Errorf(codes.InvalidArgument, "endpoints: %d; 1 to %d are possible", n, min(maxEndpoints, len(q.Parts)))
 	}
-	k = &flightResult{query: q, done: make(chan struct{})}
+	result = &flightResult{query: q, done: make(chan struct{})}
 	for i := range n {
-		k.ranges = append(k.ranges, q.Parts[i*len(q.Parts)/n:(i+1)*len(q.Parts)/n])
+		result.ranges = append(result.ranges, q.Parts[i*len(q.Parts)/n:(i+1)*len(q.Parts)/n])
 	}
 	id = rand.Text()
 	s.mu.Lock()
@@ -139,11 +139,11 @@
 	if err != nil {
 		return "", nil, sessionStatus(err)
 	}
-	s.results[id] = k
-	return id, k, nil
+	s.results[id] = result
+	return id, result, nil
 }
 
-// limit is how long a query of the class may take.
+// limit returns how long a query of the class may take: at most an hour.
 func (c Class) limit() time.Duration {
 	if c.Limit <= 0 || c.Limit > time.Hour {
 		return time.Hour
@@ -151,35 +151,35 @@
 	return c.Limit
 }
 
-// flightInfo describes a flight. Its tickets hold until then.
-func (s *Server) flightInfo(d *flight.FlightDescriptor, id string, k *flightResult, until time.Time) *flight.FlightInfo {
-	out := &flight.FlightInfo{Schema: flight.SerializeSchema(s.classOf(k.query.Class).Schema, memory.DefaultAllocator), FlightDescriptor: d,
+// flightInfo describes a flight. Its tickets are valid until the given time.
+func (s *Server) flightInfo(d *flight.FlightDescriptor, id string, result *flightResult, until time.Time) *flight.FlightInfo {
+	out := &flight.FlightInfo{Schema: flight.SerializeSchema(s.classOf(result.query.Class).Schema, memory.DefaultAllocator), FlightDescriptor: d,
 		TotalRecords: -1, TotalBytes: -1, Ordered: false}
-	for i := range k.ranges {
+	for i := range result.ranges {
 		payload, _ := json.Marshal(fetchTicket{id, i})
 		out.Endpoint = append(out.Endpoint, &flight.FlightEndpoint{ExpirationTime: timestamppb.New(until),
-			Ticket: &flight.Ticket{Ticket: s.keys.seal(forFetch, k.query.Tenant, until, payload)}})
+			Ticket: &flight.Ticket{Ticket: s.keys.sign(purposeFetch, result.query.Tenant, until, payload)}})
 	}
 	return out
 }
 
-// ticketTTL is how long a ticket may be used; the flight that it is of may be over before.
+// ticketTTL is how long a ticket is valid. Its flight may end before that.
 const ticketTTL = 6 * time.Minute
 
-// GetFlightInfo plans a query and leads to its ranges. The query is asked when the first of them is fetched.
+// GetFlightInfo plans a query and returns tickets for its ranges. The query runs when the first of them is fetched.
 func (s *Server) GetFlightInfo(ctx context.Context, d *flight.FlightDescriptor) (*flight.FlightInfo, error) {
 	q, t, err := s.parseDescriptor(d, callerOf(ctx))
 	if err != nil {
 		return nil, err
 	}
-	id, k, err := s.planFlight(q, t)
+	id, result, err := s.planFlight(q, t)
 	if err != nil {
 		return nil, err
 	}
-	return s.flightInfo(d, id, k, time.Now().Add(ticketTTL)), nil
+	return s.flightInfo(d, id, result, time.Now().Add(ticketTTL)), nil
 }
 
-// GetSchema tells the schema of a class's answers.
+// GetSchema returns the schema of a class's answers.
 func (s *Server) GetSchema(ctx context.Context, d *flight.FlightDescriptor) (*flight.SchemaResult, error) {
 	q, _, err := s.parseDescriptor(d, callerOf(ctx))
 	if err != nil {
@@ -191,14 +191,14 @@
 	return &flight.SchemaResult{Schema: flight.SerializeSchema(s.classOf(q.Class).Schema, memory.DefaultAllocator)}, nil
 }
 
-// classInfo is what ListFlights tells of a class, as the metadata of its flight.
+// classInfo describes a class in ListFlights, as the metadata of its flight.
 type classInfo struct {
 	Class   string `json:"class"`
 	Shards  int    `json:"shards"`
 	Covered int    `json:"covered"` // shards that have a data node now
 }
 
-// ListFlights tells what classes there are, and how many shards have a data node. Criteria are empty, or {"class":"..."}.
+// ListFlights lists the classes and how many shards have a data node. Criteria are empty or {"class":"..."}.
 func (s *Server) ListFlights(c *flight.Criteria, stream flight.FlightService_ListFlightsServer) error {
 	var want struct{ Class string }
 	if raw := c.GetExpression(); len(raw) > 0 {
@@ -210,11 +210,11 @@
 		if want.Class != "" && want.Class != class.Name {
 			continue
 		}
-		l := classInfo{Class: class.Name, Shards: s.Shards, Covered: s.Shards}
+		info := classInfo{Class: class.Name, Shards: s.Shards, Covered: s.Shards}
 		if s.Covered != nil {
-			l.Covered = s.Covered()
+			info.Covered = s.Covered()
 		}
-		meta, _ := json.Marshal(l)
+		meta, _ := json.Marshal(info)
 		if err := stream.Send(&flight.FlightInfo{Schema: flight.SerializeSchema(s.classOf(class.Name).Schema, memory.DefaultAllocator),
 			FlightDescriptor: &flight.FlightDescriptor{Type: flight.DescriptorPATH, Path: []string{class.Name}},
 			AppMetadata:      meta, TotalRecords: -1, TotalBytes: -1}); err != nil {
@@ -224,59 +224,59 @@
 	return nil
 }
 
-// runQuery asks a flight's query and notes how it ended. It belongs to no stream: several may wait for it.
-func (s *Server) runQuery(id string, k *flightResult, g *caller) {
-	defer close(k.done)
-	ctx, stop := context.WithCancel(context.Background())
-	defer stop()
+// runQuery runs a flight's query and records its result. It is bound to no stream, since several may wait for it.
+func (s *Server) runQuery(id string, result *flightResult, c *caller) {
+	defer close(result.done)
+	ctx, cancel := context.WithCancel(context.Background())
+	defer cancel()
 	s.mu.Lock()
-	k.cancel = stop
+	result.cancel = cancel
 	s.mu.Unlock()
-	end := time.Now().Add(s.classOf(k.query.Class).limit())
-	leave, err := s.admitQuery(g, k.query.Tenant)
+	deadline := time.Now().Add(s.classOf(result.query.Class).limit())
+	release, err := s.admitQuery(c, result.query.Tenant)
 	if err == nil {
-		q := k.query
-		q.Deadline, q.ReceivedParts = end, &k.received
+		q := result.query
+		q.Deadline, q.ReceivedParts = deadline, &result.received
 		var answer coordinator.Answer
 		if answer, err = s.Coordinator.Execute(ctx, q); errors.Is(err, coordinator.ErrClientGone) {
 			err = status.Error(codes.Canceled, "was cancelled")
-		} else if err = statusOf(ctx, answer, err, end); err == nil {
-			k.answer = answer
+		} else if err = statusOf(ctx, answer, err, deadline); err == nil {
+			result.answer = answer
 		}
-		leave()
+		release()
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if err != nil {
 		s.flights.Fail(time.Now(), id)
 	} else {
-		evicted, ok := s.flights.Complete(time.Now(), id, totalBytes(k.answer.Values))
+		evicted, ok := s.flights.Complete(time.Now(), id, totalBytes(result.answer.Values))
 		s.dropResults(evicted)
 		if !ok {
 			err = unavailable("answers that are kept hold all they may; fetch those, or ask for less", drainRetryAfter)
 		}
 	}
-	if k.err = err; err != nil {
-		k.answer = coordinator.Answer{}
+	if result.err = err; err != nil {
+		result.answer = coordinator.Answer{}
 	}
 }
 
-// claimRange asks for a range of a flight, and has its query asked where nobody has.
-func (s *Server) claimRange(g *caller, id, owner string, r int) (*flightResult, session.Next, error) {
+// claimRange claims a range of a flight and starts the flight's query if it has not been started.
+func (s *Server) claimRange(c *caller, id, owner string, index int) (*flightResult, session.Next, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	next, err := s.flights.Claim(time.Now(), id, owner, r)
-	k := s.results[id]
+	next, err := s.flights.Claim(time.Now(), id, owner, index)
+	result := s.results[id]
 	if err != nil {
 		return nil, 0, sessionStatus(err)
 	}
 	if next == session.Start {
-		go s.runQuery(id, k, g)
+		go s.runQuery(id, result, c)
 	}
-	return k, next, nil
+	return result, next, nil
 }
 
-// DoPut is not offered: classes of this service only read.
+// DoPut is not offered: all classes of this service are read-only.
 func (s *Server) DoPut(stream flight.FlightService_DoPutServer) error {
 	return status.Error(codes.Unimplemented, "no class takes data in; results are entered at the data nodes, and asked for by DoGet or DoExchange")
 }
--- a/internal/flight/interceptor.go
+++ b/internal/flight/interceptor.go
@@ -17,10 +17,10 @@
 	"gullfall/internal/admission"
 )
 
-// connKey is where a connection's number lies in its calls' contexts.
+// connKey is the context key of the connection number.
 type connKey struct{}
 
-// connCounter numbers connections: admission counts by them, since several clients may share an address.
+// connCounter numbers connections. Admission counts calls by connection, since several clients may share an address.
 type connCounter struct{ next *atomic.Uint64 }
 
 func (c connCounter) TagConn(ctx context.Context, _ *stats.ConnTagInfo) context.Context {
@@ -30,22 +30,22 @@
 func (c connCounter) TagRPC(ctx context.Context, _ *stats.RPCTagInfo) context.Context { return ctx }
 func (c connCounter) HandleRPC(context.Context, stats.RPCStats)                       {}
 
-// caller is who asks, as a call's context has it.
+// caller identifies the client of a call; it is stored in the call's context.
 type caller struct {
 	client        admission.Client
-	authenticated bool // the owner is known by credentials; else the ticket names it
+	authenticated bool // the owner is known by credentials or network; otherwise the ticket names it
 	pass          *admission.Pass
 }
 
 type callerKey struct{}
 
 func callerOf(ctx context.Context) *caller {
-	g, _ := ctx.Value(callerKey{}).(*caller)
-	return g
+	c, _ := ctx.Value(callerKey{}).(*caller)
+	return c
 }
 
-// network is the name that an address counts under: its /24 or /48.
-func network(a netip.Addr) string {
+// networkPrefix returns the networkPrefix under which admission counts an address: its /24 or /48.
+func networkPrefix(a netip.Addr) string {
 	bits := 24
 	if a.Is6() {
 		bits = 48
@@ -57,65 +57,65 @@
 	return p.String()
 }
 
-// admit lets a call in, or says why not. What it returns is to be called at the call's end.
+// admit admits a call or returns the reason for refusing it. The returned function must be called when the call ends.
 func (s *Server) admit(ctx context.Context, method string) (context.Context, func(), error) {
 	if s.draining() {
 		return ctx, nil, unavailable("this coordinator drains; ask another, or come back", drainRetryAfter)
 	}
-	g := &caller{}
-	g.client.Connection, _ = ctx.Value(connKey{}).(uint64)
-	addr := address(ctx)
-	g.client.Network = network(addr)
+	c := &caller{}
+	c.client.Connection, _ = ctx.Value(connKey{}).(uint64)
+	addr := remoteAddr(ctx)
+	c.client.Network = networkPrefix(addr)
 	if method != "/arrow.flight.protocol.FlightService/Handshake" {
-		owner, named, err := s.authenticate(ctx)
+		owner, authenticated, err := s.authenticate(ctx)
 		if err != nil {
 			return ctx, nil, err
 		}
-		g.client.Owner, g.authenticated = owner, named
+		c.client.Owner, c.authenticated = owner, authenticated
 	}
 	s.mu.Lock()
-	pass, rejection := s.admission.Admit(time.Now(), g.client, admission.Stream)
+	pass, rejection := s.admission.Admit(time.Now(), c.client, admission.Stream)
 	if rejection != nil {
 		s.mu.Unlock()
 		return ctx, nil, unavailable(rejection.Error(), rejection.RetryAfter)
 	}
-	g.pass = pass
-	ctx, end := context.WithCancelCause(context.WithValue(ctx, callerKey{}, g))
-	s.cancels[pass] = end
+	c.pass = pass
+	ctx, cancel := context.WithCancelCause(context.WithValue(ctx, callerKey{}, c))
+	s.cancels[pass] = cancel
 	s.mu.Unlock()
 	return ctx, func() {
 		s.mu.Lock()
 		delete(s.cancels, pass)
 		s.admission.Release(time.Now(), pass)
 		s.mu.Unlock()
-		end(nil)
+		cancel(nil)
 	}, nil
 }
 
 func (s *Server) unary(ctx context.Context, req any, info *grpc.UnaryServerInfo, handler grpc.UnaryHandler) (_ any, err error) {
-	ctx, leave, err := s.admit(ctx, info.FullMethod)
+	ctx, release, err := s.admit(ctx, info.FullMethod)
 	if err != nil {
 		return nil, err
 	}
-	defer leave()
+	defer release()
 	defer s.recoverPanic(&err)
 	return handler(ctx, req)
 }
 
-// callerStream is a stream whose context knows the caller, and ends when the caller is evicted.
+// callerStream is a server stream whose context holds the caller and is cancelled when the caller is evicted.
 type callerStream struct {
 	grpc.ServerStream
 	ctx context.Context
 }
 
-func (g *callerStream) Context() context.Context { return g.ctx }
+func (c *callerStream) Context() context.Context { return c.ctx }
 
 func (s *Server) stream(srv any, stream grpc.ServerStream, info *grpc.StreamServerInfo, handler grpc.StreamHandler) (err error) {
-	ctx, leave, err := s.admit(stream.Context(), info.FullMethod)
+	ctx, release, err := s.admit(stream.Context(), info.FullMethod)
 	if err != nil {
 		return err
 	}
-	defer leave()
+	defer release()
 	done := make(chan error, 1)
 	go func() {
 		var err error
@@ -126,18 +126,18 @@
 	select {
 	case err = <-done:
 	case <-ctx.Done():
-		// A handler that waits for its reader is ended by the end of its stream, which is when this returns; one
-		// that waits for anything else sees its context.
-		if why := context.Cause(ctx); errors.Is(why, errStalled) || errors.Is(why, errMemoryPressure) {
-			s.Log.Warn("slow reader evicted", "method", info.FullMethod, "cause", why)
-			return unavailable(why.Error(), drainRetryAfter)
+		// A handler blocked on a slow reader ends with its stream, that is, when this function returns. A handler
+		// blocked on anything else ends with its context.
+		if cause := context.Cause(ctx); errors.Is(cause, errStalled) || errors.Is(cause, errMemoryPressure) {
+			s.Log.Warn("slow reader evicted", "method", info.FullMethod, "cause", cause)
+			return unavailable(cause.Error(), drainRetryAfter)
 		}
 		err = <-done
 	}
 	return err
 }
 
-// recoverPanic turns a panic of a handler into an error: it costs its call and nothing else.
+// recoverPanic turns a panic of a handler into an error, so that only its own call fails.
 func (s *Server) recoverPanic(err *error) {
 	if cause := recover(); cause != nil {
 		s.Log.Error("a Flight call panicked", "cause", cause)
@@ -145,15 +145,15 @@
 	}
 }
 
-// admitQuery lets a query in, beside its stream.
-func (s *Server) admitQuery(g *caller, owner string) (leave func(), err error) {
-	who := g.client
-	if who.Owner == "" {
-		who.Owner = owner
+// admitQuery admits a query on a stream that is already admitted. The returned function must be called when the query ends.
+func (s *Server) admitQuery(c *caller, owner string) (release func(), err error) {
+	client := c.client
+	if client.Owner == "" {
+		client.Owner = owner
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	pass, rejection := s.admission.Admit(time.Now(), who, admission.Query)
+	pass, rejection := s.admission.Admit(time.Now(), client, admission.Query)
 	if rejection != nil {
 		return nil, unavailable(rejection.Error(), rejection.RetryAfter)
 	}
@@ -164,11 +164,11 @@
 	}, nil
 }
 
-// unavailable is a rejection with a time to come back.
-func unavailable(why string, after time.Duration) error {
-	st, err := status.New(codes.Unavailable, why).WithDetails(&errdetails.RetryInfo{RetryDelay: durationpb.New(after)})
+// unavailable returns an Unavailable status that tells the client when to retry.
+func unavailable(message string, retryAfter time.Duration) error {
+	st, err := status.New(codes.Unavailable, message).WithDetails(&errdetails.RetryInfo{RetryDelay: durationpb.New(retryAfter)})
 	if err != nil {
-		return status.Error(codes.Unavailable, why)
+		return status.Error(codes.Unavailable, message)
 	}
 	return st.Err()
 }
--- a/internal/flight/memory.go
+++ b/internal/flight/memory.go
@@ -6,7 +6,7 @@
 	"gullfall/internal/admission"
 )
 
-// reservation is the memory that a query holds before its answer has come.
+// reservation is the memory held for a query whose answer has not arrived yet.
 type reservation struct {
 	server *Server
 	caller *caller
@@ -15,17 +15,17 @@
 	bytes  int64
 }
 
-// reserve asks for memory for an answer that is still to come, by what its class has needed. It is given back by commit or
-// by release.
-func (s *Server) reserve(g *caller, class string, parts int) (*reservation, error) {
+// reserve reserves memory for an expected answer, estimated from earlier answers of its class. The caller ends the reservation with
+// commit or release.
+func (s *Server) reserve(c *caller, class string, parts int) (*reservation, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	r := &reservation{s, g, class, parts, min(s.sizeEstimates.Estimate(class, parts), s.Memory)}
-	evicted, rejection := s.admission.Reserve(time.Now(), g.pass, r.bytes)
+	r := &reservation{s, c, class, parts, min(s.sizeEstimates.Estimate(class, parts), s.Memory)}
+	evicted, rejection := s.admission.Reserve(time.Now(), c.pass, r.bytes)
 	return r, s.rejectMemory(evicted, rejection, r.bytes)
 }
 
-// rejectMemory ends the streams that were evicted for another, and turns a rejection into an error. The caller holds the lock.
+// rejectMemory ends the streams that were evicted to free memory and turns a rejection into an error. The caller holds the lock.
 func (s *Server) rejectMemory(evicted []*admission.Pass, rejection *admission.Rejection, bytes int64) error {
 	for _, p := range evicted {
 		s.cancelStream(p, errMemoryPressure)
@@ -37,14 +37,14 @@
 	return unavailable(rejection.Error(), rejection.RetryAfter)
 }
 
-// release gives the memory back: no answer came.
+// release returns the memory of a query that ended without an answer.
 func (r *reservation) release() {
 	r.server.mu.Lock()
 	defer r.server.mu.Unlock()
 	r.server.admission.Read(time.Now(), r.caller.pass, r.bytes)
 }
 
-// commit turns the reservation into the memory of the answer; read tells what of it has been read.
+// commit changes the reservation to the size of the answer. The caller reports to read how many bytes the client has read.
 func (r *reservation) commit(bytes int64) (read func(int64), err error) {
 	s := r.server
 	s.mu.Lock()
--- a/internal/flight/nodecalls.go
+++ b/internal/flight/nodecalls.go
@@ -1,13 +1,14 @@
 package flight
 
-// Calls to data nodes by DoExchange: several parts on one stream, so that a call counts as the module counts it, each part
-// cancelled by a message of its own. A part's end is reported only once the data node was told of it, and what came before the
-// stream broke is not used.
+// Calls to data nodes by DoExchange. All parts of a call share one stream, so that a call is one unit here as it is for the decision
+// module, and each part is cancelled by its own message. The end of a cancelled part is reported only after the data node has been
+// told, and what was received of a part before its stream broke is discarded.
 //
 // The coordinator sends one message without a body whose descriptor's path is "parts" and whose metadata is
-// {"parts":[{"id":"q.3","shard":3,"q":"...","deadline_ms":240}]} (with "idempotency_key" in a keyed class), and {"cancel":"q.3"} for one that is given up. The data
-// node answers with batches whose metadata is {"id":"q.3","last":true,"load":{"util":0.6}}, or a batch without rows
-// and {"id":"q.3","status":"ResourceExhausted"} for a part that it turns away.
+// {"parts":[{"id":"q.3","shard":3,"q":"...","deadline_ms":240}]} (with "idempotency_key" in a keyed class), and later
+// {"cancel":"q.3"} for a part to cancel. The data node answers with batches whose metadata is
+// {"id":"q.3","last":true,"load":{"util":0.6}}, or, for a part that it rejects, with a batch without rows and the metadata
+// {"id":"q.3","status":"ResourceExhausted"}.
 
 import (
 	"context"
@@ -26,19 +27,19 @@
 	"gullfall/internal/coordinator"
 )
 
-// PartsPath is the path of a call's descriptor.
+// PartsPath is the descriptor path of a call.
 const PartsPath = "parts"
 
-// PartRequest is one part of a call.
+// PartRequest asks a data node for one part.
 type PartRequest struct {
 	ID         string `json:"id"`
 	Shard      int    `json:"shard"`
 	Q          string `json:"q"`
 	DeadlineMS int64  `json:"deadline_ms"`
-	Key        string `json:"idempotency_key,omitempty"` // of a keyed class: a repeat is dropped by it
+	Key        string `json:"idempotency_key,omitempty"` // only in a keyed class: the data node drops a repeated key
 }
 
-// CallRequest is the metadata of a message to a data node.
+// CallRequest is the metadata of a message to a data node: the parts of a call, or the ID of a part to cancel.
 type CallRequest struct {
 	Parts  []PartRequest `json:"parts,omitempty"`
 	Cancel string        `json:"cancel,omitempty"`
@@ -48,41 +49,41 @@
 type PartResponse struct {
 	ID      string             `json:"id"`
 	Last    bool               `json:"last,omitempty"`
-	Status  string             `json:"status,omitempty"` // a gRPC code's name, for a part that has no answer
+	Status  string             `json:"status,omitempty"` // name of a gRPC code, for a part without an answer
 	Message string             `json:"message,omitempty"`
 	Load    map[string]float64 `json:"load,omitempty"`
 }
 
-// nodeCall is a call on its stream. Its fields but sending are guarded by the peer's lock.
+// nodeCall is a call and its stream. The lock of nodeConn guards all fields except sendMu.
 type nodeCall struct {
 	cancel   context.CancelFunc
 	channel  *channel
 	stream   flight.FlightService_DoExchangeClient
-	attempts []*coordinator.Attempt          // all of its parts, in the order in which they were sent here
-	pending  map[string]*coordinator.Attempt // by id, those without an end
-	sending  sync.Mutex                      // one message at a time
+	attempts []*coordinator.Attempt          // all parts of the call, in their order in the request
+	pending  map[string]*coordinator.Attempt // parts that have not ended, by ID
+	sendMu   sync.Mutex                      // serializes sends on the stream
 }
 
-// startCall notes a call, before anything else can be ordered of its parts, and lets it be sent.
-func (p *nodeConn) startCall(list []*coordinator.Attempt) {
-	end := list[0].Deadline
-	for _, a := range list {
-		if a.Deadline.After(end) {
-			end = a.Deadline
+// startCall registers a call, so that later commands find its parts, and starts sending it.
+func (p *nodeConn) startCall(attempts []*coordinator.Attempt) {
+	deadline := attempts[0].Deadline
+	for _, a := range attempts {
+		if a.Deadline.After(deadline) {
+			deadline = a.Deadline
 		}
 	}
-	ctx, cancel := context.WithDeadline(context.Background(), end)
-	g := &nodeCall{cancel: cancel, attempts: list, pending: map[string]*coordinator.Attempt{}}
+	ctx, cancel := context.WithDeadline(context.Background(), deadline)
+	g := &nodeCall{cancel: cancel, attempts: attempts, pending: map[string]*coordinator.Attempt{}}
 	p.mu.Lock()
-	for _, a := range list {
+	for _, a := range attempts {
 		g.pending[a.ID] = a
 		p.calls[a] = &attemptState{cancel: func() {}, call: g}
 	}
 	p.mu.Unlock()
-	go p.runCall(ctx, g, min(int64(len(list)), p.maxStreams))
+	go p.runCall(ctx, g, min(int64(len(attempts)), p.maxStreams))
 }
 
-// runCall sends the parts of a call on one stream and reports the end of each.
+// runCall sends the parts of a call on one stream and reports the result of each.
 func (p *nodeConn) runCall(ctx context.Context, g *nodeCall, n int64) {
 	defer g.cancel()
 	if err := p.streams.Acquire(ctx, n); err != nil {
@@ -103,56 +104,56 @@
 		p.release(ch, 1)
 		p.mu.Unlock()
 	}()
-	ask, live := p.beginCall(g, ch)
-	if !live {
+	request, sendable := p.beginCall(g, ch)
+	if !sendable {
 		return
 	}
-	err = p.exchange(ctx, g, ch, ask)
+	err = p.exchange(ctx, g, ch, request)
 	if status.Code(err) == codes.Unimplemented {
 		p.noExchange.Store(true)
 		p.Log.Info("data node does not offer DoExchange; using DoGet", "node", p.node.ID())
-		p.retryAsParts(g) // none of them has run
+		p.retryAsParts(g) // the data node has run none of them
 		return
 	}
 	p.mu.Lock()
-	left := len(g.pending)
+	unfinished := len(g.pending)
 	p.mu.Unlock()
-	if left == 0 {
+	if unfinished == 0 {
 		return
 	}
-	r := coordinator.Result{Outcome: coordinator.Errored} // a stream that ended well without them
+	r := coordinator.Result{Outcome: coordinator.Errored} // the stream ended without an error before these parts did
 	if err != nil {
 		if r.Outcome = outcomeOfStream(ctx, err); r.Outcome == coordinator.Reset && p.reconnects(ctx) {
 			r.Outcome = coordinator.ConnectionLost
 		}
 	}
-	p.Log.Info("parts ended without their values", "node", p.node.ID(), "parts", left, "cause", err)
+	p.Log.Info("parts ended without their values", "node", p.node.ID(), "parts", unfinished, "cause", err)
 	p.finishAll(g, r)
 }
 
-// beginCall notes that the data node may know of a call's parts from now on, and returns those that are still wanted.
-func (p *nodeConn) beginCall(g *nodeCall, ch *channel) (ask CallRequest, live bool) {
+// beginCall returns the request for those parts that are still wanted, and marks them as possibly known to the data node.
+func (p *nodeConn) beginCall(g *nodeCall, ch *channel) (request CallRequest, sendable bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	g.channel = ch
 	now := time.Now()
 	for _, a := range g.attempts {
 		if g.pending[a.ID] != a {
-			continue // given up while it waited
+			continue // cancelled while the call waited
 		}
 		if outcome, ok := a.Sendable(now); !ok {
 			p.finishLocked(g, a, coordinator.Result{Outcome: outcome})
 			continue
 		}
-		p.calls[a].begun, p.calls[a].channel = now, ch
-		ask.Parts = append(ask.Parts, PartRequest{ID: a.ID, Shard: a.Shard, Q: a.Text, Key: a.IdempotencyKey,
+		p.calls[a].started, p.calls[a].channel = now, ch
+		request.Parts = append(request.Parts, PartRequest{ID: a.ID, Shard: a.Shard, Q: a.Text, Key: a.IdempotencyKey,
 			DeadlineMS: max(1, time.Until(a.Deadline).Milliseconds())})
 	}
-	return ask, len(ask.Parts) > 0
+	return request, len(request.Parts) > 0
 }
 
-// exchange sends a call and reads its answers until all parts have an end, or the stream does.
-func (p *nodeConn) exchange(ctx context.Context, g *nodeCall, ch *channel, ask CallRequest) (err error) {
+// exchange sends a call and reads the answers until all of its parts or the stream have ended.
+func (p *nodeConn) exchange(ctx context.Context, g *nodeCall, ch *channel, request CallRequest) (err error) {
 	defer func() {
 		if cause := recover(); cause != nil {
 			p.Log.Error("stream of data node not understood", "node", p.node.ID(), "cause", cause)
@@ -166,7 +167,7 @@
 	p.mu.Lock()
 	g.stream = stream
 	p.mu.Unlock()
-	raw, err := json.Marshal(ask)
+	raw, err := json.Marshal(request)
 	if err != nil {
 		return err
 	}
@@ -181,8 +182,8 @@
 		return err
 	}
 	defer in.Release()
-	got, sizes := map[string]*coordinator.Result{}, map[string]int{}
-	for p.pending(g) && in.Next() {
+	results, sizes := map[string]*coordinator.Result{}, map[string]int{}
+	for p.hasPending(g) && in.Next() {
 		p.mu.Lock()
 		ch.lastReceived = time.Now()
 		p.mu.Unlock()
@@ -190,28 +191,28 @@
 		if err := json.Unmarshal(in.LatestAppMetadata(), &m); err != nil {
 			return fmt.Errorf("%w: metadata: %w", errMalformedStream, err)
 		}
-		if err := p.takeBatch(g, in.RecordBatch(), m, got, sizes); err != nil {
+		if err := p.handleBatch(g, in.RecordBatch(), m, results, sizes); err != nil {
 			return err
 		}
 	}
-	if p.pending(g) {
+	if p.hasPending(g) {
 		if err := in.Err(); err != nil && !errors.Is(err, io.EOF) {
 			return err
 		}
 		return nil
 	}
-	g.sending.Lock()
-	defer g.sending.Unlock()
+	g.sendMu.Lock()
+	defer g.sendMu.Unlock()
 	return stream.CloseSend()
 }
 
-// takeBatch takes in one batch of a part.
-func (p *nodeConn) takeBatch(g *nodeCall, rec arrow.RecordBatch, m PartResponse, got map[string]*coordinator.Result, sizes map[string]int) error {
+// handleBatch processes one batch of a part.
+func (p *nodeConn) handleBatch(g *nodeCall, rec arrow.RecordBatch, m PartResponse, results map[string]*coordinator.Result, sizes map[string]int) error {
 	p.mu.Lock()
 	a := g.pending[m.ID]
 	p.mu.Unlock()
 	if a == nil {
-		return nil // it was given up meanwhile
+		return nil // cancelled in the meantime
 	}
 	if m.Status != "" {
 		r := coordinator.Result{Outcome: coordinator.Errored, LoadReport: m.Load}
@@ -221,19 +222,19 @@
 		p.finish(g, a, r)
 		return nil
 	}
-	r := got[m.ID]
+	r := results[m.ID]
 	if r == nil {
 		r = &coordinator.Result{Outcome: coordinator.OK}
-		got[m.ID] = r
+		results[m.ID] = r
 	}
-	n, err := documents(rec, a.Shard, r)
+	n, err := appendDocuments(rec, a.Shard, r)
 	if sizes[m.ID] += n; err == nil && sizes[m.ID] > maxPartBytes {
 		err = fmt.Errorf("%w: over %d bytes", errMalformedStream, maxPartBytes)
 	}
 	if err == nil && m.Last && len(r.Docs) == 0 {
 		err = fmt.Errorf("%w: no document", errMalformedStream)
 	}
-	if err != nil { // it costs its part, not the call
+	if err != nil { // only this part fails, not the call
 		p.Log.Info("part ended without its value", "node", p.node.ID(), "part", m.ID, "cause", err)
 		p.finish(g, a, coordinator.Result{Outcome: coordinator.Errored})
 		return nil
@@ -247,8 +248,9 @@
 	return nil
 }
 
-// documents takes the documents out of a batch: rows of Schema, or else the batch as a whole.
-func documents(rec arrow.RecordBatch, shard int, r *coordinator.Result) (size int, err error) {
+// appendDocuments appends the appendDocuments of a batch to r and returns their size: each row of a batch of Schema, or else the whole
+// batch as one document.
+func appendDocuments(rec arrow.RecordBatch, shard int, r *coordinator.Result) (size int, err error) {
 	if !rec.Schema().Equal(Schema) {
 		doc, err := EncodeBatch(rec)
 		if err != nil {
@@ -271,28 +273,28 @@
 	return size, nil
 }
 
-// send sends a message; it waits for nobody but the transport.
+// send sends a message. It waits only for the transport and for other sends.
 func (g *nodeCall) send(m *flight.FlightData) error {
-	g.sending.Lock()
-	defer g.sending.Unlock()
+	g.sendMu.Lock()
+	defer g.sendMu.Unlock()
 	return g.stream.Send(m)
 }
 
-// pending tells whether some part of a call has no end yet.
-func (p *nodeConn) pending(g *nodeCall) bool {
+// hasPending reports whether any part of a call has not ended.
+func (p *nodeConn) hasPending(g *nodeCall) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return len(g.pending) > 0
 }
 
-// finish reports the end of a part.
+// finish reports the result of a part that has not ended.
 func (p *nodeConn) finish(g *nodeCall, a *coordinator.Attempt, r coordinator.Result) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.finishLocked(g, a, r)
 }
 
-// finishLocked is end for one that holds the lock.
+// finishLocked is finish for callers that hold the lock.
 func (p *nodeConn) finishLocked(g *nodeCall, a *coordinator.Attempt, r coordinator.Result) {
 	if g.pending[a.ID] != a {
 		return
@@ -302,7 +304,7 @@
 	p.Coordinator.Report(a, r)
 }
 
-// finishAll reports the same end for all parts that have none.
+// finishAll reports the same result for all parts that have not ended.
 func (p *nodeConn) finishAll(g *nodeCall, r coordinator.Result) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -311,30 +313,30 @@
 	}
 }
 
-// retryAsParts asks for the parts of a call by a stream for each.
+// retryAsParts requests each part of a call on its own stream.
 func (p *nodeConn) retryAsParts(g *nodeCall) {
 	p.mu.Lock()
-	list := g.pending
+	pending := g.pending
 	g.pending = map[string]*coordinator.Attempt{}
-	for _, a := range list {
+	for _, a := range pending {
 		delete(p.calls, a)
 	}
 	p.mu.Unlock()
-	for _, a := range list {
+	for _, a := range pending {
 		p.startPart(a)
 	}
 }
 
-// cancelPart tells the data node that a part of a call is given up, and reports its end after that. The last part of a call takes
-// the stream with it. One that the data node may not know of is only reported.
-func (p *nodeConn) cancelPart(c *nodeCall, a *coordinator.Attempt, begun time.Time) {
-	if !begun.IsZero() {
+// cancelPart tells the data node that a part is cancelled and then reports its end. A part that the data node can't know of is only
+// reported.
+func (p *nodeConn) cancelPart(c *nodeCall, a *coordinator.Attempt, started time.Time) {
+	if !started.IsZero() {
 		p.sendCancel(c, a)
 	}
 	p.finish(c, a, coordinator.Result{Outcome: coordinator.Cancelled})
 }
 
-// sendCancel sends the cancellation of a part, or ends the stream where that can't be sent or no other part is left on it.
+// sendCancel sends the cancellation of a part. It ends the stream instead if the message can't be sent or if this is the last part.
 func (p *nodeConn) sendCancel(c *nodeCall, a *coordinator.Attempt) {
 	p.mu.Lock()
 	last := len(c.pending) == 1 && c.pending[a.ID] == a
--- a/internal/flight/nodeparts.go
+++ b/internal/flight/nodeparts.go
@@ -18,7 +18,7 @@
 	"gullfall/internal/coordinator"
 )
 
-// startPart asks for one part by a stream of its own.
+// startPart requests one part on its own stream.
 func (p *nodeConn) startPart(a *coordinator.Attempt) {
 	ctx, cancel := context.WithDeadline(context.Background(), a.Deadline)
 	c := &attemptState{cancel: cancel}
@@ -28,7 +28,7 @@
 	go p.runPart(ctx, c, a)
 }
 
-// runPart runs one attempt and reports its end.
+// runPart runs one attempt and reports its result.
 func (p *nodeConn) runPart(ctx context.Context, c *attemptState, a *coordinator.Attempt) {
 	defer c.cancel()
 	var r coordinator.Result
@@ -49,7 +49,7 @@
 	p.Coordinator.Report(a, r)
 }
 
-// requestPart asks for one part and reads its stream to the end.
+// requestPart requests one part and reads its stream to the end.
 func (p *nodeConn) requestPart(ctx context.Context, c *attemptState, a *coordinator.Attempt) (r coordinator.Result) {
 	ch, err := p.acquire(ctx)
 	if err != nil {
@@ -58,9 +58,9 @@
 	}
 	p.mu.Lock()
 	now := time.Now()
-	turnedBack, sendable := a.Sendable(now)
+	skipOutcome, sendable := a.Sendable(now)
 	if c.channel = ch; sendable {
-		c.begun = now
+		c.started = now
 	}
 	p.mu.Unlock()
 	defer func() {
@@ -73,7 +73,7 @@
 		}
 	}()
 	if !sendable {
-		return coordinator.Result{Outcome: turnedBack}
+		return coordinator.Result{Outcome: skipOutcome}
 	}
 	ticket, _ := json.Marshal(PartTicket{ID: a.ID, Shard: a.Shard, Q: a.Text, Key: a.IdempotencyKey})
 	stream, err := ch.client.DoGet(ctx, &flight.Ticket{Ticket: ticket})
@@ -89,7 +89,7 @@
 	return r
 }
 
-// outcomeWithoutChannel is the outcome of a part for which there is no channel.
+// outcomeWithoutChannel returns the outcome of a part for which acquire failed with err.
 func outcomeWithoutChannel(err error) coordinator.Outcome {
 	if errors.Is(err, errConnectTimeout) {
 		return coordinator.ConnectTimeout
@@ -100,7 +100,7 @@
 	return coordinator.NotConnected
 }
 
-// reconnects tells whether a channel comes up at once: a data node that has died refuses it.
+// reconnects reports whether a channel comes up at once. A data node that has died refuses it.
 func (p *nodeConn) reconnects(ctx context.Context) bool {
 	ch, err := p.acquire(ctx)
 	if err != nil {
@@ -112,10 +112,10 @@
 	return true
 }
 
-// errMalformedStream marks a stream that ended well but can't be used.
-var errMalformedStream = errors.New("stream not understood")
+// errMalformedStream marks a stream whose content can't be used although its transport did not fail.
+var errMalformedStream = errors.New("malformed stream")
 
-// readPart takes in the documents of one part; load reports ride on the batches' metadata.
+// readPart reads the documents of one part. Load reports come in the metadata of the batches.
 func (p *nodeConn) readPart(ch *channel, stream flight.FlightService_DoGetClient, shard int) (coordinator.Result, error) {
 	in, err := flight.NewRecordReader(stream)
 	if err != nil {
@@ -131,7 +131,7 @@
 		p.mu.Lock()
 		ch.lastReceived = time.Now()
 		p.mu.Unlock()
-		n, err := documents(in.RecordBatch(), shard, &r)
+		n, err := appendDocuments(in.RecordBatch(), shard, &r)
 		if err != nil {
 			return coordinator.Result{}, err
 		}
@@ -152,7 +152,7 @@
 	return r, nil
 }
 
-// columns finds the shard and doc columns of a batch.
+// columns returns the shard and doc columns of a batch.
 func columns(rec arrow.RecordBatch) (shards *array.Int32, docs *array.Binary, err error) {
 	if rec.NumCols() == 2 && rec.Schema().Equal(Schema) {
 		shards, _ = rec.Column(0).(*array.Int32)
@@ -164,7 +164,7 @@
 	return shards, docs, nil
 }
 
-// outcomeOfStream is what a failed stream says of its attempt.
+// outcomeOfStream returns the outcome of an attempt whose stream failed with err.
 func outcomeOfStream(ctx context.Context, err error) coordinator.Outcome {
 	st, _ := status.FromError(err)
 	switch {
@@ -176,7 +176,7 @@
 		return coordinator.Overloaded
 	case st.Code() == codes.Unavailable:
 		for _, d := range st.Details() {
-			if _, turnedAway := d.(*errdetails.RetryInfo); turnedAway {
+			if _, hasRetryInfo := d.(*errdetails.RetryInfo); hasRetryInfo {
 				return coordinator.Overloaded
 			}
 		}
--- a/internal/flight/nodes.go
+++ b/internal/flight/nodes.go
@@ -21,68 +21,68 @@
 	"gullfall/internal/coordinator"
 )
 
-// maxPartBytes bounds the documents of one part.
+// maxPartBytes bounds the total size of the documents of one part.
 const maxPartBytes = 256 << 10
 
-// PartTicket is what a data node is asked with.
+// PartTicket is the DoGet ticket by which a data node is asked for one part.
 type PartTicket struct {
 	ID    string `json:"id"`
 	Shard int    `json:"shard"`
 	Q     string `json:"q"`
-	Key   string `json:"idempotency_key,omitempty"` // of a keyed class
+	Key   string `json:"idempotency_key,omitempty"` // only in a keyed class
 }
 
-// LoadAction is the type of the action by which a data node is probed; its result is a load report.
+// LoadAction is the type of the action that probes a data node; its result is a load report.
 const LoadAction = "load"
 
-// Nodes carries orders to Flight data nodes. Its fields are set before its first use.
+// Nodes carries out the coordinator's commands at Flight data nodes. Its fields are set before its first use.
 type Nodes struct {
 	Coordinator *coordinator.Coordinator
 	Log         *slog.Logger
 	Dial        func(ctx context.Context, addr string) (net.Conn, error)
-	Streams     int           // parts that are out at one data node at once
-	Connect     time.Duration // within which a channel comes up and a probe is answered
-	Idle        time.Duration // after which the peer closes an idle connection; 0 where not known
-	Connections chan struct{} // one for each channel that may be open
+	Streams     int           // maximum concurrent parts at one data node
+	Connect     time.Duration // timeout for opening a channel and for a probe
+	Idle        time.Duration // time after which the data node closes an idle connection; 0 if unknown
+	Connections chan struct{} // holds one element for each open channel; its capacity bounds them
 }
 
-// nodeConn is one data node.
+// nodeConn holds the channel and the calls of one data node.
 type nodeConn struct {
 	*Nodes
 	node       *coordinator.Node
-	streams    *semaphore.Weighted // one for each part that is out
-	maxStreams int64               // of turns
-	noExchange atomic.Bool         // it does not offer DoExchange
+	streams    *semaphore.Weighted // one unit for each concurrent part
+	maxStreams int64               // capacity of streams
+	noExchange atomic.Bool         // the data node does not offer DoExchange
 
 	mu      sync.Mutex
-	channel *channel // the one in use; nil where there is none
+	channel *channel // the current one, or nil
 	calls   map[*coordinator.Attempt]*attemptState
 	backoff backoff
 }
 
-// channel is one connection; it is closed once it is out of use and nothing is out on it.
+// channel is one connection. It is closed once it is retired and nothing is in flight on it.
 type channel struct {
 	conn         *grpc.ClientConn
 	client       flight.Client
 	inFlight     int
 	retired      bool
-	failed       bool // it never came up, and that was noted
+	failed       bool // it never came up, and backoff has counted that
 	lastReceived time.Time
 }
 
 type attemptState struct {
 	cancel    context.CancelFunc
-	call      *nodeCall // where it is part of a call on one stream
+	call      *nodeCall // set if the part belongs to a call on a shared stream
 	channel   *channel
-	begun     time.Time // zero until the data node may know of it
+	started   time.Time // zero until the data node may know of the part
 	cancelled bool
 	rejected  bool
 }
 
-// Dispatch serves one data node until it has left the list.
+// Dispatch serves one data node until it is removed from the list.
 func (ns *Nodes) Dispatch(n *coordinator.Node) {
-	width := int64(max(1, ns.Streams))
-	p := &nodeConn{Nodes: ns, node: n, streams: semaphore.NewWeighted(width), maxStreams: width, calls: map[*coordinator.Attempt]*attemptState{}}
+	maxStreams := int64(max(1, ns.Streams))
+	p := &nodeConn{Nodes: ns, node: n, streams: semaphore.NewWeighted(maxStreams), maxStreams: maxStreams, calls: map[*coordinator.Attempt]*attemptState{}}
 	for {
 		o := n.NextCommand(context.Background())
 		switch {
@@ -107,9 +107,8 @@
 	}
 }
 
-// cancelAttempt gives up an attempt; its end is reported by runPart, after the stream was cancelled, or by
-// cancelPart. A channel on which
-// nothing was heard since the attempt began may be dead, and is not used for the next.
+// cancelAttempt cancels an attempt. Its end is reported by runPart, after the stream was cancelled, or by cancelPart. A channel on
+// which nothing was received since the attempt started may be dead and is not used for further attempts.
 func (p *nodeConn) cancelAttempt(a *coordinator.Attempt) {
 	p.mu.Lock()
 	c := p.calls[a]
@@ -119,19 +118,21 @@
 	}
 	p.mu.Unlock()
 	if c != nil && c.call != nil {
-		p.cancelPart(c.call, a, c.begun)
+		p.cancelPart(c.call, a, c.started)
 	}
 	if c != nil {
-		p.retire(func(ch *channel) bool { return ch == c.channel && !c.begun.IsZero() && ch.lastReceived.Before(c.begun) })
+		p.retire(func(ch *channel) bool {
+			return ch == c.channel && !c.started.IsZero() && ch.lastReceived.Before(c.started)
+		})
 	}
 }
 
-// rejectQueued turns back what is not begun.
+// rejectQueued reports all attempts that have not started as overloaded.
 func (p *nodeConn) rejectQueued() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for a, c := range p.calls {
-		if c.begun.IsZero() {
+		if c.started.IsZero() {
 			c.rejected = true
 			if c.cancel(); c.call != nil {
 				p.finishLocked(c.call, a, coordinator.Result{Outcome: coordinator.Overloaded})
@@ -140,7 +141,7 @@
 	}
 }
 
-// retire takes the channel in use out of use, where it meets the condition.
+// retire takes the current channel out of use if it meets the condition; nil matches any channel.
 func (p *nodeConn) retire(condition func(*channel) bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -151,8 +152,7 @@
 	}
 }
 
-// release counts streams off a channel and closes it after the last if it is out of use. The caller holds the
-// lock.
+// release subtracts n streams from a channel, and closes the channel if it is retired and has none left. The caller holds the lock.
 func (p *nodeConn) release(ch *channel, n int) {
 	if ch.inFlight -= n; ch.inFlight == 0 && ch.retired {
 		_ = ch.conn.Close() // nothing is in flight on it
@@ -162,13 +162,14 @@
 
 var (
 	errNoDescriptor   = errors.New("no descriptor left for a connection")
-	errConnectTimeout = errors.New("the channel did not come up in time")
-	errBackingOff     = errors.New("the last connections failed; none is opened for a moment")
+	errConnectTimeout = errors.New("connect timeout")
+	errBackingOff     = errors.New("recent connections failed; waiting before the next one")
 )
 
-// acquire returns the channel in use, opening one where there is none, and waits until it is up.
+// acquire returns the current channel with one more stream in flight. It opens a channel if there is none, and waits until it is
+// ready.
 func (p *nodeConn) acquire(ctx context.Context) (*channel, error) {
-	end := time.Now().Add(p.Connect)
+	deadline := time.Now().Add(p.Connect)
 	p.mu.Lock()
 	if p.channel == nil {
 		if !p.backoff.ready(time.Now()) {
@@ -195,7 +196,7 @@
 	ch := p.channel
 	ch.inFlight++
 	p.mu.Unlock()
-	up, cancel := context.WithDeadline(ctx, end)
+	readyCtx, cancel := context.WithDeadline(ctx, deadline)
 	defer cancel()
 	for {
 		state := ch.conn.GetState()
@@ -208,10 +209,10 @@
 		case connectivity.Idle:
 			ch.conn.Connect()
 		}
-		if state == connectivity.TransientFailure || state == connectivity.Shutdown || !ch.conn.WaitForStateChange(up, state) {
+		if state == connectivity.TransientFailure || state == connectivity.Shutdown || !ch.conn.WaitForStateChange(readyCtx, state) {
 			p.retire(func(o *channel) bool { return o == ch })
 			p.mu.Lock()
-			if !ch.failed && ctx.Err() == nil { // several may have waited for it; it failed once
+			if !ch.failed && ctx.Err() == nil { // several callers may have waited for it; count one failure
 				ch.failed = true
 				p.backoff.failed(time.Now(), rand.Float64())
 			}
@@ -225,7 +226,7 @@
 	}
 }
 
-// probe asks for the load report.
+// probe requests the load report of the data node and reports the result.
 func (p *nodeConn) probe() {
 	ctx, cancel := context.WithDeadline(context.Background(), time.Now().Add(p.Connect))
 	defer cancel()
@@ -239,7 +240,7 @@
 	if err == nil {
 		var res *flight.Result
 		if res, err = stream.Recv(); err == nil {
-			_ = json.Unmarshal(res.GetBody(), &r.LoadReport) // a report of another form is none
+			_ = json.Unmarshal(res.GetBody(), &r.LoadReport) // a malformed report is ignored
 		}
 	}
 	if err != nil {
--- a/internal/flight/poll.go
+++ b/internal/flight/poll.go
@@ -13,17 +13,16 @@
 	"gullfall/internal/session"
 )
 
-// pollTimeout is how long a poll that has no news waits for some.
+// pollTimeout is how long a poll waits for progress.
 const pollTimeout = time.Second
 
-// Times of a poll.
 const (
-	firstPollTimeout = 20 * time.Millisecond // the first answer comes soon, with the descriptor that is polled from then on
-	pollInterval     = 10 * time.Millisecond // how often progress is looked at
+	firstPollTimeout = 20 * time.Millisecond // short, so that the client soon gets the descriptor for further polls
+	pollInterval     = 10 * time.Millisecond // how often progress is checked
 )
 
-// PollFlightInfo starts a query that takes long, and reports its progress: by a descriptor of the query at first, then by the
-// descriptor of the last answer. Endpoints come once all parts are in.
+// PollFlightInfo starts a long query or reports its progress. The first call has a descriptor of the query, each later one the
+// descriptor from the previous answer. Endpoints are returned once all parts have arrived.
 func (s *Server) PollFlightInfo(ctx context.Context, d *flight.FlightDescriptor) (*flight.PollInfo, error) {
 	c := callerOf(ctx)
 	id, owner, err := s.polledFlight(d, c)
@@ -47,10 +46,10 @@
 	return s.pollInfo(d, id, owner, result)
 }
 
-// polledFlight is the flight of a sealed descriptor, or a new one for a descriptor of a query.
+// polledFlight returns the flight of a signed descriptor, or opens a new one for a descriptor of a query.
 func (s *Server) polledFlight(d *flight.FlightDescriptor, c *caller) (id, owner string, err error) {
-	if d.GetType() == flight.DescriptorCMD && sealed(d.GetCmd()) {
-		owner, payload, err := s.keys.open(time.Now(), forPoll, d.GetCmd())
+	if d.GetType() == flight.DescriptorCMD && isToken(d.GetCmd()) {
+		owner, payload, err := s.keys.verify(time.Now(), purposePoll, d.GetCmd())
 		if err != nil {
 			return "", "", status.Error(codes.InvalidArgument, err.Error())
 		}
@@ -67,7 +66,7 @@
 	return id, q.Tenant, err
 }
 
-// awaitProgress waits until a flight has its final answer, progressed says so, or the time is over.
+// awaitProgress waits until a flight has its final answer, progressed returns true, or the timeout has passed.
 func (s *Server) awaitProgress(ctx context.Context, result *flightResult, timeout time.Duration, progressed func() bool) error {
 	timer := time.NewTimer(timeout)
 	defer timer.Stop()
@@ -91,7 +90,7 @@
 	}
 }
 
-// pollInfo tells how far a flight is; its endpoints once it has its answer.
+// pollInfo reports the progress of a flight, and its endpoints once it has its answer.
 func (s *Server) pollInfo(d *flight.FlightDescriptor, id, owner string, result *flightResult) (*flight.PollInfo, error) {
 	until := time.Now().Add(ticketTTL)
 	progress := float64(result.received.Load()) / float64(len(result.query.Parts))
@@ -105,7 +104,7 @@
 	default:
 	}
 	schema := flight.SerializeSchema(s.classOf(result.query.Class).Schema, memory.DefaultAllocator)
-	next := &flight.FlightDescriptor{Type: flight.DescriptorCMD, Cmd: s.keys.seal(forPoll, owner, until, []byte(id))}
+	next := &flight.FlightDescriptor{Type: flight.DescriptorCMD, Cmd: s.keys.sign(purposePoll, owner, until, []byte(id))}
 	return &flight.PollInfo{
 		Info:             &flight.FlightInfo{FlightDescriptor: d, TotalRecords: -1, TotalBytes: -1, Schema: schema},
 		Progress:         &progress,
--- a/internal/flight/server.go
+++ b/internal/flight/server.go
@@ -1,18 +1,17 @@
-// Package flight speaks Arrow Flight: a server for clients and a client of Flight data nodes. It maps calls, tickets, deadlines
-// and errors to the coordinator's terms and back. Queries are decided on by the coordinator, what is admitted by
-// internal/admission, and what is kept between calls by internal/session; for a slow reader nothing is buffered but that reader's
-// own answer.
+// Package flight implements Arrow Flight: a server for clients and a client of Flight data nodes. It translates calls, tickets,
+// deadlines and errors to the coordinator's types and back. The coordinator executes queries, internal/admission decides which calls
+// and queries are admitted, and internal/session keeps the state between calls. For a slow reader, only its own answer is buffered.
 //
 //	server.go      the server, its limits and its shutdown   nodes.go       channels to data nodes
 //	interceptor.go admission of calls, panics                nodecalls.go   calls to data nodes by DoExchange
-//	auth.go        who asks                                  nodeparts.go   parts asked for by DoGet
-//	tickets.go     sealed tokens                             backoff.go     pauses between failed connections
+//	auth.go        authentication                            nodeparts.go   requests for single parts by DoGet
+//	tickets.go     signed tokens                             backoff.go     pauses between failed connections
 //	info.go        calls that describe flights               codec.go       answers as record batches
 //	doget.go       DoGet                                     compress.go    compressed batches
 //	poll.go        PollFlightInfo                            memory.go      memory that answers may hold
 //	exchange.go    DoExchange: many queries on one stream    actions.go     DoAction
 //
-// A plain ticket is {"class":"...","owner":"...","shards":[{"shard":3,"weight":0.5}],"q":"..."}; its time is the gRPC
+// A plain ticket is {"class":"...","owner":"...","shards":[{"shard":3,"weight":0.5}],"q":"..."}; the query's deadline is the gRPC
 // deadline.
 package flight
 
@@ -42,48 +41,48 @@
 )
 
 const (
-	// A connection must have greeted within greetTime, and is closed after restTime without a call, as on the
-	// platform's front.
+	// A connection must complete its handshake within handshakeTimeout and is closed after idleTimeout without a call,
+	// as in internal/platform.
 	handshakeTimeout = 2 * time.Second
 	idleTimeout      = 30 * time.Second
-	// A client that pings more often than each pingTime is told to go (GOAWAY, too_many_pings).
+	// A client that sends pings at shorter intervals is disconnected (GOAWAY, too_many_pings).
 	minPingInterval = 5 * time.Second
-	// drainRetryAfter is when who comes during a drain may come back: another coordinator may serve by then.
+	// drainRetryAfter is the retry delay for clients refused during a drain. By then another coordinator may serve them.
 	drainRetryAfter = time.Second
 )
 
-// Class is one that is offered, as the settings have it.
+// Class is a configured query class.
 type Class struct {
 	Name   string
-	Schema *arrow.Schema // nil for Schema
-	Limit  time.Duration // longest time of a query
+	Schema *arrow.Schema // nil means the package's Schema
+	Limit  time.Duration // maximum duration of a query
 }
 
-// Options configures a Server. Only Coordinator and Log are needed.
+// Options configures a Server. Only Coordinator and Log are required.
 type Options struct {
 	Coordinator *coordinator.Coordinator
 	Log         *slog.Logger
-	Memory      int64 // bytes that answers being read may hold in all; 0 for 16 MiB
+	Memory      int64 // bytes that all answers being read may hold together; 0 means 16 MiB
 	Admission   admission.Config
 	People      People
 	Keys        []Key
 	Classes     []Class
 	Shards      int
-	Covered     func() int // how many shards have a data node now; may be nil
+	Covered     func() int // returns the number of shards that have a data node now; may be nil
 }
 
 // Server serves Flight clients.
 type Server struct {
 	flight.BaseFlightServer
 	Options
-	grpc   *grpc.Server
-	people atomic.Pointer[People]
-	keys   keyring
-	conns  atomic.Uint64
-	drain  chan struct{} // closed once it drains
-	once   sync.Once
-
-	mu            sync.Mutex // guards what follows; never held over a call or a write
+	grpc      *grpc.Server
+	policy    atomic.Pointer[People]
+	keys      keyring
+	conns     atomic.Uint64
+	drain     chan struct{} // closed when a drain starts
+	drainOnce sync.Once
+
+	mu            sync.Mutex // guards the fields below; never held during a call or a write
 	admission     *admission.Controller
 	cancels       map[*admission.Pass]context.CancelCauseFunc
 	flights       *session.Flights
@@ -93,7 +92,7 @@
 	sizeEstimates admission.SizeEstimator
 }
 
-// New returns a server, or says which option can't be worked with.
+// New returns a server, or an error that names the invalid option.
 func New(o Options) (*Server, error) {
 	if o.Memory <= 0 {
 		o.Memory = 16 << 20
@@ -105,9 +104,9 @@
 	}
 	s := &Server{Options: o, admission: controller, drain: make(chan struct{}), cancels: map[*admission.Pass]context.CancelCauseFunc{},
 		flights: session.NewFlights(session.FlightConfig{MaxBytes: o.Memory / 2}), results: map[string]*flightResult{},
-		sessions: session.NewSessions(session.Config{Options: sessionChoices})}
+		sessions: session.NewSessions(session.Config{Options: sessionOptionSpecs})}
 	s.keys.set(o.Keys)
-	s.people.Store(&o.People)
+	s.policy.Store(&o.People)
 	s.grpc = grpc.NewServer(grpc.MaxRecvMsgSize(queryjson.MaxBytes), grpc.MaxConcurrentStreams(256),
 		grpc.MaxHeaderListSize(16<<10), grpc.ConnectionTimeout(handshakeTimeout), grpc.StatsHandler(connCounter{&s.conns}),
 		grpc.KeepaliveParams(keepalive.ServerParameters{MaxConnectionIdle: idleTimeout}),
@@ -117,8 +116,8 @@
 	return s, nil
 }
 
-// Reload takes in other people, keys and limits; who is in stays in.
-func (s *Server) Reload(people People, keys []Key, limits admission.Config) error {
+// Reload replaces the access policy, the keys (unless none are given) and the limits. Calls that are already admitted go on.
+func (s *Server) Reload(policy People, keys []Key, limits admission.Config) error {
 	limits.All.Bytes = s.Memory
 	s.mu.Lock()
 	err := s.admission.SetLimits(limits)
@@ -126,14 +125,14 @@
 	if err != nil {
 		return fmt.Errorf("flight.limits: %w", err)
 	}
-	s.people.Store(&people)
+	s.policy.Store(&policy)
 	if len(keys) > 0 {
 		s.keys.set(keys)
 	}
 	return nil
 }
 
-// Serve accepts at most conns connections until Drain.
+// Serve accepts connections, at most conns at once, until Drain or Stop.
 func (s *Server) Serve(ln net.Listener, conns int) error {
 	done := make(chan struct{})
 	defer close(done)
@@ -141,14 +140,14 @@
 	return s.grpc.Serve(netutil.LimitListener(ln, conns))
 }
 
-// Drain stops listening, tells clients to go (GOAWAY) and refuses new streams with a time to come back. It returns
-// once all that is open has its answer.
+// Drain stops listening, sends GOAWAY to the clients and refuses new streams with a retry delay. It returns once all open calls
+// have ended.
 func (s *Server) Drain() {
-	s.once.Do(func() { close(s.drain) })
+	s.drainOnce.Do(func() { close(s.drain) })
 	s.grpc.GracefulStop()
 }
 
-// draining tells whether the server drains.
+// draining reports whether the server drains.
 func (s *Server) draining() bool {
 	select {
 	case <-s.drain:
@@ -158,10 +157,10 @@
 	}
 }
 
-// Stop ends the server at once.
+// Stop ends the server at once, and with it all open calls.
 func (s *Server) Stop() { s.grpc.Stop() }
 
-// tick lets time pass for admission, flights and sessions.
+// tick expires what is due in admission, flights and sessions at regular intervals until done is closed.
 func (s *Server) tick(done <-chan struct{}) {
 	ticker := time.NewTicker(250 * time.Millisecond)
 	defer ticker.Stop()
@@ -186,14 +185,14 @@
 	errMemoryPressure = errors.New("the answer was read too slowly while memory is short; read it faster, or in more endpoints")
 )
 
-// cancelStream ends the stream of a pass that was evicted. The caller holds the lock.
-func (s *Server) cancelStream(p *admission.Pass, why error) {
-	if end := s.cancels[p]; end != nil {
-		end(why)
+// cancelStream ends the stream of an evicted pass. The caller holds the lock.
+func (s *Server) cancelStream(p *admission.Pass, cause error) {
+	if cancel := s.cancels[p]; cancel != nil {
+		cancel(cause)
 	}
 }
 
-// classOf finds a class's schema; classes that were not named have Schema.
+// classOf returns the class with this name and its schema. A class that is not configured gets Schema and no time limit.
 func (s *Server) classOf(name string) Class {
 	for _, c := range s.Classes {
 		if c.Name == name {
@@ -206,8 +205,8 @@
 	return Class{Name: name, Schema: Schema, Limit: time.Duration(math.MaxInt64)}
 }
 
-// statusOf is an answer's status; nil where there is one.
-func statusOf(ctx context.Context, answer coordinator.Answer, err error, end time.Time) error {
+// statusOf returns the gRPC status of a query that ended at Execute without an answer, or nil if it has one.
+func statusOf(ctx context.Context, answer coordinator.Answer, err error, deadline time.Time) error {
 	switch {
 	case errors.Is(err, coordinator.ErrInvalidQuery) && ctx.Err() == nil:
 		return status.Error(codes.InvalidArgument, err.Error())
@@ -215,7 +214,7 @@
 		return status.FromContextError(ctx.Err()).Err()
 	case answer.Status == coordinator.Rejected:
 		return unavailable("refused", answer.RetryAfter)
-	case answer.Status != coordinator.Answered && !time.Now().Before(end):
+	case answer.Status != coordinator.Answered && !time.Now().Before(deadline):
 		return status.Error(codes.DeadlineExceeded, "the query's time is over")
 	case answer.Status != coordinator.Answered:
 		return status.Error(codes.Internal, "failed")
--- a/internal/flight/server_test.go
+++ b/internal/flight/server_test.go
@@ -24,7 +24,7 @@
 	"gullfall/internal/membership"
 )
 
-// newClient starts a server whose one data node answers each part with n documents of size bytes.
+// newClient starts a server whose one data node answers each part with n documents of size bytes, and returns a client of it.
 func newClient(t *testing.T, limit int64, n, size int) flight.Client {
 	t.Helper()
 	log := slog.New(slog.DiscardHandler)
@@ -62,9 +62,9 @@
 	return flight.NewClientFromConn(cc, nil)
 }
 
-const ticket = `{"class":"report","shards":[{"shard":0,"weight":1}]}`
+const plainTicket = `{"class":"report","shards":[{"shard":0,"weight":1}]}`
 
-// newServer returns a server with options that are sound.
+// newServer returns a server with valid options.
 func newServer(t *testing.T, o Options) *Server {
 	t.Helper()
 	s, err := New(o)
@@ -74,8 +74,8 @@
 	return s
 }
 
-// read asks and counts the batches and documents of the answer.
-func read(ctx context.Context, t *testing.T, client flight.Client, ticket string) (batches, docs int, err error) {
+// readAnswer fetches a ticket and counts the batches and documents of the answer.
+func readAnswer(ctx context.Context, t *testing.T, client flight.Client, ticket string) (batches, docs int, err error) {
 	t.Helper()
 	stream, err := client.DoGet(ctx, &flight.Ticket{Ticket: []byte(ticket)})
 	if err != nil {
@@ -98,28 +98,27 @@
 	return batches, docs, nil
 }
 
-func within(t *testing.T) context.Context {
+func contextWithTimeout(t *testing.T) context.Context {
 	ctx, cancel := context.WithDeadline(t.Context(), time.Now().Add(3*time.Second))
 	t.Cleanup(cancel)
 	return ctx
 }
 
-// TestManyDocuments: a whole season in one part comes in batches of bounded size, each with its metadata.
-func TestManyDocuments(t *testing.T) {
-	batches, docs, err := read(within(t), t, newClient(t, 1<<20, 2500, 10), ticket)
+// TestBatchSizeLimits: a large answer of one part arrives in batches of bounded size, each with its metadata.
+func TestBatchSizeLimits(t *testing.T) {
+	batches, docs, err := readAnswer(contextWithTimeout(t), t, newClient(t, 1<<20, 2500, 10), plainTicket)
 	if batches != 3 || docs != 2500 || err != nil {
 		t.Errorf("got %d batches, %d documents, %v", batches, docs, err)
 	}
-	batches, docs, err = read(within(t), t, newClient(t, 1<<20, 5, 100<<10), ticket)
+	batches, docs, err = readAnswer(contextWithTimeout(t), t, newClient(t, 1<<20, 5, 100<<10), plainTicket)
 	if batches != 3 || docs != 5 || err != nil {
-		t.Errorf("large ones: got %d batches, %d documents, %v", batches, docs, err)
+		t.Errorf("large documents: got %d batches, %d documents, %v", batches, docs, err)
 	}
 }
 
-// TestAnswersHoldALimit: what readers hold all together is bounded; beyond it a query is refused, with a time to
-// come back.
-func TestAnswersHoldALimit(t *testing.T) {
-	_, _, err := read(within(t), t, newClient(t, 1000, 1, 1001), ticket)
+// TestAnswerMemoryLimit: a query whose answer would exceed the memory limit for all answers is refused with a retry delay.
+func TestAnswerMemoryLimit(t *testing.T) {
+	_, _, err := readAnswer(contextWithTimeout(t), t, newClient(t, 1000, 1, 1001), plainTicket)
 	st := status.Convert(err)
 	if st.Code() != codes.Unavailable || len(st.Details()) != 1 {
 		t.Fatalf("got %v", err)
@@ -129,22 +128,23 @@
 	}
 }
 
-// TestBadTickets: what can't be understood is told so, as is a query without a deadline.
-func TestBadTickets(t *testing.T) {
+// TestInvalidTickets: invalid tickets and queries without a deadline are refused with InvalidArgument.
+func TestInvalidTickets(t *testing.T) {
 	client := newClient(t, 1<<20, 1, 1)
 	for _, text := range []string{"", "{", `{"class":"report"}`, `{"class":"report","shards":[{}]}`,
 		`{"class":"other","shards":[{"shard":0}]}`, `{"class":"report","shards":[{"shard":0,"cost":1e30}]}`} {
-		if _, _, err := read(within(t), t, client, text); status.Code(err) != codes.InvalidArgument {
+		if _, _, err := readAnswer(contextWithTimeout(t), t, client, text); status.Code(err) != codes.InvalidArgument {
 			t.Errorf("%s: %v", text, err)
 		}
 	}
-	if _, _, err := read(t.Context(), t, client, ticket); status.Code(err) != codes.InvalidArgument {
+	if _, _, err := readAnswer(t.Context(), t, client, plainTicket); status.Code(err) != codes.InvalidArgument {
 		t.Errorf("no deadline: %v", err)
 	}
 }
 
-// TestSilentConnection: a connection that never greets is closed within 3 s; it held its place for two minutes.
-func TestSilentConnection(t *testing.T) {
+// TestHandshakeTimeout: a connection that sends nothing is closed within 3 s. With gRPC's default timeout it would occupy one of the
+// server's connections for two minutes.
+func TestHandshakeTimeout(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -159,24 +159,24 @@
 	defer nc.Close()
 	nc.SetReadDeadline(time.Now().Add(3 * time.Second))
 	if _, err := io.Copy(io.Discard, nc); errors.Is(err, os.ErrDeadlineExceeded) {
-		t.Error("it is still open after 3 s")
+		t.Error("the connection is still open after 3 s")
 	}
 }
 
-// TestFlightInfo: the usual way of a Flight client, from a descriptor to an endpoint's ticket.
+// TestFlightInfo: GetFlightInfo returns the schema and an endpoint whose ticket DoGet accepts, and refuses an empty descriptor.
 func TestFlightInfo(t *testing.T) {
 	client := newClient(t, 1<<20, 1, 1)
-	info, err := client.GetFlightInfo(within(t), &flight.FlightDescriptor{Type: flight.DescriptorCMD, Cmd: []byte(ticket)})
+	info, err := client.GetFlightInfo(contextWithTimeout(t), &flight.FlightDescriptor{Type: flight.DescriptorCMD, Cmd: []byte(plainTicket)})
 	if err != nil {
 		t.Fatal(err)
 	}
 	if schema, err := flight.DeserializeSchema(info.Schema, memory.DefaultAllocator); err != nil || !schema.Equal(Schema) {
 		t.Errorf("schema %v, %v", schema, err)
 	}
-	if _, docs, err := read(within(t), t, client, string(info.Endpoint[0].Ticket.Ticket)); docs != 1 || err != nil {
+	if _, docs, err := readAnswer(contextWithTimeout(t), t, client, string(info.Endpoint[0].Ticket.Ticket)); docs != 1 || err != nil {
 		t.Errorf("by its ticket: %d documents, %v", docs, err)
 	}
-	if _, err := client.GetFlightInfo(within(t), &flight.FlightDescriptor{}); status.Code(err) != codes.InvalidArgument {
+	if _, err := client.GetFlightInfo(contextWithTimeout(t), &flight.FlightDescriptor{}); status.Code(err) != codes.InvalidArgument {
 		t.Errorf("no command: %v", err)
 	}
 }
--- a/internal/flight/sets_test.go
+++ b/internal/flight/sets_test.go
@@ -6,14 +6,15 @@
 	"github.com/gaissmai/bart"
 )
 
-// set and table are address sets of one network.
-func set(network string) *bart.Lite {
+// prefixSet returns an address prefixSet of one network.
+func prefixSet(network string) *bart.Lite {
 	s := new(bart.Lite)
 	s.Insert(netip.MustParsePrefix(network))
 	return s
 }
 
-func table(network, owner string) *bart.Table[string] {
+// prefixTable returns a prefixTable that maps one network to its owner.
+func prefixTable(network, owner string) *bart.Table[string] {
 	s := new(bart.Table[string])
 	s.Insert(netip.MustParsePrefix(network), owner)
 	return s
--- a/internal/flight/suite_test.go
+++ b/internal/flight/suite_test.go
@@ -1,7 +1,7 @@
 package flight_test
 
-// The conformance suite against a server in this process, and the hard cases that need a hand on the data nodes or on
-// the server: limits, slow readers, drains, keys, schemas, batches that lie.
+// The conformance suite against a server in this process, and the cases that need control over the data nodes or the server: limits,
+// slow readers, drains, keys, schemas, malformed batches.
 
 import (
 	"bytes"
@@ -34,19 +34,19 @@
 
 const shards = 8
 
-// stand is a server in front of stand-in data nodes of Flight.
-type stand struct {
-	t      *testing.T
-	core   *coordinator.Coordinator
-	list   *coordinator.Source
-	server *flight.Server
-	addr   string
-	ledger *datanode.Ledger
-	nodes  []*datanode.Node
+// testServer is a server in front of simulated Flight data nodes.
+type testServer struct {
+	t           *testing.T
+	coordinator *coordinator.Coordinator
+	source      *coordinator.Source
+	server      *flight.Server
+	addr        string
+	ledger      *datanode.Ledger
+	nodes       []*datanode.Node
 }
 
-// start starts a stand. Data nodes are the lab's unless carry is given.
-func start(t *testing.T, o flight.Options, takes time.Duration, carry func(*coordinator.Coordinator) coordinator.Dispatcher) *stand {
+// startServer starts a server. It uses the lab's data nodes, which take the given time for a part, unless newDispatcher is given.
+func startServer(t *testing.T, o flight.Options, partDuration time.Duration, newDispatcher func(*coordinator.Coordinator) coordinator.Dispatcher) *testServer {
 	t.Helper()
 	log := slog.New(slog.DiscardHandler)
 	c, err := coordinator.New(aggregator.Settings{Aggregators: 1, Tick: time.Millisecond, ShardSets: 2, Shards: shards, Reach: 2,
@@ -58,17 +58,17 @@
 		t.Fatal(err)
 	}
 	go c.Run(t.Context())
-	s := &stand{t: t, core: c, ledger: datanode.NewLedger()}
-	var serve coordinator.Dispatcher
-	if carry != nil {
-		serve = carry(c)
+	s := &testServer{t: t, coordinator: c, ledger: datanode.NewLedger()}
+	var dispatch coordinator.Dispatcher
+	if newDispatcher != nil {
+		dispatch = newDispatcher(c)
 	} else {
-		serve = (&flight.Nodes{Coordinator: c, Log: log, Streams: 64, Connect: 250 * time.Millisecond, Connections: make(chan struct{}, 64),
+		dispatch = (&flight.Nodes{Coordinator: c, Log: log, Streams: 64, Connect: 250 * time.Millisecond, Connections: make(chan struct{}, 64),
 			Dial: func(ctx context.Context, addr string) (net.Conn, error) {
 				return (&net.Dialer{}).DialContext(ctx, "tcp", addr)
 			}}).Dispatch
 		for i := range 4 {
-			n := &datanode.Node{ID: fmt.Sprint("n", i), Cell: i % 2, Proto: "flight", Ledger: s.ledger, Takes: takes}
+			n := &datanode.Node{ID: fmt.Sprint("n", i), Cell: i % 2, Proto: "flight", Ledger: s.ledger, Takes: partDuration}
 			if err := n.Start(); err != nil {
 				t.Fatal(err)
 			}
@@ -76,7 +76,7 @@
 			s.nodes = append(s.nodes, n)
 		}
 	}
-	c.RegisterDispatcher("", serve)
+	c.RegisterDispatcher("", dispatch)
 	var list []coordinator.Member
 	for i := range 4 {
 		m := coordinator.Member{ID: fmt.Sprint("n", i), ShardSet: i % 2, Weight: 1}
@@ -85,8 +85,8 @@
 		}
 		list = append(list, m)
 	}
-	s.list = c.AddSource(membership.Spec{Name: "list"})
-	s.list.ReplaceList(list, false)
+	s.source = c.AddSource(membership.Spec{Name: "list"})
+	s.source.ReplaceList(list, false)
 	o.Coordinator, o.Log, o.Shards, o.Covered = c, log, shards, c.CoveredShards
 	if o.Classes == nil {
 		o.Classes = []flight.Class{{Name: "report", Limit: 5 * time.Second}, {Name: "rating", Limit: 5 * time.Second}}
@@ -104,22 +104,22 @@
 	return s
 }
 
-func (s *stand) client(users ...flightsuite.User) *flightsuite.Client {
+func (s *testServer) client(users ...flightsuite.User) *flightsuite.Client {
 	s.t.Helper()
 	return s.dial(flightsuite.Env{Users: users})
 }
 
-// smallestWindow is the smallest flow-control window that gRPC sets, in bytes.
-const smallestWindow = 64 << 10
+// minFlowControlWindow is the smallest flow-control window that gRPC sets, in bytes.
+const minFlowControlWindow = 64 << 10
 
-// slowClient is a client whose flow-control window does not grow: what it does not read stays at the server. A window that
-// adapts can take a whole answer in where the machine is busy, and a client that reads nothing is no slow reader then.
-func (s *stand) slowClient() *flightsuite.Client {
+// slowClient returns a client with a fixed flow-control window, so that what it does not read stays at the server. On a busy machine
+// an adaptive window can grow to hold a whole answer, and a client that reads nothing would then not count as a slow reader.
+func (s *testServer) slowClient() *flightsuite.Client {
 	s.t.Helper()
-	return s.dial(flightsuite.Env{Window: smallestWindow})
+	return s.dial(flightsuite.Env{Window: minFlowControlWindow})
 }
 
-func (s *stand) dial(env flightsuite.Env) *flightsuite.Client {
+func (s *testServer) dial(env flightsuite.Env) *flightsuite.Client {
 	s.t.Helper()
 	env.Addr, env.Class, env.Shards, env.Doc = s.addr, "report", shards, datanode.Doc
 	c, err := flightsuite.Dial(env)
@@ -130,20 +130,20 @@
 	return c
 }
 
-var people = flight.People{Owners: []flight.Owner{{Name: "sertao", User: "s", Password: "p", Token: "token-of-sertao-0"},
+var testPolicy = flight.People{Owners: []flight.Owner{{Name: "sertao", User: "s", Password: "p", Token: "token-of-sertao-0"},
 	{Name: "natal", User: "n", Password: "q", Token: "token-of-natal-00"}}}
 
 var users = []flightsuite.User{{Owner: "sertao", Name: "s", Password: "p", Token: "token-of-sertao-0"}, {Owner: "natal", Name: "n", Password: "q", Token: "token-of-natal-00"}}
 
-// TestSuite runs every case, with and without users.
-func TestSuite(t *testing.T) {
+// TestConformanceSuite runs every case of the suite, with and without users.
+func TestConformanceSuite(t *testing.T) {
 	for name, who := range map[string][]flightsuite.User{"open": nil, "users": users} {
 		t.Run(name, func(t *testing.T) {
 			o := flight.Options{}
 			if who != nil {
-				o.People = people
+				o.People = testPolicy
 			}
-			s := start(t, o, 3*time.Millisecond, nil)
+			s := startServer(t, o, 3*time.Millisecond, nil)
 			ran := 0
 			for _, r := range flightsuite.Run(t.Context(), flightsuite.Env{Addr: s.addr, Class: "report", Shards: shards, Doc: datanode.Doc, Users: who}) {
 				if r.Skipped {
@@ -160,8 +160,8 @@
 	}
 }
 
-// retry is when a refusal says to come back; 0 where it is none.
-func retry(err error) time.Duration {
+// retryDelay returns the retryDelay delay of an Unavailable error, or 0 for any other error.
+func retryDelay(err error) time.Duration {
 	for _, d := range status.Convert(err).Details() {
 		if r, ok := d.(*errdetails.RetryInfo); ok && status.Code(err) == codes.Unavailable {
 			return r.GetRetryDelay().AsDuration()
@@ -170,35 +170,35 @@
 	return 0
 }
 
-// TestLimits: what is over a limit is refused with a time to come back, and at that time is let in.
-func TestLimits(t *testing.T) {
-	s := start(t, flight.Options{People: people, Admission: admission.Config{Owner: admission.Limits{Rate: 20, Burst: 3}}}, time.Millisecond, nil)
+// TestRateLimits: calls over the rate limit are refused with a retry delay and admitted after it. Other owners are not affected.
+func TestRateLimits(t *testing.T) {
+	s := startServer(t, flight.Options{People: testPolicy, Admission: admission.Config{Owner: admission.Limits{Rate: 20, Burst: 3}}}, time.Millisecond, nil)
 	c := s.client(users...)
 	as := func(i int) *flightsuite.Client { return c.As("authorization", "Bearer "+users[i].Token) }
 	var refused time.Duration
 	for range 10 {
 		if _, err := as(0).Get(t.Context(), c.Question("", 0)); err != nil {
-			if refused = retry(err); refused == 0 {
+			if refused = retryDelay(err); refused == 0 {
 				t.Fatal(err)
 			}
 			break
 		}
 	}
 	if refused == 0 {
-		t.Fatal("ten at once were let in where three may be")
+		t.Fatal("ten calls at once were admitted at a burst limit of three")
 	}
 	if _, err := as(1).Get(t.Context(), c.Question("", 0)); err != nil {
 		t.Errorf("the other owner: %v", err)
 	}
 	time.Sleep(refused)
 	if _, err := as(0).Get(t.Context(), c.Question("", 0)); err != nil {
-		t.Errorf("at the time that it was told: %v", err)
+		t.Errorf("after the retry delay: %v", err)
 	}
-	// A reload sets other figures; what is faulty changes nothing.
-	if err := s.server.Reload(people, nil, admission.Config{Owner: admission.Limits{Rate: -1}}); err == nil {
-		t.Error("a negative rate was taken")
+	// A reload replaces the limits; invalid ones change nothing.
+	if err := s.server.Reload(testPolicy, nil, admission.Config{Owner: admission.Limits{Rate: -1}}); err == nil {
+		t.Error("a negative rate was accepted")
 	}
-	if err := s.server.Reload(people, nil, admission.Config{}); err != nil {
+	if err := s.server.Reload(testPolicy, nil, admission.Config{}); err != nil {
 		t.Error(err)
 	}
 	for range 20 {
@@ -208,10 +208,10 @@
 	}
 }
 
-// TestKeys: tickets hold over a change of keys for as long as their key is known.
-func TestKeys(t *testing.T) {
+// TestKeyRotation: tickets stay valid when the keys change, as long as the key that signed them is configured.
+func TestKeyRotation(t *testing.T) {
 	first, second := flight.Key{ID: 1, Secret: []byte("the first secret")}, flight.Key{ID: 2, Secret: []byte("the second secret")}
-	s := start(t, flight.Options{Keys: []flight.Key{first}}, time.Millisecond, nil)
+	s := startServer(t, flight.Options{Keys: []flight.Key{first}}, time.Millisecond, nil)
 	c := s.client()
 	ticket := func() []byte {
 		t.Helper()
@@ -238,8 +238,8 @@
 	}
 }
 
-// answers is a carrier that answers each part with what doc says.
-func answers(t *testing.T, doc func(shard int) []byte) func(*coordinator.Coordinator) coordinator.Dispatcher {
+// answerWith returns a dispatcher that answerWith each part with the document that doc returns.
+func answerWith(t *testing.T, doc func(shard int) []byte) func(*coordinator.Coordinator) coordinator.Dispatcher {
 	return func(c *coordinator.Coordinator) coordinator.Dispatcher {
 		return func(n *coordinator.Node) {
 			for o := n.NextCommand(t.Context()); o != nil; o = n.NextCommand(t.Context()) {
@@ -254,14 +254,14 @@
 	}
 }
 
-// TestSlowReaders: two hundred that read nothing are held within the memory that there is, and are cut for one that
-// reads; each that was refused or cut is told when to come back.
+// TestSlowReaders: 200 clients that read nothing stay within the memory limit and are evicted in favour of one that reads. Each
+// client that is refused or evicted gets a retry delay.
 func TestSlowReaders(t *testing.T) {
-	s := start(t, flight.Options{Memory: 8 << 20, Admission: admission.Config{SlowReaderGrace: 200 * time.Millisecond, StallTimeout: 2 * time.Second}}, 0,
-		answers(t, func(int) []byte { return make([]byte, 200<<10) }))
+	s := startServer(t, flight.Options{Memory: 8 << 20, Admission: admission.Config{SlowReaderGrace: 200 * time.Millisecond, StallTimeout: 2 * time.Second}}, 0,
+		answerWith(t, func(int) []byte { return make([]byte, 200<<10) }))
 	var mu sync.Mutex
 	var wg sync.WaitGroup
-	refused, begun, cut, other := 0, 0, 0, []error{}
+	refused, started, evicted, other := 0, 0, 0, []error{}
 	for range 20 {
 		c := s.slowClient()
 		for range 10 {
@@ -274,8 +274,8 @@
 				}
 				mu.Lock()
 				if err == nil {
-					begun++
-				} else if retry(err) > 0 {
+					started++
+				} else if retryDelay(err) > 0 {
 					refused++
 				} else {
 					other = append(other, err)
@@ -290,8 +290,8 @@
 				}
 				mu.Lock()
 				defer mu.Unlock()
-				if retry(err) > 0 {
-					cut++
+				if retryDelay(err) > 0 {
+					evicted++
 				}
 			})
 		}
@@ -300,19 +300,20 @@
 	good := s.client()
 	g, err := good.Get(t.Context(), good.Question("", 0, 1, 2, 3))
 	if err != nil || !g.Complete {
-		t.Errorf("one that reads, among them: %v", err)
+		t.Errorf("a client that reads its answer: %v", err)
 	}
 	wg.Wait()
 	mu.Lock()
 	defer mu.Unlock()
-	if len(other) > 0 || refused == 0 || begun == 0 || cut == 0 || refused+begun != 200 {
-		t.Errorf("%d refused, %d begun, %d of them cut, others %v", refused, begun, cut, other)
+	if len(other) > 0 || refused == 0 || started == 0 || evicted == 0 || refused+started != 200 {
+		t.Errorf("%d refused, %d started, %d of them evicted, other errors %v", refused, started, evicted, other)
 	}
 }
 
-// TestDeadlineBetweenBatches: an answer whose time passes while it is being read ends as overtime, never as whole.
+// TestDeadlineBetweenBatches: an answer whose deadline passes while it is being read ends with DeadlineExceeded and without its last
+// batch.
 func TestDeadlineBetweenBatches(t *testing.T) {
-	s := start(t, flight.Options{}, 0, answers(t, func(int) []byte { return make([]byte, 250<<10) }))
+	s := startServer(t, flight.Options{}, 0, answerWith(t, func(int) []byte { return make([]byte, 250<<10) }))
 	c := s.client()
 	ctx, cancel := context.WithDeadline(t.Context(), time.Now().Add(500*time.Millisecond))
 	defer cancel()
@@ -337,16 +338,16 @@
 		}
 	}
 	if batches == 0 || last {
-		t.Errorf("%d batches, the last among them: %v", batches, last)
+		t.Errorf("%d batches; the last batch was among them: %v", batches, last)
 	}
 	if g, err := c.Get(t.Context(), c.Question("", 0)); err != nil || !g.Complete {
-		t.Errorf("the next one: %v", err)
+		t.Errorf("the next query: %v", err)
 	}
 }
 
-// TestDrain: who comes during a drain is refused with a time to come back, a poll too; what is open has its answer.
+// TestDrain: during a drain a waiting poll is refused with a retry delay, and an open query still gets its answer.
 func TestDrain(t *testing.T) {
-	s := start(t, flight.Options{}, 400*time.Millisecond, nil)
+	s := startServer(t, flight.Options{}, 400*time.Millisecond, nil)
 	c := s.client()
 	p, err := c.PollFlightInfo(t.Context(), &arrowflight.FlightDescriptor{Type: arrowflight.DescriptorCMD, Cmd: c.Question("", 0, 1)})
 	if err != nil || p.FlightDescriptor == nil {
@@ -362,29 +363,29 @@
 	go func() {
 		g, err := c.Get(t.Context(), c.Question("", 2))
 		if err == nil && !g.Complete {
-			err = errors.New("not whole")
+			err = errors.New("answer is not complete")
 		}
 		got <- err
 	}()
 	time.Sleep(100 * time.Millisecond)
 	drained := make(chan struct{})
 	go func() { s.server.Drain(); close(drained) }()
-	if err := <-polled; retry(err) == 0 {
-		t.Errorf("a poll under way: %v", err)
+	if err := <-polled; retryDelay(err) == 0 {
+		t.Errorf("poll during the drain: %v", err)
 	}
 	if err := <-got; err != nil {
-		t.Errorf("a query under way: %v", err)
+		t.Errorf("query during the drain: %v", err)
 	}
 	select {
 	case <-drained:
 	case <-time.After(5 * time.Second):
-		t.Fatal("the drain does not end")
+		t.Fatal("the drain did not end within 5 s")
 	}
 }
 
-// TestCancelRunning: a flight that is given up while its parts are out has them given up at their data nodes.
-func TestCancelRunning(t *testing.T) {
-	s := start(t, flight.Options{}, 10*time.Second, nil)
+// TestCancelRunningFlight: cancelling a flight cancels its outstanding parts at their data nodes.
+func TestCancelRunningFlight(t *testing.T) {
+	s := startServer(t, flight.Options{}, 10*time.Second, nil)
 	c := s.client()
 	p, err := c.PollFlightInfo(t.Context(), &arrowflight.FlightDescriptor{Type: arrowflight.DescriptorCMD, Cmd: c.Question("", 0, 1, 2, 3)})
 	if err != nil {
@@ -395,19 +396,19 @@
 	if err := c.Cancel(t.Context(), &arrowflight.FlightInfo{FlightDescriptor: p.FlightDescriptor}); err != nil {
 		t.Fatal(err)
 	}
-	for end := time.Now().Add(5 * time.Second); s.ledger.Out()+s.core.OpenCount() > 0; time.Sleep(5 * time.Millisecond) {
+	for end := time.Now().Add(5 * time.Second); s.ledger.Out()+s.coordinator.OpenCount() > 0; time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("%d parts are still out, %d open", s.ledger.Out(), s.core.OpenCount())
+			t.Fatalf("%d parts are still running, %d queries open", s.ledger.Out(), s.coordinator.OpenCount())
 		}
 	}
 	if _, err := c.PollFlightInfo(t.Context(), p.FlightDescriptor); status.Code(err) != codes.Canceled {
-		t.Errorf("asked after: %v", err)
+		t.Errorf("poll of the cancelled flight: %v", err)
 	}
 }
 
-// TestLeave: a client that leaves an exchange has its parts given up at their data nodes.
-func TestLeave(t *testing.T) {
-	s := start(t, flight.Options{}, 10*time.Second, nil)
+// TestExchangeDisconnect: when a client leaves an exchange, its outstanding parts are cancelled at their data nodes.
+func TestExchangeDisconnect(t *testing.T) {
+	s := startServer(t, flight.Options{}, 10*time.Second, nil)
 	c := s.client()
 	e, err := c.Begin(t.Context())
 	if err != nil {
@@ -418,13 +419,13 @@
 	}
 	for end := time.Now().Add(5 * time.Second); s.ledger.Out() < 20; time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("only %d parts are out", s.ledger.Out())
+			t.Fatalf("only %d parts are running", s.ledger.Out())
 		}
 	}
 	e.Leave()
-	for end := time.Now().Add(5 * time.Second); s.ledger.Out()+s.core.OpenCount() > 0; time.Sleep(5 * time.Millisecond) {
+	for end := time.Now().Add(5 * time.Second); s.ledger.Out()+s.coordinator.OpenCount() > 0; time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("%d parts are still out, %d open", s.ledger.Out(), s.core.OpenCount())
+			t.Fatalf("%d parts are still running, %d queries open", s.ledger.Out(), s.coordinator.OpenCount())
 		}
 	}
 	if a := s.ledger.Account(); a.Twins > 0 {
@@ -432,8 +433,8 @@
 	}
 }
 
-// ratings is a class's schema of its own, with a dictionary.
-func ratings(t *testing.T) *arrow.Schema {
+// ratingSchema returns a schema with a dictionary.
+func ratingSchema(t *testing.T) *arrow.Schema {
 	t.Helper()
 	schema, err := flight.NewSchema([]flight.Field{{Name: "player", Type: "string"}, {Name: "rating", Type: "int32"}, {Name: "club", Type: "dictionary"}})
 	if err != nil {
@@ -442,8 +443,8 @@
 	return schema
 }
 
-// batch is a document of a class with a schema.
-func batch(t *testing.T, schema *arrow.Schema, rows int) []byte {
+// ratingDoc returns a document that holds a ratingDoc of this schema.
+func ratingDoc(t *testing.T, schema *arrow.Schema, rows int) []byte {
 	t.Helper()
 	b := array.NewRecordBuilder(memory.DefaultAllocator, schema)
 	defer b.Release()
@@ -463,11 +464,11 @@
 	return doc
 }
 
-// TestSchemas: batches of a class with a schema of its own are passed on as they are; those of another schema, cut
-// short, or that lie about their lengths fail their answer and nothing else.
-func TestSchemas(t *testing.T) {
-	schema := ratings(t)
-	doc := batch(t, schema, 100)
+// TestClassSchemas: batches of a class with its own schema are passed on unchanged. A batch of another schema, a truncated one, or one
+// with invalid lengths fails only its own answer.
+func TestClassSchemas(t *testing.T) {
+	schema := ratingSchema(t)
+	doc := ratingDoc(t, schema, 100)
 	other, err := flight.NewSchema([]flight.Field{{Name: "x", Type: "int32"}})
 	if err != nil {
 		t.Fatal(err)
@@ -479,13 +480,13 @@
 		t.Fatal(err)
 	}
 	docs := map[int][]byte{0: doc, 1: doc, 2: wrong, 3: doc[:len(doc)/2], 4: []byte("noise"), 5: nil}
-	lies := bytes.Clone(doc)
-	for i := len(lies) / 4; i < len(lies)/2; i++ {
-		lies[i] ^= 0xff
+	corrupt := bytes.Clone(doc)
+	for i := len(corrupt) / 4; i < len(corrupt)/2; i++ {
+		corrupt[i] ^= 0xff
 	}
-	docs[6] = lies
-	s := start(t, flight.Options{Classes: []flight.Class{{Name: "rating", Schema: schema}, {Name: "report"}}}, 0,
-		answers(t, func(shard int) []byte { return docs[shard] }))
+	docs[6] = corrupt
+	s := startServer(t, flight.Options{Classes: []flight.Class{{Name: "rating", Schema: schema}, {Name: "report"}}}, 0,
+		answerWith(t, func(shard int) []byte { return docs[shard] }))
 	c := s.client()
 	get := func(shards ...int) (rows int64, batches int, err error) {
 		ctx, cancel := context.WithDeadline(t.Context(), time.Now().Add(5*time.Second))
@@ -506,7 +507,7 @@
 			clubs := in.RecordBatch().Column(2).(*array.Dictionary)
 			for i := range clubs.Len() {
 				if got := clubs.Dictionary().(*array.String).Value(clubs.GetValueIndex(i)); got != []string{"Olinda", "Natal"}[i%2] {
-					t.Fatalf("row %d is of club %s", i, got)
+					t.Fatalf("row %d has club %s", i, got)
 				}
 			}
 			rows += in.RecordBatch().NumRows()
@@ -524,41 +525,41 @@
 		}
 	}
 	if rows, _, err := get(0, 1); rows != 200 || err != nil {
-		t.Errorf("after all of that: %d rows, %v", rows, err)
+		t.Errorf("after the failed answers: %d rows, %v", rows, err)
 	}
 }
 
-// TestNetworks: addresses that are denied may not ask; those of a network are its owner's.
+// TestNetworks: denied addresses are refused, and calls from a configured network belong to its owner.
 func TestNetworks(t *testing.T) {
-	s := start(t, flight.Options{}, time.Millisecond, nil)
+	s := startServer(t, flight.Options{}, time.Millisecond, nil)
 	c := s.client()
 	for _, p := range []struct {
-		people func(*flight.People)
-		want   codes.Code
+		configure func(*flight.People)
+		want      codes.Code
 	}{
 		{func(*flight.People) {}, codes.OK},
-		{func(p *flight.People) { p.Denied = set("127.0.0.0/8") }, codes.PermissionDenied},
-		{func(p *flight.People) { p.Allowed = set("127.0.0.0/8") }, codes.OK},
-		{func(p *flight.People) { p.Allowed = set("10.0.0.0/8") }, codes.PermissionDenied},
-		{func(p *flight.People) { p.Networks = table("127.0.0.0/8", "club") }, codes.OK},
-		{func(p *flight.People) { p.Networks = table("127.0.0.0/8", "natal") }, codes.PermissionDenied}, // the ticket is of club
-		{func(p *flight.People) { p.Networks = table("10.0.0.0/8", "club") }, codes.Unauthenticated},
+		{func(p *flight.People) { p.Denied = prefixSet("127.0.0.0/8") }, codes.PermissionDenied},
+		{func(p *flight.People) { p.Allowed = prefixSet("127.0.0.0/8") }, codes.OK},
+		{func(p *flight.People) { p.Allowed = prefixSet("10.0.0.0/8") }, codes.PermissionDenied},
+		{func(p *flight.People) { p.Networks = prefixTable("127.0.0.0/8", "club") }, codes.OK},
+		{func(p *flight.People) { p.Networks = prefixTable("127.0.0.0/8", "natal") }, codes.PermissionDenied}, // the ticket names owner club
+		{func(p *flight.People) { p.Networks = prefixTable("10.0.0.0/8", "club") }, codes.Unauthenticated},
 	} {
-		var people flight.People
-		p.people(&people)
-		if err := s.server.Reload(people, nil, admission.Config{}); err != nil {
+		var policy flight.People
+		p.configure(&policy)
+		if err := s.server.Reload(policy, nil, admission.Config{}); err != nil {
 			t.Fatal(err)
 		}
 		_, err := c.Get(t.Context(), c.Question("", 0))
 		if got := status.Code(err); got != p.want {
-			t.Errorf("%+v: %v, want %v", people, err, p.want)
+			t.Errorf("%+v: %v, want %v", policy, err, p.want)
 		}
 	}
 }
 
-// TestSecretsStay: no error tells a secret.
-func TestSecretsStay(t *testing.T) {
-	s := start(t, flight.Options{People: people, Keys: []flight.Key{{ID: 1, Secret: []byte("a secret of sixteen")}}}, time.Millisecond, nil)
+// TestErrorsHideSecrets: no error text contains a secret.
+func TestErrorsHideSecrets(t *testing.T) {
+	s := startServer(t, flight.Options{People: testPolicy, Keys: []flight.Key{{ID: 1, Secret: []byte("a secret of sixteen")}}}, time.Millisecond, nil)
 	c := s.client(users...)
 	for _, header := range []string{"Bearer token-of-sertao-1", "Basic cDpw"} {
 		_, err := c.As("authorization", header).Get(t.Context(), []byte("gf?"))
--- a/internal/flight/tickets.go
+++ b/internal/flight/tickets.go
@@ -1,7 +1,7 @@
 package flight
 
-// Sealed tokens: tickets of flights and bearer tokens. A client can't read more than it put in, can't forge one, and can't use one
-// that has expired or is of another purpose. Keys stay out of errors and logs.
+// Signed tokens: tickets of flights, descriptors of polls, and bearer tokens. A client learns nothing from a token beyond what it
+// supplied, can't forge one, and can't use one that has expired or was issued for another purpose. Keys never appear in errors or logs.
 
 import (
 	"crypto/hmac"
@@ -14,40 +14,40 @@
 	"time"
 )
 
-// Key seals tokens. Of several the first seals, and all open what they have sealed.
+// Key signs tokens. The first of several keys signs new tokens; each of them verifies the tokens it has signed.
 type Key struct {
 	ID     byte
 	Secret []byte
 }
 
-// purpose is what a token is for; one for another purpose is none.
+// purpose says what a token may be used for. A token is invalid for any other purpose.
 type purpose byte
 
 const (
-	forFetch  purpose = 'F' // a range of a flight
-	forPoll   purpose = 'P' // to ask after a flight
-	forBearer purpose = 'B' // who somebody is
+	purposeFetch  purpose = 'F' // fetches a range of a flight
+	purposePoll   purpose = 'P' // polls a flight
+	purposeBearer purpose = 'B' // authenticates a caller
 )
 
-// The layout: magic, version, purpose, key id, expiry (Unix milliseconds, big endian), length of the owner, the owner,
-// the payload, and over all of that HMAC-SHA256, cut to 16 bytes (RFC 2104, 5).
+// Layout of a token: tokenMagic, tokenVersion, purpose, key ID, expiry (Unix milliseconds, big endian), length of the owner, owner, payload,
+// and the HMAC-SHA256 of all of these, truncated to 16 bytes (RFC 2104, section 5).
 const (
-	magic   = "gf"
-	version = 1
-	macSize = 16
-	head    = len(magic) + 1 + 1 + 1 + 8 + 1
+	tokenMagic   = "gf"
+	tokenVersion = 1
+	macSize      = 16
+	headerSize   = len(tokenMagic) + 1 + 1 + 1 + 8 + 1
 )
 
-// The errors of tokens.
+// Errors of token verification. Clients receive their texts.
 var (
-	errToken   = errors.New("ticket is not one of this service's, or was sealed by a key that is no longer known; ask for a new one")
-	errExpired = errors.New("ticket has expired; ask for a new one")
+	errInvalidToken = errors.New("ticket is not one of this service's, or was sealed by a key that is no longer known; ask for a new one")
+	errTokenExpired = errors.New("ticket has expired; ask for a new one")
 )
 
-// keyring holds the keys; they can be replaced while others use it.
+// keyring holds the keys. They can be replaced while it is in use.
 type keyring struct{ keys atomic.Pointer[[]Key] }
 
-// set replaces the keys. Without any, one is made that ends with the process.
+// set replaces the keys. Given none, it generates a key that lasts until the process ends.
 func (k *keyring) set(keys []Key) {
 	if len(keys) == 0 {
 		secret := make([]byte, 32)
@@ -57,43 +57,45 @@
 	k.keys.Store(&keys)
 }
 
-func sum(key Key, text []byte) []byte {
+func tokenMAC(key Key, text []byte) []byte {
 	h := hmac.New(sha256.New, key.Secret)
 	h.Write(text)
 	return h.Sum(nil)[:macSize]
 }
 
-// seal makes a token. The owner has 255 bytes at most.
-func (k *keyring) seal(p purpose, owner string, until time.Time, payload []byte) []byte {
+// sign returns a token. The owner may have at most 255 bytes.
+func (k *keyring) sign(p purpose, owner string, until time.Time, payload []byte) []byte {
 	key := (*k.keys.Load())[0]
-	out := append([]byte(magic), version, byte(p), key.ID)
+	out := append([]byte(tokenMagic), tokenVersion, byte(p), key.ID)
 	out = binary.BigEndian.AppendUint64(out, uint64(until.UnixMilli()))
 	out = append(out, byte(len(owner)))
 	out = append(append(out, owner...), payload...)
-	return append(out, sum(key, out)...)
+	return append(out, tokenMAC(key, out)...)
 }
 
-// sealed tells whether bytes claim to be a token.
-func sealed(raw []byte) bool { return len(raw) >= len(magic) && string(raw[:len(magic)]) == magic }
+// isToken reports whether raw starts like a token.
+func isToken(raw []byte) bool {
+	return len(raw) >= len(tokenMagic) && string(raw[:len(tokenMagic)]) == tokenMagic
+}
 
-// open reads a token.
-func (k *keyring) open(now time.Time, p purpose, raw []byte) (owner string, payload []byte, err error) {
-	if len(raw) < head+macSize || !sealed(raw) {
-		return "", nil, errToken
+// verify checks a token and returns its owner and payload.
+func (k *keyring) verify(now time.Time, p purpose, raw []byte) (owner string, payload []byte, err error) {
+	if len(raw) < headerSize+macSize || !isToken(raw) {
+		return "", nil, errInvalidToken
 	}
 	text, mac := raw[:len(raw)-macSize], raw[len(raw)-macSize:]
-	good := false
+	authentic := false
 	for _, key := range *k.keys.Load() {
-		good = good || key.ID == raw[4] && hmac.Equal(mac, sum(key, text))
+		authentic = authentic || key.ID == raw[4] && hmac.Equal(mac, tokenMAC(key, text))
 	}
-	n := int(raw[head-1])
+	n := int(raw[headerSize-1])
 	switch {
-	case !good || raw[2] != version || len(text) < head+n:
-		return "", nil, errToken
+	case !authentic || raw[2] != tokenVersion || len(text) < headerSize+n:
+		return "", nil, errInvalidToken
 	case purpose(raw[3]) != p:
-		return "", nil, fmt.Errorf("%w (it is for another call)", errToken)
+		return "", nil, fmt.Errorf("%w (it is for another call)", errInvalidToken)
 	case now.UnixMilli() >= int64(binary.BigEndian.Uint64(raw[5:13])):
-		return "", nil, errExpired
+		return "", nil, errTokenExpired
 	}
-	return string(text[head : head+n]), text[head+n:], nil
+	return string(text[headerSize : headerSize+n]), text[headerSize+n:], nil
 }
