--- a/internal/dnssd/browse.go
+++ b/internal/dnssd/browse.go
@@ -14,11 +14,11 @@
 
 const (
 	maxParallelQueries = 16                     // of one browse
-	browseBatch        = 8 * maxParallelQueries // sets of records between two updates
+	browseBatch        = 8 * maxParallelQueries // record sets fetched between two updates
 )
 
-// browse asks for the instances of each service type and for what may have changed of them. What has vanished is published
-// before anything else is asked.
+// browse fetches the instances of each service type and those of their records that may have changed. It publishes removed instances
+// before it fetches anything else.
 func (f *Follower) browse(ctx context.Context, server string) error {
 	fresh := map[recordKey]bool{} // fetched by this browse
 	next, err := f.fetchInstances(ctx, server, fresh)
@@ -38,8 +38,8 @@
 	return f.refetchKnown(ctx, server, fresh)
 }
 
-// fetchInstances asks for the instances of each service type. It returns the records with those that are listed no longer
-// taken out.
+// fetchInstances fetches the instances of each service type. It returns the known records without those of instances that are no
+// longer listed.
 func (f *Follower) fetchInstances(ctx context.Context, server string, fresh map[recordKey]bool) (*records, error) {
 	z := &f.state
 	next := newRecords(z.apex)
@@ -61,8 +61,8 @@
 	return next, nil
 }
 
-// fetchMissing publishes what is known, and asks for the records without which an instance can't be read, in as many passes as
-// it takes.
+// fetchMissing publishes what is known, then fetches the records needed to read the remaining instances, in up to maxHops passes, and
+// publishes again.
 func (f *Follower) fetchMissing(ctx context.Context, server string, fresh map[recordKey]bool) error {
 	missing := f.read().missing
 	f.publishWithout(missing)
@@ -76,7 +76,7 @@
 	return nil
 }
 
-// publishWithout passes on the data nodes; missing are the records that have not come.
+// publishWithout publishes the data nodes, as a partial list if records are missing.
 func (f *Follower) publishWithout(missing []recordKey) {
 	if len(missing) == 0 {
 		f.publish()
@@ -85,7 +85,7 @@
 	}
 }
 
-// refetchKnown asks for the records that are known and may have changed, and publishes them batch by batch.
+// refetchKnown fetches the known records that may have changed, and publishes them batch by batch.
 func (f *Follower) refetchKnown(ctx context.Context, server string, fresh map[recordKey]bool) error {
 	for batch := range slices.Chunk(f.maybeChanged(fresh), browseBatch) {
 		if err := f.fetch(ctx, server, batch, fresh); err != nil {
@@ -96,8 +96,8 @@
 	return nil
 }
 
-// maybeChanged are the known sets of records that this browse has not fetched, TXT records first: they tell of drains. A
-// negative answer holds for its time, unless the zone has a serial, which has changed.
+// maybeChanged returns the known record sets that this browse has not fetched, TXT records first since they announce drains. Negative
+// answers are included once their TTL has passed, or always if the zone has a serial, since a browse then means that it has changed.
 func (f *Follower) maybeChanged(fresh map[recordKey]bool) (keys []recordKey) {
 	z := &f.state
 	for k := range z.records.sets {
@@ -122,7 +122,7 @@
 	return keys
 }
 
-// fetch asks for sets of records, several at a time, and takes their answers in. The first error ends it.
+// fetch queries record sets, several in parallel, and stores the answers. It stops at the first error.
 func (f *Follower) fetch(ctx context.Context, server string, keys []recordKey, fresh map[recordKey]bool) (first error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
--- a/internal/dnssd/client.go
+++ b/internal/dnssd/client.go
@@ -12,22 +12,22 @@
 )
 
 const (
-	// udpSize is the largest datagram that we say we take, bytes (EDNS0; the figure of DNS Flag Day 2020).
+	// udpSize is the largest datagram that we announce to accept, in bytes (EDNS0; the value of DNS Flag Day 2020).
 	udpSize = 1232
 	// queryTimeout is how long an answer may take.
 	queryTimeout = 600 * time.Millisecond
-	// tsigFudge is how far two clocks may differ for a signature to count, seconds (RFC 8945, 10).
+	// tsigFudge is the largest clock difference at which a signature is accepted, in seconds (RFC 8945, section 10).
 	tsigFudge = 300
 )
 
 var (
-	// errMismatchedAnswer reports an answer that is none to the question.
+	// errMismatchedAnswer reports an answer to another question.
 	errMismatchedAnswer = errors.New("answer does not match the question")
-	// errUnsigned reports an answer without the signature that the zone's key asks for.
+	// errUnsigned reports an answer without the signature that the zone's key requires.
 	errUnsigned = errors.New("answer is not signed")
 )
 
-// rcodeError is an answer that tells of an error.
+// rcodeError reports an answer with an error code.
 type rcodeError struct {
 	name string
 	code int
@@ -38,23 +38,23 @@
 // Key signs messages to and from the servers of a zone (RFC 8945).
 type Key struct {
 	Name      string // fully qualified
-	Algorithm string // as hmac-sha256.
+	Algorithm string // such as hmac-sha256.
 	Secret    string // base64
 }
 
-// Client asks questions. One client may serve many zones; its budget is for all of them.
+// Client sends DNS queries. One client may serve many zones; its rate limit covers all of them.
 type Client struct {
 	limiter *rate.Limiter
-	slots   chan struct{} // holds one element for each question that is out
+	slots   chan struct{} // holds one element for each query in flight
 }
 
-// NewClient returns a client that sends perSecond questions at most (and as many at once after a pause), with most
-// of them out.
-func NewClient(perSecond float64, most int) *Client {
-	return &Client{limiter: rate.NewLimiter(rate.Limit(perSecond), max(1, int(perSecond))), slots: make(chan struct{}, most)}
+// NewClient returns a client that sends at most perSecond queries per second (and as many at once after a pause), with at most
+// maxInFlight in flight.
+func NewClient(perSecond float64, maxInFlight int) *Client {
+	return &Client{limiter: rate.NewLimiter(rate.Limit(perSecond), max(1, int(perSecond))), slots: make(chan struct{}, maxInFlight)}
 }
 
-// acquire waits for a slot and for the budget; the caller gives the slot back by release.
+// acquire waits for a slot and for the rate limit. The caller returns the slot with release.
 func (c *Client) acquire(ctx context.Context) error {
 	select {
 	case c.slots <- struct{}{}:
@@ -70,15 +70,14 @@
 
 func (c *Client) release() { <-c.slots }
 
-// Query asks one server one question: over UDP from a random port and with a random id, and over TCP where the answer was
-// truncated. It returns an answer only where that is one to the question and says NOERROR or NXDOMAIN. It may be truncated over
-// TCP too, where it takes more than 64 KiB.
+// Query sends one query to one server: over UDP with a random port and ID, and again over TCP if the answer is truncated. It returns
+// only answers that match the question and have the code NOERROR or NXDOMAIN. An answer of more than 64 KiB is truncated over TCP too.
 func (c *Client) Query(ctx context.Context, server string, k *Key, name string, rrtype uint16) (*dns.Msg, error) {
 	q := new(dns.Msg).SetQuestion(dns.Fqdn(name), rrtype)
 	q.SetEdns0(udpSize, false)
 	a, err := c.exchange(ctx, "udp", server, k, q)
 	if err == nil && a.Rcode == dns.RcodeFormatError {
-		q = new(dns.Msg).SetQuestion(dns.Fqdn(name), rrtype) // a server that does not know EDNS0 (RFC 6891, 7)
+		q = new(dns.Msg).SetQuestion(dns.Fqdn(name), rrtype) // the server does not support EDNS0 (RFC 6891, section 7)
 		a, err = c.exchange(ctx, "udp", server, k, q)
 	}
 	if err == nil && a.Truncated {
@@ -121,7 +120,7 @@
 	return a, nil
 }
 
-// answers tells whether a is an answer to q. A server that refuses may leave the question out.
+// answers reports whether a is an answer to q. A server that refuses a query may omit the question.
 func answers(a, q *dns.Msg) bool {
 	if !a.Response || a.Opcode != q.Opcode {
 		return false
@@ -136,14 +135,14 @@
 	return false
 }
 
-// zoneSerial asks for the SOA record of the zone that a domain lies in; nil where the server has none. authoritative tells
-// whether the server has authority.
+// zoneSerial returns the SOA record of the zone that contains a domain, or nil if the server has none, and whether the answer is
+// authoritative.
 func (c *Client) zoneSerial(ctx context.Context, server string, k *Key, domain string) (soa *dns.SOA, authoritative bool, err error) {
 	a, err := c.Query(ctx, server, k, domain, dns.TypeSOA)
 	if err != nil {
 		return nil, false, err
 	}
-	for _, section := range [][]dns.RR{a.Answer, a.Ns} { // in the second for a domain below the zone's top
+	for _, section := range [][]dns.RR{a.Answer, a.Ns} { // the authority section if the domain lies below the apex
 		for _, rr := range section {
 			if s, ok := rr.(*dns.SOA); ok && dns.IsSubDomain(strings.ToLower(s.Hdr.Name), strings.ToLower(dns.Fqdn(domain))) {
 				return s, a.Authoritative, nil
--- a/internal/dnssd/doc.go
+++ b/internal/dnssd/doc.go
@@ -1,13 +1,13 @@
-// Package dnssd works with DNS-SD records (RFC 6763): it browses domains for data nodes, follows their changes, and describes
-// our own Flight service. It holds DNS messages and what they mean; internal/membership decides who is a member. A hostile or
-// broken server can harm its own records and nothing else.
+// Package dnssd works with DNS-SD records (RFC 6763): it browses domains for data nodes, follows their changes, and serves the records
+// of our own Flight service. It handles DNS messages and their content; internal/membership decides who is a member. A hostile or
+// broken server can affect only its own records.
 //
-//	follower.go      one followed zone: polls, and what is published of it
-//	browse.go        fetching its records by questions
-//	transfer.go      and by zone transfers
-//	client.go        questions: their budget, and which answers count
+//	follower.go      one followed zone: polling it and publishing its data nodes
+//	browse.go        fetching its records by queries
+//	transfer.go      fetching its records by zone transfer
+//	client.go        queries: their rate limit, and which answers are accepted
 //	records.go       the records of a zone
-//	instance.go      the data nodes in them
+//	instance.go      the data nodes in the records
 //	instancename.go  names of instances
 //	txt.go           TXT records
 //	notify.go        NOTIFY messages
--- a/internal/dnssd/follower.go
+++ b/internal/dnssd/follower.go
@@ -16,74 +16,74 @@
 	"gullfall/internal/membership"
 )
 
-// Zone is a domain that is browsed.
+// Zone is a domain to browse, with its servers.
 type Zone struct {
 	Domain   string   // ends in a dot
-	Services []string // as _dn._tcp
-	Servers  []string // addresses with ports; the first that answers is used until it does not
-	Transfer bool     // the servers may be asked for transfers
+	Services []string // service types, such as _dn._tcp
+	Servers  []string // addresses with ports; one is used until it fails, then the next
+	Transfer bool     // the servers allow zone transfers
 	Key      *Key
-	Networks *bart.Lite // where data nodes may be
+	Networks *bart.Lite // allowed addresses of data nodes
 }
 
-// Updater takes what is known of a zone: a source of the coordinator, or the command line.
+// Updater receives what is known about a zone. It is a source of the coordinator or the command line.
 type Updater interface {
-	// Update takes a complete list, or why there is none.
+	// Update takes a complete list, or the reason why there is none.
 	Update(membership.Update)
 	// Renew confirms the last list.
 	Renew()
-	// CheckSerial takes the zone's serial and tells whether its records are to be fetched.
+	// CheckSerial takes the zone's serial and reports whether the records are to be fetched.
 	CheckSerial(serial uint32) (fetch bool)
 }
 
 const (
-	// DefaultPoll is how often a zone's serial is polled.
+	// DefaultPoll is the default interval between polls of a zone's serial.
 	DefaultPoll = 400 * time.Millisecond
 
 	browseInterval     = 2 * time.Second       // between browses of a zone without a serial
 	maxBackoff         = 2 * time.Second       // between polls while no server answers
-	maxBackoffDoubling = 8                     // times that the pause between them doubles
+	maxBackoffDoubling = 8                     // number of times the pause between these polls doubles
 	minPollGap         = 20 * time.Millisecond // between two polls, however often Refresh is called
-	minLease           = 5 * time.Second       // bounds of how long a list holds without renewal
+	minLease           = 5 * time.Second       // bounds of how long a list is valid without renewal
 	maxLease           = time.Hour
 )
 
-// zoneState is what a follower knows of its zone.
+// zoneState holds what a follower knows about its zone.
 type zoneState struct {
-	apex             string // the zone's top
+	apex             string // name of the zone
 	serial           uint32
 	hasSerial        bool
-	records          *records // nil while nothing was fetched
-	transferred      bool     // they came by a transfer
-	incomplete       bool     // the last browse did not come to its end
-	truncated        bool     // the last list of instances came only in part
-	nonAuthoritative bool     // the last answers came from a server without authority
+	records          *records // nil until the first fetch
+	transferred      bool     // the records came by zone transfer
+	incomplete       bool     // the last browse ended early
+	truncated        bool     // the last list of instances was truncated
+	nonAuthoritative bool     // the last answers were not authoritative
 }
 
-// Follower follows one zone: it polls its serial and fetches its records once that has changed, from one server at a time. Its
-// exported fields are set before Run.
+// Follower follows one zone: it polls the serial and fetches the records when it has changed, using one server at a time. Its exported
+// fields are set before Run.
 type Follower struct {
 	Zone    Zone
 	Client  *Client
 	Updater Updater
 	Log     *slog.Logger
 	Poll    time.Duration   // 0 means DefaultPoll
-	Report  func([]Problem) // takes the instances that can't be used, with each list; may be nil
+	Report  func([]Problem) // called with the unusable instances of each list; may be nil
 
 	once    sync.Once
 	refresh chan struct{}
 
-	// The goroutine in Run owns what follows.
+	// The goroutine in Run owns the fields below.
 	state           zoneState
 	server          int               // index of the server in use
-	failures        int               // polls in a row
-	noTransferUntil time.Time         // servers are asked for none before
-	logged          map[string]string // by instance, why it can't be used
+	failures        int               // consecutive failed polls
+	noTransferUntil time.Time         // no transfer is tried before this time
+	loggedProblems  map[string]string // logged causes of unusable instances, by instance
 }
 
 func (f *Follower) init() { f.once.Do(func() { f.refresh = make(chan struct{}, 1) }) }
 
-// Refresh says that the zone may have changed, so that it is polled at once. Many calls together count as one.
+// Refresh triggers an immediate poll because the zone may have changed. Calls before the poll are merged into one.
 func (f *Follower) Refresh() {
 	f.init()
 	select {
@@ -98,7 +98,7 @@
 	if f.Poll <= 0 {
 		f.Poll = DefaultPoll
 	}
-	f.logged = map[string]string{}
+	f.loggedProblems = map[string]string{}
 	for ctx.Err() == nil {
 		start := time.Now()
 		err := f.poll(ctx)
@@ -112,8 +112,8 @@
 	}
 }
 
-// pauseAfter returns the time from the beginning of a poll, which ended with err, to the next one. The next server is asked at
-// once; when none has answered, the pauses grow.
+// pauseAfter returns the time between the start of a poll, which ended with err, and the next one. After a failure the next server is
+// tried at once; when all have failed, the pauses grow.
 func (f *Follower) pauseAfter(err error) time.Duration {
 	if err == nil {
 		f.failures = 0
@@ -132,14 +132,14 @@
 	return min(f.Poll<<min(f.failures/servers, maxBackoffDoubling), maxBackoff)
 }
 
-// wait returns once the pause since start is over, the zone is to be refreshed, or ctx has ended.
+// wait returns when the pause since start is over, on a refresh, or when ctx ends.
 func (f *Follower) wait(ctx context.Context, start time.Time, pause time.Duration) {
 	timer := time.NewTimer(time.Until(start.Add(pause)))
 	defer timer.Stop()
 	select {
 	case <-ctx.Done():
 	case <-f.refresh:
-		// A storm of refreshes brings one poll a gap.
+		// Frequent refreshes cause at most one poll per minPollGap.
 		select {
 		case <-ctx.Done():
 		case <-time.After(time.Until(start.Add(minPollGap))):
@@ -148,7 +148,7 @@
 	}
 }
 
-// stableCause is an error in words that stay the same while it does.
+// stableCause returns an error text that stays the same while the fault lasts: a timeout's own text names changing ports.
 func stableCause(err error) string {
 	var netErr net.Error
 	if errors.As(err, &netErr) && netErr.Timeout() {
@@ -157,20 +157,20 @@
 	return err.Error()
 }
 
-// poll asks for the serial, and fetches the records if that has changed.
+// poll queries the serial and fetches the records if it has changed.
 func (f *Follower) poll(ctx context.Context) error {
 	server, z := f.Zone.Servers[f.server], &f.state
 	soa, authoritative, err := f.Client.zoneSerial(ctx, server, f.Zone.Key, f.Zone.Domain)
 	var refused *rcodeError
 	switch {
 	case errors.As(err, &refused) && !z.hasSerial:
-		soa = nil // it may answer other questions
+		soa = nil // the server may answer other queries
 	case err != nil:
 		return err
 	}
 	z.nonAuthoritative = !authoritative
 	if soa == nil {
-		if z.hasSerial { // a server that no longer knows the zone says nothing of data nodes
+		if z.hasSerial { // a server that no longer knows the zone says nothing about its data nodes
 			return fmt.Errorf("%s: no SOA record for %s", server, f.Zone.Domain)
 		}
 		z.apex = f.Zone.Domain
@@ -186,12 +186,12 @@
 	return f.fetchZone(ctx, server, soa)
 }
 
-// fetchZone fetches the zone by transfer, else by browsing.
+// fetchZone fetches the zone by transfer if that is allowed and succeeds, otherwise by browsing.
 func (f *Follower) fetchZone(ctx context.Context, server string, soa *dns.SOA) error {
 	z := &f.state
-	var base *transferBase
+	var base *transferredZone
 	if z.transferred && z.hasSerial {
-		base = &transferBase{z.records, z.serial}
+		base = &transferredZone{z.records, z.serial}
 	}
 	z.apex = soa.Hdr.Name
 	z.serial, z.hasSerial = soa.Serial, true
@@ -203,8 +203,8 @@
 	return err
 }
 
-// transferZone fetches the zone by transfer, of the changes since base where that is not nil. It tells whether that was done.
-func (f *Follower) transferZone(ctx context.Context, server string, base *transferBase) bool {
+// transferZone fetches the zone by transfer, only the changes since base if base is not nil. It reports whether that succeeded.
+func (f *Follower) transferZone(ctx context.Context, server string, base *transferredZone) bool {
 	z := &f.state
 	got, err := f.Client.transfer(ctx, server, f.Zone.Key, z.apex, base)
 	if err == nil && base != nil && got.records == base.records && got.serial != base.serial {
@@ -228,7 +228,7 @@
 	return true
 }
 
-// markMissingAbsent notes that records which a transfer did not bring do not exist: a transfer is the complete zone.
+// markMissingAbsent marks records as absent that a transfer did not contain, since a transfer is the complete zone.
 func (f *Follower) markMissingAbsent() {
 	for range maxHops {
 		missing := f.read().missing
@@ -241,7 +241,7 @@
 	}
 }
 
-// serviceTypes are the full names of the service types.
+// serviceTypes returns the full names of the service types.
 func (f *Follower) serviceTypes() (list []string) {
 	for _, s := range f.Zone.Services {
 		list = append(list, s+"."+f.Zone.Domain)
@@ -249,20 +249,20 @@
 	return list
 }
 
-// read finds the data nodes in the records.
-func (f *Follower) read() zoneReading {
+// read returns the data nodes in the records.
+func (f *Follower) read() zoneContents {
 	return f.state.records.read(f.serviceTypes(), f.Zone.Networks)
 }
 
-// publish passes on the data nodes that the records hold.
+// publish publishes the data nodes in the records.
 func (f *Follower) publish() {
 	out := f.read()
 	f.reportProblems(out.problems)
 	f.Updater.Update(f.update(out))
 }
 
-// publishPartial passes on the data nodes while some records are still missing. What is missing is not listed, so a data node
-// that has gone is removed at once. An empty list from a server without authority is left out.
+// publishPartial publishes the data nodes while some records are still missing. Instances with missing records are not listed, so a
+// removed data node disappears at once. An empty list from a server that is not authoritative is not published.
 func (f *Follower) publishPartial() {
 	out := f.read()
 	f.reportProblems(out.problems)
@@ -272,8 +272,8 @@
 	f.Updater.Update(f.update(out))
 }
 
-// update is a list of data nodes, with what it rests on.
-func (f *Follower) update(out zoneReading) membership.Update {
+// update returns a list of data nodes with the basis that it rests on.
+func (f *Follower) update(out zoneContents) membership.Update {
 	z := &f.state
 	u := membership.Update{Full: true, Records: out.nodes, Serial: z.serial, HasSerial: z.hasSerial,
 		Lease: min(max(out.ttl, minLease), maxLease)}
@@ -286,16 +286,16 @@
 	return u
 }
 
-// reportProblems reports the instances that can't be used. It logs each once for a cause.
+// reportProblems reports the unusable instances. It logs each of them again only if its cause changes.
 func (f *Follower) reportProblems(problems []Problem) {
 	causes := map[string]string{}
 	for _, p := range problems {
 		causes[p.Instance] = p.Cause.Error()
-		if f.logged[p.Instance] != causes[p.Instance] {
+		if f.loggedProblems[p.Instance] != causes[p.Instance] {
 			f.Log.Warn("record not usable", "zone", f.Zone.Domain, "instance", p.Instance, "cause", p.Cause)
 		}
 	}
-	f.logged = causes
+	f.loggedProblems = causes
 	if f.Report != nil {
 		f.Report(problems)
 	}
--- a/internal/dnssd/instance.go
+++ b/internal/dnssd/instance.go
@@ -15,35 +15,35 @@
 	"gullfall/internal/membership"
 )
 
-// standardSRVWeight is the SRV weight of a data node of weight 1.
+// standardSRVWeight is the SRV weight that corresponds to a data node's weight of 1.
 const standardSRVWeight = 100
 
 var (
-	// errMissing reports an instance of which records have not come yet.
-	errMissing = errors.New("records have not come")
-	// errNoSRV, errNotThere and errNoPort report an instance whose SRV record does not lead to a service.
-	errNoSRV    = errors.New("no SRV record")
-	errNotThere = errors.New("SRV target is \".\": the service is decidedly not there")
-	errNoPort   = errors.New("SRV port is 0")
+	// errMissing reports an instance some of whose records have not been fetched yet.
+	errMissing = errors.New("records not fetched yet")
+	// errNoSRV, errNotAvailable and errNoPort report an instance without a usable SRV record.
+	errNoSRV        = errors.New("no SRV record")
+	errNotAvailable = errors.New("SRV target is \".\": the service is decidedly not there")
+	errNoPort       = errors.New("SRV port is 0")
 )
 
-// Problem is an instance whose records can't be used.
+// Problem describes an instance whose records can't be used.
 type Problem struct {
 	Instance string
 	Cause    error
 }
 
-// zoneReading is what a zone's records come to.
-type zoneReading struct {
+// zoneContents is the result of reading a zone's records.
+type zoneContents struct {
 	nodes    []membership.Record
 	problems []Problem
-	missing  []recordKey   // what must be asked for before more can be read
-	ttl      time.Duration // shortest of the records read
+	missing  []recordKey   // record sets to fetch before more instances can be read
+	ttl      time.Duration // shortest TTL of the records read
 }
 
-// read finds the data nodes of the service types; addresses must lie within the networks. A record that can't be used costs
-// only its own instance.
-func (r *records) read(serviceTypes []string, networks *bart.Lite) (out zoneReading) {
+// read returns the data nodes of the service types. Their addresses must lie within the networks. An unusable record excludes only its
+// own instance.
+func (r *records) read(serviceTypes []string, networks *bart.Lite) (out zoneContents) {
 	out.ttl = time.Duration(math.MaxInt64)
 	seen := map[string]bool{}
 	for _, serviceType := range serviceTypes {
@@ -68,8 +68,8 @@
 	return out
 }
 
-// instances are the names of a type's instances, in order.
-func (r *records) instances(serviceType string, out *zoneReading) []string {
+// instances returns the sorted names of a service type's instances.
+func (r *records) instances(serviceType string, out *zoneContents) []string {
 	set := r.sets[newRecordKey(serviceType, dns.TypePTR)]
 	names := make([]string, 0, len(set))
 	for _, rr := range set {
@@ -80,19 +80,19 @@
 	return names
 }
 
-// limitTTL notes that the reading rests on a record.
-func (z *zoneReading) limitTTL(rr dns.RR) {
+// limitTTL limits the TTL of the result to that of a record it rests on.
+func (z *zoneContents) limitTTL(rr dns.RR) {
 	z.ttl = min(z.ttl, time.Duration(rr.Header().Ttl)*time.Second)
 }
 
 // readInstance reads one instance.
-func (r *records) readInstance(name, serviceType string, networks *bart.Lite, out *zoneReading) (membership.Record, error) {
+func (r *records) readInstance(name, serviceType string, networks *bart.Lite, out *zoneContents) (membership.Record, error) {
 	label, err := Instance(name, serviceType)
 	if err != nil {
 		return membership.Record{}, err
 	}
-	needed := r.withoutRecords(newRecordKey(name, dns.TypeSRV), newRecordKey(name, dns.TypeTXT))
-	if err := r.require(out, needed...); err != nil {
+	needed := r.emptySets(newRecordKey(name, dns.TypeSRV), newRecordKey(name, dns.TypeTXT))
+	if err := r.requireAbsent(out, needed...); err != nil {
 		return membership.Record{}, err
 	}
 	srv, err := r.preferredSRV(name)
@@ -112,13 +112,13 @@
 	return rec, err
 }
 
-// withoutRecords are those of the sets that are empty.
-func (r *records) withoutRecords(keys ...recordKey) []recordKey {
+// emptySets returns the keys whose record sets are empty.
+func (r *records) emptySets(keys ...recordKey) []recordKey {
 	return slices.DeleteFunc(keys, func(k recordKey) bool { return len(r.sets[k]) > 0 })
 }
 
-// require notes which of the sets are not known to be absent, and returns errMissing if there are any.
-func (r *records) require(out *zoneReading, keys ...recordKey) (err error) {
+// requireAbsent adds the record sets that are not known to be absent to out.missing, and returns errMissing if there are any.
+func (r *records) requireAbsent(out *zoneContents, keys ...recordKey) (err error) {
 	for _, k := range keys {
 		if _, absent := r.absent[k]; !absent {
 			out.missing = append(out.missing, k)
@@ -128,7 +128,7 @@
 	return err
 }
 
-// preferredSRV is the SRV record of an instance that counts: of the lowest priority, and there of the highest weight.
+// preferredSRV returns the SRV record of an instance with the lowest priority and, among those, the highest weight.
 func (r *records) preferredSRV(name string) (*dns.SRV, error) {
 	set := r.sets[newRecordKey(name, dns.TypeSRV)]
 	if len(set) == 0 {
@@ -137,14 +137,14 @@
 	srv := slices.MinFunc(set, func(a, b dns.RR) int { return compareSRV(a.(*dns.SRV), b.(*dns.SRV)) }).(*dns.SRV)
 	switch {
 	case srv.Target == ".":
-		return nil, errNotThere
+		return nil, errNotAvailable
 	case srv.Port == 0:
 		return nil, errNoPort
 	}
 	return srv, nil
 }
 
-// compareSRV orders SRV records by preference. The target is the last key, so that every reader takes the same one.
+// compareSRV orders SRV records by preference. The target breaks ties, so that every reader chooses the same record.
 func compareSRV(a, b *dns.SRV) int {
 	if a.Priority != b.Priority {
 		return int(a.Priority) - int(b.Priority)
@@ -155,14 +155,14 @@
 	return strings.Compare(a.Target, b.Target)
 }
 
-// reachableAddr is the first address of a host that lies within the networks.
-func (r *records) reachableAddr(host string, networks *bart.Lite, out *zoneReading) (netip.Addr, error) {
+// reachableAddr returns the first address of a host that lies within the networks.
+func (r *records) reachableAddr(host string, networks *bart.Lite, out *zoneContents) (netip.Addr, error) {
 	addrs := r.addresses(host)
 	if len(addrs) == 0 {
-		chain := r.chain(host)
+		chain := r.cnameChain(host)
 		last := chain[len(chain)-1]
 		if dns.IsSubDomain(r.apex, last) {
-			if err := r.require(out, recordKey{last, dns.TypeA}, recordKey{last, dns.TypeAAAA}); err != nil {
+			if err := r.requireAbsent(out, recordKey{last, dns.TypeA}, recordKey{last, dns.TypeAAAA}); err != nil {
 				return netip.Addr{}, err
 			}
 		}
@@ -175,7 +175,7 @@
 	return addrs[i], nil
 }
 
-// text is what the TXT records of an instance say.
+// text returns the keys and values of an instance's TXT records.
 func (r *records) text(name string) Text {
 	var list []string
 	for _, rr := range r.sets[newRecordKey(name, dns.TypeTXT)] {
--- a/internal/dnssd/instance_test.go
+++ b/internal/dnssd/instance_test.go
@@ -13,15 +13,15 @@
 	"gullfall/internal/membership"
 )
 
-// loopback4 are the networks in which data nodes may be.
+// loopback4 returns the networks in which the tests allow data nodes.
 func loopback4() *bart.Lite {
 	n := new(bart.Lite)
 	n.Insert(netip.MustParsePrefix("127.0.0.0/8"))
 	return n
 }
 
-// TestRead: what an instance's records come to, and why one can't be used.
-func TestRead(t *testing.T) {
+// TestReadInstance: which data node the records of an instance describe, or why they can't be used.
+func TestReadInstance(t *testing.T) {
 	const ptr, srv, host = "_dn._tcp.e. 60 IN PTR a._dn._tcp.e.", "a._dn._tcp.e. 60 IN SRV 5 50 81 h.e.", "h.e. 60 IN A 127.0.0.9"
 	text := func(strs string) string { return "a._dn._tcp.e. 60 IN TXT " + strs }
 	base := membership.Record{ID: "a", Addr: "127.0.0.9:81", Weight: 0.5, Priority: 5, StartUnknown: true}
@@ -32,28 +32,28 @@
 		fault   string
 		missing int
 	}{
-		"whole": {ptr + "\n" + srv + "\n" + host + "\n" + text(`""`), &base, "", 0},
-		"described": {ptr + "\n" + srv + "\n" + host + "\n" + text(`"id=n7" "cell=2" "zone=b" "weight=2" "proto=flight" "started_ms=9" "state=serving"`), with(func(r *membership.Record) {
+		"minimal": {ptr + "\n" + srv + "\n" + host + "\n" + text(`""`), &base, "", 0},
+		"all TXT keys": {ptr + "\n" + srv + "\n" + host + "\n" + text(`"id=n7" "cell=2" "zone=b" "weight=2" "proto=flight" "started_ms=9" "state=serving"`), with(func(r *membership.Record) {
 			r.ID, r.ShardSet, r.Zone, r.Weight, r.Proto, r.Started, r.StartUnknown = "n7", 2, "b", 2, Flight, time.UnixMilli(9), false
 		}), "", 0},
-		"long ago":        {ptr + "\n" + srv + "\n" + host + "\n" + text(`"started_ms=0"`), with(func(r *membership.Record) { r.StartUnknown = false }), "", 0},
-		"draining":        {ptr + "\n" + srv + "\n" + host + "\n" + text(`"state=draining"`), with(func(r *membership.Record) { r.State = membership.Draining }), "", 0},
-		"unknown state":   {ptr + "\n" + srv + "\n" + host + "\n" + text(`"state=asleep"`), with(func(r *membership.Record) { r.State = membership.Draining }), "", 0},
-		"CNAME":           {ptr + "\n" + srv + "\nh.e. 60 IN CNAME i.e.\ni.e. 60 IN A 127.0.0.9\n" + text(`""`), &base, "", 0},
-		"CNAME in a ring": {ptr + "\n" + srv + "\nh.e. 60 IN CNAME i.e.\ni.e. 60 IN CNAME h.e.\n" + text(`""`), nil, "", 2},
-		"two addresses":   {ptr + "\n" + srv + "\n" + host + "\nh.e. 60 IN A 192.0.2.1\n" + text(`""`), &base, "", 0},
-		"two SRV":         {ptr + "\n" + srv + "\na._dn._tcp.e. 60 IN SRV 9 9 99 h.e.\n" + host + "\n" + text(`""`), &base, "", 0},
-		"outside":         {ptr + "\n" + srv + "\nh.e. 60 IN A 192.0.2.1\n" + text(`""`), nil, "dnssd.networks", 0},
-		"elsewhere":       {ptr + "\na._dn._tcp.e. 60 IN SRV 0 0 81 h.f.\nh.f. 60 IN A 127.0.0.9\n" + text(`""`), nil, "no address in this zone", 0},
-		"not there":       {ptr + "\na._dn._tcp.e. 60 IN SRV 0 0 81 .\n" + text(`""`), nil, "not there", 0},
-		"no port":         {ptr + "\na._dn._tcp.e. 60 IN SRV 0 0 0 h.e.\n" + host + "\n" + text(`""`), nil, "port", 0},
-		"no SRV yet":      {ptr + "\n" + text(`""`), nil, "", 1},
-		"only PTR":        {ptr, nil, "", 2},
-		"bad cell":        {ptr + "\n" + srv + "\n" + host + "\n" + text(`"cell=-1"`), nil, "cell", 0},
-		"bad weight":      {ptr + "\n" + srv + "\n" + host + "\n" + text(`"weight=NaN"`), nil, "weight", 0},
-		"bad proto":       {ptr + "\n" + srv + "\n" + host + "\n" + text(`"proto=smoke"`), nil, "proto", 0},
-		"bad start":       {ptr + "\n" + srv + "\n" + host + "\n" + text(`"started_ms=soon"`), nil, "started_ms", 0},
-		"bad id":          {ptr + "\n" + srv + "\n" + host + "\n" + text(`"id=a b"`), nil, "id", 0},
+		"started long ago":             {ptr + "\n" + srv + "\n" + host + "\n" + text(`"started_ms=0"`), with(func(r *membership.Record) { r.StartUnknown = false }), "", 0},
+		"draining":                     {ptr + "\n" + srv + "\n" + host + "\n" + text(`"state=draining"`), with(func(r *membership.Record) { r.State = membership.Draining }), "", 0},
+		"unknown state":                {ptr + "\n" + srv + "\n" + host + "\n" + text(`"state=asleep"`), with(func(r *membership.Record) { r.State = membership.Draining }), "", 0},
+		"CNAME":                        {ptr + "\n" + srv + "\nh.e. 60 IN CNAME i.e.\ni.e. 60 IN A 127.0.0.9\n" + text(`""`), &base, "", 0},
+		"CNAME loop":                   {ptr + "\n" + srv + "\nh.e. 60 IN CNAME i.e.\ni.e. 60 IN CNAME h.e.\n" + text(`""`), nil, "", 2},
+		"two addresses":                {ptr + "\n" + srv + "\n" + host + "\nh.e. 60 IN A 192.0.2.1\n" + text(`""`), &base, "", 0},
+		"two SRV":                      {ptr + "\n" + srv + "\na._dn._tcp.e. 60 IN SRV 9 9 99 h.e.\n" + host + "\n" + text(`""`), &base, "", 0},
+		"address outside the networks": {ptr + "\n" + srv + "\nh.e. 60 IN A 192.0.2.1\n" + text(`""`), nil, "dnssd.networks", 0},
+		"host in another zone":         {ptr + "\na._dn._tcp.e. 60 IN SRV 0 0 81 h.f.\nh.f. 60 IN A 127.0.0.9\n" + text(`""`), nil, "no address in this zone", 0},
+		"service not available":        {ptr + "\na._dn._tcp.e. 60 IN SRV 0 0 81 .\n" + text(`""`), nil, "not there", 0},
+		"no port":                      {ptr + "\na._dn._tcp.e. 60 IN SRV 0 0 0 h.e.\n" + host + "\n" + text(`""`), nil, "port", 0},
+		"no SRV yet":                   {ptr + "\n" + text(`""`), nil, "", 1},
+		"only PTR":                     {ptr, nil, "", 2},
+		"bad cell":                     {ptr + "\n" + srv + "\n" + host + "\n" + text(`"cell=-1"`), nil, "cell", 0},
+		"bad weight":                   {ptr + "\n" + srv + "\n" + host + "\n" + text(`"weight=NaN"`), nil, "weight", 0},
+		"bad proto":                    {ptr + "\n" + srv + "\n" + host + "\n" + text(`"proto=smoke"`), nil, "proto", 0},
+		"bad start":                    {ptr + "\n" + srv + "\n" + host + "\n" + text(`"started_ms=soon"`), nil, "started_ms", 0},
+		"bad id":                       {ptr + "\n" + srv + "\n" + host + "\n" + text(`"id=a b"`), nil, "id", 0},
 	} {
 		t.Run(name, func(t *testing.T) {
 			r := newRecords("e.")
@@ -79,7 +79,7 @@
 	}
 }
 
-// TestOneBadRecord: a record that can't be used costs only itself, and of two with one id the first stands.
+// TestOneBadRecord: an unusable record excludes only its own instance, and of two instances with the same id the first is used.
 func TestOneBadRecord(t *testing.T) {
 	r := newRecords("e.")
 	for _, line := range strings.Split(`_dn._tcp.e. 60 IN PTR a._dn._tcp.e.
@@ -105,7 +105,7 @@
 	}
 }
 
-// FuzzRead: whatever bytes come as an answer, what is read of it keeps to the bounds.
+// FuzzRead: the records and data nodes read from an arbitrary answer stay within their bounds.
 func FuzzRead(f *testing.F) {
 	m := new(dns.Msg).SetQuestion("_dn._tcp.e.", dns.TypePTR)
 	for _, line := range []string{"_dn._tcp.e. 60 IN PTR a._dn._tcp.e.", "a._dn._tcp.e. 60 IN SRV 5 50 81 h.e.", "h.e. 60 IN A 127.0.0.9", `a._dn._tcp.e. 60 IN TXT "cell=1" "id=x"`} {
@@ -143,7 +143,7 @@
 				t.Errorf("read %+v", rec)
 			}
 		}
-		assemble("e.", nil, m.Answer)
-		assemble("e.", &transferBase{r, 1}, m.Answer)
+		assembleZone("e.", nil, m.Answer)
+		assembleZone("e.", &transferredZone{r, 1}, m.Answer)
 	})
 }
--- a/internal/dnssd/instancename.go
+++ b/internal/dnssd/instancename.go
@@ -9,8 +9,7 @@
 	"github.com/miekg/dns"
 )
 
-// unescape turns a name or string from the presentation form (RFC 1035, 5.1), which the DNS library keeps, into
-// its bytes.
+// unescape converts a name or string from presentation format (RFC 1035, section 5.1), in which the DNS library holds it, to its bytes.
 func unescape(s string) string {
 	if !strings.Contains(s, `\`) {
 		return s
@@ -33,8 +32,8 @@
 
 func isDigit(c byte) bool { return c >= '0' && c <= '9' }
 
-// Escape turns an instance's label, which may hold spaces, dots and UTF-8, into the presentation form, just as the DNS
-// library writes it: names are compared in that form.
+// Escape converts an instance's label, which may contain spaces, dots and UTF-8, to presentation format exactly as the DNS library
+// writes it, because names are compared in that form.
 func Escape(label string) string {
 	var b strings.Builder
 	for i := 0; i < len(label); i++ {
@@ -51,8 +50,8 @@
 	return b.String()
 }
 
-// Instance is the label of a service instance (RFC 6763, 4.1), given its full name and that of its type, as
-// _dn._tcp.example.org.; an error says why the name is none.
+// Instance returns the label of a service instance (RFC 6763, section 4.1), given its full name and that of its service type, such as
+// _dn._tcp.example.org. It returns an error if the name is not a valid instance name.
 func Instance(name, serviceType string) (string, error) {
 	labels := dns.SplitDomainName(name)
 	if len(labels) == 0 || !strings.EqualFold(dns.Fqdn(strings.Join(labels[1:], ".")), dns.Fqdn(serviceType)) {
--- a/internal/dnssd/instancename_test.go
+++ b/internal/dnssd/instancename_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// TestInstance reads names as RFC 6763, 4.1 and 4.3 have them.
+// TestInstance: names are read and escaped as in RFC 6763, sections 4.1 and 4.3.
 func TestInstance(t *testing.T) {
 	const kind = "_dn._tcp.club.example."
 	for _, c := range []struct{ name, label, fault string }{
--- a/internal/dnssd/notify.go
+++ b/internal/dnssd/notify.go
@@ -11,10 +11,10 @@
 	"github.com/miekg/dns"
 )
 
-// Listener takes NOTIFY messages (RFC 1996), by which servers say that a followed zone has changed. A message is a hint to poll
-// the zone and nothing more. Whoever is not allowed gets no answer.
+// Listener receives NOTIFY messages (RFC 1996), which servers send when a followed zone has changed. A message only triggers a poll of
+// the zone. Senders that are not allowed get no answer.
 type Listener struct {
-	Allow     *bart.Lite // who may send them
+	Allow     *bart.Lite // addresses that may send messages
 	Followers []*Follower
 
 	accepted, dropped atomic.Uint64
@@ -41,7 +41,7 @@
 	return server.ActivateAndServe()
 }
 
-// ServeDNS takes in one message.
+// ServeDNS handles one message.
 func (l *Listener) ServeDNS(w dns.ResponseWriter, q *dns.Msg) {
 	from, err := netip.ParseAddrPort(w.RemoteAddr().String())
 	if err != nil || !l.Allow.Contains(from.Addr().Unmap()) || q.Opcode != dns.OpcodeNotify || len(q.Question) != 1 {
@@ -50,7 +50,7 @@
 	}
 	accepted := false
 	for _, f := range l.Followers {
-		if f.concernedBy(q.Question[0].Name) && f.trusts(w, q) {
+		if f.inZone(q.Question[0].Name) && f.isAuthentic(w, q) {
 			accepted = true
 			f.Refresh()
 		}
@@ -65,20 +65,19 @@
 	if t := q.IsTsig(); t != nil {
 		a.SetTsig(t.Hdr.Name, t.Algorithm, tsigFudge, int64(t.TimeSigned))
 	}
-	_ = w.WriteMsg(a) // the sender repeats what is not answered
+	_ = w.WriteMsg(a) // the sender repeats an unanswered message
 }
 
-// concernedBy tells whether a change of the zone with this name may be one of the followed domain: it is the domain, or lies
-// above it.
-func (f *Follower) concernedBy(zone string) bool {
+// inZone reports whether the followed domain is the zone with this name or lies below it, so that a change of the zone may affect it.
+func (f *Follower) inZone(zone string) bool {
 	return dns.IsSubDomain(strings.ToLower(zone), strings.ToLower(f.Zone.Domain))
 }
 
-// trusts tells whether a message is signed by the zone's key, if it has one.
-func (f *Follower) trusts(w dns.ResponseWriter, q *dns.Msg) bool {
+// isAuthentic reports whether a message is signed with the zone's key. Without a key every message is accepted.
+func (f *Follower) isAuthentic(w dns.ResponseWriter, q *dns.Msg) bool {
 	k := f.Zone.Key
 	return k == nil || q.IsTsig() != nil && w.TsigStatus() == nil && strings.EqualFold(q.IsTsig().Hdr.Name, k.Name)
 }
 
-// Counts are the messages that were accepted, and those that were not.
+// Counts returns how many messages were accepted and dropped.
 func (l *Listener) Counts() (accepted, dropped uint64) { return l.accepted.Load(), l.dropped.Load() }
--- a/internal/dnssd/records.go
+++ b/internal/dnssd/records.go
@@ -13,11 +13,11 @@
 const (
 	// maxRecords bounds the records of one zone.
 	maxRecords = 1 << 16
-	// maxHops bounds the CNAME records that are followed from one name.
+	// maxHops bounds the chain of CNAME records that is followed from one name.
 	maxHops = 8
 )
 
-// recordKey names a set of records.
+// recordKey identifies a record set.
 type recordKey struct {
 	name   string // in lower case
 	rrtype uint16
@@ -27,11 +27,11 @@
 	return recordKey{strings.ToLower(dns.Fqdn(name)), rrtype}
 }
 
-// records are those of a zone that have come.
+// records holds the records of a zone that have been fetched.
 type records struct {
-	apex   string // what lies outside it is not taken
+	apex   string // records outside of it are ignored
 	sets   map[recordKey][]dns.RR
-	absent map[recordKey]time.Time // RFC 2308: there are none, until then
+	absent map[recordKey]time.Time // negative answers and when they expire (RFC 2308)
 	count  int
 }
 
@@ -39,7 +39,7 @@
 	return &records{apex: strings.ToLower(dns.Fqdn(apex)), sets: map[recordKey][]dns.RR{}, absent: map[recordKey]time.Time{}}
 }
 
-// clone is a copy that can be changed by itself.
+// clone returns an independent copy.
 func (r *records) clone() *records {
 	c := newRecords(r.apex)
 	c.count = r.count
@@ -50,7 +50,7 @@
 	return c
 }
 
-// usable tells whether a record is of a type in use, and in bailiwick.
+// usable reports whether a record has a type that we use and is in bailiwick.
 func (r *records) usable(rr dns.RR) bool {
 	switch rr.Header().Rrtype {
 	case dns.TypePTR, dns.TypeSRV, dns.TypeTXT, dns.TypeA, dns.TypeAAAA, dns.TypeCNAME:
@@ -59,7 +59,7 @@
 	return false
 }
 
-// add takes in a record and tells whether it is there now: one that is not usable, or beyond maxRecords, is not.
+// add adds a record and reports whether the zone contains it now. Records that are not usable or beyond maxRecords are not added.
 func (r *records) add(rr dns.RR) bool {
 	if !r.usable(rr) {
 		return false
@@ -77,7 +77,7 @@
 	return true
 }
 
-// remove takes a record out.
+// remove removes a record.
 func (r *records) remove(rr dns.RR) {
 	k := newRecordKey(rr.Header().Name, rr.Header().Rrtype)
 	kept := slices.DeleteFunc(r.sets[k], func(o dns.RR) bool { return dns.IsDuplicate(o, rr) })
@@ -87,9 +87,8 @@
 	}
 }
 
-// replace puts the sets of records in an answer in the place of those with the same keys, and notes the set that was asked for
-// as absent where the answer has none. Additional sets are taken where they are in bailiwick. It returns the keys that it has
-// set.
+// replace replaces record sets by those in an answer and marks the queried set as absent if the answer does not contain it. Additional
+// sets are used if they are in bailiwick. It returns the keys of the sets that it has replaced.
 func (r *records) replace(asked recordKey, answer *dns.Msg, now time.Time) map[recordKey]bool {
 	fresh := map[recordKey]bool{}
 	for _, section := range [][]dns.RR{answer.Answer, answer.Extra} {
@@ -115,7 +114,7 @@
 	return fresh
 }
 
-// Negative answers hold for what their SOA record says (RFC 2308, 5), within these bounds.
+// Bounds of the TTL of negative answers, which comes from their SOA record (RFC 2308, section 5).
 const (
 	minNegativeTTL = time.Second
 	maxNegativeTTL = 5 * time.Minute
@@ -131,7 +130,7 @@
 	return minNegativeTTL
 }
 
-// prune forgets what no instance of the service types refers to any more.
+// prune removes the records that no instance of the service types refers to.
 func (r *records) prune(serviceTypes []string) {
 	keep := map[recordKey]bool{}
 	for _, serviceType := range serviceTypes {
@@ -142,7 +141,7 @@
 			srv := newRecordKey(name, dns.TypeSRV)
 			keep[srv], keep[newRecordKey(name, dns.TypeTXT)] = true, true
 			for _, rr := range r.sets[srv] {
-				for _, name := range r.chain(rr.(*dns.SRV).Target) {
+				for _, name := range r.cnameChain(rr.(*dns.SRV).Target) {
 					keep[recordKey{name, dns.TypeA}], keep[recordKey{name, dns.TypeAAAA}], keep[recordKey{name, dns.TypeCNAME}] = true, true, true
 				}
 			}
@@ -161,8 +160,8 @@
 	}
 }
 
-// chain is a name and those that its CNAME records lead to.
-func (r *records) chain(name string) []string {
+// cnameChain returns a name and the names that its CNAME records lead to.
+func (r *records) cnameChain(name string) []string {
 	list := []string{strings.ToLower(dns.Fqdn(name))}
 	for range maxHops {
 		set := r.sets[recordKey{list[len(list)-1], dns.TypeCNAME}]
@@ -178,9 +177,9 @@
 	return list
 }
 
-// addresses are those of a host, IPv4 first and then by value, so that every reader takes the same.
+// addresses returns the addresses of a host, IPv4 first and then by value, so that every reader chooses the same one.
 func (r *records) addresses(host string) (list []netip.Addr) {
-	for _, name := range r.chain(host) {
+	for _, name := range r.cnameChain(host) {
 		for _, rr := range r.sets[recordKey{name, dns.TypeA}] {
 			if a, ok := netip.AddrFromSlice(rr.(*dns.A).A); ok {
 				list = append(list, a.Unmap())
--- a/internal/dnssd/service.go
+++ b/internal/dnssd/service.go
@@ -13,28 +13,28 @@
 )
 
 const (
-	// ownTTL is how long others may keep our records, seconds. It is short, since most of them poll no serial.
+	// ownTTL is the TTL of our records in seconds. It is short, since most clients do not poll the serial.
 	ownTTL = 10
-	// ownExpire is how long a secondary server may keep them without us, seconds.
+	// ownExpire is how long a secondary server may serve our records without contact to us, in seconds.
 	ownExpire = 60
 )
 
 // Service is our own Flight service, as its records describe it.
 type Service struct {
 	Instance string // one label, not escaped
-	Type     string // as _name._tcp
+	Type     string // such as _name._tcp
 	Domain   string // ends in a dot
 	Addr     netip.AddrPort
 	Text     []string
 
-	withdrawn atomic.Int64 // milliseconds of Unix time since when; 0 while it serves
+	withdrawn atomic.Int64 // Unix time of the withdrawal in milliseconds; 0 while the service is available
 }
 
-// Withdraw takes the service back: no instance is listed any more, and the TXT record, for those that still ask for it, says
-// that it drains.
+// Withdraw withdraws the service: its instance is no longer listed, and its TXT record, for clients that still query it, says that it
+// drains.
 func (s *Service) Withdraw() { s.withdrawn.CompareAndSwap(0, time.Now().UnixMilli()) }
 
-// ServeDNS answers for our own records.
+// ServeDNS answers a query for our own records.
 func (s *Service) ServeDNS(w dns.ResponseWriter, q *dns.Msg) {
 	answer := new(dns.Msg).SetReply(q)
 	answer.Authoritative = true
@@ -54,10 +54,10 @@
 	} else {
 		answer.Truncate(dns.MinMsgSize)
 	}
-	_ = w.WriteMsg(answer) // a client whose answer is lost asks again
+	_ = w.WriteMsg(answer) // a client that gets no answer repeats the query
 }
 
-// soa is the start of our zone. Its serial rises once, as the service is withdrawn.
+// soa returns the SOA record of our zone. Its serial increases when the service is withdrawn.
 func (s *Service) soa() *dns.SOA {
 	serial := uint32(1)
 	if s.withdrawn.Load() != 0 {
@@ -67,33 +67,33 @@
 		Ns: s.Domain, Mbox: "hostmaster." + s.Domain, Serial: serial, Refresh: ownTTL, Retry: ownTTL, Expire: ownExpire, Minttl: 1}
 }
 
-// records are those that answer a question, and those that save the next ones.
+// records returns the records that answer a question, and additional ones that save further queries.
 func (s *Service) records(q dns.Question) (answer, extra []dns.RR) {
-	head := func(name string, rrtype uint16) dns.RR_Header {
+	header := func(name string, rrtype uint16) dns.RR_Header {
 		return dns.RR_Header{Name: name, Rrtype: rrtype, Class: dns.ClassINET, Ttl: ownTTL}
 	}
 	serviceType := s.Type + "." + s.Domain
 	instance, host := Escape(s.Instance)+"."+serviceType, Escape(s.Instance)+"."+s.Domain
-	gone, state := s.withdrawn.Load() != 0, "state=serving"
-	if gone {
+	withdrawn, state := s.withdrawn.Load() != 0, "state=serving"
+	if withdrawn {
 		state = "state=draining"
 	}
 	text := append(slices.Clone(s.Text), state)
 	all := []dns.RR{
-		&dns.PTR{Hdr: head("_services._dns-sd._udp."+s.Domain, dns.TypePTR), Ptr: serviceType},
-		&dns.PTR{Hdr: head(serviceType, dns.TypePTR), Ptr: instance},
-		&dns.SRV{Hdr: head(instance, dns.TypeSRV), Port: s.Addr.Port(), Target: host},
-		&dns.TXT{Hdr: head(instance, dns.TypeTXT), Txt: text},
+		&dns.PTR{Hdr: header("_services._dns-sd._udp."+s.Domain, dns.TypePTR), Ptr: serviceType},
+		&dns.PTR{Hdr: header(serviceType, dns.TypePTR), Ptr: instance},
+		&dns.SRV{Hdr: header(instance, dns.TypeSRV), Port: s.Addr.Port(), Target: host},
+		&dns.TXT{Hdr: header(instance, dns.TypeTXT), Txt: text},
 	}
 	if a := s.Addr.Addr(); a.Is4() {
-		all = append(all, &dns.A{Hdr: head(host, dns.TypeA), A: a.AsSlice()})
+		all = append(all, &dns.A{Hdr: header(host, dns.TypeA), A: a.AsSlice()})
 	} else {
-		all = append(all, &dns.AAAA{Hdr: head(host, dns.TypeAAAA), AAAA: a.AsSlice()})
+		all = append(all, &dns.AAAA{Hdr: header(host, dns.TypeAAAA), AAAA: a.AsSlice()})
 	}
 	all = append(all, s.soa())
 	for _, rr := range all {
 		h := rr.Header()
-		if gone && h.Rrtype == dns.TypePTR {
+		if withdrawn && h.Rrtype == dns.TypePTR {
 			continue
 		}
 		if strings.EqualFold(h.Name, q.Name) && (q.Qtype == h.Rrtype || q.Qtype == dns.TypeANY) {
@@ -106,7 +106,7 @@
 	return answer, extra
 }
 
-// Serve answers on a UDP socket until ctx ends.
+// Serve answers queries on a UDP socket until ctx ends.
 func (s *Service) Serve(ctx context.Context, pc net.PacketConn) error {
 	server := &dns.Server{PacketConn: pc, Handler: s}
 	defer context.AfterFunc(ctx, func() { _ = server.ShutdownContext(context.Background()) })()
--- a/internal/dnssd/transfer.go
+++ b/internal/dnssd/transfer.go
@@ -13,30 +13,30 @@
 const (
 	// transferTimeout is how long a complete transfer may take.
 	transferTimeout = 5 * time.Second
-	// transferRetryDelay is how long a server is asked for no transfer after one has failed.
+	// transferRetryDelay is how long no transfer is tried after one has failed.
 	transferRetryDelay = 30 * time.Second
-	// maxTransferRecords bounds the records of a transfer; one of changes names those that go, too.
+	// maxTransferRecords bounds the records of a transfer; an incremental one also contains the removed records.
 	maxTransferRecords = 2 * maxRecords
 )
 
 var (
 	// errTransfer reports a transfer that can't be read.
-	errTransfer = errors.New("transfer not understood")
+	errTransfer = errors.New("malformed transfer")
 	// errTransferSize reports a transfer of more than maxTransferRecords.
 	errTransferSize = fmt.Errorf("transfer of over %d records", maxTransferRecords)
 )
 
-// transferBase is a zone as a transfer has brought it: its records, and the serial that they are of.
-type transferBase struct {
+// transferredZone is the result of a transfer: the records of a zone and their serial.
+type transferredZone struct {
 	records *records
 	serial  uint32
 }
 
-// transfer fetches the zone: what has changed since base (IXFR, RFC 1995), or all of it (AXFR, RFC 5936) where base is nil. A
-// transfer that is cut, at whichever message, is an error and changes nothing.
-func (c *Client) transfer(ctx context.Context, server string, k *Key, apex string, base *transferBase) (transferBase, error) {
+// transfer fetches the changes of a zone since base (IXFR, RFC 1995), or the complete zone if base is nil (AXFR, RFC 5936). A transfer
+// that is cut off at any message returns an error and changes nothing.
+func (c *Client) transfer(ctx context.Context, server string, k *Key, apex string, base *transferredZone) (transferredZone, error) {
 	if err := c.acquire(ctx); err != nil {
-		return transferBase{}, err
+		return transferredZone{}, err
 	}
 	defer c.release()
 	ctx, cancel := context.WithDeadline(ctx, time.Now().Add(transferTimeout))
@@ -44,7 +44,7 @@
 	var d net.Dialer
 	nc, err := d.DialContext(ctx, "tcp", server)
 	if err != nil {
-		return transferBase{}, err
+		return transferredZone{}, err
 	}
 	closeConn := func() { _ = nc.Close() }
 	defer closeConn()
@@ -57,25 +57,25 @@
 	}
 	envelopes, err := t.In(q, server)
 	if err != nil {
-		return transferBase{}, fmt.Errorf("%s: %w", server, err)
+		return transferredZone{}, fmt.Errorf("%s: %w", server, err)
 	}
 	all, err := collectEnvelopes(envelopes, closeConn)
 	if err != nil {
-		return transferBase{}, fmt.Errorf("%s: %w", server, err)
+		return transferredZone{}, fmt.Errorf("%s: %w", server, err)
 	}
-	return assemble(apex, base, all)
+	return assembleZone(apex, base, all)
 }
 
-// transferQuestion asks for the changes since base, or for the complete zone.
-func transferQuestion(apex string, base *transferBase) *dns.Msg {
+// transferQuestion returns the query for the changes since base, or for the complete zone if base is nil.
+func transferQuestion(apex string, base *transferredZone) *dns.Msg {
 	if base != nil {
 		return new(dns.Msg).SetIxfr(apex, base.serial, ".", ".")
 	}
 	return new(dns.Msg).SetAxfr(apex)
 }
 
-// collectEnvelopes returns the records of all messages. It closes the connection on an error, and reads the channel to its end
-// all the same: its sender would wait forever.
+// collectEnvelopes returns the records of all messages. On an error it closes the connection but still drains the channel, since the
+// sender would otherwise block forever.
 func collectEnvelopes(envelopes <-chan *dns.Envelope, closeConn func()) (all []dns.RR, err error) {
 	for e := range envelopes {
 		if err == nil && e.Error != nil {
@@ -92,27 +92,27 @@
 	return all, err
 }
 
-// assemble turns the records of a transfer into those of the zone.
-func assemble(apex string, base *transferBase, all []dns.RR) (transferBase, error) {
+// assembleZone turns the records of a transfer into a zone.
+func assembleZone(apex string, base *transferredZone, all []dns.RR) (transferredZone, error) {
 	if len(all) == 0 {
-		return transferBase{}, fmt.Errorf("%w: empty", errTransfer)
+		return transferredZone{}, fmt.Errorf("%w: empty", errTransfer)
 	}
 	first, ok := all[0].(*dns.SOA)
 	if !ok {
-		return transferBase{}, fmt.Errorf("%w: does not begin with SOA", errTransfer)
+		return transferredZone{}, fmt.Errorf("%w: does not begin with SOA", errTransfer)
 	}
 	if base != nil && len(all) == 1 {
-		return transferBase{base.records, first.Serial}, nil // RFC 1995, 4: nothing newer, or ask for all of it
+		return transferredZone{base.records, first.Serial}, nil // RFC 1995, section 4: no changes, or the changes are not available
 	}
 	last, ok := all[len(all)-1].(*dns.SOA)
 	if !ok || last.Serial != first.Serial || len(all) == 1 {
-		return transferBase{}, fmt.Errorf("%w: does not end with its SOA", errTransfer)
+		return transferredZone{}, fmt.Errorf("%w: does not end with its SOA", errTransfer)
 	}
 	body := all[1 : len(all)-1]
 	if base != nil && len(body) > 0 {
 		if from, ok := body[0].(*dns.SOA); ok {
 			if from.Serial != base.serial {
-				return transferBase{}, fmt.Errorf("%w: changes are from serial %d, not %d", errTransfer, from.Serial, base.serial)
+				return transferredZone{}, fmt.Errorf("%w: changes are from serial %d, not %d", errTransfer, from.Serial, base.serial)
 			}
 			return applyChanges(base.records.clone(), first.Serial, body)
 		}
@@ -120,39 +120,39 @@
 	return completeZone(apex, first.Serial, body)
 }
 
-// completeZone takes in the records of a complete zone.
-func completeZone(apex string, serial uint32, body []dns.RR) (transferBase, error) {
+// completeZone returns a zone with the records of a complete transfer.
+func completeZone(apex string, serial uint32, body []dns.RR) (transferredZone, error) {
 	next := newRecords(apex)
 	for _, rr := range body {
 		if _, isSOA := rr.(*dns.SOA); isSOA {
-			return transferBase{}, fmt.Errorf("%w: SOA amid a whole zone", errTransfer)
+			return transferredZone{}, fmt.Errorf("%w: SOA record inside a complete zone", errTransfer)
 		}
 		if next.usable(rr) && !next.add(rr) {
-			return transferBase{}, fmt.Errorf("%w: over %d records", errTransfer, maxRecords)
+			return transferredZone{}, fmt.Errorf("%w: over %d records", errTransfer, maxRecords)
 		}
 	}
-	return transferBase{next, serial}, nil
+	return transferredZone{next, serial}, nil
 }
 
-// applyChanges applies the sequences of an IXFR to r: an SOA and the records that go, an SOA and those that come, and so on.
-// The last one must lead to the serial end.
-func applyChanges(r *records, end uint32, body []dns.RR) (transferBase, error) {
-	adding, at := true, uint32(0)
+// applyChanges applies the difference sequences of an IXFR to r: an SOA and the removed records, an SOA and the added records, and so
+// on. The last sequence must lead to finalSerial.
+func applyChanges(r *records, finalSerial uint32, body []dns.RR) (transferredZone, error) {
+	adding, serial := true, uint32(0)
 	for _, rr := range body {
 		soa, isSOA := rr.(*dns.SOA)
 		switch {
-		case isSOA && adding && at != 0 && soa.Serial != at:
-			return transferBase{}, fmt.Errorf("%w: changes from serial %d follow those to %d", errTransfer, soa.Serial, at)
+		case isSOA && adding && serial != 0 && soa.Serial != serial:
+			return transferredZone{}, fmt.Errorf("%w: changes from serial %d follow those to %d", errTransfer, soa.Serial, serial)
 		case isSOA:
-			adding, at = !adding, soa.Serial
+			adding, serial = !adding, soa.Serial
 		case adding:
 			r.add(rr)
 		default:
 			r.remove(rr)
 		}
 	}
-	if !adding || at != end {
-		return transferBase{}, fmt.Errorf("%w: changes end at serial %d, not %d", errTransfer, at, end)
+	if !adding || serial != finalSerial {
+		return transferredZone{}, fmt.Errorf("%w: changes end at serial %d, not %d", errTransfer, serial, finalSerial)
 	}
-	return transferBase{r, end}, nil
+	return transferredZone{r, finalSerial}, nil
 }
--- a/internal/dnssd/txt.go
+++ b/internal/dnssd/txt.go
@@ -9,28 +9,27 @@
 	"gullfall/internal/membership"
 )
 
-// The protocols of data nodes, as dispatchers are named by them.
+// Protocols of data nodes: the names under which their dispatchers are registered.
 const (
 	Frames = ""
 	Flight = "flight"
 )
 
-// protocols are the values of the TXT key proto.
+// protocols maps the values of the TXT key proto to protocols.
 var protocols = map[string]string{"frames": Frames, "flight": Flight}
 
-// The bounds of the values of TXT keys.
+// Bounds of the values of TXT keys.
 const (
 	maxIDBytes   = 255
 	maxWeight    = 1e6
 	maxStartedMS = 1 << 45
 )
 
-// Text is what the strings of a TXT record say (RFC 6763, 6), by key in lower case. A key without "=" is there with an empty
-// value.
+// Text holds the values of a TXT record (RFC 6763, section 6) by key in lower case. A key without "=" has an empty value.
 type Text map[string]string
 
-// ReadText reads the strings of a TXT record, as the DNS library holds them: the first of each key counts, and one without
-// a key does not.
+// ReadText reads the strings of a TXT record in the form in which the DNS library holds them. The first string with a key counts;
+// strings without a key are ignored.
 func ReadText(list []string) Text {
 	t := Text{}
 	for _, s := range list {
@@ -44,9 +43,9 @@
 	return t
 }
 
-// applyText sets what the keys of a TXT record say of a data node. Keys that it does not know are skipped.
+// applyText sets the fields of a data node from the keys of its TXT record. Unknown keys are ignored.
 func applyText(rec *membership.Record, text Text) error {
-	for _, apply := range []func(*membership.Record, Text) error{applyID, applyProtocol, applyPlace, applyWeight, applyState, applyStarted} {
+	for _, apply := range []func(*membership.Record, Text) error{applyID, applyProtocol, applyLocation, applyWeight, applyState, applyStarted} {
 		if err := apply(rec, text); err != nil {
 			return err
 		}
@@ -79,7 +78,7 @@
 	return nil
 }
 
-func applyPlace(rec *membership.Record, text Text) error {
+func applyLocation(rec *membership.Record, text Text) error {
 	rec.Zone = text["zone"]
 	value, ok := text["cell"]
 	if !ok {
@@ -106,7 +105,7 @@
 	return nil
 }
 
-// applyState takes a state that is not known as draining, so that nothing new is sent.
+// applyState treats an unknown state as draining, so that nothing new is sent to the data node.
 func applyState(rec *membership.Record, text Text) error {
 	if value, ok := text["state"]; ok && !strings.EqualFold(value, "serving") {
 		rec.State = membership.Draining
@@ -114,7 +113,7 @@
 	return nil
 }
 
-// applyStarted takes 0 as a start long ago.
+// applyStarted sets the start time. The value 0 means that the data node started long ago.
 func applyStarted(rec *membership.Record, text Text) error {
 	value, ok := text["started_ms"]
 	if !ok {
--- a/internal/dnssd/txt_test.go
+++ b/internal/dnssd/txt_test.go
@@ -6,7 +6,7 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// TestText reads strings after RFC 6763, 6.
+// TestText: the strings of a TXT record are read as in RFC 6763, section 6.
 func TestText(t *testing.T) {
 	got := ReadText([]string{"Cell=3", "cell=4", "flag", "empty=", "=none", "", "a=b=c", `q=\"x\"`, "flag=late"})
 	if diff := cmp.Diff(Text{"cell": "3", "flag": "", "empty": "", "a": "b=c", "q": `"x"`}, got); diff != "" {
--- a/internal/flight/abuse_test.go
+++ b/internal/flight/abuse_test.go
@@ -28,7 +28,7 @@
 	"gullfall/internal/flight"
 )
 
-// dialHTTP2 opens a connection, sends the HTTP/2 preface and settings, and returns a framer for dialHTTP2 frames.
+// dialHTTP2 opens a connection, sends the HTTP/2 preface and settings, and returns a framer for raw frames.
 func dialHTTP2(t *testing.T, addr string) (net.Conn, *http2.Framer) {
 	t.Helper()
 	nc, err := net.Dial("tcp", addr)
--- a/internal/flight/auth.go
+++ b/internal/flight/auth.go
@@ -71,12 +71,12 @@
 	return owner, ok
 }
 
-// bearerTTL is how long a token from a handshake is valid.
+// bearerTTL is the lifetime of a token from a handshake.
 const bearerTTL = time.Hour
 
 var errUnknownCredentials = status.Error(codes.Unauthenticated, "credentials are not known; send authorization: Basic or Bearer, or do a Handshake")
 
-// remoteAddr returns the remoteAddr that a call comes from.
+// remoteAddr returns the address that a call comes from.
 func remoteAddr(ctx context.Context) netip.Addr {
 	if p, ok := grpcpeer.FromContext(ctx); ok {
 		if ap, err := netip.ParseAddrPort(p.Addr.String()); err == nil {
--- a/internal/flight/codec.go
+++ b/internal/flight/codec.go
@@ -34,7 +34,7 @@
 	Nullable   bool
 }
 
-// columnTypes maps the names of column columnTypes to Arrow columnTypes.
+// columnTypes maps the names of column types to Arrow types.
 var columnTypes = map[string]arrow.DataType{
 	"bool": arrow.FixedWidthTypes.Boolean, "int32": arrow.PrimitiveTypes.Int32, "int64": arrow.PrimitiveTypes.Int64,
 	"float64": arrow.PrimitiveTypes.Float64, "string": arrow.BinaryTypes.String, "binary": arrow.BinaryTypes.Binary,
@@ -105,8 +105,8 @@
 
 // totalBytes returns the total size of the documents.
 func totalBytes(values []coordinator.PartValue) (n int64) {
-	for _, h := range values {
-		for _, doc := range h.Docs {
+	for _, v := range values {
+		for _, doc := range v.Docs {
 			n += int64(len(doc))
 		}
 	}
--- a/internal/flight/doget.go
+++ b/internal/flight/doget.go
@@ -17,8 +17,8 @@
 // missingShards returns the shards of parts that have no value.
 func missingShards(parts []coordinator.Part, values []coordinator.PartValue) (list []int) {
 	have := map[int]bool{}
-	for _, h := range values {
-		have[h.Shard] = true
+	for _, v := range values {
+		have[v.Shard] = true
 	}
 	for _, p := range parts {
 		if !have[p.Shard] {
@@ -135,7 +135,7 @@
 	}
 	class := result.query.Class
 	share := answerShare{complete: result.answer.Complete, values: values, missing: missingShards(parts, values)}
-	// The stored answer is counted with the flights; this reservation covers what is being sent of it.
+	// The stored answer is counted with the flights; this reservation covers the portion being sent.
 	err := s.sendAnswer(&reservation{server: s, caller: c, class: class}, stream, s.classOf(class), share, o)
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/flight/info.go
+++ b/internal/flight/info.go
@@ -163,7 +163,7 @@
 	return out
 }
 
-// ticketTTL is how long a ticket is valid. Its flight may end before that.
+// ticketTTL is the lifetime of a ticket. Its flight may end before that.
 const ticketTTL = 6 * time.Minute
 
 // GetFlightInfo plans a query and returns tickets for its ranges. The query runs when the first of them is fetched.
--- a/internal/flight/interceptor.go
+++ b/internal/flight/interceptor.go
@@ -44,7 +44,7 @@
 	return c
 }
 
-// networkPrefix returns the networkPrefix under which admission counts an address: its /24 or /48.
+// networkPrefix returns the network under which admission counts an address: its /24 or /48.
 func networkPrefix(a netip.Addr) string {
 	bits := 24
 	if a.Is6() {
--- a/internal/flight/nodecalls.go
+++ b/internal/flight/nodecalls.go
@@ -2,7 +2,7 @@
 
 // Calls to data nodes by DoExchange. All parts of a call share one stream, so that a call is one unit here as it is for the decision
 // module, and each part is cancelled by its own message. The end of a cancelled part is reported only after the data node has been
-// told, and what was received of a part before its stream broke is discarded.
+// told, and batches received of a part before its stream broke are discarded.
 //
 // The coordinator sends one message without a body whose descriptor's path is "parts" and whose metadata is
 // {"parts":[{"id":"q.3","shard":3,"q":"...","deadline_ms":240}]} (with "idempotency_key" in a keyed class), and later
@@ -248,7 +248,7 @@
 	return nil
 }
 
-// appendDocuments appends the appendDocuments of a batch to r and returns their size: each row of a batch of Schema, or else the whole
+// appendDocuments appends the documents of a batch to r and returns their size: each row of a batch of Schema, or else the whole
 // batch as one document.
 func appendDocuments(rec arrow.RecordBatch, shard int, r *coordinator.Result) (size int, err error) {
 	if !rec.Schema().Equal(Schema) {
--- a/internal/flight/poll.go
+++ b/internal/flight/poll.go
@@ -13,7 +13,7 @@
 	"gullfall/internal/session"
 )
 
-// pollTimeout is how long a poll waits for progress.
+// pollTimeout bounds the wait of a poll for progress.
 const pollTimeout = time.Second
 
 const (
--- a/internal/flight/sets_test.go
+++ b/internal/flight/sets_test.go
@@ -6,14 +6,14 @@
 	"github.com/gaissmai/bart"
 )
 
-// prefixSet returns an address prefixSet of one network.
+// prefixSet returns an address set of one network.
 func prefixSet(network string) *bart.Lite {
 	s := new(bart.Lite)
 	s.Insert(netip.MustParsePrefix(network))
 	return s
 }
 
-// prefixTable returns a prefixTable that maps one network to its owner.
+// prefixTable returns a table that maps one network to its owner.
 func prefixTable(network, owner string) *bart.Table[string] {
 	s := new(bart.Table[string])
 	s.Insert(netip.MustParsePrefix(network), owner)
--- a/internal/flight/suite_test.go
+++ b/internal/flight/suite_test.go
@@ -160,7 +160,7 @@
 	}
 }
 
-// retryDelay returns the retryDelay delay of an Unavailable error, or 0 for any other error.
+// retryDelay returns the retry delay of an Unavailable error, or 0 for any other error.
 func retryDelay(err error) time.Duration {
 	for _, d := range status.Convert(err).Details() {
 		if r, ok := d.(*errdetails.RetryInfo); ok && status.Code(err) == codes.Unavailable {
@@ -238,7 +238,7 @@
 	}
 }
 
-// answerWith returns a dispatcher that answerWith each part with the document that doc returns.
+// answerWith returns a dispatcher that answers each part with the document that doc returns.
 func answerWith(t *testing.T, doc func(shard int) []byte) func(*coordinator.Coordinator) coordinator.Dispatcher {
 	return func(c *coordinator.Coordinator) coordinator.Dispatcher {
 		return func(n *coordinator.Node) {
@@ -443,7 +443,7 @@
 	return schema
 }
 
-// ratingDoc returns a document that holds a ratingDoc of this schema.
+// ratingDoc returns a document that holds a batch of this schema.
 func ratingDoc(t *testing.T, schema *arrow.Schema, rows int) []byte {
 	t.Helper()
 	b := array.NewRecordBuilder(memory.DefaultAllocator, schema)
--- a/internal/flight/tickets.go
+++ b/internal/flight/tickets.go
@@ -29,7 +29,7 @@
 	purposeBearer purpose = 'B' // authenticates a caller
 )
 
-// Layout of a token: tokenMagic, tokenVersion, purpose, key ID, expiry (Unix milliseconds, big endian), length of the owner, owner, payload,
+// Layout of a token: magic, version, purpose, key ID, expiry (Unix milliseconds, big endian), length of the owner, owner, payload,
 // and the HMAC-SHA256 of all of these, truncated to 16 bytes (RFC 2104, section 5).
 const (
 	tokenMagic   = "gf"
