--- a/internal/dnssd/client.go
+++ b/internal/dnssd/client.go
@@ -14,7 +14,7 @@
 const (
 	// udpSize is the largest datagram that we announce to accept, in bytes (EDNS0; the value of DNS Flag Day 2020).
 	udpSize = 1232
-	// queryTimeout is how long an answer may take.
+	// queryTimeout bounds the wait for an answer.
 	queryTimeout = 600 * time.Millisecond
 	// tsigFudge is the largest clock difference at which a signature is accepted, in seconds (RFC 8945, section 10).
 	tsigFudge = 300
--- a/internal/dnssd/follower.go
+++ b/internal/dnssd/follower.go
@@ -77,7 +77,7 @@
 	state           zoneState
 	server          int               // index of the server in use
 	failures        int               // consecutive failed polls
-	noTransferUntil time.Time         // no transfer is tried before this time
+	noTransferUntil time.Time         // no transfer is started before this time
 	loggedProblems  map[string]string // logged causes of unusable instances, by instance
 }
 
--- a/internal/dnssd/service.go
+++ b/internal/dnssd/service.go
@@ -15,7 +15,7 @@
 const (
 	// ownTTL is the TTL of our records in seconds. It is short, since most clients do not poll the serial.
 	ownTTL = 10
-	// ownExpire is how long a secondary server may serve our records without contact to us, in seconds.
+	// ownExpire is the time after which a secondary server without contact to us must stop serving our records, in seconds.
 	ownExpire = 60
 )
 
--- a/internal/dnssd/transfer.go
+++ b/internal/dnssd/transfer.go
@@ -11,9 +11,9 @@
 )
 
 const (
-	// transferTimeout is how long a complete transfer may take.
+	// transferTimeout bounds the duration of a complete transfer.
 	transferTimeout = 5 * time.Second
-	// transferRetryDelay is how long no transfer is tried after one has failed.
+	// transferRetryDelay is the pause after a failed transfer before the next one.
 	transferRetryDelay = 30 * time.Second
 	// maxTransferRecords bounds the records of a transfer; an incremental one also contains the removed records.
 	maxTransferRecords = 2 * maxRecords
