--- a/cmd/gullfall-lab/demo.go
+++ b/cmd/gullfall-lab/demo.go
@@ -1,7 +1,7 @@
 package main
 
-// This file is the demo: a fleet found through DNS-SD and discovery, a stream of queries, and a list of things that
-// go wrong while it runs. It must never end well where a rule broke.
+// `gullfall-lab demo`: a fleet found through DNS-SD and discovery, with a steady load of queries and a sequence of faults. It
+// must return an error if a rule was violated.
 
 import (
 	"context"
@@ -19,29 +19,30 @@
 )
 
 type demoCmd struct {
-	For    time.Duration `default:"10s" help:"How long it runs."`
-	Seed   uint64        `default:"1" help:"Settles what happens to whom."`
+	For    time.Duration `default:"10s" help:"Duration of the load."`
+	Seed   uint64        `default:"1" help:"Seed of the faults and the load."`
 	JSON   string        `name:"json" help:"Write the report to this file."`
-	Binary string        `help:"Where gullfall lies; beside this program by default."`
+	Binary string        `help:"Path of gullfall; by default in this program's directory."`
 }
 
-// classReport is what became of a class's queries.
+// classReport counts the outcomes of a class's queries.
 type classReport struct {
 	Class                                                string
 	Asked, Served, Partial, Refused, Failed, Lost, Wrong int
 	P50ms, P99ms                                         float64
 }
 
-// rule is one of the rules, and whether it was kept.
+// rule is the result of checking one rule.
 type rule struct {
 	Rule string
 	Kept bool
 	Seen string
 }
 
+// ms returns a duration in milliseconds.
 func ms(d time.Duration) float64 { return float64(d.Microseconds()) / 1000 }
 
-// classes are the reports of all classes.
+// classes returns the reports of all classes.
 func classes(l *load.Load) (list []classReport) {
 	for _, c := range l.Classes {
 		t := l.Tally(c.Name)
@@ -51,7 +52,7 @@
 	return list
 }
 
-// rules checks the accounts against the rules.
+// rules checks the counts of the clients and the data nodes against the rules.
 func rules(l *load.Load, a datanode.Account) []rule {
 	sum := l.Sum()
 	return []rule{
@@ -64,7 +65,7 @@
 	}
 }
 
-// Run runs the demo.
+// Run starts the fleet, injects faults under load and prints whether the rules were kept.
 func (d demoCmd) Run() (err error) {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
 	defer stop()
@@ -107,18 +108,18 @@
 		return err
 	}
 	if broken > 0 {
-		return fmt.Errorf("%d rules broken", broken)
+		return fmt.Errorf("%d rules violated", broken)
 	}
 	return nil
 }
 
-// trouble does something to a data node about each second, and undoes it a while later.
+// trouble injects a fault at a data node every 0.7 s and undoes it 2 s later, until ctx ends.
 func (d demoCmd) trouble(ctx context.Context, f *fleet.Fleet, l *load.Load) {
 	acts := []struct {
 		what string
 		do   func(n *datanode.Node)
 		undo func(n *datanode.Node)
-		by   string // which of the sources names it
+		by   string // source that lists the data node: records or discovery
 	}{
 		{"record removed", func(n *datanode.Node) { f.Ledger.Off(n.ID); f.Zone.Remove(f.Instance(n, "").Label) },
 			func(n *datanode.Node) { f.Ledger.On(n.ID); f.Zone.Set(f.Instance(n, "")) }, "records"},
--- a/cmd/gullfall-lab/dnssd.go
+++ b/cmd/gullfall-lab/dnssd.go
@@ -1,7 +1,7 @@
 package main
 
-// This file is the measurement of DNS-SD: removals, drains and flaps under load, and the cost of a watch at rest. It
-// must never count a removal that has not been asked for.
+// `gullfall-lab dnssd`: measures DNS-SD discovery with removals, drains and flaps under load, and its cost when nothing changes.
+// Only removals that the lab itself made may be counted.
 
 import (
 	"context"
@@ -23,21 +23,21 @@
 )
 
 type dnssdCmd struct {
-	Nodes    int           `default:"64" help:"How many data nodes the zone names."`
-	For      time.Duration `default:"60s" help:"How long records come and go."`
-	TTL      uint32        `default:"4500" help:"Time to live of the records, seconds."`
-	Notify   bool          `help:"The servers tell of changes by NOTIFY."`
-	Browse   bool          `help:"The servers turn transfers down."`
-	Rest     bool          `help:"Nothing changes and nothing is asked: what watching costs. The data nodes are records only."`
-	Every    time.Duration `default:"200ms" help:"How often a record goes."`
+	Nodes    int           `default:"64" help:"Number of data nodes in the DNS zone."`
+	For      time.Duration `default:"60s" help:"Duration of the measurement."`
+	TTL      uint32        `default:"4500" help:"Time to live of the records, in seconds."`
+	Notify   bool          `help:"The servers announce changes by NOTIFY."`
+	Browse   bool          `help:"The servers refuse zone transfers."`
+	Rest     bool          `help:"Measure the idle cost of discovery: records don't change and no queries are sent. The data nodes exist only as records."`
+	Every    time.Duration `default:"200ms" help:"Interval between changes of records."`
 	Rate     float64       `default:"400" help:"Queries a second."`
-	Seed     uint64        `default:"1" help:"Settles who goes when."`
+	Seed     uint64        `default:"1" help:"Seed of the changes and the load."`
 	JSON     string        `name:"json" help:"Write the report to this file."`
-	Binary   string        `help:"Where gullfall lies; beside this program by default."`
+	Binary   string        `help:"Path of gullfall; by default in this program's directory."`
 	KeepLogs bool          `name:"log" help:"Print the end of gullfall's log."`
 }
 
-// dnssdReport is the report, with stable names.
+// dnssdReport is the result of a run. Its JSON keys are stable.
 type dnssdReport struct {
 	Nodes         int     `json:"nodes"`
 	TTL           uint32  `json:"ttl"`
@@ -48,7 +48,7 @@
 	Removals      int     `json:"removals"`
 	Flaps         int     `json:"flaps"`
 	Drains        int     `json:"drains"`
-	Worst         float64 `json:"worst_after_removal_ms"`
+	Worst         float64 `json:"worst_after_removal_ms"` // from a removal to the last part that started at the data node
 	P99           float64 `json:"p99_after_removal_ms"`
 	Median        float64 `json:"median_after_removal_ms"`
 	Twins         int     `json:"twins"`
@@ -59,36 +59,38 @@
 	Served        int     `json:"served"`
 	Refused       int     `json:"refused"`
 	Failed        int     `json:"failed"`
-	P50           float64 `json:"p50_ms"`
-	P99Query      float64 `json:"p99_ms"`
+	P50           float64 `json:"p50_ms"` // of queries
+	P99Query      float64 `json:"p99_ms"` // of queries
 	Questions     float64 `json:"dns_questions_per_s"`
-	CPU           float64 `json:"cpu_share"`
+	CPU           float64 `json:"cpu_share"` // of a core
 	MemoryMB      int     `json:"memory_mb"`
-	ColdReturns   int     `json:"cold_returns"`
-	ColdPartsEach float64 `json:"parts_in_first_cold_second"`
-	PartsEach     float64 `json:"parts_a_second_and_node"`
+	ColdReturns   int     `json:"cold_returns"`               // data nodes that returned after a restart
+	ColdPartsEach float64 `json:"parts_in_first_cold_second"` // mean at a returned data node
+	PartsEach     float64 `json:"parts_a_second_and_node"`    // mean over all data nodes
 
-	// The same run, seen by one who asks again after half of the time to live, 30 s at most, as gullfall once did.
+	// Baseline in the same run: a client that polls at half of the time to live, 30 s at most.
 	BaselineNoticed int     `json:"baseline_removals_noticed"`
 	BaselineWorst   float64 `json:"baseline_worst_ms"`
 	BaselineMedian  float64 `json:"baseline_median_ms"`
 }
 
-// baseline asks for the list of instances at half of their time to live, and notes how long after a removal it
-// learns of it.
+// baseline polls the list of instances at half of their time to live, 30 s at most, and records how long after a removal it notices
+// that.
 type baseline struct {
 	mu      sync.Mutex
-	removed map[string]time.Time // by label, while the record is away
+	removed map[string]time.Time // by label, while the record is removed
 	noticed map[string]bool
 	took    []time.Duration
 }
 
+// gone records that a record was removed.
 func (b *baseline) gone(label string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.removed[label] = time.Now()
 }
 
+// back records that a record is listed again.
 func (b *baseline) back(label string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -96,6 +98,7 @@
 	delete(b.noticed, label)
 }
 
+// run polls the second name server until ctx ends. Failed polls are skipped.
 func (b *baseline) run(ctx context.Context, f *fleet.Fleet, ttl uint32) {
 	pause := min(time.Duration(ttl)*time.Second/2, 30*time.Second)
 	for {
@@ -119,7 +122,7 @@
 	}
 }
 
-// listInstances asks a name server for the labels of all instances, by TCP where they don't fit into a datagram.
+// listInstances queries a name server for the labels of all instances, over TCP if the answer doesn't fit into a datagram.
 func listInstances(server string) (map[string]bool, error) {
 	const service = "_dn._tcp." + fleet.Domain
 	question := new(dns.Msg).SetQuestion(service, dns.TypePTR)
@@ -139,7 +142,7 @@
 	return listed, nil
 }
 
-// Run measures.
+// Run runs the measurement, prints the report and checks the bounds.
 func (d dnssdCmd) Run() (err error) {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
 	defer stop()
@@ -149,7 +152,7 @@
 	if err != nil {
 		return err
 	}
-	time.Sleep(2 * time.Second) // the first list
+	time.Sleep(2 * time.Second) // time to receive the first list
 	if listed := f.Listed(); listed < d.Nodes {
 		return fmt.Errorf("only %d of %d data nodes are listed after 2 s\n%s", listed, d.Nodes, f.Log(2000))
 	}
@@ -194,7 +197,7 @@
 	return r.check(d.Rest)
 }
 
-// fill takes in what the data nodes and the clients have counted in that time.
+// fill copies the counts of the data nodes and the clients into the report; took is the length of the measurement.
 func (r *dnssdReport) fill(took time.Duration, a datanode.Account, sum load.Tally) {
 	r.Seconds = took.Seconds()
 	r.Removals, r.Worst, r.P99, r.Median = a.Removals, ms(a.Worst), ms(a.P99), ms(a.Median)
@@ -207,7 +210,7 @@
 	r.PartsEach = float64(a.Begun) / took.Seconds() / float64(r.Nodes)
 }
 
-// print writes the report as text; at rest, without what only changes and queries show.
+// print writes the report as text; at rest, without the lines about changes and queries.
 func (r *dnssdReport) print(rest bool) { //nolint:revive // rest selects lines of the text; two methods would repeat the others.
 	fmt.Printf("%d data nodes, TTL %d s, transfers %v, NOTIFY %v, %.0f s on %d cores\n", r.Nodes, r.TTL, r.Transfer, r.Notify, r.Seconds, r.Cores)
 	if !rest {
@@ -220,37 +223,37 @@
 	fmt.Printf("DNS questions %.1f a second; %.2f%% of a core, %d MB\n", r.Questions, 100*r.CPU, r.MemoryMB)
 }
 
-// check returns an error where a bound was missed or a rule broke.
+// check returns an error if a bound was exceeded or a rule was violated.
 func (r *dnssdReport) check(rest bool) error {
 	switch {
 	case rest && (r.Questions >= 4 || r.CPU >= 0.01):
-		return errors.New("bound missed: under 4 questions a second and 1% of a core at rest")
+		return errors.New("bound exceeded: at rest, fewer than 4 DNS questions a second and less than 1% of a core are allowed")
 	case rest:
 	case r.Worst >= 2000:
-		return errors.New("bound missed: new work later than 2 s after a removal")
+		return errors.New("bound exceeded: a part started at a data node 2 s or more after its removal")
 	case r.Notify && r.Median >= 100:
-		return errors.New("bound missed: with NOTIFY, 100 ms at the median")
+		return errors.New("bound exceeded: with NOTIFY, the median from a removal to the last new part must be below 100 ms")
 	case r.Twins > 0 || r.Lost > 0 || r.Wrong > 0 || r.MostAttempts > 3:
-		return errors.New("a rule broke")
+		return errors.New("rule violated: concurrent attempts of one part, lost or wrong queries, or more than 3 attempts of a part")
 	}
 	return nil
 }
 
-// churn lets records go and come back. A quarter of the data nodes at most is away.
+// churn removes and restores records. At most a quarter of the data nodes is affected at a time.
 type churn struct {
 	fleet         *fleet.Fleet
 	baseline      *baseline
-	pending       sync.WaitGroup // of what is done later
+	pending       sync.WaitGroup // scheduled changes
 	flaps, drains int
 
-	// mu guards away and err, and keeps changes apart.
+	// mu guards away and err, and serializes changes.
 	mu   sync.Mutex
-	away map[string]bool // data nodes by name
-	err  error           // of data nodes that did not start anew
+	away map[string]bool // ids of the data nodes that are affected
+	err  error           // of data nodes that failed to restart
 }
 
-// run makes a change at each interval until ctx ends: each third record flaps within 200 ms, each fifth drains before it goes, each
-// seventh belongs to a process that dies and starts anew.
+// run makes a change at each interval until ctx ends: every third record returns after 200 ms, every fifth is drained before its
+// removal, and every seventh belongs to a process that is killed and restarted.
 func (c *churn) run(ctx context.Context, every time.Duration) error {
 	for i := 1; ; i++ {
 		select {
@@ -263,7 +266,7 @@
 	}
 }
 
-// change lets one record go, if enough are left.
+// change removes one record, unless a quarter of the data nodes is affected already.
 func (c *churn) change(ctx context.Context, i int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -303,7 +306,7 @@
 	}
 }
 
-// later does something after a time, unless ctx ends before.
+// later calls do after a delay, unless ctx ends before.
 func (c *churn) later(ctx context.Context, after time.Duration, do func()) {
 	c.pending.Go(func() {
 		select {
@@ -317,14 +320,14 @@
 	})
 }
 
-// remove takes a data node's record out of the zone.
+// remove deletes a data node's record from the DNS zone.
 func (c *churn) remove(n *datanode.Node) {
 	label := c.fleet.Instance(n, "").Label
 	c.fleet.Zone.Remove(label)
 	c.baseline.gone(label)
 }
 
-// list puts a data node's record back into the zone.
+// list restores a data node's record in the DNS zone.
 func (c *churn) list(n *datanode.Node) {
 	i := c.fleet.Instance(n, "serving")
 	c.fleet.Zone.Set(i)
--- a/cmd/gullfall-lab/duties.go
+++ b/cmd/gullfall-lab/duties.go
@@ -1,7 +1,7 @@
 package main
 
-// `gullfall-lab duties`: several coordinators of the real program hold duties in turn, while their holders are
-// stalled, killed, cut off, ended and told to hand on, with clocks that run fast and slow; and the account of who held what.
+// `gullfall-lab duties`: several gullfall processes with clocks that run fast and slow hold duties, while the holders are stalled,
+// killed, isolated, stopped and told to hand over. The history of the holders is then checked.
 
 import (
 	"context"
@@ -16,47 +16,47 @@
 )
 
 type dutiesCmd struct {
-	Coordinators int           `default:"5" help:"How many coordinators."`
-	Voters       int           `default:"3" help:"Of them, members of the store with a vote."`
-	Duties       int           `default:"3" help:"Duties beside that of the work on machines."`
-	Lease        time.Duration `default:"2s" help:"Of a duty."`
-	Skew         float64       `default:"0.009" help:"Clocks run between this much slow and this much fast; the leases bear 0.01."`
-	Faults       int           `default:"200" help:"How many faults."`
-	Seed         uint64        `default:"1" help:"Settles the faults and the coordinators' draws."`
-	Binary       string        `help:"The gullfall to play; beside this program by default."`
-	JSON         string        `name:"json" help:"Write the figures here."`
+	Coordinators int           `default:"5" help:"Number of coordinators."`
+	Voters       int           `default:"3" help:"Number of coordinators that vote in the store."`
+	Duties       int           `default:"3" help:"Number of duties beside that of maintenance."`
+	Lease        time.Duration `default:"2s" help:"Lease of a duty."`
+	Skew         float64       `default:"0.009" help:"Maximum rate error of the clocks, slow or fast; leases tolerate 0.01."`
+	Faults       int           `default:"200" help:"Number of faults."`
+	Seed         uint64        `default:"1" help:"Seed of the faults and the coordinators' random choices."`
+	Binary       string        `help:"Path of gullfall; by default in this program's directory."`
+	JSON         string        `name:"json" help:"Write the report to this file."`
 }
 
-// dutiesReport is what a play showed.
+// dutiesReport is the result of a run.
 type dutiesReport struct {
 	Faults       int            `json:"faults"`
-	Kinds        map[string]int `json:"kinds"`
+	Kinds        map[string]int `json:"kinds"` // faults by kind
 	Claims       int            `json:"claims"`
-	Accepted     int            `json:"accepted"`
-	Refused      int            `json:"refused"` // writes under a token that was over
+	Accepted     int            `json:"accepted"` // writes
+	Refused      int            `json:"refused"`  // writes with an outdated token
 	Handovers    int            `json:"handovers"`
-	Double       int            `json:"double_holders"`
-	Stale        int            `json:"stale_writes_accepted"`
-	BoundMS      float64        `json:"bound_ms"`     // for a gap, beside what the fault itself left no quorum, and further elections
-	WorstGapMS   float64        `json:"worst_gap_ms"` // nobody was seen to hold the duty
+	Double       int            `json:"double_holders"`        // pairs that held a duty at once, or the same token
+	Stale        int            `json:"stale_writes_accepted"` // writes accepted after one with a higher token
+	BoundMS      float64        `json:"bound_ms"`              // of a gap without loss of quorum and further elections
+	WorstGapMS   float64        `json:"worst_gap_ms"`          // longest time without a known holder
 	P50GapMS     float64        `json:"p50_gap_ms"`
-	OverBound    int            `json:"gaps_over_bound"`
-	WorstKindGap map[string]int `json:"worst_gap_ms_by_fault"`
+	OverBound    int            `json:"gaps_over_bound"`       // gaps longer than allowed
+	WorstKindGap map[string]int `json:"worst_gap_ms_by_fault"` // longest gap by kind of fault
 	Seed         uint64         `json:"seed"`
-	Said         []string       `json:"said,omitempty"`
+	Said         []string       `json:"said,omitempty"` // a line for each violation
 }
 
-// heartbeat of the store in this lab.
+// dutiesBeat is the heartbeat of the store in this lab.
 const dutiesBeat = 500 * time.Millisecond
 
-// dutyFault is one fault as it was played.
+// dutyFault is one injected fault.
 type dutyFault struct {
 	kind       string
 	begun, end time.Time
-	quorumless bool // the store could not be written meanwhile
+	quorumless bool // the store accepted no writes during the fault
 }
 
-// Run plays.
+// Run injects the faults while the duties are claimed, checks the history of the holders and prints the report.
 func (c *dutiesCmd) Run() (err error) {
 	ctx, cancel := context.WithDeadline(context.Background(), time.Now().Add(time.Duration(c.Faults)*10*time.Second+2*time.Minute))
 	defer cancel()
@@ -98,7 +98,7 @@
 		return err
 	}
 	if r.Double+r.Stale+r.OverBound > 0 || r.Handovers == 0 {
-		return fmt.Errorf("%d double holders, %d stale writes taken, %d gaps over the bound, %d hand-overs", r.Double, r.Stale, r.OverBound, r.Handovers)
+		return fmt.Errorf("duties check failed: %d double holders, %d stale writes accepted, %d gaps over the bound, %d hand-overs", r.Double, r.Stale, r.OverBound, r.Handovers)
 	}
 	return nil
 }
@@ -115,12 +115,12 @@
 	}
 }
 
-// measureGaps compares how long nobody held a duty, at each hand-over, with what a lease, the faults and the elections of that
-// time allow.
+// measureGaps compares the time without a holder at each hand-over with the maximum allowed by the lease, and by the faults and
+// elections in that time.
 func (r *dutiesReport) measureGaps(lease time.Duration, handovers []fleet.Handover, faults []dutyFault, reigns []fleet.Reign) {
-	// A lease that its holder no longer renews is over in the store within L (1 + E) of its last renewal, by a new leader's clock
-	// counted from its first moment; the next campaign comes within a quarter; a new leader is found within 4 heartbeats; and who is
-	// asked answers within two rounds of the asking. Each further election within the gap begins the lease anew.
+	// The bound is the sum of: L (1 + E) from the last renewal until the lease L expires in the store, where a new leader counts from
+	// its election (E is the clock error); a quarter of the lease until the next candidate claims the duty; 4 heartbeats to elect a
+	// leader; and two polls of the holders. Each further election within the gap starts the lease again.
 	again := time.Duration(1.01*float64(lease)) + 4*dutiesBeat
 	bound := time.Duration(1.01*float64(lease)) + lease/4 + 4*dutiesBeat + 200*time.Millisecond
 	r.BoundMS = float64(bound.Milliseconds())
@@ -134,7 +134,7 @@
 		allowed += time.Duration(max(0, elections-1)) * again
 		if x.Gap > allowed {
 			r.OverBound++
-			r.Said = append(r.Said, fmt.Sprintf("%s: nobody held it for %v after %s, %v are allowed (%s, %d elections)", x.Duty, x.Gap.Round(time.Millisecond), x.From,
+			r.Said = append(r.Said, fmt.Sprintf("%s: no holder for %v after %s, %v allowed (%s, %d elections)", x.Duty, x.Gap.Round(time.Millisecond), x.From,
 				allowed.Round(time.Millisecond), kind, elections))
 		}
 	}
@@ -144,8 +144,8 @@
 	}
 }
 
-// during is the kind of the last fault that overlaps a hand-over, "none" without any, and how long the store could not be written by
-// those that overlap it.
+// during returns the kind of the last fault that overlaps a hand-over, or "none", and for how long the overlapping faults left the
+// store without a quorum.
 func during(faults []dutyFault, x fleet.Handover) (kind string, quorumless time.Duration) {
 	kind = "none"
 	for _, f := range faults {
@@ -158,7 +158,7 @@
 	return kind, quorumless
 }
 
-// elections counts the terms of the store that began while nobody held a duty.
+// elections counts the terms of the store that began in the gap of a hand-over.
 func elections(reigns []fleet.Reign, x fleet.Handover) (n int) {
 	for _, reign := range reigns {
 		if reign.At.After(x.At) && reign.At.Before(x.At.Add(x.Gap)) {
@@ -168,13 +168,13 @@
 	return n
 }
 
-// play plays the faults, most of them on a duty's holder.
+// play injects the faults, most of them at a duty's holder.
 func (c *dutiesCmd) play(ctx context.Context, w *fleet.MaintenanceFleet, names []string, kinds map[string]int) (faults []dutyFault, err error) {
 	chance := rand.New(rand.NewPCG(c.Seed, 21))
 	for len(faults) < c.Faults && ctx.Err() == nil {
 		f, err := c.fault(ctx, w, names, chance)
 		if err != nil {
-			return faults, fmt.Errorf("%s: %w", f.kind, err)
+			return faults, fmt.Errorf("inject fault %q: %w", f.kind, err)
 		}
 		f.end = time.Now()
 		faults = append(faults, f)
@@ -184,7 +184,7 @@
 	return faults, ctx.Err()
 }
 
-// fault plays one fault and undoes it.
+// fault injects one random fault and undoes it.
 func (c *dutiesCmd) fault(ctx context.Context, w *fleet.MaintenanceFleet, names []string, chance *rand.Rand) (f dutyFault, err error) {
 	n := c.Coordinators
 	some := chance.IntN(n)
@@ -208,7 +208,7 @@
 	case k < 16:
 		f.kind = "hand on"
 		for _, name := range names {
-			_ = w.HandOn(ctx, some, name) // refused where it does not hold it
+			_ = w.HandOn(ctx, some, name) // rejected if the coordinator doesn't hold the duty
 		}
 	case k < 18:
 		f.kind = "end"
--- a/cmd/gullfall-lab/explore.go
+++ b/cmd/gullfall-lab/explore.go
@@ -1,7 +1,7 @@
 package main
 
-// `gullfall-lab explore`: every state of a small fleet whose machines go out for work, and the bugs that are
-// seeded into the rules to see that the explorer finds them.
+// `gullfall-lab explore`: an exhaustive search of the states of a small fleet under maintenance. With --bugs it seeds known bugs
+// into the rules and checks that the search finds each.
 
 import (
 	"fmt"
@@ -11,16 +11,16 @@
 )
 
 type exploreCmd struct {
-	Machines int    `default:"2" help:"Machines that are asked for, of three."`
-	Faults   uint8  `default:"1" help:"Crashes, cuts, pauses, failing machines, duties that pass on, on one path."`
-	Words    uint8  `default:"1" help:"Operators' words on one path."`
-	Sends    uint8  `default:"1" help:"Parts sent on one path."`
-	States   int    `default:"8000000" help:"Give up beyond so many states; 450 bytes each."`
-	Bugs     bool   `help:"Seed each bug instead, and show the shortest way to what it breaks."`
-	JSON     string `name:"json" help:"Write the figures here."`
+	Machines int    `default:"2" help:"Number of machines, of three, that maintenance is requested for."`
+	Faults   uint8  `default:"1" help:"Maximum of faults on one path: crashes, partitions, pauses, machine failures, handed over duties."`
+	Words    uint8  `default:"1" help:"Maximum of operators' orders on one path."`
+	Sends    uint8  `default:"1" help:"Maximum of parts sent on one path."`
+	States   int    `default:"8000000" help:"Maximum number of states to visit; each takes 450 bytes."`
+	Bugs     bool   `help:"Seed each bug instead, and print the shortest path to the rule that it violates."`
+	JSON     string `name:"json" help:"Write the report to this file."`
 }
 
-// Run explores.
+// Run searches the states and prints the result; with --bugs, once for each seeded bug.
 func (c *exploreCmd) Run() error {
 	bugs := []explore.Bug{explore.None}
 	if c.Bugs {
@@ -68,7 +68,7 @@
 	case missed > 0 && c.Bugs:
 		return fmt.Errorf("%d of %d bugs were not found within these limits; give more --faults, --words or --states", missed, len(bugs))
 	case missed > 0:
-		return fmt.Errorf("a rule broke, or not all states were seen: see above")
+		return fmt.Errorf("a rule was violated, or not all states were visited: see the report above")
 	}
 	return nil
 }
--- a/cmd/gullfall-lab/faults.go
+++ b/cmd/gullfall-lab/faults.go
@@ -10,20 +10,21 @@
 	"gullfall/internal/lab/proxy"
 )
 
-// linkFaults are what may befall the connections between two coordinators.
+// linkFaults lists the faults of the connections between two coordinators.
 var linkFaults = []proxy.Fault{proxy.Drop, proxy.Cut, proxy.Reset, proxy.Delay, proxy.DropUp, proxy.DropDown}
 
-// drawLinkFault draws one of linkFaults.
+// drawLinkFault returns a random element of linkFaults.
 func drawLinkFault(chance *rand.Rand) proxy.Fault { return linkFaults[chance.IntN(len(linkFaults))] }
 
-// faultInjector plays faults on the coordinators of a fleet. Each method plays one fault and undoes it before it returns.
+// faultInjector injects faults into the coordinators of a fleet. Each method injects one fault and undoes it before it returns, except
+// setSplit.
 type faultInjector struct {
 	fleet        *fleet.MaintenanceFleet
 	coordinators int
-	restart      func(ctx context.Context, i int) error // starts a coordinator that was killed or ended
+	restart      func(ctx context.Context, i int) error // restarts a coordinator after SIGKILL or SIGTERM
 }
 
-// kill ends a coordinator by SIGKILL and starts it again after a time.
+// kill sends SIGKILL to a coordinator and restarts it after d.
 func (f faultInjector) kill(ctx context.Context, i int, d time.Duration) error {
 	if err := f.fleet.Kill(i); err != nil {
 		return err
@@ -32,7 +33,7 @@
 	return f.restart(ctx, i)
 }
 
-// end ends a coordinator by SIGTERM and starts it again.
+// end stops a coordinator with SIGTERM and restarts it.
 func (f faultInjector) end(ctx context.Context, i int) error {
 	if err := f.fleet.End(i); err != nil {
 		return err
@@ -40,7 +41,7 @@
 	return f.restart(ctx, i)
 }
 
-// stall stops coordinators for a time.
+// stall suspends the processes of some coordinators for d.
 func (f faultInjector) stall(d time.Duration, list ...int) error {
 	for _, i := range list {
 		if err := f.fleet.Stall(i); err != nil {
@@ -56,27 +57,28 @@
 	return nil
 }
 
-// isolate puts a fault between a coordinator and all others for a time, both ways.
+// isolate applies a fault between a coordinator and all others for d, in both directions.
 func (f faultInjector) isolate(i int, fault proxy.Fault, d time.Duration) error {
 	err := f.fleet.Isolate(i, fault)
 	time.Sleep(d)
 	return errors.Join(err, f.fleet.Isolate(i, proxy.Pass))
 }
 
-// cut puts a fault on the way from one coordinator to another for a time.
+// cut applies a fault to the connections from one coordinator to another for d.
 func (f faultInjector) cut(from, to int, fault proxy.Fault, d time.Duration) error {
 	err := f.fleet.Cut(from, to, fault)
 	time.Sleep(d)
 	return errors.Join(err, f.fleet.Cut(from, to, proxy.Pass))
 }
 
-// split separates the first two coordinators from the others for a time: of three votes, two are on one side.
+// split partitions the first two coordinators from the others for d. With three voters, two of them are on one side.
 func (f faultInjector) split(d time.Duration) error {
 	err := f.setSplit(proxy.Drop)
 	time.Sleep(d)
 	return errors.Join(err, f.setSplit(proxy.Pass))
 }
 
+// setSplit applies a fault to all connections between the first two coordinators and the others.
 func (f faultInjector) setSplit(fault proxy.Fault) (err error) {
 	for i := range f.coordinators {
 		for j := range f.coordinators {
@@ -88,7 +90,7 @@
 	return err
 }
 
-// killAll ends all coordinators by SIGKILL and starts them again.
+// killAll sends SIGKILL to all coordinators and then restarts them.
 func (f faultInjector) killAll(ctx context.Context) error {
 	for i := range f.coordinators {
 		if err := f.fleet.Kill(i); err != nil {
--- a/cmd/gullfall-lab/fleet.go
+++ b/cmd/gullfall-lab/fleet.go
@@ -1,6 +1,6 @@
 package main
 
-// `gullfall-lab fleet`: the table, JSON and plot of what all coordinators of a played day have logged.
+// `gullfall-lab fleet`: tables, JSON and a plot of the failed queries in the logs of all coordinators of a run.
 
 import (
 	"fmt"
@@ -16,12 +16,13 @@
 )
 
 type fleetCmd struct {
-	Dir  string `arg:"" help:"The folder that holds the coordinators' logs, *.log; at log.level debug for all counts."`
-	JSON string `name:"json" help:"Write the figures here."`
-	Plot string `help:"Write a plot of bad ends a second into this folder."`
-	Top  int    `default:"12" help:"Rows of each table."`
+	Dir  string `arg:"" help:"Directory with the coordinators' logs, *.log; attempts are counted only at log.level debug."`
+	JSON string `name:"json" help:"Write the report to this file."`
+	Plot string `help:"Plot failed queries a second to ends.png in this directory."`
+	Top  int    `default:"12" help:"Maximum number of rows in each table."`
 }
 
+// Run reads the logs and prints the tables.
 func (f *fleetCmd) Run() error {
 	r, err := fleetlog.Read(f.Dir)
 	if err != nil {
@@ -52,7 +53,7 @@
 	return writeJSON(f.JSON, r)
 }
 
-// plotSeconds draws how many queries ended badly in each second, a line for each way.
+// plotSeconds plots the number of failed queries in each second, a line for each way of failing.
 func plotSeconds(path string, by map[string]map[int]int) error {
 	pic := plot.New()
 	pic.Title.Text, pic.X.Label.Text, pic.Y.Label.Text = "queries that ended badly", "second of the day", "queries"
--- a/cmd/gullfall-lab/flight.go
+++ b/cmd/gullfall-lab/flight.go
@@ -14,21 +14,21 @@
 	"gullfall/internal/lab/flightsuite"
 )
 
-// flightCmd runs the conformance suite of Arrow Flight against a coordinator, and measures it: throughput by clients and by way of
-// asking, slow readers, and large answers by compression.
+// flightCmd runs the Arrow Flight conformance suite against a coordinator and measures throughput by protocol and number of clients,
+// stalled readers, and large answers by compression.
 type flightCmd struct {
-	Addr   string        `help:"Run the cases against this address only; a coordinator of our own is started without it."`
-	Class  string        `default:"report" help:"With --addr: the class that is asked."`
-	Shards int           `default:"16" help:"With --addr: how many shards there are."`
-	For    time.Duration `default:"3s" help:"How long each figure is measured."`
-	Slow   bool          `help:"Only the slow readers."`
-	Season int64         `default:"1024" help:"MiB of a season that are streamed; 0 leaves it out."`
-	Cases  bool          `help:"Only the cases."`
+	Addr   string        `help:"Run only the cases, against this address; without it, a coordinator is started."`
+	Class  string        `default:"report" help:"With --addr: the class of the queries."`
+	Shards int           `default:"16" help:"With --addr: number of shards."`
+	For    time.Duration `default:"3s" help:"Duration of each throughput measurement."`
+	Slow   bool          `help:"Run only the test with stalled readers."`
+	Season int64         `default:"1024" help:"MiB to stream with each compression; 0 to skip."`
+	Cases  bool          `help:"Run only the cases."`
 	JSON   string        `name:"json" help:"Write the report to this file."`
-	Binary string        `help:"Where gullfall lies; beside this program by default."`
+	Binary string        `help:"Path of gullfall; by default in this program's directory."`
 }
 
-// flightReport is the report, with stable names.
+// flightReport is the result of a run. Its JSON keys are stable.
 type flightReport struct {
 	Cases   []flightsuite.Result `json:"cases"`
 	Passed  int                  `json:"passed"`
@@ -40,11 +40,11 @@
 	Cores   int                  `json:"cores"`
 }
 
-// users are those of the fleet that knows who asks.
+// users lists the accounts of the fleet that requires authentication.
 var users = []flightsuite.User{{Owner: "sertao", Name: "sertao", Password: "palma", Token: "sertao-0123456789"},
 	{Owner: "natal", Name: "natal", Password: "dunas", Token: "natal-0123456789abc"}}
 
-// Run runs the cases and measures.
+// Run runs the cases and the measurements that the flags select.
 func (d flightCmd) Run() error {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
 	defer stop()
@@ -78,6 +78,7 @@
 	return d.end(r)
 }
 
+// add appends results to the report, counts them and prints the failures. The prefix is put before each case's name.
 func (r *flightReport) add(prefix string, list []flightsuite.Result) {
 	for _, c := range list {
 		c.Name = prefix + c.Name
@@ -93,6 +94,7 @@
 	}
 }
 
+// end prints the number of cases, writes the report and returns an error if a case or a measurement failed.
 func (d flightCmd) end(r *flightReport) error {
 	fmt.Printf("cases: %d passed, %d failed, %d skipped\n", r.Passed, r.Failed, r.Skipped)
 	if err := writeJSON(d.JSON, r); err != nil {
@@ -103,7 +105,7 @@
 	}
 	for _, f := range r.Figures {
 		if f.Failed > 0 {
-			return fmt.Errorf("%s by %d clients: %d queries failed", f.Way, f.Clients, f.Failed)
+			return fmt.Errorf("%s with %d clients: %d queries failed", f.Way, f.Clients, f.Failed)
 		}
 	}
 	if s := r.Slow; s != nil && (s.MemoryMB > 32 || s.Other > 0 || s.Served == 0) {
@@ -111,18 +113,18 @@
 	}
 	for _, s := range r.Seasons {
 		if s.Failed > 0 || s.MemoryMB > 64 {
-			return fmt.Errorf("season, compression %s: %d failed, %d MB of memory", s.Codec, s.Failed, s.MemoryMB)
+			return fmt.Errorf("streaming with compression %s: %d queries failed, %d MB of memory used", s.Codec, s.Failed, s.MemoryMB)
 		}
 	}
 	return nil
 }
 
-// env is how the cases see a fleet.
+// env returns the environment in which the suite tests a fleet.
 func env(f *fleet.Fleet, who []flightsuite.User) flightsuite.Env {
 	return flightsuite.Env{Addr: f.Flight, Class: "report", Shards: f.Shards, Doc: datanode.Doc, Users: who}
 }
 
-// cases runs the suite against a fleet of its own that knows these users, or lets everybody ask where there are none.
+// cases runs the suite against a separate fleet with these users; without users the fleet requires no authentication.
 func (d flightCmd) cases(ctx context.Context, r *flightReport, who []flightsuite.User) (err error) {
 	o := fleet.Options{Nodes: 8, Cells: 4, Shards: 16, TTL: 60, Transfer: true, Takes: 5 * time.Millisecond, Binary: binary(d.Binary), Seed: 1, Flight: true}
 	prefix := ""
@@ -140,10 +142,10 @@
 	return checkAttempts(f)
 }
 
-// checkAttempts returns an error where a part was out twice at once, or was sent too often.
+// checkAttempts returns an error if two attempts of a part were in flight at once, or a part had more than 3 attempts.
 func checkAttempts(f *fleet.Fleet) error {
 	if a := f.Ledger.Account(); a.Twins > 0 || a.MostAttempts > 3 {
-		return fmt.Errorf("a rule broke: %d twins, %d attempts of a part", a.Twins, a.MostAttempts)
+		return fmt.Errorf("rule violated: %d concurrent attempts of one part, up to %d attempts of a part", a.Twins, a.MostAttempts)
 	}
 	return nil
 }
--- a/cmd/gullfall-lab/flight_askers.go
+++ b/cmd/gullfall-lab/flight_askers.go
@@ -20,12 +20,12 @@
 	"gullfall/internal/lab/flightsuite"
 )
 
-// refusal is an answer that says when to come back.
+// refusal is the error of a query that was rejected with a delay before the next attempt.
 type refusal struct{ after time.Duration }
 
 func (r refusal) Error() string { return "refused" }
 
-// retryAfter turns a refusal by Flight into one.
+// retryAfter returns a refusal if err is a gRPC status with a RetryInfo detail, and err otherwise.
 func retryAfter(err error) error {
 	for _, d := range status.Convert(err).Details() {
 		if r, ok := d.(*errdetails.RetryInfo); ok {
@@ -35,17 +35,17 @@
 	return err
 }
 
-// asker asks queries of four parts in one way, from many clients at once.
+// asker sends queries of four parts by one protocol. Its methods may be called by many clients at once.
 type asker interface {
-	// ask asks query n and waits for its answer. A refusal is returned as refusal.
+	// ask sends query n and waits for its answer. If the server asks for a later retry, the error is a refusal.
 	ask(ctx context.Context, n int) error
 	close()
 }
 
-// mostConnections is how many connections an asker opens by Flight; more clients than that share them.
+// mostConnections is the maximum number of Arrow Flight connections; clients beyond it share them.
 const mostConnections = 16
 
-// newAsker connects an asker for so many clients to a fleet's coordinator.
+// newAsker connects to a fleet's coordinator for a number of clients. The ways are platform, DoGet and DoExchange.
 func newAsker(ctx context.Context, f *fleet.Fleet, way string, clients int) (asker, error) {
 	switch way {
 	case "platform":
@@ -57,10 +57,10 @@
 	}
 }
 
-// fourShards are those of query n.
+// fourShards returns the four of 16 shards that query n reads.
 func fourShards(n int) []int { return []int{n % 16, (n + 4) % 16, (n + 8) % 16, (n + 12) % 16} }
 
-// platformAsker asks by the platform's HTTP protocol.
+// platformAsker sends queries by the platform's HTTP protocol.
 type platformAsker struct {
 	url       string
 	clients   int
@@ -96,14 +96,14 @@
 		return refusal{time.Duration(seconds * float64(time.Second))}
 	}
 	if err == nil && (res.StatusCode != http.StatusOK || !answer.Complete) {
-		err = fmt.Errorf("status %d, complete %v", res.StatusCode, answer.Complete)
+		err = fmt.Errorf("query over HTTP: status %d, complete %v", res.StatusCode, answer.Complete)
 	}
 	return err
 }
 
 func (a *platformAsker) close() { a.transport.CloseIdleConnections() }
 
-// getAsker asks each query by a DoGet of its own.
+// getAsker sends each query as a separate DoGet call.
 type getAsker struct{ list []*flightsuite.Client }
 
 func newGetAsker(f *fleet.Fleet, clients int) (*getAsker, error) {
@@ -122,7 +122,7 @@
 func (a *getAsker) ask(ctx context.Context, n int) error {
 	g, err := a.list[n%len(a.list)].Get(ctx, a.list[0].Question("", fourShards(n)...))
 	if err == nil && !g.Complete {
-		err = errors.New("not whole")
+		err = errors.New("DoGet: incomplete answer")
 	}
 	return retryAfter(err)
 }
@@ -133,20 +133,20 @@
 	}
 }
 
-// exchangeAsker asks many queries at once on each of some DoExchange streams.
+// exchangeAsker multiplexes queries over a few DoExchange streams.
 type exchangeAsker struct {
 	list   []*exchangeStream
 	number atomic.Int64
 }
 
-// exchangeStream is a stream and the queries that wait for their answers on it.
+// exchangeStream is one DoExchange stream with the queries that wait for an answer on it.
 type exchangeStream struct {
 	client   *flightsuite.Client
 	exchange *flightsuite.Exchange
 
 	// mu guards waiting.
 	mu      sync.Mutex
-	waiting map[string]chan error // by the query's id
+	waiting map[string]chan error // by query id; buffered, so that delivery does not block
 }
 
 func newExchangeAsker(ctx context.Context, f *fleet.Fleet, clients int) (*exchangeAsker, error) {
@@ -164,20 +164,20 @@
 			return nil, err
 		}
 		s := &exchangeStream{client: c, exchange: e, waiting: map[string]chan error{}}
-		go func() { _ = e.Answers(s.answered) }() // a stream that fails shows by its queries, which end by their deadline
+		go func() { _ = e.Answers(s.answered) }() // if the stream fails, its queries end at their deadlines
 		a.list = append(a.list, s)
 	}
 	return a, nil
 }
 
-// answered hands a query's end to who waits for it.
+// answered passes a query's result to the caller that waits for it.
 func (s *exchangeStream) answered(id, code string, g flightsuite.Got) {
 	var err error
 	switch {
 	case g.Retry > 0:
 		err = refusal{g.Retry}
 	case code != "OK" || !g.Complete:
-		err = fmt.Errorf("%s, complete %v", code, g.Complete)
+		err = fmt.Errorf("query over DoExchange: status %s, complete %v", code, g.Complete)
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/cmd/gullfall-lab/flight_figures.go
+++ b/cmd/gullfall-lab/flight_figures.go
@@ -13,19 +13,19 @@
 	"gullfall/internal/lab/fleet"
 )
 
-// figure is one way of asking by so many clients.
+// figure is the throughput and latency of one protocol at one number of clients.
 type figure struct {
 	Way     string  `json:"way"`
 	Clients int     `json:"clients"`
 	PerS    float64 `json:"queries_per_s"`
 	P50     float64 `json:"p50_ms"`
 	P99     float64 `json:"p99_ms"`
-	Refused int64   `json:"refused"` // and asked again when told
+	Refused int64   `json:"refused"` // with a delay, which the client waited before its next query
 	Failed  int64   `json:"failed"`
-	CPU     float64 `json:"cpu_us_per_query"`
+	CPU     float64 `json:"cpu_us_per_query"` // of the coordinator, microseconds
 }
 
-// figures measures each way by 1, 16 and 256 clients, in turn on one coordinator.
+// figures measures each protocol with 1, 16 and 256 clients, one after the other on the same coordinator.
 func (d flightCmd) figures(ctx context.Context, r *flightReport) (err error) {
 	f, err := fleet.Start(ctx, fleet.Options{Nodes: 16, Cells: 4, Shards: 16, TTL: 60, Transfer: true, Takes: 2 * time.Millisecond,
 		Binary: binary(d.Binary), Seed: 1, Flight: true})
@@ -51,7 +51,7 @@
 	return checkAttempts(f)
 }
 
-// measure lets clients ask one query after another for a while.
+// measure runs clients for d.For; each sends one query after another.
 func (d flightCmd) measure(ctx context.Context, f *fleet.Fleet, a asker, clients int) figure {
 	took := hdrhistogram.New(1, 60_000_000, 3)
 	var mu sync.Mutex
@@ -72,7 +72,7 @@
 				} else if err != nil {
 					failed.Add(1)
 				} else {
-					_ = own.RecordValue(time.Since(begun).Microseconds()) // fails beyond a minute, and each query has 5 s
+					_ = own.RecordValue(time.Since(begun).Microseconds()) // fails above a minute; queries end after 5 s
 				}
 				cancel()
 			}
--- a/cmd/gullfall-lab/flight_season.go
+++ b/cmd/gullfall-lab/flight_season.go
@@ -14,7 +14,7 @@
 	"gullfall/internal/lab/flightsuite"
 )
 
-// season is the streaming of many bytes.
+// season is the result of streaming a large volume with one compression.
 type season struct {
 	Codec    string  `json:"compression"`
 	MiB      float64 `json:"mib"`
@@ -24,7 +24,7 @@
 	Failed   int64   `json:"failed"`
 }
 
-// seasons streams many bytes through a coordinator that may use 64 MB, by each compression.
+// seasons streams d.Season MiB with each compression through a coordinator limited to 64 MB.
 func (d flightCmd) seasons(ctx context.Context, r *flightReport) error {
 	if d.Season <= 0 {
 		return nil
@@ -47,7 +47,7 @@
 	return nil
 }
 
-// season streams many bytes by one compression, read by four clients at once.
+// season streams d.Season MiB with one compression to four concurrent clients.
 func (d flightCmd) season(ctx context.Context, f *fleet.Fleet, codec string) (season, error) {
 	c, err := flightsuite.Dial(env(f, nil))
 	if err != nil {
@@ -73,13 +73,13 @@
 	return season{Codec: codec, MiB: mib, MiBPerS: mib / time.Since(start).Seconds(), MemoryMB: f.Peak(), Refused: stream.refused.Load(), Failed: stream.failed.Load()}, nil
 }
 
-// seasonStream counts what clients have read of a season.
+// seasonStream counts the queries and bytes of the clients that stream one volume.
 type seasonStream struct {
 	client                       *flightsuite.Client
 	next, bytes, refused, failed atomic.Int64
 }
 
-// read asks the next query; after a refusal it waits as it was told.
+// read sends the next query and reads its answer; after a refusal it waits for the given delay.
 func (s *seasonStream) read(ctx context.Context) {
 	ctx, cancel := context.WithDeadline(ctx, time.Now().Add(2*time.Second))
 	g, err := s.client.Get(ctx, s.client.Question("", fourShards(int(s.next.Add(1)))...))
--- a/cmd/gullfall-lab/flight_slow.go
+++ b/cmd/gullfall-lab/flight_slow.go
@@ -17,22 +17,22 @@
 	"gullfall/internal/lab/flightsuite"
 )
 
-// slow is what became of readers that read nothing, and of one among them that reads.
+// slow is the result of the test with stalled readers, and with one normal reader beside them.
 type slow struct {
 	Readers  int     `json:"readers"`
-	Refused  int64   `json:"refused"` // each told when to come back
-	Cut      int64   `json:"cut"`     // each told when to come back
-	Ended    int64   `json:"ended"`   // by their deadline
+	Refused  int64   `json:"refused"` // rejected before the first message, with a delay for the retry
+	Cut      int64   `json:"cut"`     // ended after the first message, with a delay for the retry
+	Ended    int64   `json:"ended"`   // ended by their deadline, or read to the end
 	Other    int64   `json:"other"`
-	Served   int64   `json:"served_meanwhile"` // of one that reads
-	NotYet   int64   `json:"refused_meanwhile"`
-	MemoryMB float64 `json:"memory_mb"` // of its own, at most
+	Served   int64   `json:"served_meanwhile"`  // queries of the normal reader
+	NotYet   int64   `json:"refused_meanwhile"` // queries of the normal reader
+	MemoryMB float64 `json:"memory_mb"`         // maximum of the coordinator's anonymous memory
 }
 
-// slowEnds counts how readers that read nothing ended.
+// slowEnds counts the outcomes of stalled readers.
 type slowEnds struct{ refused, cut, ended, other atomic.Int64 }
 
-// slow lets two hundred readers at once read nothing of large answers, at a coordinator of 32 MB, while one reads.
+// slow runs 200 concurrent readers that stall on large answers, at a coordinator limited to 32 MB, while one normal reader sends queries.
 func (d flightCmd) slow(ctx context.Context, r *flightReport) (err error) {
 	f, err := fleet.Start(ctx, fleet.Options{Nodes: 8, Cells: 4, Shards: 16, TTL: 60, Transfer: true, Takes: time.Millisecond,
 		Binary: binary(d.Binary), Seed: 1, Flight: true, AllFlight: true, Fill: 200 << 10, MemoryMB: 32})
@@ -76,7 +76,7 @@
 	return nil
 }
 
-// read asks query n as a client that reads at once.
+// read sends query n and reads its answer without delay.
 func (s *slow) read(ctx context.Context, c *flightsuite.Client, n int, other *atomic.Int64) {
 	g, err := c.Get(ctx, c.Question("", n%16))
 	var wait refusal
@@ -91,8 +91,8 @@
 	}
 }
 
-// readSlowly asks a query of four parts, reads one message of its answer and no more until the deadline. It returns whether a message
-// came, and the error by which the answer ended.
+// readSlowly sends a query of four parts, reads one message of its answer and no more until the deadline. It returns whether a message
+// arrived, and the error that ended the stream.
 func readSlowly(ctx context.Context, c *flightsuite.Client, i int) (begun bool, err error) {
 	ctx, cancel := context.WithDeadline(ctx, time.Now().Add(2*time.Second)) // the class's limit
 	defer cancel()
@@ -110,7 +110,7 @@
 	return true, err
 }
 
-// add counts how a reader ended.
+// add counts a reader's outcome.
 func (e *slowEnds) add(begun bool, err error) {
 	var wait refusal
 	switch isRefusal := errors.As(retryAfter(err), &wait); {
@@ -118,7 +118,7 @@
 		e.cut.Add(1)
 	case isRefusal:
 		e.refused.Add(1)
-	case status.Code(err) == codes.DeadlineExceeded || errors.Is(err, io.EOF): // or had all of it in its window
+	case status.Code(err) == codes.DeadlineExceeded || errors.Is(err, io.EOF): // EOF: the whole answer fitted into the flow-control window
 		e.ended.Add(1)
 	default:
 		e.other.Add(1)
--- a/cmd/gullfall-lab/formats_test.go
+++ b/cmd/gullfall-lab/formats_test.go
@@ -10,7 +10,7 @@
 	"gullfall/internal/lab/workplan"
 )
 
-// TestReportForms shows that the reports for machines have the keys that earlier versions gave them.
+// TestReportForms checks that the JSON reports keep the keys of earlier versions.
 func TestReportForms(t *testing.T) {
 	golden.JSON(t, "forms.json", map[string]any{
 		"demo classes":   golden.Filled[[]classReport](),
--- a/cmd/gullfall-lab/main.go
+++ b/cmd/gullfall-lab/main.go
@@ -1,6 +1,6 @@
-// Command gullfall-lab shows and measures the real program among stand-ins: demo is for who has just cloned the
-// repository, the others are measurements. This file owns flags, output and exit statuses: 1 where a rule broke or a
-// bound was missed. It is the only program that links the stand-ins.
+// Command gullfall-lab runs the gullfall program against simulated data nodes and clients. The demo command shows it at
+// work; the other commands are measurements. The exit status is 1 if a rule was violated or a bound was exceeded. It is the
+// only program that links the simulated data nodes.
 package main
 
 import (
@@ -15,27 +15,27 @@
 )
 
 type commands struct {
-	Demo      demoCmd      `cmd:"" help:"Start a fleet of stand-ins and the real gullfall, ask queries, kill, drain and flap data nodes, and check the rules."`
-	Duties    dutiesCmd    `cmd:"" help:"Have duties held by one coordinator at a time among stalls, kills and cuts, and check that no two hold one."`
-	Explore   exploreCmd   `cmd:"" help:"Go through every state of a small fleet whose machines go out for work, or find the bugs seeded into its rules."`
-	Flight    flightCmd    `cmd:"" help:"Run the conformance suite of the second front, and measure it."`
-	Dnssd     dnssdCmd     `cmd:"" name:"dnssd" help:"Measure how long after its record is gone a data node still gets work."`
-	Fleet     fleetCmd     `cmd:"" help:"Count what all coordinators of a played day have logged: how queries ended badly, over the fleet and over time."`
-	Model     modelCmd     `cmd:"" help:"Days in small, in virtual time: a lost zone, coordinators that start anew, data nodes replaced."`
-	Peers     peersCmd     `cmd:"" help:"Coordinators that watch each other: stalls, kills, lost packets, cuts one way and both; or --sizes in virtual time."`
-	Plan      planCmd      `cmd:"" help:"Orders in which machines go out for work, against the least there can be, zone by zone and one by one."`
-	Replicate replicateCmd `cmd:"" help:"Read, put and swap values of the coordinators' store among kills, stalls and cuts, and check that the history is linearizable."`
-	Verdict   verdictCmd   `cmd:"" help:"Read a run of go test -json and give one verdict, passing over the tests that a file lists as failing for a known fault."`
-	Work      workCmd      `cmd:"" help:"Take machines out for work by several coordinators among kills, stalls and cuts, and check that nothing is sent there."`
-	Zones     zonesCmd     `cmd:"" help:"Take a zone away from several coordinators and give it back: leaving, losses, twins and the cold bound, by data node and by zone."`
+	Demo      demoCmd      `cmd:"" help:"Start gullfall with simulated data nodes, send queries, kill, drain and flap data nodes, and check the rules."`
+	Duties    dutiesCmd    `cmd:"" help:"Stall, kill and partition the coordinators that hold duties, and check that no two hold the same duty at once."`
+	Explore   exploreCmd   `cmd:"" help:"Visit every state of a small fleet under maintenance, or find the bugs seeded into its rules."`
+	Flight    flightCmd    `cmd:"" help:"Run the conformance suite of the Arrow Flight server, and measure it."`
+	Dnssd     dnssdCmd     `cmd:"" name:"dnssd" help:"Measure how long a data node still receives parts after its DNS-SD record was removed."`
+	Fleet     fleetCmd     `cmd:"" help:"Summarize the logs of all coordinators of a run: failed queries by cause, data node and second."`
+	Model     modelCmd     `cmd:"" help:"Simulate a zone failure, coordinator restarts and the replacement of data nodes in virtual time."`
+	Peers     peersCmd     `cmd:"" help:"Measure failure detection among coordinators under stalls, kills, packet loss and partitions; or --sizes in virtual time."`
+	Plan      planCmd      `cmd:"" help:"Compare maintenance plans with the lower bound, with zone by zone and with one by one."`
+	Replicate replicateCmd `cmd:"" help:"Read, put and swap values in the coordinators' store under kills, stalls and partitions, and check that the history is linearizable."`
+	Verdict   verdictCmd   `cmd:"" help:"Read the output of go test -json and report pass or fail, ignoring the tests that a file lists as known failures."`
+	Work      workCmd      `cmd:"" help:"Run maintenance on machines under kills, stalls and partitions of the coordinators, and check that these machines get no parts."`
+	Zones     zonesCmd     `cmd:"" help:"Disconnect a zone and reconnect it: detection, lost queries, duplicate attempts and the warm-up bound, by data node and by zone."`
 }
 
 func main() {
-	// A shell that ends leaves its background jobs as an orphaned process group, and where one of that is stopped, as the lab stops
-	// coordinators, the kernel sends all of it SIGHUP.
+	// When a shell exits, its background jobs become an orphaned process group. The lab stops coordinators with SIGSTOP, and the
+	// kernel sends SIGHUP to every process of an orphaned group that has a stopped member.
 	signal.Ignore(syscall.SIGHUP)
 	var c commands
-	k := kong.Parse(&c, kong.Name("gullfall-lab"), kong.Description("Shows and measures gullfall among stand-ins, on loopback."),
+	k := kong.Parse(&c, kong.Name("gullfall-lab"), kong.Description("Runs and measures gullfall with simulated data nodes, on loopback."),
 		kong.ConfigureHelp(kong.HelpOptions{Compact: true}))
 	if err := k.Run(); err != nil {
 		fmt.Fprintln(os.Stderr, "gullfall-lab:", err)
@@ -43,7 +43,7 @@
 	}
 }
 
-// binary is where gullfall lies: beside this program unless a flag says otherwise.
+// binary returns the path of the gullfall program: the value of the flag, or else gullfall in this program's directory.
 func binary(flag string) string {
 	if flag != "" {
 		return flag
@@ -55,7 +55,7 @@
 	return filepath.Join(filepath.Dir(self), "gullfall")
 }
 
-// writeJSON writes a report for machines; an empty path means that none is wanted.
+// writeJSON writes a report as indented JSON; it does nothing if path is empty.
 func writeJSON(path string, report any) error {
 	if path == "" {
 		return nil
--- a/cmd/gullfall-lab/model.go
+++ b/cmd/gullfall-lab/model.go
@@ -1,7 +1,7 @@
 package main
 
-// `gullfall-lab model`: days in small, in virtual time, for each way in which coordinators learn of a lost zone. It must
-// never compare figures of different loads or seeds.
+// `gullfall-lab model`: a simulation in virtual time, once for each way in which coordinators detect a zone failure. Results
+// of different loads or seeds must not be compared.
 
 import (
 	"fmt"
@@ -16,30 +16,30 @@
 )
 
 type modelCmd struct {
-	Day          string  `default:"zone" help:"quiet, zone, fresh or roll."`
-	Coordinators int     `default:"100" help:"How many coordinators share the load."`
-	Load         float64 `default:"0.5" help:"How busy the data nodes are when all are there."`
-	Seeds        int     `default:"5" help:"How many seeds, from 1 on."`
-	Plot         string  `help:"Draw what was served over time into this file (PNG or SVG)."`
-	JSON         string  `name:"json" help:"Write the figures here."`
+	Day          string  `default:"zone" help:"Scenario: quiet, zone, fresh or roll."`
+	Coordinators int     `default:"100" help:"Number of coordinators that share the load."`
+	Load         float64 `default:"0.5" help:"Utilization of the data nodes, 0 to 1, when all serve."`
+	Seeds        int     `default:"5" help:"Number of seeds, from 1."`
+	Plot         string  `help:"Plot the served share over time to this file (PNG or SVG)."`
+	JSON         string  `name:"json" help:"Write the report to this file."`
 }
 
-// modelRow is a way, over all seeds.
+// modelRow is the result of one way of detection over all seeds.
 type modelRow struct {
 	Way      string    `json:"way"`
 	Served   float64   `json:"served"`
-	First10  float64   `json:"served_first_10s"` // from the loss on
+	First10  float64   `json:"served_first_10s"` // after the zone's failure
 	Worst    float64   `json:"worst_half_second"`
-	Gone     float64   `json:"attempts_at_lost_zone"`
-	Fell     int       `json:"pushed_over"`
+	Gone     float64   `json:"attempts_at_lost_zone"` // mean
+	Fell     int       `json:"pushed_over"`           // data nodes that failed by overload while they warmed up
 	Lost     int       `json:"lost"`
-	Twins    int       `json:"twins"`
-	After    int       `json:"after_grace"`
-	Attempts float64   `json:"attempts"`
-	Over     []float64 `json:"served_over_time"` // by half seconds
+	Twins    int       `json:"twins"`            // attempts of one part in flight at the same time
+	After    int       `json:"after_grace"`      // attempts sent to a draining data node after its grace
+	Attempts float64   `json:"attempts"`         // mean
+	Over     []float64 `json:"served_over_time"` // mean for each half second
 }
 
-// Run plays.
+// Run simulates the day for each way and prints a table.
 func (m *modelCmd) Run() error {
 	var rows []modelRow
 	fmt.Printf("%-10s %8s %10s %8s %10s %8s %6s\n", "way", "served", "first 10 s", "worst", "at lost", "pushed", "lost")
@@ -61,13 +61,13 @@
 	}
 	for _, r := range rows {
 		if r.Fell+r.Lost+r.Twins+r.After > 0 {
-			return fmt.Errorf("%s: %d cold data nodes pushed over, %d queries lost, %d twins, %d sent after a drain's grace", r.Way, r.Fell, r.Lost, r.Twins, r.After)
+			return fmt.Errorf("%s: %d data nodes overloaded while warming up, %d queries lost, %d concurrent attempts of one part, %d attempts sent after a drain's grace", r.Way, r.Fell, r.Lost, r.Twins, r.After)
 		}
 	}
 	return nil
 }
 
-// row plays one way's day by every seed and returns the means.
+// row simulates the day for one way with every seed and returns means; failures are summed.
 func (m *modelCmd) row(way string) (row modelRow, err error) {
 	row = modelRow{Way: way, Worst: 1}
 	for seed := range m.Seeds {
@@ -97,7 +97,7 @@
 	return row, nil
 }
 
-// draw plots what was served over time, a line for each way.
+// draw plots the served share over time, a line for each way.
 func (m *modelCmd) draw(rows []modelRow) error {
 	p := plot.New()
 	p.Title.Text = fmt.Sprintf("%s: %d coordinators, load %.2f, mean of %d seeds", m.Day, m.Coordinators, m.Load, m.Seeds)
--- a/cmd/gullfall-lab/orphans_test.go
+++ b/cmd/gullfall-lab/orphans_test.go
@@ -12,8 +12,8 @@
 	"time"
 )
 
-// TestNoProcessIsLeft: a lab that is hung up on goes on; one that is killed takes the coordinators that it started with it. The first
-// child of a Go program may be a probe of package os that ends at once, so the coordinator is known by its name.
+// TestNoProcessIsLeft checks that the lab ignores SIGHUP, and that the coordinators it started end when it is killed. The first child of
+// a Go program may be a short-lived probe of package os, so the coordinator is identified by its process name.
 func TestNoProcessIsLeft(t *testing.T) {
 	dir := t.TempDir()
 	if out, err := exec.Command("go", "build", "-o", dir, "gullfall/cmd/gullfall", "gullfall/cmd/gullfall-lab").CombinedOutput(); err != nil {
@@ -29,12 +29,12 @@
 		t.Helper()
 		for end := time.Now().Add(20 * time.Second); !met(); time.Sleep(20 * time.Millisecond) {
 			if time.Now().After(end) {
-				t.Fatalf("%s: never", what)
+				t.Fatalf("timeout after 20 s: %s", what)
 			}
 		}
 	}
 	var child int
-	wait("a coordinator runs", func() bool {
+	wait("waiting for the lab to start a coordinator", func() bool {
 		lists, _ := filepath.Glob(filepath.Join("/proc", strconv.Itoa(lab.Process.Pid), "task", "*", "children"))
 		for _, f := range lists {
 			raw, _ := os.ReadFile(f)
@@ -53,9 +53,9 @@
 	lab.Process.Signal(syscall.SIGHUP)
 	time.Sleep(200 * time.Millisecond)
 	if !runs() || lab.Process.Signal(syscall.Signal(0)) != nil {
-		t.Error("the lab ended by SIGHUP")
+		t.Error("the lab or its coordinator ended on SIGHUP")
 	}
 	lab.Process.Kill()
 	lab.Wait()
-	wait("the coordinator ends with the lab", func() bool { return !runs() })
+	wait("waiting for the coordinator to end after the lab was killed", func() bool { return !runs() })
 }
--- a/cmd/gullfall-lab/peers.go
+++ b/cmd/gullfall-lab/peers.go
@@ -1,8 +1,8 @@
 package main
 
-// `gullfall-lab peers`: coordinators of the real program that watch each other behind fault proxies, stalled,
-// killed, cut one way and both, with lost, doubled and disordered packets; and with --sizes the same decisions in virtual
-// time against two baselines.
+// `gullfall-lab peers`: failure detection among gullfall processes connected through fault proxies. Coordinators are stalled,
+// killed and partitioned, one way and both ways, and packets are lost, duplicated and reordered. With --sizes the same detector is
+// simulated in virtual time and compared with two baselines.
 
 import (
 	"context"
@@ -22,37 +22,37 @@
 )
 
 type peersCmd struct {
-	Coordinators int           `default:"8" help:"How many coordinators."`
-	For          time.Duration `default:"60s" help:"How long faults are played."`
-	Faults       int           `default:"0" help:"Stop after so many faults; 0 for none."`
-	Period       time.Duration `default:"200ms" help:"Of probes."`
-	Bear         time.Duration `default:"1500ms" help:"The longest pause that must not make a coordinator dead."`
-	Seed         uint64        `default:"1" help:"Settles the faults."`
-	Binary       string        `help:"The gullfall to play; beside this program by default."`
-	JSON         string        `name:"json" help:"Write the figures here."`
-	Sizes        []int         `help:"Instead: play fleets of these sizes in virtual time against the baselines."`
-	Loss         []float64     `help:"With --sizes: shares of packets lost; 0, 0.1, 0.2 and 0.4 by default, beyond 300 members 0 and 0.2."`
-	Curve        bool          `help:"With --sizes: vary what is borne, for the curve of false deaths against detection, instead of the baselines."`
-	Plots        string        `help:"With --sizes: write plots against loss into this folder."`
+	Coordinators int           `default:"8" help:"Number of coordinators."`
+	For          time.Duration `default:"60s" help:"Duration of the faults."`
+	Faults       int           `default:"0" help:"Stop after this many faults; 0 for no limit."`
+	Period       time.Duration `default:"200ms" help:"Period of the probes."`
+	Bear         time.Duration `default:"1500ms" help:"The longest pause after which a coordinator must not be considered dead."`
+	Seed         uint64        `default:"1" help:"Seed of the faults."`
+	Binary       string        `help:"Path of gullfall; by default in this program's directory."`
+	JSON         string        `name:"json" help:"Write the report to this file."`
+	Sizes        []int         `help:"Simulate fleets of these sizes in virtual time and compare with the baselines instead."`
+	Loss         []float64     `help:"With --sizes: shares of packets lost; by default 0, 0.1, 0.2 and 0.4, above 300 members 0 and 0.2."`
+	Curve        bool          `help:"With --sizes: vary the tolerated pause, for the curve of false positives against detection time, instead of the baselines."`
+	Plots        string        `help:"With --sizes: write plots over packet loss to this directory."`
 }
 
-// peersReport is what a play showed.
+// peersReport is the result of a run.
 type peersReport struct {
 	Coordinators int            `json:"coordinators"`
 	Faults       int            `json:"faults"`
-	FalseDead    int            `json:"false_dead"` // by faults within the bounds: pauses up to --bear, loss up to 20%, cuts one way
-	DetectP50MS  float64        `json:"detect_p50_ms"`
-	DetectP99MS  float64        `json:"detect_p99_ms"` // dead to known by all
-	HealP99MS    float64        `json:"heal_p99_ms"`   // all views equal again
-	Disagree     int            `json:"disagree"`      // once the network is whole
-	BytesPerS    float64        `json:"bytes_per_s"`   // a member
-	CPUShare     float64        `json:"cpu_share"`     // of a core, a member
+	FalseDead    int            `json:"false_dead"`    // in faults to tolerate: pauses up to --bear, loss up to 20%, cuts one way
+	DetectP50MS  float64        `json:"detect_p50_ms"` // from a crash until all coordinators know it
+	DetectP99MS  float64        `json:"detect_p99_ms"` // the same at the 99th percentile
+	HealP99MS    float64        `json:"heal_p99_ms"`   // from a fault's end until all views are equal
+	Disagree     int            `json:"disagree"`      // faults after which the views didn't become equal in time
+	BytesPerS    float64        `json:"bytes_per_s"`   // sent by each coordinator
+	CPUShare     float64        `json:"cpu_share"`     // share of a core used by each coordinator
 	Kinds        map[string]int `json:"kinds"`         // faults by kind
-	Deaths       int            `json:"deaths"`
+	Deaths       int            `json:"deaths"`        // logged by coordinators about others
 	Seed         uint64         `json:"seed"`
 }
 
-// Run plays.
+// Run injects faults and prints the report; with --sizes it simulates fleets instead.
 func (p *peersCmd) Run() (err error) {
 	if len(p.Sizes) > 0 {
 		return p.sizes()
@@ -76,32 +76,32 @@
 		return err
 	}
 	if r.FalseDead > 0 || r.Disagree > 0 {
-		return fmt.Errorf("%d false deaths, %d disagreements", r.FalseDead, r.Disagree)
+		return fmt.Errorf("failure detection: %d running coordinators considered dead, %d faults after which views stayed different", r.FalseDead, r.Disagree)
 	}
 	return nil
 }
 
-// longestAgreement is how long the views of all coordinators may differ after a fault.
+// longestAgreement is the time limit for the views of all coordinators to become equal after a fault.
 const longestAgreement = 60 * time.Second
 
-// peersPlay is one play of faults on coordinators that watch each other.
+// peersPlay is the state of one run.
 type peersPlay struct {
 	cmd      *peersCmd
 	fleet    *fleet.Peers
 	chance   *rand.Rand
 	report   *peersReport
-	detected []time.Duration // from each kill until all knew of it
+	detected []time.Duration // from each kill until all other coordinators knew of it
 	healed   []time.Duration // from the end of each fault until all views were equal
-	cpu      float64         // seconds that the running processes had used at the start
-	bytes    int64           // that they had sent
+	cpu      float64         // baseline at the start: processor seconds used by the processes that still run
+	bytes    int64           // baseline at the start: bytes sent by these processes
 }
 
-// play plays faults one after the other; after each, all views must be equal and true again.
+// play injects one fault after the other; after each, all views must become equal and correct again.
 func (p *peersCmd) play(ctx context.Context, f *fleet.Peers) (r peersReport, err error) {
 	r = peersReport{Coordinators: p.Coordinators, Seed: p.Seed, Kinds: map[string]int{}}
 	play := &peersPlay{cmd: p, fleet: f, chance: rand.New(rand.NewPCG(p.Seed, 0xfa17)), report: &r}
 	if _, err := f.Until(ctx, time.Now().Add(longestAgreement)); err != nil {
-		return r, fmt.Errorf("at the start: %w", err)
+		return r, fmt.Errorf("wait for equal views at the start: %w", err)
 	}
 	began := time.Now()
 	play.cpu, play.bytes = p.cpu(f.Coords...), p.bytes(ctx, f, p.all()...)
@@ -120,7 +120,7 @@
 	return r, nil
 }
 
-// round plays one fault, waits until all views are equal again and counts the deaths that the fault does not excuse.
+// round injects one fault, waits until all views are equal again and counts the deaths that the fault doesn't explain.
 func (p *peersPlay) round(ctx context.Context) error {
 	i, j := p.pair()
 	before := p.deaths()
@@ -137,13 +137,13 @@
 	}
 	got := p.deaths() - before
 	if r.Deaths += max(got, 0); got > 0 && !excused {
-		fmt.Fprintf(os.Stderr, "fault %d, %s: %d took another for dead\n", r.Faults, what, got)
+		fmt.Fprintf(os.Stderr, "fault %d, %s: %d times a running coordinator was considered dead\n", r.Faults, what, got)
 		r.FalseDead += got
 	}
 	return nil
 }
 
-// pair draws two coordinators that are not the same.
+// pair returns two different random coordinators.
 func (p *peersPlay) pair() (i, j int) {
 	i, j = p.chance.IntN(p.cmd.Coordinators), p.chance.IntN(p.cmd.Coordinators-1)
 	if j >= i {
@@ -152,7 +152,7 @@
 	return i, j
 }
 
-// deaths counts the log lines by which running coordinators took others for dead.
+// deaths counts the log lines in which coordinators declared others dead.
 func (p *peersPlay) deaths() (n int) {
 	for i := range p.cmd.Coordinators {
 		n += p.fleet.Died(fleet.PeerName(i))
@@ -160,13 +160,14 @@
 	return n
 }
 
+// disagreed reports and counts a fault after which the views didn't become equal.
 func (p *peersPlay) disagreed(what string, err error) {
 	fmt.Fprintf(os.Stderr, "fault %d, %s: %v\n", p.report.Faults, what, err)
 	p.report.Disagree++
 }
 
-// fault plays one fault, of coordinator i, or between i and j. Excused are the deaths that a fault within no bound makes: a
-// crash, both ways cut.
+// fault injects one random fault at coordinator i, or between i and j, and undoes it. excused reports whether the fault may make
+// others consider a coordinator dead: a crash, or a partition in both directions.
 func (p *peersPlay) fault(ctx context.Context, i, j int) (what string, excused bool, err error) {
 	n, period, pause := p.cmd.Coordinators, p.cmd.Period, p.cmd.Bear
 	switch p.chance.IntN(10) {
@@ -198,7 +199,7 @@
 	}
 }
 
-// stall stops coordinators for a time.
+// stall stops the processes of some coordinators for the duration d.
 func (p *peersPlay) stall(d time.Duration, list ...int) (err error) {
 	for _, i := range list {
 		err = errors.Join(err, p.fleet.Stall(i))
@@ -210,8 +211,8 @@
 	return err
 }
 
-// kill ends a coordinator by SIGKILL, waits until all know of it and starts it again. What its process has used and sent is no
-// longer counted.
+// kill sends SIGKILL to a coordinator, waits until all others know of it and restarts it. The old process's processor time and bytes
+// are taken out of the baseline, as they no longer appear in the totals.
 func (p *peersPlay) kill(ctx context.Context, i int) error {
 	p.cpu -= p.cmd.cpu(p.fleet.Coords[i])
 	p.bytes -= p.cmd.bytes(ctx, p.fleet, i)
@@ -226,7 +227,7 @@
 	return p.fleet.Start(ctx, i)
 }
 
-// starve gives a coordinator a twentieth of the processor time that it asks for.
+// starve limits a coordinator to a twentieth of the processor time, by stopping it for 95 of every 100 ms.
 func (p *peersPlay) starve(i int) (err error) {
 	for end := time.Now().Add(15 * p.cmd.Period); time.Now().Before(end); {
 		err = errors.Join(err, p.fleet.Stall(i))
@@ -237,7 +238,7 @@
 	return err
 }
 
-// ring cuts the way from each coordinator to the next.
+// ring cuts the connection from each coordinator to the next, in this direction only.
 func (p *peersPlay) ring() (err error) {
 	n := p.cmd.Coordinators
 	for k := range n {
@@ -250,7 +251,7 @@
 	return err
 }
 
-// split cuts both ways between some coordinators, half of them at most, and the others.
+// split partitions the coordinators in both directions; the smaller side has half of them at most.
 func (p *peersPlay) split() (err error) {
 	n := p.cmd.Coordinators
 	side := p.chance.Perm(n)[:1+p.chance.IntN(n/2)]
@@ -272,7 +273,7 @@
 	return err
 }
 
-// kind is a fault without its figures.
+// kind returns a fault's description without its figures.
 func kind(what string) string {
 	what, _, _ = strings.Cut(what, " for ")
 	if strings.HasSuffix(what, "% lost") {
@@ -281,7 +282,7 @@
 	return what
 }
 
-// all are the numbers of all coordinators.
+// all returns the indexes of all coordinators.
 func (p *peersCmd) all() (list []int) {
 	for i := range p.Coordinators {
 		list = append(list, i)
@@ -289,7 +290,7 @@
 	return list
 }
 
-// bytes is what some have sent.
+// bytes returns the number of bytes that some coordinators have sent; those that don't answer are left out.
 func (p *peersCmd) bytes(ctx context.Context, f *fleet.Peers, who ...int) (n int64) {
 	for _, i := range who {
 		if v, err := f.View(ctx, i); err == nil {
@@ -299,7 +300,7 @@
 	return n
 }
 
-// cpu is the processor time of some processes, in seconds.
+// cpu returns the processor time of some processes, in seconds; those that don't run are left out.
 func (p *peersCmd) cpu(list ...*fleet.Coordinator) (s float64) {
 	for _, c := range list {
 		raw, err := os.ReadFile(filepath.Join("/proc", strconv.Itoa(c.Pid()), "stat"))
--- a/cmd/gullfall-lab/peers_sizes.go
+++ b/cmd/gullfall-lab/peers_sizes.go
@@ -17,26 +17,27 @@
 	"gullfall/internal/swim"
 )
 
-// sizeRow is one fleet in virtual time.
+// sizeRow is the result of one simulated fleet.
 type sizeRow struct {
 	Members     int     `json:"members"`
-	Detect      string  `json:"detect"`
-	Loss        float64 `json:"loss"`
-	BearS       float64 `json:"bear_s"`
-	FalseDead   int     `json:"false_dead"`
-	DetectP50MS float64 `json:"detect_p50_ms"` // a crash known to half
-	DetectMS    float64 `json:"detect_all_ms"` // and to all
-	PacketsS    float64 `json:"packets_per_s"` // a member
-	BytesS      float64 `json:"bytes_per_s"`
+	Detect      string  `json:"detect"`        // the detector: swim, plain or heartbeat
+	Loss        float64 `json:"loss"`          // share of packets
+	BearS       float64 `json:"bear_s"`        // the longest pause to tolerate, seconds
+	FalseDead   int     `json:"false_dead"`    // running members considered dead
+	DetectP50MS float64 `json:"detect_p50_ms"` // from a crash until half of the members know it
+	DetectMS    float64 `json:"detect_all_ms"` // and until all know it
+	PacketsS    float64 `json:"packets_per_s"` // sent by each member
+	BytesS      float64 `json:"bytes_per_s"`   // sent by each member
 }
 
-// sizes plays fleets in virtual time: pauses and loss for two minutes, then three crashes.
+// sizes simulates fleets in virtual time: two minutes of pauses and packet loss, then up to three crashes.
 func (p *peersCmd) sizes() error {
 	var rows []sizeRow
 	fmt.Printf("%8s %-10s %5s %6s %10s %14s %14s %10s %9s\n", "members", "detect", "loss", "bear_s", "false_dead", "detect_p50_ms", "detect_all_ms", "packets/s", "bytes/s")
 	for _, n := range p.Sizes {
 		plan := p.sizePlan(n)
-		// Side by side, as far as memory goes: each member knows all others, some 500 bytes each and as much again for the collector.
+		// The number of concurrent simulations is limited by memory: each member stores an entry for every other, some 500 bytes and
+		// as much again for the garbage collector.
 		var group errgroup.Group
 		group.SetLimit(max(1, min(runtime.GOMAXPROCS(0), 10_000_000/(n*n))))
 		for i := range plan {
@@ -59,7 +60,7 @@
 	return writeJSON(p.JSON, map[string]any{"rows": rows, "seed": p.Seed})
 }
 
-// sizePlan lists the fleets of one size that are played.
+// sizePlan returns the fleets of one size to simulate.
 func (p *peersCmd) sizePlan(n int) (plan []sizeRow) {
 	if p.Curve {
 		for _, bear := range []float64{0.001, 0.5, 1, 2, 3, 5} {
@@ -82,10 +83,11 @@
 	return plan
 }
 
-// size plays the fleet of a row and fills it in.
+// size simulates the fleet of a row and fills in its results.
 func (p *peersCmd) size(row *sizeRow) error {
 	n, detect, bear := row.Members, row.Detect, time.Duration(row.BearS*float64(time.Second))
-	// Heartbeats of all to all: beyond 300 members only some watch, and what is counted of them stands for all.
+	// With heartbeats every member watches every other. Above 300 members only some are simulated as watchers, and their counts are
+	// scaled up to all members.
 	watchers, stands := n, 1.0
 	if detect == "heartbeat" && n > 300 {
 		watchers = 90_000 / n
@@ -101,7 +103,7 @@
 	f.Lose(row.Loss)
 	packets, bytes, from, before := f.Packets, f.Bytes, f.Now(), f.FalseDead
 	for f.Now() < from+2*time.Minute {
-		for range max(1, n/20) { // one in twenty stands still for up to 3 s, every 10 s
+		for range max(1, n/20) { // every 10 s, one member in twenty pauses for up to 3 s
 			f.Pause(rng.IntN(n), time.Duration(rng.Int64N(int64(3*time.Second))))
 		}
 		f.Run(f.Now() + 10*time.Second)
@@ -123,7 +125,7 @@
 	return nil
 }
 
-// plotSizes draws false deaths and detection against loss, for each size.
+// plotSizes plots false positives and detection time over packet loss, a line for each detector and size.
 func plotSizes(dir string, rows []sizeRow) error {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return err
--- a/cmd/gullfall-lab/plan.go
+++ b/cmd/gullfall-lab/plan.go
@@ -1,7 +1,7 @@
 package main
 
-// `gullfall-lab plan`: how good the orders are in which machines go out for work, at several sizes, against what
-// is done by hand.
+// `gullfall-lab plan`: compares maintenance plans at several fleet sizes with a lower bound and with the orders that operators
+// use by hand, zone by zone and one by one.
 
 import (
 	"fmt"
@@ -12,13 +12,13 @@
 )
 
 type planCmd struct {
-	Sizes  []int  `default:"20,100,1000,10000" help:"Machines of a fleet."`
-	Fleets int    `default:"10" help:"Fleets drawn at each size."`
-	Seed   uint64 `default:"1" help:"Settles the fleets and the orders tried."`
-	JSON   string `name:"json" help:"Write the figures here."`
+	Sizes  []int  `default:"20,100,1000,10000" help:"Fleet sizes, in machines."`
+	Fleets int    `default:"10" help:"Number of random fleets of each size."`
+	Seed   uint64 `default:"1" help:"Seed of the fleets and of the search for plans."`
+	JSON   string `name:"json" help:"Write the report to this file."`
 }
 
-// Run measures.
+// Run measures the plans of each size and prints a table.
 func (c *planCmd) Run() error {
 	var rows []workplan.Row
 	broken := 0
@@ -40,7 +40,7 @@
 		return err
 	}
 	if broken > 0 {
-		return fmt.Errorf("%d orders break a limit", broken)
+		return fmt.Errorf("%d maintenance plans violate a limit", broken)
 	}
 	return nil
 }
--- a/cmd/gullfall-lab/replicate.go
+++ b/cmd/gullfall-lab/replicate.go
@@ -1,7 +1,7 @@
 package main
 
-// `gullfall-lab replicate`: members of the coordinators' store, in processes of the real program, are killed, stalled and
-// cut off while clients read, put and swap values at all of them; and whether what the clients saw could have happened in one order.
+// `gullfall-lab replicate`: gullfall processes that form the coordinators' store are killed, stalled and partitioned while
+// clients read, put and swap values through all of them. The history that the clients saw is then checked for linearizability.
 
 import (
 	"context"
@@ -17,50 +17,50 @@
 )
 
 type replicateCmd struct {
-	Coordinators int    `default:"5" help:"How many coordinators."`
-	Voters       int    `default:"3" help:"Of them, members of the store with a vote."`
-	Clients      int    `default:"8" help:"Clients that read, put and swap."`
-	Faults       int    `default:"100" help:"How many faults."`
-	Away         bool   `help:"Also: how a member catches up that was away for a minute, and for a day, by the length of the log."`
-	Remembered   int    `help:"Also: how soon one serves that starts alone with so many remembered data nodes."`
-	Seed         uint64 `default:"1" help:"Settles the faults and what clients do."`
-	Binary       string `help:"The gullfall to play; beside this program by default."`
-	JSON         string `name:"json" help:"Write the figures here."`
+	Coordinators int    `default:"5" help:"Number of coordinators."`
+	Voters       int    `default:"3" help:"Number of coordinators that vote in the store."`
+	Clients      int    `default:"8" help:"Number of clients that read, put and swap values."`
+	Faults       int    `default:"100" help:"Number of faults."`
+	Away         bool   `help:"Also measure how a member catches up with the log of a minute and of a day of absence."`
+	Remembered   int    `help:"Also measure how soon a coordinator serves that starts alone with a cached list of this many data nodes."`
+	Seed         uint64 `default:"1" help:"Seed of the faults and the clients' operations."`
+	Binary       string `help:"Path of gullfall; by default in this program's directory."`
+	JSON         string `name:"json" help:"Write the report to this file."`
 }
 
-// replicateReport is what a play showed.
+// replicateReport is the result of a run.
 type replicateReport struct {
 	Faults       int            `json:"faults"`
-	Kinds        map[string]int `json:"kinds"`
+	Kinds        map[string]int `json:"kinds"` // faults by kind
 	Operations   int            `json:"operations"`
 	Committed    int            `json:"committed"` // acknowledged writes
 	Unknown      int            `json:"unknown"`   // operations without an answer
-	Lost         int            `json:"lost"`      // acknowledged writes that are not there in the end
+	Lost         int            `json:"lost"`      // acknowledged writes missing after the run
 	Linearizable bool           `json:"linearizable"`
-	Checked      bool           `json:"checked"` // within the time for it
+	Checked      bool           `json:"checked"` // false if the check ran out of time
 	P50CatchUpMS float64        `json:"p50_catchup_ms"`
-	P99CatchUpMS float64        `json:"p99_catchup_ms"` // from a start to where the log was then
-	P99StartMS   float64        `json:"p99_start_ms"`   // from a start to the first connection taken
-	BytesPerOp   float64        `json:"bytes_per_operation"`
+	P99CatchUpMS float64        `json:"p99_catchup_ms"`      // from a start until the log as it was then is applied
+	P99StartMS   float64        `json:"p99_start_ms"`        // from a member's start until its first accepted connection
+	BytesPerOp   float64        `json:"bytes_per_operation"` // sent between members
 	Away         []absence      `json:"away,omitempty"`
-	Remembered   int            `json:"remembered,omitempty"`
-	P50AnswerMS  float64        `json:"p50_first_answer_ms,omitempty"` // of one that starts alone with Remembered data nodes
+	Remembered   int            `json:"remembered,omitempty"`          // data nodes in the cached list
+	P50AnswerMS  float64        `json:"p50_first_answer_ms,omitempty"` // of a coordinator that starts alone with Remembered data nodes
 	P99AnswerMS  float64        `json:"p99_first_answer_ms,omitempty"`
 	Seed         uint64         `json:"seed"`
-	Said         []string       `json:"said,omitempty"`
+	Said         []string       `json:"said,omitempty"` // a line for each lost write
 }
 
-// absence is how a member came back that had missed part of the log.
+// absence is the result of restarting a member that missed part of the log.
 type absence struct {
 	Name       string  `json:"name"`
 	Missed     uint64  `json:"missed"` // entries
 	LogBytes   int64   `json:"log_bytes"`
 	CatchUpMS  float64 `json:"catchup_ms"`
-	BytesSent  int64   `json:"bytes_sent"`      // between members, from its start until it had caught up
-	AnsweredMS float64 `json:"first_answer_ms"` // by then it showed what it had
+	BytesSent  int64   `json:"bytes_sent"`      // between members, from the restart until the member had caught up
+	AnsweredMS float64 `json:"first_answer_ms"` // from the restart until the member answered
 }
 
-// Run plays.
+// Run injects the faults while clients use the store, then checks the history and prints the report.
 func (c *replicateCmd) Run() (err error) {
 	ctx, cancel := context.WithDeadline(context.Background(), time.Now().Add(time.Duration(c.Faults)*8*time.Second+3*time.Minute))
 	defer cancel()
@@ -119,12 +119,12 @@
 		return err
 	}
 	if r.Lost > 0 || !r.Linearizable || r.Committed == 0 {
-		return fmt.Errorf("%d acknowledged writes lost; linearizable %v, checked %v", r.Lost, r.Linearizable, r.Checked)
+		return fmt.Errorf("store check failed: %d acknowledged writes lost; linearizable %v, checked %v", r.Lost, r.Linearizable, r.Checked)
 	}
 	return nil
 }
 
-// measureRemembered starts a coordinator alone, 20 times, and takes the times until its first answer.
+// measureRemembered starts a single coordinator 20 times and measures the time from its start to its first answer.
 func (c *replicateCmd) measureRemembered(ctx context.Context, r *replicateReport) error {
 	_, answers, err := fleet.Remembered(ctx, binary(c.Binary), c.Remembered, 20, c.Seed)
 	if err != nil {
@@ -150,6 +150,7 @@
 	}
 }
 
+// quantileMS returns the q-quantile of a list in milliseconds; 0 if the list is empty.
 func quantileMS(list []time.Duration, q float64) float64 {
 	if len(list) == 0 {
 		return 0
@@ -158,7 +159,7 @@
 	return float64(list[min(int(q*float64(len(list))), len(list)-1)].Microseconds()) / 1000
 }
 
-// replicatePlay is one play's faults.
+// replicatePlay injects the faults of one run and collects the times of the restarts.
 type replicatePlay struct {
 	c      *replicateCmd
 	w      *fleet.MaintenanceFleet
@@ -168,10 +169,10 @@
 	caught []time.Duration
 }
 
-// errCatchUp is a member that does not catch up in its time.
-var errCatchUp = errors.New("too late")
+// errCatchUp is returned if a restarted member does not catch up in time.
+var errCatchUp = errors.New("catch-up timed out")
 
-// start starts a member again, and notes how long that takes and until it has caught up with where the log is now.
+// start restarts a member. It records how long the start takes, and how long until the member has applied the log up to its current length.
 func (p *replicatePlay) start(ctx context.Context, i int) error {
 	var want uint64
 	for j := range p.c.Coordinators {
@@ -193,13 +194,13 @@
 			return nil
 		}
 		if time.Now().After(end) {
-			return fmt.Errorf("%s has applied the log up to %d 15 s after its start, %d was there before: %w", fleet.PeerName(i), at, want, errors.Join(errCatchUp, err))
+			return fmt.Errorf("%s has applied the log up to entry %d 15 s after its start, want %d: %w", fleet.PeerName(i), at, want, errors.Join(errCatchUp, err))
 		}
 	}
 }
 
-// away ends the last member, has others write what a minute and a day bring, and starts it again. A minute is 1,200 notes of 100 bytes
-// (20 a second); a day is as much of the log as is kept several times over: 8,000 notes of 4,000 bytes.
+// away stops the last member, writes through another as much as in a minute and in a day, and restarts it. A minute is 1,200 values of
+// 100 bytes (20 a second); a day is several times the retained log: 8,000 values of 4,000 bytes.
 func (p *replicatePlay) away(ctx context.Context) (list []absence, err error) {
 	last := p.c.Coordinators - 1
 	for _, a := range []struct {
@@ -214,7 +215,7 @@
 			return nil, err
 		}
 		if err := p.w.Fill(ctx, 0, a.notes, a.length, a.keys); err != nil {
-			return nil, fmt.Errorf("away for %s: %w", a.name, err)
+			return nil, fmt.Errorf("write to the store for an absence of %s: %w", a.name, err)
 		}
 		time.Sleep(5 * time.Second) // the leader takes its snapshots
 		to, _, err := p.w.Applied(ctx, 0)
@@ -223,7 +224,7 @@
 		}
 		sent, begun := p.w.Sent(), time.Now()
 		if err := p.start(ctx, last); err != nil {
-			return nil, fmt.Errorf("away for %s: %w", a.name, err)
+			return nil, fmt.Errorf("restart after an absence of %s: %w", a.name, err)
 		}
 		list = append(list, absence{a.name, to - from, int64(a.notes) * int64(a.length), float64(time.Since(begun).Microseconds()) / 1000, p.w.Sent() - sent,
 			float64(p.starts[len(p.starts)-1].Microseconds()) / 1000})
@@ -231,7 +232,7 @@
 	return list, nil
 }
 
-// leader is who leads the store by the first that answers, else anybody.
+// leader returns the store's leader as the first coordinator that answers knows it, or else a random coordinator.
 func (p *replicatePlay) leader(ctx context.Context) int {
 	for i := range p.c.Coordinators {
 		if !p.w.Up(i) {
@@ -248,7 +249,7 @@
 	return p.chance.IntN(p.c.Coordinators)
 }
 
-// fault plays one fault and undoes it.
+// fault injects one random fault and undoes it.
 func (p *replicatePlay) fault(ctx context.Context) (err error) {
 	w, n := p.w, p.c.Coordinators
 	some := p.chance.IntN(n)
@@ -277,7 +278,7 @@
 		kind, err = "all killed", inject.killAll(ctx)
 	}
 	if err != nil {
-		return fmt.Errorf("%s: %w", kind, err)
+		return fmt.Errorf("inject fault %q: %w", kind, err)
 	}
 	p.kinds[kind]++
 	return nil
--- a/cmd/gullfall-lab/verdict.go
+++ b/cmd/gullfall-lab/verdict.go
@@ -9,12 +9,12 @@
 	"gullfall/internal/lab/knownred"
 )
 
-// verdictCmd gives one verdict on a test run, passing over the tests that a file lists.
+// verdictCmd reports whether a test run passed, ignoring failures of the tests that a file lists.
 type verdictCmd struct {
-	Known string `default:"KNOWN-RED.txt" help:"File that lists tests whose fault is known: one a line, with cause and issue, three at most."`
+	Known string `default:"KNOWN-RED.txt" help:"File that lists known failing tests: one a line, with cause and issue, three at most."`
 }
 
-// Run implements kong's command.
+// Run reads the output of go test -json from standard input and prints the result.
 func (v verdictCmd) Run() error {
 	var list []knownred.Entry
 	file, err := os.Open(v.Known)
@@ -24,7 +24,7 @@
 	if err == nil {
 		defer file.Close()
 		if list, err = knownred.Parse(file); err != nil {
-			return fmt.Errorf("%s: %w", v.Known, err)
+			return fmt.Errorf("parse %s: %w", v.Known, err)
 		}
 	}
 	verdict, err := knownred.Judge(os.Stdin, list, os.Stdout)
@@ -39,7 +39,7 @@
 	}
 	fmt.Printf("%d passed, %d failed\n", verdict.Passed, verdict.Failed)
 	if !verdict.OK() {
-		return errors.New("the tests have failed")
+		return errors.New("tests failed")
 	}
 	return nil
 }
--- a/cmd/gullfall-lab/work.go
+++ b/cmd/gullfall-lab/work.go
@@ -1,8 +1,8 @@
 package main
 
-// `gullfall-lab work`: several coordinators of the real program take machines out for work, again and again,
-// while they are killed, stalled and cut off from each other and data nodes crash. It plays the same faults without any work
-// first, for the share of queries that is served then.
+// `gullfall-lab work`: several gullfall processes run maintenance on machines repeatedly while coordinators are killed, stalled
+// and partitioned and data nodes crash. The same faults are injected first without maintenance, to compare the share of queries
+// served.
 
 import (
 	"context"
@@ -19,47 +19,47 @@
 )
 
 type workCmd struct {
-	Coordinators int           `default:"5" help:"How many coordinators."`
-	Voters       int           `default:"3" help:"Of them, members of the store with a vote; the others hold a copy."`
-	PerZone      int           `default:"4" help:"Data nodes in each of the three zones."`
-	For          time.Duration `default:"60s" help:"How long faults befall them while machines go out; afterwards all is mended and the plans end."`
-	Baseline     time.Duration `default:"30s" help:"How long the same is played without any work."`
+	Coordinators int           `default:"5" help:"Number of coordinators."`
+	Voters       int           `default:"3" help:"Number of coordinators that vote in the store; the others hold a copy."`
+	PerZone      int           `default:"4" help:"Number of data nodes in each of the three zones."`
+	For          time.Duration `default:"60s" help:"Duration of the faults during maintenance; then the faults are undone and the plans run to their end."`
+	Baseline     time.Duration `default:"30s" help:"Duration of the faults without maintenance."`
 	Rate         float64       `default:"20" help:"Queries a second at each coordinator."`
-	Seed         uint64        `default:"1" help:"Settles the faults, the load and the coordinators' draws."`
-	Binary       string        `help:"The gullfall to measure; beside this program by default."`
-	JSON         string        `name:"json" help:"Write the figures here."`
+	Seed         uint64        `default:"1" help:"Seed of the faults, the load and the coordinators' random choices."`
+	Binary       string        `help:"Path of gullfall; by default in this program's directory."`
+	JSON         string        `name:"json" help:"Write the report to this file."`
 }
 
-// workReport is what a play showed.
+// workReport is the result of a run.
 type workReport struct {
 	Coordinators  int            `json:"coordinators"`
 	Faults        int            `json:"faults"`
-	Kinds         map[string]int `json:"kinds"`
-	Machines      int            `json:"machines"`        // handed over, one counted as often as it was
-	Overtaken     int            `json:"overtaken"`       // that crashed and came up anew before the hands took them up
-	Completed     int            `json:"completed"`       // requests that ended
-	Requests      int            `json:"requests"`        //
-	Moves         int            `json:"moves"`           //
-	Asked         int            `json:"asked"`           // queries, outside faults of their own coordinator
-	Lost          int            `json:"lost"`            // of them
-	Wrong         int            `json:"wrong"`           //
-	Refused       int            `json:"refused"`         //
-	Failed        int            `json:"failed"`          //
-	SentWhileOut  int            `json:"sent_while_out"`  // parts to a machine between its hand-over and its return
-	FloorBroken   int            `json:"floor_broken"`    // looks at which work had taken a shard below its floor
-	TwoOrders     int            `json:"two_orders"`      // moves that two coordinators told differently
-	OverColdBound int            `json:"over_cold_bound"` // machines that got more in the first second after their return
-	ColdBound     float64        `json:"cold_bound"`      //
-	MostReturn    int            `json:"most_return"`     // most parts in that second
-	Twins         int            `json:"twins"`           //
-	StalledMS     float64        `json:"stalled_ms"`      // longest that an open request saw no move
-	Served        float64        `json:"served"`          // share of the queries
-	ServedIdle    float64        `json:"served_idle"`     // with no work going on
-	ServedRatio   float64        `json:"served_ratio"`    //
-	Said          []string       `json:"said,omitempty"`
+	Kinds         map[string]int `json:"kinds"`           // faults by kind
+	Machines      int            `json:"machines"`        // number of hand-overs; a machine counts once for each
+	Overtaken     int            `json:"overtaken"`       // machines that restarted between hand-over and start of the work
+	Completed     int            `json:"completed"`       // requests that finished or were given up
+	Requests      int            `json:"requests"`        // made by the operators
+	Moves         int            `json:"moves"`           // steps of the plan
+	Asked         int            `json:"asked"`           // queries, except during faults of the coordinator asked
+	Lost          int            `json:"lost"`            // queries without a final answer
+	Wrong         int            `json:"wrong"`           // queries with a wrong answer
+	Refused       int            `json:"refused"`         // queries
+	Failed        int            `json:"failed"`          // queries
+	SentWhileOut  int            `json:"sent_while_out"`  // parts sent to a machine between its hand-over and its return
+	FloorBroken   int            `json:"floor_broken"`    // checks that found a shard below its floor of replicas because of maintenance
+	TwoOrders     int            `json:"two_orders"`      // moves that two coordinators reported differently
+	OverColdBound int            `json:"over_cold_bound"` // returned machines that got more than ColdBound in their first second
+	ColdBound     float64        `json:"cold_bound"`      // maximum of parts allowed in that second
+	MostReturn    int            `json:"most_return"`     // maximum of parts in a returned machine's first second
+	Twins         int            `json:"twins"`           // attempts of one part in flight at the same time
+	StalledMS     float64        `json:"stalled_ms"`      // longest time without a move while a request was open
+	Served        float64        `json:"served"`          // share of the queries that were served
+	ServedIdle    float64        `json:"served_idle"`     // the same without maintenance
+	ServedRatio   float64        `json:"served_ratio"`    // Served over ServedIdle
+	Said          []string       `json:"said,omitempty"`  // a line for each violation
 }
 
-// Run plays.
+// Run measures without and with maintenance, prints the report and checks the rules.
 func (c *workCmd) Run() error {
 	idle, err := c.playIdle(c.Baseline)
 	if err != nil {
@@ -86,19 +86,19 @@
 		return err
 	}
 	if r.Lost+r.Wrong+r.SentWhileOut+r.FloorBroken+r.TwoOrders+r.OverColdBound+r.Twins > 0 || r.Completed < r.Requests {
-		return fmt.Errorf("a rule broke or a request did not end: see above")
+		return fmt.Errorf("a rule was violated or a maintenance request did not end: see the report above")
 	}
 	return nil
 }
 
-const workWarm = 5 * time.Second // that the lab's data nodes need
+const workWarm = 5 * time.Second // warm-up time of the simulated data nodes
 
-// playIdle plays the faults without any work on machines.
+// playIdle injects faults without maintenance.
 func (c *workCmd) playIdle(d time.Duration) (workReport, error) {
 	return c.play(d, func(ctx context.Context, p *workPlay) error { return p.faults(ctx, d) })
 }
 
-// playWork plays the faults while machines go out for work, and waits until every request has ended.
+// playWork injects faults during maintenance, and waits until every request has ended.
 func (c *workCmd) playWork(d time.Duration) (workReport, error) {
 	return c.play(d, func(ctx context.Context, p *workPlay) error {
 		var asking sync.WaitGroup
@@ -116,7 +116,7 @@
 	})
 }
 
-// play starts a fleet, lets body play on it for a time and reports what was seen.
+// play starts a fleet, runs body on it and returns the measurements. The deadline is d and 4 minutes more.
 func (c *workCmd) play(d time.Duration, body func(context.Context, *workPlay) error) (r workReport, err error) {
 	ctx, cancel := context.WithDeadline(context.Background(), time.Now().Add(d+4*time.Minute))
 	defer cancel()
@@ -136,12 +136,12 @@
 	if err := body(ctx, p); err != nil {
 		return r, err
 	}
-	time.Sleep(5 * time.Second) // the last faults' clients are not counted
+	time.Sleep(5 * time.Second) // queries during the last faults are not counted
 	r.measure(w)
 	return r, nil
 }
 
-// faults plays one fault after the other for a time, and mends what may be left of them.
+// faults injects one fault after the other for the duration d, and then undoes those that remain.
 func (p *workPlay) faults(ctx context.Context, d time.Duration) error {
 	for end := time.Now().Add(d); time.Now().Before(end) && ctx.Err() == nil; {
 		if err := p.fault(ctx); err != nil {
@@ -153,24 +153,24 @@
 	return p.mend(ctx)
 }
 
-// complete waits until every request has ended, and resumes those that were paused or stopped.
+// complete waits until every request has ended, and resumes those that are paused or stopped. The limit is 2 minutes.
 func (p *workPlay) complete(ctx context.Context) error {
 	r := p.report
-	return p.w.Until(ctx, "every request ends", time.Now().Add(2*time.Minute), func(v agent.View) bool {
+	return p.w.Until(ctx, "all maintenance requests end", time.Now().Add(2*time.Minute), func(v agent.View) bool {
 		r.Requests, r.Completed = int(v.Plan.Next), int(v.Plan.Next)
 		for _, q := range v.Plan.Requests {
 			if q.State == maintenance.Finished || q.State == maintenance.GivenUp {
 				continue
 			}
 			if r.Completed--; q.State != maintenance.Open {
-				_ = p.w.Order(ctx, 0, maintenance.Resume, q.ID) // the next look repeats one that was refused
+				_ = p.w.Order(ctx, 0, maintenance.Resume, q.ID) // a rejected order is repeated at the next poll
 			}
 		}
 		return r.Completed == r.Requests && r.Requests > 0
 	})
 }
 
-// measure ends the load and fills in what a fleet has counted.
+// measure stops the load and copies the fleet's counts into the report.
 func (r *workReport) measure(w *fleet.MaintenanceFleet) {
 	clean := w.Clean()
 	w.EndLoad()
@@ -189,7 +189,7 @@
 	r.Twins = w.Ledger.Account().Twins
 }
 
-// workPlay is one play's faults.
+// workPlay injects the faults and makes the maintenance requests of one run.
 type workPlay struct {
 	c      *workCmd
 	w      *fleet.MaintenanceFleet
@@ -197,7 +197,7 @@
 	report *workReport
 }
 
-// ask keeps requests open: two operators at two coordinators, whose requests cross.
+// ask keeps up to two maintenance requests open, made at random coordinators, so that requests of two operators overlap in time.
 func (p *workPlay) ask(ctx context.Context, stop chan struct{}) {
 	chance := rand.New(rand.NewPCG(p.c.Seed, 10))
 	for {
@@ -220,7 +220,7 @@
 			case maintenance.Open:
 				open++
 			case maintenance.Paused, maintenance.Stopped:
-				_ = p.w.Order(ctx, i, maintenance.Resume, r.ID) // the next look repeats one that was refused
+				_ = p.w.Order(ctx, i, maintenance.Resume, r.ID) // a rejected order is repeated at the next poll
 			}
 		}
 		if open >= 2 {
@@ -233,16 +233,16 @@
 	}
 }
 
-// request asks a coordinator for work on a zone, or on all machines.
+// request asks a coordinator for maintenance of a zone or, in one of three cases, of all machines.
 func (p *workPlay) request(ctx context.Context, i int, chance *rand.Rand) {
 	a := agent.Request{By: fmt.Sprint("operator at ", i), Takes: time.Minute, Back: time.Minute, GoOn: true, Zone: []string{"a", "b", "c"}[chance.IntN(3)]}
 	if chance.IntN(3) == 0 {
 		a.Zone, a.All = "", true
 	}
-	_, _ = p.w.Ask(ctx, i, a) // requests that overlap another are refused
+	_, _ = p.w.Ask(ctx, i, a) // requests that overlap another are rejected
 }
 
-// fault plays one fault and undoes it.
+// fault injects one random fault and undoes it.
 func (p *workPlay) fault(ctx context.Context) error {
 	w, n := p.w, p.c.Coordinators
 	some := p.chance.IntN(n)
@@ -281,7 +281,7 @@
 	}
 }
 
-// mend undoes what may be left.
+// mend removes all link faults and restarts the coordinators that don't run.
 func (p *workPlay) mend(ctx context.Context) error {
 	for i := range p.c.Coordinators {
 		if err := p.w.Isolate(i, proxy.Pass); err != nil {
--- a/cmd/gullfall-lab/zones.go
+++ b/cmd/gullfall-lab/zones.go
@@ -1,8 +1,8 @@
 package main
 
-// `gullfall-lab zones`: several coordinators of the real program before stand-in data nodes in three zones, a fault
-// proxy on each way. One zone is taken away and given back, once with each data node judged alone and once with [zones] on; with
-// --cases the hard cases are played.
+// `gullfall-lab zones`: several gullfall processes with simulated data nodes in three zones, a fault proxy on each connection.
+// One zone is disconnected and reconnected, once with every data node judged separately and once with [zones] enabled. With --cases
+// the cases of fleet.ZoneCases are run instead.
 
 import (
 	"context"
@@ -24,49 +24,50 @@
 )
 
 type zonesCmd struct {
-	Coordinators int           `default:"5" help:"How many coordinators."`
-	PerZone      int           `default:"4" help:"Data nodes in each of the three zones."`
-	Fault        string        `default:"drop" enum:"drop,cut,reset" help:"What befalls the zone: drop (silent), cut (refused), reset."`
-	Away         time.Duration `default:"6s" help:"How long the zone is away."`
+	Coordinators int           `default:"5" help:"Number of coordinators."`
+	PerZone      int           `default:"4" help:"Number of data nodes in each of the three zones."`
+	Fault        string        `default:"drop" enum:"drop,cut,reset" help:"Fault of the zone: drop (silent), cut (connections refused), reset."`
+	Away         time.Duration `default:"6s" help:"Duration of the zone's fault."`
 	Rate         float64       `default:"20" help:"Queries a second at each coordinator."`
-	Cases        bool          `help:"Play the hard cases instead."`
-	Case         string        `help:"With --cases: this one only."`
-	Seed         uint64        `default:"1" help:"Settles the load and the coordinators' draws."`
-	Binary       string        `help:"The gullfall to measure; beside this program by default."`
-	JSON         string        `name:"json" help:"Write the figures here."`
-	Plot         string        `help:"Draw the load of each zone over time into this folder, as zones-node.png and zones-zone.png."`
+	Cases        bool          `help:"Run the cases of partial and repeated zone faults instead."`
+	Case         string        `help:"Run only this one of the cases."`
+	Seed         uint64        `default:"1" help:"Seed of the load and the coordinators' random choices."`
+	Binary       string        `help:"Path of gullfall; by default in this program's directory."`
+	JSON         string        `name:"json" help:"Write the report to this file."`
+	Plot         string        `help:"Plot the load of each zone over time to zones-node.png and zones-zone.png in this directory."`
 }
 
-// zonePlay is what one play of the day showed.
+// zonePlay is the result of one run.
 type zonePlay struct {
-	Judged        string         `json:"judged"`
-	Coordinators  int            `json:"coordinators"`
-	LeaveMS       float64        `json:"leave_ms"`        // from the fault to the last attempt begun in the zone while it lasted
-	IntoZone      int            `json:"into_zone"`       // attempts begun in the zone while it was away
-	ZoneOut       int            `json:"zone_out"`        // coordinators that logged the zone out
-	Lost          int            `json:"lost"`            // queries that failed or got no answer
-	Asked         int            `json:"asked"`           //
-	Twins         int            `json:"twins"`           // attempts of one part out together
-	FirstSecond   int            `json:"first_second"`    // most parts begun at one returning data node in the second after its first
-	ColdBound     float64        `json:"cold_bound"`      // what a cold data node bears in that second, over all coordinators
-	OverColdBound int            `json:"over_cold_bound"` // returning data nodes that got more
-	ReturnMS      float64        `json:"return_ms"`       // from the zone's return until its data nodes have four fifths of their share
-	Ends          map[string]int `json:"ends"`            // how attempts in the zone ended while it was away, by end
-	load          map[string]plotter.XYs
+	Judged        string                 `json:"judged"` // judgedByNode or judgedByZone
+	Coordinators  int                    `json:"coordinators"`
+	LeaveMS       float64                `json:"leave_ms"`        // from the fault's start to the zone's last attempt in it
+	IntoZone      int                    `json:"into_zone"`       // attempts started in the zone during the fault
+	ZoneOut       int                    `json:"zone_out"`        // coordinators that logged "zone out" for the zone
+	Lost          int                    `json:"lost"`            // queries that failed or got no answer
+	Asked         int                    `json:"asked"`           // queries sent
+	Twins         int                    `json:"twins"`           // attempts of one part in flight at the same time
+	FirstSecond   int                    `json:"first_second"`    // most parts at a returning data node in a second from its first
+	ColdBound     float64                `json:"cold_bound"`      // parts allowed in that second, from all coordinators
+	OverColdBound int                    `json:"over_cold_bound"` // returning data nodes that got more than ColdBound
+	ReturnMS      float64                `json:"return_ms"`       // from the fault's end to four fifths of the steady rate
+	Ends          map[string]int         `json:"ends"`            // attempts in the zone that ended during the fault, by outcome
+	load          map[string]plotter.XYs // parts a second and data node over seconds, by zone
 }
 
+// faults maps the values of --fault.
 var faults = map[string]proxy.Fault{"drop": proxy.Drop, "cut": proxy.Cut, "reset": proxy.Reset}
 
-// zoneNames are the zones of a play.
+// zoneNames lists the zones of a run.
 var zoneNames = []string{"a", "b", "c"}
 
-// What a play judges as a whole, as the report has it.
+// Values of zonePlay.Judged: whether coordinators judge the health of each data node separately or also that of a zone as a whole.
 const (
 	judgedByNode = "node"
 	judgedByZone = "zone"
 )
 
-// Run plays.
+// Run measures the zone's fault with both ways of judging, or runs the cases, and prints a table.
 func (z *zonesCmd) Run() error {
 	if z.Cases || z.Case != "" {
 		return z.cases()
@@ -97,12 +98,12 @@
 		return err
 	}
 	if bad || plays[1].OverColdBound > 0 {
-		return fmt.Errorf("a rule broke: twin attempts, or a returning data node over its cold bound")
+		return fmt.Errorf("rule violated: concurrent attempts of one part, or a returning data node over its warm-up bound")
 	}
 	return nil
 }
 
-// cases plays the hard cases, each on a fleet of its own.
+// cases runs the cases, each on a fleet of its own.
 func (z *zonesCmd) cases() error {
 	var results []fleet.ZoneResult
 	broken := 0
@@ -127,18 +128,18 @@
 		return err
 	}
 	if broken > 0 || len(results) == 0 {
-		return fmt.Errorf("%d of %d cases broke", broken, len(results))
+		return fmt.Errorf("%d of %d cases failed", broken, len(results))
 	}
 	return nil
 }
 
-// playOptions start the fleet of one play, judged by data node or by zone.
+// playOptions returns the options of the fleet of one run, judged by data node or by zone.
 func (z *zonesCmd) playOptions(judged string) fleet.ZonesOptions {
 	return fleet.ZonesOptions{Coordinators: z.Coordinators, Zones: zoneNames, PerZone: z.PerZone, Rate: z.Rate,
 		Deploy: fmt.Sprintf("enabled = %v\n", judged == judgedByZone), Binary: binary(z.Binary), Seed: z.Seed}
 }
 
-// play takes zone a away and gives it back.
+// play disconnects zone a for z.Away, reconnects it and returns the measurements.
 func (z *zonesCmd) play(judged string) (play zonePlay, err error) {
 	ctx, cancel := context.WithDeadline(context.Background(), time.Now().Add(2*time.Minute))
 	defer cancel()
@@ -185,14 +186,14 @@
 	return play, nil
 }
 
-// lookEvery is how often the rates of parts are taken.
+// lookEvery is the interval between samples of the rates of parts.
 const lookEvery = 250 * time.Millisecond
 
-// zoneRates takes the parts a second that begin at a data node of each zone.
+// zoneRates samples, for each zone, the mean number of parts a second that start at a data node.
 type zoneRates struct {
 	fleet   *fleet.Zones
 	perZone int
-	play    *zonePlay // whose load is filled in
+	play    *zonePlay // receives the samples in its load
 	start   time.Time
 	last    map[string]map[string]int // parts by zone and data node, at lastAt
 	lastAt  time.Time
@@ -203,7 +204,7 @@
 	return &zoneRates{fleet: f, perZone: perZone, play: play, start: now, last: map[string]map[string]int{}, lastAt: now}
 }
 
-// look returns the rates by zone since the last look.
+// look returns the rates by zone since the last sample and appends them to the run's load.
 func (l *zoneRates) look() map[string]float64 {
 	now, r := time.Now(), map[string]float64{}
 	for _, zone := range zoneNames {
@@ -218,12 +219,12 @@
 	return r
 }
 
-// watchReturn counts the parts that come to each data node of zone a in the second after its first one, and takes the time until the
-// zone has four fifths of its steady rate again, over a second.
+// watchReturn counts the parts at each data node of zone a in the second after its first part, and measures the time until the zone's
+// rate, as the mean of a second, is four fifths of its steady rate again. It watches for 15 s.
 func (p *zonePlay) watchReturn(f *fleet.Zones, rates *zoneRates, back time.Time, steady float64) {
 	first, counted := map[string]time.Time{}, map[string]bool{}
 	before := f.Parts("a")
-	var lately []float64 // over a second
+	var lately []float64 // the samples of the last second
 	for time.Since(back) < 15*time.Second {
 		time.Sleep(50 * time.Millisecond)
 		now := time.Now()
@@ -245,7 +246,7 @@
 	}
 }
 
-// countFirstSecond takes in the parts of one returning data node.
+// countFirstSecond records the number of parts that one returning data node got in its first second.
 func (p *zonePlay) countFirstSecond(parts int) {
 	p.FirstSecond = max(p.FirstSecond, parts)
 	if float64(parts) > p.ColdBound {
@@ -253,7 +254,7 @@
 	}
 }
 
-// readLog takes in what a coordinator has logged of zone a while it was away.
+// readLog counts the attempts in zone a that a coordinator logged during the fault, and whether it logged the zone out.
 func (p *zonePlay) readLog(c *fleet.Coordinator, began, back time.Time) error {
 	away := func(line string) (time.Duration, bool) {
 		t, err := time.Parse(time.RFC3339Nano, logValue(line, "time"))
@@ -279,7 +280,7 @@
 	return nil
 }
 
-// mean is the mean of a list; 0 for an empty one.
+// mean returns the mean of a list; 0 if it is empty.
 func mean(list []float64) (sum float64) {
 	for _, x := range list {
 		sum += x / float64(len(list))
@@ -309,7 +310,7 @@
 	return pic.Save(18*vg.Centimeter, 10*vg.Centimeter, path)
 }
 
-// logValue is the value of key in a line of the text log, unquoted; empty where the line has none.
+// logValue returns the unquoted value of key in a line of the text log; "" if the line doesn't have the key.
 func logValue(line, key string) string {
 	i := strings.Index(" "+line, " "+key+"=")
 	if i < 0 {
--- a/cmd/gullfall-lab/zones_test.go
+++ b/cmd/gullfall-lab/zones_test.go
@@ -1,6 +1,6 @@
 package main
 
-// The lab counts attempts by the coordinators' text log; a value read wrong would count them under the wrong end.
+// The lab counts attempts from the coordinators' text log; a misread value would count them under the wrong outcome.
 
 import (
 	"testing"
