--- a/cmd/gullfall-lab/demo.go
+++ b/cmd/gullfall-lab/demo.go
@@ -42,18 +42,18 @@
 // ms returns a duration in milliseconds.
 func ms(d time.Duration) float64 { return float64(d.Microseconds()) / 1000 }
 
-// classes returns the reports of all classes.
-func classes(l *load.Load) (list []classReport) {
+// classReports returns the reports of all classes.
+func classReports(l *load.Load) (results []classReport) {
 	for _, c := range l.Classes {
 		t := l.Tally(c.Name)
-		list = append(list, classReport{c.Name, t.Asked, t.Served, t.Partial, t.Refused, t.Failed, t.Lost, t.Wrong,
+		results = append(results, classReport{c.Name, t.Asked, t.Served, t.Partial, t.Refused, t.Failed, t.Lost, t.Wrong,
 			ms(t.Quantile(50)), ms(t.Quantile(99))})
 	}
-	return list
+	return results
 }
 
-// rules checks the counts of the clients and the data nodes against the rules.
-func rules(l *load.Load, a datanode.Account) []rule {
+// checkRules checks the counts of the clients and the data nodes against the rules.
+func checkRules(l *load.Load, a datanode.Account) []rule {
 	sum := l.Sum()
 	return []rule{
 		{"each query has one final answer, in its time", sum.Lost == 0, fmt.Sprintf("%d of %d without", sum.Lost, sum.Asked)},
@@ -70,7 +70,7 @@
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
 	defer stop()
 	f, err := fleet.Start(ctx, fleet.Options{Nodes: 24, Listed: 8, Cells: 4, Shards: 16, TTL: 4500, Transfer: true, Notify: false,
-		Takes: 10 * time.Millisecond, Binary: binary(d.Binary), Seed: d.Seed})
+		Takes: 10 * time.Millisecond, Binary: gullfallPath(d.Binary), Seed: d.Seed})
 	defer func() { err = errors.Join(err, f.Stop()) }()
 	if err != nil {
 		return err
@@ -82,21 +82,21 @@
 	time.Sleep(500 * time.Millisecond)
 	var wg sync.WaitGroup
 	wg.Go(func() { l.Run(ctx) })
-	d.trouble(ctx, f, l)
+	d.injectFaults(ctx, f, l)
 	wg.Wait()
 	sum := l.Sum()
 	account := f.Ledger.Account()
 	cpu, memory := f.CPU(), f.Memory()
 	ended := f.Stop()
 	fmt.Printf("\n%-8s %6s %6s %7s %7s %6s %5s %8s %8s\n", "class", "asked", "served", "partial", "refused", "failed", "lost", "p50 ms", "p99 ms")
-	for _, c := range classes(l) {
+	for _, c := range classReports(l) {
 		fmt.Printf("%-8s %6d %6d %7d %7d %6d %5d %8.1f %8.1f\n", c.Class, c.Asked, c.Served, c.Partial, c.Refused, c.Failed, c.Lost, c.P50ms, c.P99ms)
 	}
 	fmt.Printf("\n%d queries, %d attempts; gullfall used %v of processor time and %d MB\n\n", sum.Asked, account.Begun, cpu, memory)
-	list := rules(l, account)
-	list = append(list, rule{"gullfall ends well when told to", ended == nil, fmt.Sprint(ended)})
+	results := checkRules(l, account)
+	results = append(results, rule{"gullfall ends well when told to", ended == nil, fmt.Sprint(ended)})
 	broken := 0
-	for _, r := range list {
+	for _, r := range results {
 		word := "kept  "
 		if !r.Kept {
 			word = "BROKEN"
@@ -104,7 +104,7 @@
 		}
 		fmt.Printf("%s  %s (%s)\n", word, r.Rule, r.Seen)
 	}
-	if err := writeJSON(d.JSON, map[string]any{"classes": classes(l), "rules": list, "seed": d.Seed}); err != nil {
+	if err := writeJSON(d.JSON, map[string]any{"classes": classReports(l), "rules": results, "seed": d.Seed}); err != nil {
 		return err
 	}
 	if broken > 0 {
@@ -113,13 +113,13 @@
 	return nil
 }
 
-// trouble injects a fault at a data node every 0.7 s and undoes it 2 s later, until ctx ends.
-func (d demoCmd) trouble(ctx context.Context, f *fleet.Fleet, l *load.Load) {
-	acts := []struct {
-		what string
-		do   func(n *datanode.Node)
-		undo func(n *datanode.Node)
-		by   string // source that lists the data node: records or discovery
+// injectFaults injects a fault at a data node every 0.7 s and undoes it 2 s later, until ctx ends.
+func (d demoCmd) injectFaults(ctx context.Context, f *fleet.Fleet, l *load.Load) {
+	faults := []struct {
+		description string
+		inject      func(n *datanode.Node)
+		undo        func(n *datanode.Node)
+		source      string // what lists the data node: records or discovery
 	}{
 		{"record removed", func(n *datanode.Node) { f.Ledger.Off(n.ID); f.Zone.Remove(f.Instance(n, "").Label) },
 			func(n *datanode.Node) { f.Ledger.On(n.ID); f.Zone.Set(f.Instance(n, "")) }, "records"},
@@ -142,11 +142,11 @@
 			return
 		case <-time.After(700 * time.Millisecond):
 		}
-		act := acts[i%len(acts)]
+		fault := faults[i%len(faults)]
 		mu.Lock()
 		free := slices.DeleteFunc(slices.Clone(f.Nodes), func(n *datanode.Node) bool {
 			_, byRecords := f.Zone.Get(f.Instance(n, "").Label)
-			return busy[n.ID] || byRecords != (act.by == "records")
+			return busy[n.ID] || byRecords != (fault.source == "records")
 		})
 		if len(free) == 0 {
 			mu.Unlock()
@@ -155,14 +155,14 @@
 		n := free[f.Chance().IntN(len(free))]
 		busy[n.ID] = true
 		mu.Unlock()
-		act.do(n)
+		fault.inject(n)
 		sum := l.Sum()
-		fmt.Printf("%5d asked, %5d served, %4d refused, %3d failed   %s %s\n", sum.Asked, sum.Served, sum.Refused, sum.Failed, n.ID, act.what)
+		fmt.Printf("%5d asked, %5d served, %4d refused, %3d failed   %s %s\n", sum.Asked, sum.Served, sum.Refused, sum.Failed, n.ID, fault.description)
 		time.AfterFunc(2*time.Second, func() {
 			mu.Lock()
 			defer mu.Unlock()
 			if busy[n.ID] = false; ctx.Err() == nil {
-				act.undo(n)
+				fault.undo(n)
 			}
 		})
 	}
--- a/cmd/gullfall-lab/explore.go
+++ b/cmd/gullfall-lab/explore.go
@@ -36,7 +36,7 @@
 		Seconds float64     `json:"seconds"`
 	}
 	var results []result
-	missed := 0
+	failures := 0
 	for _, bug := range bugs {
 		l := explore.Limits{Machines: c.Machines, Faults: c.Faults, Words: c.Words, Sends: c.Sends, States: c.States}
 		if !c.Bugs {
@@ -53,21 +53,21 @@
 		fmt.Printf("  %d states, %d events deep, %.1f s; all seen: %v; %d with nothing more to do\n", r.States, r.Distance, r.Elapsed.Seconds(), r.Whole, r.Ended)
 		if r.Broken != "" {
 			fmt.Printf("  broken: %s\n", r.Broken)
-			for i, what := range r.Path {
-				fmt.Printf("  %3d. %s\n", i+1, what)
+			for i, event := range r.Path {
+				fmt.Printf("  %3d. %s\n", i+1, event)
 			}
 		}
 		if c.Bugs != (r.Broken != "") || !c.Bugs && !r.Whole {
-			missed++
+			failures++
 		}
 	}
 	if err := writeJSON(c.JSON, results); err != nil {
 		return err
 	}
 	switch {
-	case missed > 0 && c.Bugs:
-		return fmt.Errorf("%d of %d bugs were not found within these limits; give more --faults, --words or --states", missed, len(bugs))
-	case missed > 0:
+	case failures > 0 && c.Bugs:
+		return fmt.Errorf("%d of %d bugs were not found within these limits; give more --faults, --words or --states", failures, len(bugs))
+	case failures > 0:
 		return fmt.Errorf("a rule was violated, or not all states were visited: see the report above")
 	}
 	return nil
--- a/cmd/gullfall-lab/faults.go
+++ b/cmd/gullfall-lab/faults.go
@@ -13,11 +13,11 @@
 // linkFaults lists the faults of the connections between two coordinators.
 var linkFaults = []proxy.Fault{proxy.Drop, proxy.Cut, proxy.Reset, proxy.Delay, proxy.DropUp, proxy.DropDown}
 
-// drawLinkFault returns a random element of linkFaults.
-func drawLinkFault(chance *rand.Rand) proxy.Fault { return linkFaults[chance.IntN(len(linkFaults))] }
+// randomLinkFault returns a random element of linkFaults.
+func randomLinkFault(rng *rand.Rand) proxy.Fault { return linkFaults[rng.IntN(len(linkFaults))] }
 
-// faultInjector injects faults into the coordinators of a fleet. Each method injects one fault and undoes it before it returns, except
-// setSplit.
+// faultInjector injects faults into the coordinators of a fleet. Its methods, except setSplit, inject one fault and undo it before
+// they return.
 type faultInjector struct {
 	fleet        *fleet.MaintenanceFleet
 	coordinators int
--- a/cmd/gullfall-lab/fleet.go
+++ b/cmd/gullfall-lab/fleet.go
@@ -54,19 +54,19 @@
 }
 
 // plotSeconds plots the number of failed queries in each second, a line for each way of failing.
-func plotSeconds(path string, by map[string]map[int]int) error {
+func plotSeconds(path string, countsByWay map[string]map[int]int) error {
 	pic := plot.New()
 	pic.Title.Text, pic.X.Label.Text, pic.Y.Label.Text = "queries that ended badly", "second of the day", "queries"
-	for i, way := range slices.Sorted(maps.Keys(by)) {
+	for i, way := range slices.Sorted(maps.Keys(countsByWay)) {
 		last := 0
-		for s := range by[way] {
+		for s := range countsByWay[way] {
 			last = max(last, s)
 		}
-		var xy plotter.XYs
+		var points plotter.XYs
 		for s := range last + 1 {
-			xy = append(xy, plotter.XY{X: float64(s), Y: float64(by[way][s])})
+			points = append(points, plotter.XY{X: float64(s), Y: float64(countsByWay[way][s])})
 		}
-		line, err := plotter.NewLine(xy)
+		line, err := plotter.NewLine(points)
 		if err != nil {
 			return err
 		}
--- a/cmd/gullfall-lab/flight.go
+++ b/cmd/gullfall-lab/flight.go
@@ -15,13 +15,13 @@
 )
 
 // flightCmd runs the Arrow Flight conformance suite against a coordinator and measures throughput by protocol and number of clients,
-// stalled readers, and large answers by compression.
+// slow readers, and large answers by compression.
 type flightCmd struct {
 	Addr   string        `help:"Run only the cases, against this address; without it, a coordinator is started."`
 	Class  string        `default:"report" help:"With --addr: the class of the queries."`
 	Shards int           `default:"16" help:"With --addr: number of shards."`
 	For    time.Duration `default:"3s" help:"Duration of each throughput measurement."`
-	Slow   bool          `help:"Run only the test with stalled readers."`
+	Slow   bool          `help:"Run only the test with slow readers."`
 	Season int64         `default:"1024" help:"MiB to stream with each compression; 0 to skip."`
 	Cases  bool          `help:"Run only the cases."`
 	JSON   string        `name:"json" help:"Write the report to this file."`
@@ -34,14 +34,14 @@
 	Passed  int                  `json:"passed"`
 	Failed  int                  `json:"failed"`
 	Skipped int                  `json:"skipped"`
-	Figures []figure             `json:"figures"`
-	Seasons []season             `json:"seasons"`
-	Slow    *slow                `json:"slow"`
+	Figures []throughput         `json:"figures"`
+	Volumes []volumeReport       `json:"seasons"`
+	Slow    *slowReaders         `json:"slow"`
 	Cores   int                  `json:"cores"`
 }
 
-// users lists the accounts of the fleet that requires authentication.
-var users = []flightsuite.User{{Owner: "sertao", Name: "sertao", Password: "palma", Token: "sertao-0123456789"},
+// testUsers lists the accounts of the fleet that requires authentication.
+var testUsers = []flightsuite.User{{Owner: "sertao", Name: "sertao", Password: "palma", Token: "sertao-0123456789"},
 	{Owner: "natal", Name: "natal", Password: "dunas", Token: "natal-0123456789abc"}}
 
 // Run runs the cases and the measurements that the flags select.
@@ -51,31 +51,31 @@
 	r := &flightReport{Cores: runtime.NumCPU()}
 	if d.Addr != "" {
 		r.add("", flightsuite.Run(ctx, flightsuite.Env{Addr: d.Addr, Class: d.Class, Shards: d.Shards}))
-		return d.end(r)
+		return d.finish(r)
 	}
 	if d.Slow {
-		if err := d.slow(ctx, r); err != nil {
+		if err := d.measureSlowReaders(ctx, r); err != nil {
 			return err
 		}
-		return d.end(r)
+		return d.finish(r)
 	}
-	for _, who := range [][]flightsuite.User{nil, users} {
-		if err := d.cases(ctx, r, who); err != nil {
+	for _, users := range [][]flightsuite.User{nil, testUsers} {
+		if err := d.runCases(ctx, r, users); err != nil {
 			return err
 		}
 	}
 	if !d.Cases {
-		if err := d.figures(ctx, r); err != nil {
+		if err := d.measureThroughput(ctx, r); err != nil {
 			return err
 		}
-		if err := d.slow(ctx, r); err != nil {
+		if err := d.measureSlowReaders(ctx, r); err != nil {
 			return err
 		}
-		if err := d.seasons(ctx, r); err != nil {
+		if err := d.measureVolumes(ctx, r); err != nil {
 			return err
 		}
 	}
-	return d.end(r)
+	return d.finish(r)
 }
 
 // add appends results to the report, counts them and prints the failures. The prefix is put before each case's name.
@@ -94,8 +94,8 @@
 	}
 }
 
-// end prints the number of cases, writes the report and returns an error if a case or a measurement failed.
-func (d flightCmd) end(r *flightReport) error {
+// finish prints the number of cases, writes the report and returns an error if a case or a measurement failed.
+func (d flightCmd) finish(r *flightReport) error {
 	fmt.Printf("cases: %d passed, %d failed, %d skipped\n", r.Passed, r.Failed, r.Skipped)
 	if err := writeJSON(d.JSON, r); err != nil {
 		return err
@@ -111,7 +111,7 @@
 	if s := r.Slow; s != nil && (s.MemoryMB > 32 || s.Other > 0 || s.Served == 0) {
 		return fmt.Errorf("slow readers: %+v", *s)
 	}
-	for _, s := range r.Seasons {
+	for _, s := range r.Volumes {
 		if s.Failed > 0 || s.MemoryMB > 64 {
 			return fmt.Errorf("streaming with compression %s: %d queries failed, %d MB of memory used", s.Codec, s.Failed, s.MemoryMB)
 		}
@@ -119,16 +119,16 @@
 	return nil
 }
 
-// env returns the environment in which the suite tests a fleet.
-func env(f *fleet.Fleet, who []flightsuite.User) flightsuite.Env {
-	return flightsuite.Env{Addr: f.Flight, Class: "report", Shards: f.Shards, Doc: datanode.Doc, Users: who}
+// suiteEnv returns the environment in which the suite tests a fleet.
+func suiteEnv(f *fleet.Fleet, users []flightsuite.User) flightsuite.Env {
+	return flightsuite.Env{Addr: f.Flight, Class: "report", Shards: f.Shards, Doc: datanode.Doc, Users: users}
 }
 
-// cases runs the suite against a separate fleet with these users; without users the fleet requires no authentication.
-func (d flightCmd) cases(ctx context.Context, r *flightReport, who []flightsuite.User) (err error) {
-	o := fleet.Options{Nodes: 8, Cells: 4, Shards: 16, TTL: 60, Transfer: true, Takes: 5 * time.Millisecond, Binary: binary(d.Binary), Seed: 1, Flight: true}
+// runCases runs the suite against a separate fleet with these users; without users the fleet requires no authentication.
+func (d flightCmd) runCases(ctx context.Context, r *flightReport, users []flightsuite.User) (err error) {
+	o := fleet.Options{Nodes: 8, Cells: 4, Shards: 16, TTL: 60, Transfer: true, Takes: 5 * time.Millisecond, Binary: gullfallPath(d.Binary), Seed: 1, Flight: true}
 	prefix := ""
-	for _, u := range who {
+	for _, u := range users {
 		prefix = "users: "
 		o.Deploy += fmt.Sprintf("[[flight.owner]]\nname = %q\nuser = %q\npassword = %q\ntoken = %q\n", u.Owner, u.Name, u.Password, u.Token)
 	}
@@ -138,7 +138,7 @@
 		return err
 	}
 	time.Sleep(time.Second)
-	r.add(prefix, flightsuite.Run(ctx, env(f, who)))
+	r.add(prefix, flightsuite.Run(ctx, suiteEnv(f, users)))
 	return checkAttempts(f)
 }
 
--- a/cmd/gullfall-lab/flight_askers.go
+++ b/cmd/gullfall-lab/flight_askers.go
@@ -25,8 +25,8 @@
 
 func (r refusal) Error() string { return "refused" }
 
-// retryAfter returns a refusal if err is a gRPC status with a RetryInfo detail, and err otherwise.
-func retryAfter(err error) error {
+// asRefusal returns a refusal if err is a gRPC status with a RetryInfo detail, and err otherwise.
+func asRefusal(err error) error {
 	for _, d := range status.Convert(err).Details() {
 		if r, ok := d.(*errdetails.RetryInfo); ok {
 			return refusal{r.GetRetryDelay().AsDuration()}
@@ -35,51 +35,51 @@
 	return err
 }
 
-// asker sends queries of four parts by one protocol. Its methods may be called by many clients at once.
-type asker interface {
+// queryClient sends queries of four parts by one protocol. Its methods may be called by many clients at once.
+type queryClient interface {
 	// ask sends query n and waits for its answer. If the server asks for a later retry, the error is a refusal.
-	ask(ctx context.Context, n int) error
+	query(ctx context.Context, n int) error
 	close()
 }
 
-// mostConnections is the maximum number of Arrow Flight connections; clients beyond it share them.
-const mostConnections = 16
+// maxFlightConnections is the maximum number of Arrow Flight connections; clients beyond it share them.
+const maxFlightConnections = 16
 
-// newAsker connects to a fleet's coordinator for a number of clients. The ways are platform, DoGet and DoExchange.
-func newAsker(ctx context.Context, f *fleet.Fleet, way string, clients int) (asker, error) {
+// newQueryClient connects to a fleet's coordinator for a number of clients. The ways are platform, DoGet and DoExchange.
+func newQueryClient(ctx context.Context, f *fleet.Fleet, way string, clients int) (queryClient, error) {
 	switch way {
 	case "platform":
-		return newPlatformAsker(f, clients), nil
+		return newPlatformClient(f, clients), nil
 	case "DoGet":
-		return newGetAsker(f, clients)
+		return newGetClient(f, clients)
 	default:
-		return newExchangeAsker(ctx, f, clients)
+		return newExchangeClient(ctx, f, clients)
 	}
 }
 
 // fourShards returns the four of 16 shards that query n reads.
 func fourShards(n int) []int { return []int{n % 16, (n + 4) % 16, (n + 8) % 16, (n + 12) % 16} }
 
-// platformAsker sends queries by the platform's HTTP protocol.
-type platformAsker struct {
+// platformClient sends queries by the platform's HTTP protocol.
+type platformClient struct {
 	url       string
 	clients   int
 	transport *http.Transport
-	questions flightsuite.Client
-	number    atomic.Int64
+	requests  flightsuite.Client
+	lastID    atomic.Int64
 }
 
-func newPlatformAsker(f *fleet.Fleet, clients int) *platformAsker {
-	return &platformAsker{url: "http://" + f.Front + "/report", clients: clients, transport: &http.Transport{MaxIdleConnsPerHost: clients},
-		questions: flightsuite.Client{Env: env(f, nil)}}
+func newPlatformClient(f *fleet.Fleet, clients int) *platformClient {
+	return &platformClient{url: "http://" + f.Front + "/report", clients: clients, transport: &http.Transport{MaxIdleConnsPerHost: clients},
+		requests: flightsuite.Client{Env: suiteEnv(f, nil)}}
 }
 
-func (a *platformAsker) ask(ctx context.Context, n int) error {
-	req, err := http.NewRequestWithContext(ctx, http.MethodPost, a.url, bytes.NewReader(a.questions.Question("", fourShards(n)...)))
+func (a *platformClient) query(ctx context.Context, n int) error {
+	req, err := http.NewRequestWithContext(ctx, http.MethodPost, a.url, bytes.NewReader(a.requests.Question("", fourShards(n)...)))
 	if err != nil {
 		return err
 	}
-	req.Header.Set("Req-Id", "m"+strconv.FormatInt(a.number.Add(1), 10)+"-"+strconv.Itoa(a.clients))
+	req.Header.Set("Req-Id", "m"+strconv.FormatInt(a.lastID.Add(1), 10)+"-"+strconv.Itoa(a.clients))
 	req.Header.Set("Req-Owner", "club")
 	req.Header.Set("Req-Deadline-Ms", "2000")
 	res, err := (&http.Client{Transport: a.transport}).Do(req)
@@ -101,15 +101,15 @@
 	return err
 }
 
-func (a *platformAsker) close() { a.transport.CloseIdleConnections() }
+func (a *platformClient) close() { a.transport.CloseIdleConnections() }
 
-// getAsker sends each query as a separate DoGet call.
-type getAsker struct{ list []*flightsuite.Client }
+// getClient sends each query as a separate DoGet call.
+type getClient struct{ list []*flightsuite.Client }
 
-func newGetAsker(f *fleet.Fleet, clients int) (*getAsker, error) {
-	a := &getAsker{}
-	for range min(clients, mostConnections) {
-		c, err := flightsuite.Dial(env(f, nil))
+func newGetClient(f *fleet.Fleet, clients int) (*getClient, error) {
+	a := &getClient{}
+	for range min(clients, maxFlightConnections) {
+		c, err := flightsuite.Dial(suiteEnv(f, nil))
 		if err != nil {
 			a.close()
 			return nil, err
@@ -119,24 +119,24 @@
 	return a, nil
 }
 
-func (a *getAsker) ask(ctx context.Context, n int) error {
+func (a *getClient) query(ctx context.Context, n int) error {
 	g, err := a.list[n%len(a.list)].Get(ctx, a.list[0].Question("", fourShards(n)...))
 	if err == nil && !g.Complete {
 		err = errors.New("DoGet: incomplete answer")
 	}
-	return retryAfter(err)
+	return asRefusal(err)
 }
 
-func (a *getAsker) close() {
+func (a *getClient) close() {
 	for _, c := range a.list {
 		c.Close()
 	}
 }
 
-// exchangeAsker multiplexes queries over a few DoExchange streams.
-type exchangeAsker struct {
+// exchangeClient multiplexes queries over a few DoExchange streams.
+type exchangeClient struct {
 	list   []*exchangeStream
-	number atomic.Int64
+	lastID atomic.Int64
 }
 
 // exchangeStream is one DoExchange stream with the queries that wait for an answer on it.
@@ -144,15 +144,15 @@
 	client   *flightsuite.Client
 	exchange *flightsuite.Exchange
 
-	// mu guards waiting.
+	// mu guards pending.
 	mu      sync.Mutex
-	waiting map[string]chan error // by query id; buffered, so that delivery does not block
+	pending map[string]chan error // by query id; buffered, so that delivery does not block
 }
 
-func newExchangeAsker(ctx context.Context, f *fleet.Fleet, clients int) (*exchangeAsker, error) {
-	a := &exchangeAsker{}
-	for range min(clients, mostConnections) {
-		c, err := flightsuite.Dial(env(f, nil))
+func newExchangeClient(ctx context.Context, f *fleet.Fleet, clients int) (*exchangeClient, error) {
+	a := &exchangeClient{}
+	for range min(clients, maxFlightConnections) {
+		c, err := flightsuite.Dial(suiteEnv(f, nil))
 		if err != nil {
 			a.close()
 			return nil, err
@@ -163,15 +163,15 @@
 			a.close()
 			return nil, err
 		}
-		s := &exchangeStream{client: c, exchange: e, waiting: map[string]chan error{}}
-		go func() { _ = e.Answers(s.answered) }() // if the stream fails, its queries end at their deadlines
+		s := &exchangeStream{client: c, exchange: e, pending: map[string]chan error{}}
+		go func() { _ = e.Answers(s.deliver) }() // if the stream fails, its queries end at their deadlines
 		a.list = append(a.list, s)
 	}
 	return a, nil
 }
 
-// answered passes a query's result to the caller that waits for it.
-func (s *exchangeStream) answered(id, code string, g flightsuite.Got) {
+// deliver passes a query's result to the caller that waits for it.
+func (s *exchangeStream) deliver(id, code string, g flightsuite.Got) {
 	var err error
 	switch {
 	case g.Retry > 0:
@@ -181,17 +181,17 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if ch := s.waiting[id]; ch != nil {
+	if ch := s.pending[id]; ch != nil {
 		ch <- err
-		delete(s.waiting, id)
+		delete(s.pending, id)
 	}
 }
 
-func (a *exchangeAsker) ask(ctx context.Context, n int) error {
+func (a *exchangeClient) query(ctx context.Context, n int) error {
 	s := a.list[n%len(a.list)]
-	id, ch := strconv.FormatInt(a.number.Add(1), 10), make(chan error, 1)
+	id, ch := strconv.FormatInt(a.lastID.Add(1), 10), make(chan error, 1)
 	s.mu.Lock()
-	s.waiting[id] = ch
+	s.pending[id] = ch
 	s.mu.Unlock()
 	if err := s.exchange.Ask(s.client.Question(fmt.Sprintf(`"id":%q,"deadline_ms":2000,`, id), fourShards(n)...)); err != nil {
 		return err
@@ -204,7 +204,7 @@
 	}
 }
 
-func (a *exchangeAsker) close() {
+func (a *exchangeClient) close() {
 	for _, s := range a.list {
 		s.exchange.Leave()
 		s.client.Close()
--- a/cmd/gullfall-lab/flight_figures.go
+++ b/cmd/gullfall-lab/flight_figures.go
@@ -13,8 +13,8 @@
 	"gullfall/internal/lab/fleet"
 )
 
-// figure is the throughput and latency of one protocol at one number of clients.
-type figure struct {
+// throughput is the throughput and latency of one protocol at one number of clients.
+type throughput struct {
 	Way     string  `json:"way"`
 	Clients int     `json:"clients"`
 	PerS    float64 `json:"queries_per_s"`
@@ -25,10 +25,10 @@
 	CPU     float64 `json:"cpu_us_per_query"` // of the coordinator, microseconds
 }
 
-// figures measures each protocol with 1, 16 and 256 clients, one after the other on the same coordinator.
-func (d flightCmd) figures(ctx context.Context, r *flightReport) (err error) {
+// measureThroughput measures each protocol with 1, 16 and 256 clients, one after the other on the same coordinator.
+func (d flightCmd) measureThroughput(ctx context.Context, r *flightReport) (err error) {
 	f, err := fleet.Start(ctx, fleet.Options{Nodes: 16, Cells: 4, Shards: 16, TTL: 60, Transfer: true, Takes: 2 * time.Millisecond,
-		Binary: binary(d.Binary), Seed: 1, Flight: true})
+		Binary: gullfallPath(d.Binary), Seed: 1, Flight: true})
 	defer func() { err = errors.Join(err, f.Stop()) }()
 	if err != nil {
 		return err
@@ -37,23 +37,23 @@
 	fmt.Printf("%-12s %8s %10s %9s %9s %8s %7s %9s\n", "way", "clients", "queries/s", "p50 ms", "p99 ms", "refused", "failed", "us/query")
 	for _, clients := range []int{1, 16, 256} {
 		for _, way := range []string{"DoGet", "DoExchange", "platform"} {
-			a, err := newAsker(ctx, f, way, clients)
+			a, err := newQueryClient(ctx, f, way, clients)
 			if err != nil {
 				return err
 			}
-			one := d.measure(ctx, f, a, clients)
+			result := d.runClients(ctx, f, a, clients)
 			a.close()
-			one.Way = way
-			r.Figures = append(r.Figures, one)
-			fmt.Printf("%-12s %8d %10.0f %9.2f %9.2f %8d %7d %9.0f\n", way, clients, one.PerS, one.P50, one.P99, one.Refused, one.Failed, one.CPU)
+			result.Way = way
+			r.Figures = append(r.Figures, result)
+			fmt.Printf("%-12s %8d %10.0f %9.2f %9.2f %8d %7d %9.0f\n", way, clients, result.PerS, result.P50, result.P99, result.Refused, result.Failed, result.CPU)
 		}
 	}
 	return checkAttempts(f)
 }
 
-// measure runs clients for d.For; each sends one query after another.
-func (d flightCmd) measure(ctx context.Context, f *fleet.Fleet, a asker, clients int) figure {
-	took := hdrhistogram.New(1, 60_000_000, 3)
+// runClients runs clients for d.For; each sends one query after another.
+func (d flightCmd) runClients(ctx context.Context, f *fleet.Fleet, a queryClient, clients int) throughput {
+	allLatencies := hdrhistogram.New(1, 60_000_000, 3)
 	var mu sync.Mutex
 	var wg sync.WaitGroup
 	var refused, failed atomic.Int64
@@ -61,32 +61,32 @@
 	end := start.Add(d.For)
 	for i := range clients {
 		wg.Go(func() {
-			own := hdrhistogram.New(1, 60_000_000, 3)
+			latencies := hdrhistogram.New(1, 60_000_000, 3)
 			for n := i; time.Now().Before(end) && ctx.Err() == nil; n += clients {
-				begun := time.Now()
-				cctx, cancel := context.WithDeadline(ctx, begun.Add(5*time.Second))
+				sent := time.Now()
+				cctx, cancel := context.WithDeadline(ctx, sent.Add(5*time.Second))
 				var r refusal
-				if err := a.ask(cctx, n); errors.As(err, &r) {
+				if err := a.query(cctx, n); errors.As(err, &r) {
 					refused.Add(1)
 					time.Sleep(r.after)
 				} else if err != nil {
 					failed.Add(1)
 				} else {
-					_ = own.RecordValue(time.Since(begun).Microseconds()) // fails above a minute; queries end after 5 s
+					_ = latencies.RecordValue(time.Since(sent).Microseconds()) // fails above a minute; queries end after 5 s
 				}
 				cancel()
 			}
 			mu.Lock()
 			defer mu.Unlock()
-			took.Merge(own)
+			allLatencies.Merge(latencies)
 		})
 	}
 	wg.Wait()
 	seconds := time.Since(start).Seconds()
-	one := figure{Clients: clients, PerS: float64(took.TotalCount()) / seconds, P50: float64(took.ValueAtQuantile(50)) / 1000,
-		P99: float64(took.ValueAtQuantile(99)) / 1000, Refused: refused.Load(), Failed: failed.Load()}
-	if n := took.TotalCount(); n > 0 {
-		one.CPU = float64((f.CPU() - cpu).Microseconds()) / float64(n)
+	result := throughput{Clients: clients, PerS: float64(allLatencies.TotalCount()) / seconds, P50: float64(allLatencies.ValueAtQuantile(50)) / 1000,
+		P99: float64(allLatencies.ValueAtQuantile(99)) / 1000, Refused: refused.Load(), Failed: failed.Load()}
+	if n := allLatencies.TotalCount(); n > 0 {
+		result.CPU = float64((f.CPU() - cpu).Microseconds()) / float64(n)
 	}
-	return one
+	return result
 }
--- a/cmd/gullfall-lab/flight_season.go
+++ b/cmd/gullfall-lab/flight_season.go
@@ -14,8 +14,8 @@
 	"gullfall/internal/lab/flightsuite"
 )
 
-// season is the result of streaming a large volume with one compression.
-type season struct {
+// volumeReport is the result of streaming a large volume with one compression.
+type volumeReport struct {
 	Codec    string  `json:"compression"`
 	MiB      float64 `json:"mib"`
 	MiBPerS  float64 `json:"mib_per_s"`
@@ -24,41 +24,41 @@
 	Failed   int64   `json:"failed"`
 }
 
-// seasons streams d.Season MiB with each compression through a coordinator limited to 64 MB.
-func (d flightCmd) seasons(ctx context.Context, r *flightReport) error {
+// measureVolumes streams d.Season MiB with each compression through a coordinator limited to 64 MB.
+func (d flightCmd) measureVolumes(ctx context.Context, r *flightReport) error {
 	if d.Season <= 0 {
 		return nil
 	}
 	const fill = 200 << 10
 	for _, codec := range []string{"none", "lz4", "zstd"} {
 		f, err := fleet.Start(ctx, fleet.Options{Nodes: 8, Cells: 4, Shards: 16, TTL: 60, Transfer: true, Takes: time.Millisecond,
-			Binary: binary(d.Binary), Seed: 1, Flight: true, AllFlight: true, Fill: fill, MemoryMB: 64})
+			Binary: gullfallPath(d.Binary), Seed: 1, Flight: true, AllFlight: true, Fill: fill, MemoryMB: 64})
 		if err != nil {
 			return errors.Join(err, f.Stop())
 		}
 		time.Sleep(time.Second)
-		s, err := d.season(ctx, f, codec)
+		s, err := d.streamVolume(ctx, f, codec)
 		if err := errors.Join(err, f.Stop()); err != nil {
 			return err
 		}
-		r.Seasons = append(r.Seasons, s)
+		r.Volumes = append(r.Volumes, s)
 		fmt.Printf("season, compression %-5s %6.0f MiB at %6.1f MiB/s, %d MB of memory at most, %d refused, %d failed\n", codec, s.MiB, s.MiBPerS, s.MemoryMB, s.Refused, s.Failed)
 	}
 	return nil
 }
 
-// season streams d.Season MiB with one compression to four concurrent clients.
-func (d flightCmd) season(ctx context.Context, f *fleet.Fleet, codec string) (season, error) {
-	c, err := flightsuite.Dial(env(f, nil))
+// streamVolume streams d.Season MiB with one compression to four concurrent clients.
+func (d flightCmd) streamVolume(ctx context.Context, f *fleet.Fleet, codec string) (volumeReport, error) {
+	c, err := flightsuite.Dial(suiteEnv(f, nil))
 	if err != nil {
-		return season{}, err
+		return volumeReport{}, err
 	}
 	defer c.Close()
 	session, err := c.Session(ctx, map[string]*gen.SessionOptionValue{"compression": {OptionValue: &gen.SessionOptionValue_StringValue{StringValue: codec}}})
 	if err != nil {
-		return season{}, err
+		return volumeReport{}, err
 	}
-	stream := &seasonStream{client: session}
+	stream := &volumeStream{client: session}
 	var wg sync.WaitGroup
 	start := time.Now()
 	for range 4 {
@@ -70,22 +70,22 @@
 	}
 	wg.Wait()
 	mib := float64(stream.bytes.Load()) / (1 << 20)
-	return season{Codec: codec, MiB: mib, MiBPerS: mib / time.Since(start).Seconds(), MemoryMB: f.Peak(), Refused: stream.refused.Load(), Failed: stream.failed.Load()}, nil
+	return volumeReport{Codec: codec, MiB: mib, MiBPerS: mib / time.Since(start).Seconds(), MemoryMB: f.Peak(), Refused: stream.refused.Load(), Failed: stream.failed.Load()}, nil
 }
 
-// seasonStream counts the queries and bytes of the clients that stream one volume.
-type seasonStream struct {
+// volumeStream counts the queries and bytes of the clients that stream one volume.
+type volumeStream struct {
 	client                       *flightsuite.Client
 	next, bytes, refused, failed atomic.Int64
 }
 
 // read sends the next query and reads its answer; after a refusal it waits for the given delay.
-func (s *seasonStream) read(ctx context.Context) {
+func (s *volumeStream) read(ctx context.Context) {
 	ctx, cancel := context.WithDeadline(ctx, time.Now().Add(2*time.Second))
 	g, err := s.client.Get(ctx, s.client.Question("", fourShards(int(s.next.Add(1)))...))
 	cancel()
 	var r refusal
-	if errors.As(retryAfter(err), &r) {
+	if errors.As(asRefusal(err), &r) {
 		s.refused.Add(1)
 		time.Sleep(r.after)
 		return
--- a/cmd/gullfall-lab/formats_test.go
+++ b/cmd/gullfall-lab/formats_test.go
@@ -10,8 +10,8 @@
 	"gullfall/internal/lab/workplan"
 )
 
-// TestReportForms checks that the JSON reports keep the keys of earlier versions.
-func TestReportForms(t *testing.T) {
+// TestReportJSONKeys checks that the JSON reports keep the keys of earlier versions.
+func TestReportJSONKeys(t *testing.T) {
 	golden.JSON(t, "forms.json", map[string]any{
 		"demo classes":   golden.Filled[[]classReport](),
 		"demo rules":     golden.Filled[[]rule](),
@@ -28,6 +28,6 @@
 		"work":           golden.Filled[workReport](),
 		"zones":          golden.Filled[fleet.ZonePlay](),
 		"zones cases":    golden.Filled[fleet.ZoneResult](),
-		"zones one play": golden.Filled[zonePlay](),
+		"zones one play": golden.Filled[zoneRun](),
 	})
 }
--- a/cmd/gullfall-lab/main.go
+++ b/cmd/gullfall-lab/main.go
@@ -43,8 +43,8 @@
 	}
 }
 
-// binary returns the path of the gullfall program: the value of the flag, or else gullfall in this program's directory.
-func binary(flag string) string {
+// gullfallPath returns the path of the gullfall program: the value of the flag, or else gullfall in this program's directory.
+func gullfallPath(flag string) string {
 	if flag != "" {
 		return flag
 	}
--- a/cmd/gullfall-lab/model.go
+++ b/cmd/gullfall-lab/model.go
@@ -26,17 +26,17 @@
 
 // modelRow is the result of one way of detection over all seeds.
 type modelRow struct {
-	Way      string    `json:"way"`
-	Served   float64   `json:"served"`
-	First10  float64   `json:"served_first_10s"` // after the zone's failure
-	Worst    float64   `json:"worst_half_second"`
-	Gone     float64   `json:"attempts_at_lost_zone"` // mean
-	Fell     int       `json:"pushed_over"`           // data nodes that failed by overload while they warmed up
-	Lost     int       `json:"lost"`
-	Twins    int       `json:"twins"`            // attempts of one part in flight at the same time
-	After    int       `json:"after_grace"`      // attempts sent to a draining data node after its grace
-	Attempts float64   `json:"attempts"`         // mean
-	Over     []float64 `json:"served_over_time"` // mean for each half second
+	Way                string    `json:"way"`
+	Served             float64   `json:"served"`
+	First10            float64   `json:"served_first_10s"` // after the zone's failure
+	WorstHalfSecond    float64   `json:"worst_half_second"`
+	AttemptsAtLostZone float64   `json:"attempts_at_lost_zone"` // mean
+	PushedOver         int       `json:"pushed_over"`           // data nodes that failed by overload while they warmed up
+	Lost               int       `json:"lost"`
+	Twins              int       `json:"twins"`            // attempts of one part in flight at the same time
+	AfterGrace         int       `json:"after_grace"`      // attempts sent to a draining data node after its grace
+	Attempts           float64   `json:"attempts"`         // mean
+	ServedOverTime     []float64 `json:"served_over_time"` // mean for each half second
 }
 
 // Run simulates the day for each way and prints a table.
@@ -44,15 +44,15 @@
 	var rows []modelRow
 	fmt.Printf("%-10s %8s %10s %8s %10s %8s %6s\n", "way", "served", "first 10 s", "worst", "at lost", "pushed", "lost")
 	for _, way := range model.Ways {
-		row, err := m.row(way)
+		row, err := m.simulate(way)
 		if err != nil {
 			return err
 		}
 		rows = append(rows, row)
-		fmt.Printf("%-10s %8.4f %10.4f %8.3f %10.0f %8d %6d\n", way, row.Served, row.First10, row.Worst, row.Gone, row.Fell, row.Lost)
+		fmt.Printf("%-10s %8.4f %10.4f %8.3f %10.0f %8d %6d\n", way, row.Served, row.First10, row.WorstHalfSecond, row.AttemptsAtLostZone, row.PushedOver, row.Lost)
 	}
 	if m.Plot != "" {
-		if err := m.draw(rows); err != nil {
+		if err := m.savePlot(rows); err != nil {
 			return err
 		}
 	}
@@ -60,16 +60,16 @@
 		return err
 	}
 	for _, r := range rows {
-		if r.Fell+r.Lost+r.Twins+r.After > 0 {
-			return fmt.Errorf("%s: %d data nodes overloaded while warming up, %d queries lost, %d concurrent attempts of one part, %d attempts sent after a drain's grace", r.Way, r.Fell, r.Lost, r.Twins, r.After)
+		if r.PushedOver+r.Lost+r.Twins+r.AfterGrace > 0 {
+			return fmt.Errorf("%s: %d data nodes overloaded while warming up, %d queries lost, %d concurrent attempts of one part, %d attempts sent after a drain's grace", r.Way, r.PushedOver, r.Lost, r.Twins, r.AfterGrace)
 		}
 	}
 	return nil
 }
 
-// row simulates the day for one way with every seed and returns means; failures are summed.
-func (m *modelCmd) row(way string) (row modelRow, err error) {
-	row = modelRow{Way: way, Worst: 1}
+// simulate simulates the day for one way with every seed and returns means; failures are summed.
+func (m *modelCmd) simulate(way string) (row modelRow, err error) {
+	row = modelRow{Way: way, WorstHalfSecond: 1}
 	for seed := range m.Seeds {
 		c, err := model.Day(m.Day, way, m.Coordinators, m.Load, uint64(seed+1))
 		if err != nil {
@@ -80,32 +80,32 @@
 			return row, err
 		}
 		n := float64(m.Seeds)
-		row.Served, row.Gone, row.Attempts = row.Served+f.Served/n, row.Gone+float64(f.Gone)/n, row.Attempts+f.Attempts/n
-		row.Fell, row.Lost, row.Twins, row.After = row.Fell+f.Fell, row.Lost+f.Lost, row.Twins+f.Twins, row.After+f.After
-		if row.Over == nil {
-			row.Over = make([]float64, len(f.Over))
+		row.Served, row.AttemptsAtLostZone, row.Attempts = row.Served+f.Served/n, row.AttemptsAtLostZone+float64(f.Gone)/n, row.Attempts+f.Attempts/n
+		row.PushedOver, row.Lost, row.Twins, row.AfterGrace = row.PushedOver+f.Fell, row.Lost+f.Lost, row.Twins+f.Twins, row.AfterGrace+f.After
+		if row.ServedOverTime == nil {
+			row.ServedOverTime = make([]float64, len(f.Over))
 		}
-		for i := range min(len(row.Over), len(f.Over)) {
-			row.Over[i] += f.Over[i] / n
+		for i := range min(len(row.ServedOverTime), len(f.Over)) {
+			row.ServedOverTime[i] += f.Over[i] / n
 		}
 	}
-	row.Worst = slices.Min(row.Over)
-	from := int(model.Lost.Seconds() * 2)
-	for _, x := range row.Over[from : from+20] {
+	row.WorstHalfSecond = slices.Min(row.ServedOverTime)
+	first := int(model.Lost.Seconds() * 2)
+	for _, x := range row.ServedOverTime[first : first+20] {
 		row.First10 += x / 20
 	}
 	return row, nil
 }
 
-// draw plots the served share over time, a line for each way.
-func (m *modelCmd) draw(rows []modelRow) error {
+// savePlot plots the served share over time, a line for each way.
+func (m *modelCmd) savePlot(rows []modelRow) error {
 	p := plot.New()
 	p.Title.Text = fmt.Sprintf("%s: %d coordinators, load %.2f, mean of %d seeds", m.Day, m.Coordinators, m.Load, m.Seeds)
 	p.X.Label.Text, p.Y.Label.Text = "seconds", "served within the aim, share"
 	p.Legend.Left = true
 	for i, r := range rows {
 		var points plotter.XYs
-		for k, y := range r.Over {
+		for k, y := range r.ServedOverTime {
 			points = append(points, plotter.XY{X: float64(k) / 2, Y: y})
 		}
 		line, err := plotter.NewLine(points)
--- a/cmd/gullfall-lab/orphans_test.go
+++ b/cmd/gullfall-lab/orphans_test.go
@@ -12,9 +12,9 @@
 	"time"
 )
 
-// TestNoProcessIsLeft checks that the lab ignores SIGHUP, and that the coordinators it started end when it is killed. The first child of
-// a Go program may be a short-lived probe of package os, so the coordinator is identified by its process name.
-func TestNoProcessIsLeft(t *testing.T) {
+// TestKilledLabLeavesNoCoordinators checks that the lab ignores SIGHUP, and that the coordinators it started end when it is killed. The
+// first child of a Go program may be a short-lived probe of package os, so the coordinator is identified by its process name.
+func TestKilledLabLeavesNoCoordinators(t *testing.T) {
 	dir := t.TempDir()
 	if out, err := exec.Command("go", "build", "-o", dir, "gullfall/cmd/gullfall", "gullfall/cmd/gullfall-lab").CombinedOutput(); err != nil {
 		t.Fatalf("%v\n%s", err, out)
--- a/cmd/gullfall-lab/peers.go
+++ b/cmd/gullfall-lab/peers.go
@@ -55,12 +55,12 @@
 // Run injects faults and prints the report; with --sizes it simulates fleets instead.
 func (p *peersCmd) Run() (err error) {
 	if len(p.Sizes) > 0 {
-		return p.sizes()
+		return p.simulateSizes()
 	}
 	ctx, cancel := context.WithDeadline(context.Background(), time.Now().Add(2*p.For+2*time.Minute))
 	defer cancel()
 	f, err := fleet.StartPeers(ctx, fleet.PeersOptions{Coordinators: p.Coordinators, Period: p.Period, Timeout: p.Period / 4,
-		Bear: p.Bear, Binary: binary(p.Binary), Seed: p.Seed})
+		Bear: p.Bear, Binary: gullfallPath(p.Binary), Seed: p.Seed})
 	defer func() {
 		if f != nil {
 			err = errors.Join(err, f.Stop())
@@ -69,7 +69,7 @@
 	if err != nil {
 		return err
 	}
-	r, err := p.play(ctx, f)
+	r, err := p.injectFaults(ctx, f)
 	fmt.Printf("%12s %6s %10s %14s %14s %12s %8s %11s %9s\n", "coordinators", "faults", "false_dead", "detect_p50_ms", "detect_p99_ms", "heal_p99_ms", "disagree", "bytes_per_s", "cpu_share")
 	fmt.Printf("%12d %6d %10d %14.0f %14.0f %12.0f %8d %11.0f %9.4f\n", r.Coordinators, r.Faults, r.FalseDead, r.DetectP50MS, r.DetectP99MS, r.HealP99MS, r.Disagree, r.BytesPerS, r.CPUShare)
 	if err := errors.Join(err, writeJSON(p.JSON, r)); err != nil {
@@ -81,106 +81,106 @@
 	return nil
 }
 
-// longestAgreement is the time limit for the views of all coordinators to become equal after a fault.
-const longestAgreement = 60 * time.Second
+// agreementTimeout limits the time for the views of all coordinators to become equal after a fault.
+const agreementTimeout = 60 * time.Second
 
-// peersPlay is the state of one run.
-type peersPlay struct {
-	cmd      *peersCmd
-	fleet    *fleet.Peers
-	chance   *rand.Rand
-	report   *peersReport
-	detected []time.Duration // from each kill until all other coordinators knew of it
-	healed   []time.Duration // from the end of each fault until all views were equal
-	cpu      float64         // baseline at the start: processor seconds used by the processes that still run
-	bytes    int64           // baseline at the start: bytes sent by these processes
+// peersRun is the state of one run.
+type peersRun struct {
+	cmd              *peersCmd
+	fleet            *fleet.Peers
+	rng              *rand.Rand
+	report           *peersReport
+	detectionTimes   []time.Duration // from each kill until all other coordinators knew of it
+	convergenceTimes []time.Duration // from the end of each fault until all views were equal
+	baseCPU          float64         // baseline at the start: processor seconds used by the processes that still run
+	baseBytes        int64           // baseline at the start: bytes sent by these processes
 }
 
-// play injects one fault after the other; after each, all views must become equal and correct again.
-func (p *peersCmd) play(ctx context.Context, f *fleet.Peers) (r peersReport, err error) {
+// injectFaults injects one fault after the other; after each, all views must become equal and correct again.
+func (p *peersCmd) injectFaults(ctx context.Context, f *fleet.Peers) (r peersReport, err error) {
 	r = peersReport{Coordinators: p.Coordinators, Seed: p.Seed, Kinds: map[string]int{}}
-	play := &peersPlay{cmd: p, fleet: f, chance: rand.New(rand.NewPCG(p.Seed, 0xfa17)), report: &r}
-	if _, err := f.Until(ctx, time.Now().Add(longestAgreement)); err != nil {
+	run := &peersRun{cmd: p, fleet: f, rng: rand.New(rand.NewPCG(p.Seed, 0xfa17)), report: &r}
+	if _, err := f.Until(ctx, time.Now().Add(agreementTimeout)); err != nil {
 		return r, fmt.Errorf("wait for equal views at the start: %w", err)
 	}
 	began := time.Now()
-	play.cpu, play.bytes = p.cpu(f.Coords...), p.bytes(ctx, f, p.all()...)
+	run.baseCPU, run.baseBytes = p.cpuSeconds(f.Coords...), p.bytesSent(ctx, f, p.indexes()...)
 	for end := time.Now().Add(p.For); time.Now().Before(end) && ctx.Err() == nil && (p.Faults == 0 || r.Faults < p.Faults); {
 		r.Faults++
-		if err := play.round(ctx); err != nil {
+		if err := run.runRound(ctx); err != nil {
 			return r, err
 		}
 	}
 	took, n := time.Since(began).Seconds(), float64(p.Coordinators)
 	ms := func(d time.Duration) float64 { return float64(d.Microseconds()) / 1000 }
-	r.DetectP50MS, r.DetectP99MS = ms(swimsim.Quantile(play.detected, 0.5)), ms(swimsim.Quantile(play.detected, 0.99))
-	r.HealP99MS = ms(swimsim.Quantile(play.healed, 0.99))
-	r.BytesPerS = max(0, float64(p.bytes(ctx, f, p.all()...)-play.bytes)) / took / n
-	r.CPUShare = max(0, p.cpu(f.Coords...)-play.cpu) / took / n
+	r.DetectP50MS, r.DetectP99MS = ms(swimsim.Quantile(run.detectionTimes, 0.5)), ms(swimsim.Quantile(run.detectionTimes, 0.99))
+	r.HealP99MS = ms(swimsim.Quantile(run.convergenceTimes, 0.99))
+	r.BytesPerS = max(0, float64(p.bytesSent(ctx, f, p.indexes()...)-run.baseBytes)) / took / n
+	r.CPUShare = max(0, p.cpuSeconds(f.Coords...)-run.baseCPU) / took / n
 	return r, nil
 }
 
-// round injects one fault, waits until all views are equal again and counts the deaths that the fault doesn't explain.
-func (p *peersPlay) round(ctx context.Context) error {
-	i, j := p.pair()
-	before := p.deaths()
-	what, excused, err := p.fault(ctx, i, j)
+// runRound injects one fault, waits until all views are equal again and counts the deaths that the fault doesn't explain.
+func (p *peersRun) runRound(ctx context.Context) error {
+	i, j := p.randomPair()
+	before := p.countDeaths()
+	fault, deathsExpected, err := p.injectFault(ctx, i, j)
 	if err != nil {
 		return err
 	}
 	r := p.report
-	r.Kinds[kind(what)]++
-	took, err := p.fleet.Until(ctx, time.Now().Add(longestAgreement))
-	p.healed = append(p.healed, took)
+	r.Kinds[faultKind(fault)]++
+	took, err := p.fleet.Until(ctx, time.Now().Add(agreementTimeout))
+	p.convergenceTimes = append(p.convergenceTimes, took)
 	if err != nil {
-		p.disagreed(what, err)
+		p.recordDisagreement(fault, err)
 	}
-	got := p.deaths() - before
-	if r.Deaths += max(got, 0); got > 0 && !excused {
-		fmt.Fprintf(os.Stderr, "fault %d, %s: %d times a running coordinator was considered dead\n", r.Faults, what, got)
+	got := p.countDeaths() - before
+	if r.Deaths += max(got, 0); got > 0 && !deathsExpected {
+		fmt.Fprintf(os.Stderr, "fault %d, %s: %d times a running coordinator was considered dead\n", r.Faults, fault, got)
 		r.FalseDead += got
 	}
 	return nil
 }
 
-// pair returns two different random coordinators.
-func (p *peersPlay) pair() (i, j int) {
-	i, j = p.chance.IntN(p.cmd.Coordinators), p.chance.IntN(p.cmd.Coordinators-1)
+// randomPair returns two different random coordinators.
+func (p *peersRun) randomPair() (i, j int) {
+	i, j = p.rng.IntN(p.cmd.Coordinators), p.rng.IntN(p.cmd.Coordinators-1)
 	if j >= i {
 		j++
 	}
 	return i, j
 }
 
-// deaths counts the log lines in which coordinators declared others dead.
-func (p *peersPlay) deaths() (n int) {
+// countDeaths counts the log lines in which coordinators declared others dead.
+func (p *peersRun) countDeaths() (n int) {
 	for i := range p.cmd.Coordinators {
 		n += p.fleet.Died(fleet.PeerName(i))
 	}
 	return n
 }
 
-// disagreed reports and counts a fault after which the views didn't become equal.
-func (p *peersPlay) disagreed(what string, err error) {
-	fmt.Fprintf(os.Stderr, "fault %d, %s: %v\n", p.report.Faults, what, err)
+// recordDisagreement reports and counts a fault after which the views didn't become equal.
+func (p *peersRun) recordDisagreement(fault string, err error) {
+	fmt.Fprintf(os.Stderr, "fault %d, %s: %v\n", p.report.Faults, fault, err)
 	p.report.Disagree++
 }
 
-// fault injects one random fault at coordinator i, or between i and j, and undoes it. excused reports whether the fault may make
-// others consider a coordinator dead: a crash, or a partition in both directions.
-func (p *peersPlay) fault(ctx context.Context, i, j int) (what string, excused bool, err error) {
+// injectFault injects one random fault at coordinator i, or between i and j, and undoes it. deathsExpected reports
+// whether the fault may make others consider a coordinator dead: a crash, or a partition in both directions.
+func (p *peersRun) injectFault(ctx context.Context, i, j int) (fault string, deathsExpected bool, err error) {
 	n, period, pause := p.cmd.Coordinators, p.cmd.Period, p.cmd.Bear
-	switch p.chance.IntN(10) {
+	switch p.rng.IntN(10) {
 	case 0, 1:
-		d := pause/4 + time.Duration(p.chance.Int64N(int64(pause*3/4)))
+		d := pause/4 + time.Duration(p.rng.Int64N(int64(pause*3/4)))
 		return fmt.Sprintf("one stalled for %v", d), false, p.stall(d, i)
 	case 2:
-		some := p.chance.Perm(n)[:max(1, n/5)]
+		some := p.rng.Perm(n)[:max(1, n/5)]
 		return "a fifth stalled", false, p.stall(pause*3/4, some...)
 	case 3:
-		return "all stalled", false, p.stall(pause, p.cmd.all()...)
+		return "all stalled", false, p.stall(pause, p.cmd.indexes()...)
 	case 4:
-		loss := proxy.Loss{Lost: 0.2 * p.chance.Float64(), Twice: 0.1, Delay: time.Millisecond, Reorder: 20 * time.Millisecond}
+		loss := proxy.Loss{Lost: 0.2 * p.rng.Float64(), Twice: 0.1, Delay: time.Millisecond, Reorder: 20 * time.Millisecond}
 		err := p.fleet.Set(loss)
 		time.Sleep(10 * period)
 		return fmt.Sprintf("%.0f%% lost", 100*loss.Lost), false, errors.Join(err, p.fleet.Set(proxy.Loss{}))
@@ -200,7 +200,7 @@
 }
 
 // stall stops the processes of some coordinators for the duration d.
-func (p *peersPlay) stall(d time.Duration, list ...int) (err error) {
+func (p *peersRun) stall(d time.Duration, list ...int) (err error) {
 	for _, i := range list {
 		err = errors.Join(err, p.fleet.Stall(i))
 	}
@@ -213,22 +213,22 @@
 
 // kill sends SIGKILL to a coordinator, waits until all others know of it and restarts it. The old process's processor time and bytes
 // are taken out of the baseline, as they no longer appear in the totals.
-func (p *peersPlay) kill(ctx context.Context, i int) error {
-	p.cpu -= p.cmd.cpu(p.fleet.Coords[i])
-	p.bytes -= p.cmd.bytes(ctx, p.fleet, i)
+func (p *peersRun) kill(ctx context.Context, i int) error {
+	p.baseCPU -= p.cmd.cpuSeconds(p.fleet.Coords[i])
+	p.baseBytes -= p.cmd.bytesSent(ctx, p.fleet, i)
 	if err := p.fleet.Kill(i); err != nil {
 		return err
 	}
-	took, err := p.fleet.Until(ctx, time.Now().Add(longestAgreement))
+	took, err := p.fleet.Until(ctx, time.Now().Add(agreementTimeout))
 	if err != nil {
-		p.disagreed("one killed", err)
+		p.recordDisagreement("one killed", err)
 	}
-	p.detected = append(p.detected, took)
+	p.detectionTimes = append(p.detectionTimes, took)
 	return p.fleet.Start(ctx, i)
 }
 
 // starve limits a coordinator to a twentieth of the processor time, by stopping it for 95 of every 100 ms.
-func (p *peersPlay) starve(i int) (err error) {
+func (p *peersRun) starve(i int) (err error) {
 	for end := time.Now().Add(15 * p.cmd.Period); time.Now().Before(end); {
 		err = errors.Join(err, p.fleet.Stall(i))
 		time.Sleep(95 * time.Millisecond)
@@ -239,7 +239,7 @@
 }
 
 // ring cuts the connection from each coordinator to the next, in this direction only.
-func (p *peersPlay) ring() (err error) {
+func (p *peersRun) ring() (err error) {
 	n := p.cmd.Coordinators
 	for k := range n {
 		err = errors.Join(err, p.fleet.Cut(k, (k+1)%n))
@@ -252,9 +252,9 @@
 }
 
 // split partitions the coordinators in both directions; the smaller side has half of them at most.
-func (p *peersPlay) split() (err error) {
+func (p *peersRun) split() (err error) {
 	n := p.cmd.Coordinators
-	side := p.chance.Perm(n)[:1+p.chance.IntN(n/2)]
+	side := p.rng.Perm(n)[:1+p.rng.IntN(n/2)]
 	for _, a := range side {
 		for b := range n {
 			if !slices.Contains(side, b) {
@@ -262,7 +262,7 @@
 			}
 		}
 	}
-	time.Sleep(time.Duration(p.chance.Int64N(int64(40 * p.cmd.Period))))
+	time.Sleep(time.Duration(p.rng.Int64N(int64(40 * p.cmd.Period))))
 	for a := range n {
 		for b := range n {
 			if a != b {
@@ -273,26 +273,26 @@
 	return err
 }
 
-// kind returns a fault's description without its figures.
-func kind(what string) string {
-	what, _, _ = strings.Cut(what, " for ")
-	if strings.HasSuffix(what, "% lost") {
+// faultKind returns a fault's description without its figures.
+func faultKind(fault string) string {
+	fault, _, _ = strings.Cut(fault, " for ")
+	if strings.HasSuffix(fault, "% lost") {
 		return "lost packets"
 	}
-	return what
+	return fault
 }
 
-// all returns the indexes of all coordinators.
-func (p *peersCmd) all() (list []int) {
+// indexes returns the indexes of all coordinators.
+func (p *peersCmd) indexes() (list []int) {
 	for i := range p.Coordinators {
 		list = append(list, i)
 	}
 	return list
 }
 
-// bytes returns the number of bytes that some coordinators have sent; those that don't answer are left out.
-func (p *peersCmd) bytes(ctx context.Context, f *fleet.Peers, who ...int) (n int64) {
-	for _, i := range who {
+// bytesSent returns the number of bytes that some coordinators have sent; those that don't answer are left out.
+func (p *peersCmd) bytesSent(ctx context.Context, f *fleet.Peers, indexes ...int) (n int64) {
+	for _, i := range indexes {
 		if v, err := f.View(ctx, i); err == nil {
 			n += v.BytesSent
 		}
@@ -300,8 +300,8 @@
 	return n
 }
 
-// cpu returns the processor time of some processes, in seconds; those that don't run are left out.
-func (p *peersCmd) cpu(list ...*fleet.Coordinator) (s float64) {
+// cpuSeconds returns the processor time of some processes, in seconds; those that don't run are left out.
+func (p *peersCmd) cpuSeconds(list ...*fleet.Coordinator) (s float64) {
 	for _, c := range list {
 		raw, err := os.ReadFile(filepath.Join("/proc", strconv.Itoa(c.Pid()), "stat"))
 		if err != nil {
--- a/cmd/gullfall-lab/peers_sizes.go
+++ b/cmd/gullfall-lab/peers_sizes.go
@@ -25,30 +25,30 @@
 	BearS       float64 `json:"bear_s"`        // the longest pause to tolerate, seconds
 	FalseDead   int     `json:"false_dead"`    // running members considered dead
 	DetectP50MS float64 `json:"detect_p50_ms"` // from a crash until half of the members know it
-	DetectMS    float64 `json:"detect_all_ms"` // and until all know it
-	PacketsS    float64 `json:"packets_per_s"` // sent by each member
-	BytesS      float64 `json:"bytes_per_s"`   // sent by each member
+	DetectAllMS float64 `json:"detect_all_ms"` // and until all know it
+	PacketsPerS float64 `json:"packets_per_s"` // sent by each member
+	BytesPerS   float64 `json:"bytes_per_s"`   // sent by each member
 }
 
-// sizes simulates fleets in virtual time: two minutes of pauses and packet loss, then up to three crashes.
-func (p *peersCmd) sizes() error {
+// simulateSizes simulates fleets in virtual time: two minutes of pauses and packet loss, then up to three crashes.
+func (p *peersCmd) simulateSizes() error {
 	var rows []sizeRow
 	fmt.Printf("%8s %-10s %5s %6s %10s %14s %14s %10s %9s\n", "members", "detect", "loss", "bear_s", "false_dead", "detect_p50_ms", "detect_all_ms", "packets/s", "bytes/s")
 	for _, n := range p.Sizes {
-		plan := p.sizePlan(n)
+		plan := p.planSizes(n)
 		// The number of concurrent simulations is limited by memory: each member stores an entry for every other, some 500 bytes and
 		// as much again for the garbage collector.
 		var group errgroup.Group
 		group.SetLimit(max(1, min(runtime.GOMAXPROCS(0), 10_000_000/(n*n))))
 		for i := range plan {
-			group.Go(func() error { return p.size(&plan[i]) })
+			group.Go(func() error { return p.simulate(&plan[i]) })
 		}
 		if err := group.Wait(); err != nil {
 			return err
 		}
 		runtime.GC()
 		for _, row := range plan {
-			fmt.Printf("%8d %-10s %5.2f %6.1f %10d %14.0f %14.0f %10.2f %9.0f\n", row.Members, row.Detect, row.Loss, row.BearS, row.FalseDead, row.DetectP50MS, row.DetectMS, row.PacketsS, row.BytesS)
+			fmt.Printf("%8d %-10s %5.2f %6.1f %10d %14.0f %14.0f %10.2f %9.0f\n", row.Members, row.Detect, row.Loss, row.BearS, row.FalseDead, row.DetectP50MS, row.DetectAllMS, row.PacketsPerS, row.BytesPerS)
 		}
 		rows = append(rows, plan...)
 	}
@@ -60,11 +60,11 @@
 	return writeJSON(p.JSON, map[string]any{"rows": rows, "seed": p.Seed})
 }
 
-// sizePlan returns the fleets of one size to simulate.
-func (p *peersCmd) sizePlan(n int) (plan []sizeRow) {
+// planSizes returns the fleets of one size to simulate.
+func (p *peersCmd) planSizes(n int) (plan []sizeRow) {
 	if p.Curve {
-		for _, bear := range []float64{0.001, 0.5, 1, 2, 3, 5} {
-			plan = append(plan, sizeRow{Members: n, Detect: "swim", Loss: 0.2, BearS: bear})
+		for _, maxPause := range []float64{0.001, 0.5, 1, 2, 3, 5} {
+			plan = append(plan, sizeRow{Members: n, Detect: "swim", Loss: 0.2, BearS: maxPause})
 		}
 		return plan
 	}
@@ -83,18 +83,18 @@
 	return plan
 }
 
-// size simulates the fleet of a row and fills in its results.
-func (p *peersCmd) size(row *sizeRow) error {
-	n, detect, bear := row.Members, row.Detect, time.Duration(row.BearS*float64(time.Second))
+// simulate simulates the fleet of a row and fills in its results.
+func (p *peersCmd) simulate(row *sizeRow) error {
+	n, detect, maxPause := row.Members, row.Detect, time.Duration(row.BearS*float64(time.Second))
 	// With heartbeats every member watches every other. Above 300 members only some are simulated as watchers, and their counts are
 	// scaled up to all members.
-	watchers, stands := n, 1.0
+	watchers, scale := n, 1.0
 	if detect == "heartbeat" && n > 300 {
 		watchers = 90_000 / n
-		stands = float64(n) / float64(watchers)
+		scale = float64(n) / float64(watchers)
 	}
 	f, err := swimsim.New(swimsim.Config{Members: n, Watchers: watchers, Seed: p.Seed, Detect: detect, Fixed: 5 * time.Second, Delay: 2 * time.Millisecond,
-		Jitter: 5 * time.Millisecond, Swim: swim.Config{Period: time.Second, MaxPause: bear}})
+		Jitter: 5 * time.Millisecond, Swim: swim.Config{Period: time.Second, MaxPause: maxPause}})
 	if err != nil {
 		return err
 	}
@@ -109,8 +109,8 @@
 		f.Run(f.Now() + 10*time.Second)
 	}
 	span := (f.Now() - from).Seconds()
-	row.FalseDead = int(float64(f.FalseDead-before) * stands)
-	row.PacketsS, row.BytesS = float64(f.Packets-packets)/span/float64(n)*stands, float64(f.Bytes-bytes)/span/float64(n)*stands
+	row.FalseDead = int(float64(f.FalseDead-before) * scale)
+	row.PacketsPerS, row.BytesPerS = float64(f.Packets-packets)/span/float64(n)*scale, float64(f.Bytes-bytes)/span/float64(n)*scale
 	var half, all []time.Duration
 	crashes := min(3, n/3)
 	if n > 1000 {
@@ -121,7 +121,7 @@
 		half, all = append(half, h), append(all, a)
 	}
 	row.DetectP50MS = float64(swimsim.Quantile(half, 0.5).Milliseconds())
-	row.DetectMS = float64(swimsim.Quantile(all, 0.5).Milliseconds())
+	row.DetectAllMS = float64(swimsim.Quantile(all, 0.5).Milliseconds())
 	return nil
 }
 
@@ -130,13 +130,13 @@
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return err
 	}
-	for _, of := range []struct {
+	for _, metric := range []struct {
 		name, label string
 		value       func(sizeRow) float64
 	}{{"false_dead", "members taken for dead that were not", func(r sizeRow) float64 { return float64(r.FalseDead) }},
-		{"detection", "crash known to all, s", func(r sizeRow) float64 { return r.DetectMS / 1000 }}} {
+		{"detection", "crash known to all, s", func(r sizeRow) float64 { return r.DetectAllMS / 1000 }}} {
 		pic := plot.New()
-		pic.Title.Text, pic.X.Label.Text, pic.Y.Label.Text = of.name, "share of packets lost", of.label
+		pic.Title.Text, pic.X.Label.Text, pic.Y.Label.Text = metric.name, "share of packets lost", metric.label
 		lines := map[string]plotter.XYs{}
 		var names []string
 		for _, r := range rows {
@@ -144,7 +144,7 @@
 			if lines[name] == nil {
 				names = append(names, name)
 			}
-			lines[name] = append(lines[name], plotter.XY{X: r.Loss, Y: of.value(r)})
+			lines[name] = append(lines[name], plotter.XY{X: r.Loss, Y: metric.value(r)})
 		}
 		for i, name := range names {
 			line, points, err := plotter.NewLinePoints(lines[name])
@@ -155,7 +155,7 @@
 			pic.Add(line, points)
 			pic.Legend.Add(name, line)
 		}
-		if err := pic.Save(18*vg.Centimeter, 12*vg.Centimeter, filepath.Join(dir, of.name+".png")); err != nil {
+		if err := pic.Save(18*vg.Centimeter, 12*vg.Centimeter, filepath.Join(dir, metric.name+".png")); err != nil {
 			return err
 		}
 	}
--- a/cmd/gullfall-lab/replicate.go
+++ b/cmd/gullfall-lab/replicate.go
@@ -47,17 +47,17 @@
 	P50AnswerMS  float64        `json:"p50_first_answer_ms,omitempty"` // of a coordinator that starts alone with Remembered data nodes
 	P99AnswerMS  float64        `json:"p99_first_answer_ms,omitempty"`
 	Seed         uint64         `json:"seed"`
-	Said         []string       `json:"said,omitempty"` // a line for each lost write
+	LostWrites   []string       `json:"said,omitempty"` // a line for each lost write
 }
 
 // absence is the result of restarting a member that missed part of the log.
 type absence struct {
-	Name       string  `json:"name"`
-	Missed     uint64  `json:"missed"` // entries
-	LogBytes   int64   `json:"log_bytes"`
-	CatchUpMS  float64 `json:"catchup_ms"`
-	BytesSent  int64   `json:"bytes_sent"`      // between members, from the restart until the member had caught up
-	AnsweredMS float64 `json:"first_answer_ms"` // from the restart until the member answered
+	Name          string  `json:"name"`
+	MissedEntries uint64  `json:"missed"` // entries
+	LogBytes      int64   `json:"log_bytes"`
+	CatchUpMS     float64 `json:"catchup_ms"`
+	BytesSent     int64   `json:"bytes_sent"`      // between members, from the restart until the member had caught up
+	FirstAnswerMS float64 `json:"first_answer_ms"` // from the restart until the member answered
 }
 
 // Run injects the faults while clients use the store, then checks the history and prints the report.
@@ -66,7 +66,7 @@
 	defer cancel()
 	r := replicateReport{Kinds: map[string]int{}, Seed: c.Seed}
 	w, err := fleet.StartMaintenanceFleet(ctx, fleet.MaintenanceOptions{Coordinators: c.Coordinators, Voters: c.Voters, PerZone: 4, Rate: 1, Floor: 2, Share: 0.35, Bound: time.Second,
-		Lease: 2 * time.Second, Warm: workWarm, Heartbeat: 300 * time.Millisecond, Work: 400 * time.Millisecond, Binary: binary(c.Binary), Seed: c.Seed})
+		Lease: 2 * time.Second, Warm: workWarm, Heartbeat: 300 * time.Millisecond, Work: 400 * time.Millisecond, Binary: gullfallPath(c.Binary), Seed: c.Seed})
 	if w != nil {
 		defer func() { err = errors.Join(err, w.Stop()) }()
 	}
@@ -80,11 +80,11 @@
 	var wg sync.WaitGroup
 	sent := w.Sent()
 	wg.Go(func() { clients.Run(working) })
-	p := &replicatePlay{c: c, w: w, chance: rand.New(rand.NewPCG(c.Seed, 22)), kinds: r.Kinds}
+	p := &replicateRun{c: c, w: w, rng: rand.New(rand.NewPCG(c.Seed, 22)), kinds: r.Kinds}
 	for r.Faults < c.Faults && err == nil && ctx.Err() == nil {
-		if err = p.fault(ctx); err == nil {
+		if err = p.injectFault(ctx); err == nil {
 			r.Faults++
-			time.Sleep(time.Duration(50+p.chance.IntN(400)) * time.Millisecond)
+			time.Sleep(time.Duration(50+p.rng.IntN(400)) * time.Millisecond)
 		}
 	}
 	stop()
@@ -99,7 +99,7 @@
 		return err
 	}
 	if c.Away {
-		if r.Away, err = p.away(ctx); err != nil {
+		if r.Away, err = p.measureAbsences(ctx); err != nil {
 			return err
 		}
 	}
@@ -110,10 +110,10 @@
 	}
 	r.Operations, r.Committed, r.Unknown = clients.History.Counts()
 	r.BytesPerOp = float64(sent) / float64(max(r.Operations, 1))
-	r.Said = clients.History.Lost(final)
-	r.Lost = len(r.Said)
+	r.LostWrites = clients.History.Lost(final)
+	r.Lost = len(r.LostWrites)
 	r.Linearizable, r.Checked = clients.History.Check(2 * time.Minute)
-	r.P50CatchUpMS, r.P99CatchUpMS, r.P99StartMS = quantileMS(p.caught, 0.5), quantileMS(p.caught, 0.99), quantileMS(p.starts, 0.99)
+	r.P50CatchUpMS, r.P99CatchUpMS, r.P99StartMS = quantileMS(p.catchUpTimes, 0.5), quantileMS(p.catchUpTimes, 0.99), quantileMS(p.startTimes, 0.99)
 	r.print()
 	if err := writeJSON(c.JSON, r); err != nil {
 		return err
@@ -126,7 +126,7 @@
 
 // measureRemembered starts a single coordinator 20 times and measures the time from its start to its first answer.
 func (c *replicateCmd) measureRemembered(ctx context.Context, r *replicateReport) error {
-	_, answers, err := fleet.Remembered(ctx, binary(c.Binary), c.Remembered, 20, c.Seed)
+	_, answers, err := fleet.Remembered(ctx, gullfallPath(c.Binary), c.Remembered, 20, c.Seed)
 	if err != nil {
 		return err
 	}
@@ -142,10 +142,10 @@
 	fmt.Printf("%-28s linearizable %v (checked %v), %d acknowledged writes lost\n", "history", r.Linearizable, r.Checked, r.Lost)
 	fmt.Printf("%-28s %.0f ms at the median, %.0f ms at the 99th percentile; first connection after %.0f ms\n", "caught up after a start", r.P50CatchUpMS, r.P99CatchUpMS, r.P99StartMS)
 	for _, a := range r.Away {
-		fmt.Printf("%-28s %d entries, %.1f MB; answers after %.0f ms, caught up after %.0f ms, %.1f MB sent\n", "away for "+a.Name, a.Missed, float64(a.LogBytes)/1e6,
-			a.AnsweredMS, a.CatchUpMS, float64(a.BytesSent)/1e6)
+		fmt.Printf("%-28s %d entries, %.1f MB; answers after %.0f ms, caught up after %.0f ms, %.1f MB sent\n", "away for "+a.Name, a.MissedEntries, float64(a.LogBytes)/1e6,
+			a.FirstAnswerMS, a.CatchUpMS, float64(a.BytesSent)/1e6)
 	}
-	for _, s := range r.Said[:min(len(r.Said), 10)] {
+	for _, s := range r.LostWrites[:min(len(r.LostWrites), 10)] {
 		fmt.Println("  " + s)
 	}
 }
@@ -159,21 +159,22 @@
 	return float64(list[min(int(q*float64(len(list))), len(list)-1)].Microseconds()) / 1000
 }
 
-// replicatePlay injects the faults of one run and collects the times of the restarts.
-type replicatePlay struct {
-	c      *replicateCmd
-	w      *fleet.MaintenanceFleet
-	chance *rand.Rand
-	kinds  map[string]int
-	starts []time.Duration
-	caught []time.Duration
+// replicateRun injects the faults of one run and collects the times of the restarts.
+type replicateRun struct {
+	c            *replicateCmd
+	w            *fleet.MaintenanceFleet
+	rng          *rand.Rand
+	kinds        map[string]int
+	startTimes   []time.Duration
+	catchUpTimes []time.Duration
 }
 
-// errCatchUp is returned if a restarted member does not catch up in time.
-var errCatchUp = errors.New("catch-up timed out")
+// errNotCaughtUp is returned if a restarted member does not catch up in time.
+var errNotCaughtUp = errors.New("catch-up timed out")
 
-// start restarts a member. It records how long the start takes, and how long until the member has applied the log up to its current length.
-func (p *replicatePlay) start(ctx context.Context, i int) error {
+// restart starts a stopped member again. It records how long the start takes, and how long until the member has applied the log up to its
+// current length.
+func (p *replicateRun) restart(ctx context.Context, i int) error {
 	var want uint64
 	for j := range p.c.Coordinators {
 		if j != i && p.w.Up(j) {
@@ -186,22 +187,22 @@
 	if err := p.w.Start(ctx, i); err != nil {
 		return err
 	}
-	p.starts = append(p.starts, time.Since(begun))
+	p.startTimes = append(p.startTimes, time.Since(begun))
 	for end := time.Now().Add(15 * time.Second); ; time.Sleep(5 * time.Millisecond) {
 		at, _, err := p.w.Applied(ctx, i)
 		if err == nil && at >= want {
-			p.caught = append(p.caught, time.Since(begun))
+			p.catchUpTimes = append(p.catchUpTimes, time.Since(begun))
 			return nil
 		}
 		if time.Now().After(end) {
-			return fmt.Errorf("%s has applied the log up to entry %d 15 s after its start, want %d: %w", fleet.PeerName(i), at, want, errors.Join(errCatchUp, err))
+			return fmt.Errorf("%s has applied the log up to entry %d 15 s after its start, want %d: %w", fleet.PeerName(i), at, want, errors.Join(errNotCaughtUp, err))
 		}
 	}
 }
 
-// away stops the last member, writes through another as much as in a minute and in a day, and restarts it. A minute is 1,200 values of
-// 100 bytes (20 a second); a day is several times the retained log: 8,000 values of 4,000 bytes.
-func (p *replicatePlay) away(ctx context.Context) (list []absence, err error) {
+// measureAbsences stops the last member, writes through another as much as in a minute and in a day, and restarts it. A minute is 1,200
+// values of 100 bytes (20 a second); a day is several times the retained log: 8,000 values of 4,000 bytes.
+func (p *replicateRun) measureAbsences(ctx context.Context) (list []absence, err error) {
 	last := p.c.Coordinators - 1
 	for _, a := range []struct {
 		name                string
@@ -223,17 +224,17 @@
 			return nil, err
 		}
 		sent, begun := p.w.Sent(), time.Now()
-		if err := p.start(ctx, last); err != nil {
+		if err := p.restart(ctx, last); err != nil {
 			return nil, fmt.Errorf("restart after an absence of %s: %w", a.name, err)
 		}
 		list = append(list, absence{a.name, to - from, int64(a.notes) * int64(a.length), float64(time.Since(begun).Microseconds()) / 1000, p.w.Sent() - sent,
-			float64(p.starts[len(p.starts)-1].Microseconds()) / 1000})
+			float64(p.startTimes[len(p.startTimes)-1].Microseconds()) / 1000})
 	}
 	return list, nil
 }
 
 // leader returns the store's leader as the first coordinator that answers knows it, or else a random coordinator.
-func (p *replicatePlay) leader(ctx context.Context) int {
+func (p *replicateRun) leader(ctx context.Context) int {
 	for i := range p.c.Coordinators {
 		if !p.w.Up(i) {
 			continue
@@ -246,34 +247,34 @@
 			}
 		}
 	}
-	return p.chance.IntN(p.c.Coordinators)
+	return p.rng.IntN(p.c.Coordinators)
 }
 
-// fault injects one random fault and undoes it.
-func (p *replicatePlay) fault(ctx context.Context) (err error) {
+// injectFault injects one random fault and undoes it.
+func (p *replicateRun) injectFault(ctx context.Context) (err error) {
 	w, n := p.w, p.c.Coordinators
-	some := p.chance.IntN(n)
-	if p.chance.IntN(2) == 0 {
-		some = p.leader(ctx)
+	target := p.rng.IntN(n)
+	if p.rng.IntN(2) == 0 {
+		target = p.leader(ctx)
 	}
-	while := time.Duration(50+p.chance.IntN(900)) * time.Millisecond
-	f := drawLinkFault(p.chance)
-	inject := faultInjector{fleet: w, coordinators: n, restart: p.start}
+	duration := time.Duration(50+p.rng.IntN(900)) * time.Millisecond
+	f := randomLinkFault(p.rng)
+	inject := faultInjector{fleet: w, coordinators: n, restart: p.restart}
 	kind := ""
-	switch k := p.chance.IntN(20); {
+	switch k := p.rng.IntN(20); {
 	case k < 5:
-		kind, err = "kill", inject.kill(ctx, some, while/2)
+		kind, err = "kill", inject.kill(ctx, target, duration/2)
 	case k < 9:
-		kind, err = "stall", inject.stall(while, some)
+		kind, err = "stall", inject.stall(duration, target)
 	case k < 13:
-		kind, err = "isolate "+f.String(), inject.isolate(some, f, while)
+		kind, err = "isolate "+f.String(), inject.isolate(target, f, duration)
 	case k < 16:
-		to := (some + 1 + p.chance.IntN(n-1)) % n
-		kind, err = "one way "+f.String(), inject.cut(some, to, f, while)
+		to := (target + 1 + p.rng.IntN(n-1)) % n
+		kind, err = "one way "+f.String(), inject.cut(target, to, f, duration)
 	case k < 18:
-		kind, err = "split", inject.split(while)
+		kind, err = "split", inject.split(duration)
 	case k < 19:
-		kind, err = "end", inject.end(ctx, some)
+		kind, err = "end", inject.end(ctx, target)
 	default:
 		kind, err = "all killed", inject.killAll(ctx)
 	}
--- a/cmd/gullfall-lab/work.go
+++ b/cmd/gullfall-lab/work.go
@@ -56,16 +56,16 @@
 	Served        float64        `json:"served"`          // share of the queries that were served
 	ServedIdle    float64        `json:"served_idle"`     // the same without maintenance
 	ServedRatio   float64        `json:"served_ratio"`    // Served over ServedIdle
-	Said          []string       `json:"said,omitempty"`  // a line for each violation
+	Violations    []string       `json:"said,omitempty"`  // a line for each violation
 }
 
 // Run measures without and with maintenance, prints the report and checks the rules.
 func (c *workCmd) Run() error {
-	idle, err := c.playIdle(c.Baseline)
+	idle, err := c.runIdle(c.Baseline)
 	if err != nil {
 		return err
 	}
-	r, err := c.playWork(c.For)
+	r, err := c.runMaintenance(c.For)
 	if err != nil {
 		return err
 	}
@@ -79,7 +79,7 @@
 	fmt.Printf("%-28s %d over the bound of %.1f; %d parts at most in the first second\n", "cold returns", r.OverColdBound, r.ColdBound, r.MostReturn)
 	fmt.Printf("%-28s %.1f s\n", "longest without a move", r.StalledMS/1000)
 	fmt.Printf("%-28s %.4f, and %.4f with no work going on: %.4f\n", "served", r.Served, r.ServedIdle, r.ServedRatio)
-	for _, s := range r.Said {
+	for _, s := range r.Violations {
 		fmt.Println("  " + s)
 	}
 	if err := writeJSON(c.JSON, r); err != nil {
@@ -93,37 +93,37 @@
 
 const workWarm = 5 * time.Second // warm-up time of the simulated data nodes
 
-// playIdle injects faults without maintenance.
-func (c *workCmd) playIdle(d time.Duration) (workReport, error) {
-	return c.play(d, func(ctx context.Context, p *workPlay) error { return p.faults(ctx, d) })
+// runIdle injects faults without maintenance.
+func (c *workCmd) runIdle(d time.Duration) (workReport, error) {
+	return c.runFleet(d, func(ctx context.Context, p *workRun) error { return p.injectFaults(ctx, d) })
 }
 
-// playWork injects faults during maintenance, and waits until every request has ended.
-func (c *workCmd) playWork(d time.Duration) (workReport, error) {
-	return c.play(d, func(ctx context.Context, p *workPlay) error {
-		var asking sync.WaitGroup
+// runMaintenance injects faults during maintenance, and waits until every request has ended.
+func (c *workCmd) runMaintenance(d time.Duration) (workReport, error) {
+	return c.runFleet(d, func(ctx context.Context, p *workRun) error {
+		var operators sync.WaitGroup
 		stop := make(chan struct{})
-		asking.Go(func() { p.ask(ctx, stop) })
-		if err := p.faults(ctx, d); err != nil {
+		operators.Go(func() { p.keepRequestsOpen(ctx, stop) })
+		if err := p.injectFaults(ctx, d); err != nil {
 			return err
 		}
 		close(stop)
-		asking.Wait()
-		if err := p.complete(ctx); err != nil {
-			p.report.Said = append(p.report.Said, err.Error())
+		operators.Wait()
+		if err := p.awaitRequests(ctx); err != nil {
+			p.report.Violations = append(p.report.Violations, err.Error())
 		}
 		return nil
 	})
 }
 
-// play starts a fleet, runs body on it and returns the measurements. The deadline is d and 4 minutes more.
-func (c *workCmd) play(d time.Duration, body func(context.Context, *workPlay) error) (r workReport, err error) {
+// runFleet starts a fleet, runs body on it and returns the measurements. The deadline is d and 4 minutes more.
+func (c *workCmd) runFleet(d time.Duration, body func(context.Context, *workRun) error) (r workReport, err error) {
 	ctx, cancel := context.WithDeadline(context.Background(), time.Now().Add(d+4*time.Minute))
 	defer cancel()
 	r.Coordinators, r.Kinds = c.Coordinators, map[string]int{}
 	w, err := fleet.StartMaintenanceFleet(ctx, fleet.MaintenanceOptions{Coordinators: c.Coordinators, Voters: c.Voters, PerZone: c.PerZone, Rate: c.Rate, Floor: 2, Share: 0.35,
 		Bound: time.Second, Lease: 2 * time.Second, Warm: workWarm, Heartbeat: 500 * time.Millisecond, Work: 400 * time.Millisecond,
-		Binary: binary(c.Binary), Seed: c.Seed})
+		Binary: gullfallPath(c.Binary), Seed: c.Seed})
 	if w != nil {
 		defer func() { err = errors.Join(err, w.Stop()) }()
 	}
@@ -132,7 +132,7 @@
 	}
 	time.Sleep(5 * time.Second) // all are present, and the load is steady
 	r.ColdBound = fleet.WorkColdBound(workWarm)
-	p := &workPlay{c: c, w: w, chance: rand.New(rand.NewPCG(c.Seed, 9)), report: &r}
+	p := &workRun{c: c, w: w, rng: rand.New(rand.NewPCG(c.Seed, 9)), report: &r}
 	if err := body(ctx, p); err != nil {
 		return r, err
 	}
@@ -141,22 +141,22 @@
 	return r, nil
 }
 
-// faults injects one fault after the other for the duration d, and then undoes those that remain.
-func (p *workPlay) faults(ctx context.Context, d time.Duration) error {
+// injectFaults injects one fault after the other for the duration d, and then undoes those that remain.
+func (p *workRun) injectFaults(ctx context.Context, d time.Duration) error {
 	for end := time.Now().Add(d); time.Now().Before(end) && ctx.Err() == nil; {
-		if err := p.fault(ctx); err != nil {
+		if err := p.injectFault(ctx); err != nil {
 			return err
 		}
 		p.report.Faults++
-		time.Sleep(time.Duration(300+p.chance.IntN(900)) * time.Millisecond)
+		time.Sleep(time.Duration(300+p.rng.IntN(900)) * time.Millisecond)
 	}
-	return p.mend(ctx)
+	return p.undoFaults(ctx)
 }
 
-// complete waits until every request has ended, and resumes those that are paused or stopped. The limit is 2 minutes.
-func (p *workPlay) complete(ctx context.Context) error {
+// awaitRequests waits until every request has ended, and resumes those that are paused or stopped. The limit is 2 minutes.
+func (p *workRun) awaitRequests(ctx context.Context) error {
 	r := p.report
-	return p.w.Until(ctx, "all maintenance requests end", time.Now().Add(2*time.Minute), func(v agent.View) bool {
+	return p.w.Until(ctx, "every request ends", time.Now().Add(2*time.Minute), func(v agent.View) bool {
 		r.Requests, r.Completed = int(v.Plan.Next), int(v.Plan.Next)
 		for _, q := range v.Plan.Requests {
 			if q.State == maintenance.Finished || q.State == maintenance.GivenUp {
@@ -177,7 +177,7 @@
 	f := w.Verdict()
 	r.Machines, r.Moves, r.SentWhileOut, r.FloorBroken, r.TwoOrders = f.HandedOver, w.Moves(), f.SentWhileOut, f.FloorBroken, f.TwoOrders
 	r.Overtaken = f.Overtaken
-	r.Said = append(r.Said, f.Said...)
+	r.Violations = append(r.Violations, f.Said...)
 	r.Asked, r.Lost, r.Wrong, r.Refused, r.Failed = clean.Asked, clean.Lost, clean.Wrong, clean.Refused, clean.Failed
 	r.Served = float64(clean.Served) / float64(max(clean.Asked, 1))
 	for _, n := range w.Returns {
@@ -189,24 +189,25 @@
 	r.Twins = w.Ledger.Account().Twins
 }
 
-// workPlay injects the faults and makes the maintenance requests of one run.
-type workPlay struct {
+// workRun injects the faults and makes the maintenance requests of one run.
+type workRun struct {
 	c      *workCmd
 	w      *fleet.MaintenanceFleet
-	chance *rand.Rand
+	rng    *rand.Rand
 	report *workReport
 }
 
-// ask keeps up to two maintenance requests open, made at random coordinators, so that requests of two operators overlap in time.
-func (p *workPlay) ask(ctx context.Context, stop chan struct{}) {
-	chance := rand.New(rand.NewPCG(p.c.Seed, 10))
+// keepRequestsOpen keeps up to two maintenance requests open, made at random coordinators, so that requests of two operators overlap in
+// time.
+func (p *workRun) keepRequestsOpen(ctx context.Context, stop chan struct{}) {
+	rng := rand.New(rand.NewPCG(p.c.Seed, 10))
 	for {
 		select {
 		case <-stop:
 			return
 		case <-time.After(300 * time.Millisecond):
 		}
-		i := chance.IntN(p.c.Coordinators)
+		i := rng.IntN(p.c.Coordinators)
 		if !p.w.Up(i) {
 			continue
 		}
@@ -229,60 +230,60 @@
 			}
 			continue
 		}
-		p.request(ctx, i, chance)
+		p.makeRequest(ctx, i, rng)
 	}
 }
 
-// request asks a coordinator for maintenance of a zone or, in one of three cases, of all machines.
-func (p *workPlay) request(ctx context.Context, i int, chance *rand.Rand) {
-	a := agent.Request{By: fmt.Sprint("operator at ", i), Takes: time.Minute, Back: time.Minute, GoOn: true, Zone: []string{"a", "b", "c"}[chance.IntN(3)]}
-	if chance.IntN(3) == 0 {
+// makeRequest asks a coordinator for maintenance of a zone or, in one of three cases, of all machines.
+func (p *workRun) makeRequest(ctx context.Context, i int, rng *rand.Rand) {
+	a := agent.Request{By: fmt.Sprint("operator at ", i), Takes: time.Minute, Back: time.Minute, GoOn: true, Zone: []string{"a", "b", "c"}[rng.IntN(3)]}
+	if rng.IntN(3) == 0 {
 		a.Zone, a.All = "", true
 	}
 	_, _ = p.w.Ask(ctx, i, a) // requests that overlap another are rejected
 }
 
-// fault injects one random fault and undoes it.
-func (p *workPlay) fault(ctx context.Context) error {
+// injectFault injects one random fault and undoes it.
+func (p *workRun) injectFault(ctx context.Context) error {
 	w, n := p.w, p.c.Coordinators
-	some := p.chance.IntN(n)
-	if h := w.Holder(ctx); h >= 0 && p.chance.IntN(2) == 0 {
-		some = h
+	target := p.rng.IntN(n)
+	if h := w.Holder(ctx); h >= 0 && p.rng.IntN(2) == 0 {
+		target = h
 	}
-	while := time.Duration(500+p.chance.IntN(3000)) * time.Millisecond
-	f := drawLinkFault(p.chance)
+	duration := time.Duration(500+p.rng.IntN(3000)) * time.Millisecond
+	f := randomLinkFault(p.rng)
 	inject := faultInjector{fleet: w, coordinators: n, restart: w.Start}
-	switch kind := p.chance.IntN(20); {
+	switch kind := p.rng.IntN(20); {
 	case kind < 5:
 		p.report.Kinds["kill"]++
-		return inject.kill(ctx, some, while/2)
+		return inject.kill(ctx, target, duration/2)
 	case kind < 9:
 		p.report.Kinds["stall"]++
-		return inject.stall(while, some)
+		return inject.stall(duration, target)
 	case kind < 12:
 		p.report.Kinds["isolate "+f.String()]++
-		return inject.isolate(some, f, while)
+		return inject.isolate(target, f, duration)
 	case kind < 14:
 		p.report.Kinds["one way "+f.String()]++
-		to := (some + 1 + p.chance.IntN(n-1)) % n
-		return inject.cut(some, to, f, while)
+		to := (target + 1 + p.rng.IntN(n-1)) % n
+		return inject.cut(target, to, f, duration)
 	case kind < 16:
 		p.report.Kinds["split"]++
-		return inject.split(while)
+		return inject.split(duration)
 	case kind < 17:
 		p.report.Kinds["end"]++
-		return inject.end(ctx, some)
+		return inject.end(ctx, target)
 	case kind < 19:
 		p.report.Kinds["data node"]++
-		return w.Crash(p.chance.IntN(len(w.Nodes)), while/2)
+		return w.Crash(p.rng.IntN(len(w.Nodes)), duration/2)
 	default:
 		p.report.Kinds["all killed"]++
 		return inject.killAll(ctx)
 	}
 }
 
-// mend removes all link faults and restarts the coordinators that don't run.
-func (p *workPlay) mend(ctx context.Context) error {
+// undoFaults removes all link faults and restarts the coordinators that don't run.
+func (p *workRun) undoFaults(ctx context.Context) error {
 	for i := range p.c.Coordinators {
 		if err := p.w.Isolate(i, proxy.Pass); err != nil {
 			return err
--- a/cmd/gullfall-lab/zones.go
+++ b/cmd/gullfall-lab/zones.go
@@ -37,8 +37,8 @@
 	Plot         string        `help:"Plot the load of each zone over time to zones-node.png and zones-zone.png in this directory."`
 }
 
-// zonePlay is the result of one run.
-type zonePlay struct {
+// zoneRun is the result of one measurement of a zone's fault.
+type zoneRun struct {
 	Judged        string                 `json:"judged"` // judgedByNode or judgedByZone
 	Coordinators  int                    `json:"coordinators"`
 	LeaveMS       float64                `json:"leave_ms"`        // from the fault's start to the zone's last attempt in it
@@ -55,13 +55,13 @@
 	load          map[string]plotter.XYs // parts a second and data node over seconds, by zone
 }
 
-// faults maps the values of --fault.
-var faults = map[string]proxy.Fault{"drop": proxy.Drop, "cut": proxy.Cut, "reset": proxy.Reset}
+// faultsByName maps the values of --fault.
+var faultsByName = map[string]proxy.Fault{"drop": proxy.Drop, "cut": proxy.Cut, "reset": proxy.Reset}
 
 // zoneNames lists the zones of a run.
 var zoneNames = []string{"a", "b", "c"}
 
-// Values of zonePlay.Judged: whether coordinators judge the health of each data node separately or also that of a zone as a whole.
+// Values of zoneRun.Judged: whether coordinators judge the health of each data node separately or also that of a zone as a whole.
 const (
 	judgedByNode = "node"
 	judgedByZone = "zone"
@@ -70,41 +70,41 @@
 // Run measures the zone's fault with both ways of judging, or runs the cases, and prints a table.
 func (z *zonesCmd) Run() error {
 	if z.Cases || z.Case != "" {
-		return z.cases()
+		return z.runCases()
 	}
-	var plays []zonePlay
-	for _, judged := range []string{judgedByNode, judgedByZone} {
-		p, err := z.play(judged)
+	var runs []zoneRun
+	for _, judgedBy := range []string{judgedByNode, judgedByZone} {
+		p, err := z.measure(judgedBy)
 		if err != nil {
 			return err
 		}
-		plays = append(plays, p)
+		runs = append(runs, p)
 	}
 	fmt.Printf("%-7s %12s %8s %9s %8s %5s %6s %6s %12s %6s %10s\n", "judged", "coordinators", "leave_ms", "into_zone",
 		"zone_out", "lost", "asked", "twins", "first_second", "bound", "return_ms")
 	bad := false
-	for _, p := range plays {
+	for _, p := range runs {
 		fmt.Printf("%-7s %12d %8.0f %9d %8d %5d %6d %6d %12d %6.1f %10.0f\n", p.Judged, p.Coordinators, p.LeaveMS,
 			p.IntoZone, p.ZoneOut, p.Lost, p.Asked, p.Twins, p.FirstSecond, p.ColdBound, p.ReturnMS)
 		fmt.Printf("        ends in the zone while away: %v\n", p.Ends)
 		bad = bad || p.Twins > 0
 		if z.Plot != "" {
-			if err := p.draw(filepath.Join(z.Plot, "zones-"+p.Judged+".png")); err != nil {
+			if err := p.savePlot(filepath.Join(z.Plot, "zones-"+p.Judged+".png")); err != nil {
 				return err
 			}
 		}
 	}
-	if err := writeJSON(z.JSON, map[string]any{"plays": plays, "seed": z.Seed, "fault": z.Fault}); err != nil {
+	if err := writeJSON(z.JSON, map[string]any{"plays": runs, "seed": z.Seed, "fault": z.Fault}); err != nil {
 		return err
 	}
-	if bad || plays[1].OverColdBound > 0 {
+	if bad || runs[1].OverColdBound > 0 {
 		return fmt.Errorf("rule violated: concurrent attempts of one part, or a returning data node over its warm-up bound")
 	}
 	return nil
 }
 
-// cases runs the cases, each on a fleet of its own.
-func (z *zonesCmd) cases() error {
+// runCases runs the cases, each on a fleet of its own.
+func (z *zonesCmd) runCases() error {
 	var results []fleet.ZoneResult
 	broken := 0
 	fmt.Printf("%-24s %9s %10s %6s %5s %6s %13s %6s\n", "case", "leave_ms", "return_ms", "asked", "lost", "twins", "first_second", "bound")
@@ -113,7 +113,7 @@
 			continue
 		}
 		ctx, cancel := context.WithDeadline(context.Background(), time.Now().Add(2*time.Minute))
-		r, err := fleet.PlayZones(ctx, c, fleet.ZonesOptions{Coordinators: max(z.Coordinators, 5), PerZone: z.PerZone, Rate: z.Rate, Binary: binary(z.Binary), Seed: z.Seed})
+		r, err := fleet.PlayZones(ctx, c, fleet.ZonesOptions{Coordinators: max(z.Coordinators, 5), PerZone: z.PerZone, Rate: z.Rate, Binary: gullfallPath(z.Binary), Seed: z.Seed})
 		cancel()
 		if err != nil {
 			return fmt.Errorf("%s: %w", c.Name, err)
@@ -133,79 +133,79 @@
 	return nil
 }
 
-// playOptions returns the options of the fleet of one run, judged by data node or by zone.
-func (z *zonesCmd) playOptions(judged string) fleet.ZonesOptions {
+// fleetOptions returns the options of the fleet of one run, judged by data node or by zone.
+func (z *zonesCmd) fleetOptions(judgedBy string) fleet.ZonesOptions {
 	return fleet.ZonesOptions{Coordinators: z.Coordinators, Zones: zoneNames, PerZone: z.PerZone, Rate: z.Rate,
-		Deploy: fmt.Sprintf("enabled = %v\n", judged == judgedByZone), Binary: binary(z.Binary), Seed: z.Seed}
+		Deploy: fmt.Sprintf("enabled = %v\n", judgedBy == judgedByZone), Binary: gullfallPath(z.Binary), Seed: z.Seed}
 }
 
-// play disconnects zone a for z.Away, reconnects it and returns the measurements.
-func (z *zonesCmd) play(judged string) (play zonePlay, err error) {
+// measure disconnects zone a for z.Away, reconnects it and returns the measurements.
+func (z *zonesCmd) measure(judgedBy string) (run zoneRun, err error) {
 	ctx, cancel := context.WithDeadline(context.Background(), time.Now().Add(2*time.Minute))
 	defer cancel()
-	play = zonePlay{Judged: judged, Coordinators: z.Coordinators, ColdBound: fleet.ZoneColdBound(), Ends: map[string]int{}, load: map[string]plotter.XYs{}}
-	f, err := fleet.StartZones(ctx, z.playOptions(judged))
+	run = zoneRun{Judged: judgedBy, Coordinators: z.Coordinators, ColdBound: fleet.ZoneColdBound(), Ends: map[string]int{}, load: map[string]plotter.XYs{}}
+	f, err := fleet.StartZones(ctx, z.fleetOptions(judgedBy))
 	if f != nil {
 		defer func() { err = errors.Join(err, f.Stop()) }()
 	}
 	if err != nil {
-		return play, err
+		return run, err
 	}
-	rates := newZoneRates(f, z.PerZone, &play)
+	sampler := newZoneRateSampler(f, z.PerZone, &run)
 	steady := 0.0
-	const looks = 20
-	for range looks {
-		time.Sleep(lookEvery)
-		steady += rates.look()["a"] / looks
+	const samples = 20
+	for range samples {
+		time.Sleep(sampleInterval)
+		steady += sampler.sample()["a"] / samples
 	}
 	began := time.Now()
-	if err := f.Set(faults[z.Fault], "a"); err != nil {
-		return play, err
+	if err := f.Set(faultsByName[z.Fault], "a"); err != nil {
+		return run, err
 	}
 	for time.Since(began) < z.Away {
-		time.Sleep(lookEvery)
-		rates.look()
+		time.Sleep(sampleInterval)
+		sampler.sample()
 	}
 	back := time.Now()
 	if err := f.Set(proxy.Pass, "a"); err != nil {
-		return play, err
+		return run, err
 	}
-	play.watchReturn(f, rates, back, steady)
+	run.watchReturn(f, sampler, back, steady)
 	f.EndLoad()
 	for i := range f.Coords {
 		t := f.Sum(i)
-		play.Asked += t.Asked
-		play.Lost += t.Failed + t.Lost + t.Wrong
+		run.Asked += t.Asked
+		run.Lost += t.Failed + t.Lost + t.Wrong
 	}
-	play.Twins = f.Ledger.Account().Twins
+	run.Twins = f.Ledger.Account().Twins
 	for _, c := range f.Coords {
-		if err := play.readLog(c, began, back); err != nil {
-			return play, err
+		if err := run.readLog(c, began, back); err != nil {
+			return run, err
 		}
 	}
-	return play, nil
+	return run, nil
 }
 
-// lookEvery is the interval between samples of the rates of parts.
-const lookEvery = 250 * time.Millisecond
+// sampleInterval is the interval between samples of the rates of parts.
+const sampleInterval = 250 * time.Millisecond
 
-// zoneRates samples, for each zone, the mean number of parts a second that start at a data node.
-type zoneRates struct {
+// zoneRateSampler samples, for each zone, the mean number of parts a second that start at a data node.
+type zoneRateSampler struct {
 	fleet   *fleet.Zones
 	perZone int
-	play    *zonePlay // receives the samples in its load
+	run     *zoneRun // receives the samples in its load
 	start   time.Time
 	last    map[string]map[string]int // parts by zone and data node, at lastAt
 	lastAt  time.Time
 }
 
-func newZoneRates(f *fleet.Zones, perZone int, play *zonePlay) *zoneRates {
+func newZoneRateSampler(f *fleet.Zones, perZone int, run *zoneRun) *zoneRateSampler {
 	now := time.Now()
-	return &zoneRates{fleet: f, perZone: perZone, play: play, start: now, last: map[string]map[string]int{}, lastAt: now}
+	return &zoneRateSampler{fleet: f, perZone: perZone, run: run, start: now, last: map[string]map[string]int{}, lastAt: now}
 }
 
-// look returns the rates by zone since the last sample and appends them to the run's load.
-func (l *zoneRates) look() map[string]float64 {
+// sample returns the rates by zone since the last sample and appends them to the run's load.
+func (l *zoneRateSampler) sample() map[string]float64 {
 	now, r := time.Now(), map[string]float64{}
 	for _, zone := range zoneNames {
 		parts := l.fleet.Parts(zone)
@@ -213,7 +213,7 @@
 			r[zone] += float64(n-l.last[zone][id]) / now.Sub(l.lastAt).Seconds() / float64(l.perZone)
 		}
 		l.last[zone] = parts
-		l.play.load[zone] = append(l.play.load[zone], plotter.XY{X: now.Sub(l.start).Seconds(), Y: r[zone]})
+		l.run.load[zone] = append(l.run.load[zone], plotter.XY{X: now.Sub(l.start).Seconds(), Y: r[zone]})
 	}
 	l.lastAt = now
 	return r
@@ -221,10 +221,10 @@
 
 // watchReturn counts the parts at each data node of zone a in the second after its first part, and measures the time until the zone's
 // rate, as the mean of a second, is four fifths of its steady rate again. It watches for 15 s.
-func (p *zonePlay) watchReturn(f *fleet.Zones, rates *zoneRates, back time.Time, steady float64) {
+func (p *zoneRun) watchReturn(f *fleet.Zones, sampler *zoneRateSampler, back time.Time, steady float64) {
 	first, counted := map[string]time.Time{}, map[string]bool{}
 	before := f.Parts("a")
-	var lately []float64 // the samples of the last second
+	var recent []float64 // the samples of the last second
 	for time.Since(back) < 15*time.Second {
 		time.Sleep(50 * time.Millisecond)
 		now := time.Now()
@@ -237,9 +237,9 @@
 				counted[id] = true
 			}
 		}
-		if now.Sub(rates.lastAt) >= lookEvery {
-			lately = append(lately, rates.look()["a"])
-			if lately = lately[max(0, len(lately)-4):]; p.ReturnMS == 0 && len(lately) == 4 && mean(lately) >= 0.8*steady {
+		if now.Sub(sampler.lastAt) >= sampleInterval {
+			recent = append(recent, sampler.sample()["a"])
+			if recent = recent[max(0, len(recent)-4):]; p.ReturnMS == 0 && len(recent) == 4 && mean(recent) >= 0.8*steady {
 				p.ReturnMS = float64(now.Sub(back).Milliseconds())
 			}
 		}
@@ -247,7 +247,7 @@
 }
 
 // countFirstSecond records the number of parts that one returning data node got in its first second.
-func (p *zonePlay) countFirstSecond(parts int) {
+func (p *zoneRun) countFirstSecond(parts int) {
 	p.FirstSecond = max(p.FirstSecond, parts)
 	if float64(parts) > p.ColdBound {
 		p.OverColdBound++
@@ -255,7 +255,7 @@
 }
 
 // readLog counts the attempts in zone a that a coordinator logged during the fault, and whether it logged the zone out.
-func (p *zonePlay) readLog(c *fleet.Coordinator, began, back time.Time) error {
+func (p *zoneRun) readLog(c *fleet.Coordinator, began, back time.Time) error {
 	away := func(line string) (time.Duration, bool) {
 		t, err := time.Parse(time.RFC3339Nano, logValue(line, "time"))
 		return t.Sub(began), err == nil && !t.Before(began) && t.Before(back)
@@ -288,8 +288,8 @@
 	return sum
 }
 
-// draw plots the load of each zone over time.
-func (p *zonePlay) draw(path string) error {
+// savePlot plots the load of each zone over time.
+func (p *zoneRun) savePlot(path string) error {
 	pic := plot.New()
 	pic.Legend.Top = true
 	pic.Title.Text, pic.X.Label.Text, pic.Y.Label.Text = "judged by "+p.Judged, "s", "parts a second at a data node"
