--- a/cmd/gullfall-lab/flight_askers.go
+++ b/cmd/gullfall-lab/flight_askers.go
@@ -37,7 +37,7 @@
 
 // queryClient sends queries of four parts by one protocol. Its methods may be called by many clients at once.
 type queryClient interface {
-	// ask sends query n and waits for its answer. If the server asks for a later retry, the error is a refusal.
+	// query sends query n and waits for its answer. If the server asks for a later retry, the error is a refusal.
 	query(ctx context.Context, n int) error
 	close()
 }
@@ -104,7 +104,7 @@
 func (a *platformClient) close() { a.transport.CloseIdleConnections() }
 
 // getClient sends each query as a separate DoGet call.
-type getClient struct{ list []*flightsuite.Client }
+type getClient struct{ conns []*flightsuite.Client }
 
 func newGetClient(f *fleet.Fleet, clients int) (*getClient, error) {
 	a := &getClient{}
@@ -114,13 +114,13 @@
 			a.close()
 			return nil, err
 		}
-		a.list = append(a.list, c)
+		a.conns = append(a.conns, c)
 	}
 	return a, nil
 }
 
 func (a *getClient) query(ctx context.Context, n int) error {
-	g, err := a.list[n%len(a.list)].Get(ctx, a.list[0].Question("", fourShards(n)...))
+	g, err := a.conns[n%len(a.conns)].Get(ctx, a.conns[0].Question("", fourShards(n)...))
 	if err == nil && !g.Complete {
 		err = errors.New("DoGet: incomplete answer")
 	}
@@ -128,15 +128,15 @@
 }
 
 func (a *getClient) close() {
-	for _, c := range a.list {
+	for _, c := range a.conns {
 		c.Close()
 	}
 }
 
 // exchangeClient multiplexes queries over a few DoExchange streams.
 type exchangeClient struct {
-	list   []*exchangeStream
-	lastID atomic.Int64
+	streams []*exchangeStream
+	lastID  atomic.Int64
 }
 
 // exchangeStream is one DoExchange stream with the queries that wait for an answer on it.
@@ -165,7 +165,7 @@
 		}
 		s := &exchangeStream{client: c, exchange: e, pending: map[string]chan error{}}
 		go func() { _ = e.Answers(s.deliver) }() // if the stream fails, its queries end at their deadlines
-		a.list = append(a.list, s)
+		a.streams = append(a.streams, s)
 	}
 	return a, nil
 }
@@ -188,7 +188,7 @@
 }
 
 func (a *exchangeClient) query(ctx context.Context, n int) error {
-	s := a.list[n%len(a.list)]
+	s := a.streams[n%len(a.streams)]
 	id, ch := strconv.FormatInt(a.lastID.Add(1), 10), make(chan error, 1)
 	s.mu.Lock()
 	s.pending[id] = ch
@@ -205,7 +205,7 @@
 }
 
 func (a *exchangeClient) close() {
-	for _, s := range a.list {
+	for _, s := range a.streams {
 		s.exchange.Leave()
 		s.client.Close()
 	}
--- a/cmd/gullfall-lab/model.go
+++ b/cmd/gullfall-lab/model.go
@@ -28,7 +28,7 @@
 type modelRow struct {
 	Way                string    `json:"way"`
 	Served             float64   `json:"served"`
-	First10            float64   `json:"served_first_10s"` // after the zone's failure
+	First10            float64   `json:"served_first_10s"` // mean of the 10 s after the zone's failure
 	WorstHalfSecond    float64   `json:"worst_half_second"`
 	AttemptsAtLostZone float64   `json:"attempts_at_lost_zone"` // mean
 	PushedOver         int       `json:"pushed_over"`           // data nodes that failed by overload while they warmed up
