--- a/cmd/gullfall-lab/flight.go
+++ b/cmd/gullfall-lab/flight.go
@@ -14,70 +14,71 @@
 	"gullfall/internal/lab/flightsuite"
 )
 
-// flightCmd runs the conformance suite of Arrow Flight against a coordinator, and measures it: throughput by clients and by way of
-// asking, slow readers, and large answers by compression.
+// flightCmd runs the Arrow Flight conformance suite against a coordinator and measures throughput by protocol and number of clients,
+// slow readers, and large answers by compression.
 type flightCmd struct {
-	Addr   string        `help:"Run the cases against this address only; a coordinator of our own is started without it."`
-	Class  string        `default:"report" help:"With --addr: the class that is asked."`
-	Shards int           `default:"16" help:"With --addr: how many shards there are."`
-	For    time.Duration `default:"3s" help:"How long each figure is measured."`
-	Slow   bool          `help:"Only the slow readers."`
-	Season int64         `default:"1024" help:"MiB of a season that are streamed; 0 leaves it out."`
-	Cases  bool          `help:"Only the cases."`
+	Addr   string        `help:"Run only the cases, against this address; without it, a coordinator is started."`
+	Class  string        `default:"report" help:"With --addr: the class of the queries."`
+	Shards int           `default:"16" help:"With --addr: number of shards."`
+	For    time.Duration `default:"3s" help:"Duration of each throughput measurement."`
+	Slow   bool          `help:"Run only the test with slow readers."`
+	Season int64         `default:"1024" help:"MiB to stream with each compression; 0 to skip."`
+	Cases  bool          `help:"Run only the cases."`
 	JSON   string        `name:"json" help:"Write the report to this file."`
-	Binary string        `help:"Where gullfall lies; beside this program by default."`
+	Binary string        `help:"Path of gullfall; by default in this program's directory."`
 }
 
-// flightReport is the report, with stable names.
+// flightReport is the result of a run. Its JSON keys are stable.
 type flightReport struct {
 	Cases   []flightsuite.Result `json:"cases"`
 	Passed  int                  `json:"passed"`
 	Failed  int                  `json:"failed"`
 	Skipped int                  `json:"skipped"`
-	Figures []figure             `json:"figures"`
-	Seasons []season             `json:"seasons"`
-	Slow    *slow                `json:"slow"`
+	Figures []throughput         `json:"figures"`
+	Volumes []volumeReport       `json:"seasons"`
+	Slow    *slowReaders         `json:"slow"`
 	Cores   int                  `json:"cores"`
 }
 
-// users are those of the fleet that knows who asks.
-var users = []flightsuite.User{{Owner: "sertao", Name: "sertao", Password: "palma", Token: "sertao-0123456789"},
+// testUsers lists the accounts of the fleet that requires authentication.
+var testUsers = []flightsuite.User{{Owner: "sertao", Name: "sertao", Password: "palma", Token: "sertao-0123456789"},
 	{Owner: "natal", Name: "natal", Password: "dunas", Token: "natal-0123456789abc"}}
 
-// Run runs the cases and measures.
+// Run runs the cases and the measurements that the flags select.
 func (d flightCmd) Run() error {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
 	defer stop()
 	r := &flightReport{Cores: runtime.NumCPU()}
 	if d.Addr != "" {
 		r.add("", flightsuite.Run(ctx, flightsuite.Env{Addr: d.Addr, Class: d.Class, Shards: d.Shards}))
-		return d.end(r)
+		return d.finish(r)
 	}
 	if d.Slow {
-		if err := d.slow(ctx, r); err != nil {
+		if err := d.measureSlowReaders(ctx, r); err != nil {
 			return err
 		}
-		return d.end(r)
+		return d.finish(r)
 	}
-	for _, who := range [][]flightsuite.User{nil, users} {
-		if err := d.cases(ctx, r, who); err != nil {
+	for _, users := range [][]flightsuite.User{nil, testUsers} {
+		if err := d.runCases(ctx, r, users); err != nil {
 			return err
 		}
 	}
 	if !d.Cases {
-		if err := d.figures(ctx, r); err != nil {
+		if err := d.measureThroughput(ctx, r); err != nil {
 			return err
 		}
-		if err := d.slow(ctx, r); err != nil {
+		if err := d.measureSlowReaders(ctx, r); err != nil {
 			return err
 		}
-		if err := d.seasons(ctx, r); err != nil {
+		if err := d.measureVolumes(ctx, r); err != nil {
 			return err
 		}
 	}
-	return d.end(r)
+	return d.finish(r)
 }
 
+// add appends results to the report, counts them and prints the failures. The prefix is put before each case's name.
 func (r *flightReport) add(prefix string, list []flightsuite.Result) {
 	for _, c := range list {
 		c.Name = prefix + c.Name
@@ -93,7 +94,8 @@
 	}
 }
 
-func (d flightCmd) end(r *flightReport) error {
+// finish prints the number of cases, writes the report and returns an error if a case or a measurement failed.
+func (d flightCmd) finish(r *flightReport) error {
 	fmt.Printf("cases: %d passed, %d failed, %d skipped\n", r.Passed, r.Failed, r.Skipped)
 	if err := writeJSON(d.JSON, r); err != nil {
 		return err
@@ -103,30 +105,30 @@
 	}
 	for _, f := range r.Figures {
 		if f.Failed > 0 {
-			return fmt.Errorf("%s by %d clients: %d queries failed", f.Way, f.Clients, f.Failed)
+			return fmt.Errorf("%s with %d clients: %d queries failed", f.Way, f.Clients, f.Failed)
 		}
 	}
 	if s := r.Slow; s != nil && (s.MemoryMB > 32 || s.Other > 0 || s.Served == 0) {
 		return fmt.Errorf("slow readers: %+v", *s)
 	}
-	for _, s := range r.Seasons {
+	for _, s := range r.Volumes {
 		if s.Failed > 0 || s.MemoryMB > 64 {
-			return fmt.Errorf("season, compression %s: %d failed, %d MB of memory", s.Codec, s.Failed, s.MemoryMB)
+			return fmt.Errorf("streaming with compression %s: %d queries failed, %d MB of memory used", s.Codec, s.Failed, s.MemoryMB)
 		}
 	}
 	return nil
 }
 
-// env is how the cases see a fleet.
-func env(f *fleet.Fleet, who []flightsuite.User) flightsuite.Env {
-	return flightsuite.Env{Addr: f.Flight, Class: "report", Shards: f.Shards, Doc: datanode.Doc, Users: who}
+// suiteEnv returns the environment in which the suite tests a fleet.
+func suiteEnv(f *fleet.Fleet, users []flightsuite.User) flightsuite.Env {
+	return flightsuite.Env{Addr: f.Flight, Class: "report", Shards: f.Shards, Doc: datanode.Doc, Users: users}
 }
 
-// cases runs the suite against a fleet of its own that knows these users, or lets everybody ask where there are none.
-func (d flightCmd) cases(ctx context.Context, r *flightReport, who []flightsuite.User) (err error) {
-	o := fleet.Options{Nodes: 8, Cells: 4, Shards: 16, TTL: 60, Transfer: true, Takes: 5 * time.Millisecond, Binary: binary(d.Binary), Seed: 1, Flight: true}
+// runCases runs the suite against a separate fleet with these users; without users the fleet requires no authentication.
+func (d flightCmd) runCases(ctx context.Context, r *flightReport, users []flightsuite.User) (err error) {
+	o := fleet.Options{Nodes: 8, Cells: 4, Shards: 16, TTL: 60, Transfer: true, Takes: 5 * time.Millisecond, Binary: gullfallPath(d.Binary), Seed: 1, Flight: true}
 	prefix := ""
-	for _, u := range who {
+	for _, u := range users {
 		prefix = "users: "
 		o.Deploy += fmt.Sprintf("[[flight.owner]]\nname = %q\nuser = %q\npassword = %q\ntoken = %q\n", u.Owner, u.Name, u.Password, u.Token)
 	}
@@ -136,14 +138,14 @@
 		return err
 	}
 	time.Sleep(time.Second)
-	r.add(prefix, flightsuite.Run(ctx, env(f, who)))
+	r.add(prefix, flightsuite.Run(ctx, suiteEnv(f, users)))
 	return checkAttempts(f)
 }
 
-// checkAttempts returns an error where a part was out twice at once, or was sent too often.
+// checkAttempts returns an error if two attempts of a part were in flight at once, or a part had more than 3 attempts.
 func checkAttempts(f *fleet.Fleet) error {
 	if a := f.Ledger.Account(); a.Twins > 0 || a.MostAttempts > 3 {
-		return fmt.Errorf("a rule broke: %d twins, %d attempts of a part", a.Twins, a.MostAttempts)
+		return fmt.Errorf("rule violated: %d concurrent attempts of one part, up to %d attempts of a part", a.Twins, a.MostAttempts)
 	}
 	return nil
 }
--- a/cmd/gullfall-lab/flight_askers.go
+++ b/cmd/gullfall-lab/flight_askers.go
@@ -20,13 +20,13 @@
 	"gullfall/internal/lab/flightsuite"
 )
 
-// refusal is an answer that says when to come back.
+// refusal is the error of a query that was rejected with a delay before the next attempt.
 type refusal struct{ after time.Duration }
 
 func (r refusal) Error() string { return "refused" }
 
-// retryAfter turns a refusal by Flight into one.
-func retryAfter(err error) error {
+// asRefusal returns a refusal if err is a gRPC status with a RetryInfo detail, and err otherwise.
+func asRefusal(err error) error {
 	for _, d := range status.Convert(err).Details() {
 		if r, ok := d.(*errdetails.RetryInfo); ok {
 			return refusal{r.GetRetryDelay().AsDuration()}
@@ -35,51 +35,51 @@
 	return err
 }
 
-// asker asks queries of four parts in one way, from many clients at once.
-type asker interface {
-	// ask asks query n and waits for its answer. A refusal is returned as refusal.
-	ask(ctx context.Context, n int) error
+// queryClient sends queries of four parts by one protocol. Its methods may be called by many clients at once.
+type queryClient interface {
+	// query sends query n and waits for its answer. If the server asks for a later retry, the error is a refusal.
+	query(ctx context.Context, n int) error
 	close()
 }
 
-// mostConnections is how many connections an asker opens by Flight; more clients than that share them.
-const mostConnections = 16
+// maxFlightConnections is the maximum number of Arrow Flight connections; clients beyond it share them.
+const maxFlightConnections = 16
 
-// newAsker connects an asker for so many clients to a fleet's coordinator.
-func newAsker(ctx context.Context, f *fleet.Fleet, way string, clients int) (asker, error) {
+// newQueryClient connects to a fleet's coordinator for a number of clients. The ways are platform, DoGet and DoExchange.
+func newQueryClient(ctx context.Context, f *fleet.Fleet, way string, clients int) (queryClient, error) {
 	switch way {
 	case "platform":
-		return newPlatformAsker(f, clients), nil
+		return newPlatformClient(f, clients), nil
 	case "DoGet":
-		return newGetAsker(f, clients)
+		return newGetClient(f, clients)
 	default:
-		return newExchangeAsker(ctx, f, clients)
+		return newExchangeClient(ctx, f, clients)
 	}
 }
 
-// fourShards are those of query n.
+// fourShards returns the four of 16 shards that query n reads.
 func fourShards(n int) []int { return []int{n % 16, (n + 4) % 16, (n + 8) % 16, (n + 12) % 16} }
 
-// platformAsker asks by the platform's HTTP protocol.
-type platformAsker struct {
+// platformClient sends queries by the platform's HTTP protocol.
+type platformClient struct {
 	url       string
 	clients   int
 	transport *http.Transport
-	questions flightsuite.Client
-	number    atomic.Int64
+	requests  flightsuite.Client
+	lastID    atomic.Int64
 }
 
-func newPlatformAsker(f *fleet.Fleet, clients int) *platformAsker {
-	return &platformAsker{url: "http://" + f.Front + "/report", clients: clients, transport: &http.Transport{MaxIdleConnsPerHost: clients},
-		questions: flightsuite.Client{Env: env(f, nil)}}
+func newPlatformClient(f *fleet.Fleet, clients int) *platformClient {
+	return &platformClient{url: "http://" + f.Front + "/report", clients: clients, transport: &http.Transport{MaxIdleConnsPerHost: clients},
+		requests: flightsuite.Client{Env: suiteEnv(f, nil)}}
 }
 
-func (a *platformAsker) ask(ctx context.Context, n int) error {
-	req, err := http.NewRequestWithContext(ctx, http.MethodPost, a.url, bytes.NewReader(a.questions.Question("", fourShards(n)...)))
+func (a *platformClient) query(ctx context.Context, n int) error {
+	req, err := http.NewRequestWithContext(ctx, http.MethodPost, a.url, bytes.NewReader(a.requests.Question("", fourShards(n)...)))
 	if err != nil {
 		return err
 	}
-	req.Header.Set("Req-Id", "m"+strconv.FormatInt(a.number.Add(1), 10)+"-"+strconv.Itoa(a.clients))
+	req.Header.Set("Req-Id", "m"+strconv.FormatInt(a.lastID.Add(1), 10)+"-"+strconv.Itoa(a.clients))
 	req.Header.Set("Req-Owner", "club")
 	req.Header.Set("Req-Deadline-Ms", "2000")
 	res, err := (&http.Client{Transport: a.transport}).Do(req)
@@ -96,63 +96,63 @@
 		return refusal{time.Duration(seconds * float64(time.Second))}
 	}
 	if err == nil && (res.StatusCode != http.StatusOK || !answer.Complete) {
-		err = fmt.Errorf("status %d, complete %v", res.StatusCode, answer.Complete)
+		err = fmt.Errorf("query over HTTP: status %d, complete %v", res.StatusCode, answer.Complete)
 	}
 	return err
 }
 
-func (a *platformAsker) close() { a.transport.CloseIdleConnections() }
+func (a *platformClient) close() { a.transport.CloseIdleConnections() }
 
-// getAsker asks each query by a DoGet of its own.
-type getAsker struct{ list []*flightsuite.Client }
+// getClient sends each query as a separate DoGet call.
+type getClient struct{ conns []*flightsuite.Client }
 
-func newGetAsker(f *fleet.Fleet, clients int) (*getAsker, error) {
-	a := &getAsker{}
-	for range min(clients, mostConnections) {
-		c, err := flightsuite.Dial(env(f, nil))
+func newGetClient(f *fleet.Fleet, clients int) (*getClient, error) {
+	a := &getClient{}
+	for range min(clients, maxFlightConnections) {
+		c, err := flightsuite.Dial(suiteEnv(f, nil))
 		if err != nil {
 			a.close()
 			return nil, err
 		}
-		a.list = append(a.list, c)
+		a.conns = append(a.conns, c)
 	}
 	return a, nil
 }
 
-func (a *getAsker) ask(ctx context.Context, n int) error {
-	g, err := a.list[n%len(a.list)].Get(ctx, a.list[0].Question("", fourShards(n)...))
+func (a *getClient) query(ctx context.Context, n int) error {
+	g, err := a.conns[n%len(a.conns)].Get(ctx, a.conns[0].Question("", fourShards(n)...))
 	if err == nil && !g.Complete {
-		err = errors.New("not whole")
+		err = errors.New("DoGet: incomplete answer")
 	}
-	return retryAfter(err)
+	return asRefusal(err)
 }
 
-func (a *getAsker) close() {
-	for _, c := range a.list {
+func (a *getClient) close() {
+	for _, c := range a.conns {
 		c.Close()
 	}
 }
 
-// exchangeAsker asks many queries at once on each of some DoExchange streams.
-type exchangeAsker struct {
-	list   []*exchangeStream
-	number atomic.Int64
+// exchangeClient multiplexes queries over a few DoExchange streams.
+type exchangeClient struct {
+	streams []*exchangeStream
+	lastID  atomic.Int64
 }
 
-// exchangeStream is a stream and the queries that wait for their answers on it.
+// exchangeStream is one DoExchange stream with the queries that wait for an answer on it.
 type exchangeStream struct {
 	client   *flightsuite.Client
 	exchange *flightsuite.Exchange
 
-	// mu guards waiting.
+	// mu guards pending.
 	mu      sync.Mutex
-	waiting map[string]chan error // by the query's id
+	pending map[string]chan error // by query id; buffered, so that delivery does not block
 }
 
-func newExchangeAsker(ctx context.Context, f *fleet.Fleet, clients int) (*exchangeAsker, error) {
-	a := &exchangeAsker{}
-	for range min(clients, mostConnections) {
-		c, err := flightsuite.Dial(env(f, nil))
+func newExchangeClient(ctx context.Context, f *fleet.Fleet, clients int) (*exchangeClient, error) {
+	a := &exchangeClient{}
+	for range min(clients, maxFlightConnections) {
+		c, err := flightsuite.Dial(suiteEnv(f, nil))
 		if err != nil {
 			a.close()
 			return nil, err
@@ -163,35 +163,35 @@
 			a.close()
 			return nil, err
 		}
-		s := &exchangeStream{client: c, exchange: e, waiting: map[string]chan error{}}
-		go func() { _ = e.Answers(s.answered) }() // a stream that fails shows by its queries, which end by their deadline
-		a.list = append(a.list, s)
+		s := &exchangeStream{client: c, exchange: e, pending: map[string]chan error{}}
+		go func() { _ = e.Answers(s.deliver) }() // if the stream fails, its queries end at their deadlines
+		a.streams = append(a.streams, s)
 	}
 	return a, nil
 }
 
-// answered hands a query's end to who waits for it.
-func (s *exchangeStream) answered(id, code string, g flightsuite.Got) {
+// deliver passes a query's result to the caller that waits for it.
+func (s *exchangeStream) deliver(id, code string, g flightsuite.Got) {
 	var err error
 	switch {
 	case g.Retry > 0:
 		err = refusal{g.Retry}
 	case code != "OK" || !g.Complete:
-		err = fmt.Errorf("%s, complete %v", code, g.Complete)
+		err = fmt.Errorf("query over DoExchange: status %s, complete %v", code, g.Complete)
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if ch := s.waiting[id]; ch != nil {
+	if ch := s.pending[id]; ch != nil {
 		ch <- err
-		delete(s.waiting, id)
+		delete(s.pending, id)
 	}
 }
 
-func (a *exchangeAsker) ask(ctx context.Context, n int) error {
-	s := a.list[n%len(a.list)]
-	id, ch := strconv.FormatInt(a.number.Add(1), 10), make(chan error, 1)
+func (a *exchangeClient) query(ctx context.Context, n int) error {
+	s := a.streams[n%len(a.streams)]
+	id, ch := strconv.FormatInt(a.lastID.Add(1), 10), make(chan error, 1)
 	s.mu.Lock()
-	s.waiting[id] = ch
+	s.pending[id] = ch
 	s.mu.Unlock()
 	if err := s.exchange.Ask(s.client.Question(fmt.Sprintf(`"id":%q,"deadline_ms":2000,`, id), fourShards(n)...)); err != nil {
 		return err
@@ -204,8 +204,8 @@
 	}
 }
 
-func (a *exchangeAsker) close() {
-	for _, s := range a.list {
+func (a *exchangeClient) close() {
+	for _, s := range a.streams {
 		s.exchange.Leave()
 		s.client.Close()
 	}
