--- a/internal/lab/model/coordinator.go
+++ b/internal/lab/model/coordinator.go
@@ -9,32 +9,32 @@
 	"gullfall/internal/zones"
 )
 
-// coordinator runs the decision code of one coordinator: it hands over events and carries out actions.
+// coordinator drives the decision code of one coordinator: it passes events to it and performs the actions that it returns.
 type coordinator struct {
-	model        *Model
-	index        int
-	incarnation  int // how often it was restarted; work of an earlier one is dropped
-	aggregator   *aggregator.Aggregator
-	zones        *zones.Tracker
-	observations *observations.Table
-	events       []aggregator.Event
-	nextStep     time.Duration // when the decision code steps next; below 0 for never
-	lastStep     time.Duration
-	parts        map[string]*part
-	queries      map[string]*query
-	lastAnswer   map[string]time.Duration // by data node
-	drainHeard   map[string]time.Duration // by data node: when this coordinator heard that it drains
+	model          *Model
+	index          int
+	incarnation    int // number of restarts; callbacks of an earlier incarnation are dropped
+	aggregator     *aggregator.Aggregator
+	zones          *zones.Tracker
+	observations   *observations.Table
+	events         []aggregator.Event
+	nextStep       time.Duration // time of the next scheduled step; negative if none is scheduled
+	lastStep       time.Duration
+	parts          map[string]*part
+	queries        map[string]*query
+	lastAnswerAt   map[string]time.Duration // by data node id
+	drainLearnedAt map[string]time.Duration // by data node id: when this coordinator learned that the node is draining
 }
 
-// start starts the process, which knows nothing but the endpoint list.
+// start starts the process with no state but the endpoint list.
 func (k *coordinator) start() (err error) {
 	m := k.model
 	if k.aggregator, err = aggregator.New(m.config.settings(), m.config.Seed*1000+uint64(k.index)+uint64(k.incarnation)*77); err != nil {
 		return err
 	}
 	k.events, k.nextStep = nil, -1
-	k.parts, k.queries, k.lastAnswer, k.drainHeard = map[string]*part{}, map[string]*query{}, map[string]time.Duration{}, map[string]time.Duration{}
-	if m.config.JudgeZones {
+	k.parts, k.queries, k.lastAnswerAt, k.drainLearnedAt = map[string]*part{}, map[string]*query{}, map[string]time.Duration{}, map[string]time.Duration{}
+	if m.config.TrackZones {
 		if k.zones, err = zones.New(zones.Config{Seed: m.config.Seed*1000 + uint64(k.index)}); err != nil {
 			return err
 		}
@@ -57,8 +57,8 @@
 
 func (k *coordinator) wall() time.Time { return epoch.Add(k.model.now) }
 
-// member is a data node as the decision code sees it: with its zone's state, and the start that others have observed, as in
-// internal/coordinator.
+// member returns a data node as the decision code sees it. Like internal/coordinator, it applies the state of the node's zone and the
+// start time that other coordinators have observed.
 func (k *coordinator) member(n *dataNode, state aggregator.State, started time.Duration) aggregator.Member {
 	out := aggregator.Member{Replica: n.id, ShardSet: n.shardSet, Zone: n.zone, State: state, Started: started, Size: 1}
 	if k.observations != nil {
@@ -77,13 +77,13 @@
 	return out
 }
 
-// handle queues events for the decision code, which steps a tick after its last step at the earliest.
+// handle queues events for the decision code and schedules its next step, at least one tick after the last.
 func (k *coordinator) handle(list ...aggregator.Event) {
 	k.events = append(k.events, list...)
 	k.scheduleStep(max(k.model.now, k.lastStep+tick))
 }
 
-// scheduleStep lets the decision code step at a time, unless it does so before.
+// scheduleStep schedules a step of the decision code, unless an earlier one is already scheduled.
 func (k *coordinator) scheduleStep(at time.Duration) {
 	if k.nextStep >= 0 && k.nextStep <= at {
 		return
@@ -97,7 +97,7 @@
 	})
 }
 
-// step steps the decision code and carries out its actions.
+// step passes the queued events to the decision code and performs its actions.
 func (k *coordinator) step() {
 	m := k.model
 	k.nextStep, k.lastStep = -1, m.now
@@ -131,13 +131,13 @@
 	}
 }
 
-// stepZones steps the judgement of zones, and returns what it changes for the decision code.
+// stepZones steps the zone tracker and returns the resulting endpoint changes as events for the decision code.
 func (k *coordinator) stepZones() (out []aggregator.Event) {
 	changes := k.zones.Step(k.wall())
 	for _, c := range changes {
 		if c.To == zones.Out && k.observations != nil {
 			for _, id := range k.zones.Failing(k.wall(), c.Zone) {
-				k.observe(id, observations.Failed)
+				k.recordObservation(id, observations.Failed)
 			}
 		}
 		e := aggregator.Event{Kind: aggregator.ListChanged}
@@ -157,7 +157,7 @@
 	return out
 }
 
-// probe carries a health check to a data node and back.
+// probe simulates a health check of a data node.
 func (k *coordinator) probe(replica string) {
 	for _, n := range k.model.nodes {
 		if n.id != replica {
--- a/internal/lab/model/datanode.go
+++ b/internal/lab/model/datanode.go
@@ -7,37 +7,37 @@
 	"gullfall/aggregator"
 )
 
-// dataNode serves parts: Config.Cores at a time, the others wait in its queue.
+// dataNode processes up to Config.Cores parts at a time; further parts wait in its queue.
 type dataNode struct {
 	id             string
 	zone           string
 	shardSet       int
-	started        time.Duration // 0 for long before the day
+	started        time.Duration // 0 if it started long before the day
 	state          aggregator.State
 	down           bool
 	silent         bool
 	overloaded     bool
 	busy           int
 	queue          []*job
-	recentArrivals []arrival // of the last second
+	recentArrivals []arrival // parts that arrived within the last second; kept during warm-up only
 	attempts       []*attempt
-	incarnation    int // how often it went down; work of an earlier one is dropped
+	incarnation    int // number of failures; jobs of an earlier incarnation are dropped
 }
 
-// arrival is a part that arrived, with its work in seconds.
+// arrival records a part that arrived and its work in seconds.
 type arrival struct {
 	at   time.Duration
 	work float64
 }
 
-// job is an attempt at a data node.
+// job is an attempt as a data node processes it.
 type job struct {
 	attempt   *attempt
 	work      time.Duration
 	cancelled bool
 }
 
-// capacity is the share of its full speed that a data node has: it grows linearly while it warms up.
+// capacity returns the data node's speed as a share of its full speed. It grows linearly during warm-up.
 func (n *dataNode) capacity(now time.Duration) float64 {
 	if n.started == 0 {
 		return 1
@@ -45,7 +45,7 @@
 	return min(1, initialCapacity+(1-initialCapacity)*float64(now-n.started)/float64(warmupTime))
 }
 
-// receive takes in a part. A data node that is sent too much while it warms up fails.
+// receive queues a part. A data node that receives too much work during warm-up fails.
 func (n *dataNode) receive(m *Model, j *job) {
 	k := j.attempt.coordinator
 	switch {
@@ -64,7 +64,7 @@
 		}
 		if sum > overloadMultiple*n.capacity(m.now)*float64(m.config.Cores) {
 			m.figures.Fell++
-			m.refuse(n)
+			m.stopProcess(n)
 			n.overloaded = true
 			return
 		}
@@ -73,7 +73,7 @@
 	n.startJobs(m)
 }
 
-// startJobs starts jobs that wait while cores are free.
+// startJobs starts queued jobs while cores are free.
 func (n *dataNode) startJobs(m *Model) {
 	for n.busy < m.config.Cores && len(n.queue) > 0 {
 		j := n.queue[0]
@@ -95,8 +95,8 @@
 	}
 }
 
-// shutDown ends all work of a data node without a word to those who wait for it: what runs there and what is sent there is lost.
-func (n *dataNode) shutDown() {
+// goSilent drops all work of a data node without notifying the coordinators: running jobs and later requests get no answer.
+func (n *dataNode) goSilent() {
 	n.down, n.silent = true, true
 	for _, j := range n.queue {
 		j.cancelled = true
--- a/internal/lab/model/faults.go
+++ b/internal/lab/model/faults.go
@@ -6,24 +6,24 @@
 	"gullfall/aggregator"
 )
 
-// beginFault carries out what happens at a fault's At.
+// beginFault applies a fault at its time At.
 func (m *Model) beginFault(f Fault) {
 	switch {
 	case f.Restart > 0:
 		k := m.coordinators[f.Restart-1]
 		k.incarnation++
-		m.figures.Refused += len(k.queries) // clients get no answer from a process that ended
+		m.figures.Incomplete += len(k.queries) // clients get no answer from the process that ended
 		if err := k.start(); err != nil {
-			panic(err) // the first start had the same settings
+			panic(err) // can't happen: the first start succeeded with the same settings
 		}
 	case f.Zone != "":
 		for _, n := range m.nodes {
 			switch {
 			case n.zone != f.Zone:
 			case f.Silent:
-				n.shutDown()
+				n.goSilent()
 			default:
-				m.refuse(n)
+				m.stopProcess(n)
 			}
 		}
 	default:
@@ -33,7 +33,7 @@
 	}
 }
 
-// endFault carries out what happens at a fault's Until.
+// endFault ends a fault at its time Until.
 func (m *Model) endFault(f Fault) {
 	if f.Zone != "" {
 		for _, n := range m.nodes {
@@ -48,7 +48,7 @@
 		return
 	}
 	n := m.nodes[f.Node]
-	m.refuse(n)
+	m.stopProcess(n)
 	n.state = aggregator.Gone
 	m.announce(n)
 	next := &dataNode{id: n.id + "'", zone: n.zone, shardSet: n.shardSet, started: m.now}
@@ -56,25 +56,25 @@
 	m.announce(next)
 }
 
-// refuse ends a data node's process: what runs there is reset and what is sent there is refused.
-func (m *Model) refuse(n *dataNode) {
+// stopProcess ends a data node's process: open connections are reset and new ones are refused.
+func (m *Model) stopProcess(n *dataNode) {
 	for _, a := range n.attempts {
 		if !a.ended {
 			m.after(m.config.NetworkDelay, func() { a.coordinator.endAttempt(a, aggregator.Reset) })
 		}
 	}
-	n.shutDown()
+	n.goSilent()
 	n.silent = false
 }
 
-// announce tells all coordinators of a change of the endpoint list, each after a delay of its own.
+// announce sends a change of the endpoint list to all coordinators, each after its own random delay.
 func (m *Model) announce(n *dataNode) {
 	state, started := n.state, n.started
 	for _, k := range m.coordinators {
 		m.after(time.Duration(float64(m.config.ListLag)*(0.5+m.rng.Float64())), func() {
 			if state == aggregator.Draining {
-				if _, known := k.drainHeard[n.id]; !known {
-					k.drainHeard[n.id] = m.now
+				if _, known := k.drainLearnedAt[n.id]; !known {
+					k.drainLearnedAt[n.id] = m.now
 				}
 			}
 			k.handle(aggregator.Event{Kind: aggregator.ListChanged, Members: []aggregator.Member{k.member(n, state, started)}})
@@ -82,13 +82,13 @@
 				k.zones.SetListed(k.wall(), k.model.serving())
 			}
 			if k.observations != nil && state == aggregator.Serving && started > 0 {
-				m.checkFact(k.observations.ObserveStart(m.now, k.wall(), n.id, m.now-started))
+				m.recordFactError(k.observations.ObserveStart(m.now, k.wall(), n.id, m.now-started))
 			}
 		})
 	}
 }
 
-// serving returns the zones of the data nodes that serve, by id.
+// serving returns the zones of the serving data nodes, by node id.
 func (m *Model) serving() map[string]string {
 	list := map[string]string{}
 	for _, n := range m.nodes {
--- a/internal/lab/model/gossip.go
+++ b/internal/lab/model/gossip.go
@@ -9,17 +9,16 @@
 	"gullfall/aggregator"
 )
 
-// gossipFanout is to how many coordinators one sends its facts each period, and gossipFacts the most that it sends to each.
 const (
-	gossipFanout = 2
-	gossipFacts  = 55
+	gossipFanout   = 2  // coordinators to which one sends its facts each period
+	maxGossipFacts = 55 // maximum number of facts in one message
 )
 
-// gossip sends a coordinator's facts to others, once a period.
+// gossip sends a coordinator's facts to randomly selected others and schedules the next round.
 func (m *Model) gossip(k *coordinator) {
 	m.after(m.config.GossipPeriod, func() { m.gossip(k) })
 	k.observations.Expire(m.now)
-	facts := k.observations.Facts(m.now, gossipFacts)
+	facts := k.observations.Facts(m.now, maxGossipFacts)
 	for range gossipFanout {
 		to := m.coordinators[m.rng.IntN(len(m.coordinators))]
 		if to == k {
@@ -27,14 +26,14 @@
 		}
 		m.after(m.config.NetworkDelay, func() {
 			for _, f := range facts {
-				m.checkFact(to.observations.Merge(m.now, to.wall(), f))
+				m.recordFactError(to.observations.Merge(m.now, to.wall(), f))
 			}
 			to.applyObservations()
 		})
 	}
 }
 
-// applyObservations hands what others have observed to the decision code and the judgement of zones, as in internal/coordinator.
+// applyObservations passes the observations of other coordinators to the decision code and the zone tracker, as internal/coordinator does.
 func (k *coordinator) applyObservations() {
 	all := k.observations.Views(k.model.now)
 	e := aggregator.Event{Kind: aggregator.ListChanged}
--- a/internal/lab/model/model.go
+++ b/internal/lab/model/model.go
@@ -1,9 +1,9 @@
-// Package model simulates a fleet in virtual time around the decision code that is in service: package aggregator, the judgement of
-// zones and the shared observations of each coordinator, with data nodes that queue, warm up and fail, and clients that send queries. It
-// uses neither the real clock nor the order of maps: the same configuration gives the same figures.
+// Package model simulates a fleet in virtual time around the decision code that runs in production: package aggregator, the zone tracker
+// and the shared observations of each coordinator. Data nodes that queue parts, warm up and fail, and clients that send queries are
+// simulated. It depends neither on the real clock nor on the iteration order of maps: the same configuration gives the same figures.
 //
-// It leaves out connections (a part costs no handshake), clients' retries, the cost of health checks and calls, and the processor time of
-// coordinators. So its figures serve to find causes and to compare two configurations, not to forecast a deployment.
+// It does not simulate connections (a part costs no handshake), clients' retries, the cost of health checks and calls, or the processor
+// time of coordinators. Its figures can be used to find causes and to compare two configurations, but not to predict a deployment.
 package model
 
 import (
@@ -22,7 +22,7 @@
 	config       Config
 	rng          *rand.Rand
 	now          time.Duration
-	queue        virtualtime.Queue[func()] // what happens at a time
+	queue        virtualtime.Queue[func()] // scheduled callbacks
 	nodes        []*dataNode
 	coordinators []*coordinator
 	lastQuery    int
@@ -31,16 +31,16 @@
 	arrivedBySlice []int
 	servedBySlice  []int
 	attemptsSent   int
-	err            error // why an observation was rejected, the first time; the figures are not valid then
+	err            error // first unexpected rejection of an observation; the figures are not valid if set
 }
 
-// dayStart is the virtual time at which a day starts: the decision code's clock is above 0.
+// dayStart is the virtual time at which a day starts. It is above 0 because the decision code needs a positive clock.
 const dayStart = time.Hour
 
 // epoch is the wall-clock time at virtual time 0.
 var epoch = time.Unix(1_000_000_000, 0)
 
-// Run simulates a day. The error is of the configuration, or of an observation that was rejected.
+// Run simulates a day. It returns an error if the configuration is invalid or an observation was unexpectedly rejected.
 func Run(c Config) (Figures, error) {
 	m := &Model{config: c, rng: rand.New(rand.NewPCG(c.Seed, 0x30de1)), now: dayStart}
 	n := int(c.Duration/sliceLength) + 1
@@ -67,7 +67,7 @@
 			m.at(dayStart+f.Until, func() { m.endFault(f) })
 		}
 	}
-	end := dayStart + c.Duration + deadline + time.Second // by then all queries have ended
+	end := dayStart + c.Duration + deadline + time.Second // all queries have ended by then
 	for at, do, ok := m.queue.Next(end); ok; at, do, ok = m.queue.Next(end) {
 		m.now = max(m.now, at)
 		do()
@@ -75,7 +75,7 @@
 	return m.summary(), m.err
 }
 
-// summary completes the figures at the end of the day.
+// summary computes the figures at the end of the day.
 func (m *Model) summary() Figures {
 	f := m.figures
 	served := 0
@@ -84,35 +84,35 @@
 		if m.arrivedBySlice[i] > 0 {
 			share = float64(m.servedBySlice[i]) / float64(m.arrivedBySlice[i])
 		}
-		if f.Asked, served = f.Asked+m.arrivedBySlice[i], served+m.servedBySlice[i]; !math.IsNaN(share) {
+		if f.Arrived, served = f.Arrived+m.arrivedBySlice[i], served+m.servedBySlice[i]; !math.IsNaN(share) {
 			f.Over = append(f.Over, share)
 		}
 	}
-	f.Served, f.Attempts = float64(served)/float64(f.Asked), float64(m.attemptsSent)/float64(f.Asked)
+	f.Served, f.Attempts = float64(served)/float64(f.Arrived), float64(m.attemptsSent)/float64(f.Arrived)
 	for _, k := range m.coordinators {
 		f.Lost += len(k.queries)
 	}
 	return f
 }
 
-// checkFact takes the result of writing a fact. Facts that are known or too old are rejected in the normal course of gossip; any
-// other error is a fault of the model, which Run returns.
-func (m *Model) checkFact(err error) {
+// recordFactError records the error of writing a fact. Gossip normally causes rejections of facts that are known or too old; any other error is
+// a fault of the model, which Run returns.
+func (m *Model) recordFactError(err error) {
 	if err != nil && m.err == nil && !errors.Is(err, observations.ErrKnown) && !errors.Is(err, observations.ErrOld) {
 		m.err = err
 	}
 }
 
-// at calls do at a virtual time.
+// at schedules do at a virtual time.
 func (m *Model) at(t time.Duration, do func()) { m.queue.Put(t, do) }
 
-// after calls do after a delay.
+// after schedules do after a delay.
 func (m *Model) after(d time.Duration, do func()) { m.at(m.now+d, do) }
 
-// elapsed is the time since the start of the day.
+// elapsed returns the time since the start of the day.
 func (m *Model) elapsed() time.Duration { return m.now - dayStart }
 
-// scheduleArrival lets the next query of a coordinator's clients arrive, and those after it.
+// scheduleArrival schedules the next query at a coordinator, which in turn schedules the one after it.
 func (m *Model) scheduleArrival(k *coordinator) {
 	m.after(time.Duration(m.rng.ExpFloat64()/m.config.Rate*float64(time.Second)), func() {
 		if m.elapsed() < m.config.Duration {
--- a/internal/lab/model/queries.go
+++ b/internal/lab/model/queries.go
@@ -11,14 +11,14 @@
 	"gullfall/internal/zones"
 )
 
-// query is a client's query at one coordinator.
+// query is a client's query at a coordinator.
 type query struct {
 	id      string
 	arrived time.Duration
 	ended   bool
 }
 
-// part is a part of a query, for one shard.
+// part is the part of a query for one shard.
 type part struct {
 	id       string
 	query    *query
@@ -26,7 +26,7 @@
 	attempts []*attempt
 }
 
-// attempt is one sending of a part to a data node.
+// attempt is one attempt to process a part on a data node.
 type attempt struct {
 	coordinator *coordinator
 	part        *part
@@ -37,7 +37,7 @@
 	job         *job
 }
 
-// startQuery takes in a query of a client.
+// startQuery passes a new query and its parts to the decision code.
 func (k *coordinator) startQuery() {
 	m := k.model
 	m.lastQuery++
@@ -47,7 +47,7 @@
 	in := []aggregator.Event{{Kind: aggregator.QueryArrived, Query: q.id, Tenant: -1, PartCount: m.config.Parts, TimeLeft: deadline}}
 	first := m.rng.IntN(m.config.NodesPerZone)
 	for i := range m.config.Parts {
-		// Work is drawn once for the part: it takes as long wherever it is done.
+		// Drawn once for the part, so that each of its attempts has the same work.
 		work := time.Duration(float64(m.config.Work) * math.Exp(0.5*m.rng.NormFloat64()))
 		p := &part{id: fmt.Sprint(q.id, ".", i), query: q, work: work}
 		k.parts[p.id] = p
@@ -58,12 +58,12 @@
 	m.after(deadline, func() {
 		if k.incarnation == incarnation && !q.ended {
 			m.figures.Lost++
-			k.forget(q)
+			k.removeQuery(q)
 		}
 	})
 }
 
-// endQuery counts the answer of a query, which is complete or not.
+// endQuery ends a query and counts it by its result: incomplete, in time or late.
 func (k *coordinator) endQuery(id string, complete bool) {
 	q := k.queries[id]
 	if q == nil {
@@ -71,17 +71,17 @@
 	}
 	switch {
 	case !complete:
-		k.model.figures.Refused++
+		k.model.figures.Incomplete++
 	case k.model.elapsed()-q.arrived <= latencyObjective:
 		k.model.servedBySlice[int(q.arrived/sliceLength)]++
 	default:
 		k.model.figures.Late++
 	}
-	k.forget(q)
+	k.removeQuery(q)
 }
 
-// forget ends a query, and drops those of its parts that have nothing in flight.
-func (k *coordinator) forget(q *query) {
+// removeQuery marks a query as ended and removes those of its parts that have no attempt in flight.
+func (k *coordinator) removeQuery(q *query) {
 	q.ended = true
 	delete(k.queries, q.id)
 	for i := range k.model.config.Parts {
@@ -109,7 +109,7 @@
 			m.figures.Twins++
 		}
 	}
-	if at, drains := k.drainHeard[n.id]; drains && m.now > at+drainGrace {
+	if at, drains := k.drainLearnedAt[n.id]; drains && m.now > at+drainGrace {
 		m.figures.After++
 	}
 	a := &attempt{coordinator: k, part: p, number: len(p.attempts), node: n, started: m.now}
@@ -130,22 +130,22 @@
 	})
 }
 
-// endAttempt hands the outcome of an attempt to the decision code and its observers; later outcomes of it are ignored.
+// endAttempt passes the first outcome of an attempt to the decision code, the zone tracker and the observations; later ones are ignored.
 func (k *coordinator) endAttempt(a *attempt, end aggregator.Outcome) {
 	if a.ended {
 		return
 	}
 	a.ended = true
-	if k.parts[a.part.id] != a.part { // of an earlier incarnation
+	if k.parts[a.part.id] != a.part { // an attempt of an earlier incarnation
 		return
 	}
 	m, n := k.model, a.node
 	if k.observations != nil {
 		switch end {
 		case aggregator.OK:
-			k.observe(n.id, observations.Answered)
+			k.recordObservation(n.id, observations.Answered)
 		case aggregator.ConnectFailed, aggregator.Reset:
-			k.observe(n.id, observations.Failed)
+			k.recordObservation(n.id, observations.Failed)
 		}
 	}
 	if k.zones != nil {
@@ -154,20 +154,20 @@
 			k.zones.Observe(k.wall(), n.zone, n.id, zones.Good)
 		case end == aggregator.ConnectFailed || end == aggregator.Reset:
 			k.zones.Observe(k.wall(), n.zone, n.id, zones.Refused)
-		case end == aggregator.TimedOut, end == aggregator.Cancelled && k.lastAnswer[n.id] < a.started:
+		case end == aggregator.TimedOut, end == aggregator.Cancelled && k.lastAnswerAt[n.id] < a.started:
 			k.zones.Observe(k.wall(), n.zone, n.id, zones.TimedOut)
 		}
 	}
 	if end == aggregator.OK {
-		k.lastAnswer[n.id] = m.now
+		k.lastAnswerAt[n.id] = m.now
 	}
 	k.handle(aggregator.Event{Kind: aggregator.AttemptEnded, Part: a.part.id, Attempt: a.number, Replica: n.id, Outcome: end, Elapsed: m.now - a.started})
 	if a.part.query.ended {
-		k.forget(a.part.query)
+		k.removeQuery(a.part.query)
 	}
 }
 
-// observe writes a fact about a data node that the coordinator has just observed itself.
-func (k *coordinator) observe(id string, f observations.Field) {
-	k.model.checkFact(k.observations.Observe(k.model.now, k.wall(), id, f, 0))
+// recordObservation records a fact about a data node that the coordinator itself has just observed.
+func (k *coordinator) recordObservation(id string, f observations.Field) {
+	k.model.recordFactError(k.observations.Observe(k.model.now, k.wall(), id, f, 0))
 }
