--- a/internal/lab/explore/decisions.go
+++ b/internal/lab/explore/decisions.go
@@ -6,8 +6,8 @@
 	"gullfall/internal/maintenance"
 )
 
-// movesQuery is all that the leader's moves depend on.
-type movesQuery struct {
+// movesKey holds everything that the leader's moves depend on; it is the key under which they are cached.
+type movesKey struct {
 	plan    planID
 	leader  uint8
 	timing  timing
@@ -16,30 +16,30 @@
 	records [coordinatorCount]record
 }
 
-// timing is whether maintenance takes as long as it should.
+// timing states whether maintenance takes longer than the request allows.
 type timing uint8
 
 const (
 	inTime  timing = iota
-	overdue        // what is out or comes back is so for longer than the request allows
+	overdue        // a machine is out, or returning, for longer than the request allows
 )
 
-// orderQuery is all that the effect of an operator's order depends on.
-type orderQuery struct {
+// orderKey holds everything that the effect of an operator's order depends on; it is the key under which that is cached.
+type orderKey struct {
 	plan    planID
 	order   string
 	machine uint8
 }
 
-// orderDone says that the work on a machine is done. The other orders are those of internal/maintenance.
+// orderDone reports that the maintenance of a machine is done. The other orders are those of internal/maintenance.
 const orderDone = "done"
 
 var operatorOrders = []string{maintenance.Pause, maintenance.Resume, maintenance.Abandon, orderDone}
 
-// decideMoves returns the moves that the leader makes in a state; a write of no kind where it makes none.
+// decideMoves returns the write of the leader's moves in a state; its kind is noWrite if the leader makes none.
 func (m *model) decideMoves(s *state, t timing) write {
-	q := movesQuery{plan: s.plan, leader: s.leader, timing: t, usable: ^(s.unhealthy | s.warming) & allMachines, started: s.started}
-	if m.bug == WarmAtOnce {
+	q := movesKey{plan: s.plan, leader: s.leader, timing: t, usable: ^(s.unhealthy | s.warming) & allMachines, started: s.started}
+	if m.bug == NoWarmup {
 		q.usable = ^s.unhealthy & allMachines
 	}
 	for i := range s.coordinators {
@@ -58,8 +58,8 @@
 	return w
 }
 
-// computeMoves lets the decision code step.
-func (m *model) computeMoves(q movesQuery) (w write) {
+// computeMoves steps the decision code and returns its moves.
+func (m *model) computeMoves(q movesKey) (w write) {
 	plans := clonePlan(m.plan(q.plan).state)
 	view := m.view(q, plans)
 	var timer maintenance.Timer
@@ -84,12 +84,12 @@
 	return w
 }
 
-// view is the fleet as the decision code sees it.
-func (m *model) view(q movesQuery, plans *maintenance.State) *maintenance.View {
+// view returns the fleet as the decision code sees it.
+func (m *model) view(q movesKey, plans *maintenance.State) *maintenance.View {
 	v := &maintenance.View{Fleet: fleet(q.usable, q.started), Limits: limits, Wall: time.Unix(10, 0)}
 	turns := plans.Overlay().Turns
 	for i, r := range q.records {
-		if m.bug == NotAll && i != int(q.leader) {
+		if m.bug == WaitForLeaderOnly && i != int(q.leader) {
 			continue
 		}
 		c := maintenance.Coordinator{Name: coordinatorName(i), Seen: uint64(r.seen), Clear: map[string]uint64{}, Absent: true}
@@ -98,7 +98,7 @@
 				c.Clear[machineID(k)] = turn
 			}
 		}
-		if m.bug == NotSeen {
+		if m.bug == IgnoreUnseenCalls {
 			c.Seen = plans.Seen()
 		}
 		v.Coordinators = append(v.Coordinators, c)
@@ -106,8 +106,8 @@
 	return v
 }
 
-// decideOrder returns the plan after an operator's order; ok is false where the order is rejected or changes nothing.
-func (m *model) decideOrder(q orderQuery) (after planID, ok bool) {
+// decideOrder returns the plan after an operator's order; ok is false if the order is rejected or changes nothing.
+func (m *model) decideOrder(q orderKey) (after planID, ok bool) {
 	m.mu.RLock()
 	after, known := m.orders[q]
 	m.mu.RUnlock()
@@ -120,8 +120,8 @@
 	return after, after != q.plan
 }
 
-// computeOrder lets the decision code carry out an order, and returns the plan of before where it is rejected.
-func (m *model) computeOrder(q orderQuery) planID {
+// computeOrder applies an order with the decision code. It returns the unchanged plan if the order is rejected.
+func (m *model) computeOrder(q orderKey) planID {
 	plans := clonePlan(m.plan(q.plan).state)
 	var err error
 	if q.order == orderDone {
@@ -129,7 +129,7 @@
 	} else {
 		err = plans.Order(q.order, 1)
 	}
-	if m.bug == TakeBackOut && q.order == maintenance.Pause {
+	if m.bug == PauseReclaimsMachine && q.order == maintenance.Pause {
 		for _, step := range plans.Requests[0].Steps {
 			if step.State == maintenance.Out {
 				step.State, step.Call = maintenance.Waiting, 0
--- a/internal/lab/explore/encoding.go
+++ b/internal/lab/explore/encoding.go
@@ -5,7 +5,7 @@
 	"encoding/binary"
 )
 
-// canonical returns the one of two states that differ only in which coordinator is which.
+// canonical returns the representative of a state and its mirror image, in which the two coordinators are exchanged.
 func canonical(s state) state {
 	a, b := s.coordinators[0].encode(), s.coordinators[1].encode()
 	if order := bytes.Compare(a[:], b[:]); order < 0 || order == 0 && s.leader == 0 {
@@ -24,8 +24,8 @@
 	return s
 }
 
-// encode writes a coordinator for ordering and hashing. The coordinators whose presence a write needs to be over are left out: two
-// coordinators that differ in these alone compare equal, and then two states that could be one are two.
+// encode encodes a coordinator for ordering and hashing. It omits the set of coordinators whose presence must have expired for a write to
+// be accepted. Two coordinators that differ only in that compare equal, so that a state and its mirror image may both be stored.
 func (c *coordinator) encode() (b [16]byte) {
 	b[0], b[1], b[2], b[3], b[4] = byte(c.flags), c.inFlight, byte(c.plan), byte(c.plan>>8), c.stored.seen
 	copy(b[5:], c.stored.clear[:])
@@ -41,7 +41,7 @@
 	return b
 }
 
-// shardOf returns the shard of the explorer's table in which a state is.
+// shardOf returns the index of the table shard that holds a state.
 func shardOf(s *state) int {
 	b := make([]byte, 0, 64)
 	b = binary.LittleEndian.AppendUint16(b, uint16(s.plan))
--- a/internal/lab/explore/events.go
+++ b/internal/lab/explore/events.go
@@ -1,6 +1,6 @@
 package explore
 
-// eventKind is what may happen.
+// eventKind is the kind of an event.
 type eventKind uint8
 
 const (
@@ -11,8 +11,8 @@
 	recordStored
 	recordLost
 	presenceGranted
-	presenceOverLocally
-	presenceOverInStore
+	presenceEndedLocally
+	presenceEndedInStore
 	coordinatorCrashed
 	coordinatorPartitioned
 	coordinatorPaused
@@ -31,14 +31,14 @@
 	orderStored
 )
 
-// event is one thing that may happen. Which of the fields count depends on the kind.
+// event is a possible step of the fleet. Its kind determines which of the other fields are used.
 type event struct {
 	kind    eventKind
-	actor   uint8 // a coordinator; for orderGiven an index of operatorOrders
-	machine uint8
+	actor   uint8 // index of a coordinator; for orderGiven, of operatorOrders
+	machine uint8 // index of a machine
 }
 
-// String is the event's line in the path of a report.
+// String returns the line for the event in the path of a report.
 func (e event) String() string {
 	if e.kind == orderGiven {
 		return e.orderText()
@@ -52,8 +52,8 @@
 		recordStored:           "what " + who + " said is in the store",
 		recordLost:             "what " + who + " said is lost",
 		presenceGranted:        who + " is granted its presence",
-		presenceOverLocally:    "the presence of " + who + " is over by its own clock",
-		presenceOverInStore:    "the presence of " + who + " is over in the store",
+		presenceEndedLocally:   "the presence of " + who + " is over by its own clock",
+		presenceEndedInStore:   "the presence of " + who + " is over in the store",
 		coordinatorCrashed:     who + " crashes",
 		coordinatorPartitioned: who + " is cut off from the store",
 		coordinatorPaused:      who + " is paused",
@@ -80,9 +80,9 @@
 	return "an operator says that " + machineID(int(e.machine)) + " is done"
 }
 
-// edge is one event and the state that it leads to.
+// edge is an event and the state that it leads to.
 type edge struct {
 	event
 	to    state
-	fault bool // it is counted against Limits.Faults
+	fault bool // counts against Limits.Faults
 }
--- a/internal/lab/explore/explore.go
+++ b/internal/lab/explore/explore.go
@@ -1,51 +1,53 @@
-// Package explore visits every state that a small fleet can reach while machines are taken out for maintenance: two coordinators, three
-// machines, two shards, with crashes, partitions and pauses at any point. The decisions are those of internal/maintenance. The store and
-// the leases are assumed to do what they promise (internal/statemachine and internal/lease have tests of their own), and time is any order
-// of events. No order of events is left out, but where a state was reached before.
+// Package explore is an explicit-state model checker for maintenance. It visits every state that a small fleet (two coordinators, three
+// machines, two shards) can reach while machines are taken out, with crashes, partitions and pauses at any point. The decisions are made by
+// internal/maintenance. The store and the leases are assumed to be correct (internal/statemachine and internal/lease have their own tests).
+// Time is modelled as any order of events. All orders are explored, except from states that were reached before.
 //
-// These rules are checked:
+// It checks these rules:
 //
-//	in each state    nothing is in flight, and nothing may be sent, at a machine that is handed over
-//	in each state    each shard keeps its floor of machines outside maintenance, not counting those that are warming up
-//	from each state  without further faults the request can still end, or reach a state that only an operator's order ends
+//	in each state    no part is in flight at a machine that is handed over, and none may be sent to it
+//	in each state    each shard keeps its minimum number of machines outside maintenance, not counting those that are warming up
+//	from each state  without further faults the request can still end, or reach a state that only an operator's order can leave
 //
-// A Bug changes one rule of the fleet, so that tests can show that the explorer finds the fault.
+// A Bug breaks one rule of the fleet, so that tests can show that the explorer finds it.
 //
-// The search is breadth first. All processors work on the states of one distance from the start: they find the successors, then each adds
-// those of its shards of the table, in the order of their predecessors. The number of states is the same at each run. Which of several
-// paths of one length a report shows is so with GOMAXPROCS=1 alone, as processors race for the ids of plans. A state takes about 450 bytes.
+// The search is breadth first and parallel. For all states at one distance from the start, the workers first find the successors. Then each
+// shard of the table adds its own, in the order of their predecessors. The number of states is the same in each run. Which of several paths
+// of equal length a report shows is deterministic only with GOMAXPROCS=1, because workers race for the ids of plans. A state takes about
+// 450 bytes.
 package explore
 
 import "time"
 
-// Limits bound what may happen on one path, and the search.
+// Limits bound the events on one path and the size of the search.
 type Limits struct {
-	Machines int   // 1 to 3, that maintenance is requested for
+	Machines int   // number of machines, 1 to 3, for which maintenance is requested
 	Faults   uint8 // crashes, partitions, pauses, machine failures, changes of the leader, maintenance that takes too long
 	Words    uint8 // operators' orders
 	Sends    uint8 // query parts that are sent
-	States   int   // the search gives up beyond
-	// Seen, if set, is called after each distance with the number of states so far.
+	States   int   // the search stops beyond this number of states
+	// Seen, if set, is called with the number of states so far after each distance from the start is complete.
 	Seen func(distance, states int)
 }
 
 // Report is the result of a search.
 type Report struct {
-	States   int
+	States   int      // states visited
 	Distance int      // events from the start to the farthest state
 	Whole    bool     // all states within the limits were visited
-	Broken   string   // the rule that broke first; empty for none
-	Path     []string // the events that lead to the state that breaks it
-	Ended    int      // states in which nothing is left to do but by an operator
+	Broken   string   // the first rule found broken; empty if none was
+	Path     []string // events that lead to the state that breaks the rule
+	Ended    int      // states that only an operator's order can leave
 	Elapsed  time.Duration
 }
 
+// explorer is the model and the table of the states that were reached.
 type explorer struct {
 	*model
 	shards [shardCount]shard
 }
 
-// Explore visits all states, nearest first, and stops at the first that breaks a rule.
+// Explore visits all states in breadth-first order and stops at the first distance at which a state breaks a rule.
 func Explore(l Limits, bug Bug) (r Report) {
 	begun := time.Now()
 	defer func() { r.Elapsed = time.Since(begun) }()
@@ -72,7 +74,7 @@
 	r.Whole = true
 	ended := e.endStates()
 	r.Ended = len(ended)
-	if stuck := e.unable(ended); stuck != none {
+	if stuck := e.stuckState(ended); stuck != none {
 		r.Broken, r.Path = "the request can't end any more", e.path(stuck, nil)
 	}
 	return r
--- a/internal/lab/explore/explore_test.go
+++ b/internal/lab/explore/explore_test.go
@@ -5,8 +5,9 @@
 	"testing"
 )
 
-// TestNothingBreaks: within small bounds every state is seen, no rule breaks in any, and from each the request can still end.
-func TestNothingBreaks(t *testing.T) {
+// TestNoReachableStateBreaksARule explores all states within small limits: no state may break a rule, and the
+// request must be able to end from each.
+func TestNoReachableStateBreaksARule(t *testing.T) {
 	for _, l := range []Limits{
 		{Machines: 3, Sends: 2, States: 1_000_000},
 		{Machines: 2, Faults: 1, Sends: 1, States: 1_000_000},
@@ -14,14 +15,14 @@
 	} {
 		r := Explore(l, None)
 		if r.Broken != "" || !r.Whole || r.Ended == 0 {
-			t.Errorf("%+v: %s, whole %v, ended in %d states\n%s", l, r.Broken, r.Whole, r.Ended, strings.Join(r.Path, "\n"))
+			t.Errorf("%+v: broken rule %q, complete %v, %d end states\n%s", l, r.Broken, r.Whole, r.Ended, strings.Join(r.Path, "\n"))
 		}
 		t.Logf("%+v: %d states, %d events deep, in %v", l, r.States, r.Distance, r.Elapsed)
 	}
 }
 
-// TestBugsAreFound: each seeded bug breaks a rule within small bounds.
-func TestBugsAreFound(t *testing.T) {
+// TestSeededBugsAreFound checks that the explorer finds each seeded bug within small limits.
+func TestSeededBugsAreFound(t *testing.T) {
 	for _, bug := range Bugs {
 		found := false
 		for _, l := range []Limits{{Machines: 2, Faults: 1, Sends: 1, States: 1_000_000}, {Machines: 2, Faults: 1, Words: 1, Sends: 1, States: 2_000_000}} {
@@ -32,7 +33,7 @@
 			}
 		}
 		if !found {
-			t.Errorf("not found: %s", bug)
+			t.Errorf("seeded bug not found: %s", bug)
 		}
 	}
 }
--- a/internal/lab/explore/invariants.go
+++ b/internal/lab/explore/invariants.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// violation names the rule that a state breaks; empty for none.
+// violation describes the first rule that a state breaks; it returns the empty string if there is none.
 func (m *model) violation(s *state) string {
 	if v := m.handedOverViolation(s); v != "" {
 		return v
@@ -10,8 +10,8 @@
 	return m.floorViolation(s)
 }
 
-// handedOverViolation checks that nothing is in flight, and nothing may be sent, at a machine that somebody works on. A query part
-// there would be lost when the machine is switched off.
+// handedOverViolation checks that no part is in flight at a machine that is handed over for maintenance, and that none may be sent to it.
+// Such a part would be lost when the machine is switched off.
 func (m *model) handedOverViolation(s *state) string {
 	for k := range machineCount {
 		if !has(s.handedOver, k) {
@@ -29,9 +29,9 @@
 	return ""
 }
 
-// floorViolation checks that each shard keeps its floor of machines outside maintenance; one that is still warming up does not count.
+// floorViolation checks that each shard keeps its minimum number of machines outside maintenance. Warming machines do not count.
 func (m *model) floorViolation(s *state) string {
-	unavailable := m.plan(s.plan).barred | s.handedOver | s.warming
+	unavailable := m.plan(s.plan).excluded | s.handedOver | s.warming
 	for shard := range layout.Shards {
 		left := 0
 		for replica := range layout.Reach {
@@ -46,7 +46,7 @@
 	return ""
 }
 
-// maySend tells whether a coordinator lets a part go to a machine.
+// maySend reports whether a coordinator may send a part to a machine.
 func (m *model) maySend(c *coordinator, machine int) bool {
 	if !c.running() {
 		return false
@@ -55,8 +55,8 @@
 		return true
 	}
 	p := m.plan(c.plan)
-	if has(p.barred, machine) {
+	if has(p.excluded, machine) {
 		return false
 	}
-	return !has(p.announced, machine) || c.is(present) || m.bug == NoPermit
+	return !has(p.announced, machine) || c.is(present) || m.bug == NoPresenceCheck
 }
--- a/internal/lab/explore/liveness.go
+++ b/internal/lab/explore/liveness.go
@@ -5,7 +5,7 @@
 	"slices"
 )
 
-// endStates lists the states in which nothing is left to do but by an operator.
+// endStates lists the states that only an operator's order can leave.
 func (e *explorer) endStates() (list []ref) {
 	for i := range e.shards {
 		for at := range e.shards[i].states {
@@ -17,35 +17,36 @@
 	return list
 }
 
-// unable returns a state from which none of the given ones can be reached without further faults; none where there is no such state. It
-// follows the edges backwards from the given states.
-func (e *explorer) unable(goals []ref) ref {
+// stuckState returns a state from which no goal can be reached without further faults, or none if there is no such state. It follows the
+// reversed edges from the goals.
+func (e *explorer) stuckState(goals []ref) ref {
 	e.sortReversedEdges()
-	able := [shardCount][]bool{}
+	reachesGoal := [shardCount][]bool{}
 	for i := range e.shards {
-		able[i] = make([]bool, len(e.shards[i].states))
+		reachesGoal[i] = make([]bool, len(e.shards[i].states))
 	}
 	for _, r := range goals {
-		able[r.shard()][r.index()] = true
+		reachesGoal[r.shard()][r.index()] = true
 	}
 	for queue := goals; len(queue) > 0; queue = queue[1:] {
 		for _, edge := range e.reversedEdges(queue[0]) {
-			if !able[edge.from.shard()][edge.from.index()] {
-				able[edge.from.shard()][edge.from.index()] = true
+			if !reachesGoal[edge.from.shard()][edge.from.index()] {
+				reachesGoal[edge.from.shard()][edge.from.index()] = true
 				queue = append(queue, edge.from)
 			}
 		}
 	}
-	return firstUnset(&able)
+	return firstUnset(&reachesGoal)
 }
 
+// sortReversedEdges sorts the edges of each shard by the state that they lead to, as reversedEdges requires.
 func (e *explorer) sortReversedEdges() {
 	for i := range e.shards {
 		slices.SortStableFunc(e.shards[i].faultless, func(a, b reversedEdge) int { return cmp.Compare(a.to.index(), b.to.index()) })
 	}
 }
 
-// reversedEdges returns the edges without a fault that lead to a state. They must be sorted.
+// reversedEdges returns the edges without a fault that lead to a state. The edges must be sorted.
 func (e *explorer) reversedEdges(to ref) []reversedEdge {
 	edges := e.shards[to.shard()].faultless
 	first, _ := slices.BinarySearchFunc(edges, to, func(x reversedEdge, to ref) int { return cmp.Compare(x.to.index(), to.index()) })
@@ -56,7 +57,7 @@
 	return edges[first:end]
 }
 
-// firstUnset returns the state with the lowest index in any shard that isn't marked; none where all are.
+// firstUnset returns the unmarked state with the lowest ref, or none if all are marked.
 func firstUnset(marks *[shardCount][]bool) ref {
 	first := none
 	for i := range marks {
--- a/internal/lab/explore/path.go
+++ b/internal/lab/explore/path.go
@@ -2,8 +2,8 @@
 
 import "slices"
 
-// path lists the events that lead to a state, and on to the one after it, if given. States are stored up to which coordinator is which,
-// so the events are found anew from the start.
+// path lists the events that lead to a state, and from there to its successor if one is given. The table stores canonical states, in which
+// the coordinators may be exchanged, so the events are computed again from the start.
 func (e *explorer) path(last ref, after *state) (events []string) {
 	var states []state
 	if after != nil {
--- a/internal/lab/explore/plans.go
+++ b/internal/lab/explore/plans.go
@@ -8,27 +8,27 @@
 	"gullfall/internal/maintenance"
 )
 
-// Each shard keeps one of its two machines. m1 holds both shards, so it goes alone, while m0 and m2 may go together.
+// Each shard must keep one of its two machines. m1 holds both shards, so it is taken out alone; m0 and m2 may be out together.
 var (
 	layout = maintenance.Layout{ShardSets: machineCount, Shards: 2, Reach: 2}
 	limits = maintenance.Limits{Floor: 1}
 )
 
-// planID stands for a plan; equal plans have the same.
+// planID identifies a plan; equal plans have the same id.
 type planID uint16
 
-// plan is a maintenance plan, and what the model reads from it.
+// plan is a maintenance plan and the values that the model derives from it.
 type plan struct {
 	state      *maintenance.State
-	barred     uint8 // set of machines to which nothing is sent
-	announced  uint8 // set of machines to which only present coordinators send
-	handedOver uint8
-	turns      [machineCount]uint8 // by machine, the turn of its drain
-	calls      uint8
-	settled    bool // nothing is left to do but by an operator
+	excluded   uint8               // set of machines to which no coordinator sends
+	announced  uint8               // set of machines to which only coordinators with presence send
+	handedOver uint8               // set of machines that are handed over for maintenance
+	turns      [machineCount]uint8 // turn of each machine's drain
+	calls      uint8               // number of calls that the plan has announced
+	settled    bool                // only an operator's order can change the plan
 }
 
-// model holds the plans and remembers the answers of the decision code. It may be used by several goroutines.
+// model holds the plans and caches the results of the decision code. It is safe for concurrent use.
 type model struct {
 	bug Bug
 
@@ -36,22 +36,22 @@
 	mu     sync.RWMutex
 	ids    map[string]planID // by encoded plan
 	plans  []plan            // by planID
-	moves  map[movesQuery]write
-	orders map[orderQuery]planID
+	moves  map[movesKey]write
+	orders map[orderKey]planID
 }
 
 func newModel(bug Bug) *model {
-	return &model{bug: bug, ids: map[string]planID{}, moves: map[movesQuery]write{}, orders: map[orderQuery]planID{}}
+	return &model{bug: bug, ids: map[string]planID{}, moves: map[movesKey]write{}, orders: map[orderKey]planID{}}
 }
 
-// plan returns the plan of an id.
+// plan returns the plan with an id.
 func (m *model) plan(id planID) *plan {
 	m.mu.RLock()
 	defer m.mu.RUnlock()
 	return &m.plans[id]
 }
 
-// intern returns the id of a plan, which must not be changed any more.
+// intern returns the id of a plan, which must not be changed afterwards.
 func (m *model) intern(s *maintenance.State) planID {
 	key := encodePlan(s)
 	m.mu.Lock()
@@ -64,13 +64,13 @@
 	return id
 }
 
-// summarize reads from a plan what the model needs.
+// summarize derives from a plan the values that the model needs.
 func summarize(s *maintenance.State) plan {
 	p := plan{state: s, calls: uint8(s.Seen()), settled: s.Requests[0].State != maintenance.Open}
 	overlay := s.Overlay()
 	for k := range machineCount {
 		if overlay.Excluded[machineID(k)] {
-			p.barred |= 1 << k
+			p.excluded |= 1 << k
 		}
 		if overlay.Announced[machineID(k)] {
 			p.announced |= 1 << k
@@ -88,7 +88,7 @@
 	return p
 }
 
-// encodePlan writes all of a plan that matters to what may follow.
+// encodePlan encodes the fields of a plan that affect later decisions.
 func encodePlan(s *maintenance.State) string {
 	b := binary.AppendUvarint(nil, s.Calls)
 	b = binary.AppendUvarint(b, s.Turn)
@@ -104,7 +104,7 @@
 	return string(b)
 }
 
-// clonePlan copies a plan without its history and the reasons why requests wait.
+// clonePlan returns a deep copy of a plan without its history and the reasons why requests wait.
 func clonePlan(s *maintenance.State) *maintenance.State {
 	clone := *s
 	clone.Requests, clone.Recent, clone.Audit = nil, nil, nil
@@ -134,7 +134,7 @@
 	return f
 }
 
-// start returns the first state: a fleet at rest, with a request for maintenance of the first machines.
+// start returns the initial state: a healthy fleet with a maintenance request for the first Limits.Machines machines.
 func (m *model) start(l Limits) state {
 	s := state{faults: l.Faults, orders: l.Words, sends: l.Sends}
 	var requested []string
@@ -146,7 +146,7 @@
 	plans := &maintenance.State{}
 	request := maintenance.Request{By: "op", Takes: time.Hour, Back: time.Hour}
 	if _, _, err := plans.Start(time.Unix(0, 0), request, requested, fleet(allMachines, s.started), limits, 0); err != nil {
-		panic(err) // the request depends on nothing but the number of machines
+		panic(err) // the request depends only on the number of machines
 	}
 	s.plan = m.intern(plans)
 	for i := range s.coordinators {
--- a/internal/lab/explore/search.go
+++ b/internal/lab/explore/search.go
@@ -10,22 +10,22 @@
 	to        state
 	from      ref
 	faultless bool
-	known     ref // of the state that it leads to, where that is in the table already; else none
+	known     ref // ref of the state that it leads to if that is in the table already, otherwise none
 }
 
-// expansion is what one goroutine found from its part of the frontier.
+// expansion holds the successors that one worker found for its part of the frontier.
 type expansion struct {
-	transitions [shardCount][]transition // by shard of the state that they lead to
-	violation   *violated                // the first one; nil for none
+	transitions [shardCount][]transition // by the table shard of the state that they lead to
+	violation   *brokenRule              // the first one found; nil if there is none
 }
 
-// violated is a rule that does not hold, and the transition to the state that breaks it.
-type violated struct {
+// brokenRule is a broken rule and the transition to the state that breaks it.
+type brokenRule struct {
 	rule string
 	at   transition
 }
 
-// expand finds the successors of some states. The table is only read meanwhile.
+// expand finds the successors of the frontier in parallel. It only reads the table.
 func (e *explorer) expand(frontier []ref) []expansion {
 	workers := min(runtime.GOMAXPROCS(0), len(frontier))
 	found := make([]expansion, workers)
@@ -46,7 +46,8 @@
 	return found
 }
 
-// follow takes in one edge. One that is a fault and leads to a known state tells nothing new.
+// follow adds one edge to an expansion and checks its state if it is new. A fault edge to a known state is dropped: liveness uses only
+// edges without a fault.
 func (e *explorer) follow(x *expansion, from ref, edge *edge) {
 	t := transition{canonical(edge.to), from, !edge.fault, none}
 	i := shardOf(&t.to)
@@ -58,14 +59,14 @@
 		t.known = known
 	case x.violation == nil:
 		if rule := e.violation(&t.to); rule != "" {
-			x.violation = &violated{rule, t}
+			x.violation = &brokenRule{rule, t}
 		}
 	}
 	x.transitions[i] = append(x.transitions[i], t)
 }
 
-// firstViolation returns the violation that is first in the order of the frontier; nil for none.
-func firstViolation(found []expansion) *violated {
+// firstViolation returns the first violation in the order of the frontier, or nil if there is none.
+func firstViolation(found []expansion) *brokenRule {
 	for i := range found {
 		if found[i].violation != nil {
 			return found[i].violation
@@ -74,7 +75,7 @@
 	return nil
 }
 
-// merge adds what was found to the table, and returns the new states.
+// merge adds the expansions to the table and returns the new states.
 func (e *explorer) merge(found []expansion) (frontier []ref) {
 	var added [shardCount][]ref
 	var wg sync.WaitGroup
@@ -88,7 +89,7 @@
 	return frontier
 }
 
-// mergeShard adds the transitions to states of one shard, and returns those of the states that are new.
+// mergeShard adds the transitions to states of one table shard and returns the new states.
 func (e *explorer) mergeShard(i int, found []expansion) (added []ref) {
 	s := &e.shards[i]
 	for n := range found {
--- a/internal/lab/explore/state.go
+++ b/internal/lab/explore/state.go
@@ -1,32 +1,32 @@
 package explore
 
-// The fleet: the least in which one coordinator can lead while another is away, and in which two machines may go out together.
+// The size of the fleet: the smallest in which one coordinator leads while another is absent, and two machines may be out together.
 const (
 	coordinatorCount = 2
 	machineCount     = 3
 	allMachines      = 1<<machineCount - 1 // as a set of machines
 )
 
-// flags say what a coordinator is.
+// flags is a set of conditions of a coordinator.
 type flags uint8
 
 const (
-	alive         flags = 1 << iota // its process runs
-	partitioned                     // it is cut off from the store
-	paused                          // its process stands still
-	present                         // it is present by its own clock
-	expired                         // its presence is over by the store's clock
-	recordPending                   // a record of it is on its way to the store
-	planLost                        // it knows of no plan; only a seeded bug sets this
+	alive         flags = 1 << iota // its process has not crashed
+	partitioned                     // it can't reach the store
+	paused                          // its process is suspended
+	present                         // it has presence by its own clock
+	expired                         // its presence has ended by the store's clock
+	recordPending                   // its record is on the way to the store
+	planLost                        // it knows no plan; set only by a seeded bug
 )
 
-// record is what a coordinator reports to the store.
+// record is a coordinator's report to the store.
 type record struct {
-	seen  uint8               // calls that it has seen
-	clear [machineCount]uint8 // by machine, the turn of the drain for which it has nothing in flight there
+	seen  uint8               // number of calls that it has seen
+	clear [machineCount]uint8 // by machine: the turn of the drain for which it has no part in flight there
 }
 
-// writeKind is who makes a write.
+// writeKind states who makes a write.
 type writeKind uint8
 
 const (
@@ -40,44 +40,44 @@
 	kind    writeKind
 	plan    planID
 	stale   bool  // the store's plan has changed since the write was made
-	fenced  bool  // the leadership has passed on since
-	expired uint8 // set of coordinators whose presence has to be over for the write to be taken
+	fenced  bool  // the leader has changed since the write was made
+	expired uint8 // set of coordinators whose presence must have ended in the store for the write to be accepted
 }
 
-// coordinator is one coordinator, and what of it is on its way to the store.
+// coordinator is the state of one coordinator, including its messages on the way to the store.
 type coordinator struct {
 	flags    flags
-	inFlight uint8  // set of machines where a part of it is in flight
+	inFlight uint8  // set of machines at which it has a part in flight
 	plan     planID // its copy of the plan
 	stored   record // its record in the store
 	pending  record // its record on the way to the store
-	moves    write
+	moves    write  // its moves on the way to the store
 }
 
-// state is one state of the fleet. States are compared whole, so that a field which can't matter to what follows is zero.
+// state is a state of the fleet. States are compared by all fields, so a field that can't affect later states must be zero.
 type state struct {
-	plan         planID // in the store
-	leader       uint8
-	faults       uint8 // that may still happen
-	orders       uint8 // of operators, that may still happen
-	sends        uint8 // that may still happen
-	handedOver   uint8 // set of machines in somebody's hands, whatever the plan says now
-	warming      uint8 // set of machines that came back and are not warm
-	unhealthy    uint8 // set of machines that failed
-	started      [machineCount]uint8
+	plan         planID              // the plan in the store
+	leader       uint8               // index of the leading coordinator
+	faults       uint8               // number of faults that may still occur
+	orders       uint8               // number of operators' orders that may still occur
+	sends        uint8               // number of parts that may still be sent
+	handedOver   uint8               // set of machines that are handed over, regardless of the current plan
+	warming      uint8               // set of machines that returned and are still warming up
+	unhealthy    uint8               // set of machines that have failed
+	started      [machineCount]uint8 // start counter of each machine
 	coordinators [coordinatorCount]coordinator
 	order        write // an operator's order on its way to the store
 }
 
 func (c *coordinator) is(f flags) bool { return c.flags&f != 0 }
 
-// running tells whether the coordinator's process makes progress.
+// running reports whether the coordinator's process makes progress.
 func (c *coordinator) running() bool { return c.flags&(alive|paused) == alive }
 
-// online tells whether the coordinator runs and reaches the store.
+// online reports whether the coordinator runs and reaches the store.
 func (c *coordinator) online() bool { return c.running() && !c.is(partitioned) }
 
-// has tells whether a set has a machine or coordinator.
+// has reports whether a set contains a machine or coordinator.
 func has(set uint8, i int) bool { return set&(1<<i) != 0 }
 
 func machineID(i int) string { return string([]byte{'m', '0' + byte(i)}) }
--- a/internal/lab/explore/successors.go
+++ b/internal/lab/explore/successors.go
@@ -1,24 +1,24 @@
 package explore
 
-// successors collects what may happen in one state. Each method below adds the edges of one kind of event, or of two that go together.
+// successors collects the edges that leave one state. Each method below adds those of one kind of event, or of two related kinds.
 type successors struct {
 	*model
 	from  state
 	edges []edge
 }
 
-// The order of these lists shows in reports: of two paths of one length the first found is reported.
+// The order of these lists affects reports: of two paths of equal length, the one found first is reported.
 var (
 	coordinatorEvents = []func(s *successors, coordinator int){
-		(*successors).parts,
+		(*successors).partEvents,
 		(*successors).planReceived,
 		(*successors).recordSent,
 		(*successors).recordArrives,
 		(*successors).presenceGranted,
-		(*successors).presenceOver,
+		(*successors).presenceEnded,
 		(*successors).coordinatorFaults,
 		(*successors).coordinatorStarted,
-		(*successors).coordinatorReturns,
+		(*successors).coordinatorRecovers,
 		(*successors).movesArrive,
 		(*successors).movesMade,
 	}
@@ -34,7 +34,7 @@
 	}
 )
 
-// next appends all that may happen in a state to edges.
+// next appends all edges that leave a state to edges.
 func (m *model) next(from state, edges []edge) []edge {
 	s := &successors{model: m, from: from, edges: edges}
 	for i := range s.from.coordinators {
@@ -53,13 +53,13 @@
 	return s.edges
 }
 
-// add adds an edge and returns the state that it leads to, which begins as the one it comes from. It is valid until the next add.
+// add adds an edge and returns the state that it leads to, initially a copy of the current one. The pointer is valid until the next add.
 func (s *successors) add(kind eventKind, actor, machine int) *state {
 	s.edges = append(s.edges, edge{event: event{kind, uint8(actor), uint8(machine)}, to: s.from})
 	return &s.edges[len(s.edges)-1].to
 }
 
-// addFault adds an edge that is counted as a fault; the caller checks that one may still happen.
+// addFault adds an edge that counts as a fault; the caller checks that a fault may still occur.
 func (s *successors) addFault(kind eventKind, actor, machine int) *state {
 	to := s.add(kind, actor, machine)
 	s.edges[len(s.edges)-1].fault = true
@@ -67,8 +67,8 @@
 	return to
 }
 
-// parts sends query parts to machines and ends them.
-func (s *successors) parts(i int) {
+// partEvents adds the starts and ends of query partEvents.
+func (s *successors) partEvents(i int) {
 	c := &s.from.coordinators[i]
 	for k := range machineCount {
 		if s.from.sends > 0 && !has(c.inFlight, k) && s.maySend(c, k) {
@@ -82,6 +82,7 @@
 	}
 }
 
+// planReceived gives an online coordinator the store's plan if its own copy differs.
 func (s *successors) planReceived(i int) {
 	c := &s.from.coordinators[i]
 	if c.online() && (c.plan != s.from.plan || c.is(planLost)) {
@@ -91,7 +92,7 @@
 	}
 }
 
-// recordSent sends a coordinator's record to the store, where it differs from the one there.
+// recordSent sends a coordinator's record to the store if it differs from the stored one.
 func (s *successors) recordSent(i int) {
 	c := &s.from.coordinators[i]
 	if !c.running() || c.is(recordPending|planLost) {
@@ -104,11 +105,11 @@
 	}
 }
 
-// currentRecord is what a coordinator may report now. Without presence it keeps to the calls that it reported before.
+// currentRecord returns what a coordinator may report now. Without presence it must not report calls beyond those it reported before.
 func (s *successors) currentRecord(c *coordinator) record {
 	plan := s.plan(c.plan)
 	r := record{seen: c.stored.seen}
-	if c.is(present) || s.bug == SeenAway {
+	if c.is(present) || s.bug == SeenWithoutPresence {
 		r.seen = plan.calls
 	}
 	for k := range machineCount {
@@ -119,7 +120,7 @@
 	return r
 }
 
-// recordArrives stores a record on its way, whatever has become of its sender, or loses it.
+// recordArrives stores a record that is on its way, whatever the state of its sender, or loses it if the sender is not online.
 func (s *successors) recordArrives(i int) {
 	c := &s.from.coordinators[i]
 	if !c.is(recordPending) {
@@ -135,7 +136,7 @@
 	}
 }
 
-// presenceGranted makes a coordinator present; with the grant it receives the plan.
+// presenceGranted grants presence to a coordinator, which receives the current plan with the grant.
 func (s *successors) presenceGranted(i int) {
 	c := &s.from.coordinators[i]
 	if !c.online() || c.is(present) && !c.is(expired) {
@@ -143,26 +144,27 @@
 	}
 	to := &s.add(presenceGranted, i, 0).coordinators[i]
 	to.flags = to.flags&^expired | present
-	if s.bug != StaleGrant {
+	if s.bug != GrantWithoutPlan {
 		to.plan = s.from.plan
 		to.flags &^= planLost
 	}
 }
 
-// presenceOver ends the presence of a coordinator that does not renew it: first by its own clock, then by the store's, which waits
-// longer by the longest attempt, so that nothing is in flight by then.
-func (s *successors) presenceOver(i int) {
+// presenceEnded ends the presence of a coordinator that does not renew it: first by its own clock, then by the store's. The store waits
+// longer by the maximum duration of an attempt, so that no part is in flight by then.
+func (s *successors) presenceEnded(i int) {
 	c := &s.from.coordinators[i]
 	if c.online() {
 		return
 	}
 	if c.is(present) {
-		s.add(presenceOverLocally, i, 0).coordinators[i].flags &^= present
-	} else if !c.is(expired) && (c.inFlight == 0 || s.bug == LapseTooSoon) {
-		s.add(presenceOverInStore, i, 0).coordinators[i].flags |= expired
+		s.add(presenceEndedLocally, i, 0).coordinators[i].flags &^= present
+	} else if !c.is(expired) && (c.inFlight == 0 || s.bug == EarlyExpiry) {
+		s.add(presenceEndedInStore, i, 0).coordinators[i].flags |= expired
 	}
 }
 
+// coordinatorFaults adds the crash, partition and pause of a coordinator.
 func (s *successors) coordinatorFaults(i int) {
 	if s.from.faults == 0 {
 		return
@@ -181,7 +183,7 @@
 	}
 }
 
-// coordinatorStarted starts a crashed coordinator again; it knows the plan that it stored, and is not present.
+// coordinatorStarted restarts a crashed coordinator. It knows the plan that it stored and has no presence.
 func (s *successors) coordinatorStarted(i int) {
 	if s.from.coordinators[i].is(alive) {
 		return
@@ -189,17 +191,17 @@
 	to := &s.add(coordinatorStarted, i, 0).coordinators[i]
 	to.flags |= alive
 	switch s.bug {
-	case BootPresent:
+	case StartPresent:
 		to.flags |= present
-	case LostOverlay:
+	case RestartLosesOverlay:
 		to.flags |= planLost
-	case LostPlan:
+	case RestartRevertsPlan:
 		to.plan = 0 // the first plan, before any call
 	}
 }
 
-// coordinatorReturns ends a partition or a pause.
-func (s *successors) coordinatorReturns(i int) {
+// coordinatorRecovers ends a partition or a pause.
+func (s *successors) coordinatorRecovers(i int) {
 	c := &s.from.coordinators[i]
 	if c.is(partitioned) {
 		s.add(partitionHealed, i, 0).coordinators[i].flags &^= partitioned
@@ -209,7 +211,7 @@
 	}
 }
 
-// movesArrive stores a coordinator's moves, where the store takes them, or loses them.
+// movesArrive delivers a coordinator's moves to the store, which may reject them, or loses them if the coordinator is not online.
 func (s *successors) movesArrive(i int) {
 	c := &s.from.coordinators[i]
 	if c.moves.kind == noWrite {
@@ -217,7 +219,7 @@
 	}
 	to := s.add(movesStored, i, 0)
 	to.coordinators[i].moves = write{}
-	if s.takesMoves(&c.moves) {
+	if s.acceptsMoves(&c.moves) {
 		s.storePlan(to, c.moves.plan)
 	}
 	if !c.online() {
@@ -225,21 +227,21 @@
 	}
 }
 
-// takesMoves tells whether the store takes moves: their writer still leads, the plan is the one they were made from, and the presence
-// of those whom they pass over has ended in the store.
-func (s *successors) takesMoves(w *write) bool {
-	if s.bug == NoFence {
+// acceptsMoves reports whether the store accepts moves: their writer still leads, the plan is the one that they were made from, and the
+// presence of the coordinators that they skip has ended in the store.
+func (s *successors) acceptsMoves(w *write) bool {
+	if s.bug == NoFencing {
 		return true
 	}
 	for i := range s.from.coordinators {
-		if has(w.expired, i) && !s.from.coordinators[i].is(expired) && s.bug != GuessLapsed {
+		if has(w.expired, i) && !s.from.coordinators[i].is(expired) && s.bug != NoExpiryCheck {
 			return false
 		}
 	}
 	return !w.stale && !w.fenced
 }
 
-// movesMade lets the leader make moves, one write at a time.
+// movesMade adds the leader's moves, in time and overdue. The leader has one write in flight at a time.
 func (s *successors) movesMade(i int) {
 	c := &s.from.coordinators[i]
 	if c.moves.kind != noWrite || int(s.from.leader) != i || !c.online() {
@@ -256,6 +258,7 @@
 	}
 }
 
+// machineFailed makes a healthy machine fail.
 func (s *successors) machineFailed(k int) {
 	if s.from.faults > 0 && !has(s.from.unhealthy, k) {
 		s.addFault(machineFailed, 0, k).unhealthy |= 1 << k
@@ -272,7 +275,7 @@
 	}
 }
 
-// maintenanceDone hands a machine back, newly started.
+// maintenanceDone returns a machine from maintenance, newly started.
 func (s *successors) maintenanceDone(k int) {
 	if has(s.from.handedOver, k) {
 		to := s.add(maintenanceDone, 0, k)
@@ -282,7 +285,7 @@
 	}
 }
 
-// leaderChanged passes the leadership on: it is a fault only where the leader is online.
+// leaderChanged makes the other coordinator the leader. This counts as a fault only if the current leader is online.
 func (s *successors) leaderChanged() {
 	var to *state
 	switch {
@@ -300,7 +303,7 @@
 	s.dropRejected(to)
 }
 
-// orderGiven lets an operator give each order that would change the plan, one at a time.
+// orderGiven adds each operator's order that would change the plan. One order is in flight at a time.
 func (s *successors) orderGiven() {
 	if s.from.orders == 0 || s.from.order.kind != noWrite {
 		return
@@ -318,8 +321,9 @@
 	}
 }
 
+// giveOrder adds an order, given by its index in operatorOrders, if it would change the plan.
 func (s *successors) giveOrder(n, machine int) {
-	after, ok := s.decideOrder(orderQuery{s.from.plan, operatorOrders[n], uint8(machine)})
+	after, ok := s.decideOrder(orderKey{s.from.plan, operatorOrders[n], uint8(machine)})
 	if !ok {
 		return
 	}
@@ -328,7 +332,7 @@
 	to.order = write{kind: operatorWrite, plan: after}
 }
 
-// orderStored stores an operator's order, where the plan is the one that it was given for.
+// orderStored delivers an operator's order, which the store accepts if the plan has not changed since the order was given.
 func (s *successors) orderStored() {
 	order := s.from.order
 	if order.kind == noWrite {
@@ -336,12 +340,12 @@
 	}
 	to := s.add(orderStored, 0, 0)
 	to.order = write{}
-	if !order.stale || s.bug == NoRevision {
+	if !order.stale || s.bug == NoRevisionCheck {
 		s.storePlan(to, order.plan)
 	}
 }
 
-// storePlan makes a plan the store's. Other writes on their way were made from an earlier one.
+// storePlan replaces the store's plan. Other writes on their way become stale because they were made from an earlier plan.
 func (m *model) storePlan(to *state, id planID) {
 	to.handedOver |= m.plan(id).handedOver &^ m.plan(to.plan).handedOver
 	to.plan = id
@@ -352,14 +356,14 @@
 	m.dropRejected(to)
 }
 
-// dropRejected drops writes that the store will reject: their arrival would change nothing.
+// dropRejected drops writes that the store will reject, because their arrival would change nothing.
 func (m *model) dropRejected(to *state) {
 	for i := range to.coordinators {
-		if w := &to.coordinators[i].moves; (w.stale || w.fenced) && m.bug != NoFence {
+		if w := &to.coordinators[i].moves; (w.stale || w.fenced) && m.bug != NoFencing {
 			*w = write{}
 		}
 	}
-	if to.order.stale && m.bug != NoRevision {
+	if to.order.stale && m.bug != NoRevisionCheck {
 		to.order = write{}
 	}
 }
--- a/internal/lab/explore/table.go
+++ b/internal/lab/explore/table.go
@@ -1,9 +1,9 @@
 package explore
 
-// shardCount is how many shards the table of states has; a power of two.
+// shardCount is the number of shards of the table of states; a power of two.
 const shardCount = 64
 
-// ref names a state: its shard, and its index there.
+// ref refers to a state by its shard and its index there.
 type ref uint32
 
 // none is the ref of no state.
@@ -14,18 +14,18 @@
 func (r ref) shard() int { return int(r % shardCount) }
 func (r ref) index() int { return int(r / shardCount) }
 
-// shard holds the states whose hash is alike. One goroutine at a time changes it.
+// shard holds the states whose hash selects it. Only one goroutine at a time modifies it.
 type shard struct {
 	states       []state
-	predecessors []ref // by state, the one from which it was reached first
+	predecessors []ref // by state index: the state from which it was reached first
 	index        map[state]ref
-	faultless    []reversedEdge // to states of this shard, from any
+	faultless    []reversedEdge // edges without a fault to states of this shard from any shard
 }
 
-// reversedEdge leads from a state back to one before it.
+// reversedEdge leads from a state back to one of its predecessors.
 type reversedEdge struct{ to, from ref }
 
-// insert adds a state to the table.
+// insert adds a state to the table and returns its ref.
 func (e *explorer) insert(s state, from ref) ref {
 	i := shardOf(&s)
 	h := &e.shards[i]
--- a/internal/lab/model/model.go
+++ b/internal/lab/model/model.go
@@ -95,8 +95,8 @@
 	return f
 }
 
-// recordFactError records the error of writing a fact. Gossip normally causes rejections of facts that are known or too old; any other error is
-// a fault of the model, which Run returns.
+// recordFactError records the error of writing a fact. Gossip normally causes rejections of facts that are known or too old; any other
+// error is a fault of the model, which Run returns.
 func (m *Model) recordFactError(err error) {
 	if err != nil && m.err == nil && !errors.Is(err, observations.ErrKnown) && !errors.Is(err, observations.ErrOld) {
 		m.err = err
--- a/internal/lab/model/model_test.go
+++ b/internal/lab/model/model_test.go
@@ -28,7 +28,8 @@
 	return sum
 }
 
-// TestDaysKeepServedShare runs small versions of the days: no rule may break, and the share of served queries must not fall below its minimum.
+// TestDaysKeepServedShare runs small versions of the days: no rule may break, and the share of served queries must not fall below its
+// minimum.
 func TestDaysKeepServedShare(t *testing.T) {
 	for _, c := range []struct {
 		day   string
