--- a/internal/lab/disk/crash.go
+++ b/internal/lab/disk/crash.go
@@ -6,9 +6,9 @@
 	"slices"
 )
 
-// Crash disconnects the disk and returns the one that is found after a restart: with what was synced, and a random part of what was not.
-// Of bytes that were appended and not synced any length may be there, or zeros in part.
-func (d *Disk) Crash(chance *rand.Rand) *Disk {
+// Crash disconnects the disk and returns the disk as found after a restart: with everything that was synced and a random part of what was
+// not. Of appended bytes that were not synced, any number may survive, and some may read as zeros.
+func (d *Disk) Crash(rng *rand.Rand) *Disk {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.disconnected = true
@@ -17,18 +17,18 @@
 		c.files[name] = d.syncedFiles[name]
 	}
 	all := slices.Sorted(maps.Keys(d.files))
-	for _, name := range all { // names that were made or moved may be there
-		if d.files[name] != d.syncedFiles[name] && chance.IntN(2) == 0 {
+	for _, name := range all { // names that were created or renamed may have survived
+		if d.files[name] != d.syncedFiles[name] && rng.IntN(2) == 0 {
 			c.files[name] = d.files[name]
 		}
 	}
-	for _, name := range slices.Sorted(maps.Keys(c.files)) { // and names that were removed may be gone
-		if d.files[name] == nil && chance.IntN(2) == 0 {
+	for _, name := range slices.Sorted(maps.Keys(c.files)) { // names that were removed may be gone
+		if d.files[name] == nil && rng.IntN(2) == 0 {
 			delete(c.files, name)
 		}
 	}
 	for name, old := range c.files {
-		n := &inode{data: survives(old, chance)}
+		n := &inode{data: contentsAfterCrash(old, rng)}
 		n.synced = slices.Clone(n.data)
 		c.files[name] = n
 	}
@@ -36,10 +36,10 @@
 	return c
 }
 
-// survives returns the contents of a file after a crash.
-func survives(n *inode, chance *rand.Rand) []byte {
-	if len(n.data) < len(n.synced) { // it was made shorter, and that was not synced
-		if chance.IntN(2) == 0 {
+// contentsAfterCrash returns the contents of a file after a crash, with a random part of the bytes that were not synced.
+func contentsAfterCrash(n *inode, rng *rand.Rand) []byte {
+	if len(n.data) < len(n.synced) { // truncated, and the truncation was not synced
+		if rng.IntN(2) == 0 {
 			return slices.Clone(n.data)
 		}
 		return slices.Clone(n.synced)
@@ -49,10 +49,10 @@
 	if len(rest) == 0 {
 		return out
 	}
-	switch k := chance.IntN(len(rest) + 1); chance.IntN(3) {
-	case 0: // blocks that were given out and not written
+	switch k := rng.IntN(len(rest) + 1); rng.IntN(3) {
+	case 0: // blocks were allocated but not written
 		out = append(out, make([]byte, k)...)
-	case 1: // written in another order: the end is there, the start is not
+	case 1: // written out of order: the end survives, the start does not
 		noise := slices.Clone(rest)
 		for i := range k {
 			noise[i] = 0
--- a/internal/lab/disk/disk.go
+++ b/internal/lab/disk/disk.go
@@ -1,5 +1,5 @@
-// Package disk is a fake disk for crash tests of storage: a kv.FS in memory that knows what was synced and what was not, fails or fills up
-// at a given operation, and can lose power at any moment. What was synced survives a crash; what was not may be lost.
+// Package disk is a fake disk for crash tests of storage: a kv.FS in memory that tracks which data was synced, fails at a given operation,
+// has limited space and can lose power at any moment. Synced data survives a crash; other data may be lost.
 package disk
 
 import (
@@ -10,37 +10,37 @@
 	"time"
 )
 
-// ErrFailed is the error of an operation that FailAt lets fail.
+// ErrFailed is the default error of an operation that FailAt makes fail.
 var ErrFailed = errors.New("input/output error")
 
-// inode is a file's contents.
+// inode holds a file's contents.
 type inode struct {
-	data   []byte // as a reader sees it
-	synced []byte // as of the last sync of the file
+	data   []byte // contents that readers see
+	synced []byte // contents at the last sync of the file
 }
 
-// Disk is a folder in memory. It may be used by several goroutines.
+// Disk is a directory in memory. It is safe for concurrent use.
 type Disk struct {
 	// mu guards the fields below, and the inodes.
 	mu           sync.Mutex
-	files        map[string]*inode
-	syncedFiles  map[string]*inode // as of the last sync of the folder
+	files        map[string]*inode // by name
+	syncedFiles  map[string]*inode // files at the last sync of the directory
 	operations   int
-	syncs        int
+	syncs        int // syncs of files
 	log          []string
-	failures     map[int]error
-	free         int64 // bytes; below 0 for no limit
+	failures     map[int]error // by operation number
+	free         int64         // free space in bytes; negative for no limit
 	locked       bool
-	syncTime     time.Duration // of each sync of a file
-	disconnected bool          // after a crash no operation reaches it
+	syncTime     time.Duration // duration of each sync of a file
+	disconnected bool          // after a crash all operations fail
 }
 
-// New returns an empty disk without a limit.
+// New returns an empty disk with unlimited space.
 func New() *Disk {
 	return &Disk{files: map[string]*inode{}, syncedFiles: map[string]*inode{}, failures: map[int]error{}, free: -1}
 }
 
-// FailAt lets the n-th operation from now on fail, with ErrFailed unless another error is given.
+// FailAt makes the n-th operation from now fail with err, or with ErrFailed if err is nil.
 func (d *Disk) FailAt(n int, err error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -50,45 +50,45 @@
 	d.failures[d.operations+n] = err
 }
 
-// SetSyncTime sets how long each sync of a file takes.
+// SetSyncTime sets the duration of each sync of a file.
 func (d *Disk) SetSyncTime(each time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.syncTime = each
 }
 
-// SetFreeSpace sets how many bytes can be written; below 0 for no limit.
+// SetFreeSpace sets the number of bytes that can still be written; negative for no limit.
 func (d *Disk) SetFreeSpace(bytes int64) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.free = bytes
 }
 
-// Ops counts the operations so far, and the syncs of files among them.
+// Ops returns the number of operations so far and the number of attempted syncs of files.
 func (d *Disk) Ops() (ops, syncs int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.operations, d.syncs
 }
 
-// Log lists the operations so far.
+// Log returns the operations so far, one text for each.
 func (d *Disk) Log() []string {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return slices.Clone(d.log)
 }
 
-// begin counts and logs an operation, and returns the error that it is to fail with. The caller holds mu.
-func (d *Disk) begin(format string, args ...any) error {
+// beginOperation counts and logs an operation, and returns the error with which it must fail, if any. The caller holds mu.
+func (d *Disk) beginOperation(format string, args ...any) error {
 	if d.disconnected {
-		return errors.New("the disk is cut off")
+		return errors.New("disk is disconnected after a crash")
 	}
 	d.operations++
 	d.log = append(d.log, fmt.Sprintf(format, args...))
 	return d.failures[d.operations]
 }
 
-// Get returns a file's contents; nil where there is none.
+// Get returns a file's contents, or nil if there is no such file.
 func (d *Disk) Get(name string) []byte {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -98,7 +98,7 @@
 	return nil
 }
 
-// Put sets a file's contents and syncs them, without an operation that is counted.
+// Put sets and syncs a file's contents without counting an operation.
 func (d *Disk) Put(name string, data []byte) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -106,7 +106,7 @@
 	d.files[name], d.syncedFiles[name] = n, n
 }
 
-// Clone returns a copy of the disk as it is now, with all of it synced.
+// Clone returns a copy of the disk's current files, all of them synced.
 func (d *Disk) Clone() *Disk {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/lab/disk/file.go
+++ b/internal/lab/disk/file.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// reader reads a file; its size is that at the time of Open.
+// reader is a file that is open for reading. Its size is the size at the time of Open.
 type reader struct {
 	disk  *Disk
 	name  string
@@ -20,7 +20,7 @@
 func (r *reader) ReadAt(p []byte, at int64) (int, error) {
 	r.disk.mu.Lock()
 	defer r.disk.mu.Unlock()
-	if err := r.disk.begin("read %s at %d", r.name, at); err != nil {
+	if err := r.disk.beginOperation("read %s at %d", r.name, at); err != nil {
 		return 0, err
 	}
 	if at >= int64(len(r.inode.data)) {
@@ -40,11 +40,11 @@
 	inode *inode
 }
 
-// Write writes what there is free space for. A write that is to fail writes half of p.
+// Write writes as much of p as there is free space for. A write that FailAt makes fail writes half of p.
 func (f *file) Write(p []byte) (int, error) {
 	f.disk.mu.Lock()
 	defer f.disk.mu.Unlock()
-	if err := f.disk.begin("write %s %d", f.name, len(p)); err != nil {
+	if err := f.disk.beginOperation("write %s %d", f.name, len(p)); err != nil {
 		if !f.disk.disconnected {
 			f.inode.data = append(f.inode.data, p[:len(p)/2]...)
 		}
@@ -63,7 +63,7 @@
 	return len(p), nil
 }
 
-// Sync makes the contents survive a crash. On a real disk a sync that fails may have done so or not; here it has not.
+// Sync makes the contents survive a crash. A failed sync on a real disk may or may not have synced them; here it has not.
 func (f *file) Sync() error {
 	f.disk.mu.Lock()
 	slow := f.disk.syncTime
@@ -72,7 +72,7 @@
 	f.disk.mu.Lock()
 	defer f.disk.mu.Unlock()
 	f.disk.syncs++
-	if err := f.disk.begin("sync %s", f.name); err != nil {
+	if err := f.disk.beginOperation("sync %s", f.name); err != nil {
 		return err
 	}
 	f.inode.synced = slices.Clone(f.inode.data)
@@ -82,7 +82,7 @@
 func (f *file) Truncate(size int64) error {
 	f.disk.mu.Lock()
 	defer f.disk.mu.Unlock()
-	if err := f.disk.begin("truncate %s %d", f.name, size); err != nil {
+	if err := f.disk.beginOperation("truncate %s %d", f.name, size); err != nil {
 		return err
 	}
 	if f.disk.free >= 0 {
--- a/internal/lab/disk/fs.go
+++ b/internal/lab/disk/fs.go
@@ -9,14 +9,14 @@
 	"gullfall/internal/kv"
 )
 
-// Disk is a kv.FS.
+// Disk implements kv.FS.
 var _ kv.FS = (*Disk)(nil)
 
 // List implements kv.FS.
 func (d *Disk) List() ([]string, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if err := d.begin("list"); err != nil {
+	if err := d.beginOperation("list"); err != nil {
 		return nil, err
 	}
 	return slices.Sorted(maps.Keys(d.files)), nil
@@ -26,7 +26,7 @@
 func (d *Disk) Read(name string) ([]byte, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if err := d.begin("read %s", name); err != nil {
+	if err := d.beginOperation("read %s", name); err != nil {
 		return nil, err
 	}
 	n := d.files[name]
@@ -40,7 +40,7 @@
 func (d *Disk) Open(name string) (kv.Reader, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if err := d.begin("open %s", name); err != nil {
+	if err := d.beginOperation("open %s", name); err != nil {
 		return nil, err
 	}
 	n := d.files[name]
@@ -54,7 +54,7 @@
 func (d *Disk) Create(name string) (kv.File, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if err := d.begin("create %s", name); err != nil {
+	if err := d.beginOperation("create %s", name); err != nil {
 		return nil, err
 	}
 	if d.files[name] != nil {
@@ -69,7 +69,7 @@
 func (d *Disk) Append(name string) (kv.File, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if err := d.begin("append %s", name); err != nil {
+	if err := d.beginOperation("append %s", name); err != nil {
 		return nil, err
 	}
 	n := d.files[name]
@@ -83,7 +83,7 @@
 func (d *Disk) Remove(name string) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if err := d.begin("remove %s", name); err != nil {
+	if err := d.beginOperation("remove %s", name); err != nil {
 		return err
 	}
 	if d.files[name] == nil {
@@ -100,7 +100,7 @@
 func (d *Disk) Rename(from, to string) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if err := d.begin("rename %s %s", from, to); err != nil {
+	if err := d.beginOperation("rename %s %s", from, to); err != nil {
 		return err
 	}
 	if d.files[from] == nil {
@@ -115,16 +115,17 @@
 func (d *Disk) SyncDir() error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if err := d.begin("sync folder"); err != nil {
+	if err := d.beginOperation("sync folder"); err != nil {
 		return err
 	}
 	d.syncedFiles = maps.Clone(d.files)
 	return nil
 }
 
-type unlock struct{ disk *Disk }
+// unlocker releases the lock of a disk when it is closed.
+type unlocker struct{ disk *Disk }
 
-func (u unlock) Close() error {
+func (u unlocker) Close() error {
 	u.disk.mu.Lock()
 	defer u.disk.mu.Unlock()
 	u.disk.locked = false
@@ -139,5 +140,5 @@
 		return nil, kv.ErrLocked
 	}
 	d.locked = true
-	return unlock{d}, nil
+	return unlocker{d}, nil
 }
--- a/internal/lab/golden/golden.go
+++ b/internal/lab/golden/golden.go
@@ -1,5 +1,5 @@
-// Package golden compares what is encoded today with files that an earlier version wrote, for tests of stored and sent
-// formats: a struct whose field is renamed must keep the key under which other versions and programs know it.
+// Package golden tests stored and transmitted formats: it compares current encodings with files that an earlier version wrote. A struct
+// whose field is renamed must keep the key that other versions and programs use.
 package golden
 
 import (
@@ -13,19 +13,20 @@
 	"time"
 )
 
-var update = flag.Bool("update", false, "write the golden files anew: only where a format is meant to change")
+var update = flag.Bool("update", false, "rewrite the golden files; use only when a format changes on purpose")
 
-// maxDepth bounds the filling of types that hold themselves.
+// maxDepth bounds the recursion into types that contain themselves.
 const maxDepth = 8
 
-// Filled returns a T all of whose exported fields are set, so that its JSON form shows every key: strings, numbers and
-// flags get fixed values, lists and maps one entry.
+// Filled returns a T with all exported fields set, so that its JSON encoding contains every key. Strings, numbers and booleans get fixed
+// values, slices and maps one entry.
 func Filled[T any]() T {
 	var v T
 	fill(reflect.ValueOf(&v).Elem(), 0)
 	return v
 }
 
+// fill sets v, and the values that it contains, to fixed values.
 func fill(v reflect.Value, depth int) {
 	if !v.CanSet() || depth > maxDepth {
 		return
@@ -68,7 +69,7 @@
 	}
 }
 
-// JSON fails the test unless the values, by label, encode to the recorded file testdata/NAME.
+// JSON fails the test unless the values, keyed by label, encode to the contents of the golden file testdata/NAME.
 func JSON(t testing.TB, name string, values map[string]any) {
 	t.Helper()
 	raw, err := json.MarshalIndent(values, "", " ")
@@ -78,7 +79,7 @@
 	Bytes(t, name, append(raw, '\n'))
 }
 
-// Bytes fails the test unless got is the recorded file testdata/NAME.
+// Bytes fails the test unless got equals the contents of the golden file testdata/NAME.
 func Bytes(t testing.TB, name string, got []byte) {
 	t.Helper()
 	path := filepath.Join("testdata", name)
@@ -96,6 +97,6 @@
 		t.Fatal(err)
 	}
 	if !bytes.Equal(got, want) {
-		t.Errorf("%s: the form has changed; it was\n%s\nand is\n%s", path, want, got)
+		t.Errorf("%s: the encoding has changed; want\n%s\ngot\n%s", path, want, got)
 	}
 }
--- a/internal/lab/knownred/knownred.go
+++ b/internal/lab/knownred/knownred.go
@@ -1,10 +1,10 @@
-// Package knownred gives one verdict on a test run in which a few tests may fail: those that a file lists, each with its
-// cause and its issue, because their fault is known and not mended yet.
+// Package knownred evaluates a test run in which a few tests may fail. A file lists these tests, each with its cause and its issue, because
+// their fault is known and not fixed yet.
 //
-//	the file has more than Most lines, or one that can't be read     an error
-//	a listed test was not run                                        an error: it does not exist
-//	a test that is not listed, or a package, fails                   the run has failed
-//	only listed tests fail                                           the run has passed, and they are named
+//	the file lists more than MaxEntries tests, or has an invalid line  an error
+//	a listed test was not run                                          an error, because the test does not exist
+//	an unlisted test fails, or a package fails without a failed test   the run fails
+//	no test fails, or only listed ones do                              the run passes, and the failed tests are reported
 package knownred
 
 import (
@@ -17,17 +17,17 @@
 	"strings"
 )
 
-// Most is how many tests may be listed.
-const Most = 3
+// MaxEntries is the maximum number of listed tests.
+const MaxEntries = 3
 
 // Entry is one line of the file: "TestName: cause (issue 7)".
 type Entry struct {
 	Test, Cause, Issue string
 }
 
-var form = regexp.MustCompile(`^(Test\w*): (\S.*) \(issue (\d+)\)$`)
+var linePattern = regexp.MustCompile(`^(Test\w*): (\S.*) \(issue (\d+)\)$`)
 
-// Parse reads the file. Blank lines do not count.
+// Parse reads the list of known failures. It ignores blank lines.
 func Parse(in io.Reader) ([]Entry, error) {
 	var list []Entry
 	lines := bufio.NewScanner(in)
@@ -36,37 +36,37 @@
 		if line == "" {
 			continue
 		}
-		fields := form.FindStringSubmatch(line)
+		fields := linePattern.FindStringSubmatch(line)
 		if fields == nil {
-			return nil, fmt.Errorf("line %q is not of the form \"TestName: cause (issue 7)\"", line)
+			return nil, fmt.Errorf("invalid line %q, want \"TestName: cause (issue 7)\"", line)
 		}
 		list = append(list, Entry{Test: fields[1], Cause: fields[2], Issue: fields[3]})
 	}
 	if err := lines.Err(); err != nil {
-		return nil, fmt.Errorf("reading the list: %w", err)
+		return nil, fmt.Errorf("reading the list of known failures: %w", err)
 	}
-	if len(list) > Most {
-		return nil, fmt.Errorf("%d tests are listed; %d may be", len(list), Most)
+	if len(list) > MaxEntries {
+		return nil, fmt.Errorf("%d tests are listed, at most %d are allowed", len(list), MaxEntries)
 	}
 	return list, nil
 }
 
-// Verdict is what a run comes to.
+// Verdict is the result of a test run.
 type Verdict struct {
-	Passed, Failed int      // tests at the top level
-	Known          []Entry  // of those that failed, the listed ones
-	Unknown        []string // and the others, with packages that failed for no test
+	Passed, Failed int      // numbers of top-level tests
+	Known          []Entry  // failed tests that are listed
+	Unknown        []string // failed tests that are not listed, and packages that failed without a failed test
 }
 
-// OK tells whether the run has passed.
+// OK reports whether the run has passed.
 func (v Verdict) OK() bool { return len(v.Unknown) == 0 }
 
-// event is a line of go test -json.
+// event is a line of the output of go test -json.
 type event struct {
 	Action, Package, Test, Output string
 }
 
-// Judge reads the output of go test -json; what the tests print goes to out.
+// Judge evaluates the output of go test -json against the list, and copies the tests' own output to out.
 func Judge(in io.Reader, list []Entry, out io.Writer) (Verdict, error) {
 	var v Verdict
 	failedIn := map[string]bool{} // packages in which a test failed
@@ -79,7 +79,7 @@
 			break
 		}
 		if err != nil {
-			return v, fmt.Errorf("reading the run: %w", err)
+			return v, fmt.Errorf("reading the output of go test -json: %w", err)
 		}
 		if e.Action == "output" {
 			_, _ = io.WriteString(out, e.Output)
@@ -87,18 +87,18 @@
 		if strings.Contains(e.Test, "/") {
 			continue
 		}
-		v.take(e, list, ran, failedIn)
+		v.record(e, list, ran, failedIn)
 	}
 	for _, entry := range list {
 		if !ran[entry.Test] {
-			return v, fmt.Errorf("%s is listed and was not run: there is no such test", entry.Test)
+			return v, fmt.Errorf("listed test %s was not run: there is no such test", entry.Test)
 		}
 	}
 	return v, nil
 }
 
-// take counts the end of a test or a package.
-func (v *Verdict) take(e event, list []Entry, ran, failedIn map[string]bool) {
+// record records the start or end of a test, or the failure of a package.
+func (v *Verdict) record(e event, list []Entry, ran, failedIn map[string]bool) {
 	switch {
 	case e.Test != "" && e.Action == "run":
 		ran[e.Test] = true
--- a/internal/lab/knownred/knownred_test.go
+++ b/internal/lab/knownred/knownred_test.go
@@ -15,11 +15,11 @@
 		bad        bool
 	}{
 		{"empty", "\n", nil, false},
-		{"one", "TestA: a fault, known (issue 7)\n", []Entry{{"TestA", "a fault, known", "7"}}, false},
+		{"one entry", "TestA: a fault, known (issue 7)\n", []Entry{{"TestA", "a fault, known", "7"}}, false},
 		{"no issue", "TestA: a fault\n", nil, true},
 		{"no cause", "TestA:  (issue 7)\n", nil, true},
 		{"no test", "A: a fault (issue 7)\n", nil, true},
-		{"four", strings.Repeat("TestA: a fault (issue 7)\n", 4), nil, true},
+		{"more than three", strings.Repeat("TestA: a fault (issue 7)\n", 4), nil, true},
 	} {
 		got, err := Parse(strings.NewReader(c.text))
 		if diff := cmp.Diff(c.want, got); diff != "" || (err != nil) != c.bad {
@@ -47,12 +47,12 @@
 		ok, bad   bool
 	}{
 		{"all pass", passes, nil, true, false},
-		{"a known one fails", passes + fails, known, true, false},
-		{"another fails", passes + fails, nil, false, false},
+		{"a listed test fails", passes + fails, known, true, false},
+		{"an unlisted test fails", passes + fails, nil, false, false},
 		{"a package does not build", passes + broken, nil, false, false},
-		{"a known one fails beside a package", fails + broken, known, false, false},
-		{"a listed one does not exist", passes, known, true, true},
-		{"a run that is cut", passes + `{"Action":`, nil, true, true},
+		{"a listed test and a package fail", fails + broken, known, false, false},
+		{"a listed test does not exist", passes, known, true, true},
+		{"truncated output", passes + `{"Action":`, nil, true, true},
 	} {
 		v, err := Judge(strings.NewReader(c.run), c.list, io.Discard)
 		if v.OK() != c.ok || (err != nil) != c.bad {
--- a/internal/lab/linearizability/linearizability.go
+++ b/internal/lab/linearizability/linearizability.go
@@ -1,6 +1,6 @@
-// Package linearizability keeps the history of what clients did to the coordinators' store, and checks it: whether all of it could have
-// happened in one order, each operation at some moment between its call and its return (linearizable, by porcupine). It must never
-// take an operation without an answer for one that was not done: it may be done at any later moment.
+// Package linearizability records the history of client operations on the coordinators' store and checks with porcupine whether it is
+// linearizable: whether all operations could have taken effect in one order, each at some moment between its call and its return. An
+// operation without an answer must not be treated as failed, because it may take effect at any later moment.
 package linearizability
 
 import (
@@ -12,45 +12,45 @@
 	"github.com/anishathalye/porcupine"
 )
 
-// Kind is what an operation does.
+// Kind is the kind of an operation.
 type Kind uint8
 
 // The kinds of operations.
 const (
 	Get Kind = iota
 	Put
-	Swap // puts Value where Old is the value
+	Swap // compare-and-swap: writes Value if the current value is Old
 )
 
-// Op is one operation on one key. Values are unique, but for the empty one, which is there before any.
+// Op is one operation on one key. Written values must be unique and not empty; the empty value stands for a key without a value.
 type Op struct {
 	Client     int
 	Kind       Kind
 	Key        string
-	Old, Value string // Get: Value is what was read
-	Done       bool   // Swap: Old was there
-	Unknown    bool   // no answer came
+	Old, Value string // for Get, Value is the value read
+	Done       bool   // Swap only: the current value was Old, and Value was written
+	Unknown    bool   // no answer arrived, so the effect is unknown
 	Call, End  time.Duration
 }
 
-// History takes in operations of several goroutines.
+// History records operations. It is safe for concurrent use.
 type History struct {
 	mu  sync.Mutex
-	all []Op
+	ops []Op
 }
 
-// Add notes an operation.
+// Add records an operation.
 func (h *History) Add(o Op) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.all = append(h.all, o)
+	h.ops = append(h.ops, o)
 }
 
-// Counts tells how many operations there are, how many writes were acknowledged, and how many ended without an answer.
+// Counts returns the number of operations, of acknowledged writes, and of operations without an answer.
 func (h *History) Counts() (all, committed, unknown int) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	for _, o := range h.all {
+	for _, o := range h.ops {
 		switch {
 		case o.Unknown:
 			unknown++
@@ -58,11 +58,11 @@
 			committed++
 		}
 	}
-	return len(h.all), committed, unknown
+	return len(h.ops), committed, unknown
 }
 
-// model is a register for each key.
-var model = porcupine.Model{
+// registerModel specifies the store for porcupine as an independent register for each key.
+var registerModel = porcupine.Model{
 	Partition: func(history []porcupine.Operation) (parts [][]porcupine.Operation) {
 		at := map[string]int{}
 		for _, o := range history {
@@ -95,14 +95,14 @@
 	},
 }
 
-// Check tells whether the history is linearizable; known is false where that was not found out within limit.
+// Check reports whether the history is linearizable. known is false if the check did not finish within limit.
 func (h *History) Check(limit time.Duration) (linearizable, known bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	var ops []porcupine.Operation
-	for _, o := range h.all {
+	for _, o := range h.ops {
 		if o.Unknown && o.Kind == Get {
-			continue // it says nothing
+			continue // a read without a result does not constrain the history
 		}
 		end := int64(o.End)
 		if o.Unknown {
@@ -110,7 +110,7 @@
 		}
 		ops = append(ops, porcupine.Operation{ClientId: o.Client, Input: o, Output: o, Call: int64(o.Call), Return: end})
 	}
-	switch porcupine.CheckOperationsTimeout(model, ops, limit) {
+	switch porcupine.CheckOperationsTimeout(registerModel, ops, limit) {
 	case porcupine.Ok:
 		return true, true
 	case porcupine.Illegal:
@@ -119,25 +119,26 @@
 	return false, false
 }
 
-// Lost tells of which keys the last value that is read is one that no order allows: a value older than an acknowledged write that
-// was called after it had returned, and that no unknown write explains.
+// Lost describes the keys whose final value shows that an acknowledged write was lost: the write was called after the write of the final
+// value had returned, or no write of that value is known. A final value whose write had no answer is not reported, because that write
+// may have taken effect late.
 func (h *History) Lost(final map[string]string) (lost []string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for key, value := range final {
 		if newer := h.newerThan(key, value); newer != nil {
-			lost = append(lost, fmt.Sprintf("%s: %q was acknowledged and %q is read", key, newer.Value, value))
+			lost = append(lost, fmt.Sprintf("key %s: acknowledged value %q was lost; the final value is %q", key, newer.Value, value))
 		}
 	}
 	return lost
 }
 
-// newerThan finds an acknowledged write of a key that must have come after the last write of value; nil where there is none. The
-// caller holds the lock.
+// newerThan returns an acknowledged write to a key that must have taken effect after the last write of value, or nil if there is none. The
+// caller holds mu.
 func (h *History) newerThan(key, value string) *Op {
 	written := h.lastWriteOf(key, value)
-	for i := range h.all {
-		o := &h.all[i]
+	for i := range h.ops {
+		o := &h.ops[i]
 		if o.Key != key || !o.acknowledgedWrite() || o.Value == value {
 			continue
 		}
@@ -148,17 +149,17 @@
 	return nil
 }
 
-// lastWriteOf finds the last write of a value to a key that may have been done; nil where there is none.
+// lastWriteOf returns the last write of a value to a key that may have taken effect, or nil if there is none.
 func (h *History) lastWriteOf(key, value string) (written *Op) {
-	for i, o := range h.all {
+	for i, o := range h.ops {
 		if o.Key == key && o.Value == value && (o.Kind == Put || o.Kind == Swap && (o.Done || o.Unknown)) {
-			written = &h.all[i]
+			written = &h.ops[i]
 		}
 	}
 	return written
 }
 
-// acknowledgedWrite tells whether an operation wrote its value for certain.
+// acknowledgedWrite reports whether an operation certainly wrote its value.
 func (o *Op) acknowledgedWrite() bool {
 	return !o.Unknown && (o.Kind == Put || o.Kind == Swap && o.Done)
 }
--- a/internal/lab/linearizability/linearizability_test.go
+++ b/internal/lab/linearizability/linearizability_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// TestCheck: histories that could and could not have happened; a write without an answer may take effect late, or never.
+// TestCheck checks linearizable histories and others. A write without an answer may take effect late or never.
 func TestCheck(t *testing.T) {
 	at := func(k Kind, old, value string, done, unknown bool, call, end time.Duration) Op {
 		return Op{Kind: k, Key: "k", Old: old, Value: value, Done: done, Unknown: unknown, Call: call, End: end}
@@ -14,17 +14,17 @@
 		name string
 		ops  []Op
 		want bool
-		lost int // with the last Get as what is read in the end
+		lost int // number of keys reported by Lost if the last Get reads the final value; 0 is not checked
 	}{
-		{"write, then read", []Op{at(Put, "", "a", false, false, 0, 1), at(Get, "", "a", false, false, 2, 3)}, true, 0},
-		{"a read of what was overwritten", []Op{at(Put, "", "a", false, false, 0, 1), at(Put, "", "b", false, false, 2, 3), at(Get, "", "a", false, false, 4, 5)}, false, 1},
-		{"an acknowledged write that is gone", []Op{at(Put, "", "a", false, false, 0, 1), at(Get, "", "", false, false, 2, 3)}, false, 1},
-		{"at once, either way", []Op{at(Put, "", "a", false, false, 0, 3), at(Get, "", "", false, false, 1, 2)}, true, 0},
-		{"a write without an answer that is read later", []Op{at(Put, "", "a", false, true, 0, 1), at(Get, "", "", false, false, 2, 3), at(Get, "", "a", false, false, 4, 5)}, true, 0},
-		{"one that comes and goes", []Op{at(Put, "", "a", false, true, 0, 1), at(Get, "", "a", false, false, 2, 3), at(Get, "", "", false, false, 4, 5)}, false, 0},
-		{"two swaps of one value", []Op{at(Swap, "", "a", true, false, 0, 1), at(Swap, "", "b", true, false, 2, 3)}, false, 0},
-		{"a swap that was refused, rightly", []Op{at(Put, "", "a", false, false, 0, 1), at(Swap, "", "b", false, false, 2, 3)}, true, 0},
-		{"and wrongly", []Op{at(Swap, "", "b", false, false, 2, 3)}, false, 0},
+		{"read after write", []Op{at(Put, "", "a", false, false, 0, 1), at(Get, "", "a", false, false, 2, 3)}, true, 0},
+		{"read of an overwritten value", []Op{at(Put, "", "a", false, false, 0, 1), at(Put, "", "b", false, false, 2, 3), at(Get, "", "a", false, false, 4, 5)}, false, 1},
+		{"acknowledged write is lost", []Op{at(Put, "", "a", false, false, 0, 1), at(Get, "", "", false, false, 2, 3)}, false, 1},
+		{"read concurrent with a write", []Op{at(Put, "", "a", false, false, 0, 3), at(Get, "", "", false, false, 1, 2)}, true, 0},
+		{"write without an answer takes effect late", []Op{at(Put, "", "a", false, true, 0, 1), at(Get, "", "", false, false, 2, 3), at(Get, "", "a", false, false, 4, 5)}, true, 0},
+		{"write without an answer takes effect and disappears", []Op{at(Put, "", "a", false, true, 0, 1), at(Get, "", "a", false, false, 2, 3), at(Get, "", "", false, false, 4, 5)}, false, 0},
+		{"two successful swaps of one value", []Op{at(Swap, "", "a", true, false, 0, 1), at(Swap, "", "b", true, false, 2, 3)}, false, 0},
+		{"swap correctly rejected", []Op{at(Put, "", "a", false, false, 0, 1), at(Swap, "", "b", false, false, 2, 3)}, true, 0},
+		{"swap wrongly rejected", []Op{at(Swap, "", "b", false, false, 2, 3)}, false, 0},
 	} {
 		var h History
 		final := map[string]string{}
--- a/internal/lab/swimsim/heartbeat.go
+++ b/internal/lab/swimsim/heartbeat.go
@@ -8,20 +8,20 @@
 // heartbeatSize is the size of a heartbeat packet in bytes.
 const heartbeatSize = 60
 
-// heartbeat is a detector that sends a heartbeat to all others once a period, and takes for dead whom it has not heard for a fixed
-// time.
+// heartbeat is a failure detector that sends a heartbeat to the receivers once a period, and considers a member dead after a fixed time
+// without one.
 type heartbeat struct {
 	self      int
-	receivers int // it sends to the members before this one
+	receivers int // it sends to the members with a lower index than this
 	period    time.Duration
 	timeout   time.Duration
 	nextBeat  time.Duration
-	lastHeard []time.Duration // by member; empty where it does not watch
+	lastHeard []time.Duration // by member; empty if this member does not watch the others
 	now       time.Duration
 }
 
-func newHeartbeat(self, n, watchers int, period, fixed, now time.Duration, rng *rand.Rand) *heartbeat {
-	h := &heartbeat{self: self, receivers: watchers, period: period, timeout: fixed, nextBeat: now + time.Duration(rng.Float64()*float64(period)), now: now}
+func newHeartbeat(self, n, watchers int, period, timeout, now time.Duration, rng *rand.Rand) *heartbeat {
+	h := &heartbeat{self: self, receivers: watchers, period: period, timeout: timeout, nextBeat: now + time.Duration(rng.Float64()*float64(period)), now: now}
 	for range n {
 		if self >= watchers {
 			break
--- a/internal/lab/swimsim/swim_detector.go
+++ b/internal/lab/swimsim/swim_detector.go
@@ -7,13 +7,13 @@
 	"gullfall/internal/swim"
 )
 
-// member is a detector that runs swim.
-type member struct {
+// swimDetector is a failure detector that runs internal/swim.
+type swimDetector struct {
 	swim    *swim.Swim
-	changed bool
+	changed bool // whether the last step changed the state of a member
 }
 
-func (m *member) step(now time.Duration, in []any) (list []packet) {
+func (m *swimDetector) step(now time.Duration, in []any) (list []packet) {
 	events := make([]swim.Event, 0, len(in))
 	for _, body := range in {
 		switch b := body.(type) {
@@ -41,14 +41,14 @@
 	return list
 }
 
-func (m *member) next() time.Duration { return m.swim.NextWake() }
+func (m *swimDetector) next() time.Duration { return m.swim.NextWake() }
 
-func (m *member) dead(i int) bool {
+func (m *swimDetector) dead(i int) bool {
 	state, known := m.swim.State(Name(i))
 	return known && state == swim.Dead
 }
 
-func (m *member) alive(i int) bool {
+func (m *swimDetector) alive(i int) bool {
 	state, known := m.swim.State(Name(i))
 	return known && state <= swim.Suspect
 }
--- a/internal/lab/swimsim/swimsim.go
+++ b/internal/lab/swimsim/swimsim.go
@@ -1,6 +1,6 @@
-// Package swimsim simulates, in virtual time, a fleet of coordinators that detect each other's failures: with the code of internal/swim
-// that is in service, or with one of the baselines that it is compared with. The virtual network loses, delays and duplicates packets
-// and has partitions by direction; processes pause and crash. The fleet counts who was falsely taken for dead.
+// Package swimsim simulates, in virtual time, a fleet of coordinators that detect each other's failures, either with internal/swim or with
+// one of the baselines that it is compared with. The virtual network loses, delays and duplicates packets and can be partitioned in one
+// direction; processes pause and crash. The fleet counts false positives: live members that were considered dead.
 package swimsim
 
 import (
@@ -13,44 +13,44 @@
 	"gullfall/internal/swim"
 )
 
-// Config is a fleet and its network.
+// Config describes a fleet and its network.
 type Config struct {
 	Members int
 	Seed    uint64
-	Swim    swim.Config   // names, addresses and seeds are set by the fleet
-	Detect  string        // "swim", "plain" (without local health and silence level) or "heartbeat" (all to all)
-	Fixed   time.Duration // of heartbeats: the silence after which a member is taken for dead
-	// Watchers, above 0, is how many of the members watch the others by heartbeats: pairs are alike, and n*n packets a period are too
-	// many to simulate for thousands of members. The counts are then of these members alone.
+	Swim    swim.Config   // New sets the names, addresses and seeds
+	Detect  string        // "swim", "plain" (swim without local health and a minimum silence level) or "heartbeat" (all to all)
+	Fixed   time.Duration // heartbeat only: time without a heartbeat after which a member is considered dead
+	// Watchers, if above 0, is the number of members that watch the others by heartbeats. All pairs behave alike, and n*n packets a
+	// period are too many to simulate for thousands of members. The counts then cover these members only.
 	Watchers int
 	Loss     float64 // probability that a packet is lost
 	Twice    float64 // probability that a packet arrives twice
 	Delay    time.Duration
-	Jitter   time.Duration // the most that is added to Delay, drawn for each packet, so that packets may overtake each other
+	Jitter   time.Duration // maximum random addition to Delay for each packet; packets may overtake each other
 }
 
 // detector is the failure detector of one member.
 type detector interface {
 	step(now time.Duration, events []any) []packet
 	next() time.Duration
-	dead(i int) bool // member i is taken for dead
-	alive(i int) bool
+	dead(i int) bool  // whether it considers member i dead
+	alive(i int) bool // whether it considers member i alive or suspect
 }
 
-// packet is what a detector sends.
+// packet is a message that a detector sends.
 type packet struct {
 	to     int
 	body   any
-	size   int
-	stream bool // a full exchange over TCP, which does not lose it
+	size   int  // bytes
+	stream bool // a full state exchange over TCP, which is neither lost nor duplicated
 }
 
-// event is the arrival of a packet, or a planned step.
+// event is the arrival of a packet, a scheduled step, or the end of a pause.
 type event struct {
 	at   time.Duration
 	to   int
-	body any  // of a packet, or resumed
-	wake bool // a planned step
+	body any  // body of a packet, or resumed
+	wake bool // a scheduled step
 }
 
 // process is one member's process.
@@ -58,19 +58,19 @@
 	detector     detector
 	up           bool
 	pausedUntil  time.Duration // virtual time
-	socketBuffer []any         // what arrived while it was paused
-	clockSkew    time.Duration // by how much its clock is ahead
-	wakeAt       time.Duration
-	believedDead []bool // by member: whether it was taken for dead after the last step
+	socketBuffer []any         // bodies of packets that arrived while it was paused
+	clockSkew    time.Duration // how far its clock is ahead of the virtual time
+	wakeAt       time.Duration // virtual time of the next scheduled step
+	believedDead []bool        // by member: whether it was considered dead after the last step
 }
 
-// socketBufferPackets is how many packets wait at a process that is paused.
+// socketBufferPackets is the number of packets that a paused process can buffer; further ones are dropped.
 const socketBufferPackets = 256
 
-// link is one direction between two members.
+// link is one direction of the connection between two members.
 type link struct{ from, to int }
 
-// Fleet is a running fleet.
+// Fleet is a simulated fleet.
 type Fleet struct {
 	config    Config
 	rng       *rand.Rand
@@ -78,19 +78,19 @@
 	queue     virtualtime.Queue[event]
 	processes []*process
 	cut       map[link]bool
-	Packets   int
-	Bytes     int
-	// FalseDead counts each time a member that is up was taken for dead by another that is.
+	Packets   int // packets sent so far
+	Bytes     int // bytes sent so far
+	// FalseDead counts how often a live member began to consider another live member dead.
 	FalseDead int
-	excused   map[int]bool // members that don't count in FalseDead
+	excluded  map[int]bool // members that are left out of FalseDead
 }
 
-// New starts a fleet; its members know the first of them as their seed.
+// New starts a fleet whose members use the first two of them as seeds.
 func New(c Config) (*Fleet, error) {
 	if c.Swim.Period == 0 {
 		c.Swim.Period = time.Second
 	}
-	f := &Fleet{config: c, rng: rand.New(rand.NewPCG(c.Seed, 0xf1ee7)), cut: map[link]bool{}, excused: map[int]bool{}}
+	f := &Fleet{config: c, rng: rand.New(rand.NewPCG(c.Seed, 0xf1ee7)), cut: map[link]bool{}, excluded: map[int]bool{}}
 	for i := range c.Members {
 		n := &process{up: true, believedDead: make([]bool, c.Members)}
 		f.processes = append(f.processes, n)
@@ -101,7 +101,7 @@
 	return f, nil
 }
 
-// start starts a member's process; all of them start together.
+// start starts a member's process with a given process number.
 func (f *Fleet) start(i int, process uint64) error {
 	n := f.processes[i]
 	if f.config.Detect == "heartbeat" {
@@ -117,14 +117,14 @@
 		if err != nil {
 			return err
 		}
-		n.detector = &member{swim: d}
+		n.detector = &swimDetector{swim: d}
 	}
 	n.up = true
 	f.wakeAt(i, f.now)
 	return nil
 }
 
-// watchers is how many members watch the others.
+// watchers returns the number of members that watch the others.
 func (f *Fleet) watchers() int {
 	if f.config.Detect == "heartbeat" && f.config.Watchers > 0 {
 		return f.config.Watchers
@@ -132,7 +132,7 @@
 	return f.config.Members
 }
 
-// Name is the name of a member.
+// Name returns the name of a member.
 func Name(i int) string { return fmt.Sprintf("c%04d", i) }
 
 func (f *Fleet) push(e event) { f.queue.Put(e.at, e) }
@@ -142,7 +142,7 @@
 	f.push(event{at: at, to: i, wake: true})
 }
 
-// Run simulates until a virtual time.
+// Run simulates until the given virtual time.
 func (f *Fleet) Run(until time.Duration) {
 	for _, e, ok := f.queue.Next(until); ok; _, e, ok = f.queue.Next(until) {
 		f.now = max(f.now, e.at)
@@ -158,7 +158,7 @@
 			}
 			continue
 		case e.wake && e.at != n.wakeAt:
-			continue // was planned anew since
+			continue // was rescheduled since
 		}
 		var in []any
 		if _, back := e.body.(resumed); back {
@@ -197,28 +197,29 @@
 	}
 }
 
-// countFalseDeaths compares whom a member takes for dead with the step before. A view of swim changes only where it says so.
+// countFalseDeaths compares the members that one considers dead with those after its previous step. It skips a swim member whose last step
+// reported no change.
 func (f *Fleet) countFalseDeaths(i int) {
 	n := f.processes[i]
-	if m, ok := n.detector.(*member); ok && !m.changed {
+	if m, ok := n.detector.(*swimDetector); ok && !m.changed {
 		return
 	}
 	for j, was := range n.believedDead {
 		is := n.detector.dead(j)
-		if is && !was && f.processes[j].up && !f.excused[j] && !f.excused[i] {
+		if is && !was && f.processes[j].up && !f.excluded[j] && !f.excluded[i] {
 			f.FalseDead++
 		}
 		n.believedDead[j] = is
 	}
 }
 
-// Pause stops a member's process for a while; what is sent to it waits as far as its socket buffer reaches.
+// Pause suspends a member's process. Packets for it are buffered up to socketBufferPackets.
 func (f *Fleet) Pause(i int, d time.Duration) {
 	f.processes[i].pausedUntil = f.now + d
 	f.push(event{at: f.now + d, to: i, body: resumed{}})
 }
 
-// Jump moves a member's clock, as if it used the wall clock.
+// Jump shifts a member's clock, like a jump of the wall clock.
 func (f *Fleet) Jump(i int, by time.Duration) {
 	f.processes[i].clockSkew += by
 	f.wakeAt(i, f.now)
@@ -227,31 +228,31 @@
 // resumed is the event that ends a pause.
 type resumed struct{}
 
-// Crash ends a member's process. Taking it for dead is right from now on.
+// Crash ends a member's process. Considering it dead no longer counts in FalseDead.
 func (f *Fleet) Crash(i int) { f.processes[i].up = false }
 
-// Restart starts a member's process again at the same address.
+// Restart restarts a member's process at the same address.
 func (f *Fleet) Restart(i int, process uint64) error {
 	f.processes[i].believedDead = make([]bool, len(f.processes))
 	f.processes[i].socketBuffer = nil
 	return f.start(i, process)
 }
 
-// Cut cuts the link by which from sends to to, or restores it.
+// Cut cuts or restores the link on which from sends to to.
 func (f *Fleet) Cut(from, to int, cut bool) {
 	f.cut[link{from, to}] = cut
 }
 
-// Excuse sets whether a member is left out of FalseDead, as one that is partitioned can't know better.
-func (f *Fleet) Excuse(i int, yes bool) { f.excused[i] = yes }
+// Excuse sets whether a member is left out of FalseDead, for example because it is partitioned from the others.
+func (f *Fleet) Excuse(i int, exclude bool) { f.excluded[i] = exclude }
 
 // Lose sets the probability that a packet is lost.
-func (f *Fleet) Lose(share float64) { f.config.Loss = share }
+func (f *Fleet) Lose(probability float64) { f.config.Loss = probability }
 
-// Now is the virtual time.
+// Now returns the virtual time.
 func (f *Fleet) Now() time.Duration { return f.now }
 
-// KnownDead counts the members that are up and take i for dead.
+// KnownDead returns the number of live members that consider i dead.
 func (f *Fleet) KnownDead(i int) (n int) {
 	for j, m := range f.processes {
 		if j != i && m.up && m.detector.dead(i) {
@@ -261,7 +262,7 @@
 	return n
 }
 
-// Agreed tells whether each member that is up takes exactly those that are up for alive.
+// Agreed reports whether all live members consider exactly the live members alive.
 func (f *Fleet) Agreed() bool {
 	for _, n := range f.processes {
 		if !n.up {
@@ -276,16 +277,16 @@
 	return true
 }
 
-// View is a member's swim, nil where it runs heartbeats.
+// View returns a member's swim instance, or nil if it runs heartbeats.
 func (f *Fleet) View(i int) *swim.Swim {
-	if m, ok := f.processes[i].detector.(*member); ok {
+	if m, ok := f.processes[i].detector.(*swimDetector); ok {
 		return m.swim
 	}
 	return nil
 }
 
-// Detection crashes a member and returns how long it took until half, and until all, of the others took it for dead; ok is false where
-// that took longer than longest.
+// Detection crashes a member and returns the times until half, and all, of the live watchers consider it dead. ok is false if that takes
+// longer than longest.
 func (f *Fleet) Detection(i int, longest time.Duration) (half, all time.Duration, ok bool) {
 	f.Crash(i)
 	from, live := f.now, 0
@@ -308,7 +309,7 @@
 	return half, longest, false
 }
 
-// Quantile of durations, which are sorted in place; 0 for none.
+// Quantile returns the q-quantile of durations, which it sorts in place, or 0 if there are none.
 func Quantile(list []time.Duration, q float64) time.Duration {
 	if len(list) == 0 {
 		return 0
--- a/internal/lab/virtualtime/virtualtime.go
+++ b/internal/lab/virtualtime/virtualtime.go
@@ -1,4 +1,4 @@
-// Package virtualtime has the event queue of the lab's simulations. Events of one time come out in the order in which they were put in.
+// Package virtualtime provides the event queue of the lab's simulations. Events with equal times are returned in the order of insertion.
 package virtualtime
 
 import (
@@ -6,25 +6,25 @@
 	"time"
 )
 
-// Queue holds future events. The zero value is empty; it is not safe for concurrent use.
+// Queue holds future events. The zero value is an empty queue. It is not safe for concurrent use.
 type Queue[E any] struct {
-	items     items[E]
-	lastOrder int
+	items        items[E]
+	lastSequence int
 }
 
-// item is an event; order tells events of one time apart.
+// item is a queued event. sequence is its insertion number, which orders events with equal times.
 type item[E any] struct {
-	at    time.Duration
-	order int
-	value E
+	at       time.Duration
+	sequence int
+	value    E
 }
 
-// items is a heap.Interface with the earliest event first.
+// items implements heap.Interface with the earliest event first.
 type items[E any] []item[E]
 
 func (q items[E]) Len() int { return len(q) }
 func (q items[E]) Less(i, j int) bool {
-	return q[i].at < q[j].at || q[i].at == q[j].at && q[i].order < q[j].order
+	return q[i].at < q[j].at || q[i].at == q[j].at && q[i].sequence < q[j].sequence
 }
 func (q items[E]) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
 func (q *items[E]) Push(x any)   { *q = append(*q, x.(item[E])) }
@@ -38,11 +38,11 @@
 
 // Put adds an event at a virtual time.
 func (q *Queue[E]) Put(at time.Duration, e E) {
-	q.lastOrder++
-	heap.Push(&q.items, item[E]{at, q.lastOrder, e})
+	q.lastSequence++
+	heap.Push(&q.items, item[E]{at, q.lastSequence, e})
 }
 
-// Next removes the earliest event and returns it with its time; ok is false where there is none until then, which is included.
+// Next removes and returns the earliest event and its time. ok is false if there is no event at or before until.
 func (q *Queue[E]) Next(until time.Duration) (at time.Duration, e E, ok bool) {
 	if len(q.items) == 0 || q.items[0].at > until {
 		return 0, e, false
--- a/internal/lab/virtualtime/virtualtime_test.go
+++ b/internal/lab/virtualtime/virtualtime_test.go
@@ -7,6 +7,7 @@
 	"github.com/google/go-cmp/cmp"
 )
 
+// TestQueue checks that events are returned by time, and in the order of insertion for equal times, up to and including the limit.
 func TestQueue(t *testing.T) {
 	var q Queue[string]
 	for _, x := range []struct {
