--- a/internal/lab/explore/successors.go
+++ b/internal/lab/explore/successors.go
@@ -67,7 +67,7 @@
 	return to
 }
 
-// partEvents adds the starts and ends of query partEvents.
+// partEvents adds the starts and ends of query parts.
 func (s *successors) partEvents(i int) {
 	c := &s.from.coordinators[i]
 	for k := range machineCount {
--- a/internal/lab/model/days.go
+++ b/internal/lab/model/days.go
@@ -9,10 +9,10 @@
 // whole zone (verdicts), and by that together with the observations of other coordinators (shared).
 var Ways = []string{"alone", "verdicts", "shared"}
 
-// Lost and Returns are the times at which the zone fails and returns to warm up, on the days `zone` and `fresh`.
+// Lost and ZoneReturn are the times at which the zone fails and returns to warm up, on the days `zone` and `fresh`.
 const (
-	Lost    = 5 * time.Second
-	Returns = 12 * time.Second
+	Lost       = 5 * time.Second
+	ZoneReturn = 12 * time.Second
 )
 
 // Day returns the configuration of a simulated day:
@@ -46,7 +46,7 @@
 		}
 		fallthrough
 	case "zone":
-		c.Faults = append(c.Faults, Fault{At: Lost, Until: Returns, Zone: "a", Silent: true})
+		c.Faults = append(c.Faults, Fault{At: Lost, Until: ZoneReturn, Zone: "a", Silent: true})
 	case "roll":
 		c.Duration = 40 * time.Second
 		for i := range len(c.Zones) * c.NodesPerZone {
--- a/internal/lab/model/model_test.go
+++ b/internal/lab/model/model_test.go
@@ -6,7 +6,7 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// meanFigures simulates a day with several seeds; it returns the meanFigures of Served and the sum of Gone, and reports broken rules.
+// meanFigures simulates a day with several seeds; it returns the mean of Served and the sum of Gone, and reports broken rules.
 func meanFigures(t *testing.T, name, way string, coordinators int, load float64) (sum Figures) {
 	t.Helper()
 	const seeds = 3
