--- a/internal/lab/fleetlog/fleetlog.go
+++ b/internal/lab/fleetlog/fleetlog.go
@@ -1,6 +1,6 @@
-// Package fleetlog summarizes the logs of a fleet's coordinators: how queries were rejected, failed or answered in part, over the fleet
-// and over time, and which data nodes the missing parts waited for. It reads text logs (`log.format = "text"`), whose lines may begin
-// with a time in seconds that a test bench adds. Lines that can't be read are counted as such.
+// Package fleetlog summarizes the logs of a fleet's coordinators: how many queries were rejected, failed or answered incompletely, over
+// the fleet and over time, and which data nodes the missing parts waited for. It reads text logs (`log.format = "text"`), whose lines may
+// begin with a time in seconds that a test bench adds. Lines that can't be read are counted in Report.Unread.
 package fleetlog
 
 import (
@@ -20,31 +20,31 @@
 	"gullfall/internal/coordinator"
 )
 
-// Way is one way in which queries were not answered completely.
-type Way struct {
+// Outcome describes how a query ended that was not answered completely.
+type Outcome struct {
 	End   string `json:"end"`   // rejected, failed, partial
 	Why   string `json:"why"`   // the reason of the decision code
-	Parts string `json:"parts"` // unsent: no part was sent; else how the last attempt of most missing parts stood
+	Parts string `json:"parts"` // unsent if no part was sent; else the most frequent state of the last attempts of missing parts
 	Class string `json:"class"`
 }
 
-// Count is how many queries ended in one way, and after how long.
+// Count is the number of queries with one outcome and their latency.
 type Count struct {
-	Way
+	Outcome
 	Queries int     `json:"queries"`
 	Share   float64 `json:"share"` // of Report.Queries
 	P50MS   float64 `json:"p50_ms"`
 	P99MS   float64 `json:"p99_ms"`
 }
 
-// Node is a data node that missing parts waited for, and how their attempts there stood.
+// Node counts the missing parts whose last attempt was at one data node, by the state of that attempt.
 type Node struct {
 	ID    string         `json:"id"`
 	Parts int            `json:"parts"`
 	Ends  map[string]int `json:"ends"`
 }
 
-// Attempts are the attempts of the fleet that ended in one way. They are logged at debug level.
+// Attempts counts the fleet's attempts with one end, with their latency. Attempts are logged at debug level.
 type Attempts struct {
 	End   string  `json:"end"`
 	N     int     `json:"n"`
@@ -52,28 +52,28 @@
 	P99MS float64 `json:"p99_ms"`
 }
 
-// Report is the summary of a day's logs.
+// Report is the summary of the logs.
 type Report struct {
 	Logs     int                    `json:"logs"`
-	Queries  int                    `json:"queries"` // all that ended, where debug lines are logged; else those that were not answered completely
+	Queries  int                    `json:"queries"` // all queries if debug lines are logged; else those not answered completely
 	Ways     []Count                `json:"ways"`
 	Nodes    []Node                 `json:"nodes"`
 	Attempts []Attempts             `json:"attempts"`
 	Lines    map[string]int         `json:"lines"`  // by message
-	Second   map[string]map[int]int `json:"second"` // by end and why, then by second of the day
+	Second   map[string]map[int]int `json:"second"` // by end and reason, then by second
 	Unread   int                    `json:"unread"`
 }
 
-// tally counts the queries of one Way.
+// tally holds the number and the latency of the queries of one Outcome.
 type tally struct {
 	queries int
 	latency *hdrhistogram.Histogram
 }
 
-// histogram returns a histogram of microseconds, up to two minutes.
-func histogram() *hdrhistogram.Histogram { return hdrhistogram.New(1, 120_000_000, 3) }
+// newHistogram returns a histogram of microseconds up to two minutes.
+func newHistogram() *hdrhistogram.Histogram { return hdrhistogram.New(1, 120_000_000, 3) }
 
-// Read summarizes the *.log files of a folder. The error names the folder or file.
+// Read summarizes the *.log files of a folder. Its errors name the folder or the file.
 func Read(dir string) (*Report, error) {
 	names, err := filepath.Glob(filepath.Join(dir, "*.log"))
 	if err != nil {
@@ -83,7 +83,7 @@
 		return nil, fmt.Errorf("%s: no *.log file; give the folder that holds the coordinators' logs", dir)
 	}
 	slices.Sort(names)
-	c := counter{report: Report{Logs: len(names), Lines: map[string]int{}, Second: map[string]map[int]int{}}, ways: map[Way]*tally{},
+	c := counter{report: Report{Logs: len(names), Lines: map[string]int{}, Second: map[string]map[int]int{}}, outcomes: map[Outcome]*tally{},
 		nodes: map[string]map[string]int{}, latencies: map[string]*hdrhistogram.Histogram{}}
 	for _, name := range names {
 		f, err := os.Open(name)
@@ -99,14 +99,14 @@
 	return c.finish(), nil
 }
 
-// counter adds up log lines.
+// counter accumulates log lines into a report.
 type counter struct {
 	report       Report
-	ways         map[Way]*tally
+	outcomes     map[Outcome]*tally
 	nodes        map[string]map[string]int
 	latencies    map[string]*hdrhistogram.Histogram
-	queriesEnded int // by debug lines; it includes those answered completely
-	first        time.Time
+	queriesEnded int       // from debug lines; includes queries answered completely
+	first        time.Time // of the lines without a bench time; seconds count from it
 }
 
 func (c *counter) read(in io.Reader) error {
@@ -124,24 +124,24 @@
 	}
 }
 
-// fields reads key=value pairs, whose values may be quoted. at is the text before the first.
-func fields(line string) (at string, f map[string]string, ok bool) {
+// fields parses a line's key=value pairs, whose values may be quoted. benchTime is the text before the first pair.
+func fields(line string) (benchTime string, f map[string]string, ok bool) {
 	f = map[string]string{}
 	i := strings.Index(line, "time=")
 	if i < 0 {
 		return "", nil, false
 	}
-	at = strings.Trim(line[:i], " []")
+	benchTime = strings.Trim(line[:i], " []")
 	for rest := line[i:]; rest != ""; {
 		key, after, found := strings.Cut(rest, "=")
 		if !found {
-			return at, f, false
+			return benchTime, f, false
 		}
 		value := ""
 		if strings.HasPrefix(after, `"`) {
 			quoted, err := strconv.QuotedPrefix(after)
 			if err != nil {
-				return at, f, false
+				return benchTime, f, false
 			}
 			value, _ = strconv.Unquote(quoted)
 			after = strings.TrimPrefix(after[len(quoted):], " ")
@@ -150,18 +150,18 @@
 		}
 		f[key], rest = value, after
 	}
-	return at, f, true
+	return benchTime, f, true
 }
 
 func (c *counter) addLine(line string) {
-	at, f, ok := fields(line)
+	benchTime, f, ok := fields(line)
 	if !ok {
 		c.report.Unread++
 		return
 	}
-	msg := current(f["msg"])
+	msg := currentWord(f["msg"])
 	c.report.Lines[msg]++
-	second, err := strconv.ParseFloat(at, 64)
+	second, err := strconv.ParseFloat(benchTime, 64)
 	if err != nil {
 		t, terr := time.Parse(time.RFC3339Nano, f["time"])
 		if terr != nil {
@@ -176,35 +176,35 @@
 	switch msg {
 	case coordinator.LogQueryRejected, coordinator.LogQueryFailed:
 		end := strings.TrimPrefix(msg, "query ")
-		c.addUnsuccessful(Way{end, current(either(f, "reason", "why")), c.countMissing(f["missing"]), f["class"]}, duration(f["after"]), int(second))
+		c.addUnsuccessful(Outcome{end, currentWord(fieldValue(f, "reason", "why")), c.countMissing(f["missing"]), f["class"]}, duration(f["after"]), int(second))
 	case coordinator.LogQueryEnded:
 		c.queriesEnded++
-		if current(either(f, "status", "verdict")) == coordinator.Answered.String() && either(f, "complete", "whole") == "false" {
-			c.addUnsuccessful(Way{"partial", "", "", f["class"]}, duration(f["took"]), int(second))
+		if currentWord(fieldValue(f, "status", "verdict")) == coordinator.Answered.String() && fieldValue(f, "complete", "whole") == "false" {
+			c.addUnsuccessful(Outcome{"partial", "", "", f["class"]}, duration(f["took"]), int(second))
 		}
 	case coordinator.LogAttemptEnded:
-		end := current(f["end"])
+		end := currentWord(f["end"])
 		h := c.latencies[end]
 		if h == nil {
-			h = histogram()
+			h = newHistogram()
 			c.latencies[end] = h
 		}
 		_ = h.RecordValue(max(1, duration(f["took"]).Microseconds()))
 	}
 }
 
-// duration reads a log field; 0 for one that is missing or malformed.
+// duration parses a log field; it returns 0 for a missing or malformed one.
 func duration(s string) time.Duration {
 	d, _ := time.ParseDuration(s)
 	return d
 }
 
 // addUnsuccessful counts a query that was not answered completely.
-func (c *counter) addUnsuccessful(w Way, took time.Duration, second int) {
-	t := c.ways[w]
+func (c *counter) addUnsuccessful(w Outcome, took time.Duration, second int) {
+	t := c.outcomes[w]
 	if t == nil {
-		t = &tally{latency: histogram()}
-		c.ways[w] = t
+		t = &tally{latency: newHistogram()}
+		c.outcomes[w] = t
 	}
 	t.queries++
 	_ = t.latency.RecordValue(max(1, took.Microseconds()))
@@ -215,18 +215,18 @@
 	c.report.Second[key][second]++
 }
 
-// countMissing reads the parts that a query lacked, "[3 s-1 in flight 40ms 7 s-2 overloaded 9ms s-1 cancelled 4ms]": a shard, then its
-// attempts, each a data node, how it stood and its age. It counts the last attempt of each part under its data node, and
-// returns how most of them stood.
+// countMissing parses the missing parts of a query, "[3 s-1 in flight 40ms 7 s-2 overloaded 9ms s-1 cancelled 4ms]": each a shard and its
+// attempts, each of these a data node, a state and an age. It counts the last attempt of each part under its data node and returns the
+// most frequent state of these attempts.
 func (c *counter) countMissing(text string) string {
-	stood := map[string]int{}
+	states := map[string]int{}
 	node, state, sent := "", []string{}, false
-	settle := func() {
+	countAttempt := func() {
 		if node == "" {
 			return
 		}
-		end := current(strings.Join(state, " "))
-		stood[end]++
+		end := currentWord(strings.Join(state, " "))
+		states[end]++
 		if c.nodes[node] == nil {
 			c.nodes[node] = map[string]int{}
 		}
@@ -238,20 +238,20 @@
 		_, notAge := time.ParseDuration(word)
 		switch {
 		case notShard == nil:
-			settle()
-		case notAge == nil: // the end of an attempt; a further one of the same part may follow
-		case node == "" || slices.Contains(attemptStates, current(strings.Join(state, " "))):
+			countAttempt()
+		case notAge == nil: // end of an attempt; another attempt of the same part may follow
+		case node == "" || slices.Contains(attemptStates, currentWord(strings.Join(state, " "))):
 			node, state, sent = word, nil, true
 		default:
 			state = append(state, word)
 		}
 	}
-	settle()
+	countAttempt()
 	if !sent {
 		return "unsent"
 	}
 	best, most := "", 0
-	for end, n := range stood {
+	for end, n := range states {
 		if n > most || n == most && end < best {
 			best, most = end, n
 		}
@@ -259,10 +259,10 @@
 	return best
 }
 
-// attemptStates are how an attempt may stand, as the coordinator words it.
+// attemptStates are the states of attempts in the coordinator's logs.
 var attemptStates = coordinator.AttemptStates()
 
-// earlierWords maps the words of logs of earlier versions to those of today.
+// earlierWords maps words in the logs of earlier versions to the current ones.
 var earlierWords = map[string]string{
 	"query refused": coordinator.LogQueryRejected,
 
@@ -285,41 +285,43 @@
 	"being given up": "cancelling",
 }
 
-// current translates a word of an earlier version's logs.
-func current(word string) string {
+// currentWord returns the current word for one in the logs of an earlier version, and other words unchanged.
+func currentWord(word string) string {
 	if now, ok := earlierWords[word]; ok {
 		return now
 	}
 	return word
 }
 
-// either returns the value of a field that had another key in earlier versions.
-func either(f map[string]string, key, earlier string) string {
+// fieldValue returns the value of a field that had another key in earlier versions.
+func fieldValue(f map[string]string, key, earlier string) string {
 	if value, ok := f[key]; ok {
 		return value
 	}
 	return f[earlier]
 }
 
-// ms is a percentile of a histogram of microseconds, in milliseconds.
-func ms(h *hdrhistogram.Histogram, q float64) float64 { return float64(h.ValueAtQuantile(q)) / 1000 }
+// percentileMS returns a percentile of a histogram of microseconds, in milliseconds.
+func percentileMS(h *hdrhistogram.Histogram, q float64) float64 {
+	return float64(h.ValueAtQuantile(q)) / 1000
+}
 
-// finish sorts the counts into the report, the most frequent first.
+// finish adds the counts to the report, the most frequent first.
 func (c *counter) finish() *Report {
 	r := &c.report
 	total := 0
-	for _, t := range c.ways {
+	for _, t := range c.outcomes {
 		total += t.queries
 	}
 	r.Queries = max(c.queriesEnded, total)
-	for w, t := range c.ways {
-		r.Ways = append(r.Ways, Count{w, t.queries, float64(t.queries) / float64(r.Queries), ms(t.latency, 50), ms(t.latency, 99)})
+	for w, t := range c.outcomes {
+		r.Ways = append(r.Ways, Count{w, t.queries, float64(t.queries) / float64(r.Queries), percentileMS(t.latency, 50), percentileMS(t.latency, 99)})
 	}
 	slices.SortFunc(r.Ways, func(a, b Count) int {
 		if a.Queries != b.Queries {
 			return b.Queries - a.Queries
 		}
-		return strings.Compare(fmt.Sprint(a.Way), fmt.Sprint(b.Way))
+		return strings.Compare(fmt.Sprint(a.Outcome), fmt.Sprint(b.Outcome))
 	})
 	for id, by := range c.nodes {
 		n := Node{ID: id, Ends: by}
@@ -335,7 +337,7 @@
 		return strings.Compare(a.ID, b.ID)
 	})
 	for end, h := range c.latencies {
-		r.Attempts = append(r.Attempts, Attempts{end, int(h.TotalCount()), ms(h, 50), ms(h, 99)})
+		r.Attempts = append(r.Attempts, Attempts{end, int(h.TotalCount()), percentileMS(h, 50), percentileMS(h, 99)})
 	}
 	slices.SortFunc(r.Attempts, func(a, b Attempts) int { return b.N - a.N })
 	return r
--- a/internal/lab/fleetlog/fleetlog_test.go
+++ b/internal/lab/fleetlog/fleetlog_test.go
@@ -8,7 +8,7 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// currentLogs are two logs, with and without a bench's time, and a line that can't be read.
+// currentLogs are the logs of two coordinators with bench times, with one line that can't be read.
 var currentLogs = map[string]string{
 	"n0.log": `0.5 time=2026-12-01T22:00:00.5Z level=DEBUG msg="query ended" query=a class=board status=answered complete=true parts=2 took=40ms
 1.5 time=2026-12-01T22:00:01.5Z level=INFO msg="query rejected" query=b class=board reason="forecast too late" after=0s left=1s parts=2 missing="[3 7]"
@@ -22,7 +22,7 @@
 `,
 }
 
-// earlierLogs are the same in the words of earlier versions.
+// earlierLogs are the same logs in the words of earlier versions.
 var earlierLogs = map[string]string{
 	"n0.log": `0.5 time=2026-12-01T22:00:00.5Z level=DEBUG msg="query ended" query=a class=board verdict=1 whole=true parts=2 took=40ms
 1.5 time=2026-12-01T22:00:01.5Z level=INFO msg="query refused" query=b class=board why=forecast after=0s left=1s parts=2 missing="[3 7]"
@@ -36,13 +36,13 @@
 `,
 }
 
-// TestRead: the logs of today and of earlier versions give the same report.
+// TestRead checks that logs of the current and of earlier versions give the same report.
 func TestRead(t *testing.T) {
 	for name, logs := range map[string]map[string]string{"current": currentLogs, "earlier": earlierLogs} {
 		t.Run(name, func(t *testing.T) { testRead(t, logs) })
 	}
 	if _, err := Read(t.TempDir()); err == nil {
-		t.Errorf("an empty folder is no error")
+		t.Errorf("reading an empty folder gave no error")
 	}
 }
 
@@ -59,16 +59,16 @@
 		t.Fatal(err)
 	}
 	type row struct {
-		Way
+		Outcome
 		N int
 	}
-	var ways []row
+	var outcomes []row
 	for _, w := range r.Ways {
-		ways = append(ways, row{w.Way, w.Queries})
+		outcomes = append(outcomes, row{w.Outcome, w.Queries})
 	}
-	want := []row{{Way{"failed", "deadline exceeded", "in flight", "entry"}, 1}, {Way{"partial", "", "", "board"}, 1}, {Way{"rejected", "forecast too late", "unsent", "board"}, 1}}
-	if diff := cmp.Diff(want, ways); diff != "" {
-		t.Errorf("ways (-want +got)\n%s", diff)
+	want := []row{{Outcome{"failed", "deadline exceeded", "in flight", "entry"}, 1}, {Outcome{"partial", "", "", "board"}, 1}, {Outcome{"rejected", "forecast too late", "unsent", "board"}, 1}}
+	if diff := cmp.Diff(want, outcomes); diff != "" {
+		t.Errorf("outcomes (-want +got)\n%s", diff)
 	}
 	if diff := cmp.Diff([]Node{{"s-1", 2, map[string]int{"in flight": 1, "overloaded": 1}}}, r.Nodes); diff != "" {
 		t.Errorf("nodes (-want +got)\n%s", diff)
--- a/internal/lab/workplan/workplan.go
+++ b/internal/lab/workplan/workplan.go
@@ -1,6 +1,6 @@
-// Package workplan measures the maintenance plans of internal/maintenance over random fleets: how many waves a plan has against the lower
-// bound, how long it takes to compute, and how many fewer waves it has than one machine at a time or zone by zone. All are held to the
-// same limits.
+// Package workplan measures the maintenance plans of internal/maintenance over random fleets: the number of waves against the lower
+// bound, the time to compute a plan, and how many fewer waves it has than plans of one machine at a time or zone by zone under the same
+// limits.
 package workplan
 
 import (
@@ -13,26 +13,26 @@
 	"gullfall/internal/maintenance"
 )
 
-// Row is the result for fleets of one size.
+// Row is the result for the fleets of one size.
 type Row struct {
 	Machines   int     `json:"machines"`
 	Fleets     int     `json:"fleets"`
 	Waves      float64 `json:"waves"`        // mean
-	Bound      float64 `json:"bound"`        // mean; no plan has fewer
-	WorstGap   float64 `json:"worst_gap"`    // waves over the bound, less one, of the worst fleet
-	Exact      int     `json:"exact"`        // fleets of which the plan is proven to have the fewest waves
-	PlanMS     float64 `json:"plan_ms"`      // to compute, in milliseconds, of the worst fleet
-	OneByOne   float64 `json:"one_by_one"`   // waves, mean
-	ZoneByZone float64 `json:"zone_by_zone"` // waves, mean: each zone's machines by first fit in the order of the list
-	Sooner     float64 `json:"sooner"`       // zone by zone over waves
-	Broken     int     `json:"broken"`       // plans of which a wave breaks a limit
+	Bound      float64 `json:"bound"`        // mean lower bound of the number of waves
+	WorstGap   float64 `json:"worst_gap"`    // waves/bound - 1 of the worst fleet
+	Exact      int     `json:"exact"`        // fleets whose plan is proven to have the fewest waves
+	PlanMS     float64 `json:"plan_ms"`      // longest time to compute a plan, in milliseconds
+	OneByOne   float64 `json:"one_by_one"`   // mean waves with one machine at a time
+	ZoneByZone float64 `json:"zone_by_zone"` // mean waves by zoneByZone
+	Sooner     float64 `json:"sooner"`       // ZoneByZone / Waves
+	Broken     int     `json:"broken"`       // plans that break a limit
 }
 
 // zoneCount is the number of zones of each fleet.
 const zoneCount = 3
 
-// randomFleet returns a fleet, its limits, and its machines' ids in random order. Each shard is on three neighbouring shard sets; machines
-// of three sizes are spread over shard sets and zones, and one in thirty is unhealthy.
+// randomFleet returns a fleet, its limits, and its machines' ids in random order. Each shard is on three adjacent shard sets; machines
+// of three weights are spread over shard sets and zones, and on average one in thirty is unhealthy.
 func randomFleet(n int, random *rand.Rand) (*maintenance.Fleet, maintenance.Limits, []string, error) {
 	shardSets := max(4, n/6)
 	var list []maintenance.Machine
@@ -48,7 +48,7 @@
 	return f, maintenance.Limits{Floor: 1 + int((0.3+0.3*random.Float64())*float64(3*(n/shardSets))), Share: 0.25 + 0.25*random.Float64(), ZoneShare: 0.5, Room: 0.85}, ids, err
 }
 
-// Measure plans maintenance of a number of random fleets of one size. The error is that of a fleet of which no machine can go.
+// Measure plans maintenance of random fleets of one size. It returns an error if no machine of a fleet can be taken out.
 func Measure(machines, fleets int, seed uint64) (r Row, err error) {
 	r.Machines, r.Fleets = machines, fleets
 	random := rand.New(rand.NewPCG(seed, uint64(machines)))
@@ -61,23 +61,23 @@
 		p := f.Plan(ids, l, seed)
 		r.PlanMS = max(r.PlanMS, float64(time.Since(begun).Microseconds())/1000)
 		if len(p.Waves) == 0 {
-			return r, fmt.Errorf("of %d machines none can go: %v", machines, p.Refused[0])
+			return r, fmt.Errorf("none of %d machines can be taken out: %v", machines, p.Refused[0])
 		}
 		if f.CheckWaves(p.Waves, l) != nil {
 			r.Broken++
 		}
-		var going []string
+		var machineIDs []string
 		for _, w := range p.Waves {
-			going = append(going, w...)
+			machineIDs = append(machineIDs, w...)
 		}
-		zone := zoneByZone(f, l, going)
-		if f.CheckWaves(zone, l) != nil {
+		byZone := zoneByZone(f, l, machineIDs)
+		if f.CheckWaves(byZone, l) != nil {
 			r.Broken++
 		}
 		r.Waves += float64(len(p.Waves)) / float64(fleets)
 		r.Bound += float64(p.Bound) / float64(fleets)
-		r.OneByOne += float64(len(going)) / float64(fleets)
-		r.ZoneByZone += float64(len(zone)) / float64(fleets)
+		r.OneByOne += float64(len(machineIDs)) / float64(fleets)
+		r.ZoneByZone += float64(len(byZone)) / float64(fleets)
 		r.WorstGap = max(r.WorstGap, float64(len(p.Waves))/float64(p.Bound)-1)
 		if p.Exact {
 			r.Exact++
@@ -87,8 +87,8 @@
 	return r, nil
 }
 
-// zoneByZone is the plan that is made by hand: one zone after the other, in each the machines in the order of their ids, as many at once as
-// the limits allow.
+// zoneByZone returns the plan that an operator would make by hand: one zone after the other, the machines of each in the order of their
+// ids, and each wave extended as long as the limits allow.
 func zoneByZone(f *maintenance.Fleet, l maintenance.Limits, ids []string) (waves [][]string) {
 	ids = slices.Clone(ids)
 	slices.SortFunc(ids, func(a, b string) int {
--- a/internal/lab/workplan/workplan_test.go
+++ b/internal/lab/workplan/workplan_test.go
@@ -2,7 +2,8 @@
 
 import "testing"
 
-// TestMeasure: over drawn fleets no order breaks a limit, none is longer than what is done by hand, and small ones are proven.
+// TestMeasure checks over random fleets that no plan breaks a limit, that plans have no more waves than one machine at a time or zone by
+// zone, and that plans of small fleets are proven optimal.
 func TestMeasure(t *testing.T) {
 	for _, machines := range []int{8, 20, 100} {
 		r, err := Measure(machines, 10, 1)
@@ -13,7 +14,7 @@
 			t.Errorf("%+v", r)
 		}
 		if machines <= 20 && r.Exact < r.Fleets {
-			t.Errorf("only %d of %d orders are proven: %+v", r.Exact, r.Fleets, r)
+			t.Errorf("only %d of %d plans are proven optimal: %+v", r.Exact, r.Fleets, r)
 		}
 	}
 }
