--- a/internal/lab/fleet/build_test.go
+++ b/internal/lab/fleet/build_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// program builds the real program for a test, and tells where it lies.
-func program(t *testing.T) string {
+// buildProgram builds gullfall in a temporary folder and returns the path of the binary.
+func buildProgram(t *testing.T) string {
 	t.Helper()
 	binary := filepath.Join(t.TempDir(), "gullfall")
 	if out, err := exec.Command("go", "build", "-o", binary, "gullfall/cmd/gullfall").CombinedOutput(); err != nil {
@@ -16,7 +16,7 @@
 	return binary
 }
 
-// must ends a test by an error.
+// must fails the test on an error.
 func must(t *testing.T, err error) {
 	t.Helper()
 	if err != nil {
--- a/internal/lab/fleet/clients.go
+++ b/internal/lab/fleet/clients.go
@@ -1,7 +1,7 @@
 package fleet
 
-// Here are the clients of the coordinators' store in the lab: they read, put and swap values at whichever coordinator, and
-// keep what came of it. It must never take an answer that did not come for a refusal.
+// This file holds the store clients of the lab: they get, put and compare-and-swap values at random coordinators and record each
+// operation. A missing answer must never be recorded as a rejection: the operation may have been applied.
 
 import (
 	"context"
@@ -16,8 +16,8 @@
 	"gullfall/internal/lab/linearizability"
 )
 
-// storeNote is a note as the program's admin socket takes and gives it.
-type storeNote struct {
+// storeValue is the request and the answer of the admin socket's commands "store get" and "store put".
+type storeValue struct {
 	Key, Value string
 	Revision   uint64
 	If         *uint64 `json:",omitempty"`
@@ -25,21 +25,22 @@
 	Conflict   string
 }
 
-// StoreClients work on the store until ctx ends. Keys change with each epoch, so that the history of each stays short enough to check.
+// StoreClients is a group of clients that read and write the store. Each epoch uses new keys, which keeps the history of each key short
+// enough to check.
 type StoreClients struct {
 	Fleet   *MaintenanceFleet
 	History *linearizability.History
 	Clients int
-	Keys    int           // in an epoch
-	Epoch   time.Duration //
-	Pause   time.Duration // of a client, between two operations
-	Timeout time.Duration // of an operation
+	Keys    int           // per epoch
+	Epoch   time.Duration // after which new keys are used
+	Pause   time.Duration // mean time between two operations of a client
+	Timeout time.Duration // per operation
 	Seed    uint64
 
 	start time.Time
 }
 
-// Run runs them.
+// Run runs the clients until ctx ends.
 func (c *StoreClients) Run(ctx context.Context) {
 	c.start = time.Now()
 	done := make(chan struct{})
@@ -55,32 +56,32 @@
 }
 
 func (c *StoreClients) client(ctx context.Context, client int) {
-	chance := rand.New(rand.NewPCG(c.Seed, uint64(client)+100))
+	random := rand.New(rand.NewPCG(c.Seed, uint64(client)+100))
 	for n := 0; ctx.Err() == nil; n++ {
-		i := chance.IntN(len(c.Fleet.Coords))
+		i := random.IntN(len(c.Fleet.Coords))
 		epoch := int(time.Since(c.start) / c.Epoch)
-		key := fmt.Sprintf("%d-%d", epoch, chance.IntN(c.Keys))
+		key := fmt.Sprintf("%d-%d", epoch, random.IntN(c.Keys))
 		value := fmt.Sprintf("%d.%d", client, n)
-		switch k := chance.IntN(10); {
+		switch k := random.IntN(10); {
 		case k < 4:
 			c.get(ctx, client, i, key)
 		case k < 7:
 			c.put(ctx, i, linearizability.Op{Client: client, Kind: linearizability.Put, Key: key, Value: value}, nil)
 		default:
 			if old, ok := c.get(ctx, client, i, key); ok {
-				c.put(ctx, (i+chance.IntN(2))%len(c.Fleet.Coords), linearizability.Op{Client: client, Kind: linearizability.Swap, Key: key, Old: old.Value, Value: value}, &old.Revision)
+				c.put(ctx, (i+random.IntN(2))%len(c.Fleet.Coords), linearizability.Op{Client: client, Kind: linearizability.Swap, Key: key, Old: old.Value, Value: value}, &old.Revision)
 			}
 		}
 		select {
 		case <-ctx.Done():
-		case <-time.After(time.Duration(chance.Int64N(int64(2*c.Pause) + 1))):
+		case <-time.After(time.Duration(random.Int64N(int64(2*c.Pause) + 1))):
 		}
 	}
 }
 
-func (c *StoreClients) get(ctx context.Context, client, i int, key string) (n storeNote, ok bool) {
+func (c *StoreClients) get(ctx context.Context, client, i int, key string) (n storeValue, ok bool) {
 	o := linearizability.Op{Client: client, Kind: linearizability.Get, Key: key, Call: time.Since(c.start)}
-	n, err := c.Fleet.Note(ctx, i, "get", storeNote{Key: key}, time.Now().Add(c.Timeout))
+	n, err := c.Fleet.StoreCall(ctx, i, "get", storeValue{Key: key}, time.Now().Add(c.Timeout))
 	o.End, o.Value, o.Unknown = time.Since(c.start), n.Value, err != nil
 	c.History.Add(o)
 	return n, err == nil
@@ -88,12 +89,12 @@
 
 func (c *StoreClients) put(ctx context.Context, i int, o linearizability.Op, revision *uint64) {
 	o.Call = time.Since(c.start)
-	n, err := c.Fleet.Note(ctx, i, "put", storeNote{Key: o.Key, Value: o.Value, If: revision}, time.Now().Add(c.Timeout))
+	n, err := c.Fleet.StoreCall(ctx, i, "put", storeValue{Key: o.Key, Value: o.Value, If: revision}, time.Now().Add(c.Timeout))
 	o.End, o.Done, o.Unknown = time.Since(c.start), err == nil && n.Conflict == "", err != nil
 	c.History.Add(o)
 }
 
-// Final reads every key that was ever written, at one coordinator.
+// Final reads the keys of all epochs at one coordinator and returns their values.
 func (c *StoreClients) Final(ctx context.Context, i int) (map[string]string, error) {
 	values := map[string]string{}
 	for epoch := range int(time.Since(c.start)/c.Epoch) + 1 {
@@ -101,7 +102,7 @@
 			key := fmt.Sprintf("%d-%d", epoch, k)
 			n, ok := c.get(ctx, -1, i, key)
 			if !ok {
-				return nil, fmt.Errorf("%s is not read in the end", key)
+				return nil, fmt.Errorf("the final read of key %s failed", key)
 			}
 			values[key] = n.Value
 		}
@@ -109,23 +110,23 @@
 	return values, nil
 }
 
-// Note puts or gets a note at a coordinator.
-func (w *MaintenanceFleet) Note(ctx context.Context, i int, word string, n storeNote, end time.Time) (got storeNote, err error) {
+// StoreCall gets or puts a value at a coordinator; operation is "get" or "put".
+func (w *MaintenanceFleet) StoreCall(ctx context.Context, i int, operation string, n storeValue, end time.Time) (got storeValue, err error) {
 	ctx, cancel := context.WithDeadline(ctx, end)
 	defer cancel()
-	return got, admin.Call(ctx, w.socket(i), "store "+word, n, &got)
+	return got, admin.Call(ctx, w.socket(i), "store "+operation, n, &got)
 }
 
-// Fill puts so many notes of a length under so many keys, by writers side by side at one coordinator.
-func (w *MaintenanceFleet) Fill(ctx context.Context, i, notes, length, keys int) error {
+// Fill puts values of the given length in bytes at one coordinator, by concurrent writers that reuse the given number of keys.
+func (w *MaintenanceFleet) Fill(ctx context.Context, i, count, length, keys int) error {
 	group, ctx := errgroup.WithContext(ctx)
 	value := strings.Repeat("x", length-8)
-	const writers = 6 // a coordinator takes 16 connections of operators at once
+	const writers = 6 // a coordinator accepts at most 16 admin connections at a time
 	for k := range writers {
 		group.Go(func() error {
-			for n := k; n < notes; n += writers {
-				note := storeNote{Key: fmt.Sprint("fill-", n%keys), Value: fmt.Sprintf("%08d", n) + value}
-				if _, err := w.Note(ctx, i, "put", note, time.Now().Add(10*time.Second)); err != nil {
+			for n := k; n < count; n += writers {
+				entry := storeValue{Key: fmt.Sprint("fill-", n%keys), Value: fmt.Sprintf("%08d", n) + value}
+				if _, err := w.StoreCall(ctx, i, "put", entry, time.Now().Add(10*time.Second)); err != nil {
 					return err
 				}
 			}
@@ -135,7 +136,7 @@
 	return group.Wait()
 }
 
-// Applied is up to which place in the store's log a coordinator has applied it, and who leads by it.
+// Applied returns the index up to which a coordinator has applied the store's log, and the leader that it knows.
 func (w *MaintenanceFleet) Applied(ctx context.Context, i int) (index uint64, leader string, err error) {
 	ctx, cancel := context.WithDeadline(ctx, time.Now().Add(time.Second))
 	defer cancel()
@@ -147,37 +148,37 @@
 	return v.Applied, v.Leader, err
 }
 
-// Reign is a term of the store, as it was first seen.
+// Reign is a term of the store and the time at which it was first observed.
 type Reign struct {
 	At   time.Time
 	Term uint64
 }
 
-// Reigns watches the store's terms at whoever answers, until ctx ends.
-func (w *MaintenanceFleet) Reigns(ctx context.Context) (list []Reign) {
+// Reigns polls the coordinators for the store's term until ctx ends and returns each new term.
+func (w *MaintenanceFleet) Reigns(ctx context.Context) (reigns []Reign) {
 	for ctx.Err() == nil {
 		for i := range w.Coords {
 			if !w.Up(i) {
 				continue
 			}
-			one, cancel := context.WithDeadline(ctx, time.Now().Add(300*time.Millisecond))
+			pollCtx, cancel := context.WithDeadline(ctx, time.Now().Add(300*time.Millisecond))
 			var v struct {
 				Term uint64 `json:"term"`
 			}
-			err := admin.Call(one, w.socket(i), "store", nil, &v)
+			err := admin.Call(pollCtx, w.socket(i), "store", nil, &v)
 			cancel()
-			if err == nil && (len(list) == 0 || v.Term > list[len(list)-1].Term) {
-				list = append(list, Reign{time.Now(), v.Term})
+			if err == nil && (len(reigns) == 0 || v.Term > reigns[len(reigns)-1].Term) {
+				reigns = append(reigns, Reign{time.Now(), v.Term})
 			}
 		}
 		time.Sleep(40 * time.Millisecond)
 	}
-	return list
+	return reigns
 }
 
-// Sent is how many bytes have passed between the members of the store.
+// Sent returns the number of bytes sent between the members of the store.
 func (w *MaintenanceFleet) Sent() (n int64) {
-	for _, row := range w.ways {
+	for _, row := range w.links {
 		for _, p := range row {
 			if p != nil {
 				c := p.Counts()
--- a/internal/lab/fleet/duties.go
+++ b/internal/lab/fleet/duties.go
@@ -1,7 +1,7 @@
 package fleet
 
-// Here are the history of who held which duty: what coordinators answered when they were asked to act on it, and the checker
-// that reads it. It must never take an answer that did not come for a refusal: what was asked may have been taken.
+// This file records which coordinator held which duty, from the coordinators' answers to requests to act on it, and checks the record.
+// A missing answer must never count as a rejection: the write may have been accepted.
 
 import (
 	"cmp"
@@ -17,145 +17,145 @@
 	"gullfall/internal/maintenance/agent"
 )
 
-// DutyHistory is what was answered, in the order in which it came.
+// DutyHistory holds the answered attempts in the order of their arrival. It is safe for concurrent use.
 type DutyHistory struct {
-	mu  sync.Mutex
-	all []agent.DutyAttempt
+	mu       sync.Mutex
+	attempts []agent.DutyAttempt
 }
 
-// Add notes an answer.
+// Add appends an answer.
 func (h *DutyHistory) Add(t agent.DutyAttempt) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.all = append(h.all, t)
+	h.attempts = append(h.attempts, t)
 }
 
 // Handover is one change of a duty's holder.
 type Handover struct {
 	Duty, From, To string
-	Token          uint64        // the new holder's
-	At             time.Time     // when the old one was last seen to hold it
-	Gap            time.Duration // from then to when the new one first was
+	Token          uint64        // of the new holder
+	At             time.Time     // last claim of the old holder
+	Gap            time.Duration // from At to the first claim of the new holder
 }
 
-// DutyVerdict is what the history shows.
+// DutyVerdict is the result of checking a DutyHistory.
 type DutyVerdict struct {
-	Claims    int // answers of those that held a duty
-	Accepted  int // of them, writes that the store took
-	Refused   int // and that it turned back
+	Claims    int // answers of coordinators that held the duty
+	Accepted  int // claims whose write the store accepted
+	Refused   int // claims whose write the store rejected
 	Handovers []Handover
-	Double    int // pairs of holders that both held a duty at one moment, or held one token
-	Stale     int // writes that the store took after it had taken one under a higher token
-	Said      []string
+	Double    int      // pairs of holders that held a duty at the same time, or under the same token
+	Stale     int      // writes that the store accepted after one under a higher token
+	Said      []string // descriptions of the first 20 violations
 }
 
-// dutyHold is one token's holder, and when it was first and last seen to hold the duty, in nanoseconds since the epoch.
-type dutyHold struct {
-	who         string
+// tokenHolder is the coordinator that held a duty under a token, with its first and last claim in Unix nanoseconds.
+type tokenHolder struct {
+	name        string
 	token       uint64
 	first, last int64
 }
 
-// Check reads the history: for each duty, a token has one holder; from its first claim to its last nobody claims another; and in
-// the order of the store's log tokens only grow.
+// Check checks for each duty that a token has only one holder, that no other holder claims the duty between the first and the last
+// claim of a token, and that tokens never decrease in the order of the store's log.
 func (h *DutyHistory) Check() (v DutyVerdict) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	holds, taken := v.collect(h.all)
-	for duty, byToken := range holds {
+	holders, accepted := v.collect(h.attempts)
+	for duty, byToken := range holders {
 		v.checkHolders(duty, byToken)
-		v.checkWrites(duty, taken[duty])
+		v.checkWrites(duty, accepted[duty])
 	}
 	slices.SortFunc(v.Handovers, func(a, b Handover) int { return a.At.Compare(b.At) })
 	return v
 }
 
-// say notes what broke, the first 20 times.
-func (v *DutyVerdict) say(format string, args ...any) {
+// addViolation records a violation, up to 20 of them.
+func (v *DutyVerdict) addViolation(format string, args ...any) {
 	if len(v.Said) < 20 {
 		v.Said = append(v.Said, fmt.Sprintf(format, args...))
 	}
 }
 
-// collect counts the claims, and returns by duty who held each token and the writes that the store took.
-func (v *DutyVerdict) collect(all []agent.DutyAttempt) (holds map[string]map[uint64]*dutyHold, taken map[string][]agent.DutyAttempt) {
-	holds, taken = map[string]map[uint64]*dutyHold{}, map[string][]agent.DutyAttempt{}
+// collect counts the claims and returns, by duty, the holder of each token and the accepted writes.
+func (v *DutyVerdict) collect(all []agent.DutyAttempt) (holders map[string]map[uint64]*tokenHolder, accepted map[string][]agent.DutyAttempt) {
+	holders, accepted = map[string]map[uint64]*tokenHolder{}, map[string][]agent.DutyAttempt{}
 	for _, t := range all {
 		if !t.Holds {
 			continue
 		}
 		v.Claims++
-		if holds[t.Duty] == nil {
-			holds[t.Duty] = map[uint64]*dutyHold{}
+		if holders[t.Duty] == nil {
+			holders[t.Duty] = map[uint64]*tokenHolder{}
 		}
-		x := holds[t.Duty][t.Token]
+		x := holders[t.Duty][t.Token]
 		if x == nil {
-			x = &dutyHold{t.Who, t.Token, t.At, t.At}
-			holds[t.Duty][t.Token] = x
+			x = &tokenHolder{t.Who, t.Token, t.At, t.At}
+			holders[t.Duty][t.Token] = x
 		}
-		if x.who != t.Who {
+		if x.name != t.Who {
 			v.Double++
-			v.say("%s: token %d is held by %s and %s", t.Duty, t.Token, x.who, t.Who)
+			v.addViolation("%s: token %d is held by both %s and %s", t.Duty, t.Token, x.name, t.Who)
 		}
 		x.first, x.last = min(x.first, t.At), max(x.last, t.At)
 		switch {
 		case t.Accepted:
 			v.Accepted++
-			taken[t.Duty] = append(taken[t.Duty], t)
+			accepted[t.Duty] = append(accepted[t.Duty], t)
 		case t.Why != "":
 			v.Refused++
 		}
 	}
-	return holds, taken
+	return holders, accepted
 }
 
-// checkHolders counts a duty's hand-overs, and the pairs of holders that held it at one moment.
-func (v *DutyVerdict) checkHolders(duty string, byToken map[uint64]*dutyHold) {
-	list := slices.SortedFunc(maps.Values(byToken), func(a, b *dutyHold) int { return cmp.Compare(a.token, b.token) })
+// checkHolders counts a duty's handovers and the pairs of holders that held it at the same time.
+func (v *DutyVerdict) checkHolders(duty string, byToken map[uint64]*tokenHolder) {
+	list := slices.SortedFunc(maps.Values(byToken), func(a, b *tokenHolder) int { return cmp.Compare(a.token, b.token) })
 	for i := 1; i < len(list); i++ {
 		a, b := list[i-1], list[i]
 		if gap := time.Duration(b.first - a.last); gap < 0 {
 			v.Double++
-			v.say("%s: %s with token %d and %s with token %d both held it for %v", duty, a.who, a.token, b.who, b.token, -gap)
+			v.addViolation("%s: %s with token %d and %s with token %d held it at the same time for %v", duty, a.name, a.token, b.name, b.token, -gap)
 		} else {
-			v.Handovers = append(v.Handovers, Handover{duty, a.who, b.who, b.token, time.Unix(0, a.last), gap})
+			v.Handovers = append(v.Handovers, Handover{duty, a.name, b.name, b.token, time.Unix(0, a.last), gap})
 		}
 	}
 }
 
-// checkWrites counts the writes that the store took after it had taken one under a higher token.
+// checkWrites counts the writes that the store accepted after one under a higher token.
 func (v *DutyVerdict) checkWrites(duty string, writes []agent.DutyAttempt) {
 	slices.SortFunc(writes, func(a, b agent.DutyAttempt) int { return cmp.Compare(a.Index, b.Index) })
 	for i := 1; i < len(writes); i++ {
 		if writes[i].Token < writes[i-1].Token {
 			v.Stale++
-			v.say("%s: the store took token %d at %d after token %d at %d", duty, writes[i].Token, writes[i].Index, writes[i-1].Token, writes[i-1].Index)
+			v.addViolation("%s: the store accepted token %d at index %d after token %d at index %d", duty, writes[i].Token, writes[i].Index, writes[i-1].Token, writes[i-1].Index)
 		}
 	}
 }
 
-// Try asks a coordinator to act on a duty; an error is an answer that did not come.
-func (w *MaintenanceFleet) Try(ctx context.Context, i int, duty string) (t agent.DutyAttempt, err error) {
+// TryDuty asks a coordinator to act on a duty. After an error the outcome is unknown.
+func (w *MaintenanceFleet) TryDuty(ctx context.Context, i int, duty string) (t agent.DutyAttempt, err error) {
 	ctx, cancel := context.WithDeadline(ctx, time.Now().Add(2*time.Second))
 	defer cancel()
 	return t, admin.Call(ctx, w.socket(i), "duties try", map[string]any{"Name": duty}, &t)
 }
 
-// HandOn has a coordinator give a duty back.
+// HandOn has a coordinator give up a duty, so that another takes it over.
 func (w *MaintenanceFleet) HandOn(ctx context.Context, i int, duty string) error {
 	ctx, cancel := context.WithDeadline(ctx, time.Now().Add(5*time.Second))
 	defer cancel()
 	return admin.Call(ctx, w.socket(i), "duties hand-on", map[string]any{"Name": duty}, new(json.RawMessage))
 }
 
-// Acts asks all coordinators to act on duties, again and again until ctx ends, and keeps what they answer.
+// Acts asks every coordinator, at the given interval until ctx ends, to act on each of the duties, and adds the answers to h.
 func (w *MaintenanceFleet) Acts(ctx context.Context, h *DutyHistory, every time.Duration, duties ...string) {
 	var wg sync.WaitGroup
 	for i := range w.Coords {
 		for _, duty := range duties {
 			wg.Go(func() {
 				for ctx.Err() == nil {
-					if t, err := w.Try(ctx, i, duty); err == nil {
+					if t, err := w.TryDuty(ctx, i, duty); err == nil {
 						h.Add(t)
 					}
 					select {
--- a/internal/lab/fleet/duties_test.go
+++ b/internal/lab/fleet/duties_test.go
@@ -1,7 +1,7 @@
 package fleet_test
 
-// Five processes of the real program hold duties in turn while their holders are stalled, killed, cut off and told to hand on, with
-// clocks that run fast and slow. The long loop is `gullfall-lab duties`.
+// The test runs five gullfall processes whose clocks run fast and slow, and stalls, kills and isolates the holders of duties and has
+// them hand duties over. `gullfall-lab duties` repeats such faults for longer.
 
 import (
 	"context"
@@ -13,8 +13,8 @@
 	"gullfall/internal/lab/proxy"
 )
 
-// handOn has a duty handed on by its holder and returns that one. On a busy machine a lease may move between the look and the
-// word; whoever holds it then is told.
+// handOn has the holder of a duty hand it over and returns that holder. On a loaded machine the lease may move between finding the
+// holder and asking it; the new holder is then asked.
 func handOn(ctx context.Context, t *testing.T, w *fleet.MaintenanceFleet, holder func(duty string, not int) int, duty string) int {
 	t.Helper()
 	for end := time.Now().Add(20 * time.Second); ; time.Sleep(20 * time.Millisecond) {
@@ -24,13 +24,13 @@
 			return i
 		}
 		if time.Now().After(end) {
-			t.Fatalf("%s was never handed on: %v", duty, err)
+			t.Fatalf("%s was not handed over: %v", duty, err)
 		}
 	}
 }
 
 func TestDutiesAreHandedOn(t *testing.T) {
-	binary := program(t)
+	binary := buildProgram(t)
 	ctx, cancel := context.WithDeadline(t.Context(), time.Now().Add(2*time.Minute))
 	defer cancel()
 	const lease = time.Second
@@ -54,7 +54,7 @@
 				return i
 			}
 			if time.Now().After(end) {
-				t.Fatalf("nobody took %s over", duty)
+				t.Fatalf("no coordinator took over %s", duty)
 			}
 		}
 	}
@@ -66,26 +66,26 @@
 
 	i := handOn(ctx, t, w, holder, "one")
 	if err := w.HandOn(ctx, holder("one", i), "three"); err == nil {
-		t.Error("a duty that is none was handed on")
+		t.Error("an unknown duty was handed over")
 	}
 	i = holder("two", -1)
 	must(w.Stall(i))
 	time.Sleep(3 * lease)
-	must(w.Resume(i)) // it wakes, and acts on nothing
+	must(w.Resume(i)) // its lease has expired, so it must not act on the duty
 	i = holder("one", -1)
 	must(w.Kill(i))
 	holder("one", i)
 	must(w.Start(ctx, i))
 	i = holder("two", -1)
-	must(w.Isolate(i, proxy.DropUp)) // what it says is lost, what it is told is not
+	must(w.Isolate(i, proxy.DropUp)) // on each store connection, what the opener sends is lost
 	holder("two", i)
 	must(w.Isolate(i, proxy.Pass))
 	i = holder("one", -1)
-	must(w.Isolate(i, proxy.DropDown)) // it is heard, and hears nothing
+	must(w.Isolate(i, proxy.DropDown)) // on each store connection, what the opener would receive is lost
 	holder("one", i)
 	must(w.Isolate(i, proxy.Pass))
 	i = holder("maintenance", -1)
-	must(w.End(i)) // it gives its duties back
+	must(w.End(i)) // on SIGTERM it releases its duties
 	must(w.Start(ctx, i))
 	holder("maintenance", -1)
 	time.Sleep(2 * lease)
@@ -94,10 +94,10 @@
 
 	v := h.Check()
 	if v.Double+v.Stale > 0 || len(v.Said) > 0 {
-		t.Errorf("%d double holders, %d stale writes taken: %v", v.Double, v.Stale, v.Said)
+		t.Errorf("%d double holders, %d stale writes accepted: %v", v.Double, v.Stale, v.Said)
 	}
 	if len(v.Handovers) < 5 || v.Accepted < 100 {
-		t.Errorf("%d hand-overs, %d writes taken: too few to tell", len(v.Handovers), v.Accepted)
+		t.Errorf("%d handovers, %d writes accepted: too few for the check", len(v.Handovers), v.Accepted)
 	}
-	t.Logf("%d claims, %d hand-overs", v.Claims, len(v.Handovers))
+	t.Logf("%d claims, %d handovers", v.Claims, len(v.Handovers))
 }
--- a/internal/lab/fleet/fleet.go
+++ b/internal/lab/fleet/fleet.go
@@ -1,6 +1,6 @@
-// Package fleet starts what a measurement needs round the real program: stand-in data nodes, a zone on two servers, a
-// directory, and bin/gullfall itself with a configuration of its own. All of it is on loopback, in a folder that goes
-// with it. It must never leave a process behind, nor end one that it has not started.
+// Package fleet runs gullfall processes for tests and measurements, together with their surroundings on loopback: simulated data nodes,
+// a DNS-SD zone on two name servers, and a discovery service. Each process has its own configuration in a temporary folder that is
+// removed with it. The package ends every process that it has started, and no other.
 package fleet
 
 import (
@@ -20,28 +20,28 @@
 	"gullfall/internal/lab/nameserver"
 )
 
-// Options say what is started.
+// Options configure a Fleet.
 type Options struct {
 	Nodes    int
-	Listed   int // of them, those that discovery names and the zone does not
+	Listed   int // number of the data nodes that are listed by discovery; the others are in the zone
 	Cells    int
 	Shards   int
 	TTL      uint32
 	Transfer bool
 	Notify   bool
-	Hollow   bool // the data nodes are records only; nothing listens there
-	Takes    time.Duration
-	Binary   string // of gullfall
+	Hollow   bool          // the data nodes exist as records only; nothing listens at their addresses
+	Takes    time.Duration // of a part at a data node
+	Binary   string        // path of gullfall
 	Seed     uint64
 
-	Flight    bool   // the second front is on
+	Flight    bool   // the coordinator also serves Arrow Flight
 	AllFlight bool   // all data nodes speak Flight
-	Fill      int    // bytes by which documents are longer
-	MemoryMB  int    // that the program may use; 0 for 192
-	Deploy    string // further lines of deploy/gullfall.toml
+	Fill      int    // bytes added to each document
+	MemoryMB  int    // memory limit of the program; 0 means 192
+	Deploy    string // further lines of the [flight] table in deploy/gullfall.toml
 }
 
-// Fleet is what was started.
+// Fleet is one coordinator with its data nodes, name servers and discovery service.
 type Fleet struct {
 	Options
 	Zone      *nameserver.Zone
@@ -49,27 +49,27 @@
 	Directory *discovery.Directory
 	Nodes     []*datanode.Node
 	Ledger    *datanode.Ledger
-	Front     string // where the coordinator listens
-	Flight    string // and for Flight clients
+	Front     string // address on which the coordinator accepts queries
+	Flight    string // address of its Arrow Flight server
 
 	coord  *Coordinator
-	chance *rand.Rand
+	random *rand.Rand
 
 	stopped bool
 }
 
-// nodePrefix stands before the number in a data node's name.
+// nodePrefix precedes the number in the id of a data node.
 const nodePrefix = "tabuleiro-"
 
-// Domain is the zone's.
+// Domain is the domain of the DNS-SD zone.
 const Domain = "recife-centro.example."
 
-// Classes are those of the configuration that a Fleet writes.
+// Classes are the query classes of Settings.
 var Classes = []load.Class{{Name: "lookup", Parts: 1, Share: 0.7, Deadline: time.Second}, {Name: "report", Parts: 8, Share: 0.3, Deadline: 2 * time.Second}}
 
-// Start starts a fleet. The caller stops it, also after an error if it is not nil.
+// Start starts a fleet. The caller stops it if it is not nil, also after an error.
 func Start(ctx context.Context, o Options) (f *Fleet, err error) {
-	f = &Fleet{Options: o, Ledger: datanode.NewLedger(), chance: rand.New(rand.NewPCG(o.Seed, 2))}
+	f = &Fleet{Options: o, Ledger: datanode.NewLedger(), random: rand.New(rand.NewPCG(o.Seed, 2))}
 	if f.Directory, err = discovery.Start(); err != nil {
 		return f, err
 	}
@@ -96,10 +96,10 @@
 		}
 	}
 	f.Zone.Set(instances...)
-	return f, f.run(ctx)
+	return f, f.startCoordinator(ctx)
 }
 
-// startServers starts two name servers for the zone.
+// startServers starts the zone's two name servers, with zone transfer only if Options.Transfer is set.
 func (f *Fleet) startServers() error {
 	for range 2 {
 		s, err := nameserver.Start(f.Zone, nil)
@@ -117,12 +117,12 @@
 	return nil
 }
 
-// Entry is what discovery tells of a data node.
+// Entry returns the discovery entry of a data node.
 func Entry(n *datanode.Node, state string) discovery.Entry {
 	return discovery.Entry{ID: n.ID, Addr: n.Addr(), Zone: "a", Cell: n.Cell, State: state, Weight: 1, Started: n.Started.UnixMilli()}
 }
 
-// Instance is what the zone tells of a data node; further strings go into its TXT record.
+// Instance returns the DNS-SD instance of a data node. A state that is not empty goes into its TXT record.
 func (f *Fleet) Instance(n *datanode.Node, state string) nameserver.Instance {
 	i := nameserver.Instance{Label: strings.ReplaceAll(n.ID, "-", " "), Service: "_dn._tcp", Weight: 100,
 		Text: []string{"id=" + n.ID, "cell=" + strconv.Itoa(n.Cell), "zone=a", "proto=" + n.Proto}}
@@ -130,7 +130,7 @@
 		i.Text = append(i.Text, "state="+state)
 	}
 	if f.Hollow {
-		number, _ := strconv.Atoi(strings.TrimPrefix(n.ID, nodePrefix)) // Start has numbered them
+		number, _ := strconv.Atoi(strings.TrimPrefix(n.ID, nodePrefix)) // Start gave the ids numbers
 		i.Addr = netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 9, byte(number >> 8), byte(number)}), 7000)
 		return i
 	}
@@ -139,11 +139,11 @@
 	return i
 }
 
-// Chance is the fleet's own source of chance.
-func (f *Fleet) Chance() *rand.Rand { return f.chance }
+// Chance returns the fleet's random source, seeded from Options.Seed.
+func (f *Fleet) Chance() *rand.Rand { return f.random }
 
-// free is a loopback address that nobody uses just now.
-func free(network string) string {
+// freeAddr returns an unused loopback address, or an empty string if none can be opened.
+func freeAddr(network string) string {
 	if network == "udp" {
 		pc, err := net.ListenPacket("udp", "127.0.0.1:0")
 		if err != nil {
@@ -160,23 +160,23 @@
 	return ln.Addr().String()
 }
 
-// run writes the configuration, starts the program and waits until it serves.
-func (f *Fleet) run(ctx context.Context) error {
-	f.Front = free("tcp")
+// startCoordinator writes the configuration, starts the program and waits until it accepts connections.
+func (f *Fleet) startCoordinator(ctx context.Context) error {
+	f.Front = freeAddr("tcp")
 	notify := ""
 	if f.Notify {
-		notify = free("udp")
+		notify = freeAddr("udp")
 		f.Zone.Notify(notify, nil)
 	}
-	second := ""
+	flightTable := ""
 	if f.Options.Flight {
-		f.Flight = free("tcp")
-		second = fmt.Sprintf("[flight]\nlisten = %q\n%s", f.Flight, f.Deploy)
+		f.Flight = freeAddr("tcp")
+		flightTable = fmt.Sprintf("[flight]\nlisten = %q\n%s", f.Flight, f.Deploy)
 	}
 	if f.MemoryMB == 0 {
 		f.MemoryMB = 192
 	}
-	deploy := second + fmt.Sprintf("[dnssd]\nnotify = %q\nallow = [\"127.0.0.0/8\"]\n[[dnssd.zone]]\ndomain = %q\nservers = [%q, %q]\ntransfer = %v\n",
+	deploy := flightTable + fmt.Sprintf("[dnssd]\nnotify = %q\nallow = [\"127.0.0.0/8\"]\n[[dnssd.zone]]\ndomain = %q\nservers = [%q, %q]\ntransfer = %v\n",
 		notify, Domain, f.Servers[0].Addr(), f.Servers[1].Addr(), f.Transfer)
 	settings := Settings(f.Cells, f.Shards, 1)
 	config := Config("n0", f.Front, f.Directory.Addr(), f.Seed+1, f.MemoryMB, settings)
@@ -185,8 +185,8 @@
 	return err
 }
 
-// Settings are those of the lab's coordinators: two classes, cells and shards as given, held by two cells each, and
-// balancers that share the fleet.
+// Settings returns the settings document of the lab's coordinators: two classes, the given numbers of cells, of shards, which two cells
+// each hold, and of coordinators (balancers) that share the fleet.
 func Settings(cells, shards, balancers int) string {
 	return fmt.Sprintf(`{"TickS":0.005,"Az":"a","Balancers":%d,"Discovery":"automatic",
   "Classes":[{"Name":"lookup","Effect":"safe","AimS":0.5,"HardLimitS":1,"Gain":1},
@@ -197,25 +197,25 @@
 		balancers, cells, shards)
 }
 
-// Config is the platform's file for one coordinator.
+// Config returns config.json, the platform's configuration of one coordinator.
 func Config(name, front, discovery string, seed uint64, memoryMB int, settings string) string {
 	return fmt.Sprintf("{ // written by gullfall-lab\n \"name\":%q,\"listen\":%q,\"discovery\":%q,\"seed\":\"%x\",\n \"limits\":{\"cores\":1.0,\"memory_mb\":%d,\"sockets\":1024},\n \"settings\":%s}\n",
 		name, front, discovery, seed, memoryMB, settings)
 }
 
-// Free is a loopback address that nobody uses just now.
-func Free(network string) string { return free(network) }
+// FreeAddr returns an unused loopback address of the network "tcp" or "udp".
+func FreeAddr(network string) string { return freeAddr(network) }
 
-// Log is the end of what the program has logged.
+// Log returns the last bytes of the program's log.
 func (f *Fleet) Log(bytes int) string { return f.coord.Log(bytes) }
 
-// Logged counts the lines of the log that hold a text.
+// Logged returns the number of log lines that contain a text.
 func (f *Fleet) Logged(text string) int { return f.coord.Logged(text) }
 
-// Listed is how many data nodes the program has logged as listed.
+// Listed returns the number of data nodes that the program has logged as listed.
 func (f *Fleet) Listed() int { return f.coord.Listed() }
 
-// CPU is the processor time that the program has used.
+// CPU returns the CPU time that the program has used; 0 once it has exited.
 func (f *Fleet) CPU() time.Duration {
 	raw, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", f.coord.Pid()))
 	if err != nil {
@@ -228,11 +228,11 @@
 	}
 	user, _ := strconv.Atoi(fields[11])
 	system, _ := strconv.Atoi(fields[12])
-	return time.Duration(user+system) * 10 * time.Millisecond // in hundredths of a second
+	return time.Duration(user+system) * 10 * time.Millisecond // utime and stime are in clock ticks of 1/100 s
 }
 
-// status is a figure of the running program, in MB; 0 once it has ended.
-func (f *Fleet) status(name string) float64 {
+// statusMB returns a memory field of /proc/PID/status in MB; 0 once the program has exited.
+func (f *Fleet) statusMB(name string) float64 {
 	raw, _ := os.ReadFile(fmt.Sprintf("/proc/%d/status", f.coord.Pid()))
 	for line := range strings.Lines(string(raw)) {
 		if rest, ok := strings.CutPrefix(line, name+":"); ok {
@@ -243,16 +243,16 @@
 	return 0
 }
 
-// Memory is what the program holds in memory, in MB.
-func (f *Fleet) Memory() int { return int(f.status("VmRSS")) }
+// Memory returns the resident memory of the program in MB.
+func (f *Fleet) Memory() int { return int(f.statusMB("VmRSS")) }
 
-// Peak is the most that the program held in memory so far, in MB.
-func (f *Fleet) Peak() int { return int(f.status("VmHWM")) }
+// Peak returns the peak resident memory of the program so far, in MB.
+func (f *Fleet) Peak() int { return int(f.statusMB("VmHWM")) }
 
-// Anonymous is the memory that the program holds for itself, without its own file's pages, in MB.
-func (f *Fleet) Anonymous() float64 { return f.status("RssAnon") }
+// Anonymous returns the anonymous resident memory of the program in MB, which excludes the pages of its binary.
+func (f *Fleet) Anonymous() float64 { return f.statusMB("RssAnon") }
 
-// Questions are those that the servers were asked.
+// Questions returns the number of DNS questions that the name servers were asked.
 func (f *Fleet) Questions() (n int) {
 	for _, s := range f.Servers {
 		n += s.Asked(0)
@@ -260,7 +260,7 @@
 	return n
 }
 
-// Stop ends the program by SIGTERM and everything else after it; once is enough. It tells of a program that did not end well.
+// Stop ends the program with SIGTERM, then everything else. Further calls do nothing. The error is that of Coordinator.Stop.
 func (f *Fleet) Stop() (err error) {
 	if f.stopped {
 		return nil
--- a/internal/lab/fleet/listed.go
+++ b/internal/lab/fleet/listed.go
@@ -9,14 +9,14 @@
 	"gullfall/internal/membership"
 )
 
-// How a coordinator logs that data nodes were listed: a line for each, or one line with their number where a list names many.
+// Log messages of a coordinator for listed data nodes: one line per data node, or one line with their count for a long list.
 const (
 	nodeListed  = `msg="data node ` + string(membership.Listed) + `"`
 	nodesListed = `msg="data nodes ` + string(membership.Listed) + `"`
 	countField  = "count="
 )
 
-// Listed is how many data nodes the program has logged as listed.
+// Listed returns the number of data nodes that the program has logged as listed.
 func (c *Coordinator) Listed() int {
 	raw, _ := os.ReadFile(filepath.Join(c.dir, logFile))
 	return countListed(string(raw))
@@ -34,7 +34,7 @@
 	return listed
 }
 
-// countOf reads the field count of a log line; 0 where there is none.
+// countOf returns the value of the field "count" of a log line, or 0 if it has none.
 func countOf(line string) int {
 	for _, word := range strings.Fields(line) {
 		if text, ok := strings.CutPrefix(word, countField); ok {
--- a/internal/lab/fleet/peers_test.go
+++ b/internal/lab/fleet/peers_test.go
@@ -1,7 +1,7 @@
 package fleet_test
 
-// Eight processes of the real program on loopback, each pair behind the fault proxy: stalls, a cut one way, a kill, a split,
-// a second process under a name. The long loop is `gullfall-lab peers`.
+// The test runs eight gullfall processes on loopback with fault proxies between them, through stalls, packet loss, a one-way cut, a kill,
+// a network split and a second process of the same name. `gullfall-lab peers` repeats such faults for longer.
 
 import (
 	"context"
@@ -20,7 +20,7 @@
 )
 
 func TestCoordinatorsWatchEachOther(t *testing.T) {
-	binary := program(t)
+	binary := buildProgram(t)
 	ctx, cancel := context.WithDeadline(t.Context(), time.Now().Add(4*time.Minute))
 	defer cancel()
 	const n = 8
@@ -48,10 +48,10 @@
 			got += p.Died(fleet.PeerName(i))
 		}
 		if got > 0 {
-			t.Errorf("%s: %d deaths are told", what, got)
+			t.Errorf("%s: %d coordinators were declared dead", what, got)
 		}
 	}
-	// until waits for something that every coordinator of a list is to tell.
+	// until waits until the views of all listed coordinators meet a condition.
 	until := func(what string, who []int, met func(fleet.View) bool) {
 		t.Helper()
 		for end := time.Now().Add(40 * time.Second); ; time.Sleep(20 * time.Millisecond) {
@@ -67,7 +67,7 @@
 				return
 			}
 			if time.Now().After(end) {
-				t.Fatalf("%s: never at %s", what, missing)
+				t.Fatalf("%s: condition not met at %s", what, missing)
 			}
 		}
 	}
@@ -91,35 +91,35 @@
 	agree("one stalled")
 	stall(all, bear)
 	agree("all stalled")
-	noDeaths("stalls within the bound")
+	noDeaths("stalls no longer than the bound")
 
 	must(t, p.Set(proxy.Loss{Lost: 0.15, Twice: 0.1, Delay: time.Millisecond, Reorder: 15 * time.Millisecond}))
 	time.Sleep(3 * time.Second)
 	must(t, p.Set(proxy.Loss{}))
-	agree("lost and disordered packets")
+	agree("lost and reordered packets")
 	noDeaths("15% lost")
 
-	must(t, p.Cut(1, 2)) // 2 never hears 1
-	until("a cut one way", all, func(v fleet.View) bool {
+	must(t, p.Cut(1, 2)) // 2 receives nothing from 1
+	until("one-way cut", all, func(v fleet.View) bool {
 		for _, m := range v.Members {
-			if m.Name == "n1" && slices.Contains(m.CutTo, "n2") {
+			if m.Name == "n1" && slices.Contains(m.Unreachable, "n2") {
 				return v.State("n1") == "partly" && v.State("n2") == "partly" && v.Here == n
 			}
 		}
 		return false
 	})
-	noDeaths("a cut one way")
+	noDeaths("one-way cut")
 	must(t, p.Mend(1, 2))
-	agree("the cut is mended")
+	agree("one-way cut ended")
 
 	if err := p.Kill(6); err != nil {
 		t.Fatal(err)
 	}
-	until("a kill", []int{0, 1, 2, 3, 4, 5, 7}, func(v fleet.View) bool { return v.State("n6") == "dead" && v.Majority })
+	until("killed coordinator", []int{0, 1, 2, 3, 4, 5, 7}, func(v fleet.View) bool { return v.State("n6") == "dead" && v.Majority })
 	if err := p.Start(ctx, 6); err != nil {
 		t.Fatal(err)
 	}
-	agree("back under a new process")
+	agree("killed coordinator restarted")
 
 	for i := range 5 {
 		for j := 5; j < n; j++ {
@@ -127,35 +127,35 @@
 			must(t, p.Cut(j, i))
 		}
 	}
-	until("the larger side", []int{0, 1, 2, 3, 4}, func(v fleet.View) bool { return v.Verdict == "split" && v.Here == 5 && v.Majority })
-	until("the smaller side", []int{5, 6, 7}, func(v fleet.View) bool { return v.Verdict == "split" && v.Here == 3 && !v.Majority })
+	until("larger side of the split", []int{0, 1, 2, 3, 4}, func(v fleet.View) bool { return v.Verdict == "split" && v.Here == 5 && v.Majority })
+	until("smaller side of the split", []int{5, 6, 7}, func(v fleet.View) bool { return v.Verdict == "split" && v.Here == 3 && !v.Majority })
 	for i := range 5 {
 		for j := 5; j < n; j++ {
 			must(t, p.Mend(i, j))
 			must(t, p.Mend(j, i))
 		}
 	}
-	agree("the split has healed")
+	agree("split ended")
 
-	twin, err := p.StartTwin(ctx, 4)
+	duplicate, err := p.StartDuplicate(ctx, 4)
 	if err != nil {
 		t.Fatal(err)
 	}
-	for end := time.Now().Add(10 * time.Second); twin.Logged("refused by the other coordinators") == 0; time.Sleep(20 * time.Millisecond) {
+	for end := time.Now().Add(10 * time.Second); duplicate.Logged("refused by the other coordinators") == 0; time.Sleep(20 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("a second process under a name was not refused:\n%s", twin.Log(1000))
+			t.Fatalf("a second process of the same name was not refused:\n%s", duplicate.Log(1000))
 		}
 	}
-	if !strings.Contains(twin.Log(4000), "is in use by another process") {
-		t.Errorf("the refusal does not say why:\n%s", twin.Log(1000))
+	if !strings.Contains(duplicate.Log(4000), "is in use by another process") {
+		t.Errorf("the refusal has no reason:\n%s", duplicate.Log(1000))
 	}
-	if err := twin.Stop(); err != nil {
+	if err := duplicate.Stop(); err != nil {
 		t.Error(err)
 	}
-	agree("the second process is gone")
+	agree("second process stopped")
 
-	if err := p.Coords[7].Stop(); err != nil { // SIGTERM: it says goodbye
+	if err := p.Coords[7].Stop(); err != nil { // SIGTERM: it tells the others that it leaves
 		t.Fatal(err)
 	}
-	until("a goodbye", []int{0, 1, 2, 3, 4, 5, 6}, func(v fleet.View) bool { return v.State("n7") == "left" && v.Known == n-1 })
+	until("coordinator that left", []int{0, 1, 2, 3, 4, 5, 6}, func(v fleet.View) bool { return v.State("n7") == "left" && v.Known == n-1 })
 }
--- a/internal/lab/fleet/remember.go
+++ b/internal/lab/fleet/remember.go
@@ -1,7 +1,7 @@
 package fleet
 
-// Here is measured how soon a coordinator serves that starts with nobody else there: discovery is gone, and so are the other members of
-// its store; what it has is its own copy. It must never count a start as one that was answered by anything else.
+// This file measures how soon a coordinator serves when it starts alone: neither discovery nor the other members of its store run, so
+// it has only its own copy of the store. No other process may be up that could answer in its place.
 
 import (
 	"bytes"
@@ -18,30 +18,30 @@
 	"gullfall/internal/lab/discovery"
 )
 
-// The layout of a fleet that remembers: cells, one shard each, and coordinators.
+// The layout of a recoveryFleet: cells, which is also the number of shards, and members of the store.
 const (
-	rememberCells   = 64
-	rememberMembers = 3
+	recoveryCells   = 64
+	recoveryMembers = 3
 )
 
-// rememberFleet is coordinators with a store, and the list of data nodes that they hear before discovery is gone.
-type rememberFleet struct {
+// recoveryFleet is a group of coordinators with a store that holds the list of data nodes from discovery.
+type recoveryFleet struct {
 	binary    string
 	seed      uint64
-	folder    string
+	tempDir   string
 	directory *discovery.Directory
 	fronts    []string
-	addrs     []string // of the store's members
+	addrs     []string // store addresses of the members
 	nodes     []*datanode.Node
 	running   []*Coordinator
 }
 
-// Remembered has three coordinators with a store hear a list of so many data nodes, ends all of them and discovery, and starts one again
-// and again. It returns how long each start took until its front took a connection, and until a query was answered whole.
+// Remembered has three coordinators with a store receive a list of total data nodes, ends them and discovery, and then starts one
+// coordinator alone, rounds times. It returns, for each start, the time to the first accepted connection and to the first complete answer.
 func Remembered(ctx context.Context, binary string, total, rounds int, seed uint64) (accepts, answers []time.Duration, err error) {
-	f := &rememberFleet{binary: binary, seed: seed}
+	f := &recoveryFleet{binary: binary, seed: seed}
 	defer func() { err = errors.Join(err, f.stop()) }()
-	if err := f.learn(ctx, total); err != nil {
+	if err := f.prepare(ctx, total); err != nil {
 		return nil, nil, err
 	}
 	for range rounds {
@@ -54,31 +54,31 @@
 	return accepts, answers, nil
 }
 
-// learn starts the members and discovery with a list of data nodes, waits until the store has it, and ends all but the data nodes.
-func (f *rememberFleet) learn(ctx context.Context, total int) (err error) {
-	if f.folder, err = os.MkdirTemp("", "gullfall-remember-"); err != nil {
+// prepare starts discovery and the members, waits until the store has the list of data nodes, and ends all but the data nodes.
+func (f *recoveryFleet) prepare(ctx context.Context, total int) (err error) {
+	if f.tempDir, err = os.MkdirTemp("", "gullfall-remember-"); err != nil {
 		return err
 	}
 	if f.directory, err = discovery.Start(); err != nil {
 		return err
 	}
-	list, err := f.list(total)
+	list, err := f.entries(total)
 	if err != nil {
 		return err
 	}
 	f.directory.Set(list...)
-	for range rememberMembers {
-		f.fronts, f.addrs = append(f.fronts, free("tcp")), append(f.addrs, free("tcp"))
+	for range recoveryMembers {
+		f.fronts, f.addrs = append(f.fronts, freeAddr("tcp")), append(f.addrs, freeAddr("tcp"))
 	}
-	for i := range rememberMembers {
+	for i := range recoveryMembers {
 		if _, err := f.start(ctx, i); err != nil {
 			return err
 		}
 	}
-	if err := answered(ctx, f.fronts[0]); err != nil {
+	if err := waitForAnswer(ctx, f.fronts[0]); err != nil {
 		return err
 	}
-	time.Sleep(5 * time.Second) // the list is in the store, and each member has applied it
+	time.Sleep(5 * time.Second) // time for the list to be stored and applied by each member
 	if err := f.kill(); err != nil {
 		return err
 	}
@@ -86,10 +86,11 @@
 	return nil
 }
 
-// list are the entries of discovery: the first two are data nodes that answer, of which one holds shard 0; all others hold other shards.
-func (f *rememberFleet) list(total int) (list []discovery.Entry, err error) {
+// entries starts two data nodes and returns a discovery list of the given length. Only the first two, in cells 0 and 1, exist and can
+// hold shard 0; the others are in other cells.
+func (f *recoveryFleet) entries(total int) (list []discovery.Entry, err error) {
 	for i := range total {
-		e := discovery.Entry{ID: fmt.Sprintf("node-%05d", i), Addr: fmt.Sprintf("127.0.%d.%d:1", 1+i/250, 1+i%250), Zone: []string{"a", "b", "c"}[i%3], Cell: 2 + i%(rememberCells-2),
+		e := discovery.Entry{ID: fmt.Sprintf("node-%05d", i), Addr: fmt.Sprintf("127.0.%d.%d:1", 1+i/250, 1+i%250), Zone: []string{"a", "b", "c"}[i%3], Cell: 2 + i%(recoveryCells-2),
 			State: "SERVING", Weight: 1, Started: time.Now().Add(-time.Hour).UnixMilli()}
 		if i < 2 {
 			n := &datanode.Node{ID: e.ID, Cell: i, Proto: "frames", Ledger: datanode.NewLedger(), Takes: time.Millisecond}
@@ -104,27 +105,27 @@
 	return list, nil
 }
 
-// start starts a member, which is among running also after an error.
-func (f *rememberFleet) start(ctx context.Context, i int) (*Coordinator, error) {
-	deploy := fmt.Sprintf("[store]\ndirectory = %q\nlisten = %q\nheartbeat = \"500ms\"\n", filepath.Join(f.folder, PeerName(i)), f.addrs[i])
+// start starts a member and adds it to running, also after an error.
+func (f *recoveryFleet) start(ctx context.Context, i int) (*Coordinator, error) {
+	deploy := fmt.Sprintf("[store]\ndirectory = %q\nlisten = %q\nheartbeat = \"500ms\"\n", filepath.Join(f.tempDir, PeerName(i)), f.addrs[i])
 	for j, addr := range f.addrs {
 		deploy += fmt.Sprintf("[[store.peer]]\nname = %q\naddr = %q\n", PeerName(j), addr)
 	}
-	config := Config(PeerName(i), f.fronts[i], f.directory.Addr(), f.seed+uint64(i), 192, Settings(rememberCells, rememberCells, rememberMembers))
+	config := Config(PeerName(i), f.fronts[i], f.directory.Addr(), f.seed+uint64(i), 192, Settings(recoveryCells, recoveryCells, recoveryMembers))
 	c, err := Spawn(ctx, f.binary, f.fronts[i], map[string]string{"config.json": config, "deploy/gullfall.toml": deploy})
 	f.running = append(f.running, c)
 	return c, err
 }
 
-// startAlone starts the first member with nobody else there, and ends it once it has answered.
-func (f *rememberFleet) startAlone(ctx context.Context) (accepted, answer time.Duration, err error) {
+// startAlone starts the first member while no other runs, and kills it once it has answered a query.
+func (f *recoveryFleet) startAlone(ctx context.Context) (accepted, answer time.Duration, err error) {
 	begun := time.Now()
 	c, err := f.start(ctx, 0)
 	if err != nil {
 		return 0, 0, err
 	}
 	accepted = time.Since(begun)
-	if err := answered(ctx, f.fronts[0]); err != nil {
+	if err := waitForAnswer(ctx, f.fronts[0]); err != nil {
 		return 0, 0, fmt.Errorf("%w\n%s", err, c.Log(2000))
 	}
 	answer = time.Since(begun)
@@ -132,8 +133,8 @@
 	return accepted, answer, f.kill()
 }
 
-// kill ends the running members by SIGKILL.
-func (f *rememberFleet) kill() error {
+// kill ends the running members with SIGKILL.
+func (f *recoveryFleet) kill() error {
 	for _, c := range f.running {
 		if err := errors.Join(c.Kill(), c.Discard()); err != nil {
 			return err
@@ -143,8 +144,8 @@
 	return nil
 }
 
-// stop ends what was started.
-func (f *rememberFleet) stop() (err error) {
+// stop ends all processes, data nodes and discovery, and removes their files.
+func (f *recoveryFleet) stop() (err error) {
 	for _, c := range f.running {
 		err = errors.Join(err, c.Stop())
 	}
@@ -154,11 +155,11 @@
 	if f.directory != nil {
 		f.directory.Close()
 	}
-	return errors.Join(err, os.RemoveAll(f.folder))
+	return errors.Join(err, os.RemoveAll(f.tempDir))
 }
 
-// answered waits until a front answers a query of shard 0 whole.
-func answered(ctx context.Context, front string) error {
+// waitForAnswer sends queries of shard 0 to a coordinator until one is answered completely.
+func waitForAnswer(ctx context.Context, front string) error {
 	last := ""
 	for n := 0; ctx.Err() == nil; n++ {
 		body := `{"shards":[{"shard":0,"weight":1}],"q":"c41e77d0"}`
@@ -181,5 +182,5 @@
 		last = fmt.Sprintf("%s %.200s", res.Status, answer)
 		time.Sleep(5 * time.Millisecond)
 	}
-	return fmt.Errorf("no query was answered: %s", last)
+	return fmt.Errorf("no query was answered completely; the last answer was %s", last)
 }
--- a/internal/lab/fleet/replicate_test.go
+++ b/internal/lab/fleet/replicate_test.go
@@ -1,7 +1,7 @@
 package fleet_test
 
-// Five processes of the real program, three votes and two learners of one store, with clients that read, put and swap at all of them
-// while members are killed, stalled and cut off. The long loop is `gullfall-lab replicate`.
+// The test runs five gullfall processes, three voters and two learners of one store, with clients that get, put and compare-and-swap at
+// all of them while leaders are killed, stalled and isolated. `gullfall-lab replicate` repeats such faults for longer.
 
 import (
 	"context"
@@ -15,7 +15,7 @@
 )
 
 func TestStoreIsLinearizable(t *testing.T) {
-	binary := program(t)
+	binary := buildProgram(t)
 	ctx, cancel := context.WithDeadline(t.Context(), time.Now().Add(2*time.Minute))
 	defer cancel()
 	w, err := fleet.StartMaintenanceFleet(ctx, fleet.MaintenanceOptions{Coordinators: 5, Voters: 3, PerZone: 4, Rate: 1, Floor: 2, Share: 0.3, Bound: time.Second, Lease: 2 * time.Second,
@@ -50,7 +50,7 @@
 				}
 			}
 		}
-		t.Fatal("nobody leads")
+		t.Fatal("the store has no leader")
 		return 0
 	}
 	i := leader()
@@ -58,16 +58,16 @@
 	time.Sleep(time.Second)
 	must(w.Start(ctx, i))
 	i = leader()
-	must(w.Stall(i)) // a leader that stands still, and goes on as one of the past
+	must(w.Stall(i)) // a stalled leader that resumes after another was elected
 	time.Sleep(1500 * time.Millisecond)
 	must(w.Resume(i))
 	i = leader()
-	must(w.Isolate(i, proxy.DropUp)) // it hears, and is not heard
+	must(w.Isolate(i, proxy.DropUp)) // on each store connection, what the opener sends is lost
 	time.Sleep(1500 * time.Millisecond)
 	must(w.Isolate(i, proxy.Pass))
 	i = leader()
 	for j := range 5 {
-		if j != i { // alone with its writes
+		if j != i { // the leader is isolated with its uncommitted writes
 			must(w.Cut(i, j, proxy.Drop))
 			must(w.Cut(j, i, proxy.Drop))
 		}
@@ -93,7 +93,7 @@
 	final, err := clients.Final(ctx, 4)
 	must(err)
 	if lost := clients.History.Lost(final); len(lost) > 0 {
-		t.Errorf("lost: %v", lost)
+		t.Errorf("lost writes: %v", lost)
 	}
 	all, committed, unknown := clients.History.Counts()
 	if ok, known := clients.History.Check(30 * time.Second); !ok || committed < 50 {
--- a/internal/lab/fleet/work.go
+++ b/internal/lab/fleet/work.go
@@ -20,92 +20,94 @@
 	"gullfall/internal/lab/proxy"
 )
 
-// The layout of the lab's works: each zone holds every cell where it has four data nodes.
+// The layout of a MaintenanceFleet. With four or more data nodes per zone, each zone has data nodes of every cell.
 const (
-	workCells  = 4
-	workShards = 8
-	workReach  = 2
-	// WorkTakes is the work of a part at these data nodes.
+	maintenanceCells  = 4
+	maintenanceShards = 8
+	maintenanceReach  = 2
+	// WorkTakes is the time that a part takes at these data nodes.
 	WorkTakes = 20 * time.Millisecond
 )
 
-// WorkColdBound is how many parts a cold data node of these bears in its first second, from all coordinators together. By the
-// lab's settings it falls at FallMultiple (2) times what it can do at that moment for a second, one part at a time, which is
-// StartCapacity (0.3) of all at first and all of it after warm; to that N comes what chance adds, 3 roots of N and 3.
-func WorkColdBound(warm time.Duration) float64 { return coldBound(WorkTakes, warm) }
+// WorkColdBound returns the number of parts that all coordinators together may send to a returning data node in its first second. By the
+// lab's settings a data node is overloaded at FallMultiple (2) times the parts that it can process in a second, one at a time. Its
+// capacity grows from StartCapacity (0.3) to 1 within warm; the mean over the first second counts. To that N, 3*sqrt(N)+3 is added for
+// random variation.
+func WorkColdBound(warm time.Duration) float64 { return warmupBound(WorkTakes, warm) }
 
-func coldBound(takes, warm time.Duration) float64 {
+func warmupBound(takes, warm time.Duration) float64 {
 	n := 2 * (0.3 + 0.7*min(1, 0.5*float64(time.Second)/float64(warm))) * float64(time.Second) / float64(takes)
 	return n + 3*math.Sqrt(n) + 3
 }
 
-// MaintenanceOptions say what is started.
+// MaintenanceOptions configure a MaintenanceFleet.
 type MaintenanceOptions struct {
 	Coordinators, Voters int
 	PerZone              int
-	Rate                 float64 // queries a second at each coordinator
+	Rate                 float64 // queries per second at each coordinator
 	Floor                int
 	Share                float64
 	Bound, Lease, Warm   time.Duration
 	Heartbeat            time.Duration
-	Work                 time.Duration // that the hands take for a machine
-	Duties               []string      // beside that of the work
-	Skew                 float64       // clocks of leases run between this much slow and this much fast
+	Work                 time.Duration // time from a machine's handover to its restart
+	Duties               []string      // in addition to the maintenance duty
+	Skew                 float64       // lease clocks of the coordinators run from this share too slow to this share too fast
 	Binary               string
 	Seed                 uint64
 }
 
-// MaintenanceFleet is the coordinators, the data nodes and the hands.
+// MaintenanceFleet is a group of coordinators with a common store, their data nodes and clients, and a simulated maintenance crew that
+// restarts the machines handed over to it.
 type MaintenanceFleet struct {
-	o      MaintenanceOptions
-	dir    *discovery.Directory
-	folder string
-	Ledger *datanode.Ledger
-	Nodes  []*datanode.Node
-	Coords []*Coordinator
-	addrs  []string
-	fronts []string
-	ways   [][]*proxy.Proxy // from, to; nil on the diagonal
-	loads  []*load.Load
-	stop   context.CancelFunc
-	wg     sync.WaitGroup
-
-	mu      sync.Mutex
-	down    []bool
-	stalled []bool
-	busy    []time.Time // until when what befalls a coordinator's clients is its fault's
-	clean   []Tallies   // at each coordinator, outside its faults
-	mark    []load.Tally
-	orders  map[uint64]string // moves by number, as any coordinator told them
-	Faults  WorkFaults
-	Returns []int           // parts that came to each machine in the first second after its return was seen
-	steps   map[string]bool // machines in work, as last seen
-	moved   uint64
-	since   time.Time     // of the last move, or of the first open request
-	Stalled time.Duration // longest that an open request saw no move
-	hand    []sync.Mutex  // of each data node: held by who stops and starts it
+	o         MaintenanceOptions
+	directory *discovery.Directory
+	tempDir   string
+	Ledger    *datanode.Ledger
+	Nodes     []*datanode.Node
+	Coords    []*Coordinator
+	addrs     []string
+	fronts    []string
+	links     [][]*proxy.Proxy // by sender, then receiver; nil on the diagonal
+	loads     []*load.Load
+	stop      context.CancelFunc
+	wg        sync.WaitGroup
+
+	mu            sync.Mutex
+	down          []bool
+	stalled       []bool
+	excludedUntil []time.Time       // by coordinator: its queries up to this time are excluded, since a fault affects them
+	tallies       []Tallies         // by coordinator, outside its faults
+	lastTallies   []load.Tally      // by coordinator, at the last call of settle
+	moves         map[uint64]string // moves by number, as a coordinator first logged them
+	Faults        WorkFaults
+	Returns       []int           // for each return of a machine, the parts sent to it in the first second after the return was observed
+	inWork        map[string]bool // machines in work in the latest plan
+	lastMove      uint64          // number of the last move
+	lastProgress  time.Time       // time of the last move, or of the last look without an open request
+	Stalled       time.Duration   // longest time without a move while a request was open
+	nodeLocks     []sync.Mutex    // by data node; held while it is stopped and started
 }
 
-// Tallies are what became of queries.
+// Tallies counts queries by their outcome.
 type Tallies struct{ Asked, Served, Lost, Wrong, Refused, Failed int }
 
-// WorkFaults is what must not happen, and how much of it did.
+// WorkFaults counts violations of the maintenance rules, and the machines handed over.
 type WorkFaults struct {
-	SentWhileOut int      // parts that came to a machine between its hand-over and its return
-	FloorBroken  int      // looks at which a shard had fewer replicas outside work than its floor
-	TwoOrders    int      // moves that two coordinators told differently
-	HandedOver   int      // machines that were
-	Overtaken    int      // machines that crashed and came up anew before the hands took them up
-	Said         []string // the first of each
+	SentWhileOut int      // parts sent to a machine between its handover and its return
+	FloorBroken  int      // cases of a shard with fewer replicas outside work than its floor, counted at each look
+	TwoOrders    int      // moves that two coordinators logged differently
+	HandedOver   int      // machines handed over for work; no violation
+	Overtaken    int      // machines that crashed and restarted before the work on them began; no violation
+	Said         []string // descriptions; Verdict returns the first 20
 }
 
-// StartMaintenanceFleet starts it. The caller stops it, also after an error if it is not nil.
+// StartMaintenanceFleet starts a fleet. The caller stops it if it is not nil, also after an error.
 func StartMaintenanceFleet(ctx context.Context, o MaintenanceOptions) (w *MaintenanceFleet, err error) {
-	w = &MaintenanceFleet{o: o, Ledger: datanode.NewLedger(), orders: map[uint64]string{}}
-	if w.dir, err = discovery.Start(); err != nil {
+	w = &MaintenanceFleet{o: o, Ledger: datanode.NewLedger(), moves: map[uint64]string{}}
+	if w.directory, err = discovery.Start(); err != nil {
 		return w, err
 	}
-	if w.folder, err = os.MkdirTemp("", "gullfall-works-"); err != nil {
+	if w.tempDir, err = os.MkdirTemp("", "gullfall-works-"); err != nil {
 		return w, err
 	}
 	if err := w.startNodes(); err != nil {
@@ -113,7 +115,7 @@
 	}
 	n := o.Coordinators
 	w.Coords, w.down, w.stalled = make([]*Coordinator, n), make([]bool, n), make([]bool, n)
-	w.busy, w.clean, w.mark = make([]time.Time, n), make([]Tallies, n), make([]load.Tally, n)
+	w.excludedUntil, w.tallies, w.lastTallies = make([]time.Time, n), make([]Tallies, n), make([]load.Tally, n)
 	if err := w.connect(); err != nil {
 		return w, err
 	}
@@ -124,20 +126,20 @@
 	}
 	ctx, w.stop = context.WithCancel(ctx)
 	for i := range n {
-		l := &load.Load{Addr: w.fronts[i], Owner: "club", Rate: o.Rate, Shards: workShards, Classes: Classes, Open: 64, Ledger: w.Ledger, Seed: o.Seed*1000 + uint64(i)}
+		l := &load.Load{Addr: w.fronts[i], Owner: "club", Rate: o.Rate, Shards: maintenanceShards, Classes: Classes, Open: 64, Ledger: w.Ledger, Seed: o.Seed*1000 + uint64(i)}
 		w.loads = append(w.loads, l)
 		w.wg.Go(func() { l.Run(ctx) })
 	}
-	w.wg.Go(func() { w.hands(ctx) })
+	w.wg.Go(func() { w.maintain(ctx) })
 	return w, nil
 }
 
-// startNodes starts the data nodes of three zones and lists them.
+// startNodes starts the data nodes of three zones and lists them in discovery.
 func (w *MaintenanceFleet) startNodes() error {
 	var entries []discovery.Entry
 	for zi, zone := range []string{"a", "b", "c"} {
 		for i := range w.o.PerZone {
-			n := &datanode.Node{ID: fmt.Sprintf("%s-%d", zone, i), Cell: (zi + i) % workCells, Proto: "frames", Ledger: w.Ledger, Takes: WorkTakes}
+			n := &datanode.Node{ID: fmt.Sprintf("%s-%d", zone, i), Cell: (zi + i) % maintenanceCells, Proto: "frames", Ledger: w.Ledger, Takes: WorkTakes}
 			if err := n.Start(); err != nil {
 				return err
 			}
@@ -146,12 +148,12 @@
 			entries = append(entries, w.entry(n))
 		}
 	}
-	w.dir.Set(entries...)
-	w.hand = make([]sync.Mutex, len(w.Nodes))
+	w.directory.Set(entries...)
+	w.nodeLocks = make([]sync.Mutex, len(w.Nodes))
 	return nil
 }
 
-// connect reserves the coordinators' addresses and starts a proxy from each to each other.
+// connect chooses the coordinators' addresses and starts a proxy from each coordinator to each other one.
 func (w *MaintenanceFleet) connect() (err error) {
 	n := w.o.Coordinators
 	for i := range n {
@@ -168,10 +170,10 @@
 		ln.Close()
 	}
 	for i := range n {
-		w.ways = append(w.ways, make([]*proxy.Proxy, n))
+		w.links = append(w.links, make([]*proxy.Proxy, n))
 		for j := range n {
 			if i != j {
-				if w.ways[i][j], err = proxy.Start(w.addrs[j]); err != nil {
+				if w.links[i][j], err = proxy.Start(w.addrs[j]); err != nil {
 					return err
 				}
 			}
@@ -186,30 +188,30 @@
 	return e
 }
 
-func (w *MaintenanceFleet) socket(i int) string { return filepath.Join(w.folder, PeerName(i)) }
+func (w *MaintenanceFleet) socket(i int) string { return filepath.Join(w.tempDir, PeerName(i)) }
 
-// Start starts one coordinator, anew after Kill, with the store that it had.
+// Start starts one coordinator, or restarts it with its previous store after Kill.
 func (w *MaintenanceFleet) Start(ctx context.Context, i int) (err error) {
 	text := fmt.Sprintf("[log]\nlevel = \"info\"\n[admin]\nsocket = %q\n[work]\nenabled = true\nbound = %q\nlease = %q\nevery = \"50ms\"\nduties = [%s]\nfloor = %d\nshare = %g\nzone_share = 1\n[store]\ndirectory = %q\nlisten = %q\nheartbeat = %q\nskew = %g\n",
-		w.socket(i), w.o.Bound, w.o.Lease, quoted(w.o.Duties), w.o.Floor, w.o.Share, filepath.Join(w.folder, "store-"+PeerName(i)), w.addrs[i], w.o.Heartbeat, w.o.Skew*(1-2*float64(i)/float64(max(w.o.Coordinators-1, 1))))
+		w.socket(i), w.o.Bound, w.o.Lease, quotedList(w.o.Duties), w.o.Floor, w.o.Share, filepath.Join(w.tempDir, "store-"+PeerName(i)), w.addrs[i], w.o.Heartbeat, w.o.Skew*(1-2*float64(i)/float64(max(w.o.Coordinators-1, 1))))
 	for j, addr := range w.addrs {
 		text += fmt.Sprintf("[[store.peer]]\nname = %q\naddr = %q\nlearner = %v\n", PeerName(j), addr, j >= w.o.Voters)
 		if j != i {
-			text += fmt.Sprintf("[[store.route]]\naddr = %q\nvia = %q\n", addr, w.ways[i][j].Addr())
+			text += fmt.Sprintf("[[store.route]]\naddr = %q\nvia = %q\n", addr, w.links[i][j].Addr())
 		}
 	}
-	settings := strings.Replace(Settings(workCells, workShards, w.o.Coordinators), `"WarmAfterS":5`, fmt.Sprintf(`"WarmAfterS":%g`, w.o.Warm.Seconds()), 1)
-	config := Config(PeerName(i), w.fronts[i], w.dir.Addr(), w.o.Seed*1000+uint64(i)+1, 64, settings)
+	settings := strings.Replace(Settings(maintenanceCells, maintenanceShards, w.o.Coordinators), `"WarmAfterS":5`, fmt.Sprintf(`"WarmAfterS":%g`, w.o.Warm.Seconds()), 1)
+	config := Config(PeerName(i), w.fronts[i], w.directory.Addr(), w.o.Seed*1000+uint64(i)+1, 64, settings)
 	w.Coords[i], err = Spawn(ctx, w.o.Binary, w.fronts[i], map[string]string{"config.json": config, "deploy/gullfall.toml": text})
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.down[i], w.stalled[i] = false, false
-	w.busy[i] = time.Now().Add(4 * time.Second)
+	w.excludedUntil[i] = time.Now().Add(4 * time.Second)
 	return err
 }
 
-// quoted is a list of names as the deploy file has it.
-func quoted(names []string) string {
+// quotedList returns names as the elements of a TOML array.
+func quotedList(names []string) string {
 	var list []string
 	for _, n := range names {
 		list = append(list, strconv.Quote(n))
@@ -217,22 +219,23 @@
 	return strings.Join(list, ", ")
 }
 
-// Up tells whether a coordinator runs and is not stalled.
+// Up reports whether a coordinator runs and is not stalled.
 func (w *MaintenanceFleet) Up(i int) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return !w.down[i] && !w.stalled[i]
 }
 
-// touch settles a coordinator's tally up to now, and leaves out what befalls its clients from now on until it is well again.
-func (w *MaintenanceFleet) touch(i int, until time.Time) {
+// excludeUntil counts a coordinator's queries up to now, and excludes those from now until the given time.
+func (w *MaintenanceFleet) excludeUntil(i int, until time.Time) {
 	w.settle(i)
 	w.mu.Lock()
-	w.busy[i] = until
+	w.excludedUntil[i] = until
 	w.mu.Unlock()
 }
 
-// settle adds what became of a coordinator's queries since the last time, if no fault of its own lay in between.
+// settle adds the outcomes of a coordinator's queries since the last call, unless the coordinator is down, stalled or still affected by a
+// fault.
 func (w *MaintenanceFleet) settle(i int) {
 	if len(w.loads) <= i {
 		return
@@ -240,78 +243,78 @@
 	t := w.loads[i].Sum()
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	m := w.mark[i]
-	w.mark[i] = t
-	if time.Now().Before(w.busy[i]) || w.down[i] || w.stalled[i] {
+	m := w.lastTallies[i]
+	w.lastTallies[i] = t
+	if time.Now().Before(w.excludedUntil[i]) || w.down[i] || w.stalled[i] {
 		return
 	}
-	c := &w.clean[i]
+	c := &w.tallies[i]
 	c.Asked, c.Served, c.Lost, c.Wrong = c.Asked+t.Asked-m.Asked, c.Served+t.Served-m.Served, c.Lost+t.Lost-m.Lost, c.Wrong+t.Wrong-m.Wrong
 	c.Refused, c.Failed = c.Refused+t.Refused-m.Refused, c.Failed+t.Failed-m.Failed
 }
 
-// Clean is what became of the queries of all coordinators outside their own faults.
+// Clean returns the outcomes of the queries at all coordinators, except those during faults of their own coordinator.
 func (w *MaintenanceFleet) Clean() (sum Tallies) {
 	for i := range w.Coords {
 		w.settle(i)
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	for _, c := range w.clean {
+	for _, c := range w.tallies {
 		sum.Asked, sum.Served, sum.Lost, sum.Wrong = sum.Asked+c.Asked, sum.Served+c.Served, sum.Lost+c.Lost, sum.Wrong+c.Wrong
 		sum.Refused, sum.Failed = sum.Refused+c.Refused, sum.Failed+c.Failed
 	}
 	return sum
 }
 
-// afterFault is how long after a fault its end may still be felt by clients.
+// afterFault is the time after the end of a fault during which it may still affect clients.
 const afterFault = 4 * time.Second
 
-// Stall stops a coordinator by SIGSTOP until Resume.
+// Stall stops a coordinator with SIGSTOP until Resume.
 func (w *MaintenanceFleet) Stall(i int) error {
-	w.touch(i, time.Now().Add(afterFault))
+	w.excludeUntil(i, time.Now().Add(afterFault))
 	w.mu.Lock()
 	w.stalled[i] = true
 	w.mu.Unlock()
 	return syscall.Kill(w.Coords[i].Pid(), syscall.SIGSTOP)
 }
 
-// Resume lets a stalled coordinator go on.
+// Resume continues a stalled coordinator.
 func (w *MaintenanceFleet) Resume(i int) error {
-	w.touch(i, time.Now().Add(afterFault))
+	w.excludeUntil(i, time.Now().Add(afterFault))
 	w.mu.Lock()
 	w.stalled[i] = false
 	w.mu.Unlock()
 	return syscall.Kill(w.Coords[i].Pid(), syscall.SIGCONT)
 }
 
-// Kill ends a coordinator by SIGKILL.
+// Kill ends a coordinator with SIGKILL.
 func (w *MaintenanceFleet) Kill(i int) error {
-	w.touch(i, time.Now().Add(time.Hour))
+	w.excludeUntil(i, time.Now().Add(time.Hour))
 	w.mu.Lock()
 	w.down[i] = true
 	w.mu.Unlock()
 	err := w.Coords[i].Kill()
-	w.history(w.Coords[i])
+	w.collectMoves(w.Coords[i])
 	return errors.Join(err, w.Coords[i].Discard())
 }
 
-// End ends a coordinator by SIGTERM.
+// End ends a coordinator with SIGTERM.
 func (w *MaintenanceFleet) End(i int) error {
-	w.touch(i, time.Now().Add(time.Hour))
+	w.excludeUntil(i, time.Now().Add(time.Hour))
 	w.mu.Lock()
 	w.down[i] = true
 	w.mu.Unlock()
-	w.history(w.Coords[i])
+	w.collectMoves(w.Coords[i])
 	return w.Coords[i].Stop()
 }
 
-// Cut sets what befalls the store's traffic from one coordinator to another, connections that the other opens not included.
+// Cut sets the fault of the store connections that one coordinator opens to another. Connections that the other opens are unaffected.
 func (w *MaintenanceFleet) Cut(from, to int, f proxy.Fault) error {
-	return w.ways[from][to].Set(f, 20*time.Millisecond)
+	return w.links[from][to].Set(f, 20*time.Millisecond)
 }
 
-// Isolate cuts a coordinator's store from all others, or mends that.
+// Isolate sets the fault of all store connections between a coordinator and the others; proxy.Pass ends the isolation.
 func (w *MaintenanceFleet) Isolate(i int, f proxy.Fault) (err error) {
 	for j := range w.Coords {
 		if j != i {
@@ -321,30 +324,30 @@
 	return err
 }
 
-// Crash ends a data node that is not in work as a crash would, and starts it again after a while, as a new process.
+// Crash ends a data node abruptly and starts it after d as a new process. It does nothing if the data node is in work.
 func (w *MaintenanceFleet) Crash(i int, d time.Duration) error {
 	w.mu.Lock()
-	inWork := w.steps[w.Nodes[i].ID]
+	inWork := w.inWork[w.Nodes[i].ID]
 	w.mu.Unlock()
-	if inWork || !w.hand[i].TryLock() {
+	if inWork || !w.nodeLocks[i].TryLock() {
 		return nil
 	}
-	defer w.hand[i].Unlock()
+	defer w.nodeLocks[i].Unlock()
 	w.Nodes[i].Kill()
 	time.Sleep(d)
 	return w.startNode(i)
 }
 
-// startNode starts a data node anew, and lists it so.
+// startNode starts a data node again and updates its discovery entry.
 func (w *MaintenanceFleet) startNode(i int) error {
 	if err := w.Nodes[i].Start(); err != nil {
 		return err
 	}
-	w.dir.Set(w.entry(w.Nodes[i]))
+	w.directory.Set(w.entry(w.Nodes[i]))
 	return nil
 }
 
-// EndLoad lets the clients end.
+// EndLoad stops the clients and the maintenance crew, and waits for their end.
 func (w *MaintenanceFleet) EndLoad() {
 	if w.stop != nil {
 		w.stop()
@@ -353,7 +356,7 @@
 	}
 }
 
-// Stop ends what was started.
+// Stop ends all processes, proxies and data nodes and removes their files.
 func (w *MaintenanceFleet) Stop() (err error) {
 	w.EndLoad()
 	for i, c := range w.Coords {
@@ -361,7 +364,7 @@
 			err = errors.Join(err, c.Stop())
 		}
 	}
-	for _, row := range w.ways {
+	for _, row := range w.links {
 		for _, p := range row {
 			if p != nil {
 				p.Close()
@@ -371,8 +374,8 @@
 	for _, n := range w.Nodes {
 		n.Kill()
 	}
-	if w.dir != nil {
-		w.dir.Close()
+	if w.directory != nil {
+		w.directory.Close()
 	}
-	return errors.Join(err, os.RemoveAll(w.folder))
+	return errors.Join(err, os.RemoveAll(w.tempDir))
 }
--- a/internal/lab/fleet/work_hands.go
+++ b/internal/lab/fleet/work_hands.go
@@ -10,14 +10,14 @@
 	"gullfall/internal/maintenance"
 )
 
-// hands work on the machines that are handed over: each is left running for a while, so that what is sent to it is seen, and is
-// then started anew.
-func (w *MaintenanceFleet) hands(ctx context.Context) {
-	at, back := map[string]uint64{}, map[string]uint64{} // turns that were taken up, and seen to return
+// maintain plays the maintenance crew until ctx ends: it follows the plan at all coordinators and restarts each machine that is handed
+// over. The machine runs on for MaintenanceOptions.Work first, so that parts wrongly sent to it are counted.
+func (w *MaintenanceFleet) maintain(ctx context.Context) {
+	begun, returned := map[string]uint64{}, map[string]uint64{} // by machine, the latest turns begun and returned
 	for ctx.Err() == nil {
 		time.Sleep(20 * time.Millisecond)
 		for i := range w.Coords {
-			w.settleSometimes(i)
+			w.settleDuringFault(i)
 			if !w.Up(i) {
 				continue
 			}
@@ -26,57 +26,58 @@
 				continue
 			}
 			w.check(v.Plan)
-			w.follow(ctx, v.Plan, at, back)
+			w.follow(ctx, v.Plan, begun, returned)
 		}
 	}
 }
 
-// follow takes up the machines that a plan hands over and counts those that return, each turn once.
-func (w *MaintenanceFleet) follow(ctx context.Context, plan *maintenance.State, at, back map[string]uint64) {
+// follow begins the work on machines that a plan hands over and counts those that return, once per turn.
+func (w *MaintenanceFleet) follow(ctx context.Context, plan *maintenance.State, begun, returned map[string]uint64) {
 	for _, r := range plan.Requests {
 		for _, st := range r.Steps {
-			if st.State == maintenance.Out && at[st.Machine] < st.Turn {
-				at[st.Machine] = st.Turn
+			if st.State == maintenance.Out && begun[st.Machine] < st.Turn {
+				begun[st.Machine] = st.Turn
 				w.wg.Go(func() { w.work(ctx, st.Machine, st.Started) })
 			}
-			if st.State == maintenance.Returning && back[st.Machine] < st.Turn {
-				back[st.Machine] = st.Turn
+			if st.State == maintenance.Returning && returned[st.Machine] < st.Turn {
+				returned[st.Machine] = st.Turn
 				w.countReturn(st.Machine)
 			}
 		}
 	}
 }
 
-// countReturn adds the parts that come to a machine within the next second to Returns.
+// countReturn appends the number of parts that a machine receives within the next second to Returns.
 func (w *MaintenanceFleet) countReturn(machine string) {
 	before := w.Ledger.Account().Starts[machine]
 	time.AfterFunc(time.Second, func() {
-		came := w.Ledger.Account().Starts[machine] - before
+		received := w.Ledger.Account().Starts[machine] - before
 		w.mu.Lock()
 		defer w.mu.Unlock()
-		w.Returns = append(w.Returns, came)
+		w.Returns = append(w.Returns, received)
 	})
 }
 
-func (w *MaintenanceFleet) settleSometimes(i int) {
+// settleDuringFault settles a coordinator whose queries are excluded at present.
+func (w *MaintenanceFleet) settleDuringFault(i int) {
 	w.mu.Lock()
-	well := !time.Now().Before(w.busy[i])
+	recovered := !time.Now().Before(w.excludedUntil[i])
 	w.mu.Unlock()
-	if !well {
-		w.settle(i) // what befalls its clients until then is left out
+	if !recovered {
+		w.settle(i) // updates lastTallies, so that queries during the fault are not counted later
 	}
 }
 
-// work is the hands' part on one machine, whose process was started then as it was drained.
+// work restarts one machine that was handed over. started is the start time of its process, in Unix milliseconds, when it was drained.
 func (w *MaintenanceFleet) work(ctx context.Context, machine string, started int64) {
 	for i, n := range w.Nodes {
 		if n.ID != machine {
 			continue
 		}
-		w.hand[i].Lock()
-		defer w.hand[i].Unlock()
+		w.nodeLocks[i].Lock()
+		defer w.nodeLocks[i].Unlock()
 		if n.Started.UnixMilli() != started {
-			// It crashed as it was called and came up anew since it was handed over: that is its return, and it gets parts again.
+			// It has crashed and restarted since. The restart counts as its return, so it receives parts again and must not be stopped.
 			w.mu.Lock()
 			w.Faults.Overtaken++
 			w.mu.Unlock()
@@ -104,7 +105,7 @@
 	}
 }
 
-// check takes in a plan: how it gets on, and whether a shard has fewer replicas outside work than its floor.
+// check records the progress of a plan and checks the replicas of each shard against the floor.
 func (w *MaintenanceFleet) check(plan *maintenance.State) {
 	inWork := map[string]bool{}
 	for _, r := range plan.Requests {
@@ -118,7 +119,7 @@
 	w.checkFloors(inWork)
 }
 
-// noteProgress takes in which machines are in work, and how long an open request has seen no move.
+// noteProgress records the machines in work and the time without a move while a request is open.
 func (w *MaintenanceFleet) noteProgress(plan *maintenance.State, inWork map[string]bool) {
 	open := false
 	for _, r := range plan.Requests {
@@ -126,19 +127,19 @@
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.steps = inWork
-	if plan.Moved > w.moved || w.since.IsZero() || !open {
-		w.moved, w.since = max(w.moved, plan.Moved), time.Now()
+	w.inWork = inWork
+	if plan.Moved > w.lastMove || w.lastProgress.IsZero() || !open {
+		w.lastMove, w.lastProgress = max(w.lastMove, plan.Moved), time.Now()
 	}
-	w.Stalled = max(w.Stalled, time.Since(w.since))
+	w.Stalled = max(w.Stalled, time.Since(w.lastProgress))
 }
 
 // checkFloors counts the shards that have fewer replicas outside work than their floor.
 func (w *MaintenanceFleet) checkFloors(inWork map[string]bool) {
-	for shard := range workShards {
+	for shard := range maintenanceShards {
 		left := 0
 		for _, n := range w.Nodes {
-			if d := (n.Cell - shard%workCells + workCells) % workCells; d < workReach && !inWork[n.ID] {
+			if d := (n.Cell - shard%maintenanceCells + maintenanceCells) % maintenanceCells; d < maintenanceReach && !inWork[n.ID] {
 				left++
 			}
 		}
@@ -151,8 +152,8 @@
 	}
 }
 
-// history takes in the moves that a coordinator has logged, and compares them with those of the others.
-func (w *MaintenanceFleet) history(c *Coordinator) {
+// collectMoves reads the moves in a coordinator's log and compares them with those that other coordinators have logged.
+func (w *MaintenanceFleet) collectMoves(c *Coordinator) {
 	for _, line := range c.Lines(`msg="machine in work" `) {
 		_, rest, _ := strings.Cut(line, " n=")
 		number, rest, _ := strings.Cut(rest, " ")
@@ -162,21 +163,21 @@
 			continue
 		}
 		w.mu.Lock()
-		if old, ok := w.orders[n]; !ok {
-			w.orders[n] = text
+		if old, ok := w.moves[n]; !ok {
+			w.moves[n] = text
 		} else if old != text {
 			w.Faults.TwoOrders++
-			w.Faults.Said = append(w.Faults.Said, fmt.Sprintf("move %d is %q and %q", n, old, text))
+			w.Faults.Said = append(w.Faults.Said, fmt.Sprintf("move %d is logged as %q and as %q", n, old, text))
 		}
 		w.mu.Unlock()
 	}
 }
 
-// Verdict takes in what all running coordinators have logged and returns what must not have happened.
+// Verdict reads the logs of all running coordinators and returns the violations found so far.
 func (w *MaintenanceFleet) Verdict() WorkFaults {
 	for i, c := range w.Coords {
 		if c != nil && !w.down[i] {
-			w.history(c)
+			w.collectMoves(c)
 		}
 	}
 	w.mu.Lock()
@@ -186,9 +187,9 @@
 	return f
 }
 
-// Moves is how many moves were told.
+// Moves returns the number of moves in the logs read so far.
 func (w *MaintenanceFleet) Moves() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return len(w.orders)
+	return len(w.moves)
 }
--- a/internal/lab/fleet/work_operator.go
+++ b/internal/lab/fleet/work_operator.go
@@ -13,22 +13,22 @@
 	"gullfall/internal/store"
 )
 
-// Ask asks for work at a coordinator.
+// Ask requests maintenance at a coordinator, as an operator does.
 func (w *MaintenanceFleet) Ask(ctx context.Context, i int, a agent.Request) (p agent.Planned, err error) {
 	ctx, cancel := context.WithDeadline(ctx, time.Now().Add(10*time.Second))
 	defer cancel()
 	return p, admin.Call(ctx, w.socket(i), "work start", a, &p)
 }
 
-// Order gives an operator's word on a request at a coordinator.
-func (w *MaintenanceFleet) Order(ctx context.Context, i int, word string, request uint64) error {
+// Order gives an operator's order (such as pause, resume or cancel) on a request to a coordinator.
+func (w *MaintenanceFleet) Order(ctx context.Context, i int, order string, request uint64) error {
 	ctx, cancel := context.WithDeadline(ctx, time.Now().Add(10*time.Second))
 	defer cancel()
 	var id uint64
-	return admin.Call(ctx, w.socket(i), "work order", map[string]any{"By": "lab", "Word": word, "Request": request}, &id)
+	return admin.Call(ctx, w.socket(i), "work order", map[string]any{"By": "lab", "Word": order, "Request": request}, &id)
 }
 
-// Forget says at a coordinator that another is gone for good, to the work and to the store.
+// Forget removes a coordinator that is gone for good from maintenance and from the store, by a call to another coordinator.
 func (w *MaintenanceFleet) Forget(ctx context.Context, i int, name string) error {
 	ctx, cancel := context.WithDeadline(ctx, time.Now().Add(10*time.Second))
 	defer cancel()
@@ -39,18 +39,18 @@
 	return admin.Call(ctx, w.socket(i), "store change", store.MemberChange{What: store.Remove, Name: name}, &said)
 }
 
-// Look is the work as a coordinator knows it, without asking the store's leader.
+// Look returns a coordinator's local view of maintenance, without a read from the store's leader.
 func (w *MaintenanceFleet) Look(ctx context.Context, i int) (v agent.View, err error) {
 	ctx, cancel := context.WithDeadline(ctx, time.Now().Add(time.Second))
 	defer cancel()
 	return v, admin.Call(ctx, w.socket(i), "work look", map[string]any{"Fresh": false}, &v)
 }
 
-// Holder is who holds the duty of the work on machines, as HolderOf.
+// Holder returns the holder of the maintenance duty; see HolderOf.
 func (w *MaintenanceFleet) Holder(ctx context.Context) int { return w.HolderOf(ctx, maintenance.Duty) }
 
-// HolderOf is who holds a duty by the highest token that any coordinator knows, since one that is cut off still holds the past for
-// true; below 0 for nobody.
+// HolderOf returns the index of a duty's holder, or -1 if there is none. The highest token that any coordinator reports decides, since an
+// isolated coordinator reports an outdated holder.
 func (w *MaintenanceFleet) HolderOf(ctx context.Context, duty string) int {
 	holder, token := -1, uint64(0)
 	for i := range w.Coords {
@@ -70,7 +70,7 @@
 	return holder
 }
 
-// Until waits until a coordinator that answers shows what is wanted.
+// Until waits until the view of any running coordinator meets a condition; what names the condition in the error.
 func (w *MaintenanceFleet) Until(ctx context.Context, what string, end time.Time, met func(agent.View) bool) error {
 	var last string
 	for {
@@ -89,13 +89,13 @@
 			last = describeRequests(v.Plan)
 		}
 		if !time.Now().Before(end) || ctx.Err() != nil {
-			return fmt.Errorf("%s: never%s", what, last)
+			return fmt.Errorf("%s: condition not met in time%s", what, last)
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
 }
 
-// describeRequests says for an error what holds each request up; empty without a plan.
+// describeRequests returns the state and the reason of each request, for an error; empty without a plan.
 func describeRequests(plan *maintenance.State) (text string) {
 	if plan == nil {
 		return ""
--- a/internal/lab/fleet/work_test.go
+++ b/internal/lab/fleet/work_test.go
@@ -1,8 +1,8 @@
 package fleet_test
 
-// Five processes of the real program, three votes and two learners of one store, before twelve data nodes in three zones, with
-// clients asking all the time: all machines go out for work while the duty's holder is killed, stalled and cut off. The long
-// loop is `gullfall-lab work`.
+// The test runs five gullfall processes, three voters and two learners of one store, with twelve data nodes in three zones and constant
+// client load. All machines go out for work while holders of the duty are killed, stalled and isolated. `gullfall-lab work` repeats such
+// faults for longer.
 
 import (
 	"context"
@@ -16,7 +16,7 @@
 )
 
 func TestMachinesGoOutForWork(t *testing.T) {
-	binary := program(t)
+	binary := buildProgram(t)
 	ctx, cancel := context.WithDeadline(t.Context(), time.Now().Add(4*time.Minute))
 	defer cancel()
 	w, err := fleet.StartMaintenanceFleet(ctx, fleet.MaintenanceOptions{Coordinators: 5, Voters: 3, PerZone: 4, Rate: 20, Floor: 3, Share: 0.26, Bound: time.Second,
@@ -36,7 +36,7 @@
 		t.Helper()
 		must(w.Until(ctx, what, time.Now().Add(60*time.Second), met))
 	}
-	until("all are present", func(v agent.View) bool {
+	until("all coordinators are present and the duty is held", func(v agent.View) bool {
 		here := 0
 		for _, c := range v.Coordinators {
 			if c.Present {
@@ -45,12 +45,12 @@
 		}
 		return here == 5 && len(v.Duties) == 1 && v.Duties[0].Holder != ""
 	})
-	// Two operators at two coordinators, of which one asks for a machine that is the other's.
+	// Two operators at two coordinators, one of whom first asks for a machine of the other's request.
 	first := agent.Request{By: "a", Zone: "a", Takes: 20 * time.Second, Back: 20 * time.Second}
 	p, err := w.Ask(ctx, 4, first)
 	must(err)
 	if _, err := w.Ask(ctx, 1, agent.Request{By: "b", Machines: []string{"a-0", "b-0"}, Takes: time.Second, Back: time.Second}); err == nil {
-		t.Error("a machine is in two requests")
+		t.Error("a machine was accepted in two requests")
 	}
 	second, err := w.Ask(ctx, 1, agent.Request{By: "b", Zone: "b", Takes: 20 * time.Second, Back: 20 * time.Second})
 	must(err)
@@ -61,11 +61,11 @@
 		}
 	}
 	moved := func(n uint64) func(agent.View) bool { return func(v agent.View) bool { return v.Plan.Moved >= n } }
-	until("moves are made", moved(3))
+	until("three moves are made", moved(3))
 
 	holder := w.Holder(ctx)
 	must(w.Kill(holder))
-	until("another takes the duty over", func(v agent.View) bool {
+	until("another coordinator takes over the duty", func(v agent.View) bool {
 		return v.Duties[0].Holder != fleet.PeerName(holder) && v.Duties[0].Token > 1
 	})
 	must(w.Start(ctx, holder))
@@ -73,7 +73,7 @@
 	stalled := w.Holder(ctx)
 	must(w.Stall(stalled))
 	time.Sleep(3 * time.Second)
-	must(w.Resume(stalled)) // it wakes with moves in mind
+	must(w.Resume(stalled)) // it resumes with planned moves, but without the duty
 	until("the first request is done", done(p.Request))
 
 	cut := w.Holder(ctx)
@@ -82,28 +82,28 @@
 	must(w.Isolate(cut, proxy.Pass))
 	until("the second request is done", done(second.Request))
 
-	// While a coordinator is cut off, what it has not seen yet waits for it.
-	// It is one of those that have no vote, and does not hold the duty: who asks at it hears of no store.
-	asked, away := w.Holder(ctx), 4
-	if asked == away {
-		away = 3
+	// A request waits for a coordinator that has not seen it yet. The isolated one is a learner and does not hold the duty: a request
+	// can't be made at an isolated coordinator, since it doesn't reach the store.
+	asked, isolated := w.Holder(ctx), 4
+	if asked == isolated {
+		isolated = 3
 	}
-	must(w.Isolate(away, proxy.Cut))
+	must(w.Isolate(isolated, proxy.Cut))
 	third, err := w.Ask(ctx, asked, agent.Request{By: "c", Machines: []string{"c-0"}, Takes: 20 * time.Second, Back: 20 * time.Second})
 	must(err)
 	time.Sleep(4 * time.Second)
 	v, err := w.Look(ctx, asked)
 	must(err)
 	if r := v.Plan.Request(third.Request); r.Steps[0].State != maintenance.Waiting {
-		t.Errorf("c-0 is %v while n%d has not seen the request", r.Steps[0].State, away)
+		t.Errorf("c-0 is %v while n%d has not seen the request", r.Steps[0].State, isolated)
 	}
-	must(w.Isolate(away, proxy.Pass))
-	until("it goes on once that has heard", done(third.Request))
+	must(w.Isolate(isolated, proxy.Pass))
+	until("the third request is done after the isolation", done(third.Request))
 
-	// All are started anew in the middle of a plan.
+	// All coordinators are restarted in the middle of a plan.
 	fourth, err := w.Ask(ctx, 0, agent.Request{By: "d", Zone: "c", Takes: 20 * time.Second, Back: 20 * time.Second})
 	must(err)
-	until("moves are made", moved(v.Plan.Moved+8))
+	until("further moves are made", moved(v.Plan.Moved+8))
 	for i := range 5 {
 		must(w.Kill(i))
 	}
@@ -112,15 +112,15 @@
 	}
 	until("the fourth request is done", done(fourth.Request))
 
-	// One that is gone for good is waited for until an operator says so; then the work goes on without it, and the store has
-	// four members. It is refused while that one may still send.
+	// A coordinator that is gone for good is waited for until an operator has it forgotten; then the work goes on without it, and the
+	// store has four members. Forgetting is refused while the coordinator may still send.
 	if err := w.Forget(ctx, 0, fleet.PeerName(4)); err == nil {
-		t.Error("one that is present was forgotten")
+		t.Error("a present coordinator was forgotten")
 	}
 	must(w.Kill(4))
 	fifth, err := w.Ask(ctx, 0, agent.Request{By: "e", Machines: []string{"a-1"}, Takes: 20 * time.Second, Back: 20 * time.Second})
 	must(err)
-	until("the one that is killed is gone for good", func(agent.View) bool { return w.Forget(ctx, 0, fleet.PeerName(4)) == nil })
+	until("the killed coordinator is forgotten", func(agent.View) bool { return w.Forget(ctx, 0, fleet.PeerName(4)) == nil })
 	until("the fifth request is done", done(fifth.Request))
 	until("the store has four members", func(v agent.View) bool { return len(v.Store.Peers) == 4 })
 
--- a/internal/lab/fleet/zonecases.go
+++ b/internal/lab/fleet/zonecases.go
@@ -1,7 +1,7 @@
 package fleet
 
-// Here are the hard cases of zones, each as what befalls the fleet and what has to hold then. It must never wait for longer than
-// a case's own bounds say.
+// This file holds the zone failure cases: the faults that each injects, and the conditions that must hold then. Every wait in a case
+// has a time limit.
 
 import (
 	"context"
@@ -12,26 +12,26 @@
 	"gullfall/internal/lab/proxy"
 )
 
-// ZoneCase is one hard case.
+// ZoneCase is one zone failure case.
 type ZoneCase struct {
-	Name  string
-	Zones []string // three by default
-	Store bool
-	Talk  bool
-	Lossy bool  // queries may be lost: no zone is left to answer them, or only just
-	Warm  bool  // the data nodes serve others all the time, so the cold bound is none of theirs
-	Quiet []int // coordinators that no client asks
-	Play  func(ctx context.Context, p *ZonePlay) error
+	Name   string
+	Zones  []string // a, b and c if empty
+	Store  bool     // see ZonesOptions
+	Gossip bool     // see ZonesOptions
+	Lossy  bool     // queries may be lost, since the remaining zones can't answer all of them
+	Warm   bool     // the data nodes keep serving other coordinators, so they are warmed up and the first-second bound does not apply
+	NoLoad []int    // coordinators that receive no queries
+	Play   func(ctx context.Context, p *ZonePlay) error
 }
 
-// ZonePlay is a case as it is played.
+// ZonePlay is one run of a case.
 type ZonePlay struct {
 	*Zones
-	Steady     float64 // parts a second at a data node when all is well
-	ColdBound  float64
-	MostReturn int           // most parts at one data node of a zone in the second after it had its first part again
-	Leave      time.Duration // longest from a fault to a verdict of out
-	Return     time.Duration // longest from the end of a fault to a verdict of healthy
+	Steady     float64       // parts per second and data node before the fault
+	ColdBound  float64       // see ZoneColdBound
+	MostReturn int           // most parts at one data node in the second after a returning zone received its first part
+	Leave      time.Duration // longest time from a fault to the verdict "out"
+	Return     time.Duration // longest time from the end of a fault to the verdict "healthy"
 }
 
 const (
@@ -39,9 +39,10 @@
 	returnWithin = 25 * time.Second
 )
 
-// ZoneDeploy is the [zones] of the cases: the waits of the daemon, shortened so that a case takes seconds.
+// ZoneDeploy is the [zones] table of the cases, with times shortened so that a case takes seconds.
 const ZoneDeploy = "enabled = true\nwait = \"500ms\"\nquiet = \"500ms\"\nspread = \"1s\"\nramp = \"3s\"\n"
 
+// all returns the indexes of all coordinators.
 func (p *ZonePlay) all() (list []int) {
 	for i := range p.Coords {
 		list = append(list, i)
@@ -49,8 +50,8 @@
 	return list
 }
 
-// left waits until some coordinators have left a zone.
-func (p *ZonePlay) left(ctx context.Context, zone string, who ...int) error {
+// waitOut waits until the given coordinators have taken a zone out.
+func (p *ZonePlay) waitOut(ctx context.Context, zone string, who ...int) error {
 	begun := time.Now()
 	for _, i := range who {
 		if err := p.Until(ctx, i, zone, begun.Add(leaveWithin), "out"); err != nil {
@@ -61,13 +62,13 @@
 	return nil
 }
 
-// back waits until some coordinators hold a zone for healthy again, and notes what its data nodes get at first.
-func (p *ZonePlay) back(ctx context.Context, zone string, who ...int) error {
+// waitHealthy waits until the given coordinators see a zone as healthy again, and meanwhile counts the first parts at its data nodes.
+func (p *ZonePlay) waitHealthy(ctx context.Context, zone string, who ...int) error {
 	begun := time.Now()
 	watched := make(chan struct{})
 	go func() {
 		defer close(watched)
-		p.first(ctx, zone)
+		p.countFirstParts(ctx, zone)
 	}()
 	for _, i := range who {
 		if err := p.Until(ctx, i, zone, begun.Add(returnWithin), "healthy"); err != nil {
@@ -79,13 +80,14 @@
 	return nil
 }
 
-// first waits for the first part at a zone's data nodes and counts what comes to each in the second after.
-func (p *ZonePlay) first(ctx context.Context, zone string) {
+// countFirstParts waits for the first part at a zone's data nodes and raises MostReturn to the most parts that one of them has received
+// a second later.
+func (p *ZonePlay) countFirstParts(ctx context.Context, zone string) {
 	before := p.Parts(zone)
-	came := func(id string, n int) bool { return n > before[id] }
+	received := func(id string, n int) bool { return n > before[id] }
 	for end := time.Now().Add(returnWithin); time.Now().Before(end) && ctx.Err() == nil; time.Sleep(10 * time.Millisecond) {
 		for id, n := range p.Parts(zone) {
-			if came(id, n) {
+			if received(id, n) {
 				time.Sleep(time.Second)
 				for id, n := range p.Parts(zone) {
 					p.MostReturn = max(p.MostReturn, n-before[id])
@@ -96,20 +98,21 @@
 	}
 }
 
-// neverOut returns an error that names a coordinator which takes the zone out within a time.
+// neverOut returns an error if one of the given coordinators takes the zone out within the given time.
 func (p *ZonePlay) neverOut(ctx context.Context, zone string, during time.Duration, who ...int) error {
 	for end := time.Now().Add(during); time.Now().Before(end); time.Sleep(50 * time.Millisecond) {
 		for _, i := range who {
 			if v, err := p.Verdicts(ctx, i); err == nil && v[zone].Verdict == "out" {
-				return fmt.Errorf("%s holds zone %s for out (%s)", PeerName(i), zone, v[zone].Why)
+				return fmt.Errorf("%s has taken zone %s out (%s)", PeerName(i), zone, v[zone].Why)
 			}
 		}
 	}
 	return nil
 }
 
-// away is a whole case: a fault for some coordinators, left by them and by no other, and back.
-func away(f proxy.Fault, zone string, who ...int) func(context.Context, *ZonePlay) error {
+// outAndBack returns a complete case: a fault between some coordinators, or all if none is given, and a zone. These coordinators, and no
+// other, must take the zone out, and see it as healthy after the fault.
+func outAndBack(f proxy.Fault, zone string, who ...int) func(context.Context, *ZonePlay) error {
 	return func(ctx context.Context, p *ZonePlay) error {
 		some, others := who, []int{}
 		if len(some) == 0 {
@@ -127,7 +130,7 @@
 		if err := p.Set(f, zone, who...); err != nil {
 			return err
 		}
-		if err := p.left(ctx, zone, some...); err != nil {
+		if err := p.waitOut(ctx, zone, some...); err != nil {
 			return err
 		}
 		if err := p.neverOut(ctx, zone, 2*time.Second, others...); err != nil {
@@ -136,45 +139,45 @@
 		if err := p.Set(proxy.Pass, zone, who...); err != nil {
 			return err
 		}
-		return p.back(ctx, zone, some...)
+		return p.waitHealthy(ctx, zone, some...)
 	}
 }
 
-// ZoneCases are the hard cases.
+// ZoneCases are the zone failure cases.
 var ZoneCases = []ZoneCase{
-	{Name: "silent", Play: away(proxy.Drop, "a")},
-	{Name: "refused", Play: away(proxy.Cut, "a")},
-	{Name: "reset", Play: away(proxy.Reset, "b")},
-	{Name: "answers lost", Play: away(proxy.DropDown, "c")},
-	{Name: "split view", Warm: true, Play: away(proxy.Drop, "a", 0, 1)},
+	{Name: "silent", Play: outAndBack(proxy.Drop, "a")},
+	{Name: "refused", Play: outAndBack(proxy.Cut, "a")},
+	{Name: "reset", Play: outAndBack(proxy.Reset, "b")},
+	{Name: "answers lost", Play: outAndBack(proxy.DropDown, "c")},
+	{Name: "split view", Warm: true, Play: outAndBack(proxy.Drop, "a", 0, 1)},
 	{Name: "flaps", Play: func(ctx context.Context, p *ZonePlay) error {
 		for range 2 {
-			if err := errors.Join(p.Set(proxy.Cut, "a"), p.left(ctx, "a", p.all()...), p.Set(proxy.Pass, "a")); err != nil {
+			if err := errors.Join(p.Set(proxy.Cut, "a"), p.waitOut(ctx, "a", p.all()...), p.Set(proxy.Pass, "a")); err != nil {
 				return err
 			}
 			if err := p.Until(ctx, 0, "a", time.Now().Add(returnWithin), "returning", "healthy"); err != nil {
 				return err
 			}
 		}
-		return away(proxy.Cut, "a")(ctx, p)
+		return outAndBack(proxy.Cut, "a")(ctx, p)
 	}},
 	{Name: "new names", Play: func(ctx context.Context, p *ZonePlay) error {
-		if err := errors.Join(p.Set(proxy.Cut, "a"), p.left(ctx, "a", p.all()...), p.Renew("a")); err != nil {
+		if err := errors.Join(p.Set(proxy.Cut, "a"), p.waitOut(ctx, "a", p.all()...), p.ReplaceNodes("a")); err != nil {
 			return err
 		}
-		return p.back(ctx, "a", p.all()...)
+		return p.waitHealthy(ctx, "a", p.all()...)
 	}},
 	{Name: "two at once", Lossy: true, Play: func(ctx context.Context, p *ZonePlay) error {
-		if err := errors.Join(p.Set(proxy.Cut, "a"), p.left(ctx, "a", p.all()...), p.Set(proxy.Cut, "b")); err != nil {
+		if err := errors.Join(p.Set(proxy.Cut, "a"), p.waitOut(ctx, "a", p.all()...), p.Set(proxy.Cut, "b")); err != nil {
 			return err
 		}
 		if err := p.neverOut(ctx, "b", 3*time.Second, p.all()...); err != nil {
-			return fmt.Errorf("with one zone out the guard keeps the second: %w", err)
+			return fmt.Errorf("with one zone out, the second must stay in: %w", err)
 		}
 		if err := errors.Join(p.Set(proxy.Pass, "a"), p.Set(proxy.Pass, "b")); err != nil {
 			return err
 		}
-		return errors.Join(p.back(ctx, "a", p.all()...), p.back(ctx, "b", p.all()...))
+		return errors.Join(p.waitHealthy(ctx, "a", p.all()...), p.waitHealthy(ctx, "b", p.all()...))
 	}},
 	{Name: "all at once", Lossy: true, Play: func(ctx context.Context, p *ZonePlay) error {
 		for _, zone := range []string{"a", "b", "c"} {
@@ -204,78 +207,78 @@
 		if err := errors.Join(p.Set(proxy.Drop, "a"), p.Stall(0), p.Kill(1)); err != nil {
 			return err
 		}
-		if err := p.left(ctx, "a", 2, 3, 4); err != nil {
+		if err := p.waitOut(ctx, "a", 2, 3, 4); err != nil {
 			return err
 		}
 		if err := errors.Join(p.Resume(0), p.Start(ctx, 1)); err != nil {
 			return err
 		}
-		if err := p.left(ctx, "a", 0, 1); err != nil { // each from its own evidence, that which starts too
+		if err := p.waitOut(ctx, "a", 0, 1); err != nil { // each decides from its own observations, also the one that has just started
 			return err
 		}
-		return errors.Join(p.Set(proxy.Pass, "a"), p.back(ctx, "a", p.all()...))
+		return errors.Join(p.Set(proxy.Pass, "a"), p.waitHealthy(ctx, "a", p.all()...))
 	}},
-	{Name: "told by others", Talk: true, Warm: true, Play: func(ctx context.Context, p *ZonePlay) error {
+	{Name: "told by others", Gossip: true, Warm: true, Play: func(ctx context.Context, p *ZonePlay) error {
 		known := func(doubtful bool, within time.Duration) error {
 			for end := time.Now().Add(within); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
-				told, err := p.Learned(ctx, 4)
+				learned, err := p.Learned(ctx, 4)
 				n := 0
-				for id, d := range told {
+				for id, d := range learned {
 					if d && id[0] == 'a' {
 						n++
 					}
 				}
-				if err == nil && len(told) >= 8 && (n > 0) == doubtful {
+				if err == nil && len(learned) >= 8 && (n > 0) == doubtful {
 					return nil
 				}
 			}
-			return fmt.Errorf("n4, which reaches all, does not hold that a data node of zone a is doubtful: %v", doubtful)
+			return fmt.Errorf("n4, which reaches all data nodes, has not learned in time that data nodes of zone a are doubtful: %v", doubtful)
 		}
 		if err := errors.Join(known(false, 5*time.Second), p.Set(proxy.Cut, "a", 0)); err != nil {
 			return err
 		}
-		return errors.Join(known(true, 3*time.Second), p.Set(proxy.Pass, "a", 0), p.back(ctx, "a", 0), known(false, 10*time.Second))
+		return errors.Join(known(true, 3*time.Second), p.Set(proxy.Pass, "a", 0), p.waitHealthy(ctx, "a", 0), known(false, 10*time.Second))
 	}},
-	{Name: "told, and asked by nobody", Talk: true, Quiet: []int{4}, Play: func(ctx context.Context, p *ZonePlay) error {
-		// What n4 knows of the zone it has from the others: it sends nothing.
-		return errors.Join(p.Set(proxy.Drop, "a"), p.left(ctx, "a", p.all()...), p.Set(proxy.Pass, "a"), p.back(ctx, "a", p.all()...))
+	{Name: "told, and asked by nobody", Gossip: true, NoLoad: []int{4}, Play: func(ctx context.Context, p *ZonePlay) error {
+		// n4 sends no parts, so it learns about the zone only from the other coordinators.
+		return errors.Join(p.Set(proxy.Drop, "a"), p.waitOut(ctx, "a", p.all()...), p.Set(proxy.Pass, "a"), p.waitHealthy(ctx, "a", p.all()...))
 	}},
 	{Name: "by an operator's word", Store: true, Play: func(ctx context.Context, p *ZonePlay) error {
-		if err := p.Word(ctx, 4, "drain", "zone that is none"); err == nil {
-			return errors.New("a zone that is none was drained")
+		if err := p.Command(ctx, 4, "drain", "unknown zone"); err == nil {
+			return errors.New("an unknown zone was drained")
 		}
-		if err := errors.Join(p.Word(ctx, 4, "drain", "b"), p.left(ctx, "b", p.all()...)); err != nil {
+		if err := errors.Join(p.Command(ctx, 4, "drain", "b"), p.waitOut(ctx, "b", p.all()...)); err != nil {
 			return err
 		}
 		if err := p.Kill(2); err != nil {
 			return err
 		}
-		if err := errors.Join(p.Start(ctx, 2), p.left(ctx, "b", 2)); err != nil { // it is in the store
+		if err := errors.Join(p.Start(ctx, 2), p.waitOut(ctx, "b", 2)); err != nil { // the drain is in the store, so it holds after the restart
 			return err
 		}
-		return errors.Join(p.Word(ctx, 3, "undrain", "b"), p.back(ctx, "b", p.all()...))
+		return errors.Join(p.Command(ctx, 3, "undrain", "b"), p.waitHealthy(ctx, "b", p.all()...))
 	}},
 }
 
-// ZoneResult is what a case showed.
+// ZoneResult is the result of a case.
 type ZoneResult struct {
 	Name       string  `json:"case"`
-	LeaveMS    float64 `json:"leave_ms"`  // longest until all that were to had left
-	ReturnMS   float64 `json:"return_ms"` // longest until all held the zone for healthy again
+	LeaveMS    float64 `json:"leave_ms"`  // longest time until all affected coordinators had taken the zone out
+	ReturnMS   float64 `json:"return_ms"` // longest time until all of them saw the zone as healthy again
 	Asked      int     `json:"asked"`
-	Lost       int     `json:"lost"` // queries that failed or got no answer, but for those of a coordinator that was stalled or killed
+	Lost       int     `json:"lost"` // queries that failed or had no or a wrong answer, except at stalled or killed coordinators
 	Twins      int     `json:"twins"`
 	MostReturn int     `json:"first_second"`
 	ColdBound  float64 `json:"cold_bound"`
-	Steady     float64 `json:"steady_parts_s"` // at a data node when all is well
+	Steady     float64 `json:"steady_parts_s"` // per data node, before the fault
 	Over       bool    `json:"over_cold_bound"`
 	Broken     string  `json:"broken,omitempty"`
 }
 
-// PlayZones plays a case on a fleet of its own.
+// PlayZones runs a case on a new fleet.
 func PlayZones(ctx context.Context, c ZoneCase, o ZonesOptions) (r ZoneResult, err error) {
 	r.Name = c.Name
-	if o.Zones, o.Store, o.Talk, o.Quiet = c.Zones, c.Store, c.Talk, c.Quiet; len(o.Zones) == 0 {
+	if o.Zones, o.Store, o.Gossip, o.NoLoad = c.Zones, c.Store, c.Gossip, c.NoLoad; len(o.Zones) == 0 {
 		o.Zones = []string{"a", "b", "c"}
 	} else {
 		o.PerZone *= 3 / len(o.Zones)
@@ -322,11 +325,11 @@
 	case broken != nil:
 		r.Broken = broken.Error()
 	case r.Twins > 0:
-		r.Broken = fmt.Sprintf("%d attempts of one part were out together", r.Twins)
+		r.Broken = fmt.Sprintf("%d times two attempts of one part were in flight together", r.Twins)
 	case r.Lost > 0 && !c.Lossy:
 		r.Broken = fmt.Sprintf("%d queries of %d were lost", r.Lost, r.Asked)
 	case r.Over:
-		r.Broken = fmt.Sprintf("a data node got %d parts in the second of its return; %.0f are the bound", r.MostReturn, r.ColdBound)
+		r.Broken = fmt.Sprintf("a data node received %d parts in the first second of its return; the bound is %.0f", r.MostReturn, r.ColdBound)
 	}
 	return r, nil
 }
--- a/internal/lab/fleet/zones.go
+++ b/internal/lab/fleet/zones.go
@@ -1,8 +1,8 @@
 package fleet
 
-// Here are coordinators of the real program before stand-in data nodes in several zones, with a fault proxy between each
-// coordinator and each data node, so that a zone can be away for some of them only. It must never end a process that it has not
-// started, and gives all back in Stop.
+// This file runs several gullfall processes with simulated data nodes in several zones, and a fault proxy between each coordinator and
+// each data node, so that a zone can fail for some coordinators only. It ends only processes that it has started; Stop releases
+// everything.
 
 import (
 	"context"
@@ -22,31 +22,32 @@
 	"gullfall/internal/lab/proxy"
 )
 
-// The layout of the lab's zones.
+// The layout of Zones.
 const (
 	zoneCells  = 4
 	zoneShards = 8
-	// ZoneTakes is the work of a part at these data nodes.
+	// ZoneTakes is the time that a part takes at these data nodes.
 	ZoneTakes = 35 * time.Millisecond
-	zoneWarm  = 5 * time.Second // by the lab's settings
+	zoneWarm  = 5 * time.Second // WarmAfterS in Settings
 )
 
-// ZoneColdBound is how many parts a cold data node of these bears in its first second, from all coordinators together: see
-// coldBound. Judged by data node, without a pace, it gets some 47 at 20 queries a second and coordinator.
-func ZoneColdBound() float64 { return coldBound(ZoneTakes, zoneWarm) }
+// ZoneColdBound returns the number of parts that all coordinators together may send to a returning data node in its first second; see
+// WorkColdBound. With verdicts on single data nodes only, and so no paced return of the zone, a data node receives about 47 at 20 queries
+// per second and coordinator.
+func ZoneColdBound() float64 { return warmupBound(ZoneTakes, zoneWarm) }
 
-// ZonesOptions say what is started.
+// ZonesOptions configure Zones.
 type ZonesOptions struct {
 	Coordinators int
 	Zones        []string
 	PerZone      int
-	Rate         float64 // queries a second at each coordinator
-	Deploy       string  // [zones] of deploy/gullfall.toml
-	Store        bool    // they share a store: three votes, the others learners
-	Talk         bool    // they watch each other, and tell what they learn of data nodes
+	Rate         float64 // queries per second at each coordinator
+	Deploy       string  // the [zones] table of deploy/gullfall.toml
+	Store        bool    // the coordinators share a store, with three voters; the others are learners
+	Gossip       bool    // the coordinators gossip, also about data nodes
 	Binary       string
 	Seed         uint64
-	Quiet        []int // coordinators that no client asks
+	NoLoad       []int // coordinators that receive no queries
 }
 
 // ZoneView is a coordinator's verdict on a zone.
@@ -55,36 +56,36 @@
 	Drained            bool
 }
 
-// Zones is what was started.
+// Zones is a group of coordinators with data nodes in several zones.
 type Zones struct {
-	o      ZonesOptions
-	folder string
-	dirs   []*discovery.Directory // one for each coordinator: each knows the data nodes by proxies of its own
-	Ledger *datanode.Ledger
-	Coords []*Coordinator
-	fronts []string
-	addrs  []string // of the store's members
-	talks  []string // where they watch each other
-	loads  []*load.Load
-	stop   context.CancelFunc
-	wg     sync.WaitGroup
+	o           ZonesOptions
+	tempDir     string
+	directories []*discovery.Directory // by coordinator: each lists the data nodes at that coordinator's proxies
+	Ledger      *datanode.Ledger
+	Coords      []*Coordinator
+	fronts      []string
+	addrs       []string // store addresses of the coordinators
+	gossipAddrs []string // gossip addresses of the coordinators
+	loads       []*load.Load
+	stop        context.CancelFunc
+	wg          sync.WaitGroup
 
 	mu    sync.Mutex
 	Nodes []*ZoneNode
 }
 
-// ZoneNode is a data node and the ways to it, by coordinator.
+// ZoneNode is a data node and the proxies to it, one per coordinator.
 type ZoneNode struct {
 	*datanode.Node
-	Zone string
-	ways []*proxy.Proxy
-	gone bool
+	Zone     string
+	proxies  []*proxy.Proxy
+	replaced bool // by ReplaceNodes
 }
 
-// StartZones starts them. The caller stops them, also after an error if Zones is not nil.
+// StartZones starts the fleet. The caller stops it if it is not nil, also after an error.
 func StartZones(ctx context.Context, o ZonesOptions) (z *Zones, err error) {
 	z = &Zones{o: o, Ledger: datanode.NewLedger()}
-	if z.folder, err = os.MkdirTemp("", "gullfall-zones-"); err != nil {
+	if z.tempDir, err = os.MkdirTemp("", "gullfall-zones-"); err != nil {
 		return z, err
 	}
 	for range o.Coordinators {
@@ -92,7 +93,7 @@
 		if err != nil {
 			return z, err
 		}
-		z.dirs = append(z.dirs, d)
+		z.directories = append(z.directories, d)
 	}
 	for zi, zone := range o.Zones {
 		for i := range o.PerZone {
@@ -102,10 +103,10 @@
 		}
 	}
 	for range o.Coordinators {
-		z.addrs, z.talks = append(z.addrs, free("tcp")), append(z.talks, free("tcp"))
+		z.addrs, z.gossipAddrs = append(z.addrs, freeAddr("tcp")), append(z.gossipAddrs, freeAddr("tcp"))
 	}
 	for i := range o.Coordinators {
-		z.fronts = append(z.fronts, free("tcp"))
+		z.fronts = append(z.fronts, freeAddr("tcp"))
 		z.Coords = append(z.Coords, nil)
 		if err := z.Start(ctx, i); err != nil {
 			return z, err
@@ -116,7 +117,7 @@
 	loading, stop := context.WithCancel(ctx)
 	z.stop = stop
 	for i, l := range z.loads {
-		if slices.Contains(o.Quiet, i) {
+		if slices.Contains(o.NoLoad, i) {
 			continue
 		}
 		z.wg.Go(func() { l.Run(loading) })
@@ -124,7 +125,7 @@
 	return z, nil
 }
 
-// add starts a data node and lists it to each coordinator.
+// add starts a data node and its proxies and lists it in the discovery of each coordinator. A zero started stands for the actual start.
 func (z *Zones) add(zone, id string, cell int, started time.Time) error {
 	n := &ZoneNode{Node: &datanode.Node{ID: id, Cell: cell, Proto: "frames", Ledger: z.Ledger, Takes: ZoneTakes, Started: started}, Zone: zone}
 	z.mu.Lock()
@@ -136,54 +137,54 @@
 	if !started.IsZero() {
 		n.Started = started
 	}
-	for _, d := range z.dirs {
+	for _, d := range z.directories {
 		p, err := proxy.Start(n.Addr())
 		if err != nil {
 			return err
 		}
-		n.ways = append(n.ways, p)
+		n.proxies = append(n.proxies, p)
 		d.Set(discovery.Entry{ID: n.ID, Addr: p.Addr(), Zone: zone, Cell: cell, State: "SERVING", Weight: 1, Started: n.Started.UnixMilli()})
 	}
 	return nil
 }
 
-func (z *Zones) socket(i int) string { return filepath.Join(z.folder, PeerName(i)) }
+func (z *Zones) socket(i int) string { return filepath.Join(z.tempDir, PeerName(i)) }
 
-// Start starts a coordinator, anew after Kill.
+// Start starts a coordinator, or restarts it after Kill.
 func (z *Zones) Start(ctx context.Context, i int) (err error) {
 	deploy := fmt.Sprintf("[log]\nlevel = \"debug\"\n[admin]\nsocket = %q\n[zones]\n%s", z.socket(i), z.o.Deploy) // attempts are counted by their debug lines
-	if z.o.Talk {
+	if z.o.Gossip {
 		deploy += fmt.Sprintf("[peers]\nlisten = %q\nfleet = \"lab\"\nseeds = [%q, %q]\nperiod = \"200ms\"\ntimeout = \"50ms\"\n[[peers.key]]\nid = 1\nsecret = \"AAECAwQFBgcICQoLDA0ODw==\"\n",
-			z.talks[i], z.talks[0], z.talks[1])
+			z.gossipAddrs[i], z.gossipAddrs[0], z.gossipAddrs[1])
 	}
 	if z.o.Store {
-		deploy += fmt.Sprintf("[store]\ndirectory = %q\nlisten = %q\nheartbeat = \"500ms\"\n", filepath.Join(z.folder, "store-"+PeerName(i)), z.addrs[i])
+		deploy += fmt.Sprintf("[store]\ndirectory = %q\nlisten = %q\nheartbeat = \"500ms\"\n", filepath.Join(z.tempDir, "store-"+PeerName(i)), z.addrs[i])
 		for j, addr := range z.addrs {
 			deploy += fmt.Sprintf("[[store.peer]]\nname = %q\naddr = %q\nlearner = %v\n", PeerName(j), addr, j >= 3)
 		}
 	}
-	config := Config(PeerName(i), z.fronts[i], z.dirs[i].Addr(), z.o.Seed*1000+uint64(i)+1, 64, Settings(zoneCells, zoneShards, z.o.Coordinators))
+	config := Config(PeerName(i), z.fronts[i], z.directories[i].Addr(), z.o.Seed*1000+uint64(i)+1, 64, Settings(zoneCells, zoneShards, z.o.Coordinators))
 	z.Coords[i], err = Spawn(ctx, z.o.Binary, z.fronts[i], map[string]string{"config.json": config, "deploy/gullfall.toml": deploy})
 	return err
 }
 
-// Stall stops a coordinator by SIGSTOP until Resume.
+// Stall stops a coordinator with SIGSTOP until Resume.
 func (z *Zones) Stall(i int) error { return syscall.Kill(z.Coords[i].Pid(), syscall.SIGSTOP) }
 
-// Resume lets a stalled coordinator go on.
+// Resume continues a stalled coordinator.
 func (z *Zones) Resume(i int) error { return syscall.Kill(z.Coords[i].Pid(), syscall.SIGCONT) }
 
-// Kill ends a coordinator by SIGKILL.
+// Kill ends a coordinator with SIGKILL.
 func (z *Zones) Kill(i int) error { return errors.Join(z.Coords[i].Kill(), z.Coords[i].Discard()) }
 
-// Set puts a fault on the ways from coordinators to a zone; from all of them where none is named.
+// Set sets the fault between the given coordinators, or all if none is given, and the data nodes of a zone.
 func (z *Zones) Set(f proxy.Fault, zone string, from ...int) error {
 	z.mu.Lock()
 	defer z.mu.Unlock()
 	var errs []error
 	for _, n := range z.Nodes {
-		for i, p := range n.ways {
-			if n.Zone == zone && !n.gone && (len(from) == 0 || slices.Contains(from, i)) {
+		for i, p := range n.proxies {
+			if n.Zone == zone && !n.replaced && (len(from) == 0 || slices.Contains(from, i)) {
 				errs = append(errs, p.Set(f, 20*time.Millisecond))
 			}
 		}
@@ -191,20 +192,20 @@
 	return errors.Join(errs...)
 }
 
-// Renew ends a zone's data nodes and starts as many under new names, as a zone does that was built anew.
-func (z *Zones) Renew(zone string) error {
+// ReplaceNodes replaces a zone's data nodes by as many with new ids, as in a zone that was rebuilt.
+func (z *Zones) ReplaceNodes(zone string) error {
 	z.mu.Lock()
 	var old []*ZoneNode
 	for _, n := range z.Nodes {
-		if n.Zone == zone && !n.gone {
-			n.gone = true
+		if n.Zone == zone && !n.replaced {
+			n.replaced = true
 			old = append(old, n)
 		}
 	}
 	z.mu.Unlock()
 	for _, n := range old {
 		n.Kill()
-		for _, d := range z.dirs {
+		for _, d := range z.directories {
 			d.Set(discovery.Entry{ID: n.ID, State: "DELETED"})
 		}
 		if err := z.add(zone, n.ID+"x", n.Cell, time.Time{}); err != nil {
@@ -214,7 +215,7 @@
 	return nil
 }
 
-// Verdicts are a coordinator's, by zone.
+// Verdicts returns a coordinator's verdicts by zone.
 func (z *Zones) Verdicts(ctx context.Context, i int) (map[string]ZoneView, error) {
 	ctx, cancel := context.WithDeadline(ctx, time.Now().Add(time.Second))
 	defer cancel()
@@ -227,7 +228,7 @@
 	return views, err
 }
 
-// Learned tells which data nodes are doubtful by what all coordinators have told one.
+// Learned returns, by data node, whether it is doubtful by the reports that a coordinator has from all coordinators.
 func (z *Zones) Learned(ctx context.Context, i int) (doubtful map[string]bool, err error) {
 	ctx, cancel := context.WithDeadline(ctx, time.Now().Add(time.Second))
 	defer cancel()
@@ -243,15 +244,15 @@
 	return doubtful, err
 }
 
-// Word drains a zone at a coordinator by an operator's word, or no longer.
-func (z *Zones) Word(ctx context.Context, i int, word, zone string) error {
+// Command gives an operator's command, "drain" or "undrain", on a zone to a coordinator.
+func (z *Zones) Command(ctx context.Context, i int, command, zone string) error {
 	ctx, cancel := context.WithDeadline(ctx, time.Now().Add(10*time.Second))
 	defer cancel()
 	var said string
-	return admin.Call(ctx, z.socket(i), "zones "+word, zone, &said)
+	return admin.Call(ctx, z.socket(i), "zones "+command, zone, &said)
 }
 
-// Until waits for a coordinator's verdict on a zone to be one of those named.
+// Until waits until a coordinator's verdict on a zone is one of the given ones.
 func (z *Zones) Until(ctx context.Context, i int, zone string, end time.Time, verdicts ...string) error {
 	var last string
 	for {
@@ -260,32 +261,32 @@
 			return nil
 		}
 		if !time.Now().Before(end) || ctx.Err() != nil {
-			return fmt.Errorf("zone %s at %s is %q (%s), not %v: %w", zone, PeerName(i), last, v[zone].Why, verdicts, errors.Join(err, ctx.Err(), errLate))
+			return fmt.Errorf("zone %s at %s is %q (%s), not %v: %w", zone, PeerName(i), last, v[zone].Why, verdicts, errors.Join(err, ctx.Err(), errTimedOut))
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
 }
 
-var errLate = errors.New("in its time")
+var errTimedOut = errors.New("timed out")
 
-// Parts counts the parts that have begun at each of a zone's data nodes.
+// Parts returns the number of parts started so far at each of a zone's data nodes.
 func (z *Zones) Parts(zone string) map[string]int {
 	starts := z.Ledger.Account().Starts
 	z.mu.Lock()
 	defer z.mu.Unlock()
 	m := map[string]int{}
 	for _, n := range z.Nodes {
-		if n.Zone == zone && !n.gone {
+		if n.Zone == zone && !n.replaced {
 			m[n.ID] = starts[n.ID]
 		}
 	}
 	return m
 }
 
-// Sum is what became of the queries at a coordinator.
+// Sum returns the outcomes of the queries at a coordinator.
 func (z *Zones) Sum(i int) load.Tally { return z.loads[i].Sum() }
 
-// EndLoad lets the clients end.
+// EndLoad stops the clients and waits for their end.
 func (z *Zones) EndLoad() {
 	if z.stop != nil {
 		z.stop()
@@ -294,7 +295,7 @@
 	}
 }
 
-// Stop ends what was started.
+// Stop ends all processes, proxies and data nodes and removes their files.
 func (z *Zones) Stop() (err error) {
 	z.EndLoad()
 	for _, c := range z.Coords {
@@ -303,13 +304,13 @@
 		}
 	}
 	for _, n := range z.Nodes {
-		for _, p := range n.ways {
+		for _, p := range n.proxies {
 			p.Close()
 		}
 		n.Kill()
 	}
-	for _, d := range z.dirs {
+	for _, d := range z.directories {
 		d.Close()
 	}
-	return errors.Join(err, os.RemoveAll(z.folder))
+	return errors.Join(err, os.RemoveAll(z.tempDir))
 }
--- a/internal/lab/fleet/zones_test.go
+++ b/internal/lab/fleet/zones_test.go
@@ -1,7 +1,7 @@
 package fleet_test
 
-// Five processes of the real program before twelve data nodes in three zones, a fault proxy on each way: the hard cases of a zone that
-// fails as a whole. All of them are played by `gullfall-lab zones --cases`.
+// The test runs the shorter cases of zone failures, each with five gullfall processes and twelve data nodes in three zones and a fault
+// proxy between each coordinator and data node. `gullfall-lab zones --cases` runs all of them.
 
 import (
 	"context"
@@ -13,7 +13,7 @@
 )
 
 func TestZonesBetweenProcesses(t *testing.T) {
-	binary := program(t)
+	binary := buildProgram(t)
 	short := []string{"silent", "split view", "two at once", "one stalled, one killed", "told by others", "told, and asked by nobody", "by an operator's word"}
 	for _, c := range fleet.ZoneCases {
 		if !slices.Contains(short, c.Name) {
