--- a/cmd/gullfall-lab/explore.go
+++ b/cmd/gullfall-lab/explore.go
@@ -38,26 +38,26 @@
 	var results []result
 	failures := 0
 	for _, bug := range bugs {
-		l := explore.Limits{Machines: c.Machines, Faults: c.Faults, Words: c.Words, Sends: c.Sends, States: c.States}
+		l := explore.Limits{Machines: c.Machines, Faults: c.Faults, Orders: c.Words, Sends: c.Sends, States: c.States}
 		if !c.Bugs {
-			l.Seen = func(distance, states int) { fmt.Fprintf(os.Stderr, "\r%3d events, %d states ", distance, states) }
+			l.Progress = func(distance, states int) { fmt.Fprintf(os.Stderr, "\r%3d events, %d states ", distance, states) }
 		}
 		r := explore.Explore(l, bug)
 		if !c.Bugs {
 			fmt.Fprintln(os.Stderr)
 		}
-		results = append(results, result{bug, r.States, r.Whole, r.Ended, r.Broken, r.Path, r.Elapsed.Seconds()})
+		results = append(results, result{bug, r.States, r.Complete, r.EndStates, r.BrokenRule, r.Path, r.Elapsed.Seconds()})
 		if bug != explore.None {
 			fmt.Printf("%s\n", bug)
 		}
-		fmt.Printf("  %d states, %d events deep, %.1f s; all seen: %v; %d with nothing more to do\n", r.States, r.Distance, r.Elapsed.Seconds(), r.Whole, r.Ended)
-		if r.Broken != "" {
-			fmt.Printf("  broken: %s\n", r.Broken)
+		fmt.Printf("  %d states, %d events deep, %.1f s; all seen: %v; %d with nothing more to do\n", r.States, r.Distance, r.Elapsed.Seconds(), r.Complete, r.EndStates)
+		if r.BrokenRule != "" {
+			fmt.Printf("  broken: %s\n", r.BrokenRule)
 			for i, event := range r.Path {
 				fmt.Printf("  %3d. %s\n", i+1, event)
 			}
 		}
-		if c.Bugs != (r.Broken != "") || !c.Bugs && !r.Whole {
+		if c.Bugs != (r.BrokenRule != "") || !c.Bugs && !r.Complete {
 			failures++
 		}
 	}
--- a/internal/lab/explore/explore.go
+++ b/internal/lab/explore/explore.go
@@ -23,22 +23,22 @@
 type Limits struct {
 	Machines int   // number of machines, 1 to 3, for which maintenance is requested
 	Faults   uint8 // crashes, partitions, pauses, machine failures, changes of the leader, maintenance that takes too long
-	Words    uint8 // operators' orders
+	Orders   uint8 // operators' orders
 	Sends    uint8 // query parts that are sent
 	States   int   // the search stops beyond this number of states
-	// Seen, if set, is called with the number of states so far after each distance from the start is complete.
-	Seen func(distance, states int)
+	// Progress, if set, is called with the number of states so far after each distance from the start is complete.
+	Progress func(distance, states int)
 }
 
 // Report is the result of a search.
 type Report struct {
-	States   int      // states visited
-	Distance int      // events from the start to the farthest state
-	Whole    bool     // all states within the limits were visited
-	Broken   string   // the first rule found broken; empty if none was
-	Path     []string // events that lead to the state that breaks the rule
-	Ended    int      // states that only an operator's order can leave
-	Elapsed  time.Duration
+	States     int      // states visited
+	Distance   int      // events from the start to the farthest state
+	Complete   bool     `json:"Whole"`  // all states within the limits were visited
+	BrokenRule string   `json:"Broken"` // the first rule found broken; empty if none was
+	Path       []string // events that lead to the state that breaks the rule
+	EndStates  int      `json:"Ended"` // states that only an operator's order can leave
+	Elapsed    time.Duration
 }
 
 // explorer is the model and the table of the states that were reached.
@@ -59,23 +59,23 @@
 	for r.States = 1; len(frontier) > 0; r.Distance++ {
 		found := e.expand(frontier)
 		if v := firstViolation(found); v != nil {
-			r.Broken, r.Path = v.rule, e.path(v.at.from, &v.at.to)
+			r.BrokenRule, r.Path = v.rule, e.path(v.at.from, &v.at.to)
 			return r
 		}
 		frontier = e.merge(found)
 		r.States += len(frontier)
-		if l.Seen != nil {
-			l.Seen(r.Distance+1, r.States)
+		if l.Progress != nil {
+			l.Progress(r.Distance+1, r.States)
 		}
 		if r.States > l.States {
 			return r
 		}
 	}
-	r.Whole = true
+	r.Complete = true
 	ended := e.endStates()
-	r.Ended = len(ended)
+	r.EndStates = len(ended)
 	if stuck := e.stuckState(ended); stuck != none {
-		r.Broken, r.Path = "the request can't end any more", e.path(stuck, nil)
+		r.BrokenRule, r.Path = "the request can't end any more", e.path(stuck, nil)
 	}
 	return r
 }
--- a/internal/lab/explore/explore_test.go
+++ b/internal/lab/explore/explore_test.go
@@ -11,11 +11,11 @@
 	for _, l := range []Limits{
 		{Machines: 3, Sends: 2, States: 1_000_000},
 		{Machines: 2, Faults: 1, Sends: 1, States: 1_000_000},
-		{Machines: 2, Words: 2, Sends: 1, States: 1_000_000},
+		{Machines: 2, Orders: 2, Sends: 1, States: 1_000_000},
 	} {
 		r := Explore(l, None)
-		if r.Broken != "" || !r.Whole || r.Ended == 0 {
-			t.Errorf("%+v: broken rule %q, complete %v, %d end states\n%s", l, r.Broken, r.Whole, r.Ended, strings.Join(r.Path, "\n"))
+		if r.BrokenRule != "" || !r.Complete || r.EndStates == 0 {
+			t.Errorf("%+v: broken rule %q, complete %v, %d end states\n%s", l, r.BrokenRule, r.Complete, r.EndStates, strings.Join(r.Path, "\n"))
 		}
 		t.Logf("%+v: %d states, %d events deep, in %v", l, r.States, r.Distance, r.Elapsed)
 	}
@@ -25,10 +25,10 @@
 func TestSeededBugsAreFound(t *testing.T) {
 	for _, bug := range Bugs {
 		found := false
-		for _, l := range []Limits{{Machines: 2, Faults: 1, Sends: 1, States: 1_000_000}, {Machines: 2, Faults: 1, Words: 1, Sends: 1, States: 2_000_000}} {
+		for _, l := range []Limits{{Machines: 2, Faults: 1, Sends: 1, States: 1_000_000}, {Machines: 2, Faults: 1, Orders: 1, Sends: 1, States: 2_000_000}} {
 			r := Explore(l, bug)
-			if found = r.Broken != ""; found {
-				t.Logf("%s: %s after %d events (%d states in %v)", bug, r.Broken, len(r.Path), r.States, r.Elapsed)
+			if found = r.BrokenRule != ""; found {
+				t.Logf("%s: %s after %d events (%d states in %v)", bug, r.BrokenRule, len(r.Path), r.States, r.Elapsed)
 				break
 			}
 		}
--- a/internal/lab/explore/plans.go
+++ b/internal/lab/explore/plans.go
@@ -136,7 +136,7 @@
 
 // start returns the initial state: a healthy fleet with a maintenance request for the first Limits.Machines machines.
 func (m *model) start(l Limits) state {
-	s := state{faults: l.Faults, orders: l.Words, sends: l.Sends}
+	s := state{faults: l.Faults, orders: l.Orders, sends: l.Sends}
 	var requested []string
 	for k := range machineCount {
 		if s.started[k] = 1; k < l.Machines {
