--- a/cmd/gullfall-lab/model.go
+++ b/cmd/gullfall-lab/model.go
@@ -80,17 +80,17 @@
 			return row, err
 		}
 		n := float64(m.Seeds)
-		row.Served, row.AttemptsAtLostZone, row.Attempts = row.Served+f.Served/n, row.AttemptsAtLostZone+float64(f.Gone)/n, row.Attempts+f.Attempts/n
-		row.PushedOver, row.Lost, row.Twins, row.AfterGrace = row.PushedOver+f.Fell, row.Lost+f.Lost, row.Twins+f.Twins, row.AfterGrace+f.After
+		row.Served, row.AttemptsAtLostZone, row.Attempts = row.Served+f.Served/n, row.AttemptsAtLostZone+float64(f.SentToDown)/n, row.Attempts+f.Attempts/n
+		row.PushedOver, row.Lost, row.Twins, row.AfterGrace = row.PushedOver+f.Overloaded, row.Lost+f.Lost, row.Twins+f.ConcurrentAttempts, row.AfterGrace+f.SentAfterGrace
 		if row.ServedOverTime == nil {
-			row.ServedOverTime = make([]float64, len(f.Over))
+			row.ServedOverTime = make([]float64, len(f.ServedOverTime))
 		}
-		for i := range min(len(row.ServedOverTime), len(f.Over)) {
-			row.ServedOverTime[i] += f.Over[i] / n
+		for i := range min(len(row.ServedOverTime), len(f.ServedOverTime)) {
+			row.ServedOverTime[i] += f.ServedOverTime[i] / n
 		}
 	}
 	row.WorstHalfSecond = slices.Min(row.ServedOverTime)
-	first := int(model.Lost.Seconds() * 2)
+	first := int(model.ZoneFailure.Seconds() * 2)
 	for _, x := range row.ServedOverTime[first : first+20] {
 		row.First10 += x / 20
 	}
--- a/internal/lab/model/config.go
+++ b/internal/lab/model/config.go
@@ -38,17 +38,17 @@
 
 // Figures are the results of a simulated day.
 type Figures struct {
-	Arrived    int       `json:"asked"`     // queries that arrived
-	Served     float64   `json:"served"`    // share of queries answered completely within their latency objective
-	Late       int       `json:"late"`      // queries answered completely after their latency objective
-	Incomplete int       `json:"refused"`   // queries that were rejected, failed or were answered partially
-	Lost       int       `json:"lost"`      // queries without a final answer by their deadline
-	Fell       int       `json:"fell"`      // data nodes that failed because of overload during warm-up
-	Gone       int       `json:"gone"`      // attempts sent to data nodes that were down
-	After      int       `json:"after"`     // attempts sent to a draining data node after its grace period
-	Twins      int       `json:"twins"`     // attempts sent while another attempt of the same part was in flight
-	Over       []float64 `json:"over_time"` // Served for each half second, by time of arrival
-	Attempts   float64   `json:"attempts"`  // mean number of attempts for each query
+	Arrived            int       `json:"asked"`     // queries that arrived
+	Served             float64   `json:"served"`    // share of queries answered completely within their latency objective
+	Late               int       `json:"late"`      // queries answered completely after their latency objective
+	Incomplete         int       `json:"refused"`   // queries that were rejected, failed or were answered partially
+	Lost               int       `json:"lost"`      // queries without a final answer by their deadline
+	Overloaded         int       `json:"fell"`      // data nodes that failed because of overload during warm-up
+	SentToDown         int       `json:"gone"`      // attempts sent to data nodes that were down
+	SentAfterGrace     int       `json:"after"`     // attempts sent to a draining data node after its grace period
+	ConcurrentAttempts int       `json:"twins"`     // attempts sent while another attempt of the same part was in flight
+	ServedOverTime     []float64 `json:"over_time"` // Served for each half second, by time of arrival
+	Attempts           float64   `json:"attempts"`  // mean number of attempts for each query
 }
 
 const (
--- a/internal/lab/model/datanode.go
+++ b/internal/lab/model/datanode.go
@@ -63,7 +63,7 @@
 			sum += a.work
 		}
 		if sum > overloadMultiple*n.capacity(m.now)*float64(m.config.Cores) {
-			m.figures.Fell++
+			m.figures.Overloaded++
 			m.stopProcess(n)
 			n.overloaded = true
 			return
--- a/internal/lab/model/days.go
+++ b/internal/lab/model/days.go
@@ -9,10 +9,10 @@
 // whole zone (verdicts), and by that together with the observations of other coordinators (shared).
 var Ways = []string{"alone", "verdicts", "shared"}
 
-// Lost and ZoneReturn are the times at which the zone fails and returns to warm up, on the days `zone` and `fresh`.
+// ZoneFailure and ZoneReturn are the times at which the zone fails and returns to warm up, on the days `zone` and `fresh`.
 const (
-	Lost       = 5 * time.Second
-	ZoneReturn = 12 * time.Second
+	ZoneFailure = 5 * time.Second
+	ZoneReturn  = 12 * time.Second
 )
 
 // Day returns the configuration of a simulated day:
@@ -42,11 +42,11 @@
 	case "quiet":
 	case "fresh":
 		for i := range coordinators / 10 {
-			c.Faults = append(c.Faults, Fault{At: Lost + time.Duration(i)*5*time.Second/time.Duration(coordinators/10), Restart: i + 1})
+			c.Faults = append(c.Faults, Fault{At: ZoneFailure + time.Duration(i)*5*time.Second/time.Duration(coordinators/10), Restart: i + 1})
 		}
 		fallthrough
 	case "zone":
-		c.Faults = append(c.Faults, Fault{At: Lost, Until: ZoneReturn, Zone: "a", Silent: true})
+		c.Faults = append(c.Faults, Fault{At: ZoneFailure, Until: ZoneReturn, Zone: "a", Silent: true})
 	case "roll":
 		c.Duration = 40 * time.Second
 		for i := range len(c.Zones) * c.NodesPerZone {
--- a/internal/lab/model/model.go
+++ b/internal/lab/model/model.go
@@ -85,7 +85,7 @@
 			share = float64(m.servedBySlice[i]) / float64(m.arrivedBySlice[i])
 		}
 		if f.Arrived, served = f.Arrived+m.arrivedBySlice[i], served+m.servedBySlice[i]; !math.IsNaN(share) {
-			f.Over = append(f.Over, share)
+			f.ServedOverTime = append(f.ServedOverTime, share)
 		}
 	}
 	f.Served, f.Attempts = float64(served)/float64(f.Arrived), float64(m.attemptsSent)/float64(f.Arrived)
--- a/internal/lab/model/model_test.go
+++ b/internal/lab/model/model_test.go
@@ -6,7 +6,7 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// meanFigures simulates a day with several seeds; it returns the mean of Served and the sum of Gone, and reports broken rules.
+// meanFigures simulates a day with several seeds; it returns the mean of Served and the sum of SentToDown, and reports broken rules.
 func meanFigures(t *testing.T, name, way string, coordinators int, load float64) (sum Figures) {
 	t.Helper()
 	const seeds = 3
@@ -19,11 +19,11 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if f.Lost+f.Fell+f.After+f.Twins > 0 {
+		if f.Lost+f.Overloaded+f.SentAfterGrace+f.ConcurrentAttempts > 0 {
 			t.Errorf("%s, %s, seed %d: %d queries lost, %d warming data nodes overloaded, %d attempts after a drain's grace period, %d concurrent attempts of one part", name, way, seed+1,
-				f.Lost, f.Fell, f.After, f.Twins)
+				f.Lost, f.Overloaded, f.SentAfterGrace, f.ConcurrentAttempts)
 		}
-		sum.Served, sum.Gone = sum.Served+f.Served/seeds, sum.Gone+f.Gone
+		sum.Served, sum.SentToDown = sum.Served+f.Served/seeds, sum.SentToDown+f.SentToDown
 	}
 	return sum
 }
@@ -47,9 +47,9 @@
 // with few queries each, tracking zones must reduce the attempts sent to a failed zone, and sharing observations must reduce them further.
 func TestSharedZoneStateReducesFailedAttempts(t *testing.T) {
 	alone, verdicts, shared := meanFigures(t, "zone", "alone", 100, 0.5), meanFigures(t, "zone", "verdicts", 100, 0.5), meanFigures(t, "zone", "shared", 100, 0.5)
-	t.Logf("served share %.4f, %.4f, %.4f; attempts at the failed zone %d, %d, %d", alone.Served, verdicts.Served, shared.Served, alone.Gone, verdicts.Gone, shared.Gone)
-	if float64(verdicts.Gone) > 0.8*float64(alone.Gone) || float64(shared.Gone) > 0.8*float64(verdicts.Gone) {
-		t.Errorf("attempts at the failed zone: alone %d, verdicts %d, shared %d", alone.Gone, verdicts.Gone, shared.Gone)
+	t.Logf("served share %.4f, %.4f, %.4f; attempts at the failed zone %d, %d, %d", alone.Served, verdicts.Served, shared.Served, alone.SentToDown, verdicts.SentToDown, shared.SentToDown)
+	if float64(verdicts.SentToDown) > 0.8*float64(alone.SentToDown) || float64(shared.SentToDown) > 0.8*float64(verdicts.SentToDown) {
+		t.Errorf("attempts at the failed zone: alone %d, verdicts %d, shared %d", alone.SentToDown, verdicts.SentToDown, shared.SentToDown)
 	}
 	if shared.Served < alone.Served || shared.Served < 0.995 {
 		t.Errorf("served share: alone %.4f, shared %.4f", alone.Served, shared.Served)
--- a/internal/lab/model/queries.go
+++ b/internal/lab/model/queries.go
@@ -106,11 +106,11 @@
 	}
 	for _, t := range p.attempts {
 		if !t.ended {
-			m.figures.Twins++
+			m.figures.ConcurrentAttempts++
 		}
 	}
 	if at, drains := k.drainLearnedAt[n.id]; drains && m.now > at+drainGrace {
-		m.figures.After++
+		m.figures.SentAfterGrace++
 	}
 	a := &attempt{coordinator: k, part: p, number: len(p.attempts), node: n, started: m.now}
 	a.job = &job{attempt: a, work: p.work}
@@ -121,7 +121,7 @@
 	n.attempts = append(n.attempts, a)
 	m.attemptsSent++
 	if n.down {
-		m.figures.Gone++
+		m.figures.SentToDown++
 	}
 	m.after(m.config.NetworkDelay, func() { n.receive(m, a.job) })
 	m.after(max(s.After, tick), func() {
