--- a/cmd/gullfall-lab/fleet.go
+++ b/cmd/gullfall-lab/fleet.go
@@ -30,7 +30,7 @@
 	}
 	fmt.Printf("%d logs, %d queries, %d lines not read\n\n", r.Logs, r.Queries, r.Unread)
 	fmt.Printf("%8s %6s  %-8s %-18s %-15s %-20s %8s %8s\n", "queries", "share", "end", "why", "parts", "class", "p50_ms", "p99_ms")
-	for _, w := range r.Ways[:min(f.Top, len(r.Ways))] {
+	for _, w := range r.Outcomes[:min(f.Top, len(r.Outcomes))] {
 		fmt.Printf("%8d %5.1f%%  %-8s %-18s %-15s %-20s %8.0f %8.0f\n", w.Queries, 100*w.Share, w.End, w.Why, w.Parts, w.Class, w.P50MS, w.P99MS)
 	}
 	if len(r.Nodes) > 0 {
--- a/internal/lab/fleetlog/fleetlog.go
+++ b/internal/lab/fleetlog/fleetlog.go
@@ -56,7 +56,7 @@
 type Report struct {
 	Logs     int                    `json:"logs"`
 	Queries  int                    `json:"queries"` // all queries if debug lines are logged; else those not answered completely
-	Ways     []Count                `json:"ways"`
+	Outcomes []Count                `json:"ways"`
 	Nodes    []Node                 `json:"nodes"`
 	Attempts []Attempts             `json:"attempts"`
 	Lines    map[string]int         `json:"lines"`  // by message
@@ -315,9 +315,9 @@
 	}
 	r.Queries = max(c.queriesEnded, total)
 	for w, t := range c.outcomes {
-		r.Ways = append(r.Ways, Count{w, t.queries, float64(t.queries) / float64(r.Queries), percentileMS(t.latency, 50), percentileMS(t.latency, 99)})
+		r.Outcomes = append(r.Outcomes, Count{w, t.queries, float64(t.queries) / float64(r.Queries), percentileMS(t.latency, 50), percentileMS(t.latency, 99)})
 	}
-	slices.SortFunc(r.Ways, func(a, b Count) int {
+	slices.SortFunc(r.Outcomes, func(a, b Count) int {
 		if a.Queries != b.Queries {
 			return b.Queries - a.Queries
 		}
--- a/internal/lab/fleetlog/fleetlog_test.go
+++ b/internal/lab/fleetlog/fleetlog_test.go
@@ -63,7 +63,7 @@
 		N int
 	}
 	var outcomes []row
-	for _, w := range r.Ways {
+	for _, w := range r.Outcomes {
 		outcomes = append(outcomes, row{w.Outcome, w.Queries})
 	}
 	want := []row{{Outcome{"failed", "deadline exceeded", "in flight", "entry"}, 1}, {Outcome{"partial", "", "", "board"}, 1}, {Outcome{"rejected", "forecast too late", "unsent", "board"}, 1}}
