--- a/cmd/gullfall-lab/demo.go
+++ b/cmd/gullfall-lab/demo.go
@@ -70,7 +70,7 @@
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
 	defer stop()
 	f, err := fleet.Start(ctx, fleet.Options{Nodes: 24, Listed: 8, Cells: 4, Shards: 16, TTL: 4500, Transfer: true, Notify: false,
-		Takes: 10 * time.Millisecond, Binary: gullfallPath(d.Binary), Seed: d.Seed})
+		ServiceTime: 10 * time.Millisecond, Binary: gullfallPath(d.Binary), Seed: d.Seed})
 	defer func() { err = errors.Join(err, f.Stop()) }()
 	if err != nil {
 		return err
@@ -152,7 +152,7 @@
 			mu.Unlock()
 			continue
 		}
-		n := free[f.Chance().IntN(len(free))]
+		n := free[f.Random().IntN(len(free))]
 		busy[n.ID] = true
 		mu.Unlock()
 		fault.inject(n)
--- a/cmd/gullfall-lab/dnssd.go
+++ b/cmd/gullfall-lab/dnssd.go
@@ -147,7 +147,7 @@
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
 	defer stop()
 	f, err := fleet.Start(ctx, fleet.Options{Nodes: d.Nodes, Cells: 8, Shards: 32, TTL: d.TTL, Transfer: !d.Browse, Notify: d.Notify,
-		Hollow: d.Rest, Takes: 8 * time.Millisecond, Binary: gullfallPath(d.Binary), Seed: d.Seed})
+		RecordsOnly: d.Rest, ServiceTime: 8 * time.Millisecond, Binary: gullfallPath(d.Binary), Seed: d.Seed})
 	defer func() { err = errors.Join(err, f.Stop()) }()
 	if err != nil {
 		return err
@@ -275,7 +275,7 @@
 	if len(free) <= len(f.Nodes)*3/4 {
 		return
 	}
-	n := free[f.Chance().IntN(len(free))]
+	n := free[f.Random().IntN(len(free))]
 	c.affected[n.ID] = true
 	back := func() {
 		f.Ledger.On(n.ID)
--- a/cmd/gullfall-lab/duties.go
+++ b/cmd/gullfall-lab/duties.go
@@ -77,9 +77,9 @@
 	var h fleet.DutyHistory
 	asking, stop := context.WithCancel(ctx)
 	var wg sync.WaitGroup
-	wg.Go(func() { w.Acts(asking, &h, 40*time.Millisecond, names...) })
-	var terms []fleet.Reign
-	wg.Go(func() { terms = w.Reigns(asking) })
+	wg.Go(func() { w.PollDuties(asking, &h, 40*time.Millisecond, names...) })
+	var terms []fleet.StoreTerm
+	wg.Go(func() { terms = w.WatchTerms(asking) })
 	faults, err := c.injectFaults(ctx, w, names, r.Kinds)
 	if err == nil {
 		time.Sleep(c.Lease + 2*time.Second)
@@ -91,7 +91,7 @@
 	}
 	r.Faults = len(faults)
 	v := h.Check()
-	r.Claims, r.Accepted, r.Refused, r.Handovers, r.DoubleHolders, r.StaleWritesAccepted, r.Violations = v.Claims, v.Accepted, v.Refused, len(v.Handovers), v.Double, v.Stale, v.Said
+	r.Claims, r.Accepted, r.Refused, r.Handovers, r.DoubleHolders, r.StaleWritesAccepted, r.Violations = v.Claims, v.Accepted, v.Refused, len(v.Handovers), v.Double, v.Stale, v.Violations
 	r.measureGaps(c.Lease, v.Handovers, faults, terms)
 	r.print()
 	if err := writeJSON(c.JSON, r); err != nil {
@@ -117,7 +117,7 @@
 
 // measureGaps compares the time without a holder at each hand-over with the maximum allowed by the lease, and by the faults and
 // elections in that time.
-func (r *dutiesReport) measureGaps(lease time.Duration, handovers []fleet.Handover, faults []dutyFault, terms []fleet.Reign) {
+func (r *dutiesReport) measureGaps(lease time.Duration, handovers []fleet.Handover, faults []dutyFault, terms []fleet.StoreTerm) {
 	// The bound is the sum of: L (1 + E) from the last renewal until the lease L expires in the store, where a new leader counts from
 	// its election (E is the clock error); a quarter of the lease until the next candidate claims the duty; 4 heartbeats to elect a
 	// leader; and two polls of the holders. Each further election within the gap starts the lease again.
@@ -159,7 +159,7 @@
 }
 
 // countElections counts the terms of the store that began in the gap of a hand-over.
-func countElections(terms []fleet.Reign, x fleet.Handover) (n int) {
+func countElections(terms []fleet.StoreTerm, x fleet.Handover) (n int) {
 	for _, term := range terms {
 		if term.At.After(x.At) && term.At.Before(x.At.Add(x.Gap)) {
 			n++
@@ -208,7 +208,7 @@
 	case k < 16:
 		f.kind = "hand on"
 		for _, name := range names {
-			_ = w.HandOn(ctx, target, name) // rejected if the coordinator doesn't hold the duty
+			_ = w.HandOver(ctx, target, name) // rejected if the coordinator doesn't hold the duty
 		}
 	case k < 18:
 		f.kind = "end"
--- a/cmd/gullfall-lab/flight.go
+++ b/cmd/gullfall-lab/flight.go
@@ -126,7 +126,7 @@
 
 // runCases runs the suite against a separate fleet with these users; without users the fleet requires no authentication.
 func (d flightCmd) runCases(ctx context.Context, r *flightReport, users []flightsuite.User) (err error) {
-	o := fleet.Options{Nodes: 8, Cells: 4, Shards: 16, TTL: 60, Transfer: true, Takes: 5 * time.Millisecond, Binary: gullfallPath(d.Binary), Seed: 1, Flight: true}
+	o := fleet.Options{Nodes: 8, Cells: 4, Shards: 16, TTL: 60, Transfer: true, ServiceTime: 5 * time.Millisecond, Binary: gullfallPath(d.Binary), Seed: 1, Flight: true}
 	prefix := ""
 	for _, u := range users {
 		prefix = "users: "
--- a/cmd/gullfall-lab/flight_figures.go
+++ b/cmd/gullfall-lab/flight_figures.go
@@ -27,7 +27,7 @@
 
 // measureThroughput measures each protocol with 1, 16 and 256 clients, one after the other on the same coordinator.
 func (d flightCmd) measureThroughput(ctx context.Context, r *flightReport) (err error) {
-	f, err := fleet.Start(ctx, fleet.Options{Nodes: 16, Cells: 4, Shards: 16, TTL: 60, Transfer: true, Takes: 2 * time.Millisecond,
+	f, err := fleet.Start(ctx, fleet.Options{Nodes: 16, Cells: 4, Shards: 16, TTL: 60, Transfer: true, ServiceTime: 2 * time.Millisecond,
 		Binary: gullfallPath(d.Binary), Seed: 1, Flight: true})
 	defer func() { err = errors.Join(err, f.Stop()) }()
 	if err != nil {
--- a/cmd/gullfall-lab/flight_season.go
+++ b/cmd/gullfall-lab/flight_season.go
@@ -31,7 +31,7 @@
 	}
 	const fill = 200 << 10
 	for _, codec := range []string{"none", "lz4", "zstd"} {
-		f, err := fleet.Start(ctx, fleet.Options{Nodes: 8, Cells: 4, Shards: 16, TTL: 60, Transfer: true, Takes: time.Millisecond,
+		f, err := fleet.Start(ctx, fleet.Options{Nodes: 8, Cells: 4, Shards: 16, TTL: 60, Transfer: true, ServiceTime: time.Millisecond,
 			Binary: gullfallPath(d.Binary), Seed: 1, Flight: true, AllFlight: true, Fill: fill, MemoryMB: 64})
 		if err != nil {
 			return errors.Join(err, f.Stop())
--- a/cmd/gullfall-lab/flight_slow.go
+++ b/cmd/gullfall-lab/flight_slow.go
@@ -35,7 +35,7 @@
 // measureSlowReaders runs 200 concurrent readers that stall on large answers, at a coordinator limited to 32 MB, while one normal reader
 // sends queries.
 func (d flightCmd) measureSlowReaders(ctx context.Context, r *flightReport) (err error) {
-	f, err := fleet.Start(ctx, fleet.Options{Nodes: 8, Cells: 4, Shards: 16, TTL: 60, Transfer: true, Takes: time.Millisecond,
+	f, err := fleet.Start(ctx, fleet.Options{Nodes: 8, Cells: 4, Shards: 16, TTL: 60, Transfer: true, ServiceTime: time.Millisecond,
 		Binary: gullfallPath(d.Binary), Seed: 1, Flight: true, AllFlight: true, Fill: 200 << 10, MemoryMB: 32})
 	defer func() { err = errors.Join(err, f.Stop()) }()
 	if err != nil {
--- a/cmd/gullfall-lab/peers.go
+++ b/cmd/gullfall-lab/peers.go
@@ -155,7 +155,7 @@
 // countDeaths counts the log lines in which coordinators declared others dead.
 func (p *peersRun) countDeaths() (n int) {
 	for i := range p.cmd.Coordinators {
-		n += p.fleet.Died(fleet.PeerName(i))
+		n += p.fleet.DeathsLogged(fleet.PeerName(i))
 	}
 	return n
 }
@@ -187,7 +187,7 @@
 	case 5:
 		err := p.fleet.Cut(i, j)
 		time.Sleep(15 * period)
-		return "cut one way", false, errors.Join(err, p.fleet.Mend(i, j))
+		return "cut one way", false, errors.Join(err, p.fleet.Restore(i, j))
 	case 6:
 		return "one killed", true, p.kill(ctx, i)
 	case 7:
@@ -246,7 +246,7 @@
 	}
 	time.Sleep(15 * p.cmd.Period)
 	for k := range n {
-		err = errors.Join(err, p.fleet.Mend(k, (k+1)%n))
+		err = errors.Join(err, p.fleet.Restore(k, (k+1)%n))
 	}
 	return err
 }
@@ -266,7 +266,7 @@
 	for a := range n {
 		for b := range n {
 			if a != b {
-				err = errors.Join(err, p.fleet.Mend(a, b))
+				err = errors.Join(err, p.fleet.Restore(a, b))
 			}
 		}
 	}
--- a/cmd/gullfall-lab/replicate.go
+++ b/cmd/gullfall-lab/replicate.go
@@ -94,7 +94,7 @@
 	}
 	sent = w.Sent() - sent
 	time.Sleep(3 * time.Second)
-	final, err := clients.Final(ctx, 0)
+	final, err := clients.ReadAll(ctx, 0)
 	if err != nil {
 		return err
 	}
@@ -110,7 +110,7 @@
 	}
 	r.Operations, r.Committed, r.Unknown = clients.History.Counts()
 	r.BytesPerOp = float64(sent) / float64(max(r.Operations, 1))
-	r.LostWrites = clients.History.Lost(final)
+	r.LostWrites = clients.History.LostWrites(final)
 	r.Lost = len(r.LostWrites)
 	r.Linearizable, r.Checked = clients.History.Check(2 * time.Minute)
 	r.P50CatchUpMS, r.P99CatchUpMS, r.P99StartMS = quantileMS(p.catchUpTimes, 0.5), quantileMS(p.catchUpTimes, 0.99), quantileMS(p.startTimes, 0.99)
@@ -126,7 +126,7 @@
 
 // measureRemembered starts a single coordinator 20 times and measures the time from its start to its first answer.
 func (c *replicateCmd) measureRemembered(ctx context.Context, r *replicateReport) error {
-	_, answers, err := fleet.Remembered(ctx, gullfallPath(c.Binary), c.Remembered, 20, c.Seed)
+	_, answers, err := fleet.MeasureCachedStart(ctx, gullfallPath(c.Binary), c.Remembered, 20, c.Seed)
 	if err != nil {
 		return err
 	}
--- a/cmd/gullfall-lab/work.go
+++ b/cmd/gullfall-lab/work.go
@@ -131,7 +131,7 @@
 		return r, err
 	}
 	time.Sleep(5 * time.Second) // all are present, and the load is steady
-	r.ColdBound = fleet.WorkColdBound(workWarm)
+	r.ColdBound = fleet.WorkWarmupBound(workWarm)
 	p := &workRun{c: c, w: w, rng: rand.New(rand.NewPCG(c.Seed, 9)), report: &r}
 	if err := body(ctx, p); err != nil {
 		return r, err
@@ -172,12 +172,12 @@
 
 // measure stops the load and copies the fleet's counts into the report.
 func (r *workReport) measure(w *fleet.MaintenanceFleet) {
-	clean := w.Clean()
+	clean := w.TalliesOutsideFaults()
 	w.EndLoad()
 	f := w.Verdict()
-	r.Machines, r.Moves, r.SentWhileOut, r.FloorBroken, r.TwoOrders = f.HandedOver, w.Moves(), f.SentWhileOut, f.FloorBroken, f.TwoOrders
-	r.Overtaken = f.Overtaken
-	r.Violations = append(r.Violations, f.Said...)
+	r.Machines, r.Moves, r.SentWhileOut, r.FloorBroken, r.TwoOrders = f.HandedOver, w.Moves(), f.SentWhileOut, f.FloorBroken, f.ConflictingMoves
+	r.Overtaken = f.RestartedBeforeWork
+	r.Violations = append(r.Violations, f.Violations...)
 	r.Asked, r.Lost, r.Wrong, r.Refused, r.Failed = clean.Asked, clean.Lost, clean.Wrong, clean.Refused, clean.Failed
 	r.Served = float64(clean.Served) / float64(max(clean.Asked, 1))
 	for _, n := range w.Returns {
@@ -211,7 +211,7 @@
 		if !p.w.Up(i) {
 			continue
 		}
-		v, err := p.w.Look(ctx, i)
+		v, err := p.w.LocalView(ctx, i)
 		if err != nil || v.Plan == nil {
 			continue
 		}
@@ -240,7 +240,7 @@
 	if rng.IntN(3) == 0 {
 		a.Zone, a.All = "", true
 	}
-	_, _ = p.w.Ask(ctx, i, a) // requests that overlap another are rejected
+	_, _ = p.w.RequestMaintenance(ctx, i, a) // requests that overlap another are rejected
 }
 
 // injectFault injects one random fault and undoes it.
--- a/cmd/gullfall-lab/zones.go
+++ b/cmd/gullfall-lab/zones.go
@@ -113,7 +113,7 @@
 			continue
 		}
 		ctx, cancel := context.WithDeadline(context.Background(), time.Now().Add(2*time.Minute))
-		r, err := fleet.PlayZones(ctx, c, fleet.ZonesOptions{Coordinators: max(z.Coordinators, 5), PerZone: z.PerZone, Rate: z.Rate, Binary: gullfallPath(z.Binary), Seed: z.Seed})
+		r, err := fleet.RunZoneCase(ctx, c, fleet.ZonesOptions{Coordinators: max(z.Coordinators, 5), PerZone: z.PerZone, Rate: z.Rate, Binary: gullfallPath(z.Binary), Seed: z.Seed})
 		cancel()
 		if err != nil {
 			return fmt.Errorf("%s: %w", c.Name, err)
@@ -143,7 +143,7 @@
 func (z *zonesCmd) measure(judgedBy string) (run zoneRun, err error) {
 	ctx, cancel := context.WithDeadline(context.Background(), time.Now().Add(2*time.Minute))
 	defer cancel()
-	run = zoneRun{Judged: judgedBy, Coordinators: z.Coordinators, ColdBound: fleet.ZoneColdBound(), Ends: map[string]int{}, load: map[string]plotter.XYs{}}
+	run = zoneRun{Judged: judgedBy, Coordinators: z.Coordinators, ColdBound: fleet.ZoneWarmupBound(), Ends: map[string]int{}, load: map[string]plotter.XYs{}}
 	f, err := fleet.StartZones(ctx, z.fleetOptions(judgedBy))
 	if f != nil {
 		defer func() { err = errors.Join(err, f.Stop()) }()
--- a/internal/lab/fleet/clients.go
+++ b/internal/lab/fleet/clients.go
@@ -69,7 +69,7 @@
 			c.put(ctx, i, linearizability.Op{Client: client, Kind: linearizability.Put, Key: key, Value: value}, nil)
 		default:
 			if old, ok := c.get(ctx, client, i, key); ok {
-				c.put(ctx, (i+random.IntN(2))%len(c.Fleet.Coords), linearizability.Op{Client: client, Kind: linearizability.Swap, Key: key, Old: old.Value, Value: value}, &old.Revision)
+				c.put(ctx, (i+random.IntN(2))%len(c.Fleet.Coords), linearizability.Op{Client: client, Kind: linearizability.CompareAndSwap, Key: key, Old: old.Value, Value: value}, &old.Revision)
 			}
 		}
 		select {
@@ -90,12 +90,12 @@
 func (c *StoreClients) put(ctx context.Context, i int, o linearizability.Op, revision *uint64) {
 	o.Call = time.Since(c.start)
 	n, err := c.Fleet.StoreCall(ctx, i, "put", storeValue{Key: o.Key, Value: o.Value, If: revision}, time.Now().Add(c.Timeout))
-	o.End, o.Done, o.Unknown = time.Since(c.start), err == nil && n.Conflict == "", err != nil
+	o.End, o.Swapped, o.Unknown = time.Since(c.start), err == nil && n.Conflict == "", err != nil
 	c.History.Add(o)
 }
 
-// Final reads the keys of all epochs at one coordinator and returns their values.
-func (c *StoreClients) Final(ctx context.Context, i int) (map[string]string, error) {
+// ReadAll reads the keys of all epochs at one coordinator and returns their values.
+func (c *StoreClients) ReadAll(ctx context.Context, i int) (map[string]string, error) {
 	values := map[string]string{}
 	for epoch := range int(time.Since(c.start)/c.Epoch) + 1 {
 		for k := range c.Keys {
@@ -148,14 +148,14 @@
 	return v.Applied, v.Leader, err
 }
 
-// Reign is a term of the store and the time at which it was first observed.
-type Reign struct {
+// StoreTerm is a term of the store and the time at which it was first observed.
+type StoreTerm struct {
 	At   time.Time
 	Term uint64
 }
 
-// Reigns polls the coordinators for the store's term until ctx ends and returns each new term.
-func (w *MaintenanceFleet) Reigns(ctx context.Context) (reigns []Reign) {
+// WatchTerms polls the coordinators for the store's term until ctx ends and returns each new term.
+func (w *MaintenanceFleet) WatchTerms(ctx context.Context) (terms []StoreTerm) {
 	for ctx.Err() == nil {
 		for i := range w.Coords {
 			if !w.Up(i) {
@@ -167,13 +167,13 @@
 			}
 			err := admin.Call(pollCtx, w.socket(i), "store", nil, &v)
 			cancel()
-			if err == nil && (len(reigns) == 0 || v.Term > reigns[len(reigns)-1].Term) {
-				reigns = append(reigns, Reign{time.Now(), v.Term})
+			if err == nil && (len(terms) == 0 || v.Term > terms[len(terms)-1].Term) {
+				terms = append(terms, StoreTerm{time.Now(), v.Term})
 			}
 		}
 		time.Sleep(40 * time.Millisecond)
 	}
-	return reigns
+	return terms
 }
 
 // Sent returns the number of bytes sent between the members of the store.
--- a/internal/lab/fleet/duties.go
+++ b/internal/lab/fleet/duties.go
@@ -40,13 +40,13 @@
 
 // DutyVerdict is the result of checking a DutyHistory.
 type DutyVerdict struct {
-	Claims    int // answers of coordinators that held the duty
-	Accepted  int // claims whose write the store accepted
-	Refused   int // claims whose write the store rejected
-	Handovers []Handover
-	Double    int      // pairs of holders that held a duty at the same time, or under the same token
-	Stale     int      // writes that the store accepted after one under a higher token
-	Said      []string // descriptions of the first 20 violations
+	Claims     int // answers of coordinators that held the duty
+	Accepted   int // claims whose write the store accepted
+	Refused    int // claims whose write the store rejected
+	Handovers  []Handover
+	Double     int      // pairs of holders that held a duty at the same time, or under the same token
+	Stale      int      // writes that the store accepted after one under a higher token
+	Violations []string // descriptions of the first 20 violations
 }
 
 // tokenHolder is the coordinator that held a duty under a token, with its first and last claim in Unix nanoseconds.
@@ -72,8 +72,8 @@
 
 // addViolation records a violation, up to 20 of them.
 func (v *DutyVerdict) addViolation(format string, args ...any) {
-	if len(v.Said) < 20 {
-		v.Said = append(v.Said, fmt.Sprintf(format, args...))
+	if len(v.Violations) < 20 {
+		v.Violations = append(v.Violations, fmt.Sprintf(format, args...))
 	}
 }
 
@@ -141,15 +141,15 @@
 	return t, admin.Call(ctx, w.socket(i), "duties try", map[string]any{"Name": duty}, &t)
 }
 
-// HandOn has a coordinator give up a duty, so that another takes it over.
-func (w *MaintenanceFleet) HandOn(ctx context.Context, i int, duty string) error {
+// HandOver has a coordinator give up a duty, so that another takes it over.
+func (w *MaintenanceFleet) HandOver(ctx context.Context, i int, duty string) error {
 	ctx, cancel := context.WithDeadline(ctx, time.Now().Add(5*time.Second))
 	defer cancel()
 	return admin.Call(ctx, w.socket(i), "duties hand-on", map[string]any{"Name": duty}, new(json.RawMessage))
 }
 
-// Acts asks every coordinator, at the given interval until ctx ends, to act on each of the duties, and adds the answers to h.
-func (w *MaintenanceFleet) Acts(ctx context.Context, h *DutyHistory, every time.Duration, duties ...string) {
+// PollDuties asks every coordinator, at the given interval until ctx ends, to act on each of the duties, and adds the answers to h.
+func (w *MaintenanceFleet) PollDuties(ctx context.Context, h *DutyHistory, every time.Duration, duties ...string) {
 	var wg sync.WaitGroup
 	for i := range w.Coords {
 		for _, duty := range duties {
--- a/internal/lab/fleet/duties_test.go
+++ b/internal/lab/fleet/duties_test.go
@@ -19,7 +19,7 @@
 	t.Helper()
 	for end := time.Now().Add(20 * time.Second); ; time.Sleep(20 * time.Millisecond) {
 		i := holder(duty, -1)
-		err := w.HandOn(ctx, i, duty)
+		err := w.HandOver(ctx, i, duty)
 		if err == nil {
 			return i
 		}
@@ -62,10 +62,10 @@
 	var h fleet.DutyHistory
 	asking, stop := context.WithCancel(ctx)
 	var wg sync.WaitGroup
-	wg.Go(func() { w.Acts(asking, &h, 20*time.Millisecond, "maintenance", "one", "two") })
+	wg.Go(func() { w.PollDuties(asking, &h, 20*time.Millisecond, "maintenance", "one", "two") })
 
 	i := handOn(ctx, t, w, holder, "one")
-	if err := w.HandOn(ctx, holder("one", i), "three"); err == nil {
+	if err := w.HandOver(ctx, holder("one", i), "three"); err == nil {
 		t.Error("an unknown duty was handed over")
 	}
 	i = holder("two", -1)
@@ -93,8 +93,8 @@
 	wg.Wait()
 
 	v := h.Check()
-	if v.Double+v.Stale > 0 || len(v.Said) > 0 {
-		t.Errorf("%d double holders, %d stale writes accepted: %v", v.Double, v.Stale, v.Said)
+	if v.Double+v.Stale > 0 || len(v.Violations) > 0 {
+		t.Errorf("%d double holders, %d stale writes accepted: %v", v.Double, v.Stale, v.Violations)
 	}
 	if len(v.Handovers) < 5 || v.Accepted < 100 {
 		t.Errorf("%d handovers, %d writes accepted: too few for the check", len(v.Handovers), v.Accepted)
--- a/internal/lab/fleet/fleet.go
+++ b/internal/lab/fleet/fleet.go
@@ -22,17 +22,17 @@
 
 // Options configure a Fleet.
 type Options struct {
-	Nodes    int
-	Listed   int // number of the data nodes that are listed by discovery; the others are in the zone
-	Cells    int
-	Shards   int
-	TTL      uint32
-	Transfer bool
-	Notify   bool
-	Hollow   bool          // the data nodes exist as records only; nothing listens at their addresses
-	Takes    time.Duration // of a part at a data node
-	Binary   string        // path of gullfall
-	Seed     uint64
+	Nodes       int
+	Listed      int // number of the data nodes that are listed by discovery; the others are in the zone
+	Cells       int
+	Shards      int
+	TTL         uint32
+	Transfer    bool
+	Notify      bool
+	RecordsOnly bool          // the data nodes exist as records only; nothing listens at their addresses
+	ServiceTime time.Duration // of a part at a data node
+	Binary      string        // path of gullfall
+	Seed        uint64
 
 	Flight    bool   // the coordinator also serves Arrow Flight
 	AllFlight bool   // all data nodes speak Flight
@@ -79,12 +79,12 @@
 	}
 	var instances []nameserver.Instance
 	for i := range o.Nodes {
-		n := &datanode.Node{ID: nodePrefix + strconv.Itoa(i), Cell: i % o.Cells, Proto: "frames", Ledger: f.Ledger, Takes: o.Takes}
+		n := &datanode.Node{ID: nodePrefix + strconv.Itoa(i), Cell: i % o.Cells, Proto: "frames", Ledger: f.Ledger, Takes: o.ServiceTime}
 		if n.Fill = o.Fill; i%4 == 3 && i >= o.Listed || o.AllFlight {
 			n.Proto = "flight"
 		}
 		f.Nodes = append(f.Nodes, n)
-		if !o.Hollow {
+		if !o.RecordsOnly {
 			if err := n.Start(); err != nil {
 				return f, err
 			}
@@ -129,7 +129,7 @@
 	if state != "" {
 		i.Text = append(i.Text, "state="+state)
 	}
-	if f.Hollow {
+	if f.RecordsOnly {
 		number, _ := strconv.Atoi(strings.TrimPrefix(n.ID, nodePrefix)) // Start gave the ids numbers
 		i.Addr = netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 9, byte(number >> 8), byte(number)}), 7000)
 		return i
@@ -139,8 +139,8 @@
 	return i
 }
 
-// Chance returns the fleet's random source, seeded from Options.Seed.
-func (f *Fleet) Chance() *rand.Rand { return f.random }
+// Random returns the fleet's random source, seeded from Options.Seed.
+func (f *Fleet) Random() *rand.Rand { return f.random }
 
 // freeAddr returns an unused loopback address, or an empty string if none can be opened.
 func freeAddr(network string) string {
--- a/internal/lab/fleet/peers.go
+++ b/internal/lab/fleet/peers.go
@@ -165,8 +165,8 @@
 	return errors.Join(p.links[from][to].Set(proxy.Loss{Cut: true}), p.links[to][from].Stream(proxy.DropDown))
 }
 
-// Mend ends the effect of Cut.
-func (p *Peers) Mend(from, to int) error {
+// Restore ends the effect of Cut.
+func (p *Peers) Restore(from, to int) error {
 	return errors.Join(p.links[from][to].Set(proxy.Loss{}), p.links[to][from].Stream(proxy.Pass))
 }
 
@@ -227,8 +227,8 @@
 	}
 }
 
-// Died returns the number of log lines in which coordinators declared the named one dead.
-func (p *Peers) Died(name string) (n int) {
+// DeathsLogged returns the number of log lines in which coordinators declared the named one dead.
+func (p *Peers) DeathsLogged(name string) (n int) {
 	for _, c := range p.Coords {
 		if c != nil {
 			n += c.Logged(`msg="coordinator dead" name=` + name + " ")
--- a/internal/lab/fleet/peers_test.go
+++ b/internal/lab/fleet/peers_test.go
@@ -45,7 +45,7 @@
 		t.Helper()
 		got := 0
 		for i := range n {
-			got += p.Died(fleet.PeerName(i))
+			got += p.DeathsLogged(fleet.PeerName(i))
 		}
 		if got > 0 {
 			t.Errorf("%s: %d coordinators were declared dead", what, got)
@@ -109,7 +109,7 @@
 		return false
 	})
 	noDeaths("one-way cut")
-	must(t, p.Mend(1, 2))
+	must(t, p.Restore(1, 2))
 	agree("one-way cut ended")
 
 	if err := p.Kill(6); err != nil {
@@ -131,8 +131,8 @@
 	until("smaller side of the split", []int{5, 6, 7}, func(v fleet.View) bool { return v.Verdict == "split" && v.Here == 3 && !v.Majority })
 	for i := range 5 {
 		for j := 5; j < n; j++ {
-			must(t, p.Mend(i, j))
-			must(t, p.Mend(j, i))
+			must(t, p.Restore(i, j))
+			must(t, p.Restore(j, i))
 		}
 	}
 	agree("split ended")
--- a/internal/lab/fleet/replicate_test.go
+++ b/internal/lab/fleet/replicate_test.go
@@ -90,9 +90,9 @@
 	stop()
 	wg.Wait()
 	time.Sleep(2 * time.Second)
-	final, err := clients.Final(ctx, 4)
+	final, err := clients.ReadAll(ctx, 4)
 	must(err)
-	if lost := clients.History.Lost(final); len(lost) > 0 {
+	if lost := clients.History.LostWrites(final); len(lost) > 0 {
 		t.Errorf("lost writes: %v", lost)
 	}
 	all, committed, unknown := clients.History.Counts()
--- a/internal/lab/fleet/work.go
+++ b/internal/lab/fleet/work.go
@@ -29,11 +29,11 @@
 	WorkTakes = 20 * time.Millisecond
 )
 
-// WorkColdBound returns the number of parts that all coordinators together may send to a returning data node in its first second. By the
-// lab's settings a data node is overloaded at FallMultiple (2) times the parts that it can process in a second, one at a time. Its
-// capacity grows from StartCapacity (0.3) to 1 within warm; the mean over the first second counts. To that N, 3*sqrt(N)+3 is added for
-// random variation.
-func WorkColdBound(warm time.Duration) float64 { return warmupBound(WorkTakes, warm) }
+// WorkWarmupBound returns the number of parts that all coordinators together may send to a returning data node in its first second. By the
+// lab's settings a data node is overloaded at FallMultiple (2) times the parts that it can process in a second, one at a time. Its capacity
+// grows from StartCapacity (0.3) to 1 within warm; the mean over the first second counts. To that N, 3*sqrt(N)+3 is added for random
+// variation.
+func WorkWarmupBound(warm time.Duration) float64 { return warmupBound(WorkTakes, warm) }
 
 func warmupBound(takes, warm time.Duration) float64 {
 	n := 2 * (0.3 + 0.7*min(1, 0.5*float64(time.Second)/float64(warm))) * float64(time.Second) / float64(takes)
@@ -79,7 +79,7 @@
 	tallies       []Tallies         // by coordinator, outside its faults
 	lastTallies   []load.Tally      // by coordinator, at the last call of settle
 	moves         map[uint64]string // moves by number, as a coordinator first logged them
-	Faults        WorkFaults
+	Faults        WorkViolations
 	Returns       []int           // for each return of a machine, the parts sent to it in the first second after the return was observed
 	inWork        map[string]bool // machines in work in the latest plan
 	lastMove      uint64          // number of the last move
@@ -91,14 +91,14 @@
 // Tallies counts queries by their outcome.
 type Tallies struct{ Asked, Served, Lost, Wrong, Refused, Failed int }
 
-// WorkFaults counts violations of the maintenance rules, and the machines handed over.
-type WorkFaults struct {
-	SentWhileOut int      // parts sent to a machine between its handover and its return
-	FloorBroken  int      // cases of a shard with fewer replicas outside work than its floor, counted at each look
-	TwoOrders    int      // moves that two coordinators logged differently
-	HandedOver   int      // machines handed over for work; no violation
-	Overtaken    int      // machines that crashed and restarted before the work on them began; no violation
-	Said         []string // descriptions; Verdict returns the first 20
+// WorkViolations counts violations of the maintenance rules, and the machines handed over.
+type WorkViolations struct {
+	SentWhileOut        int      // parts sent to a machine between its handover and its return
+	FloorBroken         int      // cases of a shard with fewer replicas outside work than its floor, counted at each look
+	ConflictingMoves    int      // moves that two coordinators logged differently
+	HandedOver          int      // machines handed over for work; no violation
+	RestartedBeforeWork int      // machines that crashed and restarted before the work on them began; no violation
+	Violations          []string // descriptions; Verdict returns the first 20
 }
 
 // StartMaintenanceFleet starts a fleet. The caller stops it if it is not nil, also after an error.
@@ -253,8 +253,8 @@
 	c.Refused, c.Failed = c.Refused+t.Refused-m.Refused, c.Failed+t.Failed-m.Failed
 }
 
-// Clean returns the outcomes of the queries at all coordinators, except those during faults of their own coordinator.
-func (w *MaintenanceFleet) Clean() (sum Tallies) {
+// TalliesOutsideFaults returns the outcomes of the queries at all coordinators, except those during faults of their own coordinator.
+func (w *MaintenanceFleet) TalliesOutsideFaults() (sum Tallies) {
 	for i := range w.Coords {
 		w.settle(i)
 	}
--- a/internal/lab/fleet/work_hands.go
+++ b/internal/lab/fleet/work_hands.go
@@ -21,7 +21,7 @@
 			if !w.Up(i) {
 				continue
 			}
-			v, err := w.Look(ctx, i)
+			v, err := w.LocalView(ctx, i)
 			if err != nil || v.Plan == nil {
 				continue
 			}
@@ -79,7 +79,7 @@
 		if n.Started.UnixMilli() != started {
 			// It has crashed and restarted since. The restart counts as its return, so it receives parts again and must not be stopped.
 			w.mu.Lock()
-			w.Faults.Overtaken++
+			w.Faults.RestartedBeforeWork++
 			w.mu.Unlock()
 			return
 		}
@@ -93,13 +93,13 @@
 		w.mu.Lock()
 		w.Faults.HandedOver++
 		if w.Faults.SentWhileOut += sent; sent > 0 {
-			w.Faults.Said = append(w.Faults.Said, fmt.Sprintf("%d parts were sent to %s while it was out", sent, machine))
+			w.Faults.Violations = append(w.Faults.Violations, fmt.Sprintf("%d parts were sent to %s while it was out", sent, machine))
 		}
 		w.mu.Unlock()
 		n.Kill()
 		if err := w.startNode(i); err != nil {
 			w.mu.Lock()
-			w.Faults.Said = append(w.Faults.Said, err.Error())
+			w.Faults.Violations = append(w.Faults.Violations, err.Error())
 			w.mu.Unlock()
 		}
 	}
@@ -146,7 +146,7 @@
 		if left < w.o.Floor {
 			w.mu.Lock()
 			w.Faults.FloorBroken++
-			w.Faults.Said = append(w.Faults.Said, fmt.Sprintf("shard %d has %d replicas outside work, fewer than %d", shard, left, w.o.Floor))
+			w.Faults.Violations = append(w.Faults.Violations, fmt.Sprintf("shard %d has %d replicas outside work, fewer than %d", shard, left, w.o.Floor))
 			w.mu.Unlock()
 		}
 	}
@@ -166,15 +166,15 @@
 		if old, ok := w.moves[n]; !ok {
 			w.moves[n] = text
 		} else if old != text {
-			w.Faults.TwoOrders++
-			w.Faults.Said = append(w.Faults.Said, fmt.Sprintf("move %d is logged as %q and as %q", n, old, text))
+			w.Faults.ConflictingMoves++
+			w.Faults.Violations = append(w.Faults.Violations, fmt.Sprintf("move %d is logged as %q and as %q", n, old, text))
 		}
 		w.mu.Unlock()
 	}
 }
 
 // Verdict reads the logs of all running coordinators and returns the violations found so far.
-func (w *MaintenanceFleet) Verdict() WorkFaults {
+func (w *MaintenanceFleet) Verdict() WorkViolations {
 	for i, c := range w.Coords {
 		if c != nil && !w.down[i] {
 			w.collectMoves(c)
@@ -183,7 +183,7 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	f := w.Faults
-	f.Said = append([]string{}, f.Said[:min(len(f.Said), 20)]...)
+	f.Violations = append([]string{}, f.Violations[:min(len(f.Violations), 20)]...)
 	return f
 }
 
--- a/internal/lab/fleet/work_operator.go
+++ b/internal/lab/fleet/work_operator.go
@@ -13,8 +13,8 @@
 	"gullfall/internal/store"
 )
 
-// Ask requests maintenance at a coordinator, as an operator does.
-func (w *MaintenanceFleet) Ask(ctx context.Context, i int, a agent.Request) (p agent.Planned, err error) {
+// RequestMaintenance requests maintenance at a coordinator, as an operator does.
+func (w *MaintenanceFleet) RequestMaintenance(ctx context.Context, i int, a agent.Request) (p agent.Planned, err error) {
 	ctx, cancel := context.WithDeadline(ctx, time.Now().Add(10*time.Second))
 	defer cancel()
 	return p, admin.Call(ctx, w.socket(i), "work start", a, &p)
@@ -39,8 +39,8 @@
 	return admin.Call(ctx, w.socket(i), "store change", store.MemberChange{What: store.Remove, Name: name}, &said)
 }
 
-// Look returns a coordinator's local view of maintenance, without a read from the store's leader.
-func (w *MaintenanceFleet) Look(ctx context.Context, i int) (v agent.View, err error) {
+// LocalView returns a coordinator's local view of maintenance, without a read from the store's leader.
+func (w *MaintenanceFleet) LocalView(ctx context.Context, i int) (v agent.View, err error) {
 	ctx, cancel := context.WithDeadline(ctx, time.Now().Add(time.Second))
 	defer cancel()
 	return v, admin.Call(ctx, w.socket(i), "work look", map[string]any{"Fresh": false}, &v)
@@ -57,7 +57,7 @@
 		if !w.Up(i) {
 			continue
 		}
-		v, err := w.Look(ctx, i)
+		v, err := w.LocalView(ctx, i)
 		if err != nil {
 			continue
 		}
@@ -78,7 +78,7 @@
 			if !w.Up(i) {
 				continue
 			}
-			v, err := w.Look(ctx, i)
+			v, err := w.LocalView(ctx, i)
 			if err != nil {
 				last = err.Error()
 				continue
--- a/internal/lab/fleet/work_test.go
+++ b/internal/lab/fleet/work_test.go
@@ -47,12 +47,12 @@
 	})
 	// Two operators at two coordinators, one of whom first asks for a machine of the other's request.
 	first := agent.Request{By: "a", Zone: "a", Takes: 20 * time.Second, Back: 20 * time.Second}
-	p, err := w.Ask(ctx, 4, first)
+	p, err := w.RequestMaintenance(ctx, 4, first)
 	must(err)
-	if _, err := w.Ask(ctx, 1, agent.Request{By: "b", Machines: []string{"a-0", "b-0"}, Takes: time.Second, Back: time.Second}); err == nil {
+	if _, err := w.RequestMaintenance(ctx, 1, agent.Request{By: "b", Machines: []string{"a-0", "b-0"}, Takes: time.Second, Back: time.Second}); err == nil {
 		t.Error("a machine was accepted in two requests")
 	}
-	second, err := w.Ask(ctx, 1, agent.Request{By: "b", Zone: "b", Takes: 20 * time.Second, Back: 20 * time.Second})
+	second, err := w.RequestMaintenance(ctx, 1, agent.Request{By: "b", Zone: "b", Takes: 20 * time.Second, Back: 20 * time.Second})
 	must(err)
 	done := func(request uint64) func(agent.View) bool {
 		return func(v agent.View) bool {
@@ -89,10 +89,10 @@
 		isolated = 3
 	}
 	must(w.Isolate(isolated, proxy.Cut))
-	third, err := w.Ask(ctx, asked, agent.Request{By: "c", Machines: []string{"c-0"}, Takes: 20 * time.Second, Back: 20 * time.Second})
+	third, err := w.RequestMaintenance(ctx, asked, agent.Request{By: "c", Machines: []string{"c-0"}, Takes: 20 * time.Second, Back: 20 * time.Second})
 	must(err)
 	time.Sleep(4 * time.Second)
-	v, err := w.Look(ctx, asked)
+	v, err := w.LocalView(ctx, asked)
 	must(err)
 	if r := v.Plan.Request(third.Request); r.Steps[0].State != maintenance.Waiting {
 		t.Errorf("c-0 is %v while n%d has not seen the request", r.Steps[0].State, isolated)
@@ -101,7 +101,7 @@
 	until("the third request is done after the isolation", done(third.Request))
 
 	// All coordinators are restarted in the middle of a plan.
-	fourth, err := w.Ask(ctx, 0, agent.Request{By: "d", Zone: "c", Takes: 20 * time.Second, Back: 20 * time.Second})
+	fourth, err := w.RequestMaintenance(ctx, 0, agent.Request{By: "d", Zone: "c", Takes: 20 * time.Second, Back: 20 * time.Second})
 	must(err)
 	until("further moves are made", moved(v.Plan.Moved+8))
 	for i := range 5 {
@@ -118,15 +118,15 @@
 		t.Error("a present coordinator was forgotten")
 	}
 	must(w.Kill(4))
-	fifth, err := w.Ask(ctx, 0, agent.Request{By: "e", Machines: []string{"a-1"}, Takes: 20 * time.Second, Back: 20 * time.Second})
+	fifth, err := w.RequestMaintenance(ctx, 0, agent.Request{By: "e", Machines: []string{"a-1"}, Takes: 20 * time.Second, Back: 20 * time.Second})
 	must(err)
 	until("the killed coordinator is forgotten", func(agent.View) bool { return w.Forget(ctx, 0, fleet.PeerName(4)) == nil })
 	until("the fifth request is done", done(fifth.Request))
 	until("the store has four members", func(v agent.View) bool { return len(v.Store.Peers) == 4 })
 
 	w.EndLoad()
-	f, clean := w.Verdict(), w.Clean()
-	if f.SentWhileOut+f.FloorBroken+f.TwoOrders > 0 || len(f.Said) > 0 || f.HandedOver < 13 {
+	f, clean := w.Verdict(), w.TalliesOutsideFaults()
+	if f.SentWhileOut+f.FloorBroken+f.ConflictingMoves > 0 || len(f.Violations) > 0 || f.HandedOver < 13 {
 		t.Errorf("%+v", f)
 	}
 	if clean.Lost+clean.Wrong > 0 || clean.Asked == 0 {
--- a/internal/lab/fleet/zonecases.go
+++ b/internal/lab/fleet/zonecases.go
@@ -28,7 +28,7 @@
 type ZonePlay struct {
 	*Zones
 	Steady     float64       // parts per second and data node before the fault
-	ColdBound  float64       // see ZoneColdBound
+	ColdBound  float64       // see ZoneWarmupBound
 	MostReturn int           // most parts at one data node in the second after a returning zone received its first part
 	Leave      time.Duration // longest time from a fault to the verdict "out"
 	Return     time.Duration // longest time from the end of a fault to the verdict "healthy"
@@ -275,8 +275,8 @@
 	Broken     string  `json:"broken,omitempty"`
 }
 
-// PlayZones runs a case on a new fleet.
-func PlayZones(ctx context.Context, c ZoneCase, o ZonesOptions) (r ZoneResult, err error) {
+// RunZoneCase runs a case on a new fleet.
+func RunZoneCase(ctx context.Context, c ZoneCase, o ZonesOptions) (r ZoneResult, err error) {
 	r.Name = c.Name
 	if o.Zones, o.Store, o.Gossip, o.NoLoad = c.Zones, c.Store, c.Gossip, c.NoLoad; len(o.Zones) == 0 {
 		o.Zones = []string{"a", "b", "c"}
@@ -306,7 +306,7 @@
 	before := count()
 	time.Sleep(2 * time.Second)
 	p.Steady = float64(count()-before) / 2 / float64(len(o.Zones)*o.PerZone)
-	p.ColdBound = ZoneColdBound()
+	p.ColdBound = ZoneWarmupBound()
 	broken := c.Play(ctx, p)
 	time.Sleep(500 * time.Millisecond)
 	z.EndLoad()
--- a/internal/lab/fleet/zones.go
+++ b/internal/lab/fleet/zones.go
@@ -31,10 +31,10 @@
 	zoneWarm  = 5 * time.Second // WarmAfterS in Settings
 )
 
-// ZoneColdBound returns the number of parts that all coordinators together may send to a returning data node in its first second; see
-// WorkColdBound. With verdicts on single data nodes only, and so no paced return of the zone, a data node receives about 47 at 20 queries
+// ZoneWarmupBound returns the number of parts that all coordinators together may send to a returning data node in its first second; see
+// WorkWarmupBound. With verdicts on single data nodes only, and so no paced return of the zone, a data node receives about 47 at 20 queries
 // per second and coordinator.
-func ZoneColdBound() float64 { return warmupBound(ZoneTakes, zoneWarm) }
+func ZoneWarmupBound() float64 { return warmupBound(ZoneTakes, zoneWarm) }
 
 // ZonesOptions configure Zones.
 type ZonesOptions struct {
--- a/internal/lab/fleet/zones_test.go
+++ b/internal/lab/fleet/zones_test.go
@@ -22,7 +22,7 @@
 		t.Run(c.Name, func(t *testing.T) {
 			ctx, cancel := context.WithDeadline(t.Context(), time.Now().Add(2*time.Minute))
 			defer cancel()
-			r, err := fleet.PlayZones(ctx, c, fleet.ZonesOptions{Coordinators: 5, PerZone: 4, Rate: 20, Binary: binary, Seed: 1})
+			r, err := fleet.RunZoneCase(ctx, c, fleet.ZonesOptions{Coordinators: 5, PerZone: 4, Rate: 20, Binary: binary, Seed: 1})
 			if err != nil || r.Broken != "" {
 				t.Errorf("%s %v", r.Broken, err)
 			}
--- a/internal/lab/linearizability/linearizability.go
+++ b/internal/lab/linearizability/linearizability.go
@@ -19,7 +19,7 @@
 const (
 	Get Kind = iota
 	Put
-	Swap // compare-and-swap: writes Value if the current value is Old
+	CompareAndSwap // compare-and-swap: writes Value if the current value is Old
 )
 
 // Op is one operation on one key. Written values must be unique and not empty; the empty value stands for a key without a value.
@@ -28,7 +28,7 @@
 	Kind       Kind
 	Key        string
 	Old, Value string // for Get, Value is the value read
-	Done       bool   // Swap only: the current value was Old, and Value was written
+	Swapped    bool   // CompareAndSwap only: the current value was Old, and Value was written
 	Unknown    bool   // no answer arrived, so the effect is unknown
 	Call, End  time.Duration
 }
@@ -54,7 +54,7 @@
 		switch {
 		case o.Unknown:
 			unknown++
-		case o.Kind == Put || o.Kind == Swap && o.Done:
+		case o.Kind == Put || o.Kind == CompareAndSwap && o.Swapped:
 			committed++
 		}
 	}
@@ -88,7 +88,7 @@
 			return true, o.Value
 		case o.Unknown:
 			return true, now
-		case o.Done:
+		case o.Swapped:
 			return now == o.Old, o.Value
 		}
 		return now != o.Old, now
@@ -119,10 +119,10 @@
 	return false, false
 }
 
-// Lost describes the keys whose final value shows that an acknowledged write was lost: the write was called after the write of the final
-// value had returned, or no write of that value is known. A final value whose write had no answer is not reported, because that write
-// may have taken effect late.
-func (h *History) Lost(final map[string]string) (lost []string) {
+// LostWrites describes the keys whose final value shows that an acknowledged write was lost: the write was called after the write of
+// the final value had returned, or no write of that value is known. A final value whose write had no answer is not reported, because
+// that write may have taken effect late.
+func (h *History) LostWrites(final map[string]string) (lost []string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for key, value := range final {
@@ -152,7 +152,7 @@
 // lastWriteOf returns the last write of a value to a key that may have taken effect, or nil if there is none.
 func (h *History) lastWriteOf(key, value string) (written *Op) {
 	for i, o := range h.ops {
-		if o.Key == key && o.Value == value && (o.Kind == Put || o.Kind == Swap && (o.Done || o.Unknown)) {
+		if o.Key == key && o.Value == value && (o.Kind == Put || o.Kind == CompareAndSwap && (o.Swapped || o.Unknown)) {
 			written = &h.ops[i]
 		}
 	}
@@ -161,5 +161,5 @@
 
 // acknowledgedWrite reports whether an operation certainly wrote its value.
 func (o *Op) acknowledgedWrite() bool {
-	return !o.Unknown && (o.Kind == Put || o.Kind == Swap && o.Done)
+	return !o.Unknown && (o.Kind == Put || o.Kind == CompareAndSwap && o.Swapped)
 }
