--- a/internal/lab/datanode/datanode.go
+++ b/internal/lab/datanode/datanode.go
@@ -1,7 +1,7 @@
 package datanode
 
-// This file owns one stand-in data node: its listener, its connections, and how long it takes for a part. Its doc for a
-// part is made from the shard alone, so that every answer can be checked. It must never outlive its Kill.
+// A simulated data node: its listener, its connections and its service time. The document for a part is computed from
+// the shard alone, so that every answer can be checked. A node must not serve after Kill.
 
 import (
 	"fmt"
@@ -16,19 +16,19 @@
 	"google.golang.org/grpc"
 )
 
-// Doc is what every data node answers for a shard.
+// Doc returns the document with which every data node answers for a shard.
 func Doc(shard int) string { return fmt.Sprintf("%016x", uint64(shard+1)*0x9e3779b97f4a7c15) }
 
-// Node is one stand-in data node.
+// Node is one simulated data node.
 type Node struct {
 	ID     string
 	Cell   int
-	Proto  string // frames or flight
+	Proto  string // "frames" or "flight"
 	Ledger *Ledger
-	Takes  time.Duration // on average, for a part
-	Fill   int           // bytes by which its documents are longer
+	Takes  time.Duration // average service time of a part
+	Fill   int           // minimum size of a document, in bytes; 0 sends the plain Doc
 
-	Started  time.Time // of the process that it stands for
+	Started  time.Time // start of the simulated process
 	addr     string
 	draining atomic.Bool
 
@@ -39,7 +39,7 @@
 	down  bool
 }
 
-// doc is what it answers for a shard: moves of a game over and over, where it is to be long.
+// doc returns the document for a shard, padded with generated chess moves up to Fill bytes.
 func (n *Node) doc(shard int) string {
 	if n.Fill == 0 {
 		return Doc(shard)
@@ -52,19 +52,19 @@
 	return b.String()
 }
 
-// Addr is where it listens; it stays the same over Kill and Start.
+// Addr returns the listen address; it stays the same across Kill and Start.
 func (n *Node) Addr() string { return n.addr }
 
-// Drain sets whether parts are turned away.
+// Drain sets whether new parts are rejected.
 func (n *Node) Drain(on bool) { n.draining.Store(on) }
 
-// Start listens, on the address that it had before if there was one.
+// Start listens, on the previous address if there was one.
 func (n *Node) Start() error {
-	want := n.addr
-	if want == "" {
-		want = "127.0.0.1:0"
+	address := n.addr
+	if address == "" {
+		address = "127.0.0.1:0"
 	}
-	ln, err := net.Listen("tcp", want)
+	ln, err := net.Listen("tcp", address)
 	if err != nil {
 		return err
 	}
@@ -83,9 +83,9 @@
 	return nil
 }
 
-// Kill ends it as a crash would: all connections break.
+// Kill stops the node as a crash would: all connections break.
 func (n *Node) Kill() {
-	n.Ledger.Cut(n.ID) // before anyone can know of it
+	n.Ledger.Cut(n.ID) // before a coordinator can see the broken connections
 	defer n.Ledger.Cut(n.ID)
 	n.mu.Lock()
 	n.down = true
@@ -121,27 +121,27 @@
 	}
 }
 
-// pause is how long a part takes: between a half and one and a half of the average.
-func (n *Node) pause() time.Duration {
+// serviceTime returns a random service time for a part, between 0.5 and 1.5 times the average.
+func (n *Node) serviceTime() time.Duration {
 	return time.Duration(float64(n.Takes) * (0.5 + rand.Float64()))
 }
 
-// outs are the parts that are out on a connection or stream, by id, with what will answer them.
-type outs map[string]*time.Timer
+// activeParts holds the parts in progress on a connection or stream: the timer that sends the answer, by part id.
+type activeParts map[string]*time.Timer
 
-// end notes that a part is over; it tells whether it was out.
-func (o outs) end(n *Node, id string) bool {
-	t, was := o[id]
-	if was {
+// end stops a part and records its end; it reports whether the part was in progress.
+func (a activeParts) end(n *Node, id string) bool {
+	t, active := a[id]
+	if active {
 		t.Stop()
-		delete(o, id)
+		delete(a, id)
 		n.Ledger.End(n.ID, id)
 	}
-	return was
+	return active
 }
 
-func (o outs) endAll(n *Node) {
-	for id := range o {
-		o.end(n, id)
+func (a activeParts) endAll(n *Node) {
+	for id := range a {
+		a.end(n, id)
 	}
 }
--- a/internal/lab/datanode/flight.go
+++ b/internal/lab/datanode/flight.go
@@ -17,13 +17,13 @@
 	"gullfall/internal/flight"
 )
 
-// flightNode speaks Arrow Flight.
+// flightNode serves a Node over Arrow Flight.
 type flightNode struct {
 	arrowflight.BaseFlightServer
 	n *Node
 }
 
-// DoGet answers for one part.
+// DoGet answers one part.
 func (f *flightNode) DoGet(t *arrowflight.Ticket, stream arrowflight.FlightService_DoGetServer) error {
 	var ticket flight.PartTicket
 	if err := json.Unmarshal(t.Ticket, &ticket); err != nil {
@@ -36,7 +36,7 @@
 		return status.Error(codes.ResourceExhausted, "draining")
 	}
 	select {
-	case <-time.After(n.pause()):
+	case <-time.After(n.serviceTime()):
 	case <-stream.Context().Done():
 		return stream.Context().Err()
 	}
@@ -48,20 +48,20 @@
 	defer rec.Release()
 	w := arrowflight.NewRecordWriter(stream, ipc.WithSchema(flight.Schema))
 	defer w.Close()
-	n.Ledger.End(n.ID, ticket.ID) // before the answer can be read
+	n.Ledger.End(n.ID, ticket.ID) // before the coordinator can read the answer
 	return w.WriteWithAppMetadata(rec, nil)
 }
 
-// exchange is a stream on which calls come.
+// exchange is a DoExchange stream that carries calls.
 type exchange struct {
 	node   *Node
 	writer *arrowflight.Writer
 
-	mu  sync.Mutex // guards out, and orders what is written
-	out outs
+	mu     sync.Mutex // guards active, and serializes writes
+	active activeParts
 }
 
-// DoExchange answers for the parts of calls.
+// DoExchange answers the parts of the calls on a stream.
 func (f *flightNode) DoExchange(stream arrowflight.FlightService_DoExchangeServer) error {
 	first, err := stream.Recv()
 	if err != nil {
@@ -70,7 +70,7 @@
 	if path := first.GetFlightDescriptor().GetPath(); len(path) != 1 || path[0] != flight.PartsPath {
 		return status.Error(codes.InvalidArgument, "only parts")
 	}
-	e := &exchange{node: f.n, writer: arrowflight.NewRecordWriter(stream, ipc.WithSchema(flight.Schema)), out: outs{}}
+	e := &exchange{node: f.n, writer: arrowflight.NewRecordWriter(stream, ipc.WithSchema(flight.Schema)), active: activeParts{}}
 	defer e.close()
 	for message := first; ; {
 		var request flight.CallRequest
@@ -91,23 +91,23 @@
 func (e *exchange) close() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.out.endAll(e.node)
+	e.active.endAll(e.node)
 }
 
-// handle begins the parts of a call, or ends one that is cancelled.
+// handle starts the parts of a call, or ends a cancelled part.
 func (e *exchange) handle(request flight.CallRequest) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if request.Cancel != "" {
-		e.out.end(e.node, request.Cancel)
+		e.active.end(e.node, request.Cancel)
 	}
 	for _, part := range request.Parts {
-		e.begin(part)
+		e.startPart(part)
 	}
 }
 
-// begin works on a part, or turns it away while the data node drains. The caller holds the lock.
-func (e *exchange) begin(part flight.PartRequest) {
+// startPart starts work on a part, or rejects it while the data node is draining. The caller holds the lock.
+func (e *exchange) startPart(part flight.PartRequest) {
 	n := e.node
 	n.Ledger.Begin(n.ID, part.ID)
 	if n.draining.Load() {
@@ -115,16 +115,17 @@
 		e.write(0, "", flight.PartResponse{ID: part.ID, Status: codes.ResourceExhausted.String()})
 		return
 	}
-	e.out[part.ID] = time.AfterFunc(n.pause(), func() {
+	e.active[part.ID] = time.AfterFunc(n.serviceTime(), func() {
 		e.mu.Lock()
 		defer e.mu.Unlock()
-		if e.out.end(n, part.ID) {
+		if e.active.end(n, part.ID) {
 			e.write(part.Shard, n.doc(part.Shard), flight.PartResponse{ID: part.ID, Last: true})
 		}
 	})
 }
 
-// write sends a batch with a document, or with none. The caller holds the lock. An error shows in the next read.
+// write sends a batch with a document, or an empty one if doc is empty. The caller holds the lock. A write error is ignored:
+// the next read returns it.
 func (e *exchange) write(shard int, doc string, m flight.PartResponse) {
 	builder := array.NewRecordBuilder(memory.DefaultAllocator, flight.Schema)
 	defer builder.Release()
@@ -134,11 +135,11 @@
 	}
 	batch := builder.NewRecordBatch()
 	defer batch.Release()
-	raw, _ := json.Marshal(m) // it has no field that can't be encoded
+	raw, _ := json.Marshal(m) // every field can be encoded
 	_ = e.writer.WriteWithAppMetadata(batch, raw)
 }
 
-// DoAction answers a probe.
+// DoAction answers a load probe with a fixed utilization.
 func (f *flightNode) DoAction(a *arrowflight.Action, stream arrowflight.FlightService_DoActionServer) error {
 	if a.Type != flight.LoadAction {
 		return status.Error(codes.Unimplemented, "only load")
--- a/internal/lab/datanode/frames.go
+++ b/internal/lab/datanode/frames.go
@@ -13,18 +13,18 @@
 	"time"
 )
 
-// frameConn is a connection of a data node that speaks frames.
+// frameConn is a connection of a data node that uses the frame protocol.
 type frameConn struct {
 	node *Node
 	conn net.Conn
 
-	mu  sync.Mutex // guards out, and orders what is written
-	out outs
+	mu     sync.Mutex // guards active, and serializes writes
+	active activeParts
 }
 
-// serve speaks frames on a connection until it ends.
+// serve reads and handles frames on a connection until it ends.
 func (n *Node) serve(nc net.Conn) {
-	c := &frameConn{node: n, conn: nc, out: outs{}}
+	c := &frameConn{node: n, conn: nc, active: activeParts{}}
 	defer c.close()
 	in := bufio.NewReader(nc)
 	for {
@@ -42,7 +42,7 @@
 	}
 }
 
-// maxFrame bounds a frame of a coordinator, in bytes.
+// maxFrame is the largest frame accepted from a coordinator, in bytes.
 const maxFrame = 1 << 20
 
 func (c *frameConn) close() {
@@ -52,34 +52,34 @@
 	c.node.mu.Unlock()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.out.endAll(c.node)
+	c.active.endAll(c.node)
 }
 
-// write sends a frame. The caller holds the lock. An error shows in the next read.
+// write sends a frame. The caller holds the lock. A write error is ignored: the next read returns it.
 func (c *frameConn) write(letter byte, text string) {
 	frame := binary.LittleEndian.AppendUint32(nil, uint32(1+len(text)))
 	_, _ = c.conn.Write(append(append(frame, letter), text...))
 }
 
-// handle takes one frame; false ends the connection.
+// handle processes one frame; it returns false to end the connection.
 func (c *frameConn) handle(body []byte) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	switch body[0] {
 	case 'X':
-		c.out.end(c.node, string(body[1:]))
+		c.active.end(c.node, string(body[1:]))
 	case 'P':
 		c.write('P', "ok")
 	case 'L':
-		c.write('L', fmt.Sprintf("inflight=%d", len(c.out)))
+		c.write('L', fmt.Sprintf("inflight=%d", len(c.active)))
 	case 'Q':
-		return c.call(body[1:])
+		return c.startCall(body[1:])
 	}
 	return true
 }
 
-// call begins the parts of a call. The caller holds the lock.
-func (c *frameConn) call(rest []byte) bool {
+// startCall starts the parts of a call; it returns false if the call is malformed. The caller holds the lock.
+func (c *frameConn) startCall(rest []byte) bool {
 	for len(rest) > 0 {
 		line, after, _ := bytes.Cut(rest, []byte("\n"))
 		words := strings.Fields(string(line))
@@ -94,13 +94,13 @@
 			return false
 		}
 		rest = after[length:]
-		c.begin(words[0], shard)
+		c.startPart(words[0], shard)
 	}
 	return true
 }
 
-// begin works on a part, or turns it away while the data node drains. The caller holds the lock.
-func (c *frameConn) begin(id string, shard int) {
+// startPart starts work on a part, or rejects it while the data node is draining. The caller holds the lock.
+func (c *frameConn) startPart(id string, shard int) {
 	n := c.node
 	n.Ledger.Begin(n.ID, id)
 	if n.draining.Load() {
@@ -108,10 +108,10 @@
 		c.write('A', id+" busy 0 -\n")
 		return
 	}
-	c.out[id] = time.AfterFunc(n.pause(), func() {
+	c.active[id] = time.AfterFunc(n.serviceTime(), func() {
 		c.mu.Lock()
 		defer c.mu.Unlock()
-		if c.out.end(n, id) {
+		if c.active.end(n, id) {
 			c.write('A', id+" ok 1 -\n"+n.doc(shard))
 		}
 	})
--- a/internal/lab/datanode/ledger.go
+++ b/internal/lab/datanode/ledger.go
@@ -1,6 +1,6 @@
-// Package datanode holds stand-in data nodes of both protocols, and the ledger in which a whole fleet of them keeps what
-// the rules ask for: twin attempts, attempts of a part, and work that came after a data node was taken off the list.
-// It must never know a coordinator's code; it serves loopback only.
+// Package datanode provides simulated data nodes for both protocols, and the ledger in which a fleet of them records what
+// the retry and removal rules limit: concurrent attempts of one part, attempts per part, and work started at a data node
+// after it was taken off the list. It does not import coordinator code, and it listens on loopback only.
 package datanode
 
 import (
@@ -10,151 +10,153 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Ledger is the account of all attempts at a fleet.
+// Ledger records all attempts at the data nodes of a fleet.
 type Ledger struct {
-	mu      sync.Mutex
-	out     map[string]string // the data node at which a part is out, by part
-	tries   map[string]int
-	begun   int
-	twins   int
-	most    int
-	starts  map[string]int
-	off     map[string]time.Time // since when a data node is to get nothing new
-	last    map[string]time.Time // its last new work since then
-	after   *hdrhistogram.Histogram
-	offs    int
-	cold    map[string]time.Time
-	coldly  int // parts begun in the first second after a cold return
-	returns int
+	mu           sync.Mutex
+	open         map[string]string // data node with the open attempt, by part
+	attempts     map[string]int    // attempts, by part
+	begun        int
+	concurrent   int                     // attempts begun while another one of the same part was open
+	mostAttempts int                     // highest number of attempts of one part
+	startsByNode map[string]int          // attempts begun, by data node
+	removedAt    map[string]time.Time    // removal time, by data node that must get no new work
+	lastStart    map[string]time.Time    // last attempt begun since the removal, by data node
+	startDelay   *hdrhistogram.Histogram // time from a removal to the last attempt begun, in microseconds
+	removals     int
+	restartedAt  map[string]time.Time // restart time, by data node that is warming up
+	warmupStarts int                  // attempts begun in the first second after a restart
+	restarts     int
 }
 
 // NewLedger returns an empty ledger.
 func NewLedger() *Ledger {
-	return &Ledger{out: map[string]string{}, tries: map[string]int{}, starts: map[string]int{}, off: map[string]time.Time{},
-		last: map[string]time.Time{}, after: hdrhistogram.New(1, 600_000_000, 3), cold: map[string]time.Time{}}
+	return &Ledger{open: map[string]string{}, attempts: map[string]int{}, startsByNode: map[string]int{}, removedAt: map[string]time.Time{},
+		lastStart: map[string]time.Time{}, startDelay: hdrhistogram.New(1, 600_000_000, 3), restartedAt: map[string]time.Time{}}
 }
 
-// Begin notes that an attempt of a part has come to a data node.
+// Begin records that an attempt of a part has reached a data node.
 func (l *Ledger) Begin(node, part string) {
 	now := time.Now()
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if _, twin := l.out[part]; twin {
-		l.twins++
+	if _, open := l.open[part]; open {
+		l.concurrent++
 	}
-	l.out[part] = node
+	l.open[part] = node
 	l.begun++
-	l.starts[node]++
-	l.tries[part]++
-	l.most = max(l.most, l.tries[part])
-	if since, is := l.off[node]; is && now.After(since) {
-		l.last[node] = now
+	l.startsByNode[node]++
+	l.attempts[part]++
+	l.mostAttempts = max(l.mostAttempts, l.attempts[part])
+	if since, removed := l.removedAt[node]; removed && now.After(since) {
+		l.lastStart[node] = now
 	}
-	if at, is := l.cold[node]; is && now.Sub(at) < time.Second {
-		l.coldly++
+	if at, restarted := l.restartedAt[node]; restarted && now.Sub(at) < time.Second {
+		l.warmupStarts++
 	}
 }
 
-// End notes that an attempt is over, before the coordinator can know.
+// End records the end of an attempt. It must be called before the coordinator can see the end.
 func (l *Ledger) End(node, part string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.out[part] == node {
-		delete(l.out, part)
+	if l.open[part] == node {
+		delete(l.open, part)
 	}
 }
 
-// Cut notes that all that is out at a data node ends with its connections.
+// Cut ends all open attempts at a data node, whose connections are broken.
 func (l *Ledger) Cut(node string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for part, at := range l.out {
+	for part, at := range l.open {
 		if at == node {
-			delete(l.out, part)
+			delete(l.open, part)
 		}
 	}
 }
 
-// Out is how many attempts are out.
+// Out returns the number of open attempts.
 func (l *Ledger) Out() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return len(l.out)
+	return len(l.open)
 }
 
-// Done forgets a query's parts once its answer is in; ids are not used twice.
+// Done forgets the parts of a query that has its answer; ids are not reused.
 func (l *Ledger) Done(parts []string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, p := range parts {
-		delete(l.tries, p)
+		delete(l.attempts, p)
 	}
 }
 
-// Off notes that from now on a data node is to get nothing new.
+// Off records that a data node must get no new work from now on.
 func (l *Ledger) Off(node string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if _, is := l.off[node]; !is {
-		l.off[node] = time.Now()
-		l.offs++
+	if _, removed := l.removedAt[node]; !removed {
+		l.removedAt[node] = time.Now()
+		l.removals++
 	}
 }
 
-// On notes that a data node may get work again.
+// On records that a data node may get work again.
 func (l *Ledger) On(node string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.settle(node)
-	delete(l.cold, node)
+	l.closeRemoval(node)
+	delete(l.restartedAt, node)
 }
 
-// Restarted is On for a data node whose process runs anew, so that it is warming up.
+// Restarted is On for a data node whose process was restarted, so that it is warming up.
 func (l *Ledger) Restarted(node string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.settle(node)
-	l.cold[node] = time.Now()
-	l.returns++
+	l.closeRemoval(node)
+	l.restartedAt[node] = time.Now()
+	l.restarts++
 }
 
-// settle notes how long after its removal a data node had its last new work.
-func (l *Ledger) settle(node string) {
-	since, is := l.off[node]
-	if !is {
+// closeRemoval records the time from the removal of a data node to the last attempt begun there, if the removal is open.
+func (l *Ledger) closeRemoval(node string) {
+	since, removed := l.removedAt[node]
+	if !removed {
 		return
 	}
-	late := time.Duration(0)
-	if last, any := l.last[node]; any {
-		late = last.Sub(since)
+	delay := time.Duration(0)
+	if last, started := l.lastStart[node]; started {
+		delay = last.Sub(since)
 	}
-	_ = l.after.RecordValue(max(1, late.Microseconds()))
-	delete(l.off, node)
-	delete(l.last, node)
+	_ = l.startDelay.RecordValue(max(1, delay.Microseconds()))
+	delete(l.removedAt, node)
+	delete(l.lastStart, node)
 }
 
-// Account is what a ledger comes to.
+// Account is the summary of a ledger.
 type Account struct {
 	Begun, Twins, MostAttempts int
 	Removals                   int
-	Worst, P99, Median         time.Duration // from a removal to the last new work
-	ColdReturns, ColdParts     int           // parts begun in the first second after each cold return, together
+	Worst, P99, Median         time.Duration // time from a removal to the last attempt begun
+	ColdReturns, ColdParts     int           // restarts, and attempts begun in the first second after any of them
 	Starts                     map[string]int
 }
 
-// Account closes the removals that are open and returns what the ledger has.
+// Account closes the open removals and returns the summary.
 func (l *Ledger) Account() Account {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for node := range l.off {
-		l.settle(node)
+	for node := range l.removedAt {
+		l.closeRemoval(node)
+	}
+	us := func(q float64) time.Duration {
+		return time.Duration(l.startDelay.ValueAtQuantile(q)) * time.Microsecond
 	}
-	us := func(q float64) time.Duration { return time.Duration(l.after.ValueAtQuantile(q)) * time.Microsecond }
 	starts := map[string]int{}
-	for k, n := range l.starts {
+	for k, n := range l.startsByNode {
 		starts[k] = n
 	}
-	return Account{Begun: l.begun, Twins: l.twins, MostAttempts: l.most, Removals: l.offs,
-		Worst: time.Duration(l.after.Max()) * time.Microsecond, P99: us(99), Median: us(50),
-		ColdReturns: l.returns, ColdParts: l.coldly, Starts: starts}
+	return Account{Begun: l.begun, Twins: l.concurrent, MostAttempts: l.mostAttempts, Removals: l.removals,
+		Worst: time.Duration(l.startDelay.Max()) * time.Microsecond, P99: us(99), Median: us(50),
+		ColdReturns: l.restarts, ColdParts: l.warmupStarts, Starts: starts}
 }
--- a/internal/lab/discovery/discovery.go
+++ b/internal/lab/discovery/discovery.go
@@ -1,5 +1,6 @@
-// Package discovery is a stand-in for discovery: it tells the list of data nodes over a watch, in the platform's form,
-// and can fall silent. It must never tell a change twice under one version; loopback only.
+// Package discovery is a simulated discovery service: it sends the list of data nodes over a watch, in the platform's
+// format, and a blank line as heartbeat every two seconds without a change. Each change has a version of its own. It
+// listens on loopback only.
 package discovery
 
 import (
@@ -11,7 +12,7 @@
 	"time"
 )
 
-// Entry is one data node.
+// Entry describes one data node in the list.
 type Entry struct {
 	ID      string  `json:"id"`
 	Addr    string  `json:"addr"`
@@ -22,7 +23,7 @@
 	Started int64   `json:"started_ms"`
 }
 
-// Directory is the stand-in.
+// Directory is the discovery server and its list of data nodes.
 type Directory struct {
 	mu      sync.Mutex
 	version int64
@@ -32,7 +33,7 @@
 	addr    string
 }
 
-// Start serves on a loopback address of its own.
+// Start serves an empty list on a free loopback port.
 func Start() (*Directory, error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -44,13 +45,13 @@
 	return d, nil
 }
 
-// Addr is where it listens.
+// Addr returns the listen address.
 func (d *Directory) Addr() string { return d.addr }
 
-// Close ends it.
+// Close stops the server and closes its connections.
 func (d *Directory) Close() { d.server.Close() }
 
-// Set tells entries; State DELETED takes one out.
+// Set adds or replaces entries, all under one new version; State DELETED removes one.
 func (d *Directory) Set(list ...Entry) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -64,9 +65,9 @@
 	d.changed = make(chan struct{})
 }
 
-// ServeHTTP answers a watch with the whole list at each change.
+// ServeHTTP answers a watch: the full list at once and after each change.
 func (d *Directory) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	out := http.NewResponseController(w)
+	controller := http.NewResponseController(w)
 	for {
 		d.mu.Lock()
 		page := struct {
@@ -79,7 +80,7 @@
 		}
 		changed := d.changed
 		d.mu.Unlock()
-		if json.NewEncoder(w).Encode(page) != nil || out.Flush() != nil {
+		if json.NewEncoder(w).Encode(page) != nil || controller.Flush() != nil {
 			return
 		}
 		for quiet := true; quiet; {
@@ -89,7 +90,7 @@
 			case <-r.Context().Done():
 				return
 			case <-time.After(2 * time.Second):
-				if _, err := fmt.Fprintln(w); err != nil || out.Flush() != nil {
+				if _, err := fmt.Fprintln(w); err != nil || controller.Flush() != nil {
 					return
 				}
 			}
