--- a/internal/lab/flightsuite/suite.go
+++ b/internal/lab/flightsuite/suite.go
@@ -1,6 +1,6 @@
-// Package flightsuite is a conformance suite of the second front: a list of cases with names, each of them a few calls
-// and what must come of them. It runs against any address, from a test as from gullfall-lab. It must never depend on
-// which data nodes answer, only on what every answer must be.
+// Package flightsuite is a conformance suite for the Arrow Flight front: a list of named cases, each a few calls with
+// their expected results. It runs against any address, from tests and from gullfall-lab. Cases check only what holds for
+// every answer and do not depend on which data nodes answer.
 package flightsuite
 
 import (
@@ -29,29 +29,30 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// Env is what the cases run against.
+// Env describes the server under test.
 type Env struct {
 	Addr   string
-	Class  string                 // one whose answers are documents
-	Shards int                    // that it has; 4 or more
-	Doc    func(shard int) string // what every answer must hold; nil where it is not known
-	Users  []User                 // two of two owners, where credentials are needed; else none
-	// Window is how many bytes the server may send ahead of a reader, 64 KiB at least; 0 lets the library adapt it.
+	Class  string                 // a class whose answers are documents
+	Shards int                    // number of shards of the class; 4 or more
+	Doc    func(shard int) string // expected document of a shard; nil if unknown
+	Users  []User                 // two users of different owners if the server requires credentials; otherwise empty
+	// Window is the flow-control window: how many bytes the server may send ahead of the reader, 64 KiB or more; 0 lets the gRPC
+	// library adapt it.
 	Window int32
 }
 
-// User is one that is let in.
+// User holds the credentials of a user that the server accepts.
 type User struct{ Owner, Name, Password, Token string }
 
-// Case is one thing that must hold.
+// Case is one conformance check.
 type Case struct {
 	Name  string
-	Users bool // needs users
-	Open  bool // needs that there are none
+	Users bool // runs only if the server requires credentials
+	Open  bool // runs only if the server requires no credentials
 	Run   func(ctx context.Context, c *Client) error
 }
 
-// Client is a caller of the cases.
+// Client is the Flight client with which the cases call the server.
 type Client struct {
 	Env
 	flight.Client
@@ -59,7 +60,7 @@
 	header []string
 }
 
-// Dial opens a connection. Nothing is tried again by the library.
+// Dial opens a connection, with the gRPC library's retries turned off.
 func Dial(e Env) (*Client, error) {
 	options := []grpc.DialOption{grpc.WithDisableRetry(), grpc.WithNoProxy(), grpc.WithTransportCredentials(insecure.NewCredentials()),
 		grpc.WithDefaultCallOptions(grpc.MaxCallRecvMsgSize(16 << 20))}
@@ -73,26 +74,26 @@
 	return &Client{Env: e, Client: flight.NewClientFromConn(cc, nil), cc: cc}, nil
 }
 
-// Close ends the connection.
+// Close closes the connection.
 func (c *Client) Close() { c.cc.Close() }
 
-// As is a client whose calls carry a header.
-func (c *Client) As(header ...string) *Client { return c.as(header...) }
+// As returns a client on the same connection whose calls carry additional headers, given as key and value pairs.
+func (c *Client) As(header ...string) *Client { return c.withHeader(header...) }
 
-// Cancel gives a flight up.
+// Cancel cancels a flight.
 func (c *Client) Cancel(ctx context.Context, info *flight.FlightInfo) error {
-	_, err := c.act(ctx, flight.CancelFlightInfoActionType, &gen.CancelFlightInfoRequest{Info: info}, &gen.CancelFlightInfoResult{})
+	_, err := c.doAction(ctx, flight.CancelFlightInfoActionType, &gen.CancelFlightInfoRequest{Info: info}, &gen.CancelFlightInfoResult{})
 	return err
 }
 
-// as is As within the package.
-func (c *Client) as(header ...string) *Client {
+// withHeader implements As.
+func (c *Client) withHeader(header ...string) *Client {
 	d := *c
 	d.header = append(slices.Clone(c.header), header...)
 	return &d
 }
 
-// Context is a call's, with its headers and its time.
+// Context returns the context of one call, with the client's headers and a deadline of 5 s.
 func (c *Client) Context(ctx context.Context) (context.Context, context.CancelFunc) {
 	if len(c.header) > 0 {
 		ctx = metadata.AppendToOutgoingContext(ctx, c.header...)
@@ -100,8 +101,9 @@
 	return context.WithDeadline(ctx, time.Now().Add(5*time.Second))
 }
 
-// Question is a plain ticket for shards.
-func (c *Client) Question(more string, shards ...int) []byte {
+// Question returns a query ticket for shards, with equal weights. extraFields is JSON text of more fields, each with a
+// trailing comma.
+func (c *Client) Question(extraFields string, shards ...int) []byte {
 	var list []string
 	for _, s := range shards {
 		list = append(list, fmt.Sprintf(`{"shard":%d,"weight":%.9f}`, s, 1/float64(len(shards))))
@@ -110,21 +112,21 @@
 	if len(c.Users) == 0 {
 		owner = `"owner":"club",`
 	}
-	return fmt.Appendf(nil, `{"class":%q,%s%s"shards":[%s],"q":"c41e77d0"}`, c.Class, owner, more, strings.Join(list, ","))
+	return fmt.Appendf(nil, `{"class":%q,%s%s"shards":[%s],"q":"c41e77d0"}`, c.Class, owner, extraFields, strings.Join(list, ","))
 }
 
-// Got is what a stream has brought.
+// Got is the content of a stream, or of one answer on an exchange.
 type Got struct {
-	Docs     map[int][]string
-	Batches  int
-	Complete bool
-	Lasts    int
-	Missing  []int
-	Schema   *arrow.Schema
-	Retry    time.Duration // of a refusal on an exchange: when to come back
+	Docs        map[int][]string // by shard
+	Batches     int
+	Complete    bool
+	LastBatches int // batches marked as the last one
+	Missing     []int
+	Schema      *arrow.Schema
+	Retry       time.Duration // retry delay of a query rejected on an exchange
 }
 
-type meta struct {
+type batchMetadata struct {
 	ID       string
 	Shard    *int
 	Complete bool
@@ -140,40 +142,40 @@
 	g.Docs = map[int][]string{}
 	g.Schema = in.Schema()
 	for in.Next() {
-		var m meta
+		var m batchMetadata
 		if err := json.Unmarshal(in.LatestAppMetadata(), &m); err != nil {
 			return g, fmt.Errorf("metadata %q: %w", in.LatestAppMetadata(), err)
 		}
 		g.Batches++
 		g.Complete = m.Complete
 		if m.Last {
-			g.Lasts++
+			g.LastBatches++
 			g.Missing = m.Missing
 		}
-		if err := take(g.Docs, in.RecordBatch(), m); err != nil {
+		if err := appendDocs(g.Docs, in.RecordBatch(), m); err != nil {
 			return g, err
 		}
 	}
 	return g, in.Err()
 }
 
-func take(docs map[int][]string, rec arrow.RecordBatch, m meta) error {
+func appendDocs(docs map[int][]string, rec arrow.RecordBatch, m batchMetadata) error {
 	shards, ok := rec.Column(0).(*array.Int32)
 	values, ok2 := rec.Column(1).(*array.Binary)
 	if !ok || !ok2 {
-		return fmt.Errorf("schema %v", rec.Schema())
+		return fmt.Errorf("unexpected schema %v", rec.Schema())
 	}
 	for i := range values.Len() {
 		s := int(shards.Value(i))
 		if m.Shard != nil && *m.Shard != s {
-			return fmt.Errorf("metadata names shard %d, the row is of %d", *m.Shard, s)
+			return fmt.Errorf("metadata names shard %d, the row has shard %d", *m.Shard, s)
 		}
 		docs[s] = append(docs[s], string(values.Value(i)))
 	}
 	return nil
 }
 
-// Get fetches a ticket.
+// Get fetches the answer to a ticket.
 func (c *Client) Get(ctx context.Context, ticket []byte) (Got, error) {
 	ctx, cancel := c.Context(ctx)
 	defer cancel()
@@ -189,13 +191,13 @@
 	return Read(in)
 }
 
-// whole checks that an answer is the whole one of the shards.
-func (c *Client) whole(g Got, err error, shards ...int) error {
+// checkComplete checks that err is nil and that an answer is complete, with documents of exactly the given shards.
+func (c *Client) checkComplete(g Got, err error, shards ...int) error {
 	if err != nil {
 		return err
 	}
-	if !g.Complete || g.Lasts != 1 || len(g.Missing) > 0 {
-		return fmt.Errorf("complete %v, %d last batches, missing %v", g.Complete, g.Lasts, g.Missing)
+	if !g.Complete || g.LastBatches != 1 || len(g.Missing) > 0 {
+		return fmt.Errorf("complete %v, %d last batches, missing %v", g.Complete, g.LastBatches, g.Missing)
 	}
 	slices.Sort(shards)
 	if got := slices.Sorted(maps.Keys(g.Docs)); !slices.Equal(got, shards) {
@@ -209,18 +211,19 @@
 	return nil
 }
 
-// want checks an error's code, and that it says something. A refusal must tell when to come back.
-func want(err error, code codes.Code, words ...string) error {
+// checkStatus checks the code of an error, that its message is not empty and that it contains the words. An Unavailable error
+// must carry a retry delay.
+func checkStatus(err error, code codes.Code, words ...string) error {
 	st := status.Convert(err)
 	if st.Code() != code {
 		return fmt.Errorf("status %v (%s), want %v", st.Code(), st.Message(), code)
 	}
 	if code != codes.OK && st.Message() == "" {
-		return fmt.Errorf("status %v without words", code)
+		return fmt.Errorf("status %v without a message", code)
 	}
 	for _, w := range words {
 		if !strings.Contains(st.Message(), w) {
-			return fmt.Errorf("status %v says %q, nothing of %q", code, st.Message(), w)
+			return fmt.Errorf("status %v: message %q does not contain %q", code, st.Message(), w)
 		}
 	}
 	if code == codes.Unavailable {
@@ -229,28 +232,28 @@
 				return nil
 			}
 		}
-		return fmt.Errorf("a refusal that does not say when to come back: %q", st.Message())
+		return fmt.Errorf("status Unavailable without a retry delay: %q", st.Message())
 	}
 	return nil
 }
 
-func command(raw []byte) *flight.FlightDescriptor {
+func commandDescriptor(raw []byte) *flight.FlightDescriptor {
 	return &flight.FlightDescriptor{Type: flight.DescriptorCMD, Cmd: raw}
 }
 
-func path(words ...string) *flight.FlightDescriptor {
+func pathDescriptor(words ...string) *flight.FlightDescriptor {
 	return &flight.FlightDescriptor{Type: flight.DescriptorPATH, Path: words}
 }
 
-// info is GetFlightInfo.
-func (c *Client) info(ctx context.Context, d *flight.FlightDescriptor) (*flight.FlightInfo, error) {
+// getFlightInfo calls GetFlightInfo with the client's headers and deadline.
+func (c *Client) getFlightInfo(ctx context.Context, d *flight.FlightDescriptor) (*flight.FlightInfo, error) {
 	ctx, cancel := c.Context(ctx)
 	defer cancel()
 	return c.GetFlightInfo(ctx, d)
 }
 
-// act is DoAction with one result, whose trailing header is returned too.
-func (c *Client) act(ctx context.Context, kind string, body, result proto.Message) (cookie string, err error) {
+// doAction calls DoAction, reads one result and returns the session cookie from the response header, if any.
+func (c *Client) doAction(ctx context.Context, kind string, body, result proto.Message) (cookie string, err error) {
 	raw, err := proto.Marshal(body)
 	if err != nil {
 		return "", err
@@ -271,16 +274,16 @@
 	return cookie, proto.Unmarshal(r.GetBody(), result)
 }
 
-// Exchange is one stream of many questions.
+// Exchange is a DoExchange stream for many queries.
 type Exchange struct {
-	c      *Client
-	stream flight.FlightService_DoExchangeClient
-	cancel context.CancelFunc
-	mu     sync.Mutex // guards sending
-	begun  bool
+	c       *Client
+	stream  flight.FlightService_DoExchangeClient
+	cancel  context.CancelFunc
+	mu      sync.Mutex // guards sends on the stream, and started
+	started bool
 }
 
-// Begin opens an exchange for the class.
+// Begin opens an exchange.
 func (c *Client) Begin(ctx context.Context) (*Exchange, error) {
 	if len(c.header) > 0 {
 		ctx = metadata.AppendToOutgoingContext(ctx, c.header...)
@@ -294,34 +297,34 @@
 	return &Exchange{c: c, stream: stream, cancel: cancel}, nil
 }
 
-// Ask sends a question.
+// Ask sends a query. The first one also names the class.
 func (e *Exchange) Ask(raw []byte) error {
 	m := &flight.FlightData{AppMetadata: raw}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if !e.begun {
-		m.FlightDescriptor, e.begun = path(e.c.Class), true
+	if !e.started {
+		m.FlightDescriptor, e.started = pathDescriptor(e.c.Class), true
 	}
 	return e.stream.Send(m)
 }
 
-// AskAll sends questions one after the other, and that there are no more.
-func (e *Exchange) AskAll(questions ...[]byte) error {
-	for _, question := range questions {
-		if err := e.Ask(question); err != nil {
+// AskAll sends queries in order and then closes the sending side.
+func (e *Exchange) AskAll(queries ...[]byte) error {
+	for _, query := range queries {
+		if err := e.Ask(query); err != nil {
 			return err
 		}
 	}
 	return e.Done()
 }
 
-// Done says that no more questions come.
+// Done closes the sending side: no more queries follow.
 func (e *Exchange) Done() error { return e.stream.CloseSend() }
 
-// Leave ends the exchange at once.
+// Leave cancels the exchange at once.
 func (e *Exchange) Leave() { e.cancel() }
 
-// Answers reads until the exchange ends; each tells of one query's end. Answers with batches have code OK.
+// Answers reads until the exchange ends and calls each at the end of every query. Answers with batches have code OK.
 func (e *Exchange) Answers(each func(id string, code string, g Got)) error {
 	in, err := flight.NewRecordReader(e.stream)
 	if errors.Is(err, io.EOF) {
@@ -332,7 +335,7 @@
 	defer in.Release()
 	open := map[string]*Got{}
 	for in.Next() {
-		var m meta
+		var m batchMetadata
 		if err := json.Unmarshal(in.LatestAppMetadata(), &m); err != nil {
 			return fmt.Errorf("metadata %q: %w", in.LatestAppMetadata(), err)
 		}
@@ -345,11 +348,11 @@
 			g = &Got{Docs: map[int][]string{}}
 			open[m.ID] = g
 		}
-		if err := take(g.Docs, in.RecordBatch(), m); err != nil {
+		if err := appendDocs(g.Docs, in.RecordBatch(), m); err != nil {
 			return err
 		}
 		if g.Complete = m.Complete; m.Last {
-			g.Lasts, g.Missing = 1, m.Missing
+			g.LastBatches, g.Missing = 1, m.Missing
 			delete(open, m.ID)
 			each(m.ID, "OK", *g)
 		}
@@ -360,7 +363,7 @@
 	return in.Err()
 }
 
-// Result is what became of a case.
+// Result is the outcome of a case.
 type Result struct {
 	Name    string `json:"name"`
 	Passed  bool   `json:"passed"`
@@ -383,7 +386,7 @@
 	return list
 }
 
-// runCase runs one case on a connection of its own; a panic of the case is its fault.
+// runCase runs one case on a connection of its own; a panic is returned as an error.
 func runCase(ctx context.Context, e Env, c Case) (err error) {
 	defer func() {
 		if cause := recover(); cause != nil {
@@ -401,16 +404,16 @@
 	return c.Run(ctx, client)
 }
 
-// basic is the authorization header of a user's name and password.
-func basic(u User) string {
+// basicAuth returns the Basic authorization header for a user's name and password.
+func basicAuth(u User) string {
 	return "Basic " + base64.StdEncoding.EncodeToString([]byte(u.Name+":"+u.Password))
 }
 
-// Session opens a session with options and returns a client whose calls are of it.
+// Session opens a session with options and returns a client whose calls belong to it.
 func (c *Client) Session(ctx context.Context, set map[string]*gen.SessionOptionValue) (*Client, error) {
-	cookie, err := c.act(ctx, flight.SetSessionOptionsActionType, &gen.SetSessionOptionsRequest{SessionOptions: set}, &gen.SetSessionOptionsResult{})
+	cookie, err := c.doAction(ctx, flight.SetSessionOptionsActionType, &gen.SetSessionOptionsRequest{SessionOptions: set}, &gen.SetSessionOptionsResult{})
 	if err != nil {
 		return nil, err
 	}
-	return c.as("cookie", cookie), nil
+	return c.withHeader("cookie", cookie), nil
 }
