--- a/internal/lab/nameserver/nameserver.go
+++ b/internal/lab/nameserver/nameserver.go
@@ -1,7 +1,7 @@
-// Package nameserver is a stand-in authoritative DNS server for tests, the demo and measurements: its zone holds
-// DNS-SD records and is changed by a script while it is asked (RFC 1035, 1995, 1996, 2308, 5936, 6763, 8945). It serves
-// UDP and TCP on one loopback address. It must never be used for anything but loopback, and does what a script says
-// even where a sound server would not.
+// Package nameserver is an authoritative DNS server with fault injection for tests, the demo and the benchmarks: its
+// zone holds DNS-SD records and is changed by a script while it serves (RFC 1035, 1995, 1996, 2308, 5936, 6763, 8945).
+// It serves UDP and TCP on one loopback address, and must not be used beyond loopback: a script can make it violate the
+// protocol.
 package nameserver
 
 import (
@@ -20,20 +20,20 @@
 
 // Instance is one service instance, with the records that describe it.
 type Instance struct {
-	Label            string // not escaped
-	Service          string // as _dn._tcp
+	Label            string // without DNS escapes
+	Service          string // such as _dn._tcp
 	Addr             netip.AddrPort
 	Priority, Weight uint16
 	Text             []string
 }
 
-// change is what has happened to a zone from one serial to the next.
+// change holds the records removed and added between two consecutive serials of a zone.
 type change struct {
-	from, to    uint32
-	gone, added []dns.RR
+	from, to       uint32
+	removed, added []dns.RR
 }
 
-// Zone is the contents of a zone; several servers may serve it.
+// Zone holds the contents of a DNS zone; several servers may serve it.
 type Zone struct {
 	Apex string
 	TTL  uint32
@@ -42,9 +42,9 @@
 	serial    uint32
 	instances map[string]Instance
 	history   []change
-	index     map[string][]dns.RR // by name in lower case; nil where it must be made anew
+	index     map[string][]dns.RR // by name in lower case; nil if it must be rebuilt
 	exists    map[string]bool     // names with records at or below them
-	targets   []string            // told by NOTIFY
+	targets   []string            // addresses that get a NOTIFY of each change
 	key       *dnssd.Key
 }
 
@@ -53,10 +53,11 @@
 	return &Zone{Apex: dns.Fqdn(apex), TTL: ttl, serial: 1, instances: map[string]Instance{}}
 }
 
-// mostHistory is how many changes a server can tell by IXFR.
-const mostHistory = 256
+// maxHistory is the number of changes kept for IXFR.
+const maxHistory = 256
 
-// Notify names an address that is told of each change, signed where the key is given.
+// Notify adds an address that gets a NOTIFY of each change. The key of the last call, if not
+// nil, signs the messages to all addresses.
 func (z *Zone) Notify(addr string, key *dnssd.Key) {
 	z.mu.Lock()
 	defer z.mu.Unlock()
@@ -66,7 +67,7 @@
 // Set adds or changes instances, all under one new serial.
 func (z *Zone) Set(list ...Instance) { z.edit(list, nil) }
 
-// Remove takes instances out, all under one new serial.
+// Remove removes instances, all under one new serial.
 func (z *Zone) Remove(labels ...string) { z.edit(nil, labels) }
 
 func (z *Zone) edit(set []Instance, remove []string) {
@@ -78,19 +79,19 @@
 	}
 	for _, label := range remove {
 		if old, ok := z.instances[label]; ok {
-			c.gone = append(c.gone, z.records(old)...)
+			c.removed = append(c.removed, z.records(old)...)
 			delete(z.instances, label)
 		}
 	}
 	for _, i := range set {
 		if old, ok := z.instances[i.Label]; ok {
-			c.gone = append(c.gone, z.records(old)...)
+			c.removed = append(c.removed, z.records(old)...)
 		}
 		c.added = append(c.added, z.records(i)...)
 		z.instances[i.Label] = i
 	}
 	z.serial = c.to
-	if z.history = append(z.history, c); len(z.history) > mostHistory {
+	if z.history = append(z.history, c); len(z.history) > maxHistory {
 		z.history = z.history[1:]
 	}
 	targets, key, serial := slices.Clone(z.targets), z.key, z.serial
@@ -100,7 +101,7 @@
 	}
 }
 
-// Get is an instance as it stands.
+// Get returns an instance and reports whether it exists.
 func (z *Zone) Get(label string) (Instance, bool) {
 	z.mu.Lock()
 	defer z.mu.Unlock()
@@ -108,21 +109,21 @@
 	return i, ok
 }
 
-// SetSerial moves the serial, back too; there is no history to it.
+// SetSerial sets the serial, forward or back, and clears the IXFR history.
 func (z *Zone) SetSerial(serial uint32) {
 	z.mu.Lock()
 	defer z.mu.Unlock()
 	z.serial, z.history = serial, nil
 }
 
-// Serial is the zone's serial.
+// Serial returns the zone's serial.
 func (z *Zone) Serial() uint32 {
 	z.mu.Lock()
 	defer z.mu.Unlock()
 	return z.serial
 }
 
-// Clone is a copy that changes by itself: what a second server holds that differs.
+// Clone returns an independent copy without history and NOTIFY targets, for a second server whose contents differ.
 func (z *Zone) Clone() *Zone {
 	z.mu.Lock()
 	defer z.mu.Unlock()
@@ -134,7 +135,7 @@
 	return c
 }
 
-// Tell sends one NOTIFY message, whose answer is not waited for.
+// Tell sends one NOTIFY message and does not wait for the answer. A key that is not nil signs it.
 func Tell(addr, apex string, serial uint32, key *dnssd.Key) {
 	m := new(dns.Msg).SetNotify(apex)
 	m.Answer = []dns.RR{&dns.SOA{Hdr: dns.RR_Header{Name: apex, Rrtype: dns.TypeSOA, Class: dns.ClassINET}, Ns: ".", Mbox: ".", Serial: serial}}
@@ -151,20 +152,20 @@
 		raw, err = m.Pack()
 	}
 	if err == nil {
-		_, _ = nc.Write(raw) // a datagram may be lost in any case
+		_, _ = nc.Write(raw) // an error is ignored: the datagram may be lost anyway
 	}
 }
 
-func (z *Zone) head(name string, kind uint16) dns.RR_Header {
+func (z *Zone) header(name string, kind uint16) dns.RR_Header {
 	return dns.RR_Header{Name: name, Rrtype: kind, Class: dns.ClassINET, Ttl: z.TTL}
 }
 
 func (z *Zone) soa() *dns.SOA {
-	return &dns.SOA{Hdr: z.head(z.Apex, dns.TypeSOA), Ns: "ns." + z.Apex, Mbox: "hostmaster." + z.Apex, Serial: z.serial,
+	return &dns.SOA{Hdr: z.header(z.Apex, dns.TypeSOA), Ns: "ns." + z.Apex, Mbox: "hostmaster." + z.Apex, Serial: z.serial,
 		Refresh: 3600, Retry: 600, Expire: 86400, Minttl: 5}
 }
 
-// records describe an instance: PTR, SRV, TXT and the address of a host of its own.
+// records returns the records of an instance: PTR, SRV, TXT, and the address of a host name of its own.
 func (z *Zone) records(i Instance) []dns.RR {
 	kind := i.Service + "." + z.Apex
 	name, host := dnssd.Escape(i.Label)+"."+kind, dnssd.Escape(strings.ReplaceAll(i.Label, ".", "-"))+"."+z.Apex
@@ -172,17 +173,17 @@
 	if len(text) == 0 {
 		text = []string{""}
 	}
-	list := []dns.RR{&dns.PTR{Hdr: z.head(kind, dns.TypePTR), Ptr: name},
-		&dns.SRV{Hdr: z.head(name, dns.TypeSRV), Priority: i.Priority, Weight: i.Weight, Port: i.Addr.Port(), Target: host},
-		&dns.TXT{Hdr: z.head(name, dns.TypeTXT), Txt: text}}
+	list := []dns.RR{&dns.PTR{Hdr: z.header(kind, dns.TypePTR), Ptr: name},
+		&dns.SRV{Hdr: z.header(name, dns.TypeSRV), Priority: i.Priority, Weight: i.Weight, Port: i.Addr.Port(), Target: host},
+		&dns.TXT{Hdr: z.header(name, dns.TypeTXT), Txt: text}}
 	if a := i.Addr.Addr(); a.Is4() {
-		return append(list, &dns.A{Hdr: z.head(host, dns.TypeA), A: a.AsSlice()})
+		return append(list, &dns.A{Hdr: z.header(host, dns.TypeA), A: a.AsSlice()})
 	}
-	return append(list, &dns.AAAA{Hdr: z.head(host, dns.TypeAAAA), AAAA: i.Addr.Addr().AsSlice()})
+	return append(list, &dns.AAAA{Hdr: z.header(host, dns.TypeAAAA), AAAA: i.Addr.Addr().AsSlice()})
 }
 
-// all are the zone's records without its SOA, by label.
-func (z *Zone) all() (list []dns.RR) {
+// allRecords returns the zone's records without its SOA, ordered by label.
+func (z *Zone) allRecords() (list []dns.RR) {
 	labels := make([]string, 0, len(z.instances))
 	for l := range z.instances {
 		labels = append(labels, l)
@@ -194,11 +195,11 @@
 	return list
 }
 
-// find returns the records of a name, and whether it exists.
+// find returns the records of a name and reports whether the name exists.
 func (z *Zone) find(name string) ([]dns.RR, bool) {
 	if z.index == nil {
 		z.index, z.exists = map[string][]dns.RR{}, map[string]bool{strings.ToLower(z.Apex): true}
-		for _, rr := range z.all() {
+		for _, rr := range z.allRecords() {
 			n := strings.ToLower(rr.Header().Name)
 			z.index[n] = append(z.index[n], rr)
 			for labels := dns.SplitDomainName(n); len(labels) > 0; labels = labels[1:] {
@@ -209,36 +210,36 @@
 	return z.index[name], z.exists[name]
 }
 
-// Server serves a zone. What it does wrong is set by Do.
+// Server serves a zone. Do sets the faults that it injects.
 type Server struct {
 	zone *Zone
 	udp  *dns.Server
 	tcp  *dns.Server
 	addr string
 
-	mu        sync.Mutex
-	mute      bool // no answer at all
-	refuse    int  // an rcode for each question
-	lost      bool // it does not know the zone: an empty answer without authority
-	cutList   bool // lists come half, and marked as cut
-	lie       bool // answers are to another question
-	transfers bool
-	cutAfter  int      // transfers end after so many messages; below 0 for never
-	perMsg    int      // records in one message of a transfer
-	bare      bool     // lists come without what saves the next questions
-	noSOA     bool     // it refuses to tell its serial
-	extra     []dns.RR // that ride along, whatever is asked
-	asked     map[uint16]int
+	mu                sync.Mutex
+	mute              bool           // sends no answers
+	rcode             int            // error code of all answers; 0 for normal answers
+	lame              bool           // answers are empty and not authoritative, as of a lame server
+	truncateLists     bool           // PTR answers have half of the records and the TC flag
+	wrongQuestion     bool           // answers carry a question with another name
+	transfers         bool           // AXFR and IXFR are allowed
+	cutAfter          int            // number of messages after which a transfer is cut off; negative for never
+	recordsPerMessage int            // records per message of a transfer
+	omitAdditional    bool           // PTR answers have no additional records
+	refuseSOA         bool           // SOA queries are refused
+	extra             []dns.RR       // additional records of all answers
+	asked             map[uint16]int // received questions, by type
 }
 
-// Start serves a zone on a loopback address of its own. Transfers are allowed, and signed where a key is given.
+// Start serves a zone on a free loopback port. Zone transfers are allowed. Answers to signed requests are signed with the key.
 func Start(z *Zone, key *dnssd.Key) (*Server, error) {
-	s := &Server{zone: z, transfers: true, cutAfter: -1, perMsg: 100, asked: map[uint16]int{}}
+	s := &Server{zone: z, transfers: true, cutAfter: -1, recordsPerMessage: 100, asked: map[uint16]int{}}
 	secrets := map[string]string{}
 	if key != nil {
 		secrets[key.Name] = key.Secret
 	}
-	for range 20 { // a port that is free for both
+	for range 20 { // a free TCP port may be taken for UDP
 		ln, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			return nil, err
@@ -258,16 +259,16 @@
 	return nil, fmt.Errorf("no port is free for both UDP and TCP")
 }
 
-// Addr is where the server listens.
+// Addr returns the listen address.
 func (s *Server) Addr() string { return s.addr }
 
-// Close ends the server.
+// Close stops the server.
 func (s *Server) Close() {
 	s.udp.Shutdown()
 	s.tcp.Shutdown()
 }
 
-// Asked counts the questions of a type; 0 for all.
+// Asked returns the number of received questions of a type; 0 counts all types.
 func (s *Server) Asked(kind uint16) (n int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -279,21 +280,21 @@
 	return n
 }
 
-// Ride sets records that go with every answer, whatever is asked.
+// Ride sets additional records that are sent with every answer.
 func (s *Server) Ride(extra ...dns.RR) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.extra = extra
 }
 
-// ServeDNS answers one question.
+// ServeDNS answers one question, with the injected faults.
 func (s *Server) ServeDNS(w dns.ResponseWriter, q *dns.Msg) {
 	s.mu.Lock()
 	if len(q.Question) == 1 {
 		s.asked[q.Question[0].Qtype]++
 	}
-	mute, refuse, lost, cutList, lie, transfers, extra := s.mute, s.refuse, s.lost, s.cutList, s.lie, s.transfers, s.extra
-	cutAfter, perMsg, bare, noSOA := s.cutAfter, s.perMsg, s.bare, s.noSOA
+	mute, rcode, lame, truncateLists, wrongQuestion, transfers, extra := s.mute, s.rcode, s.lame, s.truncateLists, s.wrongQuestion, s.transfers, s.extra
+	cutAfter, recordsPerMessage, omitAdditional, refuseSOA := s.cutAfter, s.recordsPerMessage, s.omitAdditional, s.refuseSOA
 	s.mu.Unlock()
 	if mute || len(q.Question) != 1 {
 		return
@@ -301,26 +302,26 @@
 	a := new(dns.Msg).SetReply(q)
 	_, overTCP := w.LocalAddr().(*net.TCPAddr)
 	asked := q.Question[0]
-	moves := asked.Qtype == dns.TypeAXFR || asked.Qtype == dns.TypeIXFR
+	isTransfer := asked.Qtype == dns.TypeAXFR || asked.Qtype == dns.TypeIXFR
 	switch {
-	case refuse != 0:
-		a.Rcode = refuse
-	case noSOA && asked.Qtype == dns.TypeSOA:
+	case rcode != 0:
+		a.Rcode = rcode
+	case refuseSOA && asked.Qtype == dns.TypeSOA:
 		a.Rcode = dns.RcodeRefused
 	case q.IsTsig() != nil && w.TsigStatus() != nil:
 		a.Rcode = dns.RcodeNotAuth
-	case lost: // lame: neither an error nor authority
-	case moves && (!transfers || !overTCP):
+	case lame: // neither an error nor an authoritative answer
+	case isTransfer && (!transfers || !overTCP):
 		a.Rcode = dns.RcodeRefused
-	case moves:
-		s.transfer(w, q, cutAfter, perMsg)
+	case isTransfer:
+		s.transfer(w, q, cutAfter, recordsPerMessage)
 		return
 	default:
 		a.Authoritative = true
-		s.answer(a, asked, answerFaults{cutList: cutList, bare: bare})
+		s.answer(a, asked, answerFaults{truncateLists: truncateLists, omitAdditional: omitAdditional})
 	}
 	a.Extra = append(a.Extra, extra...)
-	if lie {
+	if wrongQuestion {
 		a.Question[0].Name = "another." + s.zone.Apex
 	}
 	size := dns.MinMsgSize
@@ -335,13 +336,14 @@
 	if t := q.IsTsig(); t != nil {
 		a.SetTsig(t.Hdr.Name, t.Algorithm, 300, time.Now().Unix())
 	}
-	_ = w.WriteMsg(a) // whoever asks asks again
+	_ = w.WriteMsg(a) // the client retries
 }
 
-// answerFaults are what is wrong with answers: a list that is cut, and none of the records that save the next questions.
-type answerFaults struct{ cutList, bare bool }
+// answerFaults are the faults of an answer: a truncated PTR list, and no additional records.
+type answerFaults struct{ truncateLists, omitAdditional bool }
 
-// answer finds the records that a question asks for, with those that save the next ones.
+// answer adds the records that answer a question. PTR answers get all SRV, TXT and address records as additional records, which
+// saves the follow-up questions (RFC 6763, section 12).
 func (s *Server) answer(a *dns.Msg, q dns.Question, faults answerFaults) {
 	z := s.zone
 	z.mu.Lock()
@@ -361,7 +363,7 @@
 			a.Answer = append(a.Answer, rr)
 		}
 	}
-	if faults.cutList && q.Qtype == dns.TypePTR {
+	if faults.truncateLists && q.Qtype == dns.TypePTR {
 		a.Answer, a.Truncated = a.Answer[:len(a.Answer)/2], true
 		return
 	}
@@ -372,8 +374,8 @@
 		}
 		return
 	}
-	if q.Qtype == dns.TypePTR && !faults.bare {
-		for _, rr := range z.all() {
+	if q.Qtype == dns.TypePTR && !faults.omitAdditional {
+		for _, rr := range z.allRecords() {
 			if rr.Header().Rrtype != dns.TypePTR {
 				a.Extra = append(a.Extra, rr)
 			}
@@ -381,12 +383,12 @@
 	}
 }
 
-// transfer sends the zone, or its changes, in messages of some records each.
-func (s *Server) transfer(w dns.ResponseWriter, q *dns.Msg, cutAfter, perMsg int) {
+// transfer sends the whole zone, or for IXFR its changes if the history has them, in messages of recordsPerMessage records.
+func (s *Server) transfer(w dns.ResponseWriter, q *dns.Msg, cutAfter, recordsPerMessage int) {
 	z := s.zone
 	z.mu.Lock()
 	soa := z.soa()
-	list := append(append([]dns.RR{soa}, z.all()...), soa)
+	list := append(append([]dns.RR{soa}, z.allRecords()...), soa)
 	if q.Question[0].Qtype == dns.TypeIXFR && len(q.Ns) == 1 {
 		if from, ok := q.Ns[0].(*dns.SOA); ok {
 			if from.Serial == z.serial {
@@ -396,7 +398,7 @@
 				for _, c := range z.history[i:] {
 					old, next := *soa, *soa
 					old.Serial, next.Serial = c.from, c.to
-					list = append(append(append(append(list, &old), c.gone...), &next), c.added...)
+					list = append(append(append(append(list, &old), c.removed...), &next), c.added...)
 				}
 				list = append(list, soa)
 			}
@@ -405,7 +407,7 @@
 	z.mu.Unlock()
 	defer w.Close()
 	n := 0
-	for part := range slices.Chunk(list, perMsg) {
+	for part := range slices.Chunk(list, recordsPerMessage) {
 		if cutAfter >= 0 && n >= cutAfter {
 			return
 		}
@@ -422,16 +424,16 @@
 	}
 }
 
-// Messages is how many messages a whole transfer takes now.
+// Messages returns the number of messages of a full transfer of the current zone.
 func (s *Server) Messages() int {
 	s.zone.mu.Lock()
 	defer s.zone.mu.Unlock()
-	return (len(s.zone.instances)*4 + 2 + s.perMsg - 1) / s.perMsg
+	return (len(s.zone.instances)*4 + 2 + s.recordsPerMessage - 1) / s.recordsPerMessage
 }
 
-// PerMessage sets how many records a message of a transfer holds.
+// PerMessage sets the number of records per message of a transfer.
 func (s *Server) PerMessage(n int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.perMsg = n
+	s.recordsPerMessage = n
 }
--- a/internal/lab/nameserver/script.go
+++ b/internal/lab/nameserver/script.go
@@ -11,15 +11,17 @@
 	"github.com/miekg/dns"
 )
 
-// Do carries out one line of a script:
+// Do runs one line of a script:
 //
-//	add LABEL ADDR [key=value ...]   an instance of _dn._tcp; priority= and weight= go to SRV, the rest to TXT
-//	remove LABEL                     drain LABEL (its TXT says so)
-//	flap LABEL PAUSE                 it vanishes, and returns after the pause
+//	add LABEL ADDR [key=value ...]   adds an instance of _dn._tcp; priority= and srvweight= go to SRV, the rest to TXT
+//	remove LABEL                     removes the instance
+//	drain LABEL                      adds state=draining to its TXT record
+//	flap LABEL PAUSE                 removes the instance and adds it again after the pause
 //	mute|refuse|servfail|lose|truncate|lie|transfer|bare|nosoa on|off
-//	serial N                         cut N (messages of a transfer; -1 for none)
+//	serial N                         sets the serial
+//	cut N                            cuts transfers off after N messages; -1 for never
 //
-// An error names the line.
+// An underscore in LABEL stands for a space. An error names the line.
 func (s *Server) Do(line string) error {
 	words := strings.Fields(line)
 	if len(words) < 2 {
@@ -37,7 +39,7 @@
 
 func scriptError(line, why string) error { return fmt.Errorf("nameserver script %q: %s", line, why) }
 
-// commands are the words of a script that are no switch. Each gets all words of its line, two at least.
+// commands are the script commands other than the on/off switches. Each gets all words of its line, at least two.
 var commands = map[string]func(s *Server, words []string) error{
 	"add": (*Server).add,
 	"remove": func(s *Server, words []string) error {
@@ -46,15 +48,15 @@
 	},
 	"drain":  (*Server).drain,
 	"flap":   (*Server).flap,
-	"serial": (*Server).serial,
-	"cut":    (*Server).cut,
+	"serial": (*Server).setSerial,
+	"cut":    (*Server).setTransferCut,
 }
 
 func labelOf(words []string) string { return strings.ReplaceAll(words[1], "_", " ") }
 
 func (s *Server) add(words []string) error {
 	if len(words) < 3 {
-		return errors.New("no address")
+		return errors.New("add needs an address")
 	}
 	addr, err := netip.ParseAddrPort(words[2])
 	if err != nil {
@@ -92,7 +94,7 @@
 func (s *Server) flap(words []string) error {
 	i, ok := s.zone.Get(labelOf(words))
 	if !ok || len(words) < 3 {
-		return fmt.Errorf("%w, or no pause", errNoInstance)
+		return fmt.Errorf("%w, or the pause is missing", errNoInstance)
 	}
 	pause, err := time.ParseDuration(words[2])
 	if err != nil {
@@ -103,7 +105,7 @@
 	return nil
 }
 
-func (s *Server) serial(words []string) error {
+func (s *Server) setSerial(words []string) error {
 	n, err := strconv.ParseUint(words[1], 10, 32)
 	if err != nil {
 		return err
@@ -112,7 +114,7 @@
 	return nil
 }
 
-func (s *Server) cut(words []string) error {
+func (s *Server) setTransferCut(words []string) error {
 	n, err := strconv.Atoi(words[1])
 	if err != nil {
 		return err
@@ -123,26 +125,26 @@
 	return nil
 }
 
-// toggle turns a fault on or off.
+// toggle turns a switch on or off: a fault, or transfers.
 func (s *Server) toggle(words []string) error {
 	on := words[1] == "on"
 	if !on && words[1] != "off" {
-		return errors.New("neither on nor off")
+		return errors.New("the switch needs on or off")
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	switch words[0] {
 	case "refuse":
-		s.refuse = map[bool]int{true: dns.RcodeRefused}[on]
+		s.rcode = map[bool]int{true: dns.RcodeRefused}[on]
 		return nil
 	case "servfail":
-		s.refuse = map[bool]int{true: dns.RcodeServerFailure}[on]
+		s.rcode = map[bool]int{true: dns.RcodeServerFailure}[on]
 		return nil
 	}
-	flag, ok := map[string]*bool{"mute": &s.mute, "lose": &s.lost, "truncate": &s.cutList, "lie": &s.lie, "transfer": &s.transfers,
-		"bare": &s.bare, "nosoa": &s.noSOA}[words[0]]
+	flag, ok := map[string]*bool{"mute": &s.mute, "lose": &s.lame, "truncate": &s.truncateLists, "lie": &s.wrongQuestion, "transfer": &s.transfers,
+		"bare": &s.omitAdditional, "nosoa": &s.refuseSOA}[words[0]]
 	if !ok {
-		return errors.New("no such word")
+		return errors.New("unknown command")
 	}
 	*flag = on
 	return nil
