--- a/internal/lab/load/load.go
+++ b/internal/lab/load/load.go
@@ -1,6 +1,6 @@
-// Package load is a client of the platform's front that asks at a steady rate, whatever becomes of the answers, and
-// checks each of them. It must never ask more than its bound of open queries, nor end before all have their answer
-// or their time is over.
+// Package load is an open-loop load generator for the platform's front: it sends queries at a steady average rate,
+// whether or not earlier ones are answered, and checks each answer. It never exceeds its limit of open queries, and it
+// returns only when every query has its answer or has timed out.
 package load
 
 import (
@@ -20,33 +20,35 @@
 	"gullfall/internal/lab/datanode"
 )
 
-// Class is one kind of query that is asked.
+// Class describes one class of queries in the load.
 type Class struct {
 	Name     string
-	Parts    int
-	Share    float64 // of all queries
+	Parts    int     // shards per query
+	Share    float64 // fraction of all queries
 	Deadline time.Duration
 }
 
-// Tally is what became of a class's queries.
+// Tally counts the outcomes of a class's queries.
 type Tally struct {
+	// Refused counts the statuses 429 and 503, Failed other errors by status. Lost counts requests that failed, or took longer
+	// than the deadline plus answerSlack. Partial and Wrong answers count as Served too.
 	Asked, Served, Partial, Refused, Failed, Lost, Wrong int
 	took                                                 *hdrhistogram.Histogram
 }
 
-// Quantile is a latency of those that were served.
+// Quantile returns a latency quantile of the served queries; q is in percent.
 func (t *Tally) Quantile(q float64) time.Duration {
 	return time.Duration(t.took.ValueAtQuantile(q)) * time.Microsecond
 }
 
-// Load asks queries. Its fields are set before Run.
+// Load generates queries. Its fields are set before Run.
 type Load struct {
-	Addr    string // of the front
+	Addr    string // address of the front
 	Owner   string
-	Rate    float64 // queries a second
+	Rate    float64 // queries per second
 	Shards  int
 	Classes []Class
-	Open    int // most queries that are open
+	Open    int // limit of open queries
 	Ledger  *datanode.Ledger
 	Seed    uint64
 
@@ -54,7 +56,7 @@
 	tallies map[string]*Tally
 }
 
-// Tally is what became of a class's queries so far; Sum that of all.
+// Tally returns a copy of a class's counts so far.
 func (l *Load) Tally(class string) Tally {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -66,7 +68,7 @@
 	return Tally{took: hdrhistogram.New(1, 60_000_000, 3)}
 }
 
-// Sum is what became of all queries so far.
+// Sum returns the counts of all classes together so far.
 func (l *Load) Sum() Tally {
 	sum := Tally{took: hdrhistogram.New(1, 60_000_000, 3)}
 	for _, c := range l.Classes {
@@ -78,7 +80,7 @@
 	return sum
 }
 
-// Run asks until ctx ends, and returns once all answers are in.
+// Run sends queries until ctx ends, and returns once all of them are answered or timed out.
 func (l *Load) Run(ctx context.Context) {
 	l.mu.Lock()
 	l.tallies = map[string]*Tally{}
@@ -89,32 +91,32 @@
 	transport := &http.Transport{MaxIdleConnsPerHost: l.Open, MaxConnsPerHost: l.Open, IdleConnTimeout: 10 * time.Second}
 	defer transport.CloseIdleConnections()
 	client := &http.Client{Transport: transport}
-	chance := rand.New(rand.NewPCG(l.Seed, 1))
-	places := make(chan struct{}, l.Open)
+	rng := rand.New(rand.NewPCG(l.Seed, 1))
+	slots := make(chan struct{}, l.Open)
 	var wg sync.WaitGroup
 	next := time.Now()
 	for n := 0; ctx.Err() == nil; n++ {
-		next = next.Add(time.Duration(chance.ExpFloat64() / l.Rate * float64(time.Second)))
+		next = next.Add(time.Duration(rng.ExpFloat64() / l.Rate * float64(time.Second)))
 		select {
 		case <-time.After(time.Until(next)):
 		case <-ctx.Done():
 			continue
 		}
-		pick, class := chance.Float64(), l.Classes[0]
+		draw, class := rng.Float64(), l.Classes[0]
 		for _, c := range l.Classes {
-			if class = c; pick < c.Share {
+			if class = c; draw < c.Share {
 				break
 			}
-			pick -= c.Share
+			draw -= c.Share
 		}
-		shards := chance.Perm(l.Shards)[:class.Parts]
+		shards := rng.Perm(l.Shards)[:class.Parts]
 		select {
-		case places <- struct{}{}:
+		case slots <- struct{}{}:
 		default:
-			continue // what is out is bounded; a query that is not asked is not counted
+			continue // at the limit of open queries; a query that is not sent is not counted
 		}
 		wg.Go(func() {
-			defer func() { <-places }()
+			defer func() { <-slots }()
 			l.ask(client, fmt.Sprintf("%x-%d", l.Seed, n), class, shards)
 		})
 	}
@@ -127,7 +129,7 @@
 	Weight float64 `json:"weight"`
 }
 
-// response is what a coordinator answers.
+// response is the part of a coordinator's answer that is checked.
 type response struct {
 	Complete bool
 	Hits     []hit
@@ -138,10 +140,11 @@
 	Doc   string
 }
 
-// answerSlack is how long after its deadline an answer still counts, and how long beyond that it is waited for.
+// answerSlack is the time after its deadline within which an answer still counts, and the time beyond that until the request
+// is abandoned.
 const answerSlack = time.Second
 
-// ask asks one query and counts how it ended.
+// ask sends one query and counts its outcome.
 func (l *Load) ask(client *http.Client, id string, class Class, shards []int) {
 	var parts []string
 	for _, s := range shards {
@@ -201,25 +204,25 @@
 	return res.StatusCode, answer, err
 }
 
-// countAnswer counts an answer, and whether it has what its shards hold.
+// countAnswer counts an answer and checks it against the expected documents of its shards.
 func (t *Tally) countAnswer(took time.Duration, answer response, shards []int) {
 	t.Served++
-	_ = t.took.RecordValue(took.Microseconds()) // a value beyond the histogram's range is left out
+	_ = t.took.RecordValue(took.Microseconds()) // a value beyond the histogram's range is not recorded
 	if !answer.Complete {
 		t.Partial++
 	}
-	wanted := map[int]bool{}
+	expected := map[int]bool{}
 	for _, s := range shards {
-		wanted[s] = true
+		expected[s] = true
 	}
-	right := 0
+	correct := 0
 	for _, h := range answer.Hits {
-		if wanted[h.Shard] && h.Doc == datanode.Doc(h.Shard) {
-			right++
-			delete(wanted, h.Shard)
+		if expected[h.Shard] && h.Doc == datanode.Doc(h.Shard) {
+			correct++
+			delete(expected, h.Shard)
 		}
 	}
-	if right != len(answer.Hits) || answer.Complete != (len(wanted) == 0) {
+	if correct != len(answer.Hits) || answer.Complete != (len(expected) == 0) {
 		t.Wrong++
 	}
 }
--- a/internal/lab/proxy/packets.go
+++ b/internal/lab/proxy/packets.go
@@ -1,8 +1,7 @@
 package proxy
 
-// This file owns the fault proxy for packets: one way only, from whoever sends to its address on to the target. A pair
-// of processes that talk by packets and by connections gets one Way each way. It must never keep a packet that it was
-// told to lose, nor deliver outside loopback.
+// The fault proxy for UDP, in one direction only: from any sender to the target. Two processes that exchange packets and
+// connections get one Way in each direction. It delivers on loopback only, and never delivers a lost packet later.
 
 import (
 	"errors"
@@ -14,16 +13,16 @@
 	"time"
 )
 
-// Loss is what befalls packets.
+// Loss holds the faults of packets.
 type Loss struct {
-	Lost    float64       // share that never arrives
-	Twice   float64       // share that arrives twice
-	Delay   time.Duration // each packet's
-	Reorder time.Duration // drawn for each packet on top, so that later ones may come sooner
-	Cut     bool          // nothing arrives
+	Lost    float64       // fraction of packets that are dropped
+	Twice   float64       // fraction of packets that are sent twice
+	Delay   time.Duration // of each packet
+	Reorder time.Duration // upper bound of an additional random delay per packet, which may reorder packets
+	Cut     bool          // drops all packets
 }
 
-// Way is the way from one process to another: packets, and connections at the same port.
+// Way proxies one direction between two processes: UDP packets, and TCP connections on the same port.
 type Way struct {
 	addr   string
 	target *net.UDPAddr
@@ -36,18 +35,19 @@
 	rng    *rand.Rand
 	closed bool
 	wg     sync.WaitGroup
-	Passed int
-	Lost   int
+	Passed int // packets sent, duplicates included
+	Lost   int // packets dropped
 }
 
-// StartWay listens on a free loopback port, for packets and connections alike, on behalf of the target.
+// StartWay listens on a free loopback port for packets and connections and forwards both to the target. The seed makes the
+// random faults reproducible.
 func StartWay(target string, seed uint64) (*Way, error) {
 	ap, err := netip.ParseAddrPort(target)
 	if err != nil || !ap.Addr().IsLoopback() {
 		return nil, fmt.Errorf("proxy: target %q is not a loopback address and port", target)
 	}
 	w := &Way{target: net.UDPAddrFromAddrPort(ap), rng: rand.New(rand.NewPCG(seed, 0x9a7))}
-	for range 20 { // a port may be free for packets and taken for connections
+	for range 20 { // the free TCP port may be taken for UDP
 		if w.stream, err = Start(target); err != nil {
 			return nil, err
 		}
@@ -70,10 +70,11 @@
 	return w, nil
 }
 
-// Addr is where the target is reached by this way.
+// Addr returns the listen address, at which the target is reached through w.
 func (w *Way) Addr() string { return w.addr }
 
-// Set changes what befalls packets. Cut holds for connections too; whoever cuts the way back as well does so at the other Way.
+// Set replaces the packet faults. Cut also drops what connections send to the target; cutting the return direction as well
+// takes a Set on the other Way.
 func (w *Way) Set(l Loss) error {
 	w.mu.Lock()
 	w.loss = l
@@ -84,7 +85,7 @@
 	return w.stream.Set(Pass, 0)
 }
 
-// Stream changes what befalls connections that come by this way.
+// Stream replaces the fault of connections.
 func (w *Way) Stream(f Fault) error { return w.stream.Set(f, 0) }
 
 func (w *Way) run() {
@@ -112,7 +113,7 @@
 				wait += time.Duration(w.rng.Int64N(int64(w.loss.Reorder)))
 			}
 			if wait == 0 {
-				_, _ = w.out.Write(buf[:n]) // one that nobody takes is lost, as packets are
+				_, _ = w.out.Write(buf[:n]) // a failed write is a lost packet
 				continue
 			}
 			packet := append([]byte(nil), buf[:n]...)
@@ -122,7 +123,7 @@
 	}
 }
 
-// Close gives back both listeners and waits for what was started.
+// Close closes both listeners and waits for the receiving goroutine.
 func (w *Way) Close() {
 	w.mu.Lock()
 	w.closed = true
--- a/internal/lab/proxy/proxy.go
+++ b/internal/lab/proxy/proxy.go
@@ -1,7 +1,7 @@
-// Package proxy is the project's fault proxy: it stands between two processes on loopback and, on the word of a test,
-// passes what they send, delays it, drops it one way or both, resets their connections or cuts them off so that
-// new ones are refused. It owns its listener and every connection it has accepted or dialled, and gives them back in
-// Close. It must never listen or dial outside loopback, nor keep a byte that it was told to drop.
+// Package proxy is a fault-injecting proxy between two processes on loopback: as a test sets it, it passes data, delays
+// it, drops it in one or both directions, resets connections, or closes them and refuses new ones. It owns its listener
+// and all connections that it has accepted or dialled, and closes them in Close. It listens and dials on loopback only,
+// and never delivers dropped data later.
 package proxy
 
 import (
@@ -14,24 +14,24 @@
 	"time"
 )
 
-// Fault is what the proxy does to what passes.
+// Fault is the fault that the proxy injects.
 type Fault uint8
 
-// The faults. Drop keeps connections open and swallows what is sent, as a data node that hangs or a network that
-// loses everything; Cut closes the listener, so that connecting is refused, as a machine that is gone.
+// The faults. Drop keeps connections open and discards the data, like a hanging data node or a network that loses all
+// packets; Cut closes the listener, so that new connections are refused, as by a machine whose process has ended.
 const (
 	Pass     Fault = iota
-	Delay          // each chunk waits for the delay, in order
-	Drop           // both ways
-	DropUp         // from the one that connected to the target only
-	DropDown       // from the target to the one that connected only
-	Reset          // open connections are reset, new ones reset at once
-	Cut            // open connections are closed, new ones refused
+	Delay          // forwards each chunk after the delay, in order
+	Drop           // discards data in both directions
+	DropUp         // discards data from the client to the target only
+	DropDown       // discards data from the target to the client only
+	Reset          // resets open connections, and new ones at once
+	Cut            // closes open connections and refuses new ones
 )
 
-var names = [...]string{"pass", "delay", "drop", "drop up", "drop down", "reset", "cut"}
+var faultNames = [...]string{"pass", "delay", "drop", "drop up", "drop down", "reset", "cut"}
 
-func (f Fault) String() string { return names[f] }
+func (f Fault) String() string { return faultNames[f] }
 
 // Proxy forwards one loopback address to another.
 type Proxy struct {
@@ -39,7 +39,7 @@
 	target string
 
 	mu     sync.Mutex
-	ln     net.Listener // nil while cut
+	ln     net.Listener // nil during a Cut
 	fault  Fault
 	delay  time.Duration
 	pairs  map[*pair]bool
@@ -48,18 +48,19 @@
 	counts Counts
 }
 
-// Counts are what the proxy has seen.
+// Counts holds the proxy's connection and byte counters.
 type Counts struct {
-	Accepted, Refused, Reset int
+	Accepted, Refused, Reset int   // connections
 	Up, Down, Dropped        int64 // bytes
 }
 
+// pair is an accepted connection and its connection to the target.
 type pair struct {
-	in, out net.Conn
-	halves  int // directions that have ended; guarded by Proxy.mu
+	in, out         net.Conn
+	endedDirections int // directions that have ended; guarded by Proxy.mu
 }
 
-// Start listens on a free loopback port for the target, which must be a loopback address.
+// Start listens on a free loopback port and forwards to the target, which must be a loopback address and port.
 func Start(target string) (*Proxy, error) {
 	ap, err := netip.ParseAddrPort(target)
 	if err != nil || !ap.Addr().IsLoopback() {
@@ -75,17 +76,17 @@
 	return p, nil
 }
 
-// Addr is where the proxy listens; it stays the same across a cut.
+// Addr returns the listen address; it stays the same across a Cut.
 func (p *Proxy) Addr() string { return p.addr }
 
-// Counts tells what has passed so far.
+// Counts returns the counters so far.
 func (p *Proxy) Counts() Counts {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.counts
 }
 
-// Set changes the fault from now on; delay counts for Delay only.
+// Set replaces the current fault; delay applies to Delay only.
 func (p *Proxy) Set(f Fault, delay time.Duration) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -122,7 +123,7 @@
 	return nil
 }
 
-// reset ends both sides of a pair with a reset; the caller holds the lock.
+// reset closes both connections of a pair with a TCP reset. The caller holds the lock.
 func (p *Proxy) reset(pr *pair) {
 	for _, c := range []net.Conn{pr.in, pr.out} {
 		if tc, ok := c.(*net.TCPConn); ok {
@@ -139,7 +140,7 @@
 	for {
 		in, err := ln.Accept()
 		if err != nil {
-			return // closed by a cut or by Close
+			return // closed by Cut or by Close
 		}
 		out, err := net.Dial("tcp", p.target)
 		p.mu.Lock()
@@ -167,14 +168,14 @@
 	}
 }
 
-// direction is one way of a pair.
+// direction is one direction of a pair.
 type direction struct {
 	pair     *pair
 	to, from net.Conn
-	up       bool // from the one that connected to the target
+	up       bool // from the client to the target
 }
 
-// copy carries one direction of a pair until either side ends; the pair is given back by whichever ends first.
+// copy forwards one direction of a pair until a read or write fails, then calls endDirection.
 func (p *Proxy) copy(d direction) {
 	defer p.wg.Done()
 	buf := make([]byte, 32<<10)
@@ -186,13 +187,13 @@
 			}
 		}
 		if err != nil {
-			p.ended(d, err)
+			p.endDirection(d, err)
 			return
 		}
 	}
 }
 
-// forward passes a chunk on, late or not at all, as the fault says.
+// forward applies the current fault to a chunk: it sends the chunk, sends it late or drops it.
 func (p *Proxy) forward(d direction, chunk []byte) error {
 	p.mu.Lock()
 	fault, delay := p.fault, p.delay
@@ -216,11 +217,12 @@
 	return err
 }
 
-// ended closes a pair once a direction has ended. A half close is passed on, so that a client that only sends still gets its answer.
-func (p *Proxy) ended(d direction, err error) {
+// endDirection handles the end of a direction. The first EOF of a pair is passed on as a half close, so that a client that has
+// closed its sending side still gets its answer; otherwise the pair is closed.
+func (p *Proxy) endDirection(d direction, err error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if d.pair.halves++; errors.Is(err, io.EOF) && d.pair.halves < 2 {
+	if d.pair.endedDirections++; errors.Is(err, io.EOF) && d.pair.endedDirections < 2 {
 		if conn, ok := d.to.(*net.TCPConn); ok {
 			conn.CloseWrite()
 			return
@@ -233,7 +235,7 @@
 	}
 }
 
-// Close ends the listener and every connection, and waits for all that the proxy started.
+// Close closes the listener and all connections, and waits for the goroutines of the proxy.
 func (p *Proxy) Close() error {
 	p.mu.Lock()
 	p.closed = true
--- a/internal/lab/proxy/proxy_test.go
+++ b/internal/lab/proxy/proxy_test.go
@@ -10,8 +10,8 @@
 	"time"
 )
 
-// echo answers each line with the same line, until the test ends.
-func echo(t *testing.T) string {
+// startEchoServer returns the address of a server that echoes each line until the test ends.
+func startEchoServer(t *testing.T) string {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -39,15 +39,15 @@
 	return ln.Addr().String()
 }
 
-// step is one line of a scenario: set a fault, dial, send a line, expect its echo, expect silence, or expect an error.
+// step is one step of a scenario: set a fault, dial, send a line, expect its echo, expect no data, or expect an error.
 type step struct {
-	do    string // "set", "dial", "send", "expect", "silent", "refused", "reset"
-	fault Fault
-	delay time.Duration
-	text  string
+	action string // "set", "dial", "send", "expect", "silent", "refused", "reset", "ended"
+	fault  Fault
+	delay  time.Duration
+	text   string
 }
 
-func play(t *testing.T, p *Proxy, steps []step) {
+func runSteps(t *testing.T, p *Proxy, steps []step) {
 	t.Helper()
 	var c net.Conn
 	var r *bufio.Reader
@@ -58,7 +58,7 @@
 	}()
 	for i, s := range steps {
 		var err error
-		switch s.do {
+		switch s.action {
 		case "set":
 			err = p.Set(s.fault, s.delay)
 		case "dial":
@@ -70,11 +70,11 @@
 		case "expect":
 			c.SetReadDeadline(time.Now().Add(2 * time.Second))
 			var line string
-			begun := time.Now()
+			start := time.Now()
 			if line, err = r.ReadString('\n'); err == nil && strings.TrimSpace(line) != s.text {
 				t.Fatalf("step %d: got %q, want %q", i, line, s.text)
 			}
-			if took := time.Since(begun); err == nil && took < s.delay {
+			if took := time.Since(start); err == nil && took < s.delay {
 				t.Fatalf("step %d: the echo came after %v, before the delay of %v", i, took, s.delay)
 			}
 		case "silent":
@@ -98,7 +98,7 @@
 			}
 		}
 		if err != nil {
-			t.Fatalf("step %d (%s): %v", i, s.do, err)
+			t.Fatalf("step %d (%s): %v", i, s.action, err)
 		}
 	}
 }
@@ -113,39 +113,39 @@
 		name  string
 		steps []step
 	}{
-		{"pass", []step{{do: "dial"}, {do: "send", text: "a"}, {do: "expect", text: "a"}}},
-		{"delay", []step{{do: "set", fault: Delay, delay: 80 * time.Millisecond}, {do: "dial"}, {do: "send", text: "a"},
-			{do: "expect", text: "a", delay: 160 * time.Millisecond}}},
-		{"drop, then pass again on the same connection", []step{{do: "dial"}, {do: "set", fault: Drop}, {do: "send", text: "a"},
-			{do: "silent"}, {do: "set", fault: Pass}, {do: "send", text: "b"}, {do: "expect", text: "b"}}},
-		{"drop up", []step{{do: "dial"}, {do: "set", fault: DropUp}, {do: "send", text: "a"}, {do: "silent"}}},
-		{"drop down", []step{{do: "dial"}, {do: "set", fault: DropDown}, {do: "send", text: "a"}, {do: "silent"},
-			{do: "set", fault: Pass}, {do: "send", text: "b"}, {do: "expect", text: "b"}}},
-		{"reset", []step{{do: "dial"}, {do: "send", text: "a"}, {do: "expect", text: "a"}, {do: "set", fault: Reset},
-			{do: "reset"}}},
-		{"cut, then back on the same address", []step{{do: "dial"}, {do: "set", fault: Cut}, {do: "ended"},
-			{do: "refused"}, {do: "set", fault: Pass}, {do: "dial"}, {do: "send", text: "b"}, {do: "expect", text: "b"}}},
+		{"pass", []step{{action: "dial"}, {action: "send", text: "a"}, {action: "expect", text: "a"}}},
+		{"delay", []step{{action: "set", fault: Delay, delay: 80 * time.Millisecond}, {action: "dial"}, {action: "send", text: "a"},
+			{action: "expect", text: "a", delay: 160 * time.Millisecond}}},
+		{"drop, then pass on the same connection", []step{{action: "dial"}, {action: "set", fault: Drop}, {action: "send", text: "a"},
+			{action: "silent"}, {action: "set", fault: Pass}, {action: "send", text: "b"}, {action: "expect", text: "b"}}},
+		{"drop up", []step{{action: "dial"}, {action: "set", fault: DropUp}, {action: "send", text: "a"}, {action: "silent"}}},
+		{"drop down", []step{{action: "dial"}, {action: "set", fault: DropDown}, {action: "send", text: "a"}, {action: "silent"},
+			{action: "set", fault: Pass}, {action: "send", text: "b"}, {action: "expect", text: "b"}}},
+		{"reset", []step{{action: "dial"}, {action: "send", text: "a"}, {action: "expect", text: "a"}, {action: "set", fault: Reset},
+			{action: "reset"}}},
+		{"cut, then pass on the same address", []step{{action: "dial"}, {action: "set", fault: Cut}, {action: "ended"},
+			{action: "refused"}, {action: "set", fault: Pass}, {action: "dial"}, {action: "send", text: "b"}, {action: "expect", text: "b"}}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			p, err := Start(echo(t))
+			p, err := Start(startEchoServer(t))
 			if err != nil {
 				t.Fatal(err)
 			}
 			defer p.Close()
-			play(t, p, c.steps)
+			runSteps(t, p, c.steps)
 		})
 	}
 }
 
-func TestOnlyLoopback(t *testing.T) {
+func TestStartRejectsNonLoopbackTarget(t *testing.T) {
 	if _, err := Start("192.0.2.1:80"); err == nil || !strings.Contains(err.Error(), "not a loopback") {
 		t.Fatalf("Start of another machine: %v", err)
 	}
 }
 
-// TestCloseGivesBack: Close ends every connection and waits for what the proxy started.
-func TestCloseGivesBack(t *testing.T) {
-	p, err := Start(echo(t))
+// Close must close every connection and return within 2 s, after the goroutines of the proxy have ended. The counters stay readable.
+func TestCloseEndsConnectionsAndGoroutines(t *testing.T) {
+	p, err := Start(startEchoServer(t))
 	if err != nil {
 		t.Fatal(err)
 	}
