--- a/internal/zones/fleet_test.go
+++ b/internal/zones/fleet_test.go
@@ -1,6 +1,6 @@
 package zones_test
 
-// Three hundred coordinators, each with its own tracker and its own decision module, step together: a zone that is taken out and
+// Three hundred coordinators, each with its own tracker and its own aggregator, step together: a zone that is taken out and
 // recovers, once or repeatedly, never gets more load from all of them than a warming data node can take.
 
 import (
@@ -17,21 +17,21 @@
 type coordinator struct {
 	agg             *aggregator.Aggregator
 	tracker         *zones.Tracker
-	recoveringSince time.Duration // start of the recovery on the module's clock; 0 while the zone is out
+	recoveringSince time.Duration // start of the recovery on the aggregator's clock; 0 while the zone is out
 	queryCount      int
 }
 
 var epoch = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// at converts a time on the module's clock to one on the tracker's.
+// at converts a time on the aggregator's clock to one on the tracker's.
 func at(now time.Duration) time.Time { return epoch.Add(now) }
 
-// runFleet steps the fleet and returns, for each overload window since the zone answers again, the load that all
+// runFleet steps the fleet and returns, for each overload window after the zone answers again, the load that all
 // coordinators together sent the warming replica, as a share of what it can take then, and the number of recoveries begun.
 // flaps is how many times the zone fails again during recovery.
-func runFleet(t *testing.T, fleet, flaps int) (shares []float64, recoveries int) {
+func runFleet(t *testing.T, coordinatorCount, flaps int) (shares []float64, recoveries int) {
 	const partTime = 20 * ms
-	settings := aggregator.Settings{Aggregators: fleet, Tick: 5 * ms, ShardSets: 1, Shards: 2, Reach: 1, CallCost: 4 * ms,
+	settings := aggregator.Settings{Aggregators: coordinatorCount, Tick: 5 * ms, ShardSets: 1, Shards: 2, Reach: 1, CallCost: 4 * ms,
 		Classes: []aggregator.Class{{Name: "c", LatencyObjective: time.Second, Deadline: 3 * time.Second, Priority: 1, CompleteShare: 1, MinShare: 1}},
 		Limits:  aggregator.Limits{MaxAttempts: 3, MaxBatch: 8, CanCancel: true, SendRetryAfter: true, MaxRetryAfter: time.Second},
 		Rules: aggregator.Rules{DrainGrace: 250 * ms, OverloadMultiple: 3, OverloadWindow: time.Second, InitialCapacity: 0.2,
@@ -40,7 +40,7 @@
 		"z2": "z"}
 	var all []*coordinator
 	now := time.Hour
-	for seed := range uint64(fleet) {
+	for seed := range uint64(coordinatorCount) {
 		agg, err := aggregator.New(settings, seed)
 		if err != nil {
 			t.Fatal(err)
@@ -53,7 +53,7 @@
 		c := &coordinator{agg: agg, tracker: tr}
 		c.step(now, aggregator.Event{Kind: aggregator.ListCached, Members: []aggregator.Member{{Replica: "warm"},
 			{Replica: "back", State: aggregator.Draining}}})
-		for i := range 5 { // the module learns how long a part takes
+		for i := range 5 { // the aggregator learns how long a part takes
 			c.ask(now, fmt.Sprint("first", i), partTime)
 		}
 		all = append(all, c)
@@ -88,13 +88,14 @@
 			if (step+i)%50 != 0 { // each asks one query every 5 s, spread over the fleet: 60 queries a second
 				continue
 			}
-			for _, s := range c.ask(now, fmt.Sprint("q", step), partTime) {
-				if s == "back" && answersAgainAt > 0 {
+			for _, replica := range c.ask(now, fmt.Sprint("q", step), partTime) {
+				if replica == "back" && answersAgainAt > 0 {
 					loadByWindow[int((now-answersAgainAt)/settings.Rules.OverloadWindow)] += partTime.Seconds()
 				}
 			}
 		}
-		// The zone answers again once the first coordinator starts its recovery; if it is to flap, it fails again at once.
+		// The zone answers again once the first coordinator starts a recovery. While failures are left, the zone then fails
+		// again at once.
 		if answersAgainAt == 0 || failuresLeft > 0 && now-answersAgainAt >= 300*ms {
 			for _, c := range all {
 				if c.recoveringSince > 0 && (answersAgainAt == 0 || c.recoveringSince > answersAgainAt+300*ms) {
@@ -119,7 +120,7 @@
 	return c.agg.Step(now, events, nil)
 }
 
-// ask submits one query of two parts, answers every attempt sent at once after partTime, and returns the replicas used.
+// ask submits one query of two parts, answers all attempts that this sends after partTime, and returns the replicas used.
 func (c *coordinator) ask(now time.Duration, id string, partTime time.Duration) (replicas []string) {
 	c.queryCount++
 	q := fmt.Sprint(id, "-", c.queryCount)
@@ -141,15 +142,15 @@
 func TestFleetLoadOnRecoveringZoneIsBounded(t *testing.T) {
 	for _, flaps := range []int{0, 2} {
 		shares, recoveries := runFleet(t, 300, flaps)
-		used := 0.0
+		shareSum := 0.0
 		for w, s := range shares {
 			if s > 1 {
 				t.Errorf("flaps %d: window %d of the recovery: %.2f of what a warming data node can take", flaps, w, s)
 			}
-			used += s
+			shareSum += s
 		}
-		if recoveries < 300 || used == 0 {
-			t.Errorf("flaps %d: %d recoveries of 300 coordinators, %.2f of the bound used", flaps, recoveries, used)
+		if recoveries < 300 || shareSum == 0 {
+			t.Errorf("flaps %d: %d recoveries of 300 coordinators, shares of the bound add up to %.2f", flaps, recoveries, shareSum)
 		}
 		t.Logf("flaps %d: %d recoveries; shares of the bound by window %.2f", flaps, recoveries, shares[:12])
 	}
--- a/internal/zones/guard.go
+++ b/internal/zones/guard.go
@@ -15,10 +15,10 @@
 	return true
 }
 
-// remainingNodes returns how many of the total data nodes would be outside zones that are out if z were taken out, and whether that is
-// enough. It guards against overloading the remaining data nodes: a second zone that fails stays in use, which shows as
-// `zone doubtful` with "kept by the guard". A recovering zone counts as out until it is healthy, since it takes little load
-// and may fail again.
+// remainingNodes returns how many data nodes would remain in use if z were taken out, and whether that is enough by
+// Config.Keep; total is the number of data nodes in all zones. It guards against overloading the remaining data nodes: a
+// second zone that fails stays in use, which shows as `zone doubtful` with "kept by the guard". A recovering zone counts as
+// out until it is healthy, since it takes little load and may fail again.
 func (t *Tracker) remainingNodes(z *zone, total int) (nodes int, enough bool) {
 	nodes = total - len(z.nodes)
 	for _, other := range t.zones {
--- a/internal/zones/recovery.go
+++ b/internal/zones/recovery.go
@@ -2,10 +2,10 @@
 
 import "time"
 
-// recovery holds when load may return to a zone that is out. Each failed recovery doubles the next wait.
+// recovery holds the schedule by which load returns to a zone that is out. Each failed recovery doubles the next wait.
 type recovery struct {
 	failed  int           // consecutive failed recoveries
-	wait    time.Duration // shortest time out, this time
+	wait    time.Duration // shortest time that the zone stays out, for the current outage
 	startAt time.Time     // scheduled start of the next recovery; zero if none is scheduled
 }
 
@@ -19,7 +19,8 @@
 	return t.setState(now, z, Out, reason)
 }
 
-// startDelay returns this coordinator's delay of a recovery, from 0 up to Spread: a hash of the seed, the zone and the round.
+// startDelay returns this coordinator's delay of a recovery, from 0 up to Spread: a hash of the seed, the zone's name
+// and round, which is the number of failed recoveries.
 func (t *Tracker) startDelay(zoneName string, round int) time.Duration {
 	if t.cfg.Spread <= 0 {
 		return 0
--- a/internal/zones/transitions.go
+++ b/internal/zones/transitions.go
@@ -33,7 +33,7 @@
 	}
 	c = t.setState(now, z, Suspect, z.explain("suspect"))
 	if t.exceeds(z, t.cfg.Leave) {
-		z.exceedsLeaveSince = now // Confirm runs from the first evidence that would take it out
+		z.exceedsLeaveSince = now // Config.Confirm is measured from here
 	}
 	return c, true
 }
--- a/internal/zones/zones.go
+++ b/internal/zones/zones.go
@@ -5,25 +5,30 @@
 //
 // # States
 //
-// A data node is failing if its latest evidence within Window was bad (a refused or reset connection, a timeout, a missing
-// answer, removal from the list, draining, a report from another coordinator) and no good evidence followed. A zone's share
-// is the fraction of its data nodes that are failing; the others' share is that fraction over all other zones together. A
-// zone exceeds a threshold if at least MinFailing of its data nodes are failing, its share is at least the threshold, and
-// the share is at least Margin above the others' share: failures that hit all zones alike are attributed to none.
+// Names such as Window and Leave are fields of Config. A data node is failing if its latest evidence is bad (a refused or
+// reset connection, a timeout, a missing answer, removal from the list, draining, a report from another coordinator) and
+// less than Window old. A zone's share is the fraction of its data nodes that are failing; the others' share is that
+// fraction over all other zones together. A zone exceeds a threshold if at least MinFailing of its data nodes are failing,
+// its share is at least the threshold, and the share is at least Margin above the others' share: failures that hit all
+// zones alike are attributed to none.
 //
 //	state       printed as  becomes     when
-//	Healthy     healthy     Suspect     it exceeds Doubt
-//	Suspect     doubtful    Healthy     share below Clear, or fewer than MinFailing failing (hysteresis: Clear < Doubt)
-//	Suspect     doubtful    Out         it has exceeded Leave for Confirm, and the guard allows it
-//	Out         out         Recovering  no failure for Quiet, the wait is over, and this coordinator's random delay has passed
-//	Recovering  returning   Out         MinFailing of its data nodes fail again; the next wait is doubled, up to MaxWait
-//	Recovering  returning   Healthy     Ramp has passed since recovery began
+//	Healthy     healthy     Suspect     it exceeds Config.Doubt, and panic mode is off
+//	Suspect     doubtful    Healthy     share below Config.Clear (hysteresis: less than Doubt), fewer than MinFailing failing, or panic mode
+//	Suspect     doubtful    Out         it has exceeded Config.Leave for Config.Confirm, and the guard allows it
+//	Out         out         Recovering  its wait is over and failures have stopped; see below
+//	Recovering  returning   Out         MinFailing of its data nodes fail again, and the guard allows it
+//	Recovering  returning   Suspect     MinFailing of its data nodes fail again, and the guard does not allow it
+//	Recovering  returning   Healthy     Config.Ramp has passed since the recovery began
+//
+// A zone that is out begins to recover once it has been out for its wait, no failure was seen for Config.Quiet, and this
+// coordinator's random delay has passed. The wait is Config.Wait, doubled with each failed recovery up to MaxWait.
 //
 // A zone that is out gets no new parts (Usable). The data nodes of a recovering zone count as warming up since the recovery
-// began (WarmingSince): the module paces them by slow start and divides its limit among all coordinators, so that the total
-// load of the fleet stays within what a warming data node can take, however many coordinators there are. Each coordinator
-// draws the start of a recovery at random within Spread, from its seed, so that coordinators do not start together. The
-// count of failed recoveries is reset after MaxWait in Healthy.
+// began (WarmingSince): package aggregator raises their load by slow start and divides the load allowed for a warming data
+// node among all coordinators, so that the total stays within what it can take, however many coordinators there are. Each
+// coordinator draws the start of a recovery at random within Spread, from its seed, so that coordinators do not start
+// together. The count of failed recoveries is reset after MaxWait in Healthy.
 //
 // # The guard
 //
@@ -64,7 +69,7 @@
 	PeerReport                 // a failure seen by another coordinator
 )
 
-// Status describes one zone, for the decision module's inputs, the log and the command line.
+// Status describes one zone, for package aggregator, the log and the command line.
 type Status struct {
 	Zone             string
 	State            State
