--- a/internal/membership/claims.go
+++ b/internal/membership/claims.go
@@ -8,11 +8,11 @@
 
 // claim holds the last report of one source about a data node.
 type claim struct {
-	src         *source
+	src         *sourceState
 	rec         Record
 	changedAt   time.Time // when its state, address or start last changed
 	cached      bool      // from the list of an earlier run
-	wasDraining bool      // of one that is Gone: it was draining before
+	wasDraining bool      // if rec.State is Gone: it was Draining before
 }
 
 // freshness is the reliability of a claim by its age.
@@ -72,7 +72,7 @@
 }
 
 // applyRecord applies one record of a source's update to the source's claim.
-func (t *Table) applyRecord(now time.Time, src *source, rec Record, u *Update) {
+func (t *Table) applyRecord(now time.Time, src *sourceState, rec Record, u *Update) {
 	c := src.claims[rec.ID]
 	if rec.ID == "" || c == nil && rec.State == Gone {
 		return
@@ -96,7 +96,7 @@
 }
 
 // addClaim adds a claim of a source on a node, and the node if it is new. It returns nil if the source names too many.
-func (t *Table) addClaim(now time.Time, src *source, id string) *claim {
+func (t *Table) addClaim(now time.Time, src *sourceState, id string) *claim {
 	if len(src.claims) >= src.MaxNodes {
 		t.note(TooManyNodes, src, id, fmt.Sprintf("more than %d data nodes", src.MaxNodes))
 		return nil
@@ -114,7 +114,7 @@
 }
 
 // dropClaim removes the claim of a source on a node. schedule moves a node without claims to the unclaimed ones.
-func (t *Table) dropClaim(n *node, src *source) {
+func (t *Table) dropClaim(n *node, src *sourceState) {
 	n.claims = slices.DeleteFunc(n.claims, func(c *claim) bool { return c.src == src })
 	delete(src.claims, n.id)
 }
@@ -123,7 +123,7 @@
 	return !slices.ContainsFunc(claims, func(c *claim) bool { return c.rec.State.present() })
 }
 
-// resolve merges the claims on a node by the first table of the package comment. It returns the claim that describes the
+// resolve merges the claims on a node by the table under Claims in the package comment. It returns the claim that describes the
 // node, nil if it is gone, and the state. It considers no other node, no damping and no evidence.
 func resolve(claims []*claim) (ownerClaim *claim, state State) {
 	ownerClaim = owner(claims)
--- a/internal/membership/coverage.go
+++ b/internal/membership/coverage.go
@@ -19,8 +19,8 @@
 	priority uint16
 }
 
-// coverage counts the healthy data nodes of each shard set by priority. One that is listed only because a shard has no
-// other is not counted: otherwise the result would depend on the order of evaluation.
+// coverage counts the healthy data nodes of each shard set by priority. One that is used despite suppression,
+// because a shard has no other, is not counted: otherwise the result would depend on the order of evaluation.
 type coverage struct {
 	shardSets, shards, reach int
 	levels                   map[int][]level // by shard set, by ascending priority
--- a/internal/membership/identity.go
+++ b/internal/membership/identity.go
@@ -10,12 +10,12 @@
 	start          time.Time
 	statedStart    time.Time // the start as a source stated it
 	hasStatedStart bool
-	statedBy       *source // nil if the claim that stated it was cached
+	statedBy       *sourceState // nil if the claim that stated it was cached
 	goneAt         time.Time
 	connLost       bool // its connections failed, and it has not answered since
 }
 
-// updateStart determines when a node's process started, by the second table of the package comment.
+// updateStart determines when a node's process started, by the table under Identity in the package comment.
 func (t *Table) updateStart(now time.Time, n *node, former State) {
 	p, rec := &n.process, n.owner.rec
 	moved := p.lastAddr != "" && p.lastAddr != rec.Addr
@@ -66,7 +66,7 @@
 func (t *Table) assumedStart(now time.Time, n *node) time.Time {
 	if a := t.addrs[n.owner.rec.Addr]; a != nil && a.holder != nil && a.holder != n {
 		if ownerClaim, _ := resolve(a.holder.claims); ownerClaim != nil && ownerClaim.src != n.owner.src {
-			return a.holder.process.start // two sources name one process by two ids
+			return a.holder.process.start // two sources name the same process under two ids
 		}
 		return now
 	}
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -1,5 +1,5 @@
 // Package membership merges what any number of sources report about data nodes, and what the coordinator itself observes
-// of them, into the one list that the decision module works on. It does no I/O, reads no clock, starts no goroutine and
+// of them, into the one list that package aggregator works on. It does no I/O, reads no clock, starts no goroutine and
 // logs nothing: each call is given the time, and returns the changes of the list and notes with the reasons. The same
 // calls in the same order give the same results.
 //
@@ -89,7 +89,7 @@
 // The reliabilities of an answer.
 const (
 	Authoritative    Basis = iota
-	NonAuthoritative       // from a server without authority for the zone: an empty list removes nothing
+	NonAuthoritative       // from a server without authority for the DNS zone: an empty list removes nothing
 	Truncated              // the list is incomplete
 	Failed                 // no list: no answer, or an error
 )
@@ -98,12 +98,12 @@
 type Update struct {
 	Basis     Basis
 	Cause     string // why it is Failed
-	Serial    uint32 // of the zone, if HasSerial
+	Serial    uint32 // of the DNS zone, if HasSerial
 	HasSerial bool
 	Full      bool // Records is the complete list; a data node missing from it is gone
 	Cached    bool // the list was stored by an earlier run
 	Records   []Record
-	Lease     time.Duration // how long it holds without confirmation; 0 means without limit
+	Lease     time.Duration // how long the answer holds without confirmation; 0 means without limit
 }
 
 // Evidence is what the coordinator itself has observed of a data node.
--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -94,7 +94,7 @@
 	s.apply(src.Update(at(now), u))
 }
 
-// TestPrecedence covers the first table of the package comment, and leases, cached lists and evidence.
+// TestPrecedence covers the table under Claims in the package comment, and leases, cached lists and evidence.
 func TestPrecedence(t *testing.T) {
 	for _, c := range []struct{ reports, want string }{
 		{"dns serving", "serving"},
@@ -166,7 +166,7 @@
 	}
 }
 
-// TestIdentity covers the second table of the package comment: the start of a data node after its id, address or stated
+// TestIdentity covers the table under Identity in the package comment: the start of a data node after its id, address or stated
 // start has changed.
 func TestIdentity(t *testing.T) {
 	node := func(id, addr string, started float64) Record {
@@ -245,22 +245,22 @@
 		want    int
 		note    string
 	}{
-		"authoritative and empty": {[]Update{{Full: true}}, 0, "list emptied"},
-		"relayed and empty":       {[]Update{{Full: true, Basis: NonAuthoritative}}, 2, "list held"},
-		"relayed, one fewer":      {[]Update{{Full: true, Basis: NonAuthoritative, Records: two[:1]}}, 1, "removed b"},
-		"truncated":               {[]Update{{Full: true, Basis: Truncated, Records: two[:1]}}, 2, "list held"},
-		"truncated, one more":     {[]Update{{Full: true, Basis: Truncated, Records: []Record{{ID: "c", Addr: "z"}}}}, 3, "list held"},
-		"failed":                  {[]Update{{Basis: Failed, Cause: "REFUSED"}}, 2, "list held"},
-		"older serial":            {[]Update{{Full: true, Serial: 9, HasSerial: true}}, 2, "list held"},
-		"undefined serial order":  {[]Update{{Full: true, Serial: 10 + 1<<31, HasSerial: true}}, 2, "list held"},
-		"newer serial":            {[]Update{{Full: true, Serial: 11, HasSerial: true}}, 0, "list emptied"},
-		"same serial":             {[]Update{{Full: true, Serial: 10, HasSerial: true}}, 0, "list emptied"},
-		"newer after wraparound":  {[]Update{{Full: true, Serial: 1 << 31, HasSerial: true, Records: two}, {Full: true, Serial: 1<<32 - 1, HasSerial: true, Records: two}, {Full: true, Serial: 3, HasSerial: true}}, 0, "list emptied"},
-		"older for long":          {slices.Repeat([]Update{{Full: true, Serial: 9, HasSerial: true}}, 40), 0, "serial back"},
-		"older, then newer":       {append(slices.Repeat([]Update{{Full: true, Serial: 9, HasSerial: true}}, 9), Update{Full: true, Serial: 12, HasSerial: true, Records: two}), 2, "list held"},
-		"older and same in turn":  {slices.Repeat([]Update{{Full: true, Serial: 9, HasSerial: true}, {Full: true, Serial: 10, HasSerial: true, Records: two}}, 40), 2, "list held"},
-		"cached after an answer":  {[]Update{{Full: true, Cached: true}}, 2, ""},
-		"shard set out of range":  {[]Update{{Records: []Record{{ID: "a", Addr: "x", ShardSet: 7}}}}, 2, "unfit a"},
+		"authoritative and empty":          {[]Update{{Full: true}}, 0, "list emptied"},
+		"not authoritative, empty":         {[]Update{{Full: true, Basis: NonAuthoritative}}, 2, "list held"},
+		"not authoritative, one fewer":     {[]Update{{Full: true, Basis: NonAuthoritative, Records: two[:1]}}, 1, "removed b"},
+		"truncated":                        {[]Update{{Full: true, Basis: Truncated, Records: two[:1]}}, 2, "list held"},
+		"truncated, one more":              {[]Update{{Full: true, Basis: Truncated, Records: []Record{{ID: "c", Addr: "z"}}}}, 3, "list held"},
+		"failed":                           {[]Update{{Basis: Failed, Cause: "REFUSED"}}, 2, "list held"},
+		"older serial":                     {[]Update{{Full: true, Serial: 9, HasSerial: true}}, 2, "list held"},
+		"undefined serial order":           {[]Update{{Full: true, Serial: 10 + 1<<31, HasSerial: true}}, 2, "list held"},
+		"newer serial":                     {[]Update{{Full: true, Serial: 11, HasSerial: true}}, 0, "list emptied"},
+		"same serial":                      {[]Update{{Full: true, Serial: 10, HasSerial: true}}, 0, "list emptied"},
+		"newer after wraparound":           {[]Update{{Full: true, Serial: 1 << 31, HasSerial: true, Records: two}, {Full: true, Serial: 1<<32 - 1, HasSerial: true, Records: two}, {Full: true, Serial: 3, HasSerial: true}}, 0, "list emptied"},
+		"older for longer than SerialHold": {slices.Repeat([]Update{{Full: true, Serial: 9, HasSerial: true}}, 40), 0, "serial back"},
+		"older, then newer":                {append(slices.Repeat([]Update{{Full: true, Serial: 9, HasSerial: true}}, 9), Update{Full: true, Serial: 12, HasSerial: true, Records: two}), 2, "list held"},
+		"older and same in turn":           {slices.Repeat([]Update{{Full: true, Serial: 9, HasSerial: true}, {Full: true, Serial: 10, HasSerial: true, Records: two}}, 40), 2, "list held"},
+		"cached after an answer":           {[]Update{{Full: true, Cached: true}}, 2, ""},
+		"shard set out of range":           {[]Update{{Records: []Record{{ID: "a", Addr: "x", ShardSet: 7}}}}, 2, "unfit a"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			s := newHarness(t, Config{Suppress: 1e9})
--- a/internal/membership/property_test.go
+++ b/internal/membership/property_test.go
@@ -57,7 +57,7 @@
 	return 2
 }
 
-// resolve applies the first table of the package comment row by row.
+// resolve applies the table under Claims in the package comment row by row.
 func (m *model) resolve(now time.Time, id string) (owner int, state State) {
 	type rankedClaim struct{ source, freshness, rank int }
 	var all []rankedClaim
--- a/internal/membership/publish.go
+++ b/internal/membership/publish.go
@@ -63,7 +63,7 @@
 
 // noteChange adds notes on a change of how a node is listed, with the reason.
 func (t *Table) noteChange(n *node, l listing) {
-	var src *source
+	var src *sourceState
 	if n.owner != nil {
 		src = n.owner.src
 	}
--- a/internal/membership/source.go
+++ b/internal/membership/source.go
@@ -7,14 +7,14 @@
 	"time"
 )
 
-// Source is the handle of one source of a Table.
+// Source is one source of a Table, through which its updates are applied.
 type Source struct {
 	table  *Table
-	source *source
+	source *sourceState
 }
 
-// source is the state of one source.
-type source struct {
+// sourceState is the state of one source.
+type sourceState struct {
 	Spec
 	index        int // in the order in which sources were added
 	claims       map[string]*claim
@@ -22,18 +22,18 @@
 	lastAnswer   time.Time // when it last answered
 	lease        time.Duration
 	stale        bool   // the lease has expired
-	heldCause    string // why its answers are not applied, as last noted; empty while they are
-	serial       zoneSerial
+	heldCause    string // cause of the latest ListHeld note; empty after an answer that is applied in full
+	serial       dnsSerial
 }
 
-// zoneSerial is the serial of a zone as a source last reported it.
-type zoneSerial struct {
+// dnsSerial is the serial of a source's DNS zone as last reported.
+type dnsSerial struct {
 	value      uint32
 	known      bool
 	olderSince time.Time // since when only older serials have been reported; zero if the last one was not older
 }
 
-// serialNewer reports whether serial a follows b by RFC 1982; a pair whose order that leaves undefined does not.
+// serialNewer reports whether serial a follows b by RFC 1982; false if that leaves their order undefined.
 func serialNewer(a, b uint32) bool { return a != b && int32(a-b) > 0 }
 
 // Source adds a source that has reported nothing yet.
@@ -41,12 +41,12 @@
 	if spec.MaxNodes <= 0 {
 		spec.MaxNodes = DefaultMaxNodes
 	}
-	s := &source{Spec: spec, index: len(t.sources), claims: map[string]*claim{}}
+	s := &sourceState{Spec: spec, index: len(t.sources), claims: map[string]*claim{}}
 	t.sources = append(t.sources, s)
 	return &Source{table: t, source: s}
 }
 
-// Serial returns the zone's serial as the source last reported it.
+// Serial returns the serial of the source's DNS zone as last reported.
 func (s *Source) Serial() (serial uint32, known bool) {
 	return s.source.serial.value, s.source.serial.known
 }
@@ -80,13 +80,14 @@
 		t.applyRecord(now, src, Record{ID: id, State: Gone}, &u)
 	}
 	r := t.finish(now)
-	// Set only after the evaluation: what the first full list names may have been running for long.
+	// Set only after the evaluation: the data nodes of the first full list may have been running for long, and must not count
+	// as just started.
 	src.fullListSeen = src.fullListSeen || u.Full && !u.Cached
 	return r
 }
 
 // confirm renews the lease of a source that has answered, and stores the serial.
-func (t *Table) confirm(now time.Time, src *source, u *Update) {
+func (t *Table) confirm(now time.Time, src *sourceState, u *Update) {
 	src.lastAnswer, src.lease = now, u.Lease
 	if src.stale {
 		src.stale = false
@@ -99,7 +100,7 @@
 }
 
 // presentIDs returns the ids that the source claims as serving or draining.
-func (s *source) presentIDs() map[string]bool {
+func (s *sourceState) presentIDs() map[string]bool {
 	ids := map[string]bool{}
 	for id, c := range s.claims {
 		if c.rec.State.present() {
@@ -110,9 +111,9 @@
 }
 
 // accept reports whether an update is to be applied. It also corrects the update: a truncated list is applied as one that
-// is not full. The guard prevents a broken server from emptying the list, which would make queries fail with "no replica"
+// is not full. Its checks keep a broken server from emptying the list, which would make queries fail with "no replica"
 // at all shards at once.
-func (t *Table) accept(now time.Time, src *source, u *Update) bool {
+func (t *Table) accept(now time.Time, src *sourceState, u *Update) bool {
 	switch {
 	case u.Basis == Failed:
 		return t.noteHeld(src, u.Cause)
@@ -138,8 +139,9 @@
 	return true
 }
 
-// noteHeld notes that an answer of a source is not applied, once while the cause stays the same. It returns false.
-func (t *Table) noteHeld(src *source, cause string) bool {
+// noteHeld adds a ListHeld note, but only one while the cause stays the same. It always returns false, so that accept can
+// return its result.
+func (t *Table) noteHeld(src *sourceState, cause string) bool {
 	if src.heldCause != cause {
 		src.heldCause = cause
 		t.note(ListHeld, src, "", cause)
@@ -166,8 +168,8 @@
 	return t.finish(now)
 }
 
-// CheckSerial applies the current serial of a zone and reports whether its list is to be fetched: if the serial is newer, or
-// if older ones have been reported for SerialHold. The same serial renews the lease.
+// CheckSerial applies the current serial of the source's DNS zone and reports whether the list is to be fetched: if the
+// serial is newer, or if older ones have been reported for SerialHold. The same serial renews the lease.
 func (s *Source) CheckSerial(now time.Time, serial uint32) (fetch bool, r Result) {
 	t, src := s.table, s.source
 	switch {
@@ -196,8 +198,8 @@
 	return all
 }
 
-// expiresAt returns when the source turns stale or its claims expire; zero if neither is ahead.
-func (s *source) expiresAt() time.Time {
+// expiresAt returns when the source turns stale or its claims expire; zero if neither will happen.
+func (s *sourceState) expiresAt() time.Time {
 	switch {
 	case s.lease <= 0:
 	case !s.stale:
@@ -208,8 +210,8 @@
 	return time.Time{}
 }
 
-// expire marks a source as stale after its lease, and drops its claims after MaxStale.
-func (t *Table) expire(now time.Time, src *source) {
+// expire marks a source as stale once its lease has expired, and drops its claims after a further MaxStale.
+func (t *Table) expire(now time.Time, src *sourceState) {
 	for due := src.expiresAt(); !due.IsZero() && !now.Before(due); due = src.expiresAt() {
 		if !src.stale {
 			src.stale = true
@@ -225,8 +227,8 @@
 	}
 }
 
-// markAllNodes marks all nodes that a source names for evaluation.
-func (t *Table) markAllNodes(src *source) {
+// markAllNodes marks for evaluation all nodes that a source claims.
+func (t *Table) markAllNodes(src *sourceState) {
 	for id := range src.claims {
 		t.toEvaluate.add(t.nodes[id])
 	}
--- a/internal/membership/table.go
+++ b/internal/membership/table.go
@@ -13,7 +13,7 @@
 type node struct {
 	id     string
 	claims []*claim // one for each source that names it
-	owner  *claim   // describes the node; nil while it is gone
+	owner  *claim   // the claim that describes the node, by the package comment; nil while it is gone
 	state  State    // resolved from the claims
 
 	process   process
@@ -40,7 +40,7 @@
 // was returned is not modified afterwards. A Table is not safe for concurrent use.
 type Table struct {
 	cfg       Config
-	sources   []*source
+	sources   []*sourceState
 	nodes     map[string]*node
 	addrs     map[string]*address
 	unclaimed *list.List // of *node without claims, the longest unclaimed first
@@ -144,7 +144,7 @@
 		if formerOwner.src.Damped {
 			penalty := float64(withdrawalPenalty)
 			if formerState == Draining {
-				penalty = drainPenalty // the drain before it has already counted the other half
+				penalty = drainPenalty // the rest of withdrawalPenalty was added when it began to drain
 			}
 			t.penalise(now, n, penalty)
 		}
@@ -164,13 +164,14 @@
 	}
 }
 
-// healthy reports whether a node counts in the coverage, so that others may be left on standby.
+// healthy reports whether a node counts in the coverage, so that those of higher priority values may stay
+// unused (Standby).
 func (t *Table) healthy(now time.Time, n *node) bool {
 	return n.owner != nil && n.state == Serving && !t.isAlias(n) && !n.damping.suppressed(now) && !n.suspicion.suspect
 }
 
 // note adds a note to the result of the current call; src is nil if the note concerns no source.
-func (t *Table) note(cause Cause, src *source, id, detail string) {
+func (t *Table) note(cause Cause, src *sourceState, id, detail string) {
 	n := Note{Cause: cause, ID: id, Detail: detail}
 	if src != nil {
 		n.Source = src.Name
