--- a/internal/swim/config.go
+++ b/internal/swim/config.go
@@ -45,7 +45,8 @@
 	MinMult float64
 	// MaxMult is the duration of a suspicion without confirmations, as a multiple of the shortest; 4 by default, at least 1.
 	MaxMult float64
-	// MinPhi is the phi below which a member is suspected only after a second missed probe; 1 by default, negative turns it off.
+	// MinPhi is the suspicion level (Member.Phi) below which a member is suspected only after a second missed probe; 1 by
+	// default, negative turns it off.
 	MinPhi float64
 }
 
--- a/internal/swim/phi.go
+++ b/internal/swim/phi.go
@@ -8,7 +8,7 @@
 const (
 	minIntervals        = 3    // fewer give no usable estimate
 	minIntervalWeight   = 0.05 // least weight of a new interval in the moving averages
-	maxPhi              = 99
+	maxPhi              = 99   // upper limit of phi once packets have been received
 	minDeviationSeconds = 1e-6
 	maxMeanToDeviation  = 4 // the deviation is at least the mean divided by this
 )
--- a/internal/swim/probe.go
+++ b/internal/swim/probe.go
@@ -23,7 +23,7 @@
 	sentAt     time.Duration
 	indirectAt time.Duration // when other members are asked to probe; 0 once they were
 	endAt      time.Duration
-	requested  int  // other members asked to probe
+	requested  int  // number of other members asked to probe
 	nacks      int  // nacks received from them
 	relayedAck bool // one of them relayed an ack
 	directAck  bool // the target acked directly
--- a/internal/swim/sync.go
+++ b/internal/swim/sync.go
@@ -34,7 +34,7 @@
 	s.actions = append(s.actions, Action{To: to, Full: &f})
 }
 
-// syncPartner reports whether a member may be exchanged with: alive and suspect ones always, dead ones one time in four.
+// syncPartner reports whether to exchange the full state with a member: alive and suspect ones always, dead ones one time in four.
 func (s *Swim) syncPartner(m *member) bool {
 	return aliveOrSuspect(m) || dead(m) && s.rng.IntN(4) == 0
 }
@@ -72,7 +72,7 @@
 	return f
 }
 
-// receiveFull applies the full state of another member, and answers with this member's unless it is itself a reply.
+// receiveFull applies the full state of another member, and replies with this member's own, unless f is itself a reply.
 func (s *Swim) receiveFull(f *FullState) {
 	if f.RejectReason != "" {
 		s.rejection = f.RejectReason
