--- a/internal/maintenance/agent/agent.go
+++ b/internal/maintenance/agent/agent.go
@@ -1,7 +1,7 @@
 // Package agent is the maintenance agent of one coordinator. It follows the plan in the coordinators' store and tells its coordinator
-// which machines to exclude. It acknowledges calls, and machines at which no attempt is in flight, in its own record in the store.
-// While it holds the duty, it makes the moves. internal/maintenance decides on the moves, and internal/statemachine checks and
-// applies the writes.
+// which machines to exclude. It acknowledges announcements of machines, and machines at which no attempt is in flight, in its own
+// record in the store. While it holds the duty, it makes the moves. internal/maintenance decides on the moves, and
+// internal/statemachine checks and applies the writes.
 package agent
 
 import (
@@ -39,7 +39,7 @@
 	// LongestAttempt is the longest duration of an attempt. If it is too short, a machine may be handed over while an attempt is in
 	// flight there.
 	LongestAttempt time.Duration
-	PresenceBound  time.Duration // how long called machines may be sent to without an answer from the store
+	PresenceBound  time.Duration // how long announced machines may be sent to without an answer from the store
 	Duty           time.Duration // lease length of a duty
 	Drift          float64       // share by which clocks may run fast or slow
 	Every          time.Duration // interval between moves while the duty is held
--- a/internal/maintenance/agent/follow.go
+++ b/internal/maintenance/agent/follow.go
@@ -18,16 +18,16 @@
 
 // record holds the acknowledgements of a coordinator, as stored.
 type record struct {
-	Seen  uint64            // latest call that it applied while present
-	Clear map[string]uint64 `json:",omitempty"` // machines at which it has no attempt in flight, with the turn of their drain
+	Seen  uint64            // maintenance.State.Seen of the latest plan that it applied while present
+	Clear map[string]uint64 `json:",omitempty"` // Step.Turn by machine, for excluded machines at which it has no attempt in flight
 }
 
 // appliedPlan describes the plan that the coordinator has applied.
 type appliedPlan struct {
 	known    bool
 	revision uint64
-	seen     uint64            // latest call of the plan
-	turns    map[string]uint64 // drain turns of the plan's excluded machines
+	seen     uint64            // maintenance.State.Seen of the plan
+	turns    map[string]uint64 // Step.Turn by machine, for the plan's excluded machines
 	logged   uint64            // number of the last move that was logged
 }
 
@@ -87,12 +87,12 @@
 	return stored.Seen != a.acked.Seen || !maps.Equal(stored.Clear, a.acked.Clear), true
 }
 
-// acknowledge updates the machines at which no attempt is in flight, and the calls that were seen. The caller holds a.mu.
+// acknowledge updates the machines at which no attempt is in flight, and the announcements that were seen. The caller holds a.mu.
 //
-// A call is acknowledged only while present. Without presence, an attempt may be in flight at a machine that had not been called when
-// it was sent; with presence, such attempts end before the presence expires in the store, so the machine is not handed over while they
-// run. A call is also not acknowledged while the disk may hold an older plan: after a restart this coordinator would use that plan, and
-// send without presence to machines that were called since.
+// An announcement is acknowledged only while present. Without presence, an attempt may be in flight at a machine that had not been
+// announced when it was sent; with presence, such attempts end before the presence expires in the store, so the machine is not handed
+// over while they run. It is also not acknowledged while the disk may hold an older plan: after a restart this coordinator would use
+// that plan, and send without presence to machines that were announced since.
 func (a *Agent) acknowledge() {
 	idle := map[string]uint64{}
 	for id, turn := range a.applied.turns {
--- a/internal/maintenance/agent/hooks.go
+++ b/internal/maintenance/agent/hooks.go
@@ -35,7 +35,7 @@
 
 	// mu guards the fields below.
 	mu        sync.Mutex
-	succeeded map[hookEvent]map[string]uint64 // turn of the drain, by event and machine
+	succeeded map[hookEvent]map[string]uint64 // Step.Turn, by event and machine
 	running   map[string]bool                 // by machine
 	retryAt   map[string]time.Time            // by machine
 }
@@ -54,7 +54,7 @@
 	}
 }
 
-// doneTurns returns the machines whose hookDone has succeeded, with the turn of their drain; nil without a hook.
+// doneTurns returns Step.Turn by machine, for the machines whose hookDone has succeeded; nil without a hook.
 func (h *hookRunner) doneTurns() map[string]uint64 {
 	if len(h.command) == 0 {
 		return nil
--- a/internal/maintenance/fleet.go
+++ b/internal/maintenance/fleet.go
@@ -21,9 +21,9 @@
 	zoneIndex      int     // index into Fleet.zones
 }
 
-// Limits bound how many machines may be unavailable at the same time. They are hard limits: no plan and no move exceeds one. A data
-// node that is warming up, suspect or in a failing zone does not count as a replica; otherwise a shard could be left with replicas
-// that do not answer.
+// Limits bound how many machines may be unavailable at the same time. A machine counts as in work from its announcement until it is done
+// or abandoned. The limits are hard: no plan and no move exceeds one. A data node that is warming up, suspect or in a failing zone
+// does not count as a replica; otherwise a shard could be left with replicas that do not answer.
 type Limits struct {
 	Floor     int     // healthy replicas not in work that each shard keeps; at least 1
 	PerShard  int     // replicas of one shard in work at the same time; 0 for no limit
@@ -134,9 +134,9 @@
 	limitUtilization
 )
 
-// violated returns the limit that a machine would exceed together with the machines of the set. It is monotone: a machine that does
-// not fit a set does not fit any superset.
-func (o *outSet) violated(m *Machine) limitViolation {
+// violatedLimit returns the limit that a machine would exceed together with the machines of the set. It is monotone: a machine that
+// does not fit a set does not fit any superset.
+func (o *outSet) violatedLimit(m *Machine) limitViolation {
 	if o.limits.AtOnce > 0 && o.count >= o.limits.AtOnce {
 		return limitViolation{limitAtOnce, 0}
 	}
@@ -166,7 +166,7 @@
 
 // violation describes the limit that violated returns; it is empty if the machine fits.
 func (o *outSet) violation(m *Machine) string {
-	h := o.violated(m)
+	h := o.violatedLimit(m)
 	switch h.limit {
 	case limitAtOnce:
 		return fmt.Sprintf("%d machines are in work, as many as may be at once", o.count)
--- a/internal/maintenance/maintenance.go
+++ b/internal/maintenance/maintenance.go
@@ -3,9 +3,9 @@
 //
 // The state transitions of a machine and their conditions:
 //
-//	waiting   -> draining   it was called, every coordinator has seen the call, and the limits still hold with the machine out
+//	waiting   -> draining   it was announced, every coordinator has seen that, and the limits still hold with the machine out
 //	draining  -> drained    every coordinator has acknowledged that it has no attempt in flight there, or is absent (see below)
-//	draining  -> waiting    paused, or the limits no longer hold: it was not handed over yet, so it is taken back
+//	draining  -> waiting    paused, or the limits no longer hold: it was not handed over for the work yet, so it is taken back
 //	drained   -> out        the limits hold: it is handed over, and the hook runs
 //	drained   -> waiting    as for draining
 //	out       -> returning  an operator or the hook reported the work as done, or it is listed with a later start
@@ -18,14 +18,15 @@
 //
 // Coordinators send attempts only to machines that are waiting, returning, warm, done or abandoned.
 //
-// A waiting machine is called before it is drained. The call requires that the request is open, the hour is not excluded, no query
-// was recently rejected for overload, and the limits hold with this machine and all others that are out or called. From the call on,
-// a coordinator may send to the machine only while it holds its presence, a lease that the store grants (internal/lease). The
-// coordinator regards its presence as expired earlier than the store does, by the longest time of an attempt. Once the presence has
-// expired in the store, no attempt of a coordinator that has seen the call is in flight at the machine, so it can be handed over
-// without an acknowledgement from a coordinator that is cut off. A coordinator that has not seen the call must be waited for, because
-// it does not know which machine was called. A coordinator that is cut off from the store does not use the called machines, and
-// neither does any if the store loses its quorum; the limits hold with all of them out.
+// A waiting machine is announced to all coordinators before it is drained; Step.Call is the number of the announcement. Machines are
+// announced only while the request is open, the hour is not excluded, no query was recently rejected for overload, and the limits hold
+// with this machine and all others that are out or announced. From the announcement on, a coordinator may send to the machine only
+// while it holds its presence, a lease that the store grants (internal/lease). The coordinator regards its presence as expired earlier
+// than the store does, by the longest time of an attempt. Once the presence has expired in the store, no attempt of a coordinator that
+// has seen the announcement is in flight at the machine, so it can be handed over without an acknowledgement from a coordinator that
+// is cut off. A coordinator that has not seen the announcement must be waited for, because it does not know which machine was
+// announced. A coordinator that is cut off from the store does not use the announced machines, and neither does any if the store loses
+// its quorum; the limits hold with all of them out.
 package maintenance
 
 import (
@@ -70,7 +71,7 @@
 // Excluded reports whether coordinators must not send to a machine in this state.
 func (s StepState) Excluded() bool { return s == Draining || s == Drained || s == Out || s == Failed }
 
-// missing reports whether the limits count the machine as out: it is in work, or was called.
+// missing reports whether the limits count the machine as out: it is in work, or was announced.
 func (s *Step) missing() bool { return s.State.inWork() || s.State == Waiting && s.Call > 0 }
 
 // ended reports whether the state is final.
@@ -101,7 +102,7 @@
 type Step struct {
 	Machine string
 	State   StepState
-	Call    uint64 `json:",omitempty"` // number of its call; 0 before the call and after it was taken back
+	Call    uint64 `json:",omitempty"` // number of its announcement; 0 before that, and after it was taken back
 	Turn    uint64 `json:",omitempty"` // number of its drain, so that acknowledgements of an earlier drain do not count
 	Addr    string `json:",omitempty"` // address when its drain began
 	Started int64  `json:",omitempty"` // start of its process in Unix milliseconds, when its drain began
@@ -147,7 +148,7 @@
 // safe for concurrent use.
 type State struct {
 	Next     uint64 // id of the latest request
-	Calls    uint64 // number of calls ever made; a coordinator that has seen one has seen all earlier ones
+	Calls    uint64 // number of announcements ever made; a coordinator that has seen one has seen all earlier ones
 	Turn     uint64 // number of drains ever begun
 	Requests []*Request
 	Audit    []Audit
@@ -164,7 +165,7 @@
 	Why     string `json:",omitempty"`
 }
 
-// Seen returns the number of the latest call, which a coordinator acknowledges once it has applied this state.
+// Seen returns the number of the latest announcement, which a coordinator acknowledges once it has applied this state.
 func (s *State) Seen() uint64 { return s.Calls }
 
 // Request returns the request with the given id, or nil if there is none.
--- a/internal/maintenance/maintenance_test.go
+++ b/internal/maintenance/maintenance_test.go
@@ -158,7 +158,7 @@
 	if _, _, err := p.st.Start(p.v.Wall, r, machines, p.v.Fleet, p.v.Limits, p.v.WarmupTime); err != nil {
 		t.Fatal(err)
 	}
-	p.st.Step(p.v, p.t) // calls the machines that may be called
+	p.st.Step(p.v, p.t) // announces the machines that may be announced
 	return p
 }
 
@@ -240,7 +240,7 @@
 		want     string
 		why      string
 	}{
-		{"call not seen by all coordinators", Request{}, []string{"m0"}, func(p *planFixture) { p.v.Coordinators[1].Seen = 0 }, "m0 waiting", "not seen yet by n1"},
+		{"announcement not seen by all coordinators", Request{}, []string{"m0"}, func(p *planFixture) { p.v.Coordinators[1].Seen = 0 }, "m0 waiting", "not seen yet by n1"},
 		{"not before", Request{NotBefore: 2000}, []string{"m0"}, nil, "m0 waiting", "not before"},
 		{"excluded hours that span midnight", Request{Barred: []Hours{{23 * time.Hour, 24*time.Hour - 1}, {22 * time.Hour, time.Hour}}}, []string{"m0"}, func(p *planFixture) {
 			p.v.Wall = time.Date(2026, 1, 1, 0, 30, 0, 0, time.UTC)
@@ -294,17 +294,17 @@
 			p.step(0)
 			p.v.Fleet = p.fleet(func(m *Machine) { m.Started = 7 })
 		}, "m0 out", ""},
-		{"absent coordinator that has seen the call", Request{}, []string{"m0"}, func(p *planFixture) {
+		{"absent coordinator that has seen the announcement", Request{}, []string{"m0"}, func(p *planFixture) {
 			p.step(0)
 			p.clear(0)
 			p.v.Coordinators[1].Absent = true
 		}, "m0 drained", ""},
-		{"absent coordinator that has not seen the call", Request{}, []string{"m0"}, func(p *planFixture) {
+		{"absent coordinator that has not seen the announcement", Request{}, []string{"m0"}, func(p *planFixture) {
 			p.step(0)
 			p.clear(0)
 			p.v.Coordinators[1].Absent, p.v.Coordinators[1].Seen = true, 0
 		}, "m0 draining", "m0: n1 has not said that nothing is out there"},
-		{"overload after two machines were called", Request{AtOnce: 2}, []string{"m0", "m1", "m2"}, func(p *planFixture) {
+		{"overload after two machines were announced", Request{AtOnce: 2}, []string{"m0", "m1", "m2"}, func(p *planFixture) {
 			p.step(0)
 			p.v.Overloaded = true
 			p.clear(0, 1)
@@ -315,7 +315,7 @@
 				p.step(0)
 			}
 		}, "m0 done, m1 done, m2 waiting", "m2: users' queries were turned away"},
-		{"another replica fails between call and drain", Request{}, []string{"m0"}, func(p *planFixture) {
+		{"another replica fails between announcement and drain", Request{}, []string{"m0"}, func(p *planFixture) {
 			p.v.Limits.Floor = 2
 			p.v.Fleet = p.fleet(failing("m2"))
 		}, "m0 waiting", "shard 0 has 2 sound replicas and keeps 2"},
--- a/internal/maintenance/overlay.go
+++ b/internal/maintenance/overlay.go
@@ -4,9 +4,9 @@
 type Overlay struct {
 	Excluded  map[string]bool   // excluded machines, by id
 	Addrs     map[string]bool   // addresses of excluded machines, which may start under a new id while they are out
-	Announced map[string]bool   // called machines: a coordinator sends to them only while it is present
-	Returned  map[string]uint64 // returning or warm machines, with the turn of their drain
-	Turns     map[string]uint64 // excluded machines, with the turn of their drain
+	Announced map[string]bool   // machines announced for draining: a coordinator sends to them only while it is present
+	Returned  map[string]uint64 // Step.Turn by machine, for returning and warm machines
+	Turns     map[string]uint64 // Step.Turn by machine, for excluded machines
 }
 
 // Overlay derives the overlay from the plan.
--- a/internal/maintenance/plan.go
+++ b/internal/maintenance/plan.go
@@ -10,7 +10,7 @@
 
 // Plan is an order for taking machines out: waves of machines that may be out at the same time within the limits. It is computed
 // for the current state of the fleet. In operation a machine is taken out as soon as the limits permit, in this order, so the
-// request ends no later than it would wave by wave.
+// work ends no later than it would wave by wave.
 type Plan struct {
 	Waves   [][]string
 	Bound   int       // lower bound on the number of waves of any order
@@ -23,13 +23,13 @@
 
 const (
 	maxExactMachines = 20        // largest number of machines for which all orders are searched
-	maxSearchNodes   = 2_000_000 // nodes that this search visits at most
+	maxSearchSteps   = 2_000_000 // largest number of calls of waveSearch.place in this search
 	maxRestarts      = 24        // further orders to try with first fit; fewer for many machines
-	maxPlacements    = 40_000    // machines placed over all of these orders
+	maxPlacements    = 40_000    // machines placed over all shuffled orders among them
 )
 
-// Plan finds an order for the machines. Equal inputs give equal orders. For more than 20 machines its time is proportional to
-// machines times waves, for each of at most 24 restarts.
+// Plan finds an order for the machines. Equal inputs give equal orders. For more than maxExactMachines machines its time is
+// proportional to machines times waves, for each of at most maxRestarts further orders.
 func (f *Fleet) Plan(ids []string, l Limits, seed uint64) Plan {
 	list, refused := f.selectMachines(ids, l)
 	p := Plan{Refused: refused}
@@ -80,8 +80,8 @@
 func (f *Fleet) improve(best [][]*Machine, list []*Machine, l Limits, bound int, seed uint64) [][]*Machine {
 	random := rand.New(rand.NewPCG(seed, 3))
 	order := slices.Clone(list)
-	for attempt := 0; len(best) > bound && attempt < maxRestarts && (attempt+1)*len(list) <= maxPlacements+2*len(list); attempt++ {
-		switch attempt {
+	for restart := 0; len(best) > bound && restart < maxRestarts && (restart+1)*len(list) <= maxPlacements+2*len(list); restart++ {
+		switch restart {
 		case 0: // replicas of a shard one after the other, across zones
 			slices.SortFunc(order, func(a, b *Machine) int {
 				return cmp.Or(cmp.Compare(a.ShardSet%f.Reach, b.ShardSet%f.Reach), cmp.Compare(a.ShardSet, b.ShardSet), cmp.Compare(a.ID, b.ID))
@@ -111,7 +111,8 @@
 	return ids
 }
 
-// lowerBound returns a number of waves that every order needs, from the limits per shard, on machines at once and on weight.
+// lowerBound returns a lower bound on the number of waves of any order, from the limits on the replicas of a shard, on the weight
+// that is out, and on the number of machines that are out at once.
 func (f *Fleet) lowerBound(list []*Machine, l Limits) int {
 	bound := max(1, f.boundByShards(list, l), f.boundByWeight(list, l))
 	if l.AtOnce > 0 {
@@ -175,11 +176,11 @@
 // firstFit puts each machine into the first wave that it fits.
 func (f *Fleet) firstFit(list []*Machine, l Limits) (waves [][]*Machine) {
 	var sets []*outSet
-	first := 0 // earlier waves already have Limits.AtOnce machines
+	first := 0 // the waves before this index already have Limits.AtOnce machines
 	for _, m := range list {
 		i := first
 		for ; i < len(sets); i++ {
-			if sets[i].violated(m).limit == 0 {
+			if sets[i].violatedLimit(m).limit == 0 {
 				break
 			}
 			if i == first && l.AtOnce > 0 && sets[i].count >= l.AtOnce {
--- a/internal/maintenance/search.go
+++ b/internal/maintenance/search.go
@@ -18,7 +18,7 @@
 
 	waves  []*outSet
 	waveOf []int // wave of each machine
-	nodes  int   // nodes visited so far, over all numbers of waves
+	steps  int   // calls of place so far, over all calls of find
 }
 
 // searchWaves searches for an order with fewer waves than best, and reports whether the search was complete.
@@ -26,9 +26,9 @@
 	s := f.newWaveSearch(list, l)
 	for count := bound; count < len(best); count++ {
 		if s.find(count) {
-			return s.result(), s.nodes <= maxSearchNodes
+			return s.result(), s.steps <= maxSearchSteps
 		}
-		if s.nodes > maxSearchNodes {
+		if s.steps > maxSearchSteps {
 			return best, false
 		}
 	}
@@ -68,7 +68,7 @@
 	return list
 }
 
-// find reports whether the machines fit into a number of waves.
+// find reports whether the machines fit into count waves.
 func (s *waveSearch) find(count int) bool {
 	s.waves, s.waveOf = make([]*outSet, count), make([]int, len(s.machines))
 	for i := range s.waves {
@@ -77,12 +77,13 @@
 	return s.place(0, 0)
 }
 
-// place places the machines from index i on and reports whether they fit. The first used waves have machines already.
+// place places the machines from index i on and reports whether they fit. The waves below index used
+// hold machines; the others are empty.
 func (s *waveSearch) place(i, used int) bool {
 	if i == len(s.machines) {
 		return true
 	}
-	if s.nodes++; s.nodes > maxSearchNodes || s.exceedsCapacity(i) {
+	if s.steps++; s.steps > maxSearchSteps || s.exceedsCapacity(i) {
 		return false
 	}
 	m, first := s.machines[i], 0
@@ -90,7 +91,7 @@
 		first = s.waveOf[i-1]
 	}
 	for w := first; w < min(used+1, len(s.waves)); w++ { // empty waves are equivalent, so only one is tried
-		if s.waves[w].violated(m).limit != 0 {
+		if s.waves[w].violatedLimit(m).limit != 0 {
 			continue
 		}
 		s.waves[w].add(m)
--- a/internal/maintenance/step.go
+++ b/internal/maintenance/step.go
@@ -14,7 +14,7 @@
 type Coordinator struct {
 	Name   string
 	Seen   uint64            // State.Seen of the latest plan that it applied while present
-	Clear  map[string]uint64 // machines at which it has no attempt in flight, with the turn of their drain
+	Clear  map[string]uint64 // Step.Turn by machine, for excluded machines at which it has no attempt in flight
 	Absent bool              // its presence has probably expired; the store checks that when the move is applied
 }
 
@@ -26,8 +26,8 @@
 	Limits       Limits
 	WarmupTime   time.Duration // warm-up time of a data node after its start
 	Coordinators []Coordinator
-	Overloaded   bool              // queries were recently rejected for overload: no further machine is called
-	HookDone     map[string]uint64 // machines whose done hook has succeeded, with the turn of their drain; nil without a hook
+	Overloaded   bool              // queries were recently rejected for overload: no further machine is announced
+	HookDone     map[string]uint64 // Step.Turn by machine, for machines whose done hook has succeeded; nil without a hook
 }
 
 // Timer measures, on the clock of the duty's holder, how long steps have been in their state. A new holder starts from zero, so a
@@ -76,12 +76,12 @@
 // stepper makes the moves of one Step. Its set of machines that are out includes those of earlier moves, so that two machines never
 // use the same free capacity.
 type stepper struct {
-	state  *State
-	view   *View
-	timer  *Timer
-	out    *outSet
-	moves  []Move
-	called bool // a machine was called, or its call was taken back
+	state     *State
+	view      *View
+	timer     *Timer
+	out       *outSet
+	moves     []Move
+	announced bool // a machine was announced, or its announcement was taken back
 }
 
 // Step decides the next moves and applies them to the state. changed reports whether the state must be written. The store must
@@ -98,7 +98,7 @@
 	for _, r := range s.Requests {
 		reasons[r.ID] = p.advanceOutgoing(r)
 	}
-	changed = p.called || len(p.moves) > 0
+	changed = p.announced || len(p.moves) > 0
 	if p.writeReasons(reasons) {
 		changed = true
 	}
@@ -197,18 +197,18 @@
 	return "", false
 }
 
-// advanceOutgoing calls, drains and hands over machines of a request, and returns why the request makes no progress.
+// advanceOutgoing announces, drains and hands over machines of a request, and returns why the request makes no progress.
 func (p *stepper) advanceOutgoing(r *Request) (reason string) {
 	halt := haltReason(r, p.view.Wall)
 	reason = p.takeBack(r, halt)
-	inWork, waits := p.advanceCalled(r)
+	inWork, waits := p.advanceAnnounced(r)
 	if waits != "" {
 		reason = waits
 	}
 	if halt != "" {
 		return halt
 	}
-	if blocked := p.callMachines(r, inWork); reason == "" {
+	if blocked := p.announceMachines(r, inWork); reason == "" {
 		reason = blocked
 	}
 	return reason
@@ -228,7 +228,7 @@
 }
 
 // takeBack returns machines to waiting that may not proceed because the request is halted or the limits no longer hold: first those
-// that were only called, then draining and then drained ones, each from the end of the planned order. It returns the last reason.
+// that were only announced, then draining and then drained ones, each from the end of the planned order. It returns the last reason.
 func (p *stepper) takeBack(r *Request, halt string) (reason string) {
 	for _, state := range []StepState{Waiting, Draining, Drained} {
 		for _, st := range slices.Backward(r.Steps) {
@@ -241,7 +241,7 @@
 			}
 			reason = why
 			if state == Waiting {
-				st.Call, p.called = 0, true
+				st.Call, p.announced = 0, true
 			} else {
 				p.move(r, Move{Machine: st.Machine, To: Waiting, Why: "taken back: " + why})
 			}
@@ -267,9 +267,9 @@
 	return why
 }
 
-// advanceCalled makes the moves of machines that were called. It returns how many machines of the request are in work, and which
+// advanceAnnounced makes the moves of machines that were announced. It returns how many machines of the request are in work, and which
 // coordinators a machine waits for.
-func (p *stepper) advanceCalled(r *Request) (inWork int, waits string) {
+func (p *stepper) advanceAnnounced(r *Request) (inWork int, waits string) {
 	for _, st := range r.Steps {
 		if st.missing() && st.State != Failed {
 			inWork++
@@ -288,7 +288,7 @@
 				waits = waitsFor
 				continue
 			}
-			// The next Step hands it over, if the limits still hold then.
+			// The next call of Step moves it to Out, which hands it over for the work, if the limits still hold then.
 			p.move(r, Move{Machine: st.Machine, To: Drained, Why: "nothing is out there", Lapsed: lapsed})
 		case st.State == Drained:
 			p.move(r, Move{Machine: st.Machine, To: Out})
@@ -297,8 +297,8 @@
 	return inWork, waits
 }
 
-// callMachines calls the next machines that the limits permit, and returns why the first of the remaining ones is not called.
-func (p *stepper) callMachines(r *Request, inWork int) (blocked string) {
+// announceMachines announces the next machines that the limits permit, and returns why the first of the others is not announced.
+func (p *stepper) announceMachines(r *Request, inWork int) (blocked string) {
 	for _, st := range r.Steps {
 		if st.State != Waiting || st.Call > 0 {
 			continue
@@ -307,22 +307,22 @@
 			break
 		}
 		m := p.view.Fleet.Machine(st.Machine)
-		if why := p.callBlocked(m); why != "" {
+		if why := p.announceBlocked(m); why != "" {
 			if blocked == "" {
 				blocked = st.Machine + ": " + why
 			}
 			continue
 		}
 		p.state.Calls++
-		st.Call, p.called = p.state.Calls, true
+		st.Call, p.announced = p.state.Calls, true
 		p.out.add(m)
 		inWork++
 	}
 	return blocked
 }
 
-// callBlocked returns why a machine cannot be called now; empty if it can. m is nil for a machine that is not listed.
-func (p *stepper) callBlocked(m *Machine) string {
+// announceBlocked returns why a machine cannot be announced now; empty if it can. m is nil for a machine that is not listed.
+func (p *stepper) announceBlocked(m *Machine) string {
 	switch {
 	case p.view.Overloaded:
 		return "users' queries were turned away for want of room just now, and go first"
@@ -332,7 +332,7 @@
 	return p.out.violation(m)
 }
 
-// unseenBy lists the coordinators that have not seen a machine's call.
+// unseenBy lists the coordinators that have not seen a machine's announcement.
 func unseenBy(v *View, st *Step) string {
 	var names []string
 	for _, c := range v.Coordinators {
