--- a/internal/gossip/gossip.go
+++ b/internal/gossip/gossip.go
@@ -64,7 +64,8 @@
 }
 
 // Drops counts discarded packets and exchanges: sealed with an unknown key, of another version, replayed, malformed, or received
-// while the queue was full. Form also counts packets that could not be sent.
+// while the queue was full. Form also counts failed reads and packets that are oversized, or not sent because the address
+// does not resolve or is not a loopback address.
 type Drops struct{ Seal, Version, Replay, Form, Full atomic.Int64 }
 
 // Traffic counts packets and bytes that were sent and received.
--- a/internal/gossip/keyring.go
+++ b/internal/gossip/keyring.go
@@ -50,8 +50,8 @@
 	process uint64
 	keys    atomic.Pointer[[]sealKey] // the first one seals
 	counter atomic.Uint64             // of the packets that this process seals, for the peers' replayFilter
-	nonces  atomic.Uint64
-	salt    [4]byte // random part of this process's nonces
+	nonces  atomic.Uint64             // number of nonces used
+	salt    [4]byte                   // random part of this process's nonces
 	replays replayFilter
 }
 
