--- a/internal/maintenance/agent/follow.go
+++ b/internal/maintenance/agent/follow.go
@@ -91,8 +91,8 @@
 //
 // An announcement is acknowledged only while present. Without presence, an attempt may be in flight at a machine that had not been
 // announced when it was sent; with presence, such attempts end before the presence expires in the store, so the machine is not handed
-// over while they run. It is also not acknowledged while the disk may hold an older plan: after a restart this coordinator would use
-// that plan, and send without presence to machines that were announced since.
+// over while they run. An announcement is not acknowledged either while the disk may hold an older plan: after a restart this
+// coordinator would use that plan, and send without presence to machines that were announced since.
 func (a *Agent) acknowledge() {
 	idle := map[string]uint64{}
 	for id, turn := range a.applied.turns {
