--- a/aggregator/answer.go
+++ b/aggregator/answer.go
@@ -70,7 +70,7 @@
 }
 
 // openSecondPhase answers the first phase of a query, which opens the second. If no time is left it rejects or fails the
-// query instead: the answer would open a phase and never end the query.
+// query instead, as a second phase that can't be answered would leave the query without an end.
 func (a *Aggregator) openSecondPhase(q *query, complete bool) {
 	if q.deadline-a.now <= deadlineMarginTicks*a.settings.Tick {
 		a.rejectOrFail(q, DeadlineExceeded)
--- a/aggregator/canary.go
+++ b/aggregator/canary.go
@@ -10,7 +10,7 @@
 	queryOfDeathResets = 2
 	// canaryFleetShare is the share of the replicas to which a query may be sent before its first answer.
 	canaryFleetShare = 0.12
-	// canaryWaitShare is the time that the other parts wait for that answer, as a share of the latency objective.
+	// canaryWaitShare is the time that the other parts wait for the first answer, as a share of the latency objective.
 	canaryWaitShare = 0.12
 )
 
@@ -31,8 +31,8 @@
 // canaryLimit returns how many calls a query may open now, and until when the limit holds.
 //
 // It contains a query of death (Beyer et al., "Site Reliability Engineering", chapter 22): a query that crashes every
-// replica that runs it takes down one replica after another as its parts are retried. The engineer on call sees replicas of
-// several shards restart within a second, and clients that send the same query again. Until a part is answered, a query
+// replica that runs it takes down one replica after another as its parts are retried. The symptoms are replicas of
+// several shards that restart within a second, and clients that send the same query again. Until a part is answered, a query
 // therefore reaches only a small share of the fleet, and one replica at a time after a reset or while a query of death was
 // found recently; after queryOfDeathResets resets it is rejected or failed. The limit costs the latency of one part, so it
 // applies only once a replica has crashed or the query has had a reset.
--- a/aggregator/deadline.go
+++ b/aggregator/deadline.go
@@ -5,7 +5,7 @@
 )
 
 const (
-	// reserveShare is the share of the class's deadline that is kept in reserve for a pause of this node.
+	// reserveShare is the share of the class's deadline that is kept in reserve for a pause of the process.
 	reserveShare = 0.2
 	// minLateShare is the smallest Class.LateShare with which a query goes on after its objective.
 	minLateShare = 0.25
@@ -19,11 +19,12 @@
 
 // queryTimes holds the times from which a query is handled differently.
 type queryTimes struct {
-	early time.Duration // from then on a partial answer is given, as time must be left for a second phase
+	early time.Duration // from then on a partial answer is given, if time must be left for a second phase
 	late  time.Duration // from then on an answer arrives after the latency objective
 	end   time.Duration // from then on the query ends with the answers it has
 }
 
+// timesOf returns the times of the current phase of a query.
 func (a *Aggregator) timesOf(q *query) queryTimes {
 	late := q.objective - objectiveMarginTicks*a.settings.Tick
 	return queryTimes{
@@ -33,10 +34,10 @@
 	}
 }
 
-// pauseReserve returns how much of the time left to a query of the class is not used.
+// pauseReserve returns how much of the time left to a query of the class is not used, at most half of it.
 //
-// It prevents lost queries: a node that pauses past the end of a query answers too late, and the client sees only its own
-// timeout. The first pause comes without warning, so there is always a pauseReserve; after a pause the next one may be as long.
+// It prevents lost queries: a process that pauses past the end of a query answers too late, and the client sees only its
+// own timeout. The first pause comes without warning, so there is always a reserve; after a pause the next one may be as long.
 // The cost is the answers that would arrive in the last moment of a short deadline.
 func (a *Aggregator) pauseReserve(class int, left time.Duration) time.Duration {
 	pause := a.pauses.longest + a.pauses.longest/8
--- a/aggregator/deadline_test.go
+++ b/aggregator/deadline_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// TestQueryEndsEarlyEnoughForAPause checks that a query ends early enough to survive a pause of the node of up to a fifth
+// TestQueryEndsEarlyEnoughForAPause checks that a query ends early enough to survive a pause of the process of up to a fifth
 // of the deadline, or as long as an earlier one.
 func TestQueryEndsEarlyEnoughForAPause(t *testing.T) {
 	for _, earlierPause := range []time.Duration{0, 800 * ms} {
--- a/aggregator/endpoints_test.go
+++ b/aggregator/endpoints_test.go
@@ -74,7 +74,7 @@
 }
 
 // TestRemovedReplicasAreEvicted checks that memory does not grow with the number of queries, nor with that of replicas,
-// which come under new names for as long as a node runs. A replica that was listed recently or has an attempt in flight is
+// which come under new names for as long as a process runs. A replica that was listed recently or has an attempt in flight is
 // kept.
 func TestRemovedReplicasAreEvicted(t *testing.T) {
 	h := newHarness(t, testSettings(), members("a", "b", "c")...)
@@ -95,7 +95,7 @@
 	for _, set := range a.endpoints.shardSets {
 		held += len(set)
 	}
-	// The replicas of the last 40 s and the listed one, beside the three of the first list.
+	// The replicas of the last 40 s and the listed one, besides the three of the first list.
 	if most := 4 + 5; len(a.endpoints.replicas) > most || len(a.endpoints.byName) > most || len(a.endpoints.byTag) > most || held > most {
 		t.Errorf("%d replicas, %d names, %d tags, %d in shard sets", len(a.endpoints.replicas), len(a.endpoints.byName), len(a.endpoints.byTag), held)
 	}
--- a/aggregator/event.go
+++ b/aggregator/event.go
@@ -29,11 +29,11 @@
 	Zone     string
 	State    State
 	Started  time.Duration // start time of its process on the clock of Step; 0 means long ago
-	Size     float64       // relative size; not used by the rules
+	Size     float64       // relative size; not used by this package
 }
 
 // Outcome is the result of an attempt or a probe. The part may have run after any outcome that does not say that it never
-// ran or never left this node, also after one that is not listed here.
+// ran or never left this process, also after one that is not listed here.
 type Outcome uint8
 
 // Outcomes of attempts and probes.
@@ -46,7 +46,7 @@
 	Cancelled      // ended by a Cancel action
 	Rejected       // the replica is full; the part never ran
 	ConnectFailed  // the part never ran
-	NotSent        // the part never left this node
+	NotSent        // the part never left this process
 	ConnectionLost // the connection was lost or became unusable, but the replica is alive; all attempts on it end this way
 	ConnectTimeout // the connection was not established in time, which happens with live replicas too; the part never ran
 )
@@ -108,7 +108,7 @@
 	Query      string
 	Part       string
 	Replica    string
-	Key        string // cache key
+	Key        string // key by which replicas cache results; not used by this package
 	Class      int    // index into Settings.Classes
 	Tenant     int    // index into Settings.Tenants; below 0 for none
 	PartCount  int    // parts of the query's first phase
--- a/aggregator/healthcheck.go
+++ b/aggregator/healthcheck.go
@@ -42,7 +42,7 @@
 		r.health.lastProbeAnswer, r.health.suspectedAt, r.health.reportedLoad = a.now, 0, reportedLoad(e.LoadReport)
 		r.outlier.halfOpen = r.outlier.halfOpen || r.outlier.ejected
 	case Errored:
-		// The replica answers but rejects the probe, as many aggregators probe it. That is not a failure.
+		// The replica answers but rejects the probe because too many aggregators probe it. That is not a failure.
 		r.health.lastProbeAnswer, r.health.suspectedAt = a.now, 0
 	default:
 		r.health.suspectedAt = a.now
@@ -89,9 +89,9 @@
 // replies.
 //
 // It prevents losing parts on a dead replica: an aggregator that seldom sends a replica a part learns of its death from
-// lost parts, while the endpoint list still says that it serves; the engineer on call sees timeouts at one aggregator after
-// the other. Probes are sent only after failures, while few replicas have answered recently, and early in a query. A
-// replica that leaves a probe unanswered is suspected, not ejected.
+// lost parts while the endpoint list still says that it serves, so queries time out at one aggregator after the other.
+// Probes are sent only after failures, while few replicas have answered recently, and early in a query. A replica that
+// leaves a probe unanswered is suspected, not ejected.
 func (a *Aggregator) probeHolders(p *part) (wait time.Duration) {
 	if !a.settings.Limits.Probes || !a.health.staleView || a.health.probeCredit < 1 || a.now-p.query.arrived > p.query.objective-a.now {
 		return 0
--- a/aggregator/healthcheck_test.go
+++ b/aggregator/healthcheck_test.go
@@ -56,9 +56,9 @@
 	}
 }
 
-// TestRejectedProbesCauseNoFurtherProbes covers eighty aggregators that each lose a part while a data node answers only
-// some probes a second and rejects the rest. The rejections must neither lead to further probes nor cost a replica its
-// parts.
+// TestRejectedProbesCauseNoFurtherProbes checks, for eighty aggregators that each lose a part while a data node answers only a
+// few probes a second and rejects the rest, that the rejections neither lead to further probes nor keep parts from a
+// replica.
 func TestRejectedProbesCauseNoFurtherProbes(t *testing.T) {
 	const nodes, answered = 80, 12
 	set, all := fleetSettings(60, 3, nodes)
--- a/aggregator/idleconn.go
+++ b/aggregator/idleconn.go
@@ -26,8 +26,8 @@
 
 // idleConnEstimate is the estimated idle time after which connections are dead.
 //
-// It handles connections that a firewall or load balancer on the path drops silently. The engineer on call sees resets and
-// timeouts of the first part after a quiet period, on replicas that are healthy. The part after a loss goes on a new
+// It handles connections that a firewall or load balancer on the path drops silently. The symptoms are resets
+// and timeouts of the first part after a quiet period, on replicas that are healthy. The part after a loss goes on a new
 // connection; if that is answered, the idle connection was the cause, and after enough such evidence idle connections are
 // closed before use.
 type idleConnEstimate struct {
--- a/aggregator/outlier.go
+++ b/aggregator/outlier.go
@@ -70,8 +70,8 @@
 // updateFleetHealth sets panic mode and the stale view.
 //
 // Panic mode, a term of Envoy's, prevents ejecting a whole fleet: once half of the replicas are ejected, the cause is the
-// load or network that they share, and further unanswered calls are not counted as failures. Otherwise the engineer on call
-// would see all replicas ejected although none is broken.
+// load or network that they share, and further unanswered calls are not counted as failures. Otherwise all replicas
+// would be ejected although none is broken.
 func (a *Aggregator) updateFleetHealth() {
 	listed, ejected, answering := 0, 0, 0
 	for _, r := range a.endpoints.replicas {
--- a/aggregator/outlier_test.go
+++ b/aggregator/outlier_test.go
@@ -7,7 +7,7 @@
 )
 
 // TestFaultyReplicaLosesItsTrafficAndRegainsIt checks, for each fault, that a replica loses its traffic during the fault
-// and regains it afterwards. The outcome NotSent stands for no answer.
+// and regains it afterwards. Where the test gives NotSent as outcome, the replica does not answer.
 func TestFaultyReplicaLosesItsTrafficAndRegainsIt(t *testing.T) {
 	for name, fault := range map[string]struct {
 		outcome Outcome
--- a/aggregator/pause.go
+++ b/aggregator/pause.go
@@ -3,13 +3,13 @@
 import "time"
 
 const (
-	// pauseLifetime is the time after a pause of this node in which another one is expected, in longest latency objectives.
+	// pauseLifetime is the time after a pause of the process in which another one is expected, in longest latency objectives.
 	pauseLifetime = 8.0
 	// minPauseTicks is the delay of a round, in ticks, above which it counts as a pause.
 	minPauseTicks = 4
 )
 
-// pauseDetector detects pauses of this node, such as garbage collection, a busy host or a suspended machine.
+// pauseDetector detects pauses of the process, for example for garbage collection, on a busy host or when the host is suspended.
 type pauseDetector struct {
 	delay   time.Duration // delay of the current round; 0 if it came in time
 	longest time.Duration // longest pause within pauseLifetime
--- a/aggregator/random_test.go
+++ b/aggregator/random_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// TestRulesHoldForRandomEvents applies random events, and checks the operators' rules with its own records and that memory
-// stays bounded.
+// TestRulesHoldForRandomEvents checks, for random events, that the operators' rules hold according to records that the test
+// keeps itself, and that memory stays bounded.
 func TestRulesHoldForRandomEvents(t *testing.T) {
 	for seed := range uint64(6) {
 		set := testSettings()
@@ -18,7 +18,7 @@
 	}
 }
 
-// TestRulesHoldForRandomEventsInALargeFleet does the same for one of eighty aggregators with 120 replicas in two or three
+// TestRulesHoldForRandomEventsInALargeFleet checks the same for one of eighty aggregators with 120 replicas in two or three
 // zones, with shared calls and every effect of a class.
 func TestRulesHoldForRandomEventsInALargeFleet(t *testing.T) {
 	for seed := range uint64(4) {
@@ -54,7 +54,7 @@
 	for i := range 6000 {
 		h.now += time.Duration(rng.IntN(30)) * ms
 		if rng.IntN(300) == 0 {
-			h.now += 2 * time.Second // the node pauses
+			h.now += 2 * time.Second // the process pauses
 		}
 		events := probed
 		probed = nil
--- a/aggregator/retry.go
+++ b/aggregator/retry.go
@@ -15,7 +15,8 @@
 	cheapRetryCost = 0.3
 	// hedgeTailMultiple is the age, in tail latencies of its class, at which a part is hedged.
 	hedgeTailMultiple = 2.0
-	// hedgeMedianMultiple is the same in median latencies; the later of the two applies.
+	// hedgeMedianMultiple is the same in median latencies. The later of the two applies, or half the latency objective if
+	// that is earlier.
 	hedgeMedianMultiple = 4.0
 	// ejectedHedgeMultiple is the age, in median latencies, at which a part at an ejected replica is hedged.
 	ejectedHedgeMultiple = 1.5
@@ -24,7 +25,7 @@
 	// stragglerPartShare is the largest share of a query's parts that may be pending for a part to be hedged as a
 	// straggler.
 	stragglerPartShare = 0.125
-	// dedupMarginTicks is the number of ticks before the end of its deduplication by which a repeat must begin.
+	// dedupMarginTicks is the number of ticks before the end of the deduplication window by which a repeat must begin.
 	dedupMarginTicks = 4
 )
 
@@ -113,10 +114,10 @@
 }
 
 // retryBudget limits retries and hedged requests with a token bucket, which first sends fill and further attempts drain,
-// and, if Rules.RetryWindow is set, with the ratio of further attempts to accepted work in a sliding window.
+// and, if Rules.RetryWindow is set, by the ratio of further attempts to accepted work in a sliding window.
 //
-// It prevents retry storms: without it, replicas that fail under load get up to Limits.MaxAttempts times the load. The
-// engineer on call sees the number of attempts grow while that of queries does not.
+// It prevents retry storms: without it, replicas that fail under load get up to Limits.MaxAttempts times the load. In
+// such a storm the number of attempts grows while that of queries does not.
 type retryBudget struct {
 	tokens   float64
 	accepted slidingWindow // accepted queries and parts
--- a/aggregator/settings.go
+++ b/aggregator/settings.go
@@ -30,14 +30,14 @@
 	Name             string
 	LatencyObjective time.Duration // answers within it earn the full priority
 	Deadline         time.Duration // how long the client waits, including all its retries
-	DedupWindow      time.Duration // Keyed only: how long repeats are dropped, counted from the first send that may have run
+	DedupWindow      time.Duration // Keyed only: how long repeats are dropped, counted from the sending of the first attempt that may have run
 	Effect           Effect
 	Priority         float64 // value of a complete answer within the objective
 	LateShare        float64 // share of Priority that an answer after the objective earns
 	CompleteShare    float64 // share of the parts' weight that makes an answer complete
 	MinShare         float64 // smallest share of the parts' weight that may be answered
-	PartialShare     float64 // share of Priority that a partial answer earns, times its weight divided by CompleteShare
-	SecondPhaseParts int     // parts of a second phase, opened by the first answer and used only by the simulator; 0 means one phase
+	PartialShare     float64 // a partial answer of weight w earns Priority * PartialShare * w / CompleteShare
+	SecondPhaseParts int     // maximum parts of a second phase, which only the simulator uses; 0 means one phase
 }
 
 // Tenant is a customer with a quota.
@@ -63,12 +63,12 @@
 
 // Rules holds the values of the operators' rules. A zero value turns its rule off.
 type Rules struct {
-	DrainGrace       time.Duration // nothing may be sent to a replica later than this after it was listed as draining
+	DrainGrace       time.Duration // time after a replica was listed as draining from which nothing may be sent to it
 	OverloadMultiple float64       // work above this multiple of its capacity overloads a replica in slow start
 	OverloadWindow   time.Duration // time window in which OverloadMultiple applies
 	InitialCapacity  float64       // capacity of a replica when it starts, as a fraction of 1
 	WarmupTime       time.Duration // duration of slow start
-	RetryWindow      time.Duration // sliding window of the retry ratio; 0 means no ratio
+	RetryWindow      time.Duration // sliding window in which RetryFloor and RetryRatio apply; 0 means no limit
 	RetryFloor       float64       // retries per RetryWindow that are always allowed
 	RetryRatio       float64       // further retries per accepted query or part
 	PollInterval     time.Duration // the endpoint list must be polled at least this often
@@ -77,7 +77,7 @@
 // Settings configures an aggregator. The zero value of a feature turns it off.
 type Settings struct {
 	Zone            string        // zone of this aggregator
-	Aggregators     int           // number of aggregators that share the fleet; below 1 means 1
+	Aggregators     int           // number of coordinators that send to the fleet, each with one aggregator; below 1 means 1
 	Tick            time.Duration // shortest time between rounds; below 1 ms means 1 ms
 	Classes         []Class
 	Tenants         []Tenant
@@ -87,8 +87,8 @@
 	Shards          int
 	Reach           int           // number of shard sets that hold a shard
 	CallCost        time.Duration // work of a call in addition to that of its parts; 0 means that parts do not share calls
-	KeyCaches       bool          // a replica serves a recently served key with less work
-	LateFailPrice   float64       // cost of failing a query late; not used by the rules
+	KeyCaches       bool          // replicas cache by Event.Key: a key served recently takes less work; not used by this package
+	LateFailPrice   float64       // cost of failing a query late; not used by this package
 	PollList        bool          // the endpoint list must be polled
 	Limits          Limits
 	Rules           Rules
@@ -96,13 +96,13 @@
 
 // SettingsError reports invalid settings.
 type SettingsError struct {
-	Settings string // names of the settings; Settings.ShardSets is called Cells, as in the simulator's replies
+	Settings string // names of the settings; Settings.ShardSets is named Cells, as in the simulator's protocol
 	Problem  string
 }
 
 func (e *SettingsError) Error() string { return e.Settings + ": " + e.Problem }
 
-// validate returns a *SettingsError for the first invalid settings.
+// validate returns a *SettingsError for the first invalid settings, or nil if all are valid.
 func (set *Settings) validate() error {
 	if set.ShardSets < 1 || set.Shards < 1 {
 		return &SettingsError{"Cells, Shards", fmt.Sprintf("%d, %d: both must be above 0", set.ShardSets, set.Shards)}
@@ -126,12 +126,13 @@
 	return nil
 }
 
+// valid reports whether LatencyObjective and Deadline are above 0 and the other values are finite and at least 0.
 func (c *Class) valid() bool {
 	return c.LatencyObjective > 0 && c.Deadline > 0 && c.DedupWindow >= 0 && c.SecondPhaseParts >= 0 &&
 		nonNegativeFinite(c.Priority, c.LateShare, c.CompleteShare, c.MinShare, c.PartialShare)
 }
 
-// nonNegativeFinite reports whether all values are nonNegativeFinite and at least 0.
+// nonNegativeFinite reports whether all values are finite and at least 0.
 func nonNegativeFinite(values ...float64) bool {
 	return !slices.ContainsFunc(values, func(x float64) bool { return !(x >= 0) || math.IsInf(x, 0) })
 }
