--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -4,9 +4,9 @@
 //
 // # Limits
 //
-// Each pass counts in four scopes: its connection, its owner, its network, and all clients together. A request is checked against
-// the scopes in the order of this table. The first scope whose limit is reached determines the scope and the Retry-After of the
-// rejection:
+// A pass is an admitted call or query. Each pass counts in four scopes: its connection, its owner, its network, and all clients together. A
+// request is checked against the scopes in the order of this table. The first scope whose limit is reached determines the scope and the
+// Retry-After of the rejection:
 //
 //	scope       streams   queries   queries per second   bytes
 //	connection  yes       yes       yes                  yes
@@ -21,12 +21,12 @@
 // A query over the rate limit (a token bucket, refilled with Rate tokens per second up to Burst) is told the time until the bucket
 // holds the token it needs. A request over another limit is told the expected time until the next pass of its kind is released in
 // that scope, which is the exponentially weighted mean of the intervals between releases. Both stay between Config.MinRetryAfter and
-// MaxRetryAfter. A client that waits that long is admitted on average.
+// MaxRetryAfter. On average, a client that waits that long is admitted.
 //
 // # Memory pressure
 //
-// A newcomer that exceeds the byte limit of all clients evicts readers that have made no progress for SlowReaderGrace: those without
-// progress for longest first and, among equals, those that hold more bytes first. If that would not free enough memory, the newcomer
+// A pass that needs memory beyond the byte limit of all clients evicts readers that have made no progress for SlowReaderGrace: those
+// without progress for longest first and, among equals, those that hold more bytes first. If that would not free enough memory, its request
 // is rejected and no reader is evicted. A reader that makes progress is never evicted. Tick evicts a reader without progress for
 // StallTimeout in any case.
 //
--- a/internal/admission/sizeestimator.go
+++ b/internal/admission/sizeestimator.go
@@ -4,7 +4,7 @@
 const DefaultPartBytes = 256 << 10
 
 const (
-	decreaseRate   = 0.1  // fraction of an overestimate that each answer removes
+	decreaseRate   = 0.1  // share of the difference by which a smaller answer lowers the learned size
 	headroomFactor = 1.25 // estimates exceed the learned size by this factor
 )
 
@@ -21,7 +21,7 @@
 	return int64(perPart*headroomFactor*float64(parts)) + 1
 }
 
-// Record records the size of an answer. A size above the estimate replaces it at once; a smaller one lowers it gradually.
+// Record records the size of an answer. A size above the learned one replaces it at once; a smaller one lowers it gradually.
 func (s *SizeEstimator) Record(class string, parts int, bytes int64) {
 	if parts <= 0 {
 		return
--- a/internal/coordinator/attempt.go
+++ b/internal/coordinator/attempt.go
@@ -41,14 +41,14 @@
 	number       int // index among the attempts of its part, from 0
 	part         *part
 	node         *Node
-	listVersion  uint64 // version of the endpoint list that the module's decision is based on
+	listVersion  uint64 // version of the endpoint list that the decision module used for this attempt
 	sentAt       time.Time
 	cancelReason aggregator.Outcome // Unknown until it is cancelled
 	ended        bool
 	outcome      Outcome
 }
 
-// newAttempt returns the next attempt of a part, with the time limits that the module's action sets.
+// newAttempt returns the next attempt of a part, with the time limits that the decision module's action sets.
 func (c *Coordinator) newAttempt(now time.Time, p *part, n *Node, action aggregator.Action) *Attempt {
 	q := p.query
 	a := &Attempt{ID: p.id, Shard: p.shard, Text: q.Text, IdempotencyKey: q.IdempotencyKey, Deadline: now.Add(action.After),
--- a/internal/coordinator/coordinator.go
+++ b/internal/coordinator/coordinator.go
@@ -1,7 +1,7 @@
-// Package coordinator wraps the decision module (package aggregator) in a blocking API. A protocol server calls Execute and waits for
-// the answer to its query; a dispatcher receives the commands for one data node (NextCommand) and reports the outcome of each attempt
-// (Report). One event loop (Run) passes events to the module and executes the actions that it returns. The package is independent of the
-// wire protocols and makes no decisions about replicas, retries or load; callers never see the module's events and actions.
+// Package coordinator wraps the decision module (package aggregator, "the module" below) in a blocking API. A protocol server calls Execute
+// and waits for the answer to its query; a dispatcher receives the commands for one data node (NextCommand) and reports the outcome of each
+// attempt (Report). One event loop (Run) passes events to the module and executes the actions that it returns. The package is independent
+// of the wire protocols and makes no decisions about replicas, retries or load; callers never see the module's events and actions.
 package coordinator
 
 import (
@@ -41,7 +41,7 @@
 	inbox       []input
 	open        int // queries and parts in progress, including those in the inbox
 	endpoints   endpoints
-	zones       *zoneState        // set before Run; nil if zones are not watched
+	zones       *zoneWatch        // set before Run; nil if zones are not watched
 	maintenance *maintenanceState // set before Run; nil if maintenance is not enabled
 
 	loop eventLoop // only used by the goroutine of the event loop
--- a/internal/coordinator/coordinator_test.go
+++ b/internal/coordinator/coordinator_test.go
@@ -198,8 +198,8 @@
 	})
 }
 
-// TestModulePanicFailsOpenQueries checks that a panic of the module fails the open queries, each with exactly one answer, and that queries
-// are served by a new module afterwards.
+// TestModulePanicFailsOpenQueries checks that a panic of the decision module fails the open queries, each with exactly one answer, and that
+// queries are served by a new module afterwards.
 func TestModulePanicFailsOpenQueries(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newTestbed(t, 0, serve)
@@ -217,7 +217,7 @@
 	})
 }
 
-// TestInvalidQueries checks that invalid queries fail with ErrInvalidQuery and never reach the module.
+// TestInvalidQueries checks that invalid queries fail with ErrInvalidQuery and never reach the decision module.
 func TestInvalidQueries(t *testing.T) {
 	c, err := New(aggregator.Settings{ShardSets: 1, Shards: 2, Reach: 1, Tenants: []aggregator.Tenant{{Name: "club"}},
 		Classes: []aggregator.Class{{Name: "report", LatencyObjective: 1, Deadline: 1}}}, 1, slog.New(slog.DiscardHandler), membership.Config{})
--- a/internal/coordinator/dispatch.go
+++ b/internal/coordinator/dispatch.go
@@ -135,7 +135,7 @@
 	return c.endpoints.nodes[id]
 }
 
-// commandBatch collects the commands of one step of the module, so that attempts at the same data node share a call.
+// commandBatch collects the commands of one step of the decision module, so that attempts at the same data node share a call.
 type commandBatch struct {
 	maxCall  int                  // maximum number of attempts in a call
 	calls    map[*Node]*Command   // the latest call of each data node, to which attempts are added
--- a/internal/coordinator/endpoints.go
+++ b/internal/coordinator/endpoints.go
@@ -124,8 +124,9 @@
 	completeUpdate                   // the complete list
 )
 
-// updateTable updates the membership table and applies the result immediately, before the module's next step, so that nothing more is
-// sent to a data node that has just been excluded. The module receives the complete list if a source has sent one, otherwise the changes.
+// updateTable updates the membership table and applies the result immediately, before the decision module's next step, so that nothing more
+// is sent to a data node that has just been excluded. The module receives the complete list if a source has sent one, otherwise the
+// changes.
 func (c *Coordinator) updateTable(kind updateKind, update func(now time.Time) membership.Result) {
 	c.mu.Lock()
 	now := time.Now()
@@ -236,9 +237,9 @@
 // moduleMember converts a record to the module's type, adjusted for start times that peers reported, for the state of its zone and for
 // maintenance. The caller holds the lock.
 func (c *Coordinator) moduleMember(m Member) aggregator.Member {
-	out := aggregator.Member{Replica: m.ID, ShardSet: m.ShardSet, Zone: m.Zone, Size: m.Weight, State: moduleStates[m.State]}
+	member := aggregator.Member{Replica: m.ID, ShardSet: m.ShardSet, Zone: m.Zone, Size: m.Weight, State: moduleStates[m.State]}
 	if !m.Started.IsZero() {
-		out.Started = max(c.moduleClock(m.Started), time.Nanosecond)
+		member.Started = max(c.moduleClock(m.Started), time.Nanosecond)
 	}
-	return c.adjustForMaintenance(m, c.adjustForZone(m, c.adjustForReportedStart(m, out)))
+	return c.adjustForMaintenance(m, c.adjustForZone(m, c.adjustForReportedStart(m, member)))
 }
--- a/internal/coordinator/endpoints_test.go
+++ b/internal/coordinator/endpoints_test.go
@@ -1,6 +1,6 @@
 package coordinator
 
-// Tests of the list that is merged from several sources: the effect on dispatchers and the module, in virtual time.
+// Tests of the list that is merged from several sources: the effect on dispatchers and the decision module, in virtual time.
 
 import (
 	"context"
--- a/internal/coordinator/gossip.go
+++ b/internal/coordinator/gossip.go
@@ -73,9 +73,9 @@
 }
 
 // adjustForReportedStart replaces the start of a data node by the start that peers reported, if that is later. The caller holds the lock.
-func (c *Coordinator) adjustForReportedStart(m Member, out aggregator.Member) aggregator.Member {
+func (c *Coordinator) adjustForReportedStart(m Member, adjusted aggregator.Member) aggregator.Member {
 	if at, ok := c.endpoints.reportedStarts[m.ID]; ok {
-		out.Started = max(out.Started, c.moduleClock(at))
+		adjusted.Started = max(adjusted.Started, c.moduleClock(at))
 	}
-	return out
+	return adjusted
 }
--- a/internal/coordinator/logline.go
+++ b/internal/coordinator/logline.go
@@ -2,7 +2,7 @@
 
 import "gullfall/aggregator"
 
-// Log messages that other programs parse, such as gullfall-lab fleet.
+// Messages of log lines that other programs, such as gullfall-lab fleet, parse.
 const (
 	LogQueryRejected = "query rejected"
 	LogQueryFailed   = "query failed"
@@ -47,8 +47,8 @@
 	return outcomeText[o]
 }
 
-// reasonText returns the reason for which the module ends a query without an answer, as it appears in the log. It is empty for a query
-// of an unknown class.
+// reasonText returns the reason for which the decision module ends a query without an answer, as it appears in the log. It is empty for
+// a query of an unknown class.
 func reasonText(reason aggregator.Reason) string {
 	if reason == 0 {
 		return ""
--- a/internal/coordinator/loop.go
+++ b/internal/coordinator/loop.go
@@ -17,7 +17,7 @@
 	actions     []aggregator.Action // result of the last step; its memory is reused by the next
 	queries     queryTable
 	delayed     []input   // inputs that are not due yet
-	wakeAt      time.Time // time at which the module asked to be called; zero for none
+	wakeAt      time.Time // time at which the decision module asked to be called; zero for none
 	lastTick    time.Time
 	listVersion uint64 // version of the endpoint list that the module knows
 }
--- a/internal/coordinator/maintenance.go
+++ b/internal/coordinator/maintenance.go
@@ -10,7 +10,8 @@
 )
 
 // Maintenance describes which data nodes are in maintenance or announced for it, as far as this coordinator knows. The zero value allows
-// the use of all data nodes. The coordinator is present until the time that ExtendPresence sets.
+// the use of all data nodes. The coordinator is present, which allows the use of announced data nodes, until the time that ExtendPresence
+// sets.
 type Maintenance struct {
 	Excluded      map[string]bool   // by ID: nothing may be sent there
 	ExcludedAddrs map[string]bool   // by address, whatever the ID: nothing may be sent there
@@ -25,7 +26,7 @@
 	returned        map[string]nodeReturn
 	inFlight        map[string]int // attempts that have not ended, by data node; kept after its record is removed
 	health          map[string]*nodeEvidence
-	absenceReported bool // the module was told that announced data nodes are not usable
+	absenceReported bool // the decision module was told that announced data nodes are not usable
 
 	presentUntil atomic.Int64 // time on the module's clock until which this coordinator is present
 	lastOverload atomic.Int64 // time on the module's clock at which a query was last rejected for lack of capacity; 0 for never
@@ -69,7 +70,7 @@
 	}
 }
 
-// ExtendPresence allows the use of announced data nodes until the given time. Attempts sent before then end within the limit of their
+// ExtendPresence allows the use of announced data nodes until the given time. Attempts sent before then end by the deadline of their
 // class.
 func (c *Coordinator) ExtendPresence(until time.Time) {
 	c.maintenance.presentUntil.Store(int64(c.moduleClock(until)))
@@ -133,7 +134,7 @@
 	c.wakeUp()
 }
 
-// equalFor reports whether both treat a data node in the same way.
+// equalFor reports whether m and other treat a data node in the same way.
 func (m *Maintenance) equalFor(other *Maintenance, member Member) bool {
 	id, addr := member.ID, member.Addr
 	return m.Excluded[id] == other.Excluded[id] && m.ExcludedAddrs[addr] == other.ExcludedAddrs[addr] && m.Announced[id] == other.Announced[id] &&
@@ -184,17 +185,17 @@
 
 // adjustForMaintenance marks a data node as draining if maintenance makes it unusable, and sets its start to its return from maintenance
 // if that is later. The caller holds the lock.
-func (c *Coordinator) adjustForMaintenance(m Member, out aggregator.Member) aggregator.Member {
+func (c *Coordinator) adjustForMaintenance(m Member, adjusted aggregator.Member) aggregator.Member {
 	if c.maintenance == nil {
-		return out
+		return adjusted
 	}
-	if out.State == aggregator.Serving && (c.isExcluded(m) || c.isAnnounced(m) && c.maintenance.absenceReported) {
-		out.State = aggregator.Draining
+	if adjusted.State == aggregator.Serving && (c.isExcluded(m) || c.isAnnounced(m) && c.maintenance.absenceReported) {
+		adjusted.State = aggregator.Draining
 	}
 	if r, ok := c.maintenance.returned[m.ID]; ok {
-		out.Started = max(out.Started, c.moduleClock(r.at))
+		adjusted.Started = max(adjusted.Started, c.moduleClock(r.at))
 	}
-	return out
+	return adjusted
 }
 
 // addInFlight adds to the number of attempts in flight at a data node. The caller holds Coordinator.mu.
--- a/internal/coordinator/queries.go
+++ b/internal/coordinator/queries.go
@@ -12,7 +12,7 @@
 	"gullfall/aggregator"
 )
 
-// ErrInvalidQuery is wrapped by the errors for invalid queries. Such queries never reach the module.
+// ErrInvalidQuery is wrapped by the errors for invalid queries. Such queries never reach the decision module.
 var ErrInvalidQuery = errors.New("bad query")
 
 // ErrClientGone is returned if the client leaves before the query is answered.
@@ -38,7 +38,7 @@
 	Shard        int
 	Weight       float64       // share of the answer, 0 to 1
 	ExpectedWork time.Duration // expected processing time; 0 if not known
-	Key          string
+	Key          string        // cache key, passed to the decision module
 }
 
 // Status is the final status of a query.
@@ -159,7 +159,7 @@
 	return true
 }
 
-// release undoes reserve.
+// release stops counting a query as open.
 func (c *Coordinator) release(q *query) {
 	c.mu.Lock()
 	c.open -= q.size()
--- a/internal/coordinator/slowstart_test.go
+++ b/internal/coordinator/slowstart_test.go
@@ -1,7 +1,7 @@
 package coordinator
 
-// End-to-end test of slow start, from the record of a data node that returns with the same ID to the attempts sent to it: the module must
-// apply slow start also to starts that the membership table has inferred.
+// End-to-end test of slow start, from the record of a data node that returns with the same ID to the attempts sent to it: the decision
+// module must apply slow start also to starts that the membership table has inferred.
 
 import (
 	"context"
--- a/internal/coordinator/zones.go
+++ b/internal/coordinator/zones.go
@@ -11,31 +11,31 @@
 	"gullfall/internal/zones"
 )
 
-// zoneInterval is the interval at which zone states are updated while a zone is not healthy or a data node fails. The durations in their
-// rules are therefore accurate to 0.1 s, and a healthy fleet causes no updates.
+// zoneInterval is the interval at which zone states are updated while a zone is not healthy or a data node fails. The durations in the
+// rules of package zones are therefore accurate to 0.1 s, and a healthy fleet causes no updates.
 const zoneInterval = 100 * time.Millisecond
 
 // zoneLogInterval is the minimum time between two log lines for the same zone and new state, so that a flapping zone does not flood the
 // log.
 const zoneLogInterval = time.Second
 
-// zoneState holds the zone tracker and the coordinator's own data about zones. Coordinator.mu guards its fields.
-type zoneState struct {
+// zoneWatch holds the zone tracker and the coordinator's own data about zones. Coordinator.mu guards its fields.
+type zoneWatch struct {
 	tracker            *zones.Tracker
-	loggedAt           map[zoneLogKey]time.Time // when a change of this kind was last logged
-	suppressed         map[zoneLogKey]int       // number of changes of this kind since then that were not logged
+	loggedAt           map[zoneLogKey]time.Time // when the change of a zone to a state was last logged
+	suppressed         map[zoneLogKey]int       // number of such changes since then that were not logged
 	lastAnswer         map[string]time.Time     // last answer to an attempt or a probe, by data node
 	lastConnectionLoss map[string]time.Time     // last loss of a connection that could be reopened, by data node
 }
 
-// zoneLogKey identifies a kind of log line: the change of a zone to a state.
+// zoneLogKey identifies the log lines about one kind of change: that of a zone to a state.
 type zoneLogKey struct {
 	zone string
 	to   zones.State
 }
 
 // WatchZones enables the detection of zones that fail as a whole: nothing is sent to such a zone, and after its recovery its load grows at
-// the rate of slow start. It must be called before Run. Without it, as on the platform, the health of each data node is
+// the rate of slow start. It must be called before Run. If it is not called, the health of each data node is
 // tracked individually.
 func (c *Coordinator) WatchZones(cfg zones.Config) error {
 	tracker, err := zones.New(cfg)
@@ -44,7 +44,7 @@
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.zones = &zoneState{
+	c.zones = &zoneWatch{
 		tracker:            tracker,
 		loggedAt:           map[zoneLogKey]time.Time{},
 		suppressed:         map[zoneLogKey]int{},
@@ -88,7 +88,7 @@
 }
 
 // setDrained drains the named zones and undrains all others.
-func (z *zoneState) setDrained(now time.Time, names []string) (changes []zones.Change) {
+func (z *zoneWatch) setDrained(now time.Time, names []string) (changes []zones.Change) {
 	named := map[string]bool{}
 	for _, name := range names {
 		named[name] = true
@@ -106,7 +106,8 @@
 	return changes
 }
 
-// zoneEvidence maps outcomes to evidence about a zone. For outcomes that are missing, the evidence depends on earlier observations.
+// zoneEvidence maps outcomes to evidence about a zone. ConnectionLost and Cancelled give evidence only together with earlier observations
+// (see evidence); Overloaded and NotSent give none.
 var zoneEvidence = map[Outcome]zones.Evidence{
 	OK:             zones.Good,
 	Errored:        zones.Good,
@@ -130,14 +131,14 @@
 // evidence returns the evidence that the outcome of an attempt or a probe at a data node gives about its zone; known is false if it gives
 // none.
 //
-// A cancelled attempt counts as a timeout if its deadline passed. It also counts as a timeout if the module cancelled it and the data node
-// has answered nothing since it was sent: the module retries a part on another data node before its deadline, so a zone that accepts
-// requests but never answers would otherwise give no evidence at all. While the data node answers other attempts, a cancellation gives no
-// evidence, since most attempts are cancelled because their query ended.
+// A cancelled attempt counts as a timeout if its deadline passed. It also counts as a timeout if the decision module cancelled it and the
+// data node has answered nothing since it was sent: the module retries a part on another data node before its deadline, so a zone that
+// accepts requests but never answers would otherwise give no evidence at all. While the data node answers other attempts, a cancellation
+// gives no evidence, since most attempts are cancelled because their query ended.
 //
 // The loss of a connection that can be reopened counts as a refusal only if an attempt sent on the new connection is lost too, with no
 // answer in between: such a data node accepts connections and resets each of them.
-func (z *zoneState) evidence(node string, a *Attempt, outcome Outcome, now time.Time) (e zones.Evidence, known bool) {
+func (z *zoneWatch) evidence(node string, a *Attempt, outcome Outcome, now time.Time) (e zones.Evidence, known bool) {
 	e, known = zoneEvidence[outcome]
 	switch {
 	case outcome == OK || outcome == Errored || outcome == Overloaded:
@@ -176,8 +177,8 @@
 	maps.DeleteFunc(c.zones.lastConnectionLoss, notServing)
 }
 
-// stepZones updates the states of zones. It returns an event that tells the module about changes, if there are any, and the time at which
-// the states must be updated again. The caller does not hold the lock.
+// stepZones updates the states of zones. It returns an event that tells the decision module about changes, if there are any, and the time
+// at which the states must be updated again. The caller does not hold the lock.
 func (c *Coordinator) stepZones(now time.Time) (events []aggregator.Event, next time.Time) {
 	if c.zones == nil {
 		return nil, time.Time{}
@@ -208,7 +209,7 @@
 }
 
 // changesToLog returns the changes to be logged, and counts the others.
-func (z *zoneState) changesToLog(now time.Time, changes []zones.Change) (lines []loggedChange) {
+func (z *zoneWatch) changesToLog(now time.Time, changes []zones.Change) (lines []loggedChange) {
 	for _, ch := range changes {
 		kind := zoneLogKey{ch.Zone, ch.To}
 		if now.Sub(z.loggedAt[kind]) < zoneLogInterval {
@@ -232,7 +233,7 @@
 }
 
 // failures returns an observation for each failing data node of the zones that have just gone out.
-func (z *zoneState) failures(now time.Time, changes []zones.Change) (failures []Observation) {
+func (z *zoneWatch) failures(now time.Time, changes []zones.Change) (failures []Observation) {
 	for _, ch := range changes {
 		if ch.To != zones.Out {
 			continue
@@ -245,7 +246,7 @@
 }
 
 // allHealthy reports whether all zones are healthy and no data node is failing.
-func (z *zoneState) allHealthy(now time.Time) bool {
+func (z *zoneWatch) allHealthy(now time.Time) bool {
 	for _, s := range z.tracker.Statuses(now) {
 		if s.State != zones.Healthy || s.Failing > 0 {
 			return false
@@ -263,17 +264,18 @@
 	return c.listEvent(aggregator.ListChanged, func(m Member) bool { return changed[m.Zone] })
 }
 
-// adjustForZone marks a data node as draining if its zone is out, and sets its start to the start of the recovery if its zone is
-// recovering. The module's rules for draining data nodes apply to attempts in flight there. The caller holds the lock.
-func (c *Coordinator) adjustForZone(m Member, out aggregator.Member) aggregator.Member {
+// adjustForZone marks a data node as draining if its zone is out, and sets its start to the start of its zone's recovery if the zone is
+// recovering and that is later. The decision module's rules for draining data nodes apply to attempts in flight there. The caller holds
+// the lock.
+func (c *Coordinator) adjustForZone(m Member, adjusted aggregator.Member) aggregator.Member {
 	if c.zones == nil {
-		return out
+		return adjusted
 	}
-	if out.State == aggregator.Serving && !c.zones.tracker.Usable(m.Zone) {
-		out.State = aggregator.Draining
+	if adjusted.State == aggregator.Serving && !c.zones.tracker.Usable(m.Zone) {
+		adjusted.State = aggregator.Draining
 	}
 	if since, ok := c.zones.tracker.WarmingSince(m.Zone); ok {
-		out.Started = max(out.Started, c.moduleClock(since))
+		adjusted.Started = max(adjusted.Started, c.moduleClock(since))
 	}
-	return out
+	return adjusted
 }
--- a/internal/coordinator/zones_test.go
+++ b/internal/coordinator/zones_test.go
@@ -1,6 +1,7 @@
 package coordinator
 
-// End-to-end tests of a zone that fails as a whole, from the dispatcher's reports to the attempts that the module sends: the zone goes out
+// End-to-end tests of a zone that fails as a whole, from the dispatcher's reports to the attempts that the decision
+// module sends: the zone goes out
 // within Confirm of the evidence, no new attempts are sent there while it is out, and after its recovery its data nodes get load at the
 // rate of slow start.
 
@@ -142,7 +143,7 @@
 	return result, maxWarmingUp
 }
 
-// logBuffer records log logBuffer, so that a test can count them.
+// logBuffer records log lines, so that a test can count them.
 type logBuffer struct {
 	mu    sync.Mutex
 	lines []string
@@ -192,10 +193,10 @@
 	}
 }
 
-// TestSilentOrResettingZoneGoesOut guards against zone failures that cause neither refusals nor timeouts. In a zone that accepts requests
-// and never answers, the module cancels the attempts and retries the parts elsewhere; the evidence is that a data node has answered
-// nothing since an attempt was sent. In a zone that accepts connections and resets each of them, the evidence is that there is no answer
-// between two resets.
+// TestSilentOrResettingZoneGoesOut checks that a zone goes out if its failure causes neither refusals nor timeouts. In a zone that accepts
+// requests and never answers, the module cancels the attempts and retries the parts elsewhere; the evidence is that a data node has
+// answered nothing since an attempt was sent. In a zone that accepts connections and resets each of them, the evidence is that there is no
+// answer between two resets.
 func TestSilentOrResettingZoneGoesOut(t *testing.T) {
 	for lossOutcome, name := range map[Outcome]string{Cancelled: "silent", ConnectionLost: "resetting"} {
 		unwatched, _ := simulateZoneLoss(t, withoutZoneWatch, lossOutcome)
--- a/internal/observations/observations.go
+++ b/internal/observations/observations.go
@@ -14,7 +14,8 @@
 // Where two writes differ, the rule of each field is:
 //
 //	failed, answered   the later stamp
-//	latency, busy      the later stamp
+//	latency            the later stamp
+//	busy               the later stamp; it is the field Utilization
 //	started            the lower age, which is the more cautious, as it makes the warm-up last longer; of equal ages the later stamp
 //
 // A data node is suspect if its last failure is younger than SuspectFor and no answer clears it. An answer clears a failure of the
--- a/internal/observations/observations_test.go
+++ b/internal/observations/observations_test.go
@@ -32,8 +32,8 @@
 	return Fact{Node: "n", Field: f, Stamp: Stamp{Physical: wall.UnixMilli() + offsetMS, Coordinator: coordinator}, Age: age, Value: value}
 }
 
-// TestOf checks the view of a data node for conflicting facts and as time passes, whatever the order in which the facts are merged.
-func TestOf(t *testing.T) {
+// TestView checks the view of a data node for conflicting facts and as time passes, whatever the order in which the facts are merged.
+func TestView(t *testing.T) {
 	none := View{AnsweredAge: -1, Latency: -1, Utilization: -1}
 	with := func(change func(*View)) View { v := none; change(&v); return v }
 	suspect := func(ago time.Duration) View {
@@ -50,12 +50,12 @@
 		{"a failure", []Fact{newFact(Failed, "a", 0, 0, 0)}, 0, suspect(0)},
 		{"a failure received after SuspectFor", []Fact{newFact(Failed, "a", 0, 6*s, 0)}, 0, none},
 		{"a failure that reaches SuspectFor", []Fact{newFact(Failed, "a", 0, 2*s, 0)}, 3 * s, none},
-		{"answered the same coordinator later", []Fact{newFact(Failed, "a", 0, s, 0), newFact(Answered, "a", 1, s, 0)}, 0, answered(none)},
-		{"answered before the failure", []Fact{newFact(Answered, "a", -1, s, 0), newFact(Failed, "a", 0, s, 0)}, 0, answered(suspect(s))},
-		{"answered another coordinator within MaxSkew: the failure counts", []Fact{newFact(Answered, "b", 400, s, 0), newFact(Failed, "a", 0, s, 0)}, 0, answered(suspect(s))},
-		{"answered another coordinator later by more than MaxSkew", []Fact{newFact(Answered, "b", 600, s, 0), newFact(Failed, "a", 0, s, 0)}, 0, answered(none)},
+		{"a later answer to the same coordinator clears the failure", []Fact{newFact(Failed, "a", 0, s, 0), newFact(Answered, "a", 1, s, 0)}, 0, answered(none)},
+		{"an answer before the failure does not clear it", []Fact{newFact(Answered, "a", -1, s, 0), newFact(Failed, "a", 0, s, 0)}, 0, answered(suspect(s))},
+		{"an answer to another coordinator within MaxSkew does not clear the failure", []Fact{newFact(Answered, "b", 400, s, 0), newFact(Failed, "a", 0, s, 0)}, 0, answered(suspect(s))},
+		{"an answer to another coordinator later by more than MaxSkew clears the failure", []Fact{newFact(Answered, "b", 600, s, 0), newFact(Failed, "a", 0, s, 0)}, 0, answered(none)},
 		{"the later of two latencies counts", []Fact{newFact(Latency, "a", 5, 0, 0.2), newFact(Latency, "b", 3, 0, 0.7)}, 0, with(func(v *View) { v.Latency = 0.2 })},
-		{"reached MaxAge", []Fact{newFact(Utilization, "a", 0, 59*s, 0.5)}, 2 * s, none},
+		{"a fact that reaches MaxAge no longer counts", []Fact{newFact(Utilization, "a", 0, 59*s, 0.5)}, 2 * s, none},
 		{"the younger of two starts counts, though its stamp is earlier", []Fact{newFact(Started, "a", 9, 8*s, 0), newFact(Started, "b", 1, 3*s, 0)}, s,
 			with(func(v *View) { v.WarmupLeft, v.StartedBy, v.StartAge = 6*s, "b", 4*s })},
 		{"warm-up is over", []Fact{newFact(Started, "a", 0, 8*s, 0)}, 2 * s, none},
--- a/internal/session/flights.go
+++ b/internal/session/flights.go
@@ -12,14 +12,14 @@
 //	failed     Fail, or Complete without room  after TTL: removed
 //	cancelled  Cancel                          after TTL: removed
 //
-// The query of a flight is executed once, however often and by whomever its ranges are claimed, and all of them are ranges of the
-// same final answer. A range may be fetched again as long as the flight is kept. Renew extends its time, up to MaxTTL after the end of the
-// query, or after Open while it is planned.
+// The query of a flight is executed once, however many calls claim its ranges, and all of them are ranges of the same final answer. A range
+// may be fetched again as long as the flight is kept. Renew extends that time, up to MaxTTL after the end of the query, or after Open while
+// the flight is planned.
 //
 // # Eviction
 //
 // When a limit is reached, ended flights are evicted first, the oldest first, then planned ones. A flight that is running or
-// being sent, or whose answer has not been fetched whole, is never evicted for another; the new one is rejected.
+// being sent, or whose answer has not been fetched whole, is never evicted; instead the new flight or answer is rejected.
 package session
 
 import (
@@ -45,8 +45,8 @@
 	MaxBytes     int64         // bytes of all kept answers; 16 MiB
 	UnclaimedTTL time.Duration // how long a planned flight is kept without a Claim; 30 s
 	TTL          time.Duration // how long a flight is kept after its query has ended; 30 s
-	MaxTTL       time.Duration // the most that Renew can keep it after its query has ended or, while planned, after Open; 5 min
-	FetchedTTL   time.Duration // how long it is kept once all ranges have been fetched; 2 s
+	MaxTTL       time.Duration // the longest that Renew can keep a flight after its query has ended or, while planned, after Open; 5 min
+	FetchedTTL   time.Duration // how long a flight is kept once all ranges have been fetched; 2 s
 }
 
 func (c FlightConfig) withDefaults() FlightConfig {
@@ -305,7 +305,7 @@
 	}
 }
 
-// removeReader uncounts a reader of a range and returns its flight, or nil if the flight has no reader.
+// removeReader removes a reader of a range from the count and returns its flight, or nil if the flight has no reader.
 func (f *Flights) removeReader(id string, r int) *flight {
 	x := f.flights[id]
 	if x == nil || x.readers == 0 || r < 0 || r >= x.ranges {
--- a/internal/session/session_test.go
+++ b/internal/session/session_test.go
@@ -1,7 +1,7 @@
 package session
 
-// Table tests of flights and sessions, and a property test of flights: each is executed once, belongs to one owner, and is not kept
-// beyond its time and the limits.
+// Tests of flights and sessions. A property test checks that the query of a flight is executed once, that its answer goes only to its
+// owner, and that the kept flights stay within the limits.
 
 import (
 	"errors"
@@ -189,7 +189,7 @@
 	}
 	// There is no room for d's answer beside b's, which has not been fetched.
 	if evicted, ok := f.Complete(at(2), "d", 90); ok || len(evicted) > 0 {
-		t.Errorf("answer without room: evicted %v, kept %v", evicted, ok)
+		t.Errorf("complete without room: evicted %v, kept %v", evicted, ok)
 	}
 	if next, err := f.Claim(at(2), "d", "me", 0); next != Report || err != nil {
 		t.Errorf("claim of the flight without room: %v, error %v", next, err)
@@ -197,7 +197,7 @@
 	f.Claim(at(2), "b", "me", 0)
 	f.RangeSent(at(2), "b", 0)
 	if evicted, ok := f.Complete(at(2), "e", 90); !ok || !slices.Equal(evicted, []string{"b"}) {
-		t.Errorf("answer with an evictable one: evicted %v, kept %v", evicted, ok)
+		t.Errorf("complete with an evictable flight: evicted %v, kept %v", evicted, ok)
 	}
 }
 
@@ -248,7 +248,7 @@
 			case "sent":
 				if sending[id] > 0 {
 					sending[id]--
-					if r, whole := rapid.IntRange(0, 1).Draw(t, "range"), rapid.Bool().Draw(t, "all"); whole {
+					if r, whole := rapid.IntRange(0, 1).Draw(t, "range"), rapid.Bool().Draw(t, "whole"); whole {
 						f.RangeSent(now, id, r)
 					} else {
 						f.RangeInterrupted(now, id, r)
--- a/internal/session/sessions.go
+++ b/internal/session/sessions.go
@@ -60,7 +60,7 @@
 	return s
 }
 
-// Open opens a session. At a limit, the owner's least recently used session is closed for it; sessions of other owners never are. The
+// Open opens a session. At a limit, the owner's least recently used session is closed for it, never a session of another owner. The
 // error wraps ErrFull if the owner has none to close.
 func (s *Sessions) Open(now time.Time, id, owner string) error {
 	s.Tick(now)
@@ -84,7 +84,7 @@
 	return nil
 }
 
-// remove removes a session and uncounts it for its owner.
+// remove removes a session, also from the count of its owner.
 func (s *Sessions) remove(x *session) {
 	delete(s.sessions, x.id)
 	if s.perOwner[x.owner]--; s.perOwner[x.owner] == 0 {
