--- a/aggregator/admission_test.go
+++ b/aggregator/admission_test.go
@@ -86,13 +86,13 @@
 // is slow, or if only three aggregators share the load and so expect the part within the objective.
 func TestLatePartIsShed(t *testing.T) {
 	for _, c := range []struct {
-		minShare float64
-		slow     bool
-		nodes    int
-		parts    int
-		complete bool
+		minShare    float64
+		slow        bool
+		aggregators int
+		parts       int
+		complete    bool
 	}{{0.5, true, 80, 3, false}, {0.5, false, 80, 4, true}, {1, true, 80, 4, true}, {0.5, true, 3, 4, true}} {
-		set, all := fleetSettings(4, 1, c.nodes)
+		set, all := fleetSettings(4, 1, c.aggregators)
 		set.Limits.Probes = false
 		set.Classes[0].MinShare, set.Classes[0].PartialShare = c.minShare, 0.9
 		h := newHarness(t, set, all...)
@@ -111,7 +111,7 @@
 		}
 		answers := actionsOf(h.step(in...), Answer)
 		if len(sent) != c.parts || len(answers) != 1 || answers[0].Complete != c.complete {
-			t.Errorf("minShare %.1f, slow %v, %d nodes: %d parts sent, want %d; answers %+v", c.minShare, c.slow, c.nodes, len(sent), c.parts, answers)
+			t.Errorf("minShare %.1f, slow %v, %d aggregators: %d parts sent, want %d; answers %+v", c.minShare, c.slow, c.aggregators, len(sent), c.parts, answers)
 		}
 	}
 }
--- a/aggregator/answer.go
+++ b/aggregator/answer.go
@@ -105,7 +105,7 @@
 	a.closeQuery(q)
 }
 
-// answerable reports whether the parts that are answered or may still be suffice for an answer.
+// answerable reports whether the parts that are answered or may still be answered suffice for an answer.
 func (a *Aggregator) answerable(q *query) bool {
 	sum := 0.0
 	for _, p := range q.parts {
--- a/aggregator/endpoints.go
+++ b/aggregator/endpoints.go
@@ -137,8 +137,8 @@
 	}
 }
 
-// evict removes a replica that left the list long ago and has nothing in flight, and reports whether it did. Replicas come
-// under new names for as long as the program runs; one that returns earlier keeps its state.
+// evict removes a replica that left the list long ago and has nothing in flight, and reports whether it did. Replicas
+// with new names keep appearing while the process runs, so old ones must go; one that returns earlier keeps its state.
 func (a *Aggregator) evict(r *replica) bool {
 	if r.removedAt == 0 || a.now-r.removedAt < scale(removedLifetime, a.maxObjective()) || len(r.calls.inFlight) > 0 {
 		return false
--- a/aggregator/healthcheck_test.go
+++ b/aggregator/healthcheck_test.go
@@ -60,10 +60,10 @@
 // few probes a second and rejects the rest, that the rejections neither lead to further probes nor keep parts from a
 // replica.
 func TestRejectedProbesCauseNoFurtherProbes(t *testing.T) {
-	const nodes, answered = 80, 12
-	set, all := fleetSettings(60, 3, nodes)
+	const aggregators, answered = 80, 12
+	set, all := fleetSettings(60, 3, aggregators)
 	var fleet []*harness
-	for seed := range uint64(nodes) {
+	for seed := range uint64(aggregators) {
 		h := newHarness(t, set, all...)
 		h.aggregator, _ = New(set, seed)
 		h.step(Event{Kind: ListCached, Members: all})
@@ -103,7 +103,7 @@
 			}
 		}
 	}
-	if probes > 2*nodes || ejected > 0 {
-		t.Errorf("%d probes after %d lost parts; %d replicas ejected though all answer", probes, nodes, ejected)
+	if probes > 2*aggregators || ejected > 0 {
+		t.Errorf("%d probes after %d lost parts; %d replicas ejected though all answer", probes, aggregators, ejected)
 	}
 }
--- a/aggregator/idleconn.go
+++ b/aggregator/idleconn.go
@@ -80,8 +80,8 @@
 	conns.lostCallIdle, conns.lastUse = 0, a.now
 }
 
-// recordConnUnanswered records a call without an answer. It counts against dead idle connections if the idle time does not
-// explain it.
+// recordConnUnanswered records a call without an answer. It is evidence against dead idle connections if the idle time does
+// not explain it.
 func (a *Aggregator) recordConnUnanswered(t *attempt) {
 	t.replica.conns.lostCallIdle = t.connIdle
 	if t.newConn || t.connIdle < a.idleTimeout() {
--- a/aggregator/outlier.go
+++ b/aggregator/outlier.go
@@ -26,7 +26,7 @@
 // outlierState is the outlier ejection of one replica, in the terms of Envoy's outlier detection: consecutive failures,
 // ejection, and an ejection time that grows with each further ejection.
 type outlierState struct {
-	decayedFailures float64 // failure count, of which an answer leaves failureDecay
+	decayedFailures float64 // failure count; each answer multiplies it by failureDecay
 	failingFast     bool    // its last failure was a quick error
 	lostConnRound   int     // round that last counted a lost connection
 	ejected         bool
--- a/aggregator/slowstart_test.go
+++ b/aggregator/slowstart_test.go
@@ -67,10 +67,10 @@
 		h.step(Event{Kind: ListChanged, Members: changes})
 	}
 	type answer struct {
-		at   time.Duration
-		node int
-		part string
-		n    int
+		at     time.Duration
+		sender int
+		part   string
+		n      int
 	}
 	var due []answer
 	var sent []time.Duration
@@ -81,7 +81,7 @@
 			h.now = now
 			var events []Event
 			due = slices.DeleteFunc(due, func(a answer) bool {
-				if a.node != i || a.at > now {
+				if a.sender != i || a.at > now {
 					return false
 				}
 				events = append(events, attemptEnded(a.part, a.n, OK))
@@ -133,7 +133,7 @@
 // TestFleetStaysWithinSlowStartLimit checks that all aggregators together send a data node in slow start no more than the
 // settings allow, up to random variation, whatever their number and however uneven their traffic.
 func TestFleetStaysWithinSlowStartLimit(t *testing.T) {
-	for _, nodes := range []int{3, 10, 30, 100, 300} {
+	for _, aggregators := range []int{3, 10, 30, 100, 300} {
 		for _, scenario := range []slowStartScenario{
 			{maxBatch: 1},
 			{maxBatch: 1, alone: true},
@@ -145,7 +145,7 @@
 			{maxBatch: 1, alone: true, burst: true, withoutHistory: true},
 			{maxBatch: 8, callCost: 10 * ms, alone: true, burst: true, withoutHistory: true},
 		} {
-			scenario.aggregators, scenario.work = nodes, 40*ms
+			scenario.aggregators, scenario.work = aggregators, 40*ms
 			if !scenario.burst && scenario.skew > 0 {
 				scenario.work = 10 * ms // many small parts
 			}
@@ -179,8 +179,8 @@
 	for i := range 50 {
 		sent += len(actionsOf(h.step(queryEvents(fmt.Sprint(i), 3*time.Second, 0)...), Send))
 	}
-	// The assumed work is a tenth of the objective, so an aggregator's half of 3 x (0.2 + a little) x 1 s is under 4
-	// parts.
+	// An aggregator's half of 3 x (0.2 + a little) x 1 s is 0.3 s; the assumed work of a part is a fifth of the objective,
+	// 0.2 s.
 	if sent == 0 || sent > 4 {
 		t.Errorf("%d parts in the first round, want 1 to 4", sent)
 	}
@@ -189,11 +189,11 @@
 // TestAggregatorsShareAReplicaInSlowStart checks that dozens of aggregators, each with a share of less than one part, use a
 // replica in slow start and together stay within its capacity on average.
 func TestAggregatorsShareAReplicaInSlowStart(t *testing.T) {
-	const nodes, windows = 80, 8
+	const aggregators, windows = 80, 8
 	sent := 0
-	for seed := range uint64(nodes) {
+	for seed := range uint64(aggregators) {
 		set := testSettings()
-		set.ShardSets, set.Reach, set.Aggregators = 1, 1, nodes
+		set.ShardSets, set.Reach, set.Aggregators = 1, 1, aggregators
 		a, err := New(set, seed)
 		if err != nil {
 			t.Fatal(err)
@@ -206,10 +206,10 @@
 			sent += len(actionsOf(a.Step(now, queryEvents(fmt.Sprint(i), time.Second, 0), nil), Send))
 		}
 	}
-	// The capacity grows linearly from 3 x 0.2 to 3 x 0.84 over the eight windows of 1 s; the work of a part is a tenth
-	// of a second.
+	// The capacity grows linearly from 3 x 0.2 to 3 x 0.84 over the eight windows of 1 s. It is counted in parts of
+	// 0.1 s; the aggregators assume 0.2 s.
 	if capacity := windows * 3 * 0.52 * 10; sent == 0 || float64(sent) > capacity || float64(sent) < capacity/3 {
-		t.Errorf("%d parts from %d nodes in %d windows, want a third of %.0f to %.0f", sent, nodes, windows, capacity, capacity)
+		t.Errorf("%d parts from %d aggregators in %d windows, want a third of %.0f to %.0f", sent, aggregators, windows, capacity, capacity)
 	}
 }
 
@@ -235,13 +235,13 @@
 // mean number of parts per call there.
 func simulateWarmup(t *testing.T, arrivals fleetArrivals) (shares []float64, perCall float64) {
 	t.Helper()
-	const nodes, part = 80, 20 * ms
+	const aggregators, part = 80, 20 * ms
 	set := testSettings()
-	set.ShardSets, set.Shards, set.Reach, set.Aggregators = 1, 2, 1, nodes
+	set.ShardSets, set.Shards, set.Reach, set.Aggregators = 1, 2, 1, aggregators
 	set.Limits.MaxBatch, set.CallCost = 8, 4*ms
 	set.Rules.WarmupTime = 20 * time.Second
 	var fleet []*harness
-	for seed := range uint64(nodes) {
+	for seed := range uint64(aggregators) {
 		h := newHarness(t, set)
 		h.aggregator, _ = New(set, seed)
 		h.step(Event{Kind: ListCached, Members: []Member{{Replica: "a"}, {Replica: "b"}}})
--- a/aggregator/trace_test.go
+++ b/aggregator/trace_test.go
@@ -19,13 +19,13 @@
 
 // traceScenario is a deployment with its load and the recorded hash.
 type traceScenario struct {
-	name     string
-	settings Settings
-	nodes    int           // aggregators that share the fleet
-	replicas int           // data nodes at the start
-	interval time.Duration // mean time between two queries of one aggregator
-	seed     uint64
-	hash     string // of all actions, as recorded
+	name         string
+	settings     Settings
+	coordinators int           // aggregators that share the fleet
+	replicas     int           // data nodes at the start
+	interval     time.Duration // mean time between two queries of one aggregator
+	seed         uint64
+	hash         string // of all actions, as recorded
 }
 
 // traceScenarios returns scenarios that differ in layout, classes, limits and permissions, so that every rule takes effect
@@ -46,7 +46,7 @@
 	listed.PollInterval = 8 * time.Second
 	return []traceScenario{
 		{
-			name: "shared calls, cancels, probes and gossip", nodes: 3, replicas: 12, interval: 40 * ms, seed: 11,
+			name: "shared calls, cancels, probes and gossip", coordinators: 3, replicas: 12, interval: 40 * ms, seed: 11,
 			hash: "d757d69164ed7d00612dc577d02619e3",
 			settings: Settings{
 				Zone: "a", Aggregators: 3, Tick: 5 * ms, Classes: classes, Tenants: tenants, OverQuotaFactor: 0.2,
@@ -57,7 +57,7 @@
 			},
 		},
 		{
-			name: "hedged requests and a retry ratio", nodes: 2, replicas: 9, interval: 30 * ms, seed: 12,
+			name: "hedged requests and a retry ratio", coordinators: 2, replicas: 9, interval: 30 * ms, seed: 12,
 			hash: "424a2bae0101c28cdb22b1c5ab6b955d",
 			settings: Settings{
 				Zone: "b", Aggregators: 2, Tick: 5 * ms, Classes: classes, Tenants: tenants, OverQuotaFactor: 0.1, PriorityPerWork: true,
@@ -67,7 +67,7 @@
 			},
 		},
 		{
-			name: "large fleet with a polled endpoint list", nodes: 4, replicas: 30, interval: 120 * ms, seed: 13,
+			name: "large fleet with a polled endpoint list", coordinators: 4, replicas: 30, interval: 120 * ms, seed: 13,
 			hash: "bdb0ef5b2eb4da950c481e7d7c7ce70f",
 			settings: Settings{
 				Zone: "c", Aggregators: 80, Tick: 5 * ms, Classes: classes,
@@ -79,8 +79,8 @@
 	}
 }
 
-// traceNode is one aggregator with its pending events.
-type traceNode struct {
+// traceCoordinator is one aggregator with its pending events.
+type traceCoordinator struct {
 	aggregator  *Aggregator
 	due         []traceEvent
 	wakeAt      time.Duration   // due time of the requested wake; -1 for none
@@ -122,16 +122,16 @@
 
 // traceSimulation simulates all aggregators and data nodes of a scenario.
 type traceSimulation struct {
-	scenario traceScenario
-	random   *rand.Rand
-	now      time.Duration
-	nodes    []*traceNode
-	replicas []*traceReplica
-	byName   map[string]*traceReplica
-	created  int
-	queries  int
-	digest   hash.Hash
-	kinds    map[ActionKind]int
+	scenario     traceScenario
+	random       *rand.Rand
+	now          time.Duration
+	coordinators []*traceCoordinator
+	replicas     []*traceReplica
+	byName       map[string]*traceReplica
+	created      int
+	queries      int
+	digest       hash.Hash
+	kinds        map[ActionKind]int
 }
 
 func newTraceSimulation(t *testing.T, scenario traceScenario) *traceSimulation {
@@ -143,19 +143,19 @@
 	for range scenario.replicas {
 		w.addReplica(0)
 	}
-	for i := range scenario.nodes {
+	for i := range scenario.coordinators {
 		aggregator, err := New(scenario.settings, scenario.seed+uint64(i))
 		if err != nil {
 			t.Fatal(err)
 		}
-		node := &traceNode{aggregator: aggregator, wakeAt: -1, nextQuery: w.now, attempts: map[string]int{}, received: map[string]bool{}}
-		node.schedule(w.now, Event{Kind: ListCached, Members: w.list()})
-		w.nodes = append(w.nodes, node)
+		coord := &traceCoordinator{aggregator: aggregator, wakeAt: -1, nextQuery: w.now, attempts: map[string]int{}, received: map[string]bool{}}
+		coord.schedule(w.now, Event{Kind: ListCached, Members: w.list()})
+		w.coordinators = append(w.coordinators, coord)
 	}
 	return w
 }
 
-func (n *traceNode) schedule(at time.Duration, event Event) {
+func (n *traceCoordinator) schedule(at time.Duration, event Event) {
 	n.due = append(n.due, traceEvent{at, event})
 }
 
@@ -189,37 +189,37 @@
 		if w.random.IntN(60) == 0 {
 			w.injectChange()
 		}
-		for i, node := range w.nodes {
-			w.addQueries(node, i)
-			w.step(node, i)
+		for i, coord := range w.coordinators {
+			w.addQueries(coord, i)
+			w.step(coord, i)
 		}
 	}
 	return hex.EncodeToString(w.digest.Sum(nil))[:32]
 }
 
 // step passes the due events to an aggregator and executes its actions.
-func (w *traceSimulation) step(node *traceNode, index int) {
-	if w.now < node.pausedUntil {
+func (w *traceSimulation) step(coord *traceCoordinator, index int) {
+	if w.now < coord.pausedUntil {
 		return
 	}
 	var events []Event
-	node.due = slices.DeleteFunc(node.due, func(d traceEvent) bool {
+	coord.due = slices.DeleteFunc(coord.due, func(d traceEvent) bool {
 		if d.at > w.now {
 			return false
 		}
 		events = append(events, d.event)
 		return true
 	})
-	if node.wakeAt >= 0 && w.now >= node.wakeAt {
-		node.wakeAt = -1
+	if coord.wakeAt >= 0 && w.now >= coord.wakeAt {
+		coord.wakeAt = -1
 		events = append(events, Event{Kind: Wakeup})
 	}
 	if len(events) == 0 {
 		return
 	}
-	for _, action := range node.aggregator.Step(w.now, events, nil) {
+	for _, action := range coord.aggregator.Step(w.now, events, nil) {
 		w.record(index, action)
-		w.execute(node, index, action)
+		w.execute(coord, index, action)
 	}
 }
 
@@ -256,28 +256,28 @@
 }
 
 // execute carries out an action.
-func (w *traceSimulation) execute(node *traceNode, index int, a Action) {
+func (w *traceSimulation) execute(coord *traceCoordinator, index int, a Action) {
 	switch a.Kind {
 	case Send:
-		w.send(node, a)
+		w.send(coord, a)
 	case Cancel:
-		node.schedule(w.now+w.between(ms, 8*ms), Event{Kind: AttemptEnded, Part: a.Part, Attempt: a.Attempt, Outcome: Cancelled})
+		coord.schedule(w.now+w.between(ms, 8*ms), Event{Kind: AttemptEnded, Part: a.Part, Attempt: a.Attempt, Outcome: Cancelled})
 	case Answer:
 		if !a.Final {
-			w.addSecondPhase(node, a.Query)
+			w.addSecondPhase(coord, a.Query)
 		}
 	case Probe:
-		w.probe(node, a.Replica)
+		w.probe(coord, a.Replica)
 	case Wake:
-		node.wakeAt = w.now + a.After
+		coord.wakeAt = w.now + a.After
 	case PollEndpoints:
 		if w.random.IntN(3) == 0 {
-			node.schedule(w.now+w.between(10*ms, 400*ms), Event{Kind: ListCallFailed})
+			coord.schedule(w.now+w.between(10*ms, 400*ms), Event{Kind: ListCallFailed})
 		} else {
-			node.schedule(w.now+w.between(10*ms, 400*ms), Event{Kind: ListReplaced, Members: w.list()})
+			coord.schedule(w.now+w.between(10*ms, 400*ms), Event{Kind: ListReplaced, Members: w.list()})
 		}
 	case SendGossip:
-		for i, other := range w.nodes {
+		for i, other := range w.coordinators {
 			if i != index && w.random.IntN(10) > 0 {
 				other.schedule(w.now+w.between(ms, 20*ms), Event{Kind: GossipReceived, Data: a.Data})
 			}
@@ -286,11 +286,11 @@
 }
 
 // send simulates one attempt at its data node.
-func (w *traceSimulation) send(node *traceNode, a Action) {
-	attempt := node.attempts[a.Part]
-	node.attempts[a.Part]++
+func (w *traceSimulation) send(coord *traceCoordinator, a Action) {
+	attempt := coord.attempts[a.Part]
+	coord.attempts[a.Part]++
 	end := func(after time.Duration, outcome Outcome) {
-		node.schedule(w.now+after, Event{Kind: AttemptEnded, Part: a.Part, Attempt: attempt, Replica: a.Replica, Outcome: outcome, Elapsed: after})
+		coord.schedule(w.now+after, Event{Kind: AttemptEnded, Part: a.Part, Attempt: attempt, Replica: a.Replica, Outcome: outcome, Elapsed: after})
 	}
 	r := w.byName[a.Replica]
 	r.busyUntil = max(r.busyUntil, w.now) + w.between(5*ms, 45*ms)
@@ -342,7 +342,7 @@
 	}
 }
 
-func (w *traceSimulation) probe(node *traceNode, replica string) {
+func (w *traceSimulation) probe(coord *traceCoordinator, replica string) {
 	event := Event{Kind: ProbeEnded, Replica: replica, Outcome: OK}
 	r := w.byName[replica]
 	if w.random.IntN(2) == 0 {
@@ -353,18 +353,18 @@
 	} else if w.random.IntN(10) == 0 {
 		event.Outcome = Errored
 	}
-	node.schedule(w.now+w.between(2*ms, 60*ms), event)
+	coord.schedule(w.now+w.between(2*ms, 60*ms), event)
 }
 
 // addQueries schedules the queries of an aggregator that are due, with periodic bursts.
-func (w *traceSimulation) addQueries(node *traceNode, index int) {
+func (w *traceSimulation) addQueries(coord *traceCoordinator, index int) {
 	set := &w.scenario.settings
-	for w.now >= node.nextQuery {
+	for w.now >= coord.nextQuery {
 		mean := w.scenario.interval
 		if w.now/(7*time.Second)%3 == 2 {
 			mean /= 4
 		}
-		node.nextQuery += w.between(mean/4, 2*mean-mean/4)
+		coord.nextQuery += w.between(mean/4, 2*mean-mean/4)
 		w.queries++
 		id := fmt.Sprint("q", index, "-", w.queries)
 		class := w.random.IntN(len(set.Classes))
@@ -374,29 +374,29 @@
 		if w.random.IntN(300) == 0 {
 			event.Class = len(set.Classes) // not in the settings
 		}
-		node.schedule(w.now, event)
+		coord.schedule(w.now, event)
 		first := w.random.IntN(set.Shards)
 		for i := range shards {
-			w.addPart(node, id, fmt.Sprint(id, "/", i), (first+i)%set.Shards, 1/float64(shards))
+			w.addPart(coord, id, fmt.Sprint(id, "/", i), (first+i)%set.Shards, 1/float64(shards))
 		}
 		if w.random.IntN(25) == 0 {
-			node.schedule(w.now+w.between(0, 300*ms), Event{Kind: ClientGone, Query: id})
+			coord.schedule(w.now+w.between(0, 300*ms), Event{Kind: ClientGone, Query: id})
 		}
 	}
 }
 
-func (w *traceSimulation) addPart(node *traceNode, query, id string, shard int, weight float64) {
+func (w *traceSimulation) addPart(coord *traceCoordinator, query, id string, shard int, weight float64) {
 	event := Event{Kind: PartArrived, Query: query, Part: id, Shard: shard, Weight: weight}
 	if w.random.IntN(3) == 0 {
 		event.Work = w.between(5*ms, 40*ms)
 	}
-	node.received[id] = true
-	node.schedule(w.now, event)
+	coord.received[id] = true
+	coord.schedule(w.now, event)
 }
 
-func (w *traceSimulation) addSecondPhase(node *traceNode, query string) {
+func (w *traceSimulation) addSecondPhase(coord *traceCoordinator, query string) {
 	for i := range 2 {
-		w.addPart(node, query, fmt.Sprint(query, "/second/", i), w.random.IntN(w.scenario.settings.Shards), 0.5)
+		w.addPart(coord, query, fmt.Sprint(query, "/second/", i), w.random.IntN(w.scenario.settings.Shards), 0.5)
 	}
 }
 
@@ -424,18 +424,18 @@
 		w.setState(r, Gone)
 		w.setState(w.addReplica(w.now), Serving)
 	case 7: // an aggregator pauses
-		node := w.nodes[w.random.IntN(len(w.nodes))]
-		node.pausedUntil = w.now + w.between(20*ms, 700*ms)
+		coord := w.coordinators[w.random.IntN(len(w.coordinators))]
+		coord.pausedUntil = w.now + w.between(20*ms, 700*ms)
 	case 8: // a complete list, a quarter of a second late
-		for _, node := range w.nodes {
-			node.schedule(w.now+250*ms, Event{Kind: ListReplaced, Members: w.list()})
+		for _, coord := range w.coordinators {
+			coord.schedule(w.now+250*ms, Event{Kind: ListReplaced, Members: w.list()})
 		}
 	}
-	for _, node := range w.nodes { // some replicas return, so that no shard is without holders for long
+	for _, coord := range w.coordinators { // some replicas return, so that no shard is without holders for long
 		for _, other := range w.replicas[:w.scenario.settings.ShardSets] {
 			if other.member.State != Serving && w.random.IntN(4) == 0 {
 				other.member.State, other.member.Started = Serving, w.now
-				node.schedule(w.now+w.between(0, 200*ms), Event{Kind: ListChanged, Members: []Member{other.member}})
+				coord.schedule(w.now+w.between(0, 200*ms), Event{Kind: ListChanged, Members: []Member{other.member}})
 			}
 		}
 	}
@@ -443,8 +443,8 @@
 
 func (w *traceSimulation) setState(r *traceReplica, state State) {
 	r.member.State = state
-	for _, node := range w.nodes {
-		node.schedule(w.now+w.between(0, 200*ms), Event{Kind: ListChanged, Members: []Member{r.member}})
+	for _, coord := range w.coordinators {
+		coord.schedule(w.now+w.between(0, 200*ms), Event{Kind: ListChanged, Members: []Member{r.member}})
 	}
 }
 
--- a/internal/coordinator/attempt.go
+++ b/internal/coordinator/attempt.go
@@ -83,7 +83,7 @@
 	return 0, true
 }
 
-// moduleOutcomes maps outcomes to those of the module.
+// moduleOutcomes maps outcomes to those of the decision module.
 var moduleOutcomes = map[Outcome]aggregator.Outcome{
 	OK: aggregator.OK, Errored: aggregator.Errored, Overloaded: aggregator.Rejected,
 	NotConnected: aggregator.ConnectFailed, Reset: aggregator.Reset, Cancelled: aggregator.TimedOut,
--- a/internal/coordinator/endpoints.go
+++ b/internal/coordinator/endpoints.go
@@ -231,7 +231,7 @@
 	return event
 }
 
-// moduleStates maps the states of records to those of the module.
+// moduleStates maps the states of records to those of the decision module.
 var moduleStates = [...]aggregator.State{Serving: aggregator.Serving, Draining: aggregator.Draining, Gone: aggregator.Gone}
 
 // moduleMember converts a record to the module's type, adjusted for start times that peers reported, for the state of its zone and for
--- a/internal/coordinator/maintenance_test.go
+++ b/internal/coordinator/maintenance_test.go
@@ -19,23 +19,23 @@
 	}
 	announced := Maintenance{Announced: map[string]bool{"n1": true}}
 	excluded := Maintenance{Announced: announced.Announced, Excluded: map[string]bool{"n1": true}}
-	const served, failed = "answered true 1 false", "rejected false 0 true"
+	const served, rejected = "answered true 1 false", "rejected false 0 true"
 	for _, c := range []struct {
 		name    string
 		prepare func(s *testbed)
 		want    reportedState
 	}{
-		{"maintenance not known yet", func(s *testbed) {}, reportedState{Query: failed}},
+		{"maintenance not known yet", func(s *testbed) {}, reportedState{Query: rejected}},
 		{"no maintenance", func(s *testbed) { s.SetMaintenance(Maintenance{}) }, reportedState{Query: served}},
-		{"announced, not present", func(s *testbed) { s.SetMaintenance(announced) }, reportedState{Query: failed}},
+		{"announced, not present", func(s *testbed) { s.SetMaintenance(announced) }, reportedState{Query: rejected}},
 		{"announced, present", func(s *testbed) { s.SetMaintenance(announced); s.ExtendPresence(time.Now().Add(time.Hour)) }, reportedState{Query: served, Present: true}},
 		{"announced, presence just ended", func(s *testbed) {
 			s.SetMaintenance(announced)
 			s.ExtendPresence(time.Now().Add(time.Second))
 			time.Sleep(time.Second)
-		}, reportedState{Query: failed}},
-		{"excluded", func(s *testbed) { s.SetMaintenance(excluded); s.ExtendPresence(time.Now().Add(time.Hour)) }, reportedState{Query: failed, Drained: true, Present: true}},
-		{"excluded by address", func(s *testbed) { s.SetMaintenance(Maintenance{ExcludedAddrs: map[string]bool{"127.0.0.1:1": true}}) }, reportedState{Query: failed}},
+		}, reportedState{Query: rejected}},
+		{"excluded", func(s *testbed) { s.SetMaintenance(excluded); s.ExtendPresence(time.Now().Add(time.Hour)) }, reportedState{Query: rejected, Drained: true, Present: true}},
+		{"excluded by address", func(s *testbed) { s.SetMaintenance(Maintenance{ExcludedAddrs: map[string]bool{"127.0.0.1:1": true}}) }, reportedState{Query: rejected}},
 		{"excluded with a part in flight", func(s *testbed) {
 			s.SetMaintenance(Maintenance{})
 			go s.execute(context.Background(), "held", 3)
