--- a/aggregator/answer.go
+++ b/aggregator/answer.go
@@ -70,7 +70,7 @@
 }
 
 // openSecondPhase answers the first phase of a query, which opens the second. If no time is left it rejects or fails the
-// query instead: the answer would open a phase and never end the query.
+// query instead, as a second phase that can't be answered would leave the query without an end.
 func (a *Aggregator) openSecondPhase(q *query, complete bool) {
 	if q.deadline-a.now <= deadlineMarginTicks*a.settings.Tick {
 		a.rejectOrFail(q, DeadlineExceeded)
@@ -105,7 +105,7 @@
 	a.closeQuery(q)
 }
 
-// answerable reports whether the parts that are answered or may still be suffice for an answer.
+// answerable reports whether the parts that are answered or may still be answered suffice for an answer.
 func (a *Aggregator) answerable(q *query) bool {
 	sum := 0.0
 	for _, p := range q.parts {
