--- a/internal/lease/lessor.go
+++ b/internal/lease/lessor.go
@@ -36,9 +36,9 @@
 	return d
 }
 
-// Grant grants a campaign for a duty that is free, or whose lease has expired. The length is part of the request, so that all
-// members apply it alike, whatever their settings. A holder that campaigns gets a new term. known is the version of the lease that
-// the sender knows, or AnyVersion. With an error, ErrHeld or ErrStaleVersion, it returns the current grant.
+// Grant handles a campaign: it grants a duty to who, under a new term, if the duty is free, its lease has expired, or who already
+// holds it. length is part of the request, so that all members apply it alike, whatever their settings. known is the version of the
+// lease that the sender knows, or AnyVersion. With an error, ErrHeld or ErrStaleVersion, Grant returns the current grant.
 func (l *Lessor) Grant(now time.Duration, duty, who string, length time.Duration, known uint64) (Grant, error) {
 	d := l.record(duty)
 	if d.Holder != "" && d.Holder != who && now < d.Until {
@@ -116,11 +116,12 @@
 	return list
 }
 
-// Restore replaces the records by a snapshot. Promote must follow before the next request, unless that is of the same leader's term.
+// Restore replaces the records by a snapshot. Promote must follow before the next request, unless that request is
+// of the same leader's term.
 func (l *Lessor) Restore(list []Record) {
 	l.duties = map[string]*Record{}
 	for _, g := range list {
-		g.Version = max(g.Version, 1) // 0 in the first format
+		g.Version = max(g.Version, 1) // snapshots of the first format have no versions
 		l.duties[g.Duty] = &g
 	}
 }
