--- a/internal/statemachine/snapshot.go
+++ b/internal/statemachine/snapshot.go
@@ -27,37 +27,37 @@
 
 // Restore replaces the state by a snapshot. It also reads the first format, a map of values without a version.
 func (s *State) Restore(data []byte) error {
-	var k snapshotData
-	if err := json.Unmarshal(data, &k); err != nil {
+	var snapshot snapshotData
+	if err := json.Unmarshal(data, &snapshot); err != nil {
 		return fmt.Errorf("snapshot of the store: %w", err)
 	}
-	switch k.Version {
+	switch snapshot.Version {
 	case snapshotVersion:
 	case 0:
 		var first map[string][]byte
 		if err := json.Unmarshal(data, &first); err != nil {
 			return fmt.Errorf("snapshot of the store: %w", err)
 		}
-		k.Values = map[string]Entry{}
+		snapshot.Values = map[string]Entry{}
 		for key, value := range first {
-			k.Values[key] = Entry{value, 1}
+			snapshot.Values[key] = Entry{value, 1}
 		}
 	default:
-		return fmt.Errorf("snapshot of the store: version %d; this program knows up to %d: start the newer release", k.Version, snapshotVersion)
+		return fmt.Errorf("snapshot of the store: version %d; this program knows up to %d: start the newer release", snapshot.Version, snapshotVersion)
 	}
-	if k.Values == nil {
-		k.Values = map[string]Entry{}
+	if snapshot.Values == nil {
+		snapshot.Values = map[string]Entry{}
 	}
-	if k.Writers == nil {
-		k.Writers = map[string]*clientSession{}
+	if snapshot.Writers == nil {
+		snapshot.Writers = map[string]*clientSession{}
 	}
-	for _, w := range k.Writers {
+	for _, w := range snapshot.Writers {
 		if w.Results == nil {
 			w.Results = map[uint64]Result{}
 		}
 	}
-	s.index, s.term, s.values, s.sessions = k.Index, k.Term, k.Values, k.Writers
-	s.duties.Restore(k.Duties)
-	s.presence.Restore(k.Presence)
+	s.index, s.term, s.values, s.sessions = snapshot.Index, snapshot.Term, snapshot.Values, snapshot.Writers
+	s.duties.Restore(snapshot.Duties)
+	s.presence.Restore(snapshot.Presence)
 	return nil
 }
--- a/internal/statemachine/statemachine.go
+++ b/internal/statemachine/statemachine.go
@@ -6,7 +6,7 @@
 //
 //	earlier command   a number that its writer has used before: returns the first result and changes nothing
 //	stamp             the leader's term in it must be the term it was logged in; otherwise rejected, and the writer sends it again
-//	new term          all leases start again from the first stamp of a leader, since its clock is not that of the previous one
+//	new term          all leases start again at the first stamp of a new leader, since its clock is not that of the previous one
 //	If                every condition must hold, otherwise rejected
 //	Lease             granted, renewed, revoked or forgotten, otherwise rejected; a sender that does not know the last grant gets it
 //	Put               sets each value, with the index of the command as its revision; nil removes the key
@@ -80,13 +80,13 @@
 // Duties returns the grants of duties, ordered by name.
 func (s *State) Duties() []lease.Grant { return s.duties.Grants() }
 
-// Present returns the presences that were ever granted and not forgotten, with their ends by the leader's clock.
+// Present returns all presences that were granted and not forgotten, expired ones included, with their ends by the leader's clock.
 func (s *State) Present() []lease.Record { return s.presence.Snapshot() }
 
 // Apply applies the command that is logged at an index in a term, and returns its result and the keys that changed.
 func (s *State) Apply(index, term uint64, c *Command) (r Result, changed []string) {
 	s.index = index
-	if c.Key != "" { // the first form
+	if c.Key != "" { // a command of the log's first format
 		s.values[c.Key] = Entry{c.Value, index}
 		return Result{Index: index}, []string{c.Key}
 	}
