--- a/internal/store/lease.go
+++ b/internal/store/lease.go
@@ -86,7 +86,7 @@
 	}
 	l.mu.Unlock()
 	if err == nil && r.Failed == "" && l.Granted != nil {
-		l.Granted(l.Store.clock.time(sent + l.Config.Acting()))
+		l.Granted(l.Store.clock.timeAt(sent + l.Config.Acting()))
 	}
 	l.logChange()
 }
@@ -121,7 +121,7 @@
 	if l.holder != nil {
 		token, ok = l.holder.MayAct(now)
 	}
-	return token, l.Store.clock.time(now), ok
+	return token, l.Store.clock.timeAt(now), ok
 }
 
 // Resign stops acting at once and releases the lease. If the release fails before ctx ends, the lease expires by itself.
--- a/internal/store/retention.go
+++ b/internal/store/retention.go
@@ -5,7 +5,7 @@
 // How much of the log is retained behind a snapshot, and how often one is taken. Both are bounded in bytes, since an entry is
 // anything from a lease of a hundred bytes to a list of all data nodes.
 const (
-	trailingBytes        = 4 << 20 // a member that was down for a minute is sent entries; for a day, a snapshot
+	trailingBytes        = 4 << 20 // so a member that was down for a minute is sent entries, one that was down for a day a snapshot
 	minTrailing          = 16      // entries
 	maxTrailing          = 65_536
 	snapshotBytes        = 2 << 20 // bytes of entries between snapshots; a restart replays them
@@ -53,7 +53,7 @@
 
 func clamp(n, least, most int) uint64 { return uint64(max(least, min(n, most))) }
 
-// adjustRetention sets how much of the log is retained, and how often a snapshot is taken, by the sizes of the entries.
+// adjustRetention sets how much of the log is retained, and how often a snapshot is taken, according to the sizes of the entries.
 // Differences of less than a quarter are ignored.
 func (s *Store) adjustRetention() {
 	if s.disk == nil {
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -39,7 +39,7 @@
 	puts  putQueue
 
 	raft *raft.Raft
-	// started is raft once it runs; raft calls isLeaderOf before NewRaft has returned.
+	// started is nil until raft runs, then raft: raft calls isLeaderOf before NewRaft has returned.
 	started   atomic.Pointer[raft.Raft]
 	raftLog   raft.LogStore
 	disk      *disk         // nil for a store in memory
@@ -77,9 +77,9 @@
 	return time.Duration(float64(time.Since(c.start)) * (1 + c.skew))
 }
 
-// time returns the time at which the clock shows a reading.
-func (c leaseClock) time(shown time.Duration) time.Time {
-	return c.start.Add(time.Duration(float64(shown) / (1 + c.skew)))
+// timeAt returns the wall-clock time at which now returns a reading.
+func (c leaseClock) timeAt(reading time.Duration) time.Time {
+	return c.start.Add(time.Duration(float64(reading) / (1 + c.skew)))
 }
 
 // commandIDs numbers the commands of one process, so that a command sent twice is applied once.
@@ -123,13 +123,13 @@
 
 // newStore returns a store without storage and raft.
 func newStore(cfg config.Store, name string, log *slog.Logger) (*Store, error) {
-	var process [6]byte
-	if _, err := rand.Read(process[:]); err != nil {
+	var randomPart [6]byte
+	if _, err := rand.Read(randomPart[:]); err != nil {
 		return nil, err
 	}
 	s := &Store{log: log, name: name, clock: leaseClock{start: time.Now(), skew: cfg.Skew}, puts: newPutQueue(), state: statemachine.New(),
 		changed: make(chan struct{}), closed: make(chan struct{})}
-	s.ids.writer = name + "/" + hex.EncodeToString(process[:])
+	s.ids.writer = name + "/" + hex.EncodeToString(randomPart[:])
 	return s, nil
 }
 
@@ -162,7 +162,7 @@
 func raftConfig(cfg config.Store, name string) *raft.Config {
 	conf := raft.DefaultConfig()
 	conf.LocalID = raft.ServerID(name)
-	// Each change of the endpoint list is an entry of the list's length, so a store in memory retains few entries.
+	// Each change of the endpoint list is a log entry that holds the whole list, so a store in memory retains few entries.
 	conf.SnapshotInterval, conf.SnapshotThreshold, conf.TrailingLogs = 2*time.Second, 32, 16
 	conf.Logger = raftLogger()
 	if cfg.Listen == "" {
@@ -180,7 +180,7 @@
 	return hclog.New(&hclog.LoggerOptions{Name: "store", Level: hclog.Error, Output: os.Stderr})
 }
 
-// openTransport listens for the other members, and returns the transport and the members of a store that is bootstrapped.
+// openTransport listens for the other members. It returns the transport, and the members with which an empty store is bootstrapped.
 func (s *Store) openTransport(cfg config.Store, conf *raft.Config) (raft.Transport, []raft.Server, error) {
 	if cfg.Listen == "" {
 		address := raft.ServerAddress(s.name)
@@ -191,8 +191,8 @@
 	if s.transport, err = newStreamLayer(cfg, s); err != nil {
 		return nil, nil, err
 	}
-	// A slow request delays the entries behind it, so the timeout is a few heartbeats. A snapshot may take twice as long as it
-	// does at its rate limit.
+	// A slow request delays the entries behind it, so the timeout is two heartbeat timeouts. TimeoutScale is in bytes: raft extends
+	// the timeout of a snapshot in proportion to its size, so that it may take twice as long as at its rate limit.
 	timeout := 2 * conf.HeartbeatTimeout
 	network := raft.NewNetworkTransportWithConfig(&raft.NetworkTransportConfig{Stream: s.transport, MaxPool: 2, Timeout: timeout, Logger: conf.Logger})
 	network.TimeoutScale = max(1, int(cfg.Pace()*timeout.Seconds()/2))
@@ -239,7 +239,7 @@
 	}
 }
 
-// isLeaderOf reports whether this member is the leader of a term and another server is a member.
+// isLeaderOf reports whether this member is the leader in a term and the given server is a member of the store.
 func (s *Store) isLeaderOf(term uint64, member raft.ServerID) bool {
 	r := s.started.Load()
 	if r == nil || r.State() != raft.Leader || r.CurrentTerm() != term {
@@ -249,8 +249,8 @@
 	return f.Error() == nil && slices.ContainsFunc(f.Configuration().Servers, func(p raft.Server) bool { return p.ID == member })
 }
 
-// Get returns the value of a key that this member has applied, nil for none. Until the member has replayed the log to where it
-// was before its restart, Get returns the value from before.
+// Get returns the value of a key that this member has applied, or nil if the key has none. After a restart, Get returns the value
+// that the disk held until the member has replayed the log up to the index that it had applied before.
 func (s *Store) Get(key string) []byte {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -30,7 +30,7 @@
 	return s
 }
 
-// waitForValue waits waitForValue a member holds a value.
+// waitForValue waits until a member holds a value.
 func waitForValue(t *testing.T, s *Store, key, want string) {
 	t.Helper()
 	for end := time.Now().Add(30 * time.Second); string(s.Get(key)) != want; time.Sleep(5 * time.Millisecond) {
--- a/internal/store/sweep.go
+++ b/internal/store/sweep.go
@@ -6,7 +6,8 @@
 	"gullfall/internal/kv"
 )
 
-// removeLeftovers removes what a crash left behind: parts of unfinished snapshots, and values of other generations.
+// removeLeftovers removes what a crash left behind: parts of unfinished snapshots, and applied values of generations
+// other than the current one.
 func (d *disk) removeLeftovers() error {
 	list, err := d.List()
 	if err != nil {
--- a/internal/store/transport.go
+++ b/internal/store/transport.go
@@ -19,7 +19,7 @@
 
 const (
 	callMarker         = 'G'             // first byte of a connection that carries a call; raft's own connections begin with a small number
-	maxConcurrentCalls = 256             // connections that may wait for their first byte or call at the same time
+	maxConcurrentCalls = 256             // accepted connections that handleConn may handle at the same time; others are closed
 	maxCallTime        = 5 * time.Second // limit on a call, whatever its deadline
 	callAttemptTimeout = 2 * time.Second // after which a call is sent again: a leader that does not answer may have been replaced
 
@@ -46,7 +46,7 @@
 	listener  net.Listener
 	routes    map[string]string // address to dial instead, by a member's address
 	raftConns chan net.Conn     // accepted connections for raft
-	callSlots chan struct{}
+	callSlots chan struct{}     // one element for each accepted connection, a call's or raft's, that handleConn is still handling
 	closed    chan struct{}
 	closeOnce sync.Once
 	wg        sync.WaitGroup
