--- a/internal/platform/frame.go
+++ b/internal/platform/frame.go
@@ -33,7 +33,7 @@
 	frameTypeAnswer      = 'A' // a line, followed by the value
 	frameTypeError       = 'E' // message from a data node that could not use a frame
 
-	nodeFrameTypes = "APLE"
+	nodeFrameTypes = "APLE" // the types that a data node may send; the answer to a check has the type of the check
 )
 
 // Options in the line of a part in a call, and the answer to a failed check.
@@ -79,7 +79,7 @@
 // loadCheckFrame returns a frame that asks the data node for its load report.
 func loadCheckFrame() []byte { return finishFrame(beginFrame(frameTypeLoadCheck)) }
 
-// receivedFrame is a frame from a data node: the answer to a part, or to a health check if the id is empty.
+// receivedFrame is a frame from a data node: the answer to a part, or to a health or load check if the id is empty.
 type receivedFrame struct {
 	id         string
 	outcome    coordinator.Outcome
--- a/internal/platform/readahead.go
+++ b/internal/platform/readahead.go
@@ -78,8 +78,8 @@
 	in.arrivals = append(in.arrivals, arrival{in.received, now})
 }
 
-// arrivedAt returns when the last consumed byte arrived, not counting the unread bytes that a buffer above still holds. It
-// discards earlier arrivals.
+// arrivedAt returns when the last consumed byte arrived, not counting the last unread bytes, which the caller's buffer
+// has taken but not yet used. It discards earlier arrivals.
 func (in *clientReader) arrivedAt(unread int) time.Time {
 	end := in.consumed - int64(unread)
 	for len(in.arrivals) > 1 && in.arrivals[0].end < end {
--- a/internal/platform/watchsilence_test.go
+++ b/internal/platform/watchsilence_test.go
@@ -22,27 +22,27 @@
 	"gullfall/internal/membership"
 )
 
-// silentDiscovery sends nothing from one time until another: connections opened in that period, or open when it begins, stay
-// silent forever. Half of the data nodes start draining in that period; later calls receive the new states.
+// silentDiscovery is a discovery that sends nothing between from and until: connections that are opened in that period, or open
+// when it begins, stay silent forever. Half of the data nodes start draining in that period; later calls receive the new states.
 type silentDiscovery struct {
 	from, until time.Time
 	nodes       int
-	turn        chan struct{} // held while a service makes a list, one at a time; nil for an agent, which has the list ready
+	turn        chan struct{} // held while a service makes a list, one at a time; nil for a discovery agent, which has the list ready
 }
 
-func (q *silentDiscovery) dial(context.Context, string) (net.Conn, error) {
+func (d *silentDiscovery) dial(context.Context, string) (net.Conn, error) {
 	ours, theirs := net.Pipe()
-	go q.serve(theirs)
+	go d.serve(theirs)
 	return ours, nil
 }
 
 // list returns a complete list in which the even data nodes have the given state.
-func (q *silentDiscovery) list(even string) string {
+func (d *silentDiscovery) list(even string) string {
 	var list []string
 	for i := range 60 { // make the list long
 		list = append(list, fmt.Sprintf(`{"id":"old%d","addr":"old%d","cell":0,"state":"DRAINING"}`, i, i))
 	}
-	for i := range q.nodes {
+	for i := range d.nodes {
 		state := "SERVING"
 		if i%2 == 0 {
 			state = even
@@ -52,31 +52,31 @@
 	return `{"version":42,"full":true,"servers":[` + strings.Join(list, ",") + "]}\n"
 }
 
-func (q *silentDiscovery) serve(nc net.Conn) {
+func (d *silentDiscovery) serve(nc net.Conn) {
 	defer nc.Close()
 	in := textproto.NewReader(bufio.NewReader(nc))
 	in.ReadLine()
 	if _, err := in.ReadMIMEHeader(); err != nil {
 		return
 	}
-	silent := func() bool { now := time.Now(); return !now.Before(q.from) && now.Before(q.until) }
-	before := time.Now().Before(q.from)
+	silent := func() bool { now := time.Now(); return !now.Before(d.from) && now.Before(d.until) }
+	openedBeforeSilence := time.Now().Before(d.from)
 	if silent() {
 		io.Copy(io.Discard, nc) // until the caller gives up
 		return
 	}
-	if q.turn != nil {
-		q.turn <- struct{}{}
+	if d.turn != nil {
+		d.turn <- struct{}{}
 		time.Sleep(10 * time.Millisecond)
-		<-q.turn
+		<-d.turn
 	}
 	io.WriteString(nc, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
-	line := q.list("DRAINING")
-	if before {
-		line = q.list("SERVING")
+	line := d.list("DRAINING")
+	if openedBeforeSilence {
+		line = d.list("SERVING")
 	}
 	for {
-		if before && !time.Now().Before(q.from) {
+		if openedBeforeSilence && !time.Now().Before(d.from) {
 			io.Copy(io.Discard, nc) // this watch stays silent forever
 			return
 		}
@@ -94,7 +94,7 @@
 	last map[string]time.Time
 }
 
-func (l *partRecorder) dial(_ context.Context, addr string) (net.Conn, error) {
+func (r *partRecorder) dial(_ context.Context, addr string) (net.Conn, error) {
 	ours, theirs := net.Pipe()
 	go func() {
 		defer theirs.Close()
@@ -108,9 +108,9 @@
 			if kind != "Q" {
 				continue
 			}
-			l.mu.Lock()
-			l.last[addr] = time.Now()
-			l.mu.Unlock()
+			r.mu.Lock()
+			r.last[addr] = time.Now()
+			r.mu.Unlock()
 			for _, id := range strings.Split(ids, ",") {
 				io.WriteString(theirs, encodeFrame("A"+id+" ok 1 -\nv"))
 			}
@@ -121,7 +121,7 @@
 
 // silentFleet describes a fleet whose discovery becomes silent for a while.
 type silentFleet struct {
-	pushed       bool // discovery is an agent that pushes changes; otherwise a service that is polled
+	pushed       bool // discovery is a local agent that pushes changes; otherwise a service that is polled
 	coordinators int  // number running
 	others       int  // number of other coordinators in the settings
 	grace        time.Duration
@@ -137,11 +137,11 @@
 	const nodes = 4
 	ctx, stop := context.WithCancel(t.Context())
 	log := slog.New(slog.DiscardHandler)
-	q := &silentDiscovery{from: time.Now().Add(fleet.phase), nodes: nodes}
-	if q.until = q.from.Add(fleet.silence); !fleet.pushed {
-		q.turn = make(chan struct{}, 1)
+	discovery := &silentDiscovery{from: time.Now().Add(fleet.phase), nodes: nodes}
+	if discovery.until = discovery.from.Add(fleet.silence); !fleet.pushed {
+		discovery.turn = make(chan struct{}, 1)
 	}
-	frames := &partRecorder{last: map[string]time.Time{}}
+	recorder := &partRecorder{last: map[string]time.Time{}}
 	set := aggregator.Settings{Aggregators: fleet.coordinators, Tick: 5 * time.Millisecond, ShardSets: 1, Shards: 1, Reach: 1,
 		Classes: []aggregator.Class{{Name: "report", LatencyObjective: time.Second, Deadline: 2 * time.Second, Priority: 1, CompleteShare: 1, MinShare: 1}},
 		Limits:  aggregator.Limits{MaxAttempts: 3, CanCancel: true, ConnectTimeout: 250 * time.Millisecond}}
@@ -152,17 +152,17 @@
 			t.Fatal(err)
 		}
 		go c.Run(ctx)
-		c.RegisterDispatcher("", (&ConnPool{Coordinator: c, Log: log, Dial: frames.dial, Streams: 32, ConnectTimeout: 250 * time.Millisecond, Connections: make(chan struct{}, 16)}).Dispatch)
+		c.RegisterDispatcher("", (&ConnPool{Coordinator: c, Log: log, Dial: recorder.dial, Streams: 32, ConnectTimeout: 250 * time.Millisecond, Connections: make(chan struct{}, 16)}).Dispatch)
 		w := NewWatch("d")
-		w.Source, w.Log, w.Dial = c.AddSource(membership.Spec{Name: "discovery"}), log, q.dial
+		w.Source, w.Log, w.Dial = c.AddSource(membership.Spec{Name: "discovery"}), log, discovery.dial
 		w.Schedule = membership.PollSchedule{Pushed: fleet.pushed, Peers: fleet.others, Grace: fleet.grace}
 		w.Random = rand.New(rand.NewPCG(fleet.seed, uint64(i))).Float64
-		w.Restore([]byte(strings.TrimSpace(q.list("SERVING"))))
+		w.Restore([]byte(strings.TrimSpace(discovery.list("SERVING"))))
 		watching, unwatch := context.WithCancel(ctx)
 		done := make(chan bool)
 		go func() { w.Run(watching); close(done) }()
 		clients.Go(func() {
-			for n := 0; time.Now().Before(q.until.Add(14 * time.Second)); n++ {
+			for n := 0; time.Now().Before(discovery.until.Add(14 * time.Second)); n++ {
 				c.Execute(ctx, coordinator.Query{ID: fmt.Sprint("q", n), Class: "report", Deadline: time.Now().Add(time.Second), Text: "text",
 					Parts: []coordinator.Part{{Shard: 0, Weight: 1}}})
 				time.Sleep(40 * time.Millisecond)
@@ -176,9 +176,9 @@
 	time.Sleep(time.Minute)
 	stop()
 	synctest.Wait()
-	for node, at := range frames.last {
+	for node, at := range recorder.last {
 		if (node[1]-'0')%2 == 0 {
-			last = max(last, at.Sub(q.from))
+			last = max(last, at.Sub(discovery.from))
 		} else {
 			served++
 		}
@@ -205,7 +205,8 @@
 			synctest.Test(t, func(t *testing.T) {
 				phase, silence := 2*membership.KeepAliveInterval+50*time.Millisecond, 5*time.Second // worst case: a line has just arrived
 				if !c.pushed {
-					// After the first call of each coordinator. It ends before it is noticed: a call made during it may wait, see below.
+					// The silence begins after the first call of each coordinator and ends before they notice it. A call made during the
+					// silence may wait longer; TestDrainsAfterRandomSilence covers that case.
 					phase, silence = 2*membership.KeepAliveInterval+c.grace/2+150*time.Millisecond, 2500*time.Millisecond
 				}
 				last, served := runSilentFleet(t, silentFleet{c.pushed, c.coordinators, c.others, c.grace, phase, silence, 1})
@@ -220,9 +221,9 @@
 	}
 }
 
-// TestDrainsAfterRandomSilence checks the same for random lengths of silence. Drains announced by an agent must take effect within the
-// grace, counted from its return or from membership.NotifiedAfter, whichever is later. Those of a service must take effect within
-// the timeout of a call and the pause after it, since the settings allow for that once a call has failed.
+// TestDrainsAfterRandomSilence checks the same for random lengths of silence. A drain announced by an agent must take effect within
+// the grace, counted from the end of the silence, or from membership.NotifiedAfter after its beginning, whichever is later. If a
+// service is polled during the silence, that call must first time out, and a pause follows before the next: both are allowed for.
 func TestDrainsAfterRandomSilence(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		pushed := rapid.Bool().Draw(r, "pushed")
@@ -231,8 +232,8 @@
 		phase := time.Duration(rapid.IntRange(2000, 6000).Draw(r, "phase_ms")) * time.Millisecond
 		seed := rapid.Uint64().Draw(r, "seed")
 		bound := max(silence, membership.NotifiedAfter) + grace
-		if calls := (&membership.PollSchedule{}); !pushed && silence > membership.SilenceTimeout-membership.KeepAliveInterval { // a call may have been made during it
-			bound = max(bound, silence+calls.Timeout()+time.Second+100*time.Millisecond)
+		if schedule := (&membership.PollSchedule{}); !pushed && silence > membership.SilenceTimeout-membership.KeepAliveInterval { // a call may have been made during the silence
+			bound = max(bound, silence+schedule.Timeout()+time.Second+100*time.Millisecond)
 		}
 		synctest.Test(t, func(t *testing.T) {
 			if last, _ := runSilentFleet(t, silentFleet{pushed, 3, 2, grace, phase, silence, seed}); last > bound {
