--- a/internal/kv/compaction.go
+++ b/internal/kv/compaction.go
@@ -123,7 +123,8 @@
 	return sizes
 }
 
-// createReplacing creates a file that no manifest names, and first removes one that an earlier attempt left behind.
+// createReplacing creates a file that the manifest does not name yet. It first removes one of that name that an earlier attempt left
+// behind.
 func (db *DB) createReplacing(name string) (File, error) {
 	file, err := db.fs.Create(name)
 	if errors.Is(err, fs.ErrExist) {
@@ -152,7 +153,7 @@
 	if closeErr := file.Close(); err == nil {
 		err = closeErr
 	}
-	if err == nil { // the file's name must be durable before a manifest names it
+	if err == nil { // the file must be durable in the directory before a manifest names it
 		err = db.fs.SyncDir()
 	}
 	if err != nil {
--- a/internal/kv/compactionpolicy.go
+++ b/internal/kv/compactionpolicy.go
@@ -30,7 +30,7 @@
 // version that an open view may read: the view would return an older value or none. It drops no deletion while an older run may
 // have the key: the deleted value would reappear.
 type compactionFilter struct {
-	floor      uint64           // the oldest sequence number as of which a view may read
+	floor      uint64           // the lowest sequence number as of which a view may read
 	oldest     bool             // the merge includes the oldest run
 	tombstones []rangeTombstone // of the runs that are merged
 
--- a/internal/kv/db.go
+++ b/internal/kv/db.go
@@ -11,7 +11,7 @@
 
 // Config configures a DB. The zero value of a field stands for its default.
 type Config struct {
-	MemoryBytes  int64          // size of the memory table at which it is written to a run; default 2 MiB. Two may exist at once
+	MemoryBytes  int64          // size at which the memory table is written to a run; default 2 MiB. Two such tables may exist at once
 	SegmentBytes int64          // size of a log segment; default 4 MiB
 	MergeRate    float64        // limit on the bytes a second that merges write; default 32 MiB
 	OnTornTail   func(TornTail) // called when a torn tail of the log is cut off; may be nil
@@ -52,8 +52,8 @@
 	visible   uint64         // the highest sequence number that new views read
 	snapshots map[uint64]int // number of open views by their sequence number
 	manifest  manifest
-	failed    error // final: nothing is written any more
-	diskFull  error // a flush or merge found the disk full, and is retried
+	failed    error // final error: nothing is written any more
+	diskFull  error // set while a flush or merge that found the disk full is retried
 	written   writtenBytes
 }
 
--- a/internal/kv/table.go
+++ b/internal/kv/table.go
@@ -74,8 +74,8 @@
 	}
 }
 
-// section writes bytes and their checksum, and returns the offset at which they begin.
-func (w *tableWriter) section(raw []byte) (at int64) {
+// writeSection writes bytes and their checksum, and returns the offset at which they begin.
+func (w *tableWriter) writeSection(raw []byte) (at int64) {
 	at = w.offset
 	w.write(binary.LittleEndian.AppendUint32(raw, crc32.Checksum(raw, castagnoli)))
 	return at
@@ -108,7 +108,7 @@
 		return
 	}
 	n := len(w.block)
-	at := w.section(w.block)
+	at := w.writeSection(w.block)
 	w.index = binary.AppendUvarint(w.index, uint64(len(w.lastKey)))
 	w.index = append(w.index, w.lastKey...)
 	w.index = binary.AppendUvarint(w.index, uint64(at))
@@ -119,8 +119,8 @@
 // finish writes the index, the filter, the tombstones and the footer. The caller syncs the file.
 func (w *tableWriter) finish(upTo uint64) error {
 	w.finishBlock()
-	index := w.section(w.index)
-	filter := w.section(newFilter(w.hashes))
+	index := w.writeSection(w.index)
+	filter := w.writeSection(newFilter(w.hashes))
 	var raw []byte
 	for _, s := range w.tombstones {
 		raw = binary.AppendUvarint(raw, s.seq)
@@ -129,13 +129,13 @@
 			raw = append(raw, k...)
 		}
 	}
-	tombstones := w.section(raw)
+	tombstones := w.writeSection(raw)
 	footer := binary.LittleEndian.AppendUint64(nil, uint64(index))
 	footer = binary.LittleEndian.AppendUint64(footer, uint64(filter))
 	footer = binary.LittleEndian.AppendUint64(footer, uint64(tombstones))
 	footer = binary.LittleEndian.AppendUint64(footer, upTo)
 	footer = append(footer, tableMagic...)
-	w.section(footer)
+	w.writeSection(footer)
 	return w.err
 }
 
