--- a/internal/flight/nodecalls.go
+++ b/internal/flight/nodecalls.go
@@ -77,7 +77,7 @@
 	p.mu.Lock()
 	for _, a := range attempts {
 		g.pending[a.ID] = a
-		p.calls[a] = &attemptState{cancel: func() {}, call: g}
+		p.attempts[a] = &attemptState{cancel: func() {}, call: g}
 	}
 	p.mu.Unlock()
 	go p.runCall(ctx, g, min(int64(len(attempts)), p.maxStreams))
@@ -145,7 +145,7 @@
 			p.finishLocked(g, a, coordinator.Result{Outcome: outcome})
 			continue
 		}
-		p.calls[a].started, p.calls[a].channel = now, ch
+		p.attempts[a].started, p.attempts[a].channel = now, ch
 		request.Parts = append(request.Parts, PartRequest{ID: a.ID, Shard: a.Shard, Q: a.Text, Key: a.IdempotencyKey,
 			DeadlineMS: max(1, time.Until(a.Deadline).Milliseconds())})
 	}
@@ -300,7 +300,7 @@
 		return
 	}
 	delete(g.pending, a.ID)
-	delete(p.calls, a)
+	delete(p.attempts, a)
 	p.Coordinator.Report(a, r)
 }
 
@@ -319,7 +319,7 @@
 	pending := g.pending
 	g.pending = map[string]*coordinator.Attempt{}
 	for _, a := range pending {
-		delete(p.calls, a)
+		delete(p.attempts, a)
 	}
 	p.mu.Unlock()
 	for _, a := range pending {
--- a/internal/flight/nodeparts.go
+++ b/internal/flight/nodeparts.go
@@ -23,7 +23,7 @@
 	ctx, cancel := context.WithDeadline(context.Background(), a.Deadline)
 	c := &attemptState{cancel: cancel}
 	p.mu.Lock()
-	p.calls[a] = c
+	p.attempts[a] = c
 	p.mu.Unlock()
 	go p.runPart(ctx, c, a)
 }
@@ -39,7 +39,7 @@
 		r.Outcome = coordinator.Cancelled
 	}
 	p.mu.Lock()
-	delete(p.calls, a)
+	delete(p.attempts, a)
 	if c.rejected && r.Outcome != coordinator.OK {
 		r.Outcome = coordinator.Overloaded
 	} else if c.cancelled && r.Outcome != coordinator.OK {
--- a/internal/flight/nodes.go
+++ b/internal/flight/nodes.go
@@ -46,7 +46,7 @@
 	Connections chan struct{} // holds one element for each open channel; its capacity bounds them
 }
 
-// nodeConn holds the channel and the calls of one data node.
+// nodeConn holds the channel to one data node and the attempts in flight at it.
 type nodeConn struct {
 	*Nodes
 	node       *coordinator.Node
@@ -54,10 +54,10 @@
 	maxStreams int64               // capacity of streams
 	noExchange atomic.Bool         // the data node does not offer DoExchange
 
-	mu      sync.Mutex
-	channel *channel // the current one, or nil
-	calls   map[*coordinator.Attempt]*attemptState
-	backoff backoff
+	mu       sync.Mutex
+	channel  *channel // the current one, or nil
+	attempts map[*coordinator.Attempt]*attemptState
+	backoff  backoff
 }
 
 // channel is one connection. It is closed once it is retired and nothing is in flight on it.
@@ -66,7 +66,7 @@
 	client       flight.Client
 	inFlight     int
 	retired      bool
-	failed       bool // it never came up, and backoff has counted that
+	failed       bool // the channel never came up, and backoff has counted that failure
 	lastReceived time.Time
 }
 
@@ -82,26 +82,26 @@
 // Dispatch serves one data node until it is removed from the list.
 func (ns *Nodes) Dispatch(n *coordinator.Node) {
 	maxStreams := int64(max(1, ns.Streams))
-	p := &nodeConn{Nodes: ns, node: n, streams: semaphore.NewWeighted(maxStreams), maxStreams: maxStreams, calls: map[*coordinator.Attempt]*attemptState{}}
+	p := &nodeConn{Nodes: ns, node: n, streams: semaphore.NewWeighted(maxStreams), maxStreams: maxStreams, attempts: map[*coordinator.Attempt]*attemptState{}}
 	for {
-		o := n.NextCommand(context.Background())
+		command := n.NextCommand(context.Background())
 		switch {
-		case o == nil:
+		case command == nil:
 			p.retire(nil)
 			return
-		case o.Call != nil && p.noExchange.Load():
-			for _, a := range o.Call {
+		case command.Call != nil && p.noExchange.Load():
+			for _, a := range command.Call {
 				p.startPart(a)
 			}
-		case o.Call != nil:
-			p.startCall(o.Call)
-		case o.Cancel != nil:
-			p.cancelAttempt(o.Cancel)
-		case o.RejectQueued:
+		case command.Call != nil:
+			p.startCall(command.Call)
+		case command.Cancel != nil:
+			p.cancelAttempt(command.Cancel)
+		case command.RejectQueued:
 			p.rejectQueued()
-		case o.Probe:
+		case command.Probe:
 			go p.probe()
-		case o.CloseIdle:
+		case command.CloseIdle:
 			p.retire(func(ch *channel) bool { return ch.inFlight == 0 })
 		}
 	}
@@ -111,7 +111,7 @@
 // which nothing was received since the attempt started may be dead and is not used for further attempts.
 func (p *nodeConn) cancelAttempt(a *coordinator.Attempt) {
 	p.mu.Lock()
-	c := p.calls[a]
+	c := p.attempts[a]
 	if c != nil {
 		c.cancelled = true
 		c.cancel()
@@ -131,7 +131,7 @@
 func (p *nodeConn) rejectQueued() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for a, c := range p.calls {
+	for a, c := range p.attempts {
 		if c.started.IsZero() {
 			c.rejected = true
 			if c.cancel(); c.call != nil {
--- a/internal/flight/tickets.go
+++ b/internal/flight/tickets.go
@@ -57,9 +57,9 @@
 	k.keys.Store(&keys)
 }
 
-func tokenMAC(key Key, text []byte) []byte {
+func tokenMAC(key Key, signed []byte) []byte {
 	h := hmac.New(sha256.New, key.Secret)
-	h.Write(text)
+	h.Write(signed)
 	return h.Sum(nil)[:macSize]
 }
 
@@ -78,24 +78,24 @@
 	return len(raw) >= len(tokenMagic) && string(raw[:len(tokenMagic)]) == tokenMagic
 }
 
-// verify checks a token and returns its owner and payload.
+// verify checks that a token is authentic, was issued for purpose p and has not expired, and returns its owner and payload.
 func (k *keyring) verify(now time.Time, p purpose, raw []byte) (owner string, payload []byte, err error) {
 	if len(raw) < headerSize+macSize || !isToken(raw) {
 		return "", nil, errInvalidToken
 	}
-	text, mac := raw[:len(raw)-macSize], raw[len(raw)-macSize:]
+	signed, mac := raw[:len(raw)-macSize], raw[len(raw)-macSize:]
 	authentic := false
 	for _, key := range *k.keys.Load() {
-		authentic = authentic || key.ID == raw[4] && hmac.Equal(mac, tokenMAC(key, text))
+		authentic = authentic || key.ID == raw[4] && hmac.Equal(mac, tokenMAC(key, signed))
 	}
 	n := int(raw[headerSize-1])
 	switch {
-	case !authentic || raw[2] != tokenVersion || len(text) < headerSize+n:
+	case !authentic || raw[2] != tokenVersion || len(signed) < headerSize+n:
 		return "", nil, errInvalidToken
 	case purpose(raw[3]) != p:
 		return "", nil, fmt.Errorf("%w (it is for another call)", errInvalidToken)
 	case now.UnixMilli() >= int64(binary.BigEndian.Uint64(raw[5:13])):
 		return "", nil, errTokenExpired
 	}
-	return string(text[headerSize : headerSize+n]), text[headerSize+n:], nil
+	return string(signed[headerSize : headerSize+n]), signed[headerSize+n:], nil
 }
