--- a/internal/dnssd/browse.go
+++ b/internal/dnssd/browse.go
@@ -97,7 +97,8 @@
 }
 
 // maybeChanged returns the known record sets that this browse has not fetched, TXT records first since they announce drains. Negative
-// answers are included once their TTL has passed, or always if the zone has a serial, since a browse then means that it has changed.
+// answers are included once their TTL has passed, or always if the DNS zone has a serial, since a browse then means that the zone has
+// changed.
 func (f *Follower) maybeChanged(fresh map[recordKey]bool) (keys []recordKey) {
 	z := &f.state
 	for k := range z.records.sets {
--- a/internal/dnssd/client.go
+++ b/internal/dnssd/client.go
@@ -23,7 +23,7 @@
 var (
 	// errMismatchedAnswer reports an answer to another question.
 	errMismatchedAnswer = errors.New("answer does not match the question")
-	// errUnsigned reports an answer without the signature that the zone's key requires.
+	// errUnsigned reports an answer without the signature that the DNS zone's key requires.
 	errUnsigned = errors.New("answer is not signed")
 )
 
@@ -35,14 +35,14 @@
 
 func (e *rcodeError) Error() string { return fmt.Sprintf("%s: %s", e.name, dns.RcodeToString[e.code]) }
 
-// Key signs messages to and from the servers of a zone (RFC 8945).
+// Key signs messages to and from the servers of a DNS zone (RFC 8945).
 type Key struct {
 	Name      string // fully qualified
 	Algorithm string // such as hmac-sha256.
 	Secret    string // base64
 }
 
-// Client sends DNS queries. One client may serve many zones; its rate limit covers all of them.
+// Client sends DNS queries. One client may serve many DNS zones; its rate limit covers all of them.
 type Client struct {
 	limiter *rate.Limiter
 	slots   chan struct{} // holds one element for each query in flight
--- a/internal/dnssd/follower.go
+++ b/internal/dnssd/follower.go
@@ -16,7 +16,7 @@
 	"gullfall/internal/membership"
 )
 
-// Zone is a domain to browse, with its servers.
+// Zone is a DNS zone to follow: a domain to browse, with its servers.
 type Zone struct {
 	Domain   string   // ends in a dot
 	Services []string // service types, such as _dn._tcp
@@ -26,7 +26,7 @@
 	Networks *bart.Lite // allowed addresses of data nodes
 }
 
-// Updater receives what is known about a zone. It is a source of the coordinator or the command line.
+// Updater receives what is known about a zone. It is a data node source of the coordinator, or of the command line.
 type Updater interface {
 	// Update takes a complete list, or the reason why there is none.
 	Update(membership.Update)
--- a/internal/dnssd/instance.go
+++ b/internal/dnssd/instance.go
@@ -33,7 +33,7 @@
 	Cause    error
 }
 
-// zoneContents is the result of reading a zone's records.
+// zoneContents is the result of reading a DNS zone's records.
 type zoneContents struct {
 	nodes    []membership.Record
 	problems []Problem
--- a/internal/dnssd/notify.go
+++ b/internal/dnssd/notify.go
@@ -11,7 +11,7 @@
 	"github.com/miekg/dns"
 )
 
-// Listener receives NOTIFY messages (RFC 1996), which servers send when a followed zone has changed. A message only triggers a poll of
+// Listener receives NOTIFY messages (RFC 1996), which servers send when a followed DNS zone has changed. A message only triggers a poll of
 // the zone. Senders that are not allowed get no answer.
 type Listener struct {
 	Allow     *bart.Lite // addresses that may send messages
--- a/internal/dnssd/records.go
+++ b/internal/dnssd/records.go
@@ -11,7 +11,7 @@
 )
 
 const (
-	// maxRecords bounds the records of one zone.
+	// maxRecords bounds the records of one DNS zone.
 	maxRecords = 1 << 16
 	// maxHops bounds the chain of CNAME records that is followed from one name.
 	maxHops = 8
@@ -27,7 +27,7 @@
 	return recordKey{strings.ToLower(dns.Fqdn(name)), rrtype}
 }
 
-// records holds the records of a zone that have been fetched.
+// records holds the records of a DNS zone that have been fetched.
 type records struct {
 	apex   string // records outside of it are ignored
 	sets   map[recordKey][]dns.RR
@@ -50,7 +50,7 @@
 	return c
 }
 
-// usable reports whether a record has a type that we use and is in bailiwick.
+// usable reports whether a record has a type that this package uses and is in bailiwick, that is, at or below the apex.
 func (r *records) usable(rr dns.RR) bool {
 	switch rr.Header().Rrtype {
 	case dns.TypePTR, dns.TypeSRV, dns.TypeTXT, dns.TypeA, dns.TypeAAAA, dns.TypeCNAME:
--- a/internal/dnssd/service.go
+++ b/internal/dnssd/service.go
@@ -57,7 +57,7 @@
 	_ = w.WriteMsg(answer) // a client that gets no answer repeats the query
 }
 
-// soa returns the SOA record of our zone. Its serial increases when the service is withdrawn.
+// soa returns the SOA record of our DNS zone. Its serial increases when the service is withdrawn.
 func (s *Service) soa() *dns.SOA {
 	serial := uint32(1)
 	if s.withdrawn.Load() != 0 {
--- a/internal/dnssd/transfer.go
+++ b/internal/dnssd/transfer.go
@@ -26,7 +26,7 @@
 	errTransferSize = fmt.Errorf("transfer of over %d records", maxTransferRecords)
 )
 
-// transferredZone is the result of a transfer: the records of a zone and their serial.
+// transferredZone is the result of a transfer: the records of a DNS zone and their serial.
 type transferredZone struct {
 	records *records
 	serial  uint32
