--- a/internal/config/check.go
+++ b/internal/config/check.go
@@ -46,7 +46,7 @@
 	}
 }
 
-// checkSecret checks an encryption key: its id is within 1 and 255 and not in seen, to which it is added, and its secret is long enough.
+// checkSecret checks a secret key: its id is within 1 and 255 and not in seen, to which it is added, and its secret is long enough.
 // The fault never contains the secret.
 func (f *faults) checkSecret(key string, id int, secret string, seen map[int]bool) {
 	if id < 1 || id > 255 || seen[id] {
@@ -54,6 +54,6 @@
 	}
 	seen[id] = true
 	if raw, err := base64.StdEncoding.DecodeString(secret); err != nil || len(raw) < minSecretBytes {
-		f.add("%s.secret: 16 bytes or more in base64 are needed", key)
+		f.add("%s.secret: must be at least 16 bytes in base64", key)
 	}
 }
--- a/internal/config/datanodes.go
+++ b/internal/config/datanodes.go
@@ -11,7 +11,7 @@
 // Membership configures flap damping of data nodes that return (RFC 2439).
 type Membership struct {
 	HalfLife        Span    `toml:"half_life"` // half-life of a penalty
-	Suppress, Reuse float64 // a return is suppressed from the penalty Suppress until it has decayed to Reuse
+	Suppress, Reuse float64 // returns are suppressed once the penalty reaches Suppress, until it has decayed to Reuse
 	MaxSuppress     Span    `toml:"longest"` // longest suppression
 }
 
@@ -22,7 +22,7 @@
 	Weight                float64
 }
 
-// Damping returns the damping parameters in the form of internal/membership.
+// Damping returns the damping parameters as internal/membership takes them.
 func (d *Deploy) Damping() membership.Config {
 	m := d.Membership
 	return membership.Config{HalfLife: time.Duration(m.HalfLife), Suppress: m.Suppress, Reuse: m.Reuse,
--- a/internal/config/flight.go
+++ b/internal/config/flight.go
@@ -39,7 +39,7 @@
 // FlightNetwork assigns clients that connect from a network without credentials to an owner.
 type FlightNetwork struct{ Network, Owner string }
 
-// TicketKey is a key that encrypts tickets. New tickets use the first key; all keys are accepted for decryption.
+// TicketKey is a key that signs tickets. The first key signs new tickets; all keys are accepted for verification.
 type TicketKey struct {
 	ID     int
 	Secret string
@@ -124,7 +124,7 @@
 	}
 }
 
-// Admission returns the limits on clients in the form of internal/admission.
+// Admission returns the limits on clients as internal/admission takes them.
 func (f *FlightFront) Admission() admission.Config {
 	set := func(l LimitSet) admission.Limits {
 		return admission.Limits{Streams: l.Streams, Queries: l.Queries, Rate: l.Rate, Burst: l.Burst, Bytes: l.Bytes}
@@ -133,7 +133,7 @@
 		All: set(f.Limits.All), SlowReaderGrace: time.Duration(f.Limits.Grace), StallTimeout: time.Duration(f.Limits.Stall)}
 }
 
-// People returns the owners, and the networks that may connect. The configuration must have been checked.
+// People returns the owners and the networks that may connect. The configuration must have been checked.
 func (f *FlightFront) People() (p flight.People) {
 	for _, o := range f.Owner {
 		p.Owners = append(p.Owners, flight.Owner{Name: o.Name, User: o.User, Password: o.Password, Token: o.Token})
--- a/internal/config/maintenance.go
+++ b/internal/config/maintenance.go
@@ -9,7 +9,7 @@
 // Work configures maintenance, by which machines are taken out of service; disabled unless Enabled is true.
 type Work struct {
 	Enabled   bool
-	Bound     Span     // how long machines of open requests stay in use without contact to the store
+	Bound     Span     // how long a coordinator without contact to the store still uses the machines of open requests
 	Lease     Span     // duration of the lease on a duty
 	Drift     float64  // maximum relative error of clock rates
 	Every     Span     // interval at which the plan is checked
@@ -21,7 +21,7 @@
 	ZoneShare float64  `toml:"zone_share"`
 	Capacity  float64  `toml:"room"`
 	Hook      []string // command run when a machine is out, and when it is back and has warmed up; none if empty
-	HookTime  Span     `toml:"hook_time"` // longest run of the hook
+	HookTime  Span     `toml:"hook_time"` // longest time that the hook may run
 	Budget    int      // bytes of plans that the lease holder may write per second
 }
 
@@ -52,14 +52,14 @@
 func (w *Work) check(f *faults, store Store) {
 	w.checkTimes(f)
 	if w.Budget < minBudget {
-		f.add("work.budget: %d; 1024 bytes a second at least", w.Budget)
+		f.add("work.budget: %d; must be at least 1024 bytes per second", w.Budget)
 	}
 	w.checkDuties(f)
 	if err := w.Limits().Check(); err != nil {
 		f.add("work: floor, per_shard, at_once, share, zone_share, room: %w", err)
 	}
 	if w.Enabled && store.Listen != "" && store.Directory == "" {
-		f.add("store.directory: empty, while work.enabled is true and the store has several members; name a folder on a disk that lasts")
+		f.add("store.directory: empty, while work.enabled is true and the store has several members; name a directory on a persistent disk")
 	}
 }
 
@@ -74,10 +74,10 @@
 		}
 	}
 	if !(w.Drift > 0 && w.Drift < maxDrift) {
-		f.add("work.drift: %v; give the share by which clocks may run fast or slow, above 0 and under 0.5", w.Drift)
+		f.add("work.drift: %v; must be the fraction by which clocks may run fast or slow, above 0 and under 0.5", w.Drift)
 	}
 	if bound < minBound || lease < minLease || every < minEvery {
-		f.add("work.bound, work.lease, work.every: %v, %v and %v; 100ms, 500ms and 10ms at least", bound, lease, every)
+		f.add("work.bound, work.lease, work.every: %v, %v and %v; must be at least 100ms, 500ms and 10ms", bound, lease, every)
 	}
 }
 
@@ -85,13 +85,13 @@
 	seen := map[string]bool{maintenance.Duty: true}
 	for i, name := range w.Duties {
 		if name == "" || len(name) > maxDutyBytes || seen[name] || len(w.Duties) > maxDuties {
-			f.add("work.duties[%d]: %q; names of 1 to 64 bytes, each once, none %q, 32 at most", i, name, maintenance.Duty)
+			f.add("work.duties[%d]: %q; give at most 32 distinct names of 1 to 64 bytes, none of them %q", i, name, maintenance.Duty)
 		}
 		seen[name] = true
 	}
 }
 
-// Limits returns the limits in the form of internal/maintenance.
+// Limits returns the limits as internal/maintenance takes them.
 func (w *Work) Limits() maintenance.Limits {
 	return maintenance.Limits{Floor: w.Floor, PerShard: w.PerShard, AtOnce: w.AtOnce, Share: w.Share, ZoneShare: w.ZoneShare, Room: w.Capacity}
 }
--- a/internal/config/peers.go
+++ b/internal/config/peers.go
@@ -23,7 +23,7 @@
 	Route    []PeerRoute
 	Period   Span
 	Timeout  Span
-	MaxPause Span `toml:"bear"` // longest pause of a coordinator that must not get it declared dead
+	MaxPause Span `toml:"bear"` // longest pause of a coordinator after which it must not be declared dead
 }
 
 // PeerKey is a key that encrypts gossip packets. Sending uses the first key; all keys are accepted for decryption.
@@ -58,7 +58,7 @@
 	}
 	p.checkKeys(f)
 	if c := p.Swim("x", 0, 0); c.Period < 0 || c.Timeout < 0 || c.MaxPause < 0 || c.Period > 0 && c.Timeout > c.Period/2 {
-		f.add("peers.period, peers.timeout, peers.bear: none may be negative, and timeout is at most half of period")
+		f.add("peers.period, peers.timeout, peers.bear: none may be negative, and timeout must be at most half of period")
 	}
 }
 
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -48,7 +48,7 @@
 	"safe": aggregator.Safe, "keyed": aggregator.Keyed, "unsafe": aggregator.Unsafe,
 }
 
-// Settings decodes the settings object into the module's form. It checks only what the module can't; the module checks the values
+// Settings decodes the settings object to aggregator.Settings. It checks only what aggregator.New can't check; that checks the values
 // themselves. Errors name the key.
 func Settings(raw json.RawMessage) (aggregator.Settings, error) {
 	var wire wireSettings
--- a/internal/config/store.go
+++ b/internal/config/store.go
@@ -57,13 +57,13 @@
 
 func (s *Store) checkRanges(f *faults) {
 	if !(s.Skew > -maxSkew && s.Skew < maxSkew) {
-		f.add("store.skew: %v; between -0.5 and 0.5, and 0 in service", s.Skew)
+		f.add("store.skew: %v; must be between -0.5 and 0.5, and 0 in production", s.Skew)
 	}
 	if s.CatchUp != 0 && s.CatchUp < minCatchUp {
-		f.add("store.catch_up: %d; 65536 bytes a second at least", s.CatchUp)
+		f.add("store.catch_up: %d; must be at least 65536 bytes per second", s.CatchUp)
 	}
 	if h := time.Duration(s.Heartbeat); h != 0 && h < minHeartbeat {
-		f.add("store.heartbeat: %v; give 50ms or more, longer than the longest pause of a member", h)
+		f.add("store.heartbeat: %v; must be at least 50ms, and longer than the longest pause of a member", h)
 	}
 }
 
@@ -73,9 +73,9 @@
 	isSelf := func(p Peer) bool { return p.Name == name }
 	switch {
 	case len(s.Peer) > 0 && !slices.ContainsFunc(s.Peer, isVoter):
-		f.add("store.peer: all are learners; one at least must have a vote")
+		f.add("store.peer: all are learners; at least one must have a vote")
 	case (s.Listen != "") != (len(s.Peer) > 0):
-		f.add("store.listen, store.peer: one needs the other")
+		f.add("store.listen, store.peer: either set both or neither")
 	case len(s.Peer) > 0 && !slices.ContainsFunc(s.Peer, isSelf):
 		f.add("store.peer: this coordinator, %q, is not among them", name)
 	}
