--- a/internal/simulator/host.go
+++ b/internal/simulator/host.go
@@ -1,5 +1,5 @@
-// Package simulator runs instances of the decision module behind the simulator's line protocol: it decodes batches of messages, passes
-// each instance its events, and encodes the resulting actions. It makes no decisions of its own.
+// Package simulator runs instances of the decision module (package aggregator) behind the simulator's line protocol: it decodes batches
+// of messages, passes each instance its events, and encodes the resulting actions. It makes no decisions of its own.
 package simulator
 
 import (
@@ -176,7 +176,7 @@
 	return in, nil
 }
 
-// event converts a message to an event of the module; ok is false if the message has none.
+// event converts a message to an event of the module; ok is false if the message yields none.
 func (h *Host) event(in *instance, m *message) (e aggregator.Event, ok bool) {
 	switch m.name {
 	case msgIncoming:
@@ -232,7 +232,7 @@
 	return -1
 }
 
-// removeQuery removes the number of a query that has ended.
+// removeQuery removes a query that has ended, and its number.
 func (in *instance) removeQuery(query string) {
 	if number, ok := in.numberByQuery[query]; ok {
 		delete(in.numberByQuery, query)
--- a/internal/simulator/message.go
+++ b/internal/simulator/message.go
@@ -39,7 +39,7 @@
 	return s
 }
 
-// optionalText returns a string field; "" for another type, as some sites write 0 for an absent text.
+// optionalText returns a string field; "" for another type, since the simulator sometimes writes 0 for an absent text.
 func (m *message) optionalText(position int, field string) string {
 	var v any
 	m.read(position, field, &v)
--- a/internal/simulator/simulator_test.go
+++ b/internal/simulator/simulator_test.go
@@ -47,8 +47,8 @@
 	}
 }
 
-// TestListsResolveInMessageOrder: a MEMBERS message refers to the list that had its number at that point of the batch, also if a later
-// message of the batch replaces that list.
+// TestListsResolveInMessageOrder: a MEMBERS message that names a list by number gets the content that the list had at that point of
+// the batch, even if a later message of the batch replaces the list.
 func TestListsResolveInMessageOrder(t *testing.T) {
 	newer := `["SHEET",0,[["k",null,"off","s1",0,"z1",1],["k",null,"off","s2",1,"z2",1]]]`
 	replies := serve(t, line(1, configureMessage+","+listMessages+","+newer), line(2, queryAndPart))
@@ -122,7 +122,7 @@
 	}
 }
 
-// TestPeerMessagesAreHex: gossip is sent to all peers and received as hex digits; a message that is not hex is ignored.
+// TestPeerMessagesAreHex: gossip messages are encoded as hex digits, both sent and received; a received one that is not hex is ignored.
 func TestPeerMessagesAreHex(t *testing.T) {
 	got := encodeAction(3, aggregator.Action{Kind: aggregator.SendGossip, Data: []byte{1, 171}})
 	if got[2] != "all" || got[3] != "01ab" {
@@ -130,11 +130,11 @@
 	}
 	h := NewHost()
 	for text, want := range map[string]int{`["FROM_PEER",3,5,"01ab"]`: 2, `["FROM_PEER",3,5,"xyz"]`: -1} {
-		f := message{name: "FROM_PEER"}
-		if err := json.Unmarshal([]byte(text), &f.fields); err != nil {
+		m := message{name: "FROM_PEER"}
+		if err := json.Unmarshal([]byte(text), &m.fields); err != nil {
 			t.Fatal(err)
 		}
-		e, ok := h.event(&instance{}, &f)
+		e, ok := h.event(&instance{}, &m)
 		if ok != (want >= 0) || ok && (e.Kind != aggregator.GossipReceived || len(e.Data) != want) {
 			t.Errorf("%s: got %+v, %v", text, e, ok)
 		}
@@ -144,9 +144,9 @@
 // TestDecodeLoadReport: a load report is an object of numbers; any other value yields no report and no error.
 func TestDecodeLoadReport(t *testing.T) {
 	for text, want := range map[string]int{`{"queue":2,"inflight":1.5}`: 2, `[["queue",2]]`: 0, `null`: 0, `{"queue":"x"}`: 0} {
-		f := message{fields: []json.RawMessage{json.RawMessage(text)}}
-		if got := f.loadReport(0); len(got) != want || f.err != nil {
-			t.Errorf("%s: got %v, %v", text, got, f.err)
+		m := message{fields: []json.RawMessage{json.RawMessage(text)}}
+		if got := m.loadReport(0); len(got) != want || m.err != nil {
+			t.Errorf("%s: got %v, %v", text, got, m.err)
 		}
 	}
 }
