--- a/cmd/gullfall/admin.go
+++ b/cmd/gullfall/admin.go
@@ -16,7 +16,7 @@
 
 // Timeouts of commands over the admin socket.
 const (
-	// commandTimeout bounds a command in the daemon that waits for the store.
+	// commandTimeout bounds, in the daemon, a command that waits for the store.
 	commandTimeout = 8 * time.Second
 	// answerTimeout is the command line's timeout for such a command. It exceeds commandTimeout so that the daemon's error arrives.
 	answerTimeout = commandTimeout + 2*time.Second
@@ -29,17 +29,17 @@
 
 // adminCommands returns the commands that the daemon serves on its admin socket. Each of peers, maintenance and drains may be nil,
 // which leaves out its commands.
-func adminCommands(peers *gossip.Gossip, maintenance *agent.Agent, members *store.Store, drains *zoneDrains) map[string]admin.Command {
+func adminCommands(peers *gossip.Gossip, maintenance *agent.Agent, sharedStore *store.Store, drains *zoneDrains) map[string]admin.Command {
 	commands := map[string]admin.Command{}
 	if maintenance != nil {
 		addMaintenanceCommands(commands, maintenance)
 	}
-	addStoreCommands(commands, members, peers)
+	addStoreCommands(commands, sharedStore, peers)
 	if drains != nil {
 		addZoneCommands(commands, drains)
 	}
 	if peers != nil {
-		addPeerCommands(commands, peers, members)
+		addPeerCommands(commands, peers, sharedStore)
 	}
 	return commands
 }
--- a/cmd/gullfall/agent.go
+++ b/cmd/gullfall/agent.go
@@ -23,7 +23,7 @@
 
 // startAgent starts the maintenance agent, which takes machines out of service for maintenance. It returns nil if deploy/gullfall.toml
 // disables it. peers may be nil.
-func startAgent(deploy config.Deploy, cfg config.Config, c *coordinator.Coordinator, members *store.Store, peers *gossip.Gossip, log *slog.Logger) *agent.Agent {
+func startAgent(deploy config.Deploy, cfg config.Config, c *coordinator.Coordinator, sharedStore *store.Store, peers *gossip.Gossip, log *slog.Logger) *agent.Agent {
 	work := deploy.Work
 	if !work.Enabled {
 		return nil
@@ -35,7 +35,7 @@
 		observed = peers.Observations
 	}
 	return agent.Start(agent.Options{
-		Store:          members,
+		Store:          sharedStore,
 		Coordinator:    c,
 		Name:           cfg.Name,
 		Log:            log,
--- a/cmd/gullfall/gossip.go
+++ b/cmd/gullfall/gossip.go
@@ -25,11 +25,11 @@
 const peerReportInterval = 250 * time.Millisecond
 
 // startPeers starts gossip with the other coordinators. It returns nil if deploy/gullfall.toml disables it.
-func startPeers(ctx context.Context, deploy config.Deploy, cfg config.Config, c *coordinator.Coordinator, log *slog.Logger, members *store.Store) (*gossip.Gossip, error) {
+func startPeers(ctx context.Context, deploy config.Deploy, cfg config.Config, c *coordinator.Coordinator, log *slog.Logger, sharedStore *store.Store) (*gossip.Gossip, error) {
 	if deploy.Peers.Listen == "" {
 		return nil, nil
 	}
-	options, err := gossipOptions(deploy.Peers, cfg, log, members)
+	options, err := gossipOptions(deploy.Peers, cfg, log, sharedStore)
 	if err != nil {
 		return nil, err
 	}
@@ -45,7 +45,7 @@
 
 // gossipOptions returns the options of gossip. Its seeds are the configured ones and the last known addresses of the other
 // coordinators, so that a restarted coordinator finds them even if no configured seed answers.
-func gossipOptions(p config.Peers, cfg config.Config, log *slog.Logger, members *store.Store) (gossip.Options, error) {
+func gossipOptions(p config.Peers, cfg config.Config, log *slog.Logger, sharedStore *store.Store) (gossip.Options, error) {
 	process, err := newProcessID()
 	if err != nil {
 		return gossip.Options{}, err
@@ -60,12 +60,12 @@
 	}
 	key := peerAddrsKeyPrefix + "/" + cfg.Name
 	var lastAddrs []string
-	if data := members.Get(key); len(data) > 0 && json.Unmarshal(data, &lastAddrs) == nil {
+	if data := sharedStore.Get(key); len(data) > 0 && json.Unmarshal(data, &lastAddrs) == nil {
 		options.Swim.Seeds = slices.Concat(options.Swim.Seeds, lastAddrs)
 	}
 	options.SaveAddrs = saveLatest(func(addrs []string) {
 		if data, err := json.Marshal(addrs); err == nil {
-			members.Put(key, data)
+			sharedStore.Put(key, data)
 		}
 	})
 	return options, nil
@@ -80,7 +80,8 @@
 	return binary.BigEndian.Uint64(raw[:]), nil
 }
 
-// saveLatest returns a function that passes a list to save in the background. A list that is still queued is replaced by a newer one.
+// saveLatest returns a function that calls save with a list in the background. A list that is still queued is replaced by a newer
+// one.
 func saveLatest(save func([]string)) func([]string) {
 	latest := make(chan []string, 1)
 	go func() {
@@ -132,7 +133,8 @@
 	}
 }
 
-// newPeerReports returns reports on the data nodes that fail for another coordinator, or that another has seen start.
+// newPeerReports returns reports on the data nodes that another coordinator reports as failing, or has seen start and that still
+// warm up.
 func newPeerReports(all map[string]observations.View, self string) (reports []coordinator.PeerReport) {
 	for id, v := range all {
 		report := coordinator.PeerReport{Node: id, Failing: v.Suspect && v.FailedBy != self, FailedAge: v.FailedAge, AnsweredAge: v.AnsweredAge}
--- a/cmd/gullfall/observations.go
+++ b/cmd/gullfall/observations.go
@@ -11,16 +11,16 @@
 	"gullfall/internal/observations"
 )
 
-// learnedView shows the combined observations of all coordinators of one data node.
+// learnedView shows the observations of one data node, combined from all coordinators.
 type learnedView struct {
 	Node      string  `json:"node"`
 	Doubtful  bool    `json:"doubtful"`
-	ColdS     float64 `json:"cold_s,omitempty"` // rest of the warm-up
+	ColdS     float64 `json:"cold_s,omitempty"` // remaining seconds of the warm-up
 	LatencyMS float64 `json:"latency_ms"`       // negative if unknown
 	Busy      float64 `json:"busy"`             // utilization; negative if unknown
 }
 
-// learnedViews returns a view of each data node's observations, sorted by data node.
+// learnedViews returns a view of each data node's observations, sorted by the data node's name.
 func learnedViews(all map[string]observations.View) (list []learnedView) {
 	for _, id := range slices.Sorted(maps.Keys(all)) {
 		v := all[id]
--- a/cmd/gullfall/peers.go
+++ b/cmd/gullfall/peers.go
@@ -57,7 +57,7 @@
 }
 
 // addPeerCommands adds the commands that show the coordinators and their observations, and that remove a dead coordinator.
-func addPeerCommands(commands map[string]admin.Command, peers *gossip.Gossip, members *store.Store) {
+func addPeerCommands(commands map[string]admin.Command, peers *gossip.Gossip, sharedStore *store.Store) {
 	commands["learned"] = view(func() ([]learnedView, error) { return learnedViews(peers.AllObservations()), nil })
 	commands["peers"] = view(func() (v peersView, err error) {
 		if !peers.View(func(s *swim.Swim) { v = newPeersView(s, peers.Since()) }) {
@@ -74,16 +74,16 @@
 		return v, nil
 	})
 	commands["peers forget"] = command(func(_ context.Context, name string) (forgetResult, error) {
-		return forgetPeer(peers, members, name)
+		return forgetPeer(peers, sharedStore, name)
 	})
 }
 
 // errGossipEnded is returned for a command during shutdown, after gossip has stopped.
 var errGossipEnded = errors.New("gossip with the other coordinators has ended")
 
-// forgetPeer removes a dead coordinator from the view, so that it no longer counts for the majority. A coordinator that is not dead
-// can't be removed, as its next packet would add it again.
-func forgetPeer(peers *gossip.Gossip, members *store.Store, name string) (forgetResult, error) {
+// forgetPeer removes a dead coordinator from the view, so that it no longer counts for the majority. Other coordinators can't
+// be removed, as their next packets would add them again.
+func forgetPeer(peers *gossip.Gossip, sharedStore *store.Store, name string) (forgetResult, error) {
 	err := fmt.Errorf("no coordinator %q is known", name)
 	peers.View(func(s *swim.Swim) {
 		if state, known := s.State(name); known && state == swim.Dead {
@@ -96,7 +96,7 @@
 		return forgetResult{}, err
 	}
 	peers.Forget(name)
-	_, member := members.Status().Peers[name]
+	_, member := sharedStore.Status().Peers[name]
 	return forgetResult{Name: name, Member: member}, nil
 }
 
--- a/cmd/gullfall/reload.go
+++ b/cmd/gullfall/reload.go
@@ -8,7 +8,7 @@
 )
 
 // reload reloads the configuration at each SIGHUP until ctx ends, also during a drain, when the list of data nodes is still in use. Both
-// files are checked completely before anything is applied; after a faulty key the running configuration stays and the log names the key.
+// files are checked completely before anything is applied; if a key is faulty, the running configuration stays and the log names the key.
 // If a component still rejects its new values, those applied before it keep theirs.
 func (d *daemon) reload(ctx context.Context) {
 	current := d.cfg
--- a/cmd/gullfall/serve.go
+++ b/cmd/gullfall/serve.go
@@ -49,7 +49,8 @@
 // discoveryRank is the rank of discovery among the sources that list a data node: above the fixed list, below DNS-SD zones.
 const discoveryRank = 20
 
-// watchRandomStream is the PCG stream of the watch's random delays. It makes them independent of the module, which uses the same seed.
+// watchRandomStream is the PCG stream of the watch's random delays. It makes them independent of the
+// aggregator package, which uses the same seed.
 const watchRandomStream = 2
 
 // daemon is the serving process: its configuration and the components that it starts and stops.
@@ -63,7 +64,7 @@
 
 	store       *store.Store
 	coordinator *coordinator.Coordinator
-	drains      *zoneDrains // nil if zones are not watched
+	drains      *zoneDrains // nil if zones.enabled is false
 	connections chan struct{}
 	watch       *platform.Watch
 	peers       *gossip.Gossip // nil if gossip is disabled
--- a/cmd/gullfall/sources.go
+++ b/cmd/gullfall/sources.go
@@ -89,7 +89,7 @@
 	stored []byte // list as last written to the store
 }
 
-// Update applies an update of the zone and stores the resulting list if it has changed. A failed update is only applied.
+// Update applies an update of the zone and stores the resulting list if it has changed. A failed update is applied but not stored.
 func (s *storedSource) Update(u membership.Update) {
 	if s.Source.Update(u); u.Basis == membership.Failed {
 		return
--- a/cmd/gullfall/store.go
+++ b/cmd/gullfall/store.go
@@ -1,7 +1,7 @@
 package main
 
-// This file implements `gullfall store`, which shows and changes the members of the coordinators' store. Members that gossip has seen dead
-// or gone for long are proposed for removal; removing one always takes an operator's command.
+// This file implements `gullfall store`, which shows and changes the members of the coordinators' store. Members that according to
+// gossip have been dead, or have left, for long are proposed for removal; only an operator's command removes one.
 
 import (
 	"context"
--- a/cmd/gullfall/workplan.go
+++ b/cmd/gullfall/workplan.go
@@ -69,7 +69,7 @@
 	HTML string `name:"html" help:"Write the plan to this file as an HTML page with a Gantt chart."`
 }
 
-// Run prints the plan of a request without making it.
+// Run prints the plan for a request without submitting the request.
 func (c workPlanCmd) Run() error {
 	request, err := c.request()
 	if err != nil {
--- a/cmd/gullfall/zonedrains.go
+++ b/cmd/gullfall/zonedrains.go
@@ -38,7 +38,7 @@
 		changed := z.store.Changed()
 		if now := string(z.store.Get(drainedKey)); now != last {
 			if last = now; z.apply() != nil {
-				return // zones are not watched; commands that drain one report it
+				return // zones.enabled is false; commands that drain a zone report this
 			}
 		}
 		select {
