--- a/internal/lease/holder.go
+++ b/internal/lease/holder.go
@@ -27,7 +27,7 @@
 	config      Config
 	holding     bool
 	grant       Grant
-	actUntil    time.Duration // the holder may act before it
+	actUntil    time.Duration // the holder may act until then, by its own clock
 	sentAt      time.Duration // when the last request was sent
 	inFlight    bool          // the last request has no answer yet
 	lastRequest uint64        // number of the last request
@@ -52,7 +52,7 @@
 	return h.grant.Token, true
 }
 
-// Next returns the time at which Step has the next request.
+// Next returns the time from which Step returns the next request.
 func (h *Holder) Next() time.Duration { return h.nextAt }
 
 // Step returns the request to send now. One request is in flight at a time, until Granted, VersionStale, Denied or Unanswered is
@@ -91,7 +91,7 @@
 	h.inFlight, h.version, h.nextAt = false, version, now
 }
 
-// Denied handles the answer to request n that another holds the duty, with the version of its lease; 0 for unknown.
+// Denied handles the answer to request n that another holds the duty, with the version of that lease, or 0 if it is unknown.
 func (h *Holder) Denied(now time.Duration, n, version uint64) {
 	if !h.inFlight || n != h.lastRequest {
 		return
--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -13,7 +13,7 @@
 //	resign     frees the duty at once; the next campaign is granted
 //	holder     may act for L (1-E)/(1+E) by its own clock, counted from when it sent the request that was granted
 //	lessor     holds the duty for L by its own clock, counted from when it received the request
-//	new leader it does not know how much of a lease has passed: each runs for L from when it received its first request
+//	new leader it does not know how much of a lease has passed: each runs for L from the first request that the leader receives
 //	fence      the store applies a write under a duty only while its token is the current one (statemachine.Condition); any other
 //	           resource rejects a token that is lower than the highest it has seen
 //
--- a/internal/statemachine/statemachine.go
+++ b/internal/statemachine/statemachine.go
@@ -34,7 +34,7 @@
 	resultWindow = 64      // results kept per writer; a writer has fewer commands in flight
 )
 
-// Entry is a value, and as its revision the index of the command that put it.
+// Entry is a value with its revision, the log index of the command that put it.
 type Entry struct {
 	Value    []byte
 	Revision uint64
