--- a/internal/store/fsm.go
+++ b/internal/store/fsm.go
@@ -79,8 +79,8 @@
 	m.diskWrites.stale = err != nil
 }
 
-// rewriteAll writes all values again after a failed write, since the disk lacks what changed meanwhile, at most once per
-// rewriteInterval. The caller holds the lock.
+// rewriteAll writes all values again after a failed write, since the disk lacks what has changed since then. It does nothing within
+// rewriteInterval of the last failure. The caller holds the lock.
 func (m *fsm) rewriteAll() {
 	if time.Since(m.diskWrites.lastFailure) < rewriteInterval {
 		return
--- a/internal/store/members.go
+++ b/internal/store/members.go
@@ -22,10 +22,11 @@
 // MemberChange is an operator's request to change the members: What is its kind, Addr the address of a new learner.
 type MemberChange struct{ What, Name, Addr string }
 
-// invalidMemberChange is the cause of a result that a retry would not change.
+// invalidMemberChange is the value of Result.Failed for an invalid change, which is not retried.
 const invalidMemberChange = "member"
 
-// Change has the leader change the members, until ctx ends; an error that does not wrap ctx's states why the change is invalid. A
+// Change has the leader change the members, and retries until ctx ends. An error that does not wrap ctx's error says why the change
+// is invalid. A
 // change whose answer was lost counts as done once the members match it. A learner gets a vote only after it has applied all
 // entries acknowledged before: a vote without the log could elect a leader that lacks acknowledged entries.
 func (s *Store) Change(ctx context.Context, c MemberChange) error {
--- a/internal/store/putqueue.go
+++ b/internal/store/putqueue.go
@@ -54,8 +54,8 @@
 	}
 }
 
-// Put queues a value and returns at once. The leader writes shared keys. A key that ends with a slash and a member's name belongs
-// to that member, which writes it whether or not it leads.
+// Put queues a value and returns at once. A shared key is written only while this member leads. A key that ends with a slash and
+// this member's name is written whether or not it leads.
 func (s *Store) Put(key string, value []byte) { s.puts.put(key, value) }
 
 // runPutQueue writes the queued values until the store is closed.
--- a/internal/store/raftlog.go
+++ b/internal/store/raftlog.go
@@ -97,7 +97,7 @@
 	if err != nil {
 		return err
 	}
-	// From the first entry in entrySizes on the log has no gap, so its new ends are known without reading it.
+	// The log has no gap from the first entry in entrySizes on, so its new ends are known without reading it.
 	switch {
 	case first <= d.first && last >= d.last:
 		d.first, d.last, d.entrySizes = 0, 0, entrySizes{}
--- a/internal/store/retention.go
+++ b/internal/store/retention.go
@@ -5,7 +5,7 @@
 // How much of the log is retained behind a snapshot, and how often one is taken. Both are bounded in bytes, since an entry is
 // anything from a lease of a hundred bytes to a list of all data nodes.
 const (
-	trailingBytes        = 4 << 20 // so a member that was down for a minute is sent entries, one that was down for a day a snapshot
+	trailingBytes        = 4 << 20 // enough to send entries to a member that was down for a minute; after a day it is sent a snapshot
 	minTrailing          = 16      // entries
 	maxTrailing          = 65_536
 	snapshotBytes        = 2 << 20 // bytes of entries between snapshots; a restart replays them
@@ -19,7 +19,8 @@
 	list  []int32
 }
 
-// add records the size of an entry: the next one, one that replaces the end of the log from its index on, or one behind a gap.
+// add records the size of an entry: the next one, one that replaces the end of the log from its index on, or one behind a gap, after
+// which the list starts again.
 func (s *entrySizes) add(index uint64, n int) {
 	switch at := index - s.first; {
 	case len(s.list) == 0 || index < s.first || at > uint64(len(s.list)):
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -84,7 +84,7 @@
 
 // commandIDs numbers the commands of one process, so that a command sent twice is applied once.
 type commandIDs struct {
-	writer string // the member's name and a random part for the process
+	writer string // the member's name and random bytes that identify the process
 	last   atomic.Uint64
 }
 
