--- a/internal/kv/encoder.go
+++ b/internal/kv/encoder.go
@@ -36,7 +36,7 @@
 }
 
 // appendToGroup adds the payload of a batch to that of a record. All that is written between two syncs is one record: pages may
-// reach the disk in any order, so of two records the second could be found without the first.
+// reach the disk in any order, so after a crash the second of two records could be there without the first.
 func appendToGroup(out, payload []byte) []byte {
 	return append(binary.AppendUvarint(out, uint64(len(payload))), payload...)
 }
--- a/internal/kv/log.go
+++ b/internal/kv/log.go
@@ -33,13 +33,13 @@
 	opts Options
 	lock io.Closer
 
-	// mu guards the fields up to closed. It is not held over a write or a sync.
+	// mu guards the fields from committed to closed. It is not held during a write or a sync.
 	mu        sync.Mutex
 	committed *sync.Cond       // signalled when a group is finished
 	pending   []*pendingCommit // batches of the next group
 	writing   bool             // a writer is committing a group
 	next      uint64           // the next sequence number
-	failed    error
+	failed    error            // final error, after which nothing is written; nil for none
 	closed    bool
 
 	// The open segment. Only the writer that commits a group uses it.
--- a/internal/kv/manifest.go
+++ b/internal/kv/manifest.go
@@ -71,7 +71,7 @@
 	if err != nil {
 		return fmt.Errorf("%s: %w", manifestName, err)
 	}
-	if err := db.fs.SyncDir(); err != nil { // which of the two manifests is on disk is unknown
+	if err := db.fs.SyncDir(); err != nil { // it is now unknown which of the two manifests is on disk
 		return fmt.Errorf("folder: %v", err) //nolint:errorlint // unwrapped on purpose: a full disk here must count as final
 	}
 	return nil
--- a/internal/kv/memtable.go
+++ b/internal/kv/memtable.go
@@ -31,7 +31,7 @@
 		case Delete:
 			m.tree.ReplaceOrInsert(entry{key: op.Key, seq: seq, deleted: true})
 		case DeleteRange:
-			var same []entry // of the same batch: the tombstone has the same sequence number and would not cover them
+			var same []entry // entries of the same batch: the tombstone has their sequence number, so it would not delete them
 			m.tree.AscendRange(entry{key: op.Key, seq: ^uint64(0)}, entry{key: op.Value, seq: ^uint64(0)}, func(e entry) bool {
 				if e.seq == seq {
 					same = append(same, e)
