--- a/internal/platform/attempttable.go
+++ b/internal/platform/attempttable.go
@@ -23,7 +23,7 @@
 // of parts.
 type attemptTable struct {
 	pending      map[string]*pendingAttempt
-	cancelled    map[string]time.Time // by id, until when a late answer may arrive
+	cancelled    map[string]time.Time // by id: time until which a late answer may arrive
 	lastAnswered string               // id whose answer may arrive a second time
 }
 
--- a/internal/platform/scenario_client_test.go
+++ b/internal/platform/scenario_client_test.go
@@ -2,7 +2,7 @@
 
 // clientScenarios test client connections: requests, responses, limits, eviction and closing.
 var clientScenarios = []scenario{
-	// Rule 1: a query that is given up is answered at once, with a Retry-After header.
+	// A query that is given up is answered at once, with a Retry-After header.
 	{"a query without a data node is refused at once", "n1", `
 		c1 send query q1 2000 1
 		wait 20ms
--- a/internal/platform/scenarioworld_test.go
+++ b/internal/platform/scenarioworld_test.go
@@ -499,7 +499,7 @@
 	h.waitSettled()
 }
 
-// queryText returns the request for a query. words are its id, its deadline in ms, its shards and, for an entry, its key.
+// queryText returns the request for a query. words are its id, its deadline in ms, its shards and, for kind "entry", its key.
 func (h *harness) queryText(words []string, kind string) string {
 	class, key, shards := "report", "", words[2]
 	if kind == "entry" {
--- a/internal/platform/watchsilence_test.go
+++ b/internal/platform/watchsilence_test.go
@@ -232,7 +232,8 @@
 		phase := time.Duration(rapid.IntRange(2000, 6000).Draw(r, "phase_ms")) * time.Millisecond
 		seed := rapid.Uint64().Draw(r, "seed")
 		bound := max(silence, membership.NotifiedAfter) + grace
-		if schedule := (&membership.PollSchedule{}); !pushed && silence > membership.SilenceTimeout-membership.KeepAliveInterval { // a call may have been made during the silence
+		// A polled service may have been called during a silence of this length.
+		if schedule := (&membership.PollSchedule{}); !pushed && silence > membership.SilenceTimeout-membership.KeepAliveInterval {
 			bound = max(bound, silence+schedule.Timeout()+time.Second+100*time.Millisecond)
 		}
 		synctest.Test(t, func(t *testing.T) {
