--- a/internal/config/peers.go
+++ b/internal/config/peers.go
@@ -23,7 +23,7 @@
 	Route    []PeerRoute
 	Period   Span
 	Timeout  Span
-	MaxPause Span `toml:"bear"` // longest pause of a coordinator after which it must not be declared dead
+	MaxPause Span `toml:"bear"` // longest pause for which a coordinator must not be declared dead
 }
 
 // PeerKey is a key that encrypts gossip packets. Sending uses the first key; all keys are accepted for decryption.
--- a/internal/flight/nodecalls.go
+++ b/internal/flight/nodecalls.go
@@ -1,7 +1,7 @@
 package flight
 
-// Calls to data nodes by DoExchange. All parts of a call share one stream, so that a call is one unit here as it is for the decision
-// module, and each part is cancelled by its own message. The end of a cancelled part is reported only after the data node has been
+// Calls to data nodes by DoExchange. All parts of a call share one stream, so that a call is one unit here as it is in package
+// aggregator, and each part is cancelled by its own message. The end of a cancelled part is reported only after the data node has been
 // told, and batches received of a part before its stream broke are discarded.
 //
 // The coordinator sends one message without a body whose descriptor's path is "parts" and whose metadata is
