--- a/cmd/gullfall/duties.go
+++ b/cmd/gullfall/duties.go
@@ -60,7 +60,7 @@
 		return err
 	}
 	if !done {
-		return errors.New("it was not handed on")
+		return errors.New("the duty was not handed on")
 	}
 	fmt.Println("given back; another coordinator takes it over within a quarter of a lease")
 	return nil
@@ -89,7 +89,7 @@
 	case !t.Holds:
 		return fmt.Errorf("%s does not hold %s", t.Who, t.Duty)
 	case !t.Accepted:
-		return fmt.Errorf("the store does not take token %d of %s any more: %s", t.Token, t.Who, t.Why)
+		return fmt.Errorf("the store no longer accepts token %d of %s: %s", t.Token, t.Who, t.Why)
 	}
 	return nil
 }
--- a/cmd/gullfall/peers.go
+++ b/cmd/gullfall/peers.go
@@ -100,7 +100,7 @@
 	return forgetResult{Name: name, Member: member}, nil
 }
 
-// newPeersView returns the view at time now of the gossip clock.
+// newPeersView returns the view at time now, which is measured by the gossip clock.
 func newPeersView(s *swim.Swim, now time.Duration) peersView {
 	quorum := s.Quorum()
 	v := peersView{Verdict: quorum.Kind.String(), Here: quorum.Connected, Known: quorum.Total, Majority: quorum.Majority,
--- a/cmd/gullfall/store.go
+++ b/cmd/gullfall/store.go
@@ -200,7 +200,7 @@
 // Run removes a member.
 func (c storeRemoveCmd) Run() error {
 	if c.Name == "" {
-		return errors.New("no name")
+		return errors.New("the member's name is empty")
 	}
 	return c.change(store.MemberChange{What: store.Remove, Name: c.Name}, c.Name+" is no member of the store any more")
 }
--- a/cmd/gullfall/work.go
+++ b/cmd/gullfall/work.go
@@ -69,7 +69,7 @@
 	})
 }
 
-// countSteps returns the number of machines that are done or abandoned, and of those that are neither that nor waiting.
+// countSteps returns the number of machines that are done or abandoned, and of those that are neither done, abandoned nor waiting.
 func countSteps(steps []*maintenance.Step) (done, inWork int) {
 	for _, step := range steps {
 		switch step.State {
--- a/cmd/gullfall/zones.go
+++ b/cmd/gullfall/zones.go
@@ -65,7 +65,7 @@
 // send runs the command "zones VERB" for the zone and prints format with the zone's name.
 func (z zoneArg) send(verb, format string) error {
 	if z.Zone == "" {
-		return errors.New("no zone is named")
+		return errors.New("the zone's name is empty")
 	}
 	var zone string
 	if err := z.callWithStore("zones "+verb, z.Zone, &zone); err != nil {
