--- a/internal/flight/nodes.go
+++ b/internal/flight/nodes.go
@@ -64,12 +64,13 @@
 type channel struct {
 	conn         *grpc.ClientConn
 	client       flight.Client
-	inFlight     int
+	inFlight     int // streams, and callers that wait for the channel to be ready
 	retired      bool
 	failed       bool // the channel never came up, and backoff has counted that failure
 	lastReceived time.Time
 }
 
+// attemptState is the state of an attempt that has not ended.
 type attemptState struct {
 	cancel    context.CancelFunc
 	call      *nodeCall // set if the part belongs to a call on a shared stream
--- a/internal/kv/compaction.go
+++ b/internal/kv/compaction.go
@@ -43,7 +43,7 @@
 	}
 }
 
-// pace waits until the rate limit permits the bytes that a merge has written since its last call.
+// pace waits until the rate limit permits the bytes that a merge has written since the previous call.
 func (b *background) pace(bytes int64) error {
 	return b.limiter.WaitN(b.ctx, int(min(bytes, mergeBurst)))
 }
@@ -218,7 +218,7 @@
 	return nil
 }
 
-// oldestReadable returns the oldest sequence number as of which a view may read. The caller holds the lock.
+// oldestReadable returns the lowest sequence number as of which a view may read. The caller holds the lock.
 func (db *DB) oldestReadable() uint64 {
 	seq := db.visible
 	for s := range db.snapshots {
--- a/internal/platform/nodeconn.go
+++ b/internal/platform/nodeconn.go
@@ -138,9 +138,9 @@
 	}
 }
 
-// run opens the connection, writes queued frames, and at the end reports what was in flight. A connection that breaks while it
-// carries attempts is reopened at once: success distinguishes a data node that only lost a connection from one that has died,
-// and the attempts not yet begun are sent on the new connection.
+// run opens the connection, writes queued frames, and at the end reports the attempts and health checks in flight. A connection
+// that breaks while it carries attempts is reopened at once: success distinguishes a data node that only lost a connection from
+// one that has died, and the attempts not yet begun are sent on the new connection.
 func (c *nodeConn) run() {
 	var nc net.Conn
 	err := c.acquireDescriptor()
@@ -231,8 +231,9 @@
 	return len(c.pool.conns)
 }
 
-// connectOverdue fails what has waited for the connection for the whole connect timeout. The dial continues, unless another
-// late dial to the same data node is already in progress: slow dials hold at most one descriptor for each data node.
+// connectOverdue fails the attempts and health checks that have waited for the connection for the whole connect timeout. The dial
+// continues, unless another late dial to the same data node is already in progress: slow dials hold at most one descriptor for
+// each data node.
 func (c *nodeConn) connectOverdue() {
 	c.pool.mu.Lock()
 	defer c.pool.mu.Unlock()
--- a/internal/platform/watch.go
+++ b/internal/platform/watch.go
@@ -129,7 +129,7 @@
 	}
 }
 
-// handle processes an event of a connection. It ignores events of connections that were stopped meanwhile.
+// handle processes an event of a connection. It ignores events of connections that have been stopped.
 func (r *watchRun) handle(e watchEvent) {
 	if e.from != r.current && e.from != r.next {
 		return
