--- a/aggregator/settings.go
+++ b/aggregator/settings.go
@@ -108,20 +108,20 @@
 		return &SettingsError{"Cells, Shards", fmt.Sprintf("%d, %d: both must be above 0", set.ShardSets, set.Shards)}
 	}
 	if set.Reach < 1 || set.Reach > set.ShardSets {
-		return &SettingsError{"Reach", fmt.Sprintf("%d is not between 1 and Cells (%d)", set.Reach, set.ShardSets)}
+		return &SettingsError{"Reach", fmt.Sprintf("%d is not within 1 and Cells (%d)", set.Reach, set.ShardSets)}
 	}
 	if len(set.Classes) == 0 {
-		return &SettingsError{"Classes", "at least one class is required"}
+		return &SettingsError{"Classes", "none"}
 	}
 	for i := range set.Classes {
 		if !set.Classes[i].valid() {
-			return &SettingsError{fmt.Sprintf("Classes[%d]", i), "a value is negative, not finite or missing"}
+			return &SettingsError{fmt.Sprintf("Classes[%d]", i), "a figure is negative, not finite or missing"}
 		}
 	}
 	r, l := &set.Rules, &set.Limits
 	shortest := min(r.DrainGrace, r.OverloadWindow, r.WarmupTime, r.RetryWindow, r.PollInterval, l.MaxRetryAfter, set.Tick, set.CallCost)
 	if shortest < 0 || !nonNegativeFinite(r.OverloadMultiple, r.InitialCapacity, r.RetryFloor, r.RetryRatio, set.OverQuotaFactor) {
-		return &SettingsError{"Rules, Limits", "a value is negative or not finite"}
+		return &SettingsError{"Rules, Limits", "a figure is negative or not finite"}
 	}
 	return nil
 }
