--- a/cmd/gullfall-lab/work.go
+++ b/cmd/gullfall-lab/work.go
@@ -159,7 +159,7 @@
 	return p.w.Until(ctx, "every request ends", time.Now().Add(2*time.Minute), func(v agent.View) bool {
 		r.Requests, r.Completed = int(v.Plan.Next), int(v.Plan.Next)
 		for _, q := range v.Plan.Requests {
-			if q.State == maintenance.Finished || q.State == maintenance.GivenUp {
+			if q.State == maintenance.Finished || q.State == maintenance.RequestAbandoned {
 				continue
 			}
 			if r.Completed--; q.State != maintenance.Open {
--- a/cmd/gullfall/agent.go
+++ b/cmd/gullfall/agent.go
@@ -35,23 +35,23 @@
 		observed = peers.Observations
 	}
 	return agent.Start(agent.Options{
-		Store:          sharedStore,
-		Coordinator:    c,
-		Name:           cfg.Name,
-		Log:            log,
-		Layout:         maintenance.Layout{ShardSets: settings.ShardSets, Shards: settings.Shards, Reach: settings.Reach},
-		Limits:         work.Limits(),
-		WarmupTime:     settings.Rules.WarmupTime,
-		LongestAttempt: longestDeadline(settings),
-		PresenceBound:  time.Duration(work.Bound),
-		Duty:           time.Duration(work.Lease),
-		Drift:          work.Drift,
-		Every:          time.Duration(work.Every),
-		Duties:         work.Duties,
-		Hook:           work.Hook,
-		HookFor:        time.Duration(work.HookTime),
-		Budget:         work.Budget,
-		Observations:   observed,
+		Store:              sharedStore,
+		Coordinator:        c,
+		Name:               cfg.Name,
+		Log:                log,
+		Layout:             maintenance.Layout{ShardSets: settings.ShardSets, Shards: settings.Shards, Reach: settings.Reach},
+		Limits:             work.Limits(),
+		WarmupTime:         settings.Rules.WarmupTime,
+		LongestAttempt:     longestDeadline(settings),
+		PresenceBound:      time.Duration(work.Bound),
+		DutyLease:          time.Duration(work.Lease),
+		Drift:              work.Drift,
+		MoveInterval:       time.Duration(work.Every),
+		Duties:             work.Duties,
+		Hook:               work.Hook,
+		HookTimeout:        time.Duration(work.HookTime),
+		PlanBytesPerSecond: work.Budget,
+		Observations:       observed,
 	})
 }
 
@@ -90,7 +90,7 @@
 
 // addMaintenanceCommands adds the maintenance and duty commands.
 func addMaintenanceCommands(commands map[string]admin.Command, a *agent.Agent) {
-	commands["work start"] = command(func(ctx context.Context, request agent.Request) (agent.Planned, error) {
+	commands["work start"] = command(func(ctx context.Context, request agent.Request) (agent.PlanResult, error) {
 		return a.Start(ctx, request)
 	})
 	commands["work look"] = command(func(ctx context.Context, w workArgs) (agent.View, error) {
--- a/cmd/gullfall/formats_test.go
+++ b/cmd/gullfall/formats_test.go
@@ -21,7 +21,7 @@
 		"work word":       golden.Filled[workArgs](),
 		"work ask":        golden.Filled[agent.Request](),
 		"work view":       golden.Filled[agent.View](),
-		"work planned":    golden.Filled[agent.Planned](),
+		"work planned":    golden.Filled[agent.PlanResult](),
 		"duties try":      golden.Filled[agent.DutyAttempt](),
 		"zones":           golden.Filled[[]zoneView](),
 		"peers":           golden.Filled[peersView](),
--- a/cmd/gullfall/peers.go
+++ b/cmd/gullfall/peers.go
@@ -60,15 +60,15 @@
 func addPeerCommands(commands map[string]admin.Command, peers *gossip.Gossip, sharedStore *store.Store) {
 	commands["learned"] = view(func() ([]learnedView, error) { return learnedViews(peers.AllObservations()), nil })
 	commands["peers"] = view(func() (v peersView, err error) {
-		if !peers.View(func(s *swim.Swim) { v = newPeersView(s, peers.Since()) }) {
+		if !peers.View(func(s *swim.Swim) { v = newPeersView(s, peers.Elapsed()) }) {
 			return v, errGossipEnded
 		}
 		v.Dropped = map[string]int64{
-			"seal":    peers.Drops.Seal.Load(),
+			"seal":    peers.Drops.Unauthenticated.Load(),
 			"version": peers.Drops.Version.Load(),
 			"replay":  peers.Drops.Replay.Load(),
-			"form":    peers.Drops.Form.Load(),
-			"full":    peers.Drops.Full.Load(),
+			"form":    peers.Drops.Malformed.Load(),
+			"full":    peers.Drops.QueueFull.Load(),
 		}
 		v.Sent, v.Received = peers.Traffic.BytesOut.Load(), peers.Traffic.BytesIn.Load()
 		return v, nil
--- a/cmd/gullfall/reload.go
+++ b/cmd/gullfall/reload.go
@@ -30,7 +30,7 @@
 			d.log.Warn("changes need a restart; the old values stay", "keys", needRestart)
 		}
 		applyLimits(next.Limits)
-		d.watch.Move(ctx, next.Discovery)
+		d.watch.SetAddr(ctx, next.Discovery)
 		current = next
 		d.log.Info("configuration reloaded", "discovery", current.Discovery)
 	}
--- a/cmd/gullfall/serve.go
+++ b/cmd/gullfall/serve.go
@@ -230,7 +230,7 @@
 	limits, rules := d.cfg.Settings.Limits, d.cfg.Settings.Rules
 	d.connections = make(chan struct{}, d.cfg.Limits.Sockets*dataNodeSocketsOf8/8)
 	nodes := &platform.ConnPool{Coordinator: d.coordinator, Log: d.log, Dial: dial, Streams: d.cfg.Streams, ConnectTimeout: limits.ConnectTimeout,
-		IdleTimeout: limits.ConnIdle, Connections: d.connections}
+		IdleTimeout: limits.ConnIdle, Descriptors: d.connections}
 	d.coordinator.RegisterDispatcher(dnssd.Frames, nodes.Dispatch)
 	watch := platform.NewWatch(d.cfg.Discovery)
 	watch.Source = d.coordinator.AddSource(membership.Spec{Name: "discovery", Rank: discoveryRank})
@@ -286,7 +286,7 @@
 	if d.deploy.Flight.Listen != "" {
 		maxConns -= sockets / flightSocketsDiv
 	}
-	d.fronts.clients = &platform.Server{Coordinator: d.coordinator, Log: d.log, MaxConns: maxConns, ActiveConns: sockets / activeConnsDiv,
+	d.fronts.clients = &platform.Server{Coordinator: d.coordinator, Log: d.log, MaxConns: maxConns, MaxActiveConns: sockets / activeConnsDiv,
 		BodyMemory: int64(d.cfg.Limits.MemoryMB) << 20 / clientBodyMemoryDiv, RetryAfter: d.coordinator.RetryAfter()}
 	go func() { d.failed <- d.fronts.clients.Serve(d.fronts.listener) }()
 	d.log.Info("serving", "name", d.cfg.Name, "listen", d.cfg.Listen)
--- a/cmd/gullfall/store.go
+++ b/cmd/gullfall/store.go
@@ -51,7 +51,7 @@
 	var now time.Duration
 	if peers != nil {
 		peers.View(func(s *swim.Swim) {
-			now = peers.Since()
+			now = peers.Elapsed()
 			for _, m := range s.Members() {
 				seen[m.Name] = m
 			}
--- a/cmd/gullfall/workplan.go
+++ b/cmd/gullfall/workplan.go
@@ -50,7 +50,7 @@
 }
 
 // parseHours parses a daily interval such as "18:00-23:30".
-func parseHours(text string) (h maintenance.Hours, err error) {
+func parseHours(text string) (h maintenance.DailyRange, err error) {
 	from, to, ok := strings.Cut(text, "-")
 	for side, part := range map[*time.Duration]string{&h.From: from, &h.To: to} {
 		t, err := time.Parse("15:04", part)
@@ -76,7 +76,7 @@
 		return err
 	}
 	request.DryRun = true
-	var p agent.Planned
+	var p agent.PlanResult
 	if err := c.callWithStore("work start", request, &p); err != nil {
 		return err
 	}
@@ -105,7 +105,7 @@
 		return err
 	}
 	request.DryRun = c.DryRun
-	var p agent.Planned
+	var p agent.PlanResult
 	if err := c.callWithStore("work start", request, &p); err != nil {
 		return err
 	}
@@ -123,7 +123,7 @@
 const maxMachinesShown = 12
 
 // planTable prints a plan with one line per wave.
-func planTable(w io.Writer, p agent.Planned) error {
+func planTable(w io.Writer, p agent.PlanResult) error {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(t, "wave\tafter\tmachines")
 	for i, wave := range p.Plan.Waves {
@@ -145,7 +145,7 @@
 }
 
 // planHTML returns an HTML page with the plan as a Gantt chart in SVG.
-func planHTML(p agent.Planned) string {
+func planHTML(p agent.PlanResult) string {
 	const row, left, width = 14, 160, 900
 	var names, bars strings.Builder
 	y, waves := 0, max(len(p.Plan.Waves), 1)
--- a/internal/faults/standins_platform_test.go
+++ b/internal/faults/standins_platform_test.go
@@ -25,7 +25,7 @@
 // dispatchFrames returns a dispatcher for data nodes of the platform's protocol.
 func dispatchFrames(c *coordinator.Coordinator) coordinator.Dispatcher {
 	return (&platform.ConnPool{Coordinator: c, Log: discardLog, Dial: dial, Streams: 32, ConnectTimeout: 250 * time.Millisecond,
-		IdleTimeout: 30 * time.Second, Connections: make(chan struct{}, 64)}).Dispatch
+		IdleTimeout: 30 * time.Second, Descriptors: make(chan struct{}, 64)}).Dispatch
 }
 
 // startFrameNode starts a data node of the platform's protocol.
--- a/internal/gossip/facts.go
+++ b/internal/gossip/facts.go
@@ -31,7 +31,7 @@
 	g.facts.mu.Lock()
 	defer g.facts.mu.Unlock()
 	// An invalid value, such as a negative latency, is not shared.
-	_ = g.facts.table.Observe(g.Since(), time.Now(), node, f, value)
+	_ = g.facts.table.Observe(g.Elapsed(), time.Now(), node, f, value)
 }
 
 // ObserveStart shares how long ago a data node started.
@@ -39,21 +39,21 @@
 	g.facts.mu.Lock()
 	defer g.facts.mu.Unlock()
 	// A start too long ago to matter is not shared.
-	_ = g.facts.table.ObserveStart(g.Since(), time.Now(), node, ago)
+	_ = g.facts.table.ObserveStart(g.Elapsed(), time.Now(), node, ago)
 }
 
 // Observations returns the combined observations of all coordinators for a data node.
 func (g *Gossip) Observations(node string) observations.View {
 	g.facts.mu.Lock()
 	defer g.facts.mu.Unlock()
-	return g.facts.table.View(g.Since(), node)
+	return g.facts.table.View(g.Elapsed(), node)
 }
 
 // AllObservations returns the combined observations for each data node, by id.
 func (g *Gossip) AllObservations() map[string]observations.View {
 	g.facts.mu.Lock()
 	defer g.facts.mu.Unlock()
-	return g.facts.table.Views(g.Since())
+	return g.facts.table.Views(g.Elapsed())
 }
 
 // gossipFacts sends facts to a few random members, once a period.
@@ -101,8 +101,8 @@
 func (g *Gossip) nextFacts() []observations.Fact {
 	g.facts.mu.Lock()
 	defer g.facts.mu.Unlock()
-	g.facts.table.Expire(g.Since())
-	return g.facts.table.Facts(g.Since(), factBatch)
+	g.facts.table.Expire(g.Elapsed())
+	return g.facts.table.Facts(g.Elapsed(), factBatch)
 }
 
 // receiveFacts merges the facts of a packet.
@@ -114,7 +114,7 @@
 	g.facts.mu.Lock()
 	defer g.facts.mu.Unlock()
 	for _, f := range facts {
-		switch err := g.facts.table.Merge(g.Since(), time.Now(), f); {
+		switch err := g.facts.table.Merge(g.Elapsed(), time.Now(), f); {
 		case err == nil:
 			g.Facts.Accepted.Add(1)
 		case errors.Is(err, observations.ErrKnown):
--- a/internal/gossip/gossip.go
+++ b/internal/gossip/gossip.go
@@ -64,9 +64,9 @@
 }
 
 // Drops counts discarded packets and exchanges: sealed with an unknown key, of another version, replayed, malformed, or received
-// while the queue was full. Form also counts failed reads and packets that are oversized, or not sent because the address
+// while the queue was full. Malformed also counts failed reads and packets that are oversized, or not sent because the address
 // does not resolve or is not a loopback address.
-type Drops struct{ Seal, Version, Replay, Form, Full atomic.Int64 }
+type Drops struct{ Unauthenticated, Version, Replay, Malformed, QueueFull atomic.Int64 }
 
 // Traffic counts packets and bytes that were sent and received.
 type Traffic struct{ PacketsOut, PacketsIn, BytesOut, BytesIn atomic.Int64 }
@@ -156,8 +156,8 @@
 	}
 }
 
-// Since returns the time since Start, which is the clock of the state that View shows.
-func (g *Gossip) Since() time.Duration { return time.Since(g.started) }
+// Elapsed returns the time since Start, which is the clock of the state that View shows.
+func (g *Gossip) Elapsed() time.Duration { return time.Since(g.started) }
 
 // enqueue queues an input for the goroutine run, and blocks while the queue is full.
 func (g *Gossip) enqueue(in input) {
@@ -181,7 +181,7 @@
 			batch = append(batch, in)
 		}
 		g.step(g.appendQueued(batch))
-		timer.Reset(g.swim.NextWake() - g.Since())
+		timer.Reset(g.swim.NextWake() - g.Elapsed())
 	}
 }
 
@@ -202,7 +202,7 @@
 func (g *Gossip) step(batch []input) {
 	var events []swim.Event
 	flush := func() {
-		g.perform(g.swim.Step(g.Since(), events...), nil)
+		g.perform(g.swim.Step(g.Elapsed(), events...), nil)
 		events = nil
 	}
 	for _, in := range batch {
@@ -213,7 +213,7 @@
 			close(in.done)
 		case in.reply != nil:
 			flush()
-			g.perform(g.swim.Step(g.Since(), in.event), in.reply)
+			g.perform(g.swim.Step(g.Elapsed(), in.event), in.reply)
 		default:
 			events = append(events, in.event)
 		}
--- a/internal/gossip/gossip_test.go
+++ b/internal/gossip/gossip_test.go
@@ -263,7 +263,7 @@
 	conn.Write([]byte(strings.Repeat("x", 100)))
 	conn.Write(append([]byte{Version, 1}, make([]byte, 98)...))
 	conn.Close()
-	waitUntil("foreign packets are counted", func() bool { return a.Drops.Version.Load() == 1 && a.Drops.Seal.Load() == 1 })
+	waitUntil("foreign packets are counted", func() bool { return a.Drops.Version.Load() == 1 && a.Drops.Unauthenticated.Load() == 1 })
 	for _, keys := range [][]Key{{key(1, "a"), key(2, "b")}, {key(2, "b"), key(1, "a")}, {key(2, "b")}} {
 		if err := errors.Join(a.SetKeys(keys), b.SetKeys(keys)); err != nil {
 			t.Fatal(err)
--- a/internal/gossip/packets.go
+++ b/internal/gossip/packets.go
@@ -20,7 +20,7 @@
 	raw := g.keys.seal(plain)
 	addr, err := net.ResolveUDPAddr("udp", g.route(to))
 	if err != nil || !addr.IP.IsLoopback() || len(raw) > maxPacketBytes {
-		g.Drops.Form.Add(1)
+		g.Drops.Malformed.Add(1)
 		return
 	}
 	if _, err := g.packetConn.WriteTo(raw, addr); err == nil {
@@ -38,7 +38,7 @@
 			return
 		}
 		if err != nil || n > maxPacketBytes {
-			g.Drops.Form.Add(1)
+			g.Drops.Malformed.Add(1)
 			continue
 		}
 		g.Traffic.PacketsIn.Add(1)
@@ -50,7 +50,7 @@
 		select {
 		case g.inputs <- input{event: swim.Event{Packet: m}}:
 		default:
-			g.Drops.Full.Add(1)
+			g.Drops.QueueFull.Add(1)
 		}
 	}
 }
@@ -78,8 +78,8 @@
 	case errors.Is(err, errReplay):
 		g.Drops.Replay.Add(1)
 	case errors.Is(err, errSeal):
-		g.Drops.Seal.Add(1)
+		g.Drops.Unauthenticated.Add(1)
 	default:
-		g.Drops.Form.Add(1)
+		g.Drops.Malformed.Add(1)
 	}
 }
--- a/internal/lab/fleet/work_operator.go
+++ b/internal/lab/fleet/work_operator.go
@@ -14,7 +14,7 @@
 )
 
 // RequestMaintenance requests maintenance at a coordinator, as an operator does.
-func (w *MaintenanceFleet) RequestMaintenance(ctx context.Context, i int, a agent.Request) (p agent.Planned, err error) {
+func (w *MaintenanceFleet) RequestMaintenance(ctx context.Context, i int, a agent.Request) (p agent.PlanResult, err error) {
 	ctx, cancel := context.WithDeadline(ctx, time.Now().Add(10*time.Second))
 	defer cancel()
 	return p, admin.Call(ctx, w.socket(i), "work start", a, &p)
--- a/internal/lab/workplan/workplan.go
+++ b/internal/lab/workplan/workplan.go
@@ -40,7 +40,7 @@
 	busy := 0.2 + 0.4*random.Float64()
 	for i := range n {
 		m := maintenance.Machine{ID: fmt.Sprint("m", i), Addr: fmt.Sprint("m", i), ShardSet: i % shardSets, Zone: string(rune('a' + (i/shardSets+i)%zoneCount)),
-			Weight: []float64{1, 1, 2, 0.7}[random.IntN(4)], Serving: true, Healthy: random.IntN(30) > 0, Util: busy * (0.8 + 0.4*random.Float64()), Started: 1}
+			Weight: []float64{1, 1, 2, 0.7}[random.IntN(4)], Serving: true, Healthy: random.IntN(30) > 0, Utilization: busy * (0.8 + 0.4*random.Float64()), Started: 1}
 		list, ids = append(list, m), append(ids, m.ID)
 	}
 	random.Shuffle(len(ids), func(i, j int) { ids[i], ids[j] = ids[j], ids[i] })
--- a/internal/maintenance/agent/agent.go
+++ b/internal/maintenance/agent/agent.go
@@ -38,15 +38,15 @@
 	WarmupTime  time.Duration // warm-up time of a data node after its start
 	// LongestAttempt is the longest duration of an attempt. If it is too short, a machine may be handed over while an attempt is in
 	// flight there.
-	LongestAttempt time.Duration
-	PresenceBound  time.Duration // how long announced machines may be sent to without an answer from the store
-	Duty           time.Duration // lease length of a duty
-	Drift          float64       // share by which clocks may run fast or slow
-	Every          time.Duration // interval between moves while the duty is held
-	Duties         []string      // further duties to campaign for
-	Hook           []string      // command to run with the arguments out or done, the machine and its address; empty for none
-	HookFor        time.Duration // timeout of the hook
-	Budget         int           // bytes of plans per second that the holder of the duty may write
+	LongestAttempt     time.Duration
+	PresenceBound      time.Duration // how long announced machines may be sent to without an answer from the store
+	DutyLease          time.Duration // lease length of a duty
+	Drift              float64       // share by which clocks may run fast or slow
+	MoveInterval       time.Duration // interval between moves while the duty is held
+	Duties             []string      // further duties to campaign for
+	Hook               []string      // command to run with the arguments out or done, the machine and its address; empty for none
+	HookTimeout        time.Duration // timeout of the hook
+	PlanBytesPerSecond int           // bytes of plans per second that the holder of the duty may write
 	// Observations returns what all coordinators report about a data node; nil if coordinators do not exchange observations.
 	Observations func(node string) observations.View
 }
@@ -81,7 +81,7 @@
 // Start starts an agent. EnableMaintenance must have been called on the coordinator.
 func Start(o Options) *Agent {
 	ctx, stop := context.WithCancel(context.Background())
-	a := &Agent{opts: o, start: time.Now(), planLimiter: rate.NewLimiter(rate.Limit(o.Budget), o.Budget), stop: stop,
+	a := &Agent{opts: o, start: time.Now(), planLimiter: rate.NewLimiter(rate.Limit(o.PlanBytesPerSecond), o.PlanBytesPerSecond), stop: stop,
 		hooks: newHookRunner(o), acked: record{Clear: map[string]uint64{}}, renewals: map[string]renewal{}}
 	a.leases = a.newLeases()
 	a.restore()
@@ -109,7 +109,7 @@
 			}
 		}}
 	for _, duty := range append([]string{maintenance.Duty}, o.Duties...) {
-		l.duties[duty] = &store.Lease{Store: o.Store, Duty: duty, Who: o.Name, Config: lease.Config{Length: o.Duty, Drift: o.Drift}, Log: o.Log}
+		l.duties[duty] = &store.Lease{Store: o.Store, Duty: duty, Who: o.Name, Config: lease.Config{Length: o.DutyLease, Drift: o.Drift}, Log: o.Log}
 	}
 	l.maintenance = l.duties[maintenance.Duty]
 	return l
--- a/internal/maintenance/agent/fleet.go
+++ b/internal/maintenance/agent/fleet.go
@@ -13,7 +13,7 @@
 		if n.State == coordinator.Gone {
 			continue
 		}
-		m := maintenance.Machine{ID: n.ID, Addr: n.Addr, Zone: n.Zone, ShardSet: n.ShardSet, Weight: n.Weight, Serving: n.State == coordinator.Serving, Util: n.Utilization}
+		m := maintenance.Machine{ID: n.ID, Addr: n.Addr, Zone: n.Zone, ShardSet: n.ShardSet, Weight: n.Weight, Serving: n.State == coordinator.Serving, Utilization: n.Utilization}
 		if m.Healthy = m.Serving && !n.WarmingUp && !n.Suspect; !n.Started.IsZero() {
 			m.Started = n.Started.UnixMilli()
 		}
@@ -28,8 +28,8 @@
 // withObservations adds the reports of other coordinators to a machine. A machine that another coordinator sees as suspect or warming
 // up is not healthy. A reported utilization is used only if none is known here.
 func withObservations(m maintenance.Machine, v observations.View) maintenance.Machine {
-	if m.Healthy = m.Healthy && !v.Suspect && v.WarmupLeft == 0; m.Util == 0 && v.Utilization > 0 {
-		m.Util = v.Utilization
+	if m.Healthy = m.Healthy && !v.Suspect && v.WarmupLeft == 0; m.Utilization == 0 && v.Utilization > 0 {
+		m.Utilization = v.Utilization
 	}
 	return m
 }
--- a/internal/maintenance/agent/hooks.go
+++ b/internal/maintenance/agent/hooks.go
@@ -41,7 +41,7 @@
 }
 
 func newHookRunner(o Options) hookRunner {
-	return hookRunner{command: o.Hook, timeout: o.HookFor, log: o.Log, running: map[string]bool{}, retryAt: map[string]time.Time{},
+	return hookRunner{command: o.Hook, timeout: o.HookTimeout, log: o.Log, running: map[string]bool{}, retryAt: map[string]time.Time{},
 		succeeded: map[hookEvent]map[string]uint64{hookOut: {}, hookDone: {}}}
 }
 
--- a/internal/maintenance/agent/moves.go
+++ b/internal/maintenance/agent/moves.go
@@ -17,7 +17,7 @@
 
 // runMoves makes moves while the duty is held, until ctx ends.
 func (a *Agent) runMoves(ctx context.Context) {
-	ticker := time.NewTicker(a.opts.Every)
+	ticker := time.NewTicker(a.opts.MoveInterval)
 	defer ticker.Stop()
 	var timer *maintenance.Timer // nil while the duty is not held, or this member has not applied all that earlier holders committed
 	for {
@@ -132,7 +132,7 @@
 
 // reserve takes bytes from planLimiter, in portions of at most its burst.
 func (a *Agent) reserve(bytes int) {
-	for left, now := bytes, time.Now(); left > 0; left -= a.opts.Budget {
-		a.planLimiter.ReserveN(now, min(left, a.opts.Budget))
+	for left, now := bytes, time.Now(); left > 0; left -= a.opts.PlanBytesPerSecond {
+		a.planLimiter.ReserveN(now, min(left, a.opts.PlanBytesPerSecond))
 	}
 }
--- a/internal/maintenance/agent/operators.go
+++ b/internal/maintenance/agent/operators.go
@@ -21,13 +21,13 @@
 	NotBefore     int64
 	DoneBy        int64
 	AtOnce        int
-	Barred        []maintenance.Hours
+	Barred        []maintenance.DailyRange
 	GoOn, ByHand  bool
 	DryRun        bool
 }
 
-// Planned is the answer to a Request.
-type Planned struct {
+// PlanResult is the answer to a Request.
+type PlanResult struct {
 	Request uint64 // id of the request; 0 for a dry run
 	Plan    maintenance.Plan
 	Ends    int64 // Unix seconds: estimated end when executed wave by wave, which is the latest
@@ -35,7 +35,7 @@
 }
 
 // Start plans a request, and adds it to the plan unless it is a dry run.
-func (a *Agent) Start(ctx context.Context, req Request) (p Planned, err error) {
+func (a *Agent) Start(ctx context.Context, req Request) (p PlanResult, err error) {
 	fleet, err := a.fleet()
 	if err != nil {
 		return p, err
--- a/internal/maintenance/agent/view.go
+++ b/internal/maintenance/agent/view.go
@@ -49,7 +49,7 @@
 	}
 	a.opts.Store.View(func(st *statemachine.State) {
 		for _, g := range st.Duties() {
-			v.Duties = append(v.Duties, DutyView{Grant: g, LeaseS: a.opts.Duty.Seconds()})
+			v.Duties = append(v.Duties, DutyView{Grant: g, LeaseS: a.opts.DutyLease.Seconds()})
 		}
 	})
 	return v, nil
--- a/internal/maintenance/fleet.go
+++ b/internal/maintenance/fleet.go
@@ -16,7 +16,7 @@
 	Weight         float64
 	Serving        bool    // listed as serving
 	Healthy        bool    // serving, warmed up since its last start or return, not suspect, and not in a failing zone
-	Util           float64 // utilization from 0 to 1; 0 if unknown
+	Utilization    float64 // utilization from 0 to 1; 0 if unknown
 	Started        int64   // start of its process in Unix milliseconds; 0 if unknown
 	zoneIndex      int     // index into Fleet.zones
 }
@@ -90,7 +90,7 @@
 			z.missing += m.Weight
 			continue
 		}
-		f.load += m.Weight * m.Util
+		f.load += m.Weight * m.Utilization
 		for _, s := range f.shardsOf[m.ShardSet] {
 			f.healthy[s]++
 		}
@@ -223,13 +223,13 @@
 	return shards
 }
 
-// Hours is a daily time range in the local time of the coordinator that makes the moves.
-type Hours struct{ From, To time.Duration } // offsets from midnight; the range spans midnight if To is before From
+// DailyRange is a daily time range in the local time of the coordinator that makes the moves.
+type DailyRange struct{ From, To time.Duration } // offsets from midnight; the range spans midnight if To is before From
 
 // inHours reports whether a time is within one of the ranges.
-func inHours(hours []Hours, wall time.Time) bool {
+func inHours(hours []DailyRange, wall time.Time) bool {
 	at := time.Duration(wall.Hour())*time.Hour + time.Duration(wall.Minute())*time.Minute
-	return slices.ContainsFunc(hours, func(h Hours) bool {
+	return slices.ContainsFunc(hours, func(h DailyRange) bool {
 		if h.From <= h.To {
 			return at >= h.From && at < h.To
 		}
--- a/internal/maintenance/maintenance.go
+++ b/internal/maintenance/maintenance.go
@@ -91,11 +91,11 @@
 
 // The states of a request.
 const (
-	Open     RequestState = "open"
-	Paused   RequestState = "paused"  // by an operator
-	Stopped  RequestState = "stopped" // a machine failed, and GoOn is not set
-	GivenUp  RequestState = "abandoned"
-	Finished RequestState = "done"
+	Open             RequestState = "open"
+	Paused           RequestState = "paused"  // by an operator
+	Stopped          RequestState = "stopped" // a machine failed, and GoOn is not set
+	RequestAbandoned RequestState = "abandoned"
+	Finished         RequestState = "done"
 )
 
 // Step is the progress of one machine of a request.
@@ -119,7 +119,7 @@
 	NotBefore int64         `json:",omitempty"` // Unix seconds
 	DoneBy    int64         `json:",omitempty"` // Unix seconds
 	AtOnce    int           `json:",omitempty"` // its machines in work at the same time; 0 for as many as the limits permit
-	Barred    []Hours       `json:",omitempty"` // hours in which no machine is taken out
+	Barred    []DailyRange  `json:",omitempty"` // hours in which no machine is taken out
 	GoOn      bool          `json:",omitempty"` // continue when a machine fails
 	ByHand    bool          `json:",omitempty"` // the work must be reported as done; a later start of the process does not count
 	State     RequestState
@@ -178,7 +178,7 @@
 	return nil
 }
 
-func (r *Request) ended() bool { return r.State == GivenUp || r.State == Finished }
+func (r *Request) ended() bool { return r.State == RequestAbandoned || r.State == Finished }
 
 func (r *Request) step(machine string) *Step {
 	for _, s := range r.Steps {
--- a/internal/maintenance/maintenance_test.go
+++ b/internal/maintenance/maintenance_test.go
@@ -75,7 +75,7 @@
 		f := testFleet(t, layout, n, rapid.IntRange(1, 3).Draw(t, "zones"), func(m *Machine) {
 			m.Weight = float64(rapid.IntRange(1, 3).Draw(t, "weight"))
 			m.Healthy = rapid.IntRange(0, 7).Draw(t, "healthy") > 0
-			m.Util = float64(rapid.IntRange(0, 6).Draw(t, "util")) / 10
+			m.Utilization = float64(rapid.IntRange(0, 6).Draw(t, "util")) / 10
 		})
 		l := Limits{Floor: rapid.IntRange(1, 3).Draw(t, "floor"), PerShard: rapid.IntRange(0, 2).Draw(t, "per shard"), AtOnce: rapid.IntRange(0, 3).Draw(t, "at once"),
 			Share: []float64{0, 0.3, 0.6}[rapid.IntRange(0, 2).Draw(t, "share")], ZoneShare: []float64{0, 0.5, 1}[rapid.IntRange(0, 2).Draw(t, "zone share")],
@@ -120,7 +120,7 @@
 		{"share of a zone's weight", Limits{Floor: 1, ZoneShare: 0.4}, nil, `1 of zone "a"'s weight of 2 would be missing; 40% may be`},
 		{"unhealthy machine of a shard below its floor", Limits{Floor: 2}, func(m *Machine) { m.Healthy = m.ShardSet == 1 || m.ID == "m2" },
 			"shard 0 has 1 sound replicas and keeps 2"},
-		{"utilization of the remaining machines", Limits{Floor: 1, Room: 0.8}, func(m *Machine) { m.Util = 0.7 }, "what remains would be 93% busy; 80% may be"},
+		{"utilization of the remaining machines", Limits{Floor: 1, Room: 0.8}, func(m *Machine) { m.Utilization = 0.7 }, "what remains would be 93% busy; 80% may be"},
 	} {
 		f := testFleet(t, layout, 4, 2, c.change)
 		st := &State{}
@@ -242,7 +242,7 @@
 	}{
 		{"announcement not seen by all coordinators", Request{}, []string{"m0"}, func(p *planFixture) { p.v.Coordinators[1].Seen = 0 }, "m0 waiting", "not seen yet by n1"},
 		{"not before", Request{NotBefore: 2000}, []string{"m0"}, nil, "m0 waiting", "not before"},
-		{"excluded hours that span midnight", Request{Barred: []Hours{{23 * time.Hour, 24*time.Hour - 1}, {22 * time.Hour, time.Hour}}}, []string{"m0"}, func(p *planFixture) {
+		{"excluded hours that span midnight", Request{Barred: []DailyRange{{23 * time.Hour, 24*time.Hour - 1}, {22 * time.Hour, time.Hour}}}, []string{"m0"}, func(p *planFixture) {
 			p.v.Wall = time.Date(2026, 1, 1, 0, 30, 0, 0, time.UTC)
 		}, "m0 waiting", "barred"},
 		{"one at once", Request{AtOnce: 1}, []string{"m0", "m1"}, nil, "m0 draining, m1 waiting", ""},
--- a/internal/maintenance/requests.go
+++ b/internal/maintenance/requests.go
@@ -130,7 +130,7 @@
 	case action == Resume && r.State != Open:
 		r.State, r.Why = Open, ""
 	case action == Abandon:
-		r.State, r.Why = GivenUp, "by an operator's word"
+		r.State, r.Why = RequestAbandoned, "by an operator's word"
 		for _, st := range r.Steps {
 			if st.State <= Drained {
 				s.setState(r, st, Abandoned, r.Why)
--- a/internal/platform/bench_test.go
+++ b/internal/platform/bench_test.go
@@ -36,7 +36,7 @@
 		go answerFrames(theirs)
 		return ours, nil
 	}
-	nodes := &ConnPool{Coordinator: c, Log: log, Dial: dial, Streams: 32, ConnectTimeout: 250 * time.Millisecond, Connections: make(chan struct{}, 9)}
+	nodes := &ConnPool{Coordinator: c, Log: log, Dial: dial, Streams: 32, ConnectTimeout: 250 * time.Millisecond, Descriptors: make(chan struct{}, 9)}
 	c.RegisterDispatcher("", nodes.Dispatch)
 	c.AddSource(membership.Spec{Name: "list"}).ReplaceList([]coordinator.Member{{ID: "a", Weight: 1}}, false)
 	parts := make([]coordinator.Part, 8)
--- a/internal/platform/connlimit.go
+++ b/internal/platform/connlimit.go
@@ -104,10 +104,10 @@
 }
 
 // mustShedConn reports whether a response must close its connection. Clients that open a connection for each request and keep
-// it would otherwise soon reach ActiveConns. While more than half of ActiveConns are active, it evicts a connection that has
+// it would otherwise soon reach MaxActiveConns. While more than half of MaxActiveConns are active, it evicts a connection that has
 // been idle for long enough; the current connection must close only if there is none. The caller holds the lock.
 func (s *Server) mustShedConn() bool {
-	return s.ActiveConns > 0 && s.active > s.ActiveConns/2 && !s.evict(phaseIdle)
+	return s.MaxActiveConns > 0 && s.active > s.MaxActiveConns/2 && !s.evict(phaseIdle)
 }
 
 // reserveMemory reserves n bytes of BodyMemory, or releases them if n is negative. It reports whether they were available.
--- a/internal/platform/connpool.go
+++ b/internal/platform/connpool.go
@@ -23,7 +23,7 @@
 	Streams        int           // limit on concurrent parts on one connection
 	ConnectTimeout time.Duration // limit for a dial, for writing a frame, and for answering a health check
 	IdleTimeout    time.Duration // after which the peer closes an idle connection; 0 if unknown
-	Connections    chan struct{} // semaphore of descriptors: one element for each connection
+	Descriptors    chan struct{} // semaphore of descriptors: one element for each connection
 
 	// mu guards pools. It is locked before the mutex of a nodePool.
 	mu    sync.Mutex
@@ -124,7 +124,7 @@
 	}
 	c := newNodeConn(np, now)
 	select {
-	case np.Connections <- struct{}{}:
+	case np.Descriptors <- struct{}{}:
 		c.hasDescriptor = true
 	default: // run waits for a descriptor instead
 	}
--- a/internal/platform/descriptors_test.go
+++ b/internal/platform/descriptors_test.go
@@ -71,7 +71,7 @@
 			}()
 			return &countedConn{Conn: ours, open: &open}, nil
 		}
-		pool := &ConnPool{Coordinator: c, Log: log, Dial: dial, Streams: 32, ConnectTimeout: 250 * time.Millisecond, IdleTimeout: 30 * time.Second, Connections: make(chan struct{}, 2)}
+		pool := &ConnPool{Coordinator: c, Log: log, Dial: dial, Streams: 32, ConnectTimeout: 250 * time.Millisecond, IdleTimeout: 30 * time.Second, Descriptors: make(chan struct{}, 2)}
 		c.RegisterDispatcher("", pool.Dispatch)
 		list := c.AddSource(membership.Spec{Name: "list"})
 		var all []coordinator.Member
@@ -124,8 +124,8 @@
 		}
 		list.ReplaceList(nil, false)
 		time.Sleep(time.Minute)
-		if len(pool.Connections) > 0 || open.Load() > 0 {
-			t.Errorf("%d descriptors and %d connections were not released", len(pool.Connections), open.Load())
+		if len(pool.Descriptors) > 0 || open.Load() > 0 {
+			t.Errorf("%d descriptors and %d connections were not released", len(pool.Descriptors), open.Load())
 		}
 		stop()
 	})
--- a/internal/platform/formats_test.go
+++ b/internal/platform/formats_test.go
@@ -70,7 +70,7 @@
 	}
 	ctx, stop := context.WithCancel(t.Context())
 	go k.Run(ctx)
-	nodes := &ConnPool{Coordinator: k, Log: log, Dial: dial, Streams: 32, ConnectTimeout: 250 * time.Millisecond, Connections: make(chan struct{}, 9)}
+	nodes := &ConnPool{Coordinator: k, Log: log, Dial: dial, Streams: 32, ConnectTimeout: 250 * time.Millisecond, Descriptors: make(chan struct{}, 9)}
 	k.RegisterDispatcher("", nodes.Dispatch)
 	list := k.AddSource(membership.Spec{Name: "list"})
 	list.ReplaceList([]coordinator.Member{{ID: "a", Weight: 1}}, false)
--- a/internal/platform/keyed_test.go
+++ b/internal/platform/keyed_test.go
@@ -67,7 +67,7 @@
 					}()
 					return ours, nil
 				}
-				coord.RegisterDispatcher("", (&ConnPool{Coordinator: coord, Log: log, Dial: dial, Streams: 32, ConnectTimeout: 250 * time.Millisecond, Connections: make(chan struct{}, 9)}).Dispatch)
+				coord.RegisterDispatcher("", (&ConnPool{Coordinator: coord, Log: log, Dial: dial, Streams: 32, ConnectTimeout: 250 * time.Millisecond, Descriptors: make(chan struct{}, 9)}).Dispatch)
 				list := coord.AddSource(membership.Spec{Name: "list"})
 				list.ReplaceList([]coordinator.Member{{ID: "a", Weight: 1}, {ID: "b", Weight: 1}}, false)
 				answer, err := coord.Execute(ctx, coordinator.Query{ID: "q", Class: "entry", IdempotencyKey: "k1", Text: "text", Deadline: time.Now().Add(1500 * time.Millisecond),
--- a/internal/platform/listener.go
+++ b/internal/platform/listener.go
@@ -12,11 +12,11 @@
 
 // Server serves clients over HTTP. Its exported fields must be set before first use.
 type Server struct {
-	Coordinator *coordinator.Coordinator
-	Log         *slog.Logger
-	MaxConns    int   // limit on open connections
-	ActiveConns int   // limit on connections that have sent a request; above half of it idle ones are closed early; 0: no limit
-	BodyMemory  int64 // bytes that may be reserved for long bodies and for data that clients send ahead
+	Coordinator    *coordinator.Coordinator
+	Log            *slog.Logger
+	MaxConns       int   // limit on open connections
+	MaxActiveConns int   // limit on connections that have sent a request; above half of it idle ones are closed early; 0: no limit
+	BodyMemory     int64 // bytes that may be reserved for long bodies and for data that clients send ahead
 	// RetryAfter is sent in the Retry-After header of requests that the server itself rejects; 0 omits the header.
 	RetryAfter time.Duration
 
--- a/internal/platform/nodeconn.go
+++ b/internal/platform/nodeconn.go
@@ -176,7 +176,7 @@
 	for {
 		c.pool.closeLeastRecentlyUsed()
 		select {
-		case c.pool.Connections <- struct{}{}:
+		case c.pool.Descriptors <- struct{}{}:
 			c.hasDescriptor = true
 			return nil
 		case <-poll.C:
@@ -337,6 +337,6 @@
 	}
 	c.failAll(unsent, begun)
 	if c.hasDescriptor {
-		<-c.pool.Connections
+		<-c.pool.Descriptors
 	}
 }
--- a/internal/platform/scenario_test.go
+++ b/internal/platform/scenario_test.go
@@ -12,7 +12,7 @@
 // data node whose connections are never established; d1, d2 ... are discovery addresses; s1 sends signals and commands to the program.
 //
 // Options in nodes: streams= is the number of parts per data node connection (32 by default), maxconns= and activeconns= set
-// MaxConns and ActiveConns of the server, confirm= sets the watch's ConfirmTimeout in ms; nocancel=1 and slowstart=1 change the
+// MaxConns and MaxActiveConns of the server, confirm= sets the watch's ConfirmTimeout in ms; nocancel=1 and slowstart=1 change the
 // settings.
 //
 // "expect -" checks that no message has arrived, "expect-now" that a message has already arrived, and "expect end" that the
--- a/internal/platform/scenarioworld_test.go
+++ b/internal/platform/scenarioworld_test.go
@@ -146,13 +146,13 @@
 		clients: &Server{Coordinator: c, Log: log, MaxConns: 9, BodyMemory: 2 * maxBody, RetryAfter: time.Second}}
 	go c.Run(ctx)
 	h.nodes = &ConnPool{Coordinator: c, Log: log, Dial: h.dial, Streams: 32, ConnectTimeout: set.Limits.ConnectTimeout,
-		IdleTimeout: set.Limits.ConnIdle, Connections: make(chan struct{}, 9)}
+		IdleTimeout: set.Limits.ConnIdle, Descriptors: make(chan struct{}, 9)}
 	c.RegisterDispatcher("", h.nodes.Dispatch)
 	h.watch = NewWatch("d1")
 	h.watch.Source, h.watch.Log, h.watch.Dial = c.AddSource(membership.Spec{Name: "discovery"}), log, h.dial
 	var list []string
 	confirm := 0
-	options := map[string]*int{"streams": &h.nodes.Streams, "activeconns": &h.clients.ActiveConns, "maxconns": &h.clients.MaxConns, "confirm": &confirm}
+	options := map[string]*int{"streams": &h.nodes.Streams, "activeconns": &h.clients.MaxActiveConns, "maxconns": &h.clients.MaxConns, "confirm": &confirm}
 	for _, id := range strings.Fields(nodes) {
 		if key, n, ok := strings.Cut(id, "="); ok {
 			if to := options[key]; to != nil {
@@ -274,8 +274,8 @@
 		}
 	}
 	h.waitSettled()
-	if len(h.nodes.Connections) > 0 {
-		h.t.Errorf("%d connections were not released", len(h.nodes.Connections))
+	if len(h.nodes.Descriptors) > 0 {
+		h.t.Errorf("%d connections were not released", len(h.nodes.Descriptors))
 	}
 	if s := h.clients; len(s.conns)+s.active > 0 || s.bodyBytes > 0 {
 		h.t.Errorf("%d client connections, %d of them used, and %d bytes are still held", len(s.conns), s.active, s.bodyBytes)
@@ -290,7 +290,7 @@
 func (h *harness) allReleased() bool {
 	h.clients.mu.Lock()
 	defer h.clients.mu.Unlock()
-	return len(h.nodes.Connections)+len(h.clients.conns)+h.coordinator.OpenCount() == 0
+	return len(h.nodes.Descriptors)+len(h.clients.conns)+h.coordinator.OpenCount() == 0
 }
 
 // runHookAction runs the action of a hook.
@@ -442,7 +442,7 @@
 		h.clients.Drain(time.Now().Add(time.Minute))
 		return
 	case words[0] == "move":
-		h.watch.Move(h.ctx, words[1])
+		h.watch.SetAddr(h.ctx, words[1])
 		return
 	case text == "close-idle":
 		h.clients.CloseIdle()
--- a/internal/platform/watch.go
+++ b/internal/platform/watch.go
@@ -51,8 +51,8 @@
 	w.Source.ReplaceList(w.merge(p), true)
 }
 
-// Move switches to discovery at another address. It returns once Run has taken the address, or ctx ends.
-func (w *Watch) Move(ctx context.Context, addr string) {
+// SetAddr switches to discovery at another address. It returns once Run has taken the address, or ctx ends.
+func (w *Watch) SetAddr(ctx context.Context, addr string) {
 	select {
 	case w.moves <- addr:
 	case <-ctx.Done():
--- a/internal/platform/watchsilence_test.go
+++ b/internal/platform/watchsilence_test.go
@@ -152,7 +152,7 @@
 			t.Fatal(err)
 		}
 		go c.Run(ctx)
-		c.RegisterDispatcher("", (&ConnPool{Coordinator: c, Log: log, Dial: recorder.dial, Streams: 32, ConnectTimeout: 250 * time.Millisecond, Connections: make(chan struct{}, 16)}).Dispatch)
+		c.RegisterDispatcher("", (&ConnPool{Coordinator: c, Log: log, Dial: recorder.dial, Streams: 32, ConnectTimeout: 250 * time.Millisecond, Descriptors: make(chan struct{}, 16)}).Dispatch)
 		w := NewWatch("d")
 		w.Source, w.Log, w.Dial = c.AddSource(membership.Spec{Name: "discovery"}), log, discovery.dial
 		w.Schedule = membership.PollSchedule{Pushed: fleet.pushed, Peers: fleet.others, Grace: fleet.grace}
