--- a/cmd/gullfall-lab/dnssd.go
+++ b/cmd/gullfall-lab/dnssd.go
@@ -135,7 +135,7 @@
 	}
 	listed := map[string]bool{}
 	for _, rr := range m.Answer {
-		if label, err := dnssd.Instance(rr.(*dns.PTR).Ptr, service); err == nil {
+		if label, err := dnssd.InstanceLabel(rr.(*dns.PTR).Ptr, service); err == nil {
 			listed[label] = true
 		}
 	}
--- a/cmd/gullfall/dnssd.go
+++ b/cmd/gullfall/dnssd.go
@@ -202,12 +202,12 @@
 	for _, zone := range zones {
 		source := display.table.Source(membership.Spec{Name: zone.Domain, Damped: true})
 		follower := &dnssd.Follower{
-			Zone:    zone,
-			Client:  client,
-			Updater: &zoneUpdater{zoneDisplay: display, zone: zone.Domain, source: source},
-			Log:     slog.New(slog.DiscardHandler),
-			Poll:    time.Duration(deploy.DNSSD.Poll),
-			Report:  func(list []dnssd.Problem) { display.report(zone.Domain, list) },
+			Zone:       zone,
+			Client:     client,
+			Updater:    &zoneUpdater{zoneDisplay: display, zone: zone.Domain, source: source},
+			Log:        slog.New(slog.DiscardHandler),
+			Poll:       time.Duration(deploy.DNSSD.Poll),
+			OnProblems: func(list []dnssd.Problem) { display.report(zone.Domain, list) },
 		}
 		followers.Go(func() { follower.Run(ctx) })
 	}
--- a/cmd/gullfall/flightfront.go
+++ b/cmd/gullfall/flightfront.go
@@ -23,11 +23,11 @@
 	if err != nil {
 		return fmt.Errorf("flight.listen: %w", err)
 	}
-	options := flight.Options{Coordinator: d.coordinator, Log: d.log, Memory: int64(d.cfg.Limits.MemoryMB) << 20 / flightMemoryDiv,
-		Admission: front.Admission(), People: front.People(), Keys: front.Keys(), Shards: d.cfg.Settings.Shards,
-		Covered: d.coordinator.CoveredShards}
+	options := flight.Options{Coordinator: d.coordinator, Log: d.log, MaxAnswerBytes: int64(d.cfg.Limits.MemoryMB) << 20 / flightMemoryDiv,
+		Admission: front.Admission(), AccessPolicy: front.AccessPolicy(), Keys: front.Keys(), Shards: d.cfg.Settings.Shards,
+		CoveredShards: d.coordinator.CoveredShards}
 	for _, class := range d.cfg.Settings.Classes {
-		options.Classes = append(options.Classes, flight.Class{Name: class.Name, Limit: class.Deadline, Schema: front.Schema(class.Name)})
+		options.Classes = append(options.Classes, flight.Class{Name: class.Name, MaxDuration: class.Deadline, Schema: front.Schema(class.Name)})
 	}
 	server, err := flight.New(options)
 	if err != nil {
--- a/cmd/gullfall/reload.go
+++ b/cmd/gullfall/reload.go
@@ -47,7 +47,7 @@
 		return err
 	}
 	if d.fronts.flight != nil {
-		if err := d.fronts.flight.Reload(deploy.Flight.People(), deploy.Flight.Keys(), deploy.Flight.Admission()); err != nil {
+		if err := d.fronts.flight.Reload(deploy.Flight.AccessPolicy(), deploy.Flight.Keys(), deploy.Flight.Admission()); err != nil {
 			return err
 		}
 	}
--- a/cmd/gullfall/serve.go
+++ b/cmd/gullfall/serve.go
@@ -231,7 +231,7 @@
 	d.connections = make(chan struct{}, d.cfg.Limits.Sockets*dataNodeSocketsOf8/8)
 	nodes := &platform.ConnPool{Coordinator: d.coordinator, Log: d.log, Dial: dial, Streams: d.cfg.Streams, ConnectTimeout: limits.ConnectTimeout,
 		IdleTimeout: limits.ConnIdle, Descriptors: d.connections}
-	d.coordinator.RegisterDispatcher(dnssd.Frames, nodes.Dispatch)
+	d.coordinator.RegisterDispatcher(dnssd.ProtocolFrames, nodes.Dispatch)
 	watch := platform.NewWatch(d.cfg.Discovery)
 	watch.Source = d.coordinator.AddSource(membership.Spec{Name: "discovery", Rank: discoveryRank})
 	watch.Log, watch.Dial = d.log, dial
--- a/cmd/gullfall/sources.go
+++ b/cmd/gullfall/sources.go
@@ -39,11 +39,11 @@
 		return nil
 	}
 	limits := d.cfg.Settings.Limits
-	nodes := &flight.Nodes{Coordinator: d.coordinator, Log: d.log, Dial: dial, Streams: d.cfg.Streams, Connect: limits.ConnectTimeout,
-		Idle: limits.ConnIdle, Connections: d.connections}
-	d.coordinator.RegisterDispatcher(dnssd.Flight, nodes.Dispatch)
+	nodes := &flight.Nodes{Coordinator: d.coordinator, Log: d.log, Dial: dial, MaxStreams: d.cfg.Streams, ConnectTimeout: limits.ConnectTimeout,
+		IdleTimeout: limits.ConnIdle, ConnectionSlots: d.connections}
+	d.coordinator.RegisterDispatcher(dnssd.ProtocolFlight, nodes.Dispatch)
 	client := dnssd.NewClient(d.deploy.DNSSD.Questions, max(minDNSSockets, d.cfg.Limits.Sockets/dnsSocketsDiv))
-	listener := &dnssd.Listener{Allow: d.deploy.DNSSD.NotifySources()}
+	listener := &dnssd.NotifyListener{Allow: d.deploy.DNSSD.NotifySources()}
 	for _, zone := range zones {
 		listener.Followers = append(listener.Followers, d.zoneFollower(zone, client))
 	}
@@ -65,7 +65,7 @@
 }
 
 // listenForNotify receives NOTIFY messages (RFC 1996) for the followed zones if dnssd.notify is set.
-func (d *daemon) listenForNotify(ctx context.Context, listener *dnssd.Listener) error {
+func (d *daemon) listenForNotify(ctx context.Context, listener *dnssd.NotifyListener) error {
 	if d.deploy.DNSSD.Notify == "" {
 		return nil
 	}
--- a/internal/config/datanodes.go
+++ b/internal/config/datanodes.go
@@ -34,7 +34,7 @@
 	for _, n := range d.Node {
 		r := membership.Record{ID: n.ID, Addr: n.Addr, Zone: n.Zone, ShardSet: n.ShardSet, Weight: n.Weight, StartUnknown: true}
 		if n.Proto == "flight" {
-			r.Proto = dnssd.Flight
+			r.Proto = dnssd.ProtocolFlight
 		}
 		list = append(list, r)
 	}
--- a/internal/config/dnssd.go
+++ b/internal/config/dnssd.go
@@ -149,7 +149,7 @@
 func (d *DNSSD) Zones() (list []dnssd.Zone) {
 	allowed, _ := parseNetworks(d.Networks)
 	for _, z := range d.Zone {
-		out := dnssd.Zone{Domain: z.Domain, Services: z.Services, Servers: z.Servers, Transfer: z.Transfer, Networks: allowed}
+		out := dnssd.Zone{Domain: z.Domain, ServiceTypes: z.Services, Servers: z.Servers, Transfer: z.Transfer, AllowedNetworks: allowed}
 		for _, k := range d.Key {
 			if z.Key != "" && k.Name == dns.CanonicalName(z.Key) {
 				out.Key = &dnssd.Key{Name: k.Name, Algorithm: k.Algorithm, Secret: k.Secret}
--- a/internal/config/flight.go
+++ b/internal/config/flight.go
@@ -133,8 +133,8 @@
 		All: set(f.Limits.All), SlowReaderGrace: time.Duration(f.Limits.Grace), StallTimeout: time.Duration(f.Limits.Stall)}
 }
 
-// People returns the owners and the networks that may connect. The configuration must have been checked.
-func (f *FlightFront) People() (p flight.People) {
+// AccessPolicy returns the owners and the networks that may connect. The configuration must have been checked.
+func (f *FlightFront) AccessPolicy() (p flight.AccessPolicy) {
 	for _, o := range f.Owner {
 		p.Owners = append(p.Owners, flight.Owner{Name: o.Name, User: o.User, Password: o.Password, Token: o.Token})
 	}
--- a/internal/dnssd/follower.go
+++ b/internal/dnssd/follower.go
@@ -18,12 +18,12 @@
 
 // Zone is a DNS zone to follow: a domain to browse, with its servers.
 type Zone struct {
-	Domain   string   // ends in a dot
-	Services []string // service types, such as _dn._tcp
-	Servers  []string // addresses with ports; one is used until it fails, then the next
-	Transfer bool     // the servers allow zone transfers
-	Key      *Key
-	Networks *bart.Lite // allowed addresses of data nodes
+	Domain          string   // ends in a dot
+	ServiceTypes    []string // service types, such as _dn._tcp
+	Servers         []string // addresses with ports; one is used until it fails, then the next
+	Transfer        bool     // the servers allow zone transfers
+	Key             *Key
+	AllowedNetworks *bart.Lite // allowed addresses of data nodes
 }
 
 // Updater receives what is known about a zone. It is a data node source of the coordinator, or of the command line.
@@ -63,12 +63,12 @@
 // Follower follows one zone: it polls the serial and fetches the records when it has changed, using one server at a time. Its exported
 // fields are set before Run.
 type Follower struct {
-	Zone    Zone
-	Client  *Client
-	Updater Updater
-	Log     *slog.Logger
-	Poll    time.Duration   // 0 means DefaultPoll
-	Report  func([]Problem) // called with the unusable instances of each list; may be nil
+	Zone       Zone
+	Client     *Client
+	Updater    Updater
+	Log        *slog.Logger
+	Poll       time.Duration   // 0 means DefaultPoll
+	OnProblems func([]Problem) // called with the unusable instances of each list; may be nil
 
 	once    sync.Once
 	refresh chan struct{}
@@ -243,7 +243,7 @@
 
 // serviceTypes returns the full names of the service types.
 func (f *Follower) serviceTypes() (list []string) {
-	for _, s := range f.Zone.Services {
+	for _, s := range f.Zone.ServiceTypes {
 		list = append(list, s+"."+f.Zone.Domain)
 	}
 	return list
@@ -251,7 +251,7 @@
 
 // read returns the data nodes in the records.
 func (f *Follower) read() zoneContents {
-	return f.state.records.read(f.serviceTypes(), f.Zone.Networks)
+	return f.state.records.read(f.serviceTypes(), f.Zone.AllowedNetworks)
 }
 
 // publish publishes the data nodes in the records.
@@ -296,7 +296,7 @@
 		}
 	}
 	f.loggedProblems = causes
-	if f.Report != nil {
-		f.Report(problems)
+	if f.OnProblems != nil {
+		f.OnProblems(problems)
 	}
 }
--- a/internal/dnssd/follower_test.go
+++ b/internal/dnssd/follower_test.go
@@ -144,8 +144,8 @@
 	r.command(0, "add a 127.0.0.1:1001 cell=0", "add b 127.0.0.1:1002 cell=0 proto=flight")
 	r.table, _ = membership.New(membership.Config{SerialHold: time.Second})
 	r.source = r.table.Source(membership.Spec{Name: "club.example.", Damped: true, MaxStale: time.Hour})
-	r.f = &dnssd.Follower{Zone: dnssd.Zone{Domain: "club.example.", Services: []string{"_dn._tcp"}, Transfer: transfer, Key: key,
-		Networks: loopback()}, Client: dnssd.NewClient(1000, 16), Updater: r, Log: slog.New(slog.DiscardHandler), Poll: 50 * time.Millisecond}
+	r.f = &dnssd.Follower{Zone: dnssd.Zone{Domain: "club.example.", ServiceTypes: []string{"_dn._tcp"}, Transfer: transfer, Key: key,
+		AllowedNetworks: loopback()}, Client: dnssd.NewClient(1000, 16), Updater: r, Log: slog.New(slog.DiscardHandler), Poll: 50 * time.Millisecond}
 	for _, s := range r.servers {
 		r.f.Zone.Servers = append(r.f.Zone.Servers, s.Addr())
 	}
@@ -287,7 +287,7 @@
 			full := &followerTest{T: t, zone: zone, servers: []*nameserver.Server{s}}
 			full.table, _ = membership.New(membership.Config{})
 			full.source = full.table.Source(membership.Spec{Name: "zone"})
-			full.f = &dnssd.Follower{Zone: dnssd.Zone{Domain: "club.example.", Services: []string{"_dn._tcp"}, Transfer: true, Networks: loopback(),
+			full.f = &dnssd.Follower{Zone: dnssd.Zone{Domain: "club.example.", ServiceTypes: []string{"_dn._tcp"}, Transfer: true, AllowedNetworks: loopback(),
 				Servers: []string{s.Addr()}}, Client: dnssd.NewClient(1000, 16), Updater: full, Log: slog.New(slog.DiscardHandler), Poll: 50 * time.Millisecond}
 			go full.f.Run(t.Context())
 			full.waitForList(bothServing)
@@ -368,7 +368,7 @@
 			go slow.Run(t.Context())
 			allow := new(bart.Lite)
 			allow.Insert(netip.MustParsePrefix(c.allow))
-			l := &dnssd.Listener{Allow: allow, Followers: []*dnssd.Follower{slow}}
+			l := &dnssd.NotifyListener{Allow: allow, Followers: []*dnssd.Follower{slow}}
 			pc, err := net.ListenPacket("udp", "127.0.0.1:0")
 			if err != nil {
 				t.Fatal(err)
@@ -441,7 +441,7 @@
 	r.command(0, "nosoa on", "bare on", "add a 127.0.0.1:1001", "add v6 [::1]:1002")
 	r.table, _ = membership.New(membership.Config{})
 	r.source = r.table.Source(membership.Spec{Name: "zone"})
-	r.f = &dnssd.Follower{Zone: dnssd.Zone{Domain: "club.example.", Services: []string{"_dn._tcp"}, Networks: loopback(), Servers: []string{s.Addr()}},
+	r.f = &dnssd.Follower{Zone: dnssd.Zone{Domain: "club.example.", ServiceTypes: []string{"_dn._tcp"}, AllowedNetworks: loopback(), Servers: []string{s.Addr()}},
 		Client: dnssd.NewClient(1000, 16), Updater: r, Log: slog.New(slog.DiscardHandler), Poll: 50 * time.Millisecond}
 	go r.f.Run(t.Context())
 	r.waitForList("a serving, v6 serving")
--- a/internal/dnssd/instance.go
+++ b/internal/dnssd/instance.go
@@ -87,7 +87,7 @@
 
 // readInstance reads one instance.
 func (r *records) readInstance(name, serviceType string, networks *bart.Lite, out *zoneContents) (membership.Record, error) {
-	label, err := Instance(name, serviceType)
+	label, err := InstanceLabel(name, serviceType)
 	if err != nil {
 		return membership.Record{}, err
 	}
--- a/internal/dnssd/instance_test.go
+++ b/internal/dnssd/instance_test.go
@@ -34,7 +34,7 @@
 	}{
 		"minimal": {ptr + "\n" + srv + "\n" + host + "\n" + text(`""`), &base, "", 0},
 		"all TXT keys": {ptr + "\n" + srv + "\n" + host + "\n" + text(`"id=n7" "cell=2" "zone=b" "weight=2" "proto=flight" "started_ms=9" "state=serving"`), with(func(r *membership.Record) {
-			r.ID, r.ShardSet, r.Zone, r.Weight, r.Proto, r.Started, r.StartUnknown = "n7", 2, "b", 2, Flight, time.UnixMilli(9), false
+			r.ID, r.ShardSet, r.Zone, r.Weight, r.Proto, r.Started, r.StartUnknown = "n7", 2, "b", 2, ProtocolFlight, time.UnixMilli(9), false
 		}), "", 0},
 		"started long ago":             {ptr + "\n" + srv + "\n" + host + "\n" + text(`"started_ms=0"`), with(func(r *membership.Record) { r.StartUnknown = false }), "", 0},
 		"draining":                     {ptr + "\n" + srv + "\n" + host + "\n" + text(`"state=draining"`), with(func(r *membership.Record) { r.State = membership.Draining }), "", 0},
--- a/internal/dnssd/instancename.go
+++ b/internal/dnssd/instancename.go
@@ -32,9 +32,9 @@
 
 func isDigit(c byte) bool { return c >= '0' && c <= '9' }
 
-// Escape converts an instance's label, which may contain spaces, dots and UTF-8, to presentation format exactly as the DNS library
+// EscapeLabel converts an instance's label, which may contain spaces, dots and UTF-8, to presentation format exactly as the DNS library
 // writes it, because names are compared in that form.
-func Escape(label string) string {
+func EscapeLabel(label string) string {
 	var b strings.Builder
 	for i := 0; i < len(label); i++ {
 		switch c := label[i]; {
@@ -50,9 +50,9 @@
 	return b.String()
 }
 
-// Instance returns the label of a service instance (RFC 6763, section 4.1), given its full name and that of its service type, such as
+// InstanceLabel returns the label of a service instance (RFC 6763, section 4.1), given its full name and that of its service type, such as
 // _dn._tcp.example.org. It returns an error if the name is not a valid instance name.
-func Instance(name, serviceType string) (string, error) {
+func InstanceLabel(name, serviceType string) (string, error) {
 	labels := dns.SplitDomainName(name)
 	if len(labels) == 0 || !strings.EqualFold(dns.Fqdn(strings.Join(labels[1:], ".")), dns.Fqdn(serviceType)) {
 		return "", fmt.Errorf("%q is no instance of %s", name, serviceType)
--- a/internal/dnssd/instancename_test.go
+++ b/internal/dnssd/instancename_test.go
@@ -23,13 +23,13 @@
 		{kind, "", "no instance"},
 		{"a._dn._tcp.other.example.", "", "no instance"},
 	} {
-		got, err := Instance(c.name, kind)
+		got, err := InstanceLabel(c.name, kind)
 		if got != c.label || (err != nil) != (c.fault != "") || err != nil && !strings.Contains(err.Error(), c.fault) {
 			t.Errorf("%s: %q, %v, want %q, %q", c.name, got, err, c.label, c.fault)
 		}
 		if err == nil {
-			if again, err := Instance(Escape(got)+"."+kind, kind); again != got || err != nil {
-				t.Errorf("%q escaped is %q and reads as %q, %v", got, Escape(got), again, err)
+			if again, err := InstanceLabel(EscapeLabel(got)+"."+kind, kind); again != got || err != nil {
+				t.Errorf("%q escaped is %q and reads as %q, %v", got, EscapeLabel(got), again, err)
 			}
 		}
 	}
--- a/internal/dnssd/notify.go
+++ b/internal/dnssd/notify.go
@@ -11,9 +11,9 @@
 	"github.com/miekg/dns"
 )
 
-// Listener receives NOTIFY messages (RFC 1996), which servers send when a followed DNS zone has changed. A message only triggers a poll of
+// NotifyListener receives NOTIFY messages (RFC 1996), which servers send when a followed DNS zone has changed. A message only triggers a poll of
 // the zone. Senders that are not allowed get no answer.
-type Listener struct {
+type NotifyListener struct {
 	Allow     *bart.Lite // addresses that may send messages
 	Followers []*Follower
 
@@ -21,7 +21,7 @@
 }
 
 // Serve reads from the socket until ctx ends, and closes it.
-func (l *Listener) Serve(ctx context.Context, pc net.PacketConn) error {
+func (l *NotifyListener) Serve(ctx context.Context, pc net.PacketConn) error {
 	secrets := map[string]string{}
 	for _, f := range l.Followers {
 		if k := f.Zone.Key; k != nil {
@@ -42,7 +42,7 @@
 }
 
 // ServeDNS handles one message.
-func (l *Listener) ServeDNS(w dns.ResponseWriter, q *dns.Msg) {
+func (l *NotifyListener) ServeDNS(w dns.ResponseWriter, q *dns.Msg) {
 	from, err := netip.ParseAddrPort(w.RemoteAddr().String())
 	if err != nil || !l.Allow.Contains(from.Addr().Unmap()) || q.Opcode != dns.OpcodeNotify || len(q.Question) != 1 {
 		l.dropped.Add(1)
@@ -80,4 +80,6 @@
 }
 
 // Counts returns how many messages were accepted and dropped.
-func (l *Listener) Counts() (accepted, dropped uint64) { return l.accepted.Load(), l.dropped.Load() }
+func (l *NotifyListener) Counts() (accepted, dropped uint64) {
+	return l.accepted.Load(), l.dropped.Load()
+}
--- a/internal/dnssd/service.go
+++ b/internal/dnssd/service.go
@@ -73,7 +73,7 @@
 		return dns.RR_Header{Name: name, Rrtype: rrtype, Class: dns.ClassINET, Ttl: ownTTL}
 	}
 	serviceType := s.Type + "." + s.Domain
-	instance, host := Escape(s.Instance)+"."+serviceType, Escape(s.Instance)+"."+s.Domain
+	instance, host := EscapeLabel(s.Instance)+"."+serviceType, EscapeLabel(s.Instance)+"."+s.Domain
 	withdrawn, state := s.withdrawn.Load() != 0, "state=serving"
 	if withdrawn {
 		state = "state=draining"
--- a/internal/dnssd/txt.go
+++ b/internal/dnssd/txt.go
@@ -11,12 +11,12 @@
 
 // Protocols of data nodes: the names under which their dispatchers are registered.
 const (
-	Frames = ""
-	Flight = "flight"
+	ProtocolFrames = ""
+	ProtocolFlight = "flight"
 )
 
 // protocols maps the values of the TXT key proto to protocols.
-var protocols = map[string]string{"frames": Frames, "flight": Flight}
+var protocols = map[string]string{"frames": ProtocolFrames, "flight": ProtocolFlight}
 
 // Bounds of the values of TXT keys.
 const (
--- a/internal/faults/standins_flight_test.go
+++ b/internal/faults/standins_flight_test.go
@@ -29,13 +29,13 @@
 )
 
 func dispatchFlight(c *coordinator.Coordinator) coordinator.Dispatcher {
-	return (&flight.Nodes{Coordinator: c, Log: discardLog, Dial: dial, Streams: 32, Connect: 250 * time.Millisecond,
-		Connections: make(chan struct{}, 64)}).Dispatch
+	return (&flight.Nodes{Coordinator: c, Log: discardLog, Dial: dial, MaxStreams: 32, ConnectTimeout: 250 * time.Millisecond,
+		ConnectionSlots: make(chan struct{}, 64)}).Dispatch
 }
 
 // newFlightServer returns a Flight server whose only limit is memory.
 func newFlightServer(c *coordinator.Coordinator) *flight.Server {
-	server, err := flight.New(flight.Options{Coordinator: c, Log: discardLog, Memory: 16 << 20})
+	server, err := flight.New(flight.Options{Coordinator: c, Log: discardLog, MaxAnswerBytes: 16 << 20})
 	if err != nil {
 		panic(err) // the options are valid
 	}
--- a/internal/flight/abuse_test.go
+++ b/internal/flight/abuse_test.go
@@ -450,7 +450,7 @@
 		}
 	}()
 	s := startServer(t, flight.Options{}, 0, func(c *coordinator.Coordinator) coordinator.Dispatcher {
-		return (&flight.Nodes{Coordinator: c, Log: slog.New(slog.DiscardHandler), Streams: 64, Connect: time.Second, Connections: make(chan struct{}, 64),
+		return (&flight.Nodes{Coordinator: c, Log: slog.New(slog.DiscardHandler), MaxStreams: 64, ConnectTimeout: time.Second, ConnectionSlots: make(chan struct{}, 64),
 			Dial: func(ctx context.Context, addr string) (net.Conn, error) {
 				return (&net.Dialer{}).DialContext(ctx, "tcp", addr)
 			}}).Dispatch
--- a/internal/flight/auth.go
+++ b/internal/flight/auth.go
@@ -33,8 +33,8 @@
 	Token    string // for bearer credentials
 }
 
-// People is the access policy. Its zero value admits everyone and takes the owner from the ticket.
-type People struct {
+// AccessPolicy decides who may connect, and as which owner. Its zero value admits everyone and takes the owner from the ticket.
+type AccessPolicy struct {
 	Owners   []Owner
 	Networks *bart.Table[string] // owner by network, for calls without credentials; may be nil
 	Denied   *bart.Lite          // addresses that are refused; may be nil
@@ -42,7 +42,7 @@
 }
 
 // requiresAuth reports whether callers have to be authenticated.
-func (p *People) requiresAuth() bool {
+func (p *AccessPolicy) requiresAuth() bool {
 	return len(p.Owners) > 0 || p.Networks != nil && p.Networks.Size() > 0
 }
 
@@ -52,7 +52,7 @@
 }
 
 // ownerByPassword returns the owner with this user name and password.
-func (p *People) ownerByPassword(user, password string) (owner string, ok bool) {
+func (p *AccessPolicy) ownerByPassword(user, password string) (owner string, ok bool) {
 	for _, o := range p.Owners {
 		if o.User != "" && secretsEqual(o.User, user) && secretsEqual(o.Password, password) {
 			owner, ok = o.Name, true
@@ -62,7 +62,7 @@
 }
 
 // ownerByToken returns the owner with this configured token.
-func (p *People) ownerByToken(token string) (owner string, ok bool) {
+func (p *AccessPolicy) ownerByToken(token string) (owner string, ok bool) {
 	for _, o := range p.Owners {
 		if o.Token != "" && secretsEqual(o.Token, token) {
 			owner, ok = o.Name, true
@@ -113,7 +113,7 @@
 }
 
 // checkCredentials returns the owner of an authorization header: Basic, or Bearer with a configured token or one from a handshake.
-func (s *Server) checkCredentials(policy *People, header string) (owner string, known bool) {
+func (s *Server) checkCredentials(policy *AccessPolicy, header string) (owner string, known bool) {
 	scheme, value, _ := strings.Cut(header, " ")
 	value = strings.TrimSpace(value)
 	switch strings.ToLower(scheme) {
--- a/internal/flight/info.go
+++ b/internal/flight/info.go
@@ -145,10 +145,10 @@
 
 // limit returns how long a query of the class may take: at most an hour.
 func (c Class) limit() time.Duration {
-	if c.Limit <= 0 || c.Limit > time.Hour {
+	if c.MaxDuration <= 0 || c.MaxDuration > time.Hour {
 		return time.Hour
 	}
-	return c.Limit
+	return c.MaxDuration
 }
 
 // flightInfo describes a flight. Its tickets are valid until the given time.
@@ -211,8 +211,8 @@
 			continue
 		}
 		info := classInfo{Class: class.Name, Shards: s.Shards, Covered: s.Shards}
-		if s.Covered != nil {
-			info.Covered = s.Covered()
+		if s.CoveredShards != nil {
+			info.Covered = s.CoveredShards()
 		}
 		meta, _ := json.Marshal(info)
 		if err := stream.Send(&flight.FlightInfo{Schema: flight.SerializeSchema(s.classOf(class.Name).Schema, memory.DefaultAllocator),
--- a/internal/flight/memory.go
+++ b/internal/flight/memory.go
@@ -20,7 +20,7 @@
 func (s *Server) reserve(c *caller, class string, parts int) (*reservation, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	r := &reservation{s, c, class, parts, min(s.sizeEstimates.Estimate(class, parts), s.Memory)}
+	r := &reservation{s, c, class, parts, min(s.sizeEstimates.Estimate(class, parts), s.MaxAnswerBytes)}
 	evicted, rejection := s.admission.Reserve(time.Now(), c.pass, r.bytes)
 	return r, s.rejectMemory(evicted, rejection, r.bytes)
 }
--- a/internal/flight/nodes.go
+++ b/internal/flight/nodes.go
@@ -37,13 +37,13 @@
 
 // Nodes carries out the coordinator's commands at Flight data nodes. Its fields are set before its first use.
 type Nodes struct {
-	Coordinator *coordinator.Coordinator
-	Log         *slog.Logger
-	Dial        func(ctx context.Context, addr string) (net.Conn, error)
-	Streams     int           // maximum concurrent parts at one data node
-	Connect     time.Duration // timeout for opening a channel and for a probe
-	Idle        time.Duration // time after which the data node closes an idle connection; 0 if unknown
-	Connections chan struct{} // holds one element for each open channel; its capacity bounds them
+	Coordinator     *coordinator.Coordinator
+	Log             *slog.Logger
+	Dial            func(ctx context.Context, addr string) (net.Conn, error)
+	MaxStreams      int           // maximum concurrent parts at one data node
+	ConnectTimeout  time.Duration // timeout for opening a channel and for a probe
+	IdleTimeout     time.Duration // time after which the data node closes an idle connection; 0 if unknown
+	ConnectionSlots chan struct{} // holds one element for each open channel; its capacity bounds them
 }
 
 // nodeConn holds the channel to one data node and the attempts in flight at it.
@@ -82,7 +82,7 @@
 
 // Dispatch serves one data node until it is removed from the list.
 func (ns *Nodes) Dispatch(n *coordinator.Node) {
-	maxStreams := int64(max(1, ns.Streams))
+	maxStreams := int64(max(1, ns.MaxStreams))
 	p := &nodeConn{Nodes: ns, node: n, streams: semaphore.NewWeighted(maxStreams), maxStreams: maxStreams, attempts: map[*coordinator.Attempt]*attemptState{}}
 	for {
 		command := n.NextCommand(context.Background())
@@ -157,7 +157,7 @@
 func (p *nodeConn) release(ch *channel, n int) {
 	if ch.inFlight -= n; ch.inFlight == 0 && ch.retired {
 		_ = ch.conn.Close() // nothing is in flight on it
-		<-p.Connections
+		<-p.ConnectionSlots
 	}
 }
 
@@ -170,7 +170,7 @@
 // acquire returns the current channel with one more stream in flight. It opens a channel if there is none, and waits until it is
 // ready.
 func (p *nodeConn) acquire(ctx context.Context) (*channel, error) {
-	deadline := time.Now().Add(p.Connect)
+	deadline := time.Now().Add(p.ConnectTimeout)
 	p.mu.Lock()
 	if p.channel == nil {
 		if !p.backoff.ready(time.Now()) {
@@ -178,7 +178,7 @@
 			return nil, errBackingOff
 		}
 		select {
-		case p.Connections <- struct{}{}:
+		case p.ConnectionSlots <- struct{}{}:
 		default:
 			p.mu.Unlock()
 			return nil, errNoDescriptor
@@ -186,9 +186,9 @@
 		cc, err := grpc.NewClient("passthrough:///"+p.node.Addr(), grpc.WithDisableRetry(),
 			grpc.WithTransportCredentials(insecure.NewCredentials()), grpc.WithContextDialer(p.Dial),
 			grpc.WithNoProxy(), grpc.WithDisableServiceConfig(),
-			grpc.WithDefaultCallOptions(grpc.MaxCallRecvMsgSize(maxPartBytes+64<<10)), grpc.WithIdleTimeout(p.Idle-p.Idle/8))
+			grpc.WithDefaultCallOptions(grpc.MaxCallRecvMsgSize(maxPartBytes+64<<10)), grpc.WithIdleTimeout(p.IdleTimeout-p.IdleTimeout/8))
 		if err != nil {
-			<-p.Connections
+			<-p.ConnectionSlots
 			p.mu.Unlock()
 			return nil, err
 		}
@@ -229,7 +229,7 @@
 
 // probe requests the load report of the data node and reports the result.
 func (p *nodeConn) probe() {
-	ctx, cancel := context.WithDeadline(context.Background(), time.Now().Add(p.Connect))
+	ctx, cancel := context.WithDeadline(context.Background(), time.Now().Add(p.ConnectTimeout))
 	defer cancel()
 	ch, err := p.acquire(ctx)
 	if err != nil {
--- a/internal/flight/server.go
+++ b/internal/flight/server.go
@@ -53,22 +53,22 @@
 
 // Class is a configured query class.
 type Class struct {
-	Name   string
-	Schema *arrow.Schema // nil means the package's Schema
-	Limit  time.Duration // maximum duration of a query
+	Name        string
+	Schema      *arrow.Schema // nil means the package's Schema
+	MaxDuration time.Duration // maximum duration of a query
 }
 
 // Options configures a Server. Only Coordinator and Log are required.
 type Options struct {
-	Coordinator *coordinator.Coordinator
-	Log         *slog.Logger
-	Memory      int64 // bytes that all answers being read may hold together; 0 means 16 MiB
-	Admission   admission.Config
-	People      People
-	Keys        []Key
-	Classes     []Class
-	Shards      int
-	Covered     func() int // returns the number of shards that have a data node now; may be nil
+	Coordinator    *coordinator.Coordinator
+	Log            *slog.Logger
+	MaxAnswerBytes int64 // bytes that all answers being read may hold together; 0 means 16 MiB
+	Admission      admission.Config
+	AccessPolicy   AccessPolicy
+	Keys           []Key
+	Classes        []Class
+	Shards         int
+	CoveredShards  func() int // returns the number of shards that have a data node now; may be nil
 }
 
 // Server serves Flight clients.
@@ -76,7 +76,7 @@
 	flight.BaseFlightServer
 	Options
 	grpc      *grpc.Server
-	policy    atomic.Pointer[People]
+	policy    atomic.Pointer[AccessPolicy]
 	keys      keyring
 	conns     atomic.Uint64
 	drain     chan struct{} // closed when a drain starts
@@ -94,19 +94,19 @@
 
 // New returns a server, or an error that names the invalid option.
 func New(o Options) (*Server, error) {
-	if o.Memory <= 0 {
-		o.Memory = 16 << 20
+	if o.MaxAnswerBytes <= 0 {
+		o.MaxAnswerBytes = 16 << 20
 	}
-	o.Admission.All.Bytes = o.Memory
+	o.Admission.All.Bytes = o.MaxAnswerBytes
 	controller, err := admission.New(o.Admission)
 	if err != nil {
 		return nil, fmt.Errorf("flight.limits: %w", err)
 	}
 	s := &Server{Options: o, admission: controller, drain: make(chan struct{}), cancels: map[*admission.Pass]context.CancelCauseFunc{},
-		flights: session.NewFlights(session.FlightConfig{MaxBytes: o.Memory / 2}), results: map[string]*flightResult{},
+		flights: session.NewFlights(session.FlightConfig{MaxBytes: o.MaxAnswerBytes / 2}), results: map[string]*flightResult{},
 		sessions: session.NewSessions(session.Config{Options: sessionOptionSpecs})}
 	s.keys.set(o.Keys)
-	s.policy.Store(&o.People)
+	s.policy.Store(&o.AccessPolicy)
 	s.grpc = grpc.NewServer(grpc.MaxRecvMsgSize(queryjson.MaxBytes), grpc.MaxConcurrentStreams(256),
 		grpc.MaxHeaderListSize(16<<10), grpc.ConnectionTimeout(handshakeTimeout), grpc.StatsHandler(connCounter{&s.conns}),
 		grpc.KeepaliveParams(keepalive.ServerParameters{MaxConnectionIdle: idleTimeout}),
@@ -117,8 +117,8 @@
 }
 
 // Reload replaces the access policy, the keys (unless none are given) and the limits. Calls that are already admitted go on.
-func (s *Server) Reload(policy People, keys []Key, limits admission.Config) error {
-	limits.All.Bytes = s.Memory
+func (s *Server) Reload(policy AccessPolicy, keys []Key, limits admission.Config) error {
+	limits.All.Bytes = s.MaxAnswerBytes
 	s.mu.Lock()
 	err := s.admission.SetLimits(limits)
 	s.mu.Unlock()
@@ -202,7 +202,7 @@
 			return c
 		}
 	}
-	return Class{Name: name, Schema: Schema, Limit: time.Duration(math.MaxInt64)}
+	return Class{Name: name, Schema: Schema, MaxDuration: time.Duration(math.MaxInt64)}
 }
 
 // statusOf returns the gRPC status of a query that ended at Execute without an answer, or nil if it has one.
--- a/internal/flight/server_test.go
+++ b/internal/flight/server_test.go
@@ -51,7 +51,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := newServer(t, Options{Coordinator: c, Log: log, Memory: limit})
+	s := newServer(t, Options{Coordinator: c, Log: log, MaxAnswerBytes: limit})
 	go s.Serve(ln, 9)
 	t.Cleanup(s.Stop)
 	cc, err := grpc.NewClient("passthrough:///"+ln.Addr().String(), grpc.WithTransportCredentials(insecure.NewCredentials()))
@@ -149,7 +149,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := newServer(t, Options{Log: slog.New(slog.DiscardHandler), Memory: 1 << 20})
+	s := newServer(t, Options{Log: slog.New(slog.DiscardHandler), MaxAnswerBytes: 1 << 20})
 	go s.Serve(ln, 9)
 	t.Cleanup(s.Stop)
 	nc, err := net.Dial("tcp", ln.Addr().String())
--- a/internal/flight/suite_test.go
+++ b/internal/flight/suite_test.go
@@ -63,7 +63,7 @@
 	if newDispatcher != nil {
 		dispatch = newDispatcher(c)
 	} else {
-		dispatch = (&flight.Nodes{Coordinator: c, Log: log, Streams: 64, Connect: 250 * time.Millisecond, Connections: make(chan struct{}, 64),
+		dispatch = (&flight.Nodes{Coordinator: c, Log: log, MaxStreams: 64, ConnectTimeout: 250 * time.Millisecond, ConnectionSlots: make(chan struct{}, 64),
 			Dial: func(ctx context.Context, addr string) (net.Conn, error) {
 				return (&net.Dialer{}).DialContext(ctx, "tcp", addr)
 			}}).Dispatch
@@ -87,9 +87,9 @@
 	}
 	s.source = c.AddSource(membership.Spec{Name: "list"})
 	s.source.ReplaceList(list, false)
-	o.Coordinator, o.Log, o.Shards, o.Covered = c, log, shards, c.CoveredShards
+	o.Coordinator, o.Log, o.Shards, o.CoveredShards = c, log, shards, c.CoveredShards
 	if o.Classes == nil {
-		o.Classes = []flight.Class{{Name: "report", Limit: 5 * time.Second}, {Name: "rating", Limit: 5 * time.Second}}
+		o.Classes = []flight.Class{{Name: "report", MaxDuration: 5 * time.Second}, {Name: "rating", MaxDuration: 5 * time.Second}}
 	}
 	if s.server, err = flight.New(o); err != nil {
 		t.Fatal(err)
@@ -130,7 +130,7 @@
 	return c
 }
 
-var testPolicy = flight.People{Owners: []flight.Owner{{Name: "sertao", User: "s", Password: "p", Token: "token-of-sertao-0"},
+var testPolicy = flight.AccessPolicy{Owners: []flight.Owner{{Name: "sertao", User: "s", Password: "p", Token: "token-of-sertao-0"},
 	{Name: "natal", User: "n", Password: "q", Token: "token-of-natal-00"}}}
 
 var users = []flightsuite.User{{Owner: "sertao", Name: "s", Password: "p", Token: "token-of-sertao-0"}, {Owner: "natal", Name: "n", Password: "q", Token: "token-of-natal-00"}}
@@ -141,7 +141,7 @@
 		t.Run(name, func(t *testing.T) {
 			o := flight.Options{}
 			if who != nil {
-				o.People = testPolicy
+				o.AccessPolicy = testPolicy
 			}
 			s := startServer(t, o, 3*time.Millisecond, nil)
 			ran := 0
@@ -172,7 +172,7 @@
 
 // TestRateLimits: calls over the rate limit are refused with a retry delay and admitted after it. Other owners are not affected.
 func TestRateLimits(t *testing.T) {
-	s := startServer(t, flight.Options{People: testPolicy, Admission: admission.Config{Owner: admission.Limits{Rate: 20, Burst: 3}}}, time.Millisecond, nil)
+	s := startServer(t, flight.Options{AccessPolicy: testPolicy, Admission: admission.Config{Owner: admission.Limits{Rate: 20, Burst: 3}}}, time.Millisecond, nil)
 	c := s.client(users...)
 	as := func(i int) *flightsuite.Client { return c.As("authorization", "Bearer "+users[i].Token) }
 	var refused time.Duration
@@ -226,7 +226,7 @@
 		keys []flight.Key
 		ok   bool
 	}{{[]flight.Key{second, first}, true}, {[]flight.Key{second}, false}} {
-		if err := s.server.Reload(flight.People{}, c2.keys, admission.Config{}); err != nil {
+		if err := s.server.Reload(flight.AccessPolicy{}, c2.keys, admission.Config{}); err != nil {
 			t.Fatal(err)
 		}
 		if _, err := c.Get(t.Context(), old); (err == nil) != c2.ok {
@@ -257,7 +257,7 @@
 // TestSlowReaders: 200 clients that read nothing stay within the memory limit and are evicted in favour of one that reads. Each
 // client that is refused or evicted gets a retry delay.
 func TestSlowReaders(t *testing.T) {
-	s := startServer(t, flight.Options{Memory: 8 << 20, Admission: admission.Config{SlowReaderGrace: 200 * time.Millisecond, StallTimeout: 2 * time.Second}}, 0,
+	s := startServer(t, flight.Options{MaxAnswerBytes: 8 << 20, Admission: admission.Config{SlowReaderGrace: 200 * time.Millisecond, StallTimeout: 2 * time.Second}}, 0,
 		answerWith(t, func(int) []byte { return make([]byte, 200<<10) }))
 	var mu sync.Mutex
 	var wg sync.WaitGroup
@@ -534,18 +534,18 @@
 	s := startServer(t, flight.Options{}, time.Millisecond, nil)
 	c := s.client()
 	for _, p := range []struct {
-		configure func(*flight.People)
+		configure func(*flight.AccessPolicy)
 		want      codes.Code
 	}{
-		{func(*flight.People) {}, codes.OK},
-		{func(p *flight.People) { p.Denied = prefixSet("127.0.0.0/8") }, codes.PermissionDenied},
-		{func(p *flight.People) { p.Allowed = prefixSet("127.0.0.0/8") }, codes.OK},
-		{func(p *flight.People) { p.Allowed = prefixSet("10.0.0.0/8") }, codes.PermissionDenied},
-		{func(p *flight.People) { p.Networks = prefixTable("127.0.0.0/8", "club") }, codes.OK},
-		{func(p *flight.People) { p.Networks = prefixTable("127.0.0.0/8", "natal") }, codes.PermissionDenied}, // the ticket names owner club
-		{func(p *flight.People) { p.Networks = prefixTable("10.0.0.0/8", "club") }, codes.Unauthenticated},
+		{func(*flight.AccessPolicy) {}, codes.OK},
+		{func(p *flight.AccessPolicy) { p.Denied = prefixSet("127.0.0.0/8") }, codes.PermissionDenied},
+		{func(p *flight.AccessPolicy) { p.Allowed = prefixSet("127.0.0.0/8") }, codes.OK},
+		{func(p *flight.AccessPolicy) { p.Allowed = prefixSet("10.0.0.0/8") }, codes.PermissionDenied},
+		{func(p *flight.AccessPolicy) { p.Networks = prefixTable("127.0.0.0/8", "club") }, codes.OK},
+		{func(p *flight.AccessPolicy) { p.Networks = prefixTable("127.0.0.0/8", "natal") }, codes.PermissionDenied}, // the ticket names owner club
+		{func(p *flight.AccessPolicy) { p.Networks = prefixTable("10.0.0.0/8", "club") }, codes.Unauthenticated},
 	} {
-		var policy flight.People
+		var policy flight.AccessPolicy
 		p.configure(&policy)
 		if err := s.server.Reload(policy, nil, admission.Config{}); err != nil {
 			t.Fatal(err)
@@ -559,7 +559,7 @@
 
 // TestErrorsHideSecrets: no error text contains a secret.
 func TestErrorsHideSecrets(t *testing.T) {
-	s := startServer(t, flight.Options{People: testPolicy, Keys: []flight.Key{{ID: 1, Secret: []byte("a secret of sixteen")}}}, time.Millisecond, nil)
+	s := startServer(t, flight.Options{AccessPolicy: testPolicy, Keys: []flight.Key{{ID: 1, Secret: []byte("a secret of sixteen")}}}, time.Millisecond, nil)
 	c := s.client(users...)
 	for _, header := range []string{"Bearer token-of-sertao-1", "Basic cDpw"} {
 		_, err := c.As("authorization", header).Get(t.Context(), []byte("gf?"))
--- a/internal/lab/nameserver/nameserver.go
+++ b/internal/lab/nameserver/nameserver.go
@@ -168,7 +168,7 @@
 // records returns the records of an instance: PTR, SRV, TXT, and the address of a host name of its own.
 func (z *Zone) records(i Instance) []dns.RR {
 	kind := i.Service + "." + z.Apex
-	name, host := dnssd.Escape(i.Label)+"."+kind, dnssd.Escape(strings.ReplaceAll(i.Label, ".", "-"))+"."+z.Apex
+	name, host := dnssd.EscapeLabel(i.Label)+"."+kind, dnssd.EscapeLabel(strings.ReplaceAll(i.Label, ".", "-"))+"."+z.Apex
 	text := i.Text
 	if len(text) == 0 {
 		text = []string{""}
