--- a/cmd/gullfall-lab/dnssd.go
+++ b/cmd/gullfall-lab/dnssd.go
@@ -204,8 +204,8 @@
 	r.Twins, r.MostAttempts = a.Twins, a.MostAttempts
 	r.Asked, r.Served, r.Refused, r.Failed, r.Lost, r.Wrong = sum.Asked, sum.Served, sum.Refused, sum.Failed, sum.Lost, sum.Wrong
 	r.QueryP50, r.QueryP99 = ms(sum.Quantile(50)), ms(sum.Quantile(99))
-	if r.ColdReturns = a.ColdReturns; a.ColdReturns > 0 {
-		r.PartsInFirstSecond = float64(a.ColdParts) / float64(a.ColdReturns)
+	if r.ColdReturns = a.WarmupReturns; a.WarmupReturns > 0 {
+		r.PartsInFirstSecond = float64(a.WarmupParts) / float64(a.WarmupReturns)
 	}
 	r.PartsPerSAndNode = float64(a.Begun) / took.Seconds() / float64(r.Nodes)
 }
--- a/cmd/gullfall-lab/peers_sizes.go
+++ b/cmd/gullfall-lab/peers_sizes.go
@@ -93,14 +93,14 @@
 		watchers = 90_000 / n
 		scale = float64(n) / float64(watchers)
 	}
-	f, err := swimsim.New(swimsim.Config{Members: n, Watchers: watchers, Seed: p.Seed, Detect: detect, Fixed: 5 * time.Second, Delay: 2 * time.Millisecond,
+	f, err := swimsim.New(swimsim.Config{Members: n, Watchers: watchers, Seed: p.Seed, Detect: detect, HeartbeatTimeout: 5 * time.Second, Delay: 2 * time.Millisecond,
 		Jitter: 5 * time.Millisecond, Swim: swim.Config{Period: time.Second, MaxPause: maxPause}})
 	if err != nil {
 		return err
 	}
 	f.Run(40 * time.Second)
 	rng := rand.New(rand.NewPCG(p.Seed, uint64(n)))
-	f.Lose(row.Loss)
+	f.SetLoss(row.Loss)
 	packets, bytes, from, before := f.Packets, f.Bytes, f.Now(), f.FalseDead
 	for f.Now() < from+2*time.Minute {
 		for range max(1, n/20) { // every 10 s, one member in twenty pauses for up to 3 s
--- a/cmd/gullfall/dnssd.go
+++ b/cmd/gullfall/dnssd.go
@@ -151,7 +151,7 @@
 func (u *zoneUpdater) Update(update membership.Update) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	if update.Basis == membership.Failed {
+	if update.Reliability == membership.Failed {
 		u.lastFailure = u.zone + ": " + update.Cause
 	} else {
 		u.listCount++
@@ -200,7 +200,7 @@
 	client := dnssd.NewClient(deploy.DNSSD.Questions, maxDNSQueries)
 	var followers sync.WaitGroup
 	for _, zone := range zones {
-		source := display.table.Source(membership.Spec{Name: zone.Domain, Damped: true})
+		source := display.table.AddSource(membership.Spec{Name: zone.Domain, Damped: true})
 		follower := &dnssd.Follower{
 			Zone:       zone,
 			Client:     client,
--- a/cmd/gullfall/notes.go
+++ b/cmd/gullfall/notes.go
@@ -31,14 +31,14 @@
 		return n, fmt.Errorf("a note needs a key, and a value of 1 to %d bytes", maxNoteBytes)
 	}
 	if n.If != nil {
-		c.If = []statemachine.Condition{{Key: noteKeyPrefix + n.Key, Revision: *n.If}}
+		c.Conditions = []statemachine.Condition{{Key: noteKeyPrefix + n.Key, Revision: *n.If}}
 	}
 	r, err := member.Do(ctx, c)
 	switch {
 	case err != nil:
 		return n, fmt.Errorf("the store did not answer in time, so it may or may not have been taken: %w", err)
-	case r.Failed == statemachine.Conflict:
-		n.Conflict = r.Why
+	case r.Cause == statemachine.Conflict:
+		n.Conflict = r.Detail
 		return n, nil
 	}
 	n.Revision = r.Index
--- a/cmd/gullfall/sources.go
+++ b/cmd/gullfall/sources.go
@@ -91,7 +91,7 @@
 
 // Update applies an update of the zone and stores the resulting list if it has changed. A failed update is applied but not stored.
 func (s *storedSource) Update(u membership.Update) {
-	if s.Source.Update(u); u.Basis == membership.Failed {
+	if s.Source.Update(u); u.Reliability == membership.Failed {
 		return
 	}
 	data, err := json.Marshal(s.Records())
--- a/cmd/gullfall/store.go
+++ b/cmd/gullfall/store.go
@@ -46,7 +46,7 @@
 
 // newStoreView returns the store's members with their state in gossip. peers may be nil.
 func newStoreView(st store.Status, peers *gossip.Gossip) storeView {
-	v := storeView{Self: st.Name, Leader: st.Leader, Term: st.Term, Applied: st.Index, HeardS: st.Heard.Seconds()}
+	v := storeView{Self: st.Name, Leader: st.Leader, Term: st.Term, Applied: st.Index, HeardS: st.SinceLeaderContact.Seconds()}
 	seen := map[string]swim.Member{}
 	var now time.Duration
 	if peers != nil {
--- a/cmd/gullfall/zonedrains.go
+++ b/cmd/gullfall/zonedrains.go
@@ -131,15 +131,15 @@
 			return err
 		}
 		result, err := z.store.Do(ctx, statemachine.Command{
-			If:  []statemachine.Condition{{Key: drainedKey, Revision: entry.Revision}},
-			Put: []statemachine.Pair{{Key: drainedKey, Value: data}},
+			Conditions: []statemachine.Condition{{Key: drainedKey, Revision: entry.Revision}},
+			Put:        []statemachine.Pair{{Key: drainedKey, Value: data}},
 		})
 		switch {
 		case err != nil:
 			return fmt.Errorf("the store did not answer in time, so it may or may not have been taken: %w", err)
-		case result.Failed == "":
+		case result.Cause == "":
 			return z.store.Wait(ctx, result.Index)
-		case result.Failed != statemachine.Conflict:
+		case result.Cause != statemachine.Conflict:
 			return result.Err()
 		}
 	}
--- a/internal/config/store.go
+++ b/internal/config/store.go
@@ -25,8 +25,8 @@
 	Skew      float64 // relative rate error added to the clock of leases, to test their bound; 0 in production
 }
 
-// Pace returns the rate at which the leader sends a snapshot to a lagging member, in bytes per second.
-func (s Store) Pace() float64 {
+// CatchUpRate returns the rate at which the leader sends a snapshot to a lagging member, in bytes per second.
+func (s Store) CatchUpRate() float64 {
 	if s.CatchUp == 0 {
 		return defaultCatchUp
 	}
--- a/internal/coordinator/endpoints.go
+++ b/internal/coordinator/endpoints.go
@@ -44,14 +44,14 @@
 func (c *Coordinator) AddSource(spec membership.Spec) *Source {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return &Source{c, c.endpoints.table.Source(spec)}
+	return &Source{c, c.endpoints.table.AddSource(spec)}
 }
 
 // Update applies an update from the source.
 func (s *Source) Update(u membership.Update) {
 	kind := partialUpdate
 	switch {
-	case !u.Full || u.Basis == membership.Failed:
+	case !u.Full || u.Reliability == membership.Failed:
 	case u.Cached:
 		kind = cachedUpdate
 	default:
--- a/internal/coordinator/endpoints_test.go
+++ b/internal/coordinator/endpoints_test.go
@@ -98,7 +98,7 @@
 		expect("serving again", "y:2")
 		zone.ApplyChanges([]Member{{ID: "a", Addr: "3", Proto: "y"}})
 		expect("moved to another address", "y:3")
-		zone.Update(membership.Update{Basis: membership.Failed, Cause: "REFUSED"})
+		zone.Update(membership.Update{Reliability: membership.Failed, Cause: "REFUSED"})
 		expect("failed update of the source of higher rank", "y:3")
 		zone.ReplaceList(nil, false)
 		expect("removed by the source of higher rank", "")
--- a/internal/dnssd/browse.go
+++ b/internal/dnssd/browse.go
@@ -28,7 +28,7 @@
 	z := &f.state
 	hadRecords := z.records != nil && len(z.records.sets) > 0
 	if z.nonAuthoritative && len(next.sets) == 0 && hadRecords {
-		f.Updater.Update(membership.Update{Basis: membership.NonAuthoritative, Full: true})
+		f.Updater.Update(membership.Update{Reliability: membership.NonAuthoritative, Full: true})
 		return nil
 	}
 	z.records, z.transferred = next, false
--- a/internal/dnssd/follower.go
+++ b/internal/dnssd/follower.go
@@ -122,7 +122,7 @@
 		}
 		return f.Poll
 	}
-	f.Updater.Update(membership.Update{Basis: membership.Failed, Cause: stableCause(err)})
+	f.Updater.Update(membership.Update{Reliability: membership.Failed, Cause: stableCause(err)})
 	servers := len(f.Zone.Servers)
 	f.server = (f.server + 1) % servers
 	f.failures++
@@ -279,9 +279,9 @@
 		Lease: min(max(out.ttl, minLease), maxLease)}
 	switch {
 	case z.truncated:
-		u.Basis = membership.Truncated
+		u.Reliability = membership.Truncated
 	case z.nonAuthoritative:
-		u.Basis = membership.NonAuthoritative
+		u.Reliability = membership.NonAuthoritative
 	}
 	return u
 }
--- a/internal/dnssd/follower_test.go
+++ b/internal/dnssd/follower_test.go
@@ -143,7 +143,7 @@
 	}
 	r.command(0, "add a 127.0.0.1:1001 cell=0", "add b 127.0.0.1:1002 cell=0 proto=flight")
 	r.table, _ = membership.New(membership.Config{SerialHold: time.Second})
-	r.source = r.table.Source(membership.Spec{Name: "club.example.", Damped: true, MaxStale: time.Hour})
+	r.source = r.table.AddSource(membership.Spec{Name: "club.example.", Damped: true, MaxStale: time.Hour})
 	r.f = &dnssd.Follower{Zone: dnssd.Zone{Domain: "club.example.", ServiceTypes: []string{"_dn._tcp"}, Transfer: transfer, Key: key,
 		AllowedNetworks: loopback()}, Client: dnssd.NewClient(1000, 16), Updater: r, Log: slog.New(slog.DiscardHandler), Poll: 50 * time.Millisecond}
 	for _, s := range r.servers {
@@ -286,7 +286,7 @@
 			s.PerMessage(3)
 			full := &followerTest{T: t, zone: zone, servers: []*nameserver.Server{s}}
 			full.table, _ = membership.New(membership.Config{})
-			full.source = full.table.Source(membership.Spec{Name: "zone"})
+			full.source = full.table.AddSource(membership.Spec{Name: "zone"})
 			full.f = &dnssd.Follower{Zone: dnssd.Zone{Domain: "club.example.", ServiceTypes: []string{"_dn._tcp"}, Transfer: true, AllowedNetworks: loopback(),
 				Servers: []string{s.Addr()}}, Client: dnssd.NewClient(1000, 16), Updater: full, Log: slog.New(slog.DiscardHandler), Poll: 50 * time.Millisecond}
 			go full.f.Run(t.Context())
@@ -304,7 +304,7 @@
 			s2.PerMessage(1)
 			incremental := &followerTest{T: t, zone: later, servers: []*nameserver.Server{s2}}
 			incremental.table, _ = membership.New(membership.Config{})
-			incremental.source = incremental.table.Source(membership.Spec{Name: "zone"})
+			incremental.source = incremental.table.AddSource(membership.Spec{Name: "zone"})
 			incremental.f = &dnssd.Follower{Zone: full.f.Zone, Client: full.f.Client, Updater: incremental, Log: full.f.Log, Poll: 50 * time.Millisecond}
 			incremental.f.Zone.Servers = []string{s2.Addr()}
 			incremental.command(0, "add a 127.0.0.1:1001", "add b 127.0.0.1:1002")
@@ -401,7 +401,7 @@
 			r.command(0, "remove a")
 			r.waitForList("b serving")
 			table, _ := membership.New(membership.Config{})
-			wrong := &followerTest{T: t, table: table, source: table.Source(membership.Spec{Name: "wrong"})}
+			wrong := &followerTest{T: t, table: table, source: table.AddSource(membership.Spec{Name: "wrong"})}
 			wrong.f = &dnssd.Follower{Zone: r.f.Zone, Client: r.f.Client, Updater: wrong, Log: r.f.Log, Poll: 50 * time.Millisecond}
 			wrong.f.Zone.Key = &dnssd.Key{Name: "k.", Algorithm: dns.HmacSHA256, Secret: "b3RoZXI="}
 			go wrong.f.Run(t.Context())
@@ -440,7 +440,7 @@
 	r := &followerTest{T: t, zone: zone, servers: []*nameserver.Server{s}}
 	r.command(0, "nosoa on", "bare on", "add a 127.0.0.1:1001", "add v6 [::1]:1002")
 	r.table, _ = membership.New(membership.Config{})
-	r.source = r.table.Source(membership.Spec{Name: "zone"})
+	r.source = r.table.AddSource(membership.Spec{Name: "zone"})
 	r.f = &dnssd.Follower{Zone: dnssd.Zone{Domain: "club.example.", ServiceTypes: []string{"_dn._tcp"}, AllowedNetworks: loopback(), Servers: []string{s.Addr()}},
 		Client: dnssd.NewClient(1000, 16), Updater: r, Log: slog.New(slog.DiscardHandler), Poll: 50 * time.Millisecond}
 	go r.f.Run(t.Context())
--- a/internal/dnssd/notify.go
+++ b/internal/dnssd/notify.go
@@ -11,8 +11,8 @@
 	"github.com/miekg/dns"
 )
 
-// NotifyListener receives NOTIFY messages (RFC 1996), which servers send when a followed DNS zone has changed. A message only triggers a poll of
-// the zone. Senders that are not allowed get no answer.
+// NotifyListener receives NOTIFY messages (RFC 1996), which servers send when a followed DNS zone has changed. A message only
+// triggers a poll of the zone. Senders that are not allowed get no answer.
 type NotifyListener struct {
 	Allow     *bart.Lite // addresses that may send messages
 	Followers []*Follower
--- a/internal/lab/datanode/ledger.go
+++ b/internal/lab/datanode/ledger.go
@@ -138,7 +138,7 @@
 	Begun, Twins, MostAttempts int
 	Removals                   int
 	Worst, P99, Median         time.Duration // time from a removal to the last attempt begun
-	ColdReturns, ColdParts     int           // restarts, and attempts begun in the first second after any of them
+	WarmupReturns, WarmupParts int           // restarts, and attempts begun in the first second after any of them
 	Starts                     map[string]int
 }
 
@@ -158,5 +158,5 @@
 	}
 	return Account{Begun: l.begun, Twins: l.concurrent, MostAttempts: l.mostAttempts, Removals: l.removals,
 		Worst: time.Duration(l.startDelay.Max()) * time.Microsecond, P99: us(99), Median: us(50),
-		ColdReturns: l.restarts, ColdParts: l.warmupStarts, Starts: starts}
+		WarmupReturns: l.restarts, WarmupParts: l.warmupStarts, Starts: starts}
 }
--- a/internal/lab/swimsim/swimsim.go
+++ b/internal/lab/swimsim/swimsim.go
@@ -15,18 +15,18 @@
 
 // Config describes a fleet and its network.
 type Config struct {
-	Members int
-	Seed    uint64
-	Swim    swim.Config   // New sets the names, addresses and seeds
-	Detect  string        // "swim", "plain" (swim without local health and a minimum silence level) or "heartbeat" (all to all)
-	Fixed   time.Duration // heartbeat only: time without a heartbeat after which a member is considered dead
+	Members          int
+	Seed             uint64
+	Swim             swim.Config   // New sets the names, addresses and seeds
+	Detect           string        // "swim", "plain" (swim without local health and a minimum silence level) or "heartbeat" (all to all)
+	HeartbeatTimeout time.Duration // heartbeat only: time without a heartbeat after which a member is considered dead
 	// Watchers, if above 0, is the number of members that watch the others by heartbeats. All pairs behave alike, and n*n packets a
 	// period are too many to simulate for thousands of members. The counts then cover these members only.
-	Watchers int
-	Loss     float64 // probability that a packet is lost
-	Twice    float64 // probability that a packet arrives twice
-	Delay    time.Duration
-	Jitter   time.Duration // maximum random addition to Delay for each packet; packets may overtake each other
+	Watchers    int
+	Loss        float64 // probability that a packet is lost
+	Duplication float64 // probability that a packet arrives twice
+	Delay       time.Duration
+	Jitter      time.Duration // maximum random addition to Delay for each packet; packets may overtake each other
 }
 
 // detector is the failure detector of one member.
@@ -105,7 +105,7 @@
 func (f *Fleet) start(i int, process uint64) error {
 	n := f.processes[i]
 	if f.config.Detect == "heartbeat" {
-		n.detector = newHeartbeat(i, f.config.Members, f.watchers(), f.config.Swim.Period, f.config.Fixed, f.now+n.clockSkew, f.rng)
+		n.detector = newHeartbeat(i, f.config.Members, f.watchers(), f.config.Swim.Period, f.config.HeartbeatTimeout, f.now+n.clockSkew, f.rng)
 	} else {
 		s := f.config.Swim
 		s.Self, s.Addr, s.Process, s.RandomSeed = Name(i), fmt.Sprint(i), process*100_000+uint64(i)+1, f.config.Seed*7919+uint64(i)+process
@@ -183,7 +183,7 @@
 		if !o.stream && f.rng.Float64() < f.config.Loss {
 			copies = 0
 		}
-		if !o.stream && f.rng.Float64() < f.config.Twice {
+		if !o.stream && f.rng.Float64() < f.config.Duplication {
 			copies++
 		}
 		for range copies {
@@ -219,8 +219,8 @@
 	f.push(event{at: f.now + d, to: i, body: resumed{}})
 }
 
-// Jump shifts a member's clock, like a jump of the wall clock.
-func (f *Fleet) Jump(i int, by time.Duration) {
+// ShiftClock shifts a member's clock, like a jump of the wall clock.
+func (f *Fleet) ShiftClock(i int, by time.Duration) {
 	f.processes[i].clockSkew += by
 	f.wakeAt(i, f.now)
 }
@@ -243,11 +243,11 @@
 	f.cut[link{from, to}] = cut
 }
 
-// Excuse sets whether a member is left out of FalseDead, for example because it is partitioned from the others.
-func (f *Fleet) Excuse(i int, exclude bool) { f.excluded[i] = exclude }
+// ExcludeFromFalseDead sets whether a member is left out of FalseDead, for example because it is partitioned from the others.
+func (f *Fleet) ExcludeFromFalseDead(i int, exclude bool) { f.excluded[i] = exclude }
 
-// Lose sets the probability that a packet is lost.
-func (f *Fleet) Lose(probability float64) { f.config.Loss = probability }
+// SetLoss sets the probability that a packet is lost.
+func (f *Fleet) SetLoss(probability float64) { f.config.Loss = probability }
 
 // Now returns the virtual time.
 func (f *Fleet) Now() time.Duration { return f.now }
@@ -262,8 +262,8 @@
 	return n
 }
 
-// Agreed reports whether all live members consider exactly the live members alive.
-func (f *Fleet) Agreed() bool {
+// Converged reports whether all live members consider exactly the live members alive.
+func (f *Fleet) Converged() bool {
 	for _, n := range f.processes {
 		if !n.up {
 			continue
--- a/internal/maintenance/agent/agent.go
+++ b/internal/maintenance/agent/agent.go
@@ -101,7 +101,7 @@
 	// The presence ends here earlier than in the store, by the longest attempt, so that all attempts sent under it have ended when it
 	// expires in the store.
 	length := time.Duration(float64(o.PresenceBound+o.LongestAttempt)*(1+o.Drift)/(1-o.Drift)) + time.Millisecond
-	l.presence = &store.Lease{Store: o.Store, Duty: o.Name, Presence: true, Who: o.Name, Log: o.Log, Put: a.record,
+	l.presence = &store.Lease{Store: o.Store, Duty: o.Name, Presence: true, Coordinator: o.Name, Log: o.Log, Put: a.record,
 		Config: lease.Config{Length: length, Drift: o.Drift, Renew: presenceRenewal},
 		Granted: func(until time.Time) {
 			if _, ok := a.follow(); ok { // the plan that was committed before the grant is applied first
@@ -109,7 +109,7 @@
 			}
 		}}
 	for _, duty := range append([]string{maintenance.Duty}, o.Duties...) {
-		l.duties[duty] = &store.Lease{Store: o.Store, Duty: duty, Who: o.Name, Config: lease.Config{Length: o.DutyLease, Drift: o.Drift}, Log: o.Log}
+		l.duties[duty] = &store.Lease{Store: o.Store, Duty: duty, Coordinator: o.Name, Config: lease.Config{Length: o.DutyLease, Drift: o.Drift}, Log: o.Log}
 	}
 	l.maintenance = l.duties[maintenance.Duty]
 	return l
--- a/internal/maintenance/agent/duties.go
+++ b/internal/maintenance/agent/duties.go
@@ -51,14 +51,14 @@
 	}
 	t = DutyAttempt{Duty: duty, Who: a.opts.Name}
 	var at time.Time
-	t.Token, at, t.Holds = l.Claim()
+	t.Token, at, t.Holds = l.MayActAt()
 	if t.At = at.UnixNano(); !t.Holds {
 		return t, nil
 	}
-	r, err := a.opts.Store.Do(ctx, statemachine.Command{If: []statemachine.Condition{{Duty: duty, Token: t.Token}}, Put: []statemachine.Pair{{Key: tryKeyPrefix + duty, Value: []byte(a.opts.Name)}}})
+	r, err := a.opts.Store.Do(ctx, statemachine.Command{Conditions: []statemachine.Condition{{Duty: duty, Token: t.Token}}, Put: []statemachine.Pair{{Key: tryKeyPrefix + duty, Value: []byte(a.opts.Name)}}})
 	if err != nil {
 		return t, err
 	}
-	t.Index, t.Accepted, t.Why = r.Index, r.Failed == "", r.Why
+	t.Index, t.Accepted, t.Why = r.Index, r.Cause == "", r.Detail
 	return t, nil
 }
--- a/internal/maintenance/agent/moves.go
+++ b/internal/maintenance/agent/moves.go
@@ -105,17 +105,17 @@
 		return nil
 	}
 	a.reserve(len(data))
-	c := statemachine.Command{If: []statemachine.Condition{{Key: planKey, Revision: revision}, {Duty: maintenance.Duty, Token: token}},
+	c := statemachine.Command{Conditions: []statemachine.Condition{{Key: planKey, Revision: revision}, {Duty: maintenance.Duty, Token: token}},
 		Put: []statemachine.Pair{{Key: planKey, Value: data}}}
 	for _, m := range moves {
 		for _, name := range m.Lapsed {
-			c.If = append(c.If, statemachine.Condition{Lapsed: name})
+			c.Conditions = append(c.Conditions, statemachine.Condition{ExpiredPresence: name})
 		}
 	}
 	ctx, cancel := context.WithDeadline(ctx, time.Now().Add(moveTimeout))
 	defer cancel()
 	r, err := a.opts.Store.Do(ctx, c)
-	if err == nil && r.Failed != "" && r.Failed != statemachine.Conflict {
+	if err == nil && r.Cause != "" && r.Cause != statemachine.Conflict {
 		err = r.Err()
 	}
 	if err == nil {
@@ -124,8 +124,8 @@
 	if err != nil {
 		return fmt.Errorf("write %d moves: %w", len(moves), err)
 	}
-	if r.Failed != "" {
-		a.opts.Log.Info("moves not applied; retrying", "moves", len(moves), "cause", r.Why)
+	if r.Cause != "" {
+		a.opts.Log.Info("moves not applied; retrying", "moves", len(moves), "cause", r.Detail)
 	}
 	return nil
 }
--- a/internal/maintenance/agent/operators.go
+++ b/internal/maintenance/agent/operators.go
@@ -117,12 +117,12 @@
 	if !known {
 		return fmt.Errorf("no coordinator %q takes part", name)
 	}
-	r, err := a.opts.Store.Do(ctx, statemachine.Command{Lease: &statemachine.LeaseOp{Kind: statemachine.Forget, Presence: true, Duty: name, Who: a.opts.Name},
+	r, err := a.opts.Store.Do(ctx, statemachine.Command{Lease: &statemachine.LeaseOp{Kind: statemachine.Forget, Presence: true, Duty: name, Coordinator: a.opts.Name},
 		Put: []statemachine.Pair{{Key: recordKeyPrefix + name}}})
 	if err != nil {
 		return err
 	}
-	if r.Failed != "" {
+	if r.Cause != "" {
 		return fmt.Errorf("%q is present, or was until just now; only one that has ended is gone for good", name)
 	}
 	return a.updatePlan(ctx, func(plan *maintenance.State) error {
--- a/internal/maintenance/agent/plan.go
+++ b/internal/maintenance/agent/plan.go
@@ -67,13 +67,13 @@
 		if err != nil {
 			return err
 		}
-		r, err := a.opts.Store.Do(ctx, statemachine.Command{If: []statemachine.Condition{{Key: planKey, Revision: revision}}, Put: []statemachine.Pair{{Key: planKey, Value: data}}})
+		r, err := a.opts.Store.Do(ctx, statemachine.Command{Conditions: []statemachine.Condition{{Key: planKey, Revision: revision}}, Put: []statemachine.Pair{{Key: planKey, Value: data}}})
 		switch {
 		case err != nil:
 			return fmt.Errorf("the store did not answer in time, so it may or may not have been taken; look with `gullfall work list`: %w", err)
-		case r.Failed == "":
+		case r.Cause == "":
 			return a.opts.Store.Wait(ctx, r.Index)
-		case r.Failed != statemachine.Conflict:
+		case r.Cause != statemachine.Conflict:
 			return r.Err()
 		}
 	}
--- a/internal/maintenance/agent/presence.go
+++ b/internal/maintenance/agent/presence.go
@@ -49,7 +49,7 @@
 				list = append(list, maintenance.Coordinator{Name: name, Seen: r.Seen, Clear: r.Clear})
 			}
 		}
-		for _, p := range st.Present() {
+		for _, p := range st.Presences() {
 			presences[p.Duty] = p
 		}
 	})
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -83,27 +83,27 @@
 // DefaultMaxNodes is the default of Spec.MaxNodes.
 const DefaultMaxNodes = 16384
 
-// Basis is the reliability of a source's answer.
-type Basis uint8
+// Reliability says how far a source's answer can be relied on.
+type Reliability uint8
 
 // The reliabilities of an answer.
 const (
-	Authoritative    Basis = iota
-	NonAuthoritative       // from a server without authority for the DNS zone: an empty list removes nothing
-	Truncated              // the list is incomplete
-	Failed                 // no list: no answer, or an error
+	Authoritative    Reliability = iota
+	NonAuthoritative             // from a server without authority for the DNS zone: an empty list removes nothing
+	Truncated                    // the list is incomplete
+	Failed                       // no list: no answer, or an error
 )
 
 // Update is one answer of a source.
 type Update struct {
-	Basis     Basis
-	Cause     string // why it is Failed
-	Serial    uint32 // of the DNS zone, if HasSerial
-	HasSerial bool
-	Full      bool // Records is the complete list; a data node missing from it is gone
-	Cached    bool // the list was stored by an earlier run
-	Records   []Record
-	Lease     time.Duration // how long the answer holds without confirmation; 0 means without limit
+	Reliability Reliability
+	Cause       string // why Reliability is Failed
+	Serial      uint32 // of the DNS zone, if HasSerial
+	HasSerial   bool
+	Full        bool // Records is the complete list; a data node missing from it is gone
+	Cached      bool // the list was stored by an earlier run
+	Records     []Record
+	Lease       time.Duration // how long the answer holds without confirmation; 0 means without limit
 }
 
 // Evidence is what the coordinator itself has observed of a data node.
--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -33,8 +33,8 @@
 		t.Fatal(err)
 	}
 	return &harness{T: t, table: table, list: map[string]Record{},
-		dns: table.Source(Spec{Name: "dns", Rank: 2, Damped: true, MaxStale: time.Hour}),
-		dir: table.Source(Spec{Name: "dir", Rank: 1})}
+		dns: table.AddSource(Spec{Name: "dns", Rank: 2, Damped: true, MaxStale: time.Hour}),
+		dir: table.AddSource(Spec{Name: "dir", Rank: 1})}
 }
 
 // apply applies a result, and checks that all results add up to the list.
@@ -87,7 +87,7 @@
 	case "leased":
 		u.Lease = time.Second
 	case "failed":
-		u = Update{Basis: Failed, Cause: "no answer"}
+		u = Update{Reliability: Failed, Cause: "no answer"}
 	default:
 		s.Fatalf("unknown report: %s", words)
 	}
@@ -246,11 +246,11 @@
 		note    string
 	}{
 		"authoritative and empty":          {[]Update{{Full: true}}, 0, "list emptied"},
-		"not authoritative, empty":         {[]Update{{Full: true, Basis: NonAuthoritative}}, 2, "list held"},
-		"not authoritative, one fewer":     {[]Update{{Full: true, Basis: NonAuthoritative, Records: two[:1]}}, 1, "removed b"},
-		"truncated":                        {[]Update{{Full: true, Basis: Truncated, Records: two[:1]}}, 2, "list held"},
-		"truncated, one more":              {[]Update{{Full: true, Basis: Truncated, Records: []Record{{ID: "c", Addr: "z"}}}}, 3, "list held"},
-		"failed":                           {[]Update{{Basis: Failed, Cause: "REFUSED"}}, 2, "list held"},
+		"not authoritative, empty":         {[]Update{{Full: true, Reliability: NonAuthoritative}}, 2, "list held"},
+		"not authoritative, one fewer":     {[]Update{{Full: true, Reliability: NonAuthoritative, Records: two[:1]}}, 1, "removed b"},
+		"truncated":                        {[]Update{{Full: true, Reliability: Truncated, Records: two[:1]}}, 2, "list held"},
+		"truncated, one more":              {[]Update{{Full: true, Reliability: Truncated, Records: []Record{{ID: "c", Addr: "z"}}}}, 3, "list held"},
+		"failed":                           {[]Update{{Reliability: Failed, Cause: "REFUSED"}}, 2, "list held"},
 		"older serial":                     {[]Update{{Full: true, Serial: 9, HasSerial: true}}, 2, "list held"},
 		"undefined serial order":           {[]Update{{Full: true, Serial: 10 + 1<<31, HasSerial: true}}, 2, "list held"},
 		"newer serial":                     {[]Update{{Full: true, Serial: 11, HasSerial: true}}, 0, "list emptied"},
@@ -414,7 +414,7 @@
 	if len(s.table.nodes) != 1 || len(s.table.addrs) != 1 || len(s.table.dependents) != 0 || len(s.table.coverage.levels) != 1 {
 		t.Errorf("left: %d nodes, %d addresses, %d dependents, %d levels", len(s.table.nodes), len(s.table.addrs), len(s.table.dependents), len(s.table.coverage.levels))
 	}
-	few := s.table.Source(Spec{Name: "few", MaxNodes: 3})
+	few := s.table.AddSource(Spec{Name: "few", MaxNodes: 3})
 	var many []Record
 	for i := range 9 {
 		many = append(many, Record{ID: fmt.Sprint("m", i), Addr: fmt.Sprint("b", i)})
--- a/internal/membership/property_test.go
+++ b/internal/membership/property_test.go
@@ -304,7 +304,7 @@
 			suppressedUntil: map[string]time.Time{}, suspectUntil: map[string]time.Time{}, failures: map[string]int{}, start: map[string]time.Time{}, statedStart: map[string]time.Time{}, statedBy: map[string]int{}, forgetAt: map[string]time.Time{}}
 		var sources []*Source
 		for _, spec := range specs {
-			sources = append(sources, table.Source(spec))
+			sources = append(sources, table.AddSource(spec))
 			m.maxStale = append(m.maxStale, spec.MaxStale)
 			m.ranks, m.damped = append(m.ranks, spec.Rank), append(m.damped, spec.Damped)
 			m.leases, m.lastAnswer, m.complete = append(m.leases, 0), append(m.lastAnswer, time.Time{}), append(m.complete, false)
@@ -391,7 +391,7 @@
 					report(i, rec, cached)
 				}
 			case "failed":
-				apply(sources[i].Update(now, Update{Basis: Failed, Cause: "no answer"}))
+				apply(sources[i].Update(now, Update{Reliability: Failed, Cause: "no answer"}))
 			case "refused", "answered":
 				id := record.Draw(t, "record").ID
 				_, listed := list[id]
@@ -439,7 +439,7 @@
 	for _, n := range []int{100, 1000, 10000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			table, _ := New(Config{ShardSets: 16, Shards: 64, Reach: 2})
-			src := table.Source(Spec{Name: "zone", Damped: true})
+			src := table.AddSource(Spec{Name: "zone", Damped: true})
 			var records []Record
 			for i := range n {
 				records = append(records, Record{ID: fmt.Sprint("n", i), Addr: fmt.Sprint("x", i), ShardSet: i % 16})
--- a/internal/membership/source.go
+++ b/internal/membership/source.go
@@ -36,8 +36,8 @@
 // serialNewer reports whether serial a follows b by RFC 1982; false if that leaves their order undefined.
 func serialNewer(a, b uint32) bool { return a != b && int32(a-b) > 0 }
 
-// Source adds a source that has reported nothing yet.
-func (t *Table) Source(spec Spec) *Source {
+// AddSource adds a source that has reported nothing yet.
+func (t *Table) AddSource(spec Spec) *Source {
 	if spec.MaxNodes <= 0 {
 		spec.MaxNodes = DefaultMaxNodes
 	}
@@ -58,7 +58,7 @@
 	if !t.accept(now, src, &u) {
 		return t.finish(now)
 	}
-	if src.heldCause != "" && u.Basis != Truncated {
+	if src.heldCause != "" && u.Reliability != Truncated {
 		src.heldCause = ""
 		t.note(SourceFresh, src, "", "")
 	}
@@ -115,14 +115,14 @@
 // at all shards at once.
 func (t *Table) accept(now time.Time, src *sourceState, u *Update) bool {
 	switch {
-	case u.Basis == Failed:
+	case u.Reliability == Failed:
 		return t.noteHeld(src, u.Cause)
 	case u.Cached:
 		return src.lastAnswer.IsZero()
-	case u.Basis == NonAuthoritative && u.Full && len(u.Records) == 0 && len(src.claims) > 0:
+	case u.Reliability == NonAuthoritative && u.Full && len(u.Records) == 0 && len(src.claims) > 0:
 		return t.noteHeld(src, "empty, and not authoritative")
 	}
-	if u.Basis == Truncated && u.Full {
+	if u.Reliability == Truncated && u.Full {
 		t.noteHeld(src, "cut short")
 		u.Full = false
 	}
--- a/internal/statemachine/command.go
+++ b/internal/statemachine/command.go
@@ -14,13 +14,13 @@
 	N      uint64
 }
 
-// Condition must hold for a command to be applied. One of Key, Duty and Lapsed is set.
+// Condition must hold for a command to be applied. One of Key, Duty and ExpiredPresence is set.
 type Condition struct {
-	Key      string `json:",omitempty"` // the key must be at Revision; 0 for a key without a value
-	Revision uint64 `json:",omitempty"`
-	Duty     string `json:",omitempty"` // the duty must be held under the fencing token Token
-	Token    uint64 `json:",omitempty"`
-	Lapsed   string `json:",omitempty"` // the presence of this coordinator must have expired by the leader's clock
+	Key             string `json:",omitempty"` // the key must be at Revision; 0 for a key without a value
+	Revision        uint64 `json:",omitempty"`
+	Duty            string `json:",omitempty"` // the duty must be held under the fencing token Token
+	Token           uint64 `json:",omitempty"`
+	ExpiredPresence string `json:"Lapsed,omitempty"` // the presence of this coordinator must have expired by the leader's clock
 }
 
 // Pair is a key and its new value; nil removes the key.
@@ -31,12 +31,13 @@
 
 // LeaseOp is an operation on the lease of a duty, or of a coordinator's presence.
 type LeaseOp struct {
-	Kind     LeaseOpKind `json:"What"`
-	Duty     string
-	Presence bool   // Duty is a coordinator's name, and the lease its presence
-	Who      string // the coordinator that sends the operation
-	Term     uint64 `json:",omitempty"` // for Renew and Resign: term of the lease
-	// KnownVersion, for Campaign and Renew, is the version of the lease that Who knows; lease.AnyVersion in the log's first format.
+	Kind        LeaseOpKind `json:"What"`
+	Duty        string
+	Presence    bool   // Duty is a coordinator's name, and the lease its presence
+	Coordinator string `json:"Who"`        // the coordinator that sends the operation
+	Term        uint64 `json:",omitempty"` // for Renew and Resign: term of the lease
+	// KnownVersion, for Campaign and Renew, is the version of the lease that Coordinator knows; lease.AnyVersion in the log's first
+	// format.
 	KnownVersion uint64        `json:"Heard,omitempty"`
 	Length       time.Duration `json:",omitempty"` // for Campaign: length of the lease, by the leader's clock
 }
@@ -55,9 +56,9 @@
 // Command is one entry of the log.
 type Command struct {
 	ID         ID            `json:",omitzero"`
-	At         time.Duration // the stamp: the leader's clock when it received the command
+	LeaderTime time.Duration `json:"At"`      // the stamp: the leader's clock when it received the command
 	LeaderTerm uint64        `json:"LedTerm"` // the stamp: the leader's term when it received the command
-	If         []Condition   `json:",omitempty"`
+	Conditions []Condition   `json:"If,omitempty"`
 	Lease      *LeaseOp      `json:",omitempty"`
 	Put        []Pair        `json:",omitempty"`
 
@@ -79,7 +80,7 @@
 	return nil
 }
 
-// The values of Result.Failed: why a command is not applied. They are stored and sent.
+// The values of Result.Cause: why a command is not applied. They are stored and sent.
 const (
 	StaleStamp   = "stamp"    // the leader changed in between; the command is sent again
 	Conflict     = "conflict" // a condition does not hold
@@ -93,8 +94,8 @@
 // Result is the result of a command.
 type Result struct {
 	Index  uint64 // index in the log; all entries before it were applied
-	Failed string `json:",omitempty"` // why it was not applied, one of the constants; empty for a command that was applied
-	Why    string `json:",omitempty"` // the details of Failed, for a reader
+	Cause  string `json:"Failed,omitempty"` // why it was not applied, one of the constants; empty for a command that was applied
+	Detail string `json:"Why,omitempty"`    // the details of Cause, for a reader
 	Grant  lease.Grant
 }
 
@@ -103,8 +104,8 @@
 
 // Err returns an error that wraps ErrNotDone, or nil for a command that was applied.
 func (r Result) Err() error {
-	if r.Failed == "" {
+	if r.Cause == "" {
 		return nil
 	}
-	return fmt.Errorf("%w: %s: %s", ErrNotDone, r.Failed, r.Why)
+	return fmt.Errorf("%w: %s: %s", ErrNotDone, r.Cause, r.Detail)
 }
--- a/internal/statemachine/statemachine.go
+++ b/internal/statemachine/statemachine.go
@@ -7,7 +7,7 @@
 //	earlier command   a number that its writer has used before: returns the first result and changes nothing
 //	stamp             the leader's term in it must be the term it was logged in; otherwise rejected, and the writer sends it again
 //	new term          all leases start again at the first stamp of a new leader, since its clock is not that of the previous one
-//	If                every condition must hold, otherwise rejected
+//	Conditions        every condition must hold, otherwise rejected
 //	Lease             granted, renewed, revoked or forgotten, otherwise rejected; a sender that does not know the last grant gets it
 //	Put               sets each value, with the index of the command as its revision; nil removes the key
 //
@@ -80,8 +80,8 @@
 // Duties returns the grants of duties, ordered by name.
 func (s *State) Duties() []lease.Grant { return s.duties.Grants() }
 
-// Present returns all presences that were granted and not forgotten, expired ones included, with their ends by the leader's clock.
-func (s *State) Present() []lease.Record { return s.presence.Snapshot() }
+// Presences returns all presences that were granted and not forgotten, expired ones included, with their ends by the leader's clock.
+func (s *State) Presences() []lease.Record { return s.presence.Snapshot() }
 
 // Apply applies the command that is logged at an index in a term, and returns its result and the keys that changed.
 func (s *State) Apply(index, term uint64, c *Command) (r Result, changed []string) {
@@ -96,17 +96,17 @@
 			return earlier, nil
 		}
 		if c.ID.N+resultWindow <= session.HighestN {
-			return Result{Index: index, Failed: Expired, Why: fmt.Sprintf("number %d of writer %s is long past", c.ID.N, c.ID.Writer)}, nil
+			return Result{Index: index, Cause: Expired, Detail: fmt.Sprintf("number %d of writer %s is long past", c.ID.N, c.ID.Writer)}, nil
 		}
 	}
 	if c.LeaderTerm != term {
 		// The result is not recorded: the writer sends the command again under the same number.
-		return Result{Index: index, Failed: StaleStamp, Why: "the leader changed meanwhile"}, nil
+		return Result{Index: index, Cause: StaleStamp, Detail: "the leader changed meanwhile"}, nil
 	}
 	if s.term != term {
 		s.term = term
-		s.duties.Promote(c.At)
-		s.presence.Promote(c.At)
+		s.duties.Promote(c.LeaderTime)
+		s.presence.Promote(c.LeaderTime)
 	}
 	r, changed = s.execute(index, c)
 	if session != nil {
@@ -152,18 +152,18 @@
 // execute applies a command that was not applied before.
 func (s *State) execute(index uint64, c *Command) (r Result, changed []string) {
 	r.Index = index
-	for _, condition := range c.If {
-		if reason := s.violation(c.At, condition); reason != "" {
-			r.Failed, r.Why = Conflict, reason
+	for _, condition := range c.Conditions {
+		if reason := s.violation(c.LeaderTime, condition); reason != "" {
+			r.Cause, r.Detail = Conflict, reason
 			return r, nil
 		}
 	}
 	if len(s.values)+s.newKeys(c.Put) > MaxKeys {
-		r.Failed, r.Why = Full, fmt.Sprintf("%d keys are kept, the most there may be", len(s.values))
+		r.Cause, r.Detail = Full, fmt.Sprintf("%d keys are kept, the most there may be", len(s.values))
 		return r, nil
 	}
 	if c.Lease != nil {
-		if r = s.executeLeaseOp(r, c.At, c.Lease); r.Failed != "" {
+		if r = s.executeLeaseOp(r, c.LeaderTime, c.Lease); r.Cause != "" {
 			return r, nil
 		}
 	}
@@ -193,8 +193,8 @@
 	switch {
 	case c.Duty != "" && !s.duties.Holds(c.Duty, c.Token):
 		return fmt.Sprintf("duty %q is not held under token %d any more", c.Duty, c.Token)
-	case c.Lapsed != "" && !s.presence.Expired(now, c.Lapsed):
-		return fmt.Sprintf("coordinator %q is still present", c.Lapsed)
+	case c.ExpiredPresence != "" && !s.presence.Expired(now, c.ExpiredPresence):
+		return fmt.Sprintf("coordinator %q is still present", c.ExpiredPresence)
 	case c.Key != "" && s.values[c.Key].Revision != c.Revision:
 		return fmt.Sprintf("%q is at revision %d, not %d", c.Key, s.values[c.Key].Revision, c.Revision)
 	}
@@ -210,11 +210,11 @@
 	var err error
 	switch op.Kind {
 	case Campaign:
-		r.Grant, err = lessor.Grant(now, op.Duty, op.Who, op.Length, op.KnownVersion)
+		r.Grant, err = lessor.Grant(now, op.Duty, op.Coordinator, op.Length, op.KnownVersion)
 	case Renew:
-		r.Grant, err = lessor.Renew(now, op.Duty, op.Who, op.Term, op.KnownVersion)
+		r.Grant, err = lessor.Renew(now, op.Duty, op.Coordinator, op.Term, op.KnownVersion)
 	case Resign:
-		err = lessor.Revoke(op.Duty, op.Who, op.Term)
+		err = lessor.Revoke(op.Duty, op.Coordinator, op.Term)
 	case Forget:
 		if !lessor.Expired(now, op.Duty) {
 			err = fmt.Errorf("%w: it is present", lease.ErrHeld)
@@ -223,12 +223,12 @@
 		}
 	}
 	if err != nil {
-		r.Failed, r.Why = HeldByOther, err.Error()
+		r.Cause, r.Detail = HeldByOther, err.Error()
 		switch {
 		case errors.Is(err, lease.ErrTermOver):
-			r.Failed = TermOver
+			r.Cause = TermOver
 		case errors.Is(err, lease.ErrStaleVersion):
-			r.Failed = StaleVersion
+			r.Cause = StaleVersion
 		}
 	}
 	return r
--- a/internal/statemachine/statemachine_test.go
+++ b/internal/statemachine/statemachine_test.go
@@ -27,16 +27,16 @@
 		{"put", 9, 1, Command{LeaderTerm: 1, Put: put("a", "2")}, "", "2"},
 		{"already applied", 9, 1, Command{ID: ID{"w", 1}, LeaderTerm: 1, Put: put("a", "2")}, "", "1"},
 		{"stamp of another term", 9, 2, Command{LeaderTerm: 1, Put: put("a", "2")}, StaleStamp, "1"},
-		{"expected revision", 9, 1, Command{LeaderTerm: 1, If: []Condition{{Key: "a", Revision: 1}}, Put: put("a", "2")}, "", "2"},
-		{"another revision", 9, 1, Command{LeaderTerm: 1, If: []Condition{{Key: "a", Revision: 2}}, Put: put("a", "2")}, Conflict, "1"},
-		{"expected no value", 9, 1, Command{LeaderTerm: 1, If: []Condition{{Key: "a"}}, Put: put("a", "2")}, Conflict, "1"},
-		{"current token of the duty", 9, 1, Command{LeaderTerm: 1, If: []Condition{{Duty: "d", Token: 1}}, Put: put("a", "2")}, "", "2"},
-		{"old token of the duty", 9, 1, Command{LeaderTerm: 1, If: []Condition{{Duty: "d", Token: 0}}, Put: put("a", "2")}, Conflict, "1"},
-		{"presence not yet expired", 9, 1, Command{LeaderTerm: 1, At: 4*s - 1, If: []Condition{{Lapsed: "n0"}}, Put: put("a", "2")}, Conflict, "1"},
-		{"presence expired", 9, 1, Command{LeaderTerm: 1, At: 4 * s, If: []Condition{{Lapsed: "n0"}}, Put: put("a", "2")}, "", "2"},
-		{"a new leader extends the presence from its first stamp", 9, 2, Command{LeaderTerm: 2, At: 900 * s, If: []Condition{{Lapsed: "n0"}}, Put: put("a", "2")}, Conflict, "1"},
-		{"no put if another holds the lease", 9, 1, Command{LeaderTerm: 1, Lease: &LeaseOp{Kind: Campaign, Duty: "d", Who: "n1"}, Put: put("a", "2")}, HeldByOther, "1"},
-		{"renewal of a past term", 9, 1, Command{LeaderTerm: 1, Lease: &LeaseOp{Kind: Renew, Duty: "d", Who: "n0", Term: 7}, Put: put("a", "2")}, TermOver, "1"},
+		{"expected revision", 9, 1, Command{LeaderTerm: 1, Conditions: []Condition{{Key: "a", Revision: 1}}, Put: put("a", "2")}, "", "2"},
+		{"another revision", 9, 1, Command{LeaderTerm: 1, Conditions: []Condition{{Key: "a", Revision: 2}}, Put: put("a", "2")}, Conflict, "1"},
+		{"expected no value", 9, 1, Command{LeaderTerm: 1, Conditions: []Condition{{Key: "a"}}, Put: put("a", "2")}, Conflict, "1"},
+		{"current token of the duty", 9, 1, Command{LeaderTerm: 1, Conditions: []Condition{{Duty: "d", Token: 1}}, Put: put("a", "2")}, "", "2"},
+		{"old token of the duty", 9, 1, Command{LeaderTerm: 1, Conditions: []Condition{{Duty: "d", Token: 0}}, Put: put("a", "2")}, Conflict, "1"},
+		{"presence not yet expired", 9, 1, Command{LeaderTerm: 1, LeaderTime: 4*s - 1, Conditions: []Condition{{ExpiredPresence: "n0"}}, Put: put("a", "2")}, Conflict, "1"},
+		{"presence expired", 9, 1, Command{LeaderTerm: 1, LeaderTime: 4 * s, Conditions: []Condition{{ExpiredPresence: "n0"}}, Put: put("a", "2")}, "", "2"},
+		{"a new leader extends the presence from its first stamp", 9, 2, Command{LeaderTerm: 2, LeaderTime: 900 * s, Conditions: []Condition{{ExpiredPresence: "n0"}}, Put: put("a", "2")}, Conflict, "1"},
+		{"no put if another holds the lease", 9, 1, Command{LeaderTerm: 1, Lease: &LeaseOp{Kind: Campaign, Duty: "d", Coordinator: "n1"}, Put: put("a", "2")}, HeldByOther, "1"},
+		{"renewal of a past term", 9, 1, Command{LeaderTerm: 1, Lease: &LeaseOp{Kind: Renew, Duty: "d", Coordinator: "n0", Term: 7}, Put: put("a", "2")}, TermOver, "1"},
 		{"a presence that has not expired is not forgotten", 9, 1, Command{LeaderTerm: 1, Lease: &LeaseOp{Kind: Forget, Presence: true, Duty: "n0"}, Put: put("a", "2")}, HeldByOther, "1"},
 		{"removed", 9, 1, Command{LeaderTerm: 1, Put: []Pair{{"a", nil}}}, "", ""},
 		{"first format", 9, 5, Command{Key: "a", Value: []byte("2")}, "", "2"},
@@ -44,17 +44,17 @@
 		st := New()
 		for i, first := range []Command{
 			{ID: ID{"w", 1}, LeaderTerm: 1, Put: put("a", "1")},
-			{LeaderTerm: 1, Lease: &LeaseOp{Kind: Campaign, Duty: "d", Who: "n0", Length: 10 * s}},
-			{LeaderTerm: 1, Lease: &LeaseOp{Kind: Campaign, Duty: "n0", Presence: true, Who: "n0", Length: 4 * s}},
+			{LeaderTerm: 1, Lease: &LeaseOp{Kind: Campaign, Duty: "d", Coordinator: "n0", Length: 10 * s}},
+			{LeaderTerm: 1, Lease: &LeaseOp{Kind: Campaign, Duty: "n0", Presence: true, Coordinator: "n0", Length: 4 * s}},
 		} {
-			if r, _ := st.Apply(uint64(i+1), 1, &first); r.Failed != "" {
+			if r, _ := st.Apply(uint64(i+1), 1, &first); r.Cause != "" {
 				t.Fatal(r.Err())
 			}
 		}
 		r, _ := st.Apply(c.index, c.term, &c.cmd)
 		e, _ := st.Get("a")
-		if r.Failed != c.failed || string(e.Value) != c.value {
-			t.Errorf("%s: %q (%s), a is %q; want %q and %q", c.name, r.Failed, r.Why, e.Value, c.failed, c.value)
+		if r.Cause != c.failed || string(e.Value) != c.value {
+			t.Errorf("%s: %q (%s), a is %q; want %q and %q", c.name, r.Cause, r.Detail, e.Value, c.failed, c.value)
 		}
 	}
 }
@@ -66,7 +66,7 @@
 	for i := uint64(1); i <= 200; i++ {
 		st.Apply(i, 1, &Command{ID: ID{"w", i}, LeaderTerm: 1, Put: put("a", fmt.Sprint(i))})
 	}
-	if r, _ := st.Apply(201, 1, &Command{ID: ID{"w", 1}, LeaderTerm: 1, Put: put("a", "again")}); r.Failed != Expired {
+	if r, _ := st.Apply(201, 1, &Command{ID: ID{"w", 1}, LeaderTerm: 1, Put: put("a", "again")}); r.Cause != Expired {
 		t.Errorf("a number outside the window: %+v", r)
 	}
 	for i := range uint64(2 * MaxWriters) {
@@ -99,15 +99,15 @@
 			if len(issued) > 0 && rapid.IntRange(0, 4).Draw(t, "again") == 0 {
 				c = issued[rapid.IntRange(0, len(issued)-1).Draw(t, "which")]
 			} else {
-				c = Command{ID: ID{name("w", 2), uint64(i + 1)}, At: clock, LeaderTerm: term}
+				c = Command{ID: ID{name("w", 2), uint64(i + 1)}, LeaderTime: clock, LeaderTerm: term}
 				switch rapid.IntRange(0, 2).Draw(t, "kind") {
 				case 0:
 					c.Put = put(name("k", 3), fmt.Sprint(i))
-					c.If = []Condition{{Key: c.Put[0].Key, Revision: a.values[c.Put[0].Key].Revision}, {Lapsed: name("n", 2)}}[:rapid.IntRange(0, 2).Draw(t, "conds")]
+					c.Conditions = []Condition{{Key: c.Put[0].Key, Revision: a.values[c.Put[0].Key].Revision}, {ExpiredPresence: name("n", 2)}}[:rapid.IntRange(0, 2).Draw(t, "conds")]
 				case 1:
-					c.Lease = &LeaseOp{Kind: Campaign, Duty: name("d", 1), Who: name("n", 2), Presence: rapid.Bool().Draw(t, "presence"), Length: 4 * s}
+					c.Lease = &LeaseOp{Kind: Campaign, Duty: name("d", 1), Coordinator: name("n", 2), Presence: rapid.Bool().Draw(t, "presence"), Length: 4 * s}
 				case 2:
-					c.Lease = &LeaseOp{Kind: Renew, Duty: name("d", 1), Who: name("n", 2), Term: uint64(rapid.IntRange(1, 3).Draw(t, "term"))}
+					c.Lease = &LeaseOp{Kind: Renew, Duty: name("d", 1), Coordinator: name("n", 2), Term: uint64(rapid.IntRange(1, 3).Draw(t, "term"))}
 				}
 				issued = append(issued, c)
 			}
@@ -154,7 +154,7 @@
 		b.Run(fmt.Sprint(keys), func(b *testing.B) {
 			st := New()
 			for i := range b.N {
-				c := Command{ID: ID{fmt.Sprint("w", i%8), uint64(i)}, LeaderTerm: 1, If: []Condition{{Lapsed: "n9"}}, Put: put(fmt.Sprint("k", i%keys), "value")}
+				c := Command{ID: ID{fmt.Sprint("w", i%8), uint64(i)}, LeaderTerm: 1, Conditions: []Condition{{ExpiredPresence: "n9"}}, Put: put(fmt.Sprint("k", i%keys), "value")}
 				st.Apply(uint64(i+1), 1, &c)
 			}
 		})
--- a/internal/store/commands.go
+++ b/internal/store/commands.go
@@ -26,7 +26,7 @@
 	var lastErr error
 	for {
 		r, err := s.sendToLeader(ctx, call{Command: &c})
-		if err == nil && r.Failed != statemachine.StaleStamp {
+		if err == nil && r.Cause != statemachine.StaleStamp {
 			return r, nil
 		}
 		if err != nil {
@@ -102,7 +102,7 @@
 	if s.raft.State() != raft.Leader || s.raft.CurrentTerm() != term {
 		return r, errNoLeader
 	}
-	c.At, c.LeaderTerm = s.clock.now(), term
+	c.LeaderTime, c.LeaderTerm = s.clock.now(), term
 	data, err := json.Marshal(c)
 	if err != nil {
 		return r, err
--- a/internal/store/lease.go
+++ b/internal/store/lease.go
@@ -14,14 +14,14 @@
 // state. By its own clock the holder stops acting before the lease can be granted to another, so no two coordinators perform a
 // duty at the same time.
 type Lease struct {
-	Store    *Store
-	Duty     string
-	Presence bool                       // the lease is the coordinator's presence, and Duty its name
-	Who      string                     // name of this coordinator
-	Config   lease.Config               // length of the lease, bound on clocks
-	Put      func() []statemachine.Pair // values written with each campaign; may be nil
-	Granted  func(until time.Time)      // called with the end of each grant, renewals included; may be nil
-	Log      *slog.Logger
+	Store       *Store
+	Duty        string
+	Presence    bool                       // the lease is the coordinator's presence, and Duty its name
+	Coordinator string                     // name of this coordinator
+	Config      lease.Config               // length of the lease, bound on clocks
+	Put         func() []statemachine.Pair // values written with each campaign; may be nil
+	Granted     func(until time.Time)      // called with the end of each grant, renewals included; may be nil
+	Log         *slog.Logger
 
 	// mu guards the fields below.
 	mu         sync.Mutex
@@ -58,7 +58,7 @@
 
 // request sends one request and passes its result to the holder.
 func (l *Lease) request(ctx context.Context, req lease.Request, sent time.Duration) {
-	c := statemachine.Command{Lease: &statemachine.LeaseOp{Kind: statemachine.Campaign, Duty: l.Duty, Presence: l.Presence, Who: l.Who, Term: req.Term, KnownVersion: req.Version,
+	c := statemachine.Command{Lease: &statemachine.LeaseOp{Kind: statemachine.Campaign, Duty: l.Duty, Presence: l.Presence, Coordinator: l.Coordinator, Term: req.Term, KnownVersion: req.Version,
 		Length: l.Config.Length}}
 	if req.Kind == lease.Renew {
 		c.Lease.Kind = statemachine.Renew
@@ -69,7 +69,7 @@
 	ctx, cancel := context.WithDeadline(ctx, time.Now().Add(l.Config.Acting()/3))
 	defer cancel()
 	r, err := l.Store.Do(ctx, c)
-	if err == nil && (r.Failed == "" || r.Failed == statemachine.StaleVersion) {
+	if err == nil && (r.Cause == "" || r.Cause == statemachine.StaleVersion) {
 		// A holder acts on a grant only once this member has applied the log up to it.
 		err = l.Store.Wait(ctx, r.Index)
 	}
@@ -77,15 +77,15 @@
 	switch {
 	case err != nil:
 		l.holder.Unanswered(l.now(), req.Number)
-	case r.Failed == statemachine.StaleVersion:
+	case r.Cause == statemachine.StaleVersion:
 		l.holder.VersionStale(l.now(), req.Number, r.Grant.Version)
-	case r.Failed != "":
+	case r.Cause != "":
 		l.holder.Denied(l.now(), req.Number, r.Grant.Version)
 	default:
 		l.holder.Granted(l.now(), req.Number, r.Grant)
 	}
 	l.mu.Unlock()
-	if err == nil && r.Failed == "" && l.Granted != nil {
+	if err == nil && r.Cause == "" && l.Granted != nil {
 		l.Granted(l.Store.clock.timeAt(sent + l.Config.Acting()))
 	}
 	l.logChange()
@@ -109,12 +109,12 @@
 
 // MayAct reports whether the duty may be acted on now, and returns the fencing token.
 func (l *Lease) MayAct() (token uint64, ok bool) {
-	token, _, ok = l.Claim()
+	token, _, ok = l.MayActAt()
 	return token, ok
 }
 
-// Claim is like MayAct, and also returns the time at which the answer was determined.
-func (l *Lease) Claim() (token uint64, at time.Time, ok bool) {
+// MayActAt is like MayAct, and also returns the time at which the answer was determined.
+func (l *Lease) MayActAt() (token uint64, at time.Time, ok bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := l.now()
@@ -137,7 +137,7 @@
 	if !held {
 		return nil
 	}
-	r, err := l.Store.Do(ctx, statemachine.Command{Lease: &statemachine.LeaseOp{Kind: statemachine.Resign, Duty: l.Duty, Presence: l.Presence, Who: l.Who, Term: g.Term}})
+	r, err := l.Store.Do(ctx, statemachine.Command{Lease: &statemachine.LeaseOp{Kind: statemachine.Resign, Duty: l.Duty, Presence: l.Presence, Coordinator: l.Coordinator, Term: g.Term}})
 	if err != nil {
 		return err
 	}
--- a/internal/store/members.go
+++ b/internal/store/members.go
@@ -22,7 +22,7 @@
 // MemberChange is an operator's request to change the members: What is its kind, Addr the address of a new learner.
 type MemberChange struct{ What, Name, Addr string }
 
-// invalidMemberChange is the value of Result.Failed for an invalid change, which is not retried.
+// invalidMemberChange is the value of Result.Cause for an invalid change, which is not retried.
 const invalidMemberChange = "member"
 
 // Change has the leader change the members, and retries until ctx ends. An error that does not wrap ctx's error says why the change
@@ -42,10 +42,10 @@
 	for maybeDone := false; ; {
 		r, err := s.sendToLeader(ctx, call{Member: &c})
 		switch {
-		case err == nil && r.Failed == "", err == nil && maybeDone && s.isMemberChangeDone(c):
+		case err == nil && r.Cause == "", err == nil && maybeDone && s.isMemberChangeDone(c):
 			return nil
 		case err == nil:
-			return errors.New(r.Why)
+			return errors.New(r.Detail)
 		}
 		maybeDone = maybeDone || !errors.Is(err, errNoLeader) // errNoLeader: the call had no effect
 		if ended := s.waitRetry(ctx); ended != nil {
@@ -82,7 +82,7 @@
 // changeMember makes a change on the leader. It rejects the removal of the last voter: the store could then elect no leader.
 func (s *Store) changeMember(ctx context.Context, c MemberChange, deadline time.Time) (statemachine.Result, error) {
 	reject := func(format string, args ...any) (statemachine.Result, error) {
-		return statemachine.Result{Failed: invalidMemberChange, Why: fmt.Sprintf(format, args...)}, nil
+		return statemachine.Result{Cause: invalidMemberChange, Detail: fmt.Sprintf(format, args...)}, nil
 	}
 	if s.raft.State() != raft.Leader {
 		return statemachine.Result{}, errNoLeader
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -111,7 +111,7 @@
 		return nil, fmt.Errorf("store: %w", err)
 	}
 	if s.disk != nil {
-		s.disk.snapshotRate = s.snapshotRate(cfg.Pace())
+		s.disk.snapshotRate = s.snapshotRate(cfg.CatchUpRate())
 		s.disk.raftRunning.Store(true)
 	}
 	if s.transport != nil {
@@ -195,7 +195,7 @@
 	// the timeout of a snapshot in proportion to its size, so that it may take twice as long as at its rate limit.
 	timeout := 2 * conf.HeartbeatTimeout
 	network := raft.NewNetworkTransportWithConfig(&raft.NetworkTransportConfig{Stream: s.transport, MaxPool: 2, Timeout: timeout, Logger: conf.Logger})
-	network.TimeoutScale = max(1, int(cfg.Pace()*timeout.Seconds()/2))
+	network.TimeoutScale = max(1, int(cfg.CatchUpRate()*timeout.Seconds()/2))
 	return &retryingTransport{network, s.isLeaderOf, s.closed}, initialServers(cfg), nil
 }
 
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -234,11 +234,11 @@
 					s.View(func(st *statemachine.State) { e, _ = st.Get("sum") })
 					sum := 0
 					fmt.Sscan(string(e.Value), &sum)
-					r, err := s.Do(one, statemachine.Command{If: []statemachine.Condition{{Key: "sum", Revision: e.Revision}}, Put: []statemachine.Pair{{Key: "sum", Value: fmt.Append(nil, sum+1)}}})
+					r, err := s.Do(one, statemachine.Command{Conditions: []statemachine.Condition{{Key: "sum", Revision: e.Revision}}, Put: []statemachine.Pair{{Key: "sum", Value: fmt.Append(nil, sum+1)}}})
 					switch {
 					case err != nil:
 						unknown.Add(1)
-					case r.Failed == "":
+					case r.Cause == "":
 						done.Add(1)
 						n++
 					}
--- a/internal/swim/fleet_test.go
+++ b/internal/swim/fleet_test.go
@@ -32,7 +32,7 @@
 	t.Helper()
 	from := f.Now()
 	for f.Now() < from+within {
-		if f.Agreed() {
+		if f.Converged() {
 			return
 		}
 		f.Run(f.Now() + 100*time.Millisecond)
@@ -108,11 +108,11 @@
 				f.Pause(19, maxPause)
 				f.Run(f.Now() + maxPause - 100*time.Millisecond)
 				for i := range who {
-					f.Jump(i, by)
+					f.ShiftClock(i, by)
 				}
 				f.Run(f.Now() + 30*time.Second)
-				if f.FalseDead > 0 || !f.Agreed() {
-					t.Fatalf("seed %d: %d false deaths by %d clocks that jump by %v; agreed %v", seed, f.FalseDead, who, by, f.Agreed())
+				if f.FalseDead > 0 || !f.Converged() {
+					t.Fatalf("seed %d: %d false deaths by %d clocks that jump by %v; agreed %v", seed, f.FalseDead, who, by, f.Converged())
 				}
 			}
 		}
@@ -122,10 +122,10 @@
 // No member is declared dead when a fifth of all packets are lost, a tenth are duplicated, and packets are reordered.
 func TestPacketLossCausesNoFalseDeaths(t *testing.T) {
 	for seed := range uint64(4) {
-		f := newFleet(t, swimsim.Config{Members: 16, Seed: seed, Loss: 0.2, Twice: 0.1, Jitter: 100 * time.Millisecond})
+		f := newFleet(t, swimsim.Config{Members: 16, Seed: seed, Loss: 0.2, Duplication: 0.1, Jitter: 100 * time.Millisecond})
 		f.Run(5 * time.Minute)
-		if f.FalseDead > 0 || !f.Agreed() {
-			t.Errorf("seed %d: %d false deaths; agreed %v", seed, f.FalseDead, f.Agreed())
+		if f.FalseDead > 0 || !f.Converged() {
+			t.Errorf("seed %d: %d false deaths; agreed %v", seed, f.FalseDead, f.Converged())
 		}
 	}
 }
@@ -180,7 +180,7 @@
 			}
 		}
 		for i := range 8 {
-			f.Excuse(i, true)
+			f.ExcludeFromFalseDead(i, true)
 		}
 		split(true)
 		f.Run(f.Now() + 90*time.Second)
@@ -243,7 +243,7 @@
 func TestViewsConvergeAfterRandomFaults(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		n := rapid.IntRange(2, 9).Draw(r, "members")
-		f := newFleet(t, swimsim.Config{Members: n, Seed: rapid.Uint64().Draw(r, "seed"), Twice: 0.05})
+		f := newFleet(t, swimsim.Config{Members: n, Seed: rapid.Uint64().Draw(r, "seed"), Duplication: 0.05})
 		lastIncarnation := map[string]uint64{}
 		down, process := map[int]bool{}, uint64(1)
 		for range rapid.IntRange(1, 12).Draw(r, "faults") {
@@ -265,7 +265,7 @@
 			case 3:
 				f.Cut(i, j, rapid.Bool().Draw(r, "cut"))
 			case 4:
-				f.Lose(rapid.Float64Range(0, 0.4).Draw(r, "loss"))
+				f.SetLoss(rapid.Float64Range(0, 0.4).Draw(r, "loss"))
 			}
 			f.Run(f.Now() + time.Duration(rapid.IntRange(0, 20_000).Draw(r, "pass_ms"))*time.Millisecond)
 			for k := range n {
@@ -281,7 +281,7 @@
 				}
 			}
 		}
-		f.Lose(0)
+		f.SetLoss(0)
 		for i := range n {
 			for j := range n {
 				f.Cut(i, j, false)
@@ -294,7 +294,7 @@
 			}
 		}
 		f.Run(f.Now() + 31*time.Second) // the longest pause
-		for from := f.Now(); !f.Agreed(); f.Run(f.Now() + time.Second) {
+		for from := f.Now(); !f.Converged(); f.Run(f.Now() + time.Second) {
 			if f.Now() > from+2*time.Minute {
 				r.Fatalf("views still differ two minutes after all faults ended")
 			}
