--- a/cmd/gullfall-lab/dnssd.go
+++ b/cmd/gullfall-lab/dnssd.go
@@ -74,8 +74,8 @@
 	BaselineMedian  float64 `json:"baseline_median_ms"`
 }
 
-// pollingBaseline polls the list of instances at half of their time to live, 30 s at most, and records how long after a removal it notices
-// that.
+// pollingBaseline polls the list of instances at half of their time to live, 30 s at most, and records how long it takes to notice each
+// removal.
 type pollingBaseline struct {
 	mu      sync.Mutex
 	removed map[string]time.Time // by label, while the record is removed
--- a/cmd/gullfall-lab/duties.go
+++ b/cmd/gullfall-lab/duties.go
@@ -35,9 +35,9 @@
 	Accepted            int            `json:"accepted"` // writes
 	Refused             int            `json:"refused"`  // writes with an outdated token
 	Handovers           int            `json:"handovers"`
-	DoubleHolders       int            `json:"double_holders"`        // pairs that held a duty at once, or the same token
+	DoubleHolders       int            `json:"double_holders"`        // pairs of holders of a duty at the same time, or under the same token
 	StaleWritesAccepted int            `json:"stale_writes_accepted"` // writes accepted after one with a higher token
-	BoundMS             float64        `json:"bound_ms"`              // of a gap without loss of quorum and further elections
+	BoundMS             float64        `json:"bound_ms"`              // longest gap allowed if the quorum is kept and no further election begins
 	WorstGapMS          float64        `json:"worst_gap_ms"`          // longest time without a known holder
 	P50GapMS            float64        `json:"p50_gap_ms"`
 	OverBound           int            `json:"gaps_over_bound"`       // gaps longer than allowed
--- a/cmd/gullfall-lab/explore.go
+++ b/cmd/gullfall-lab/explore.go
@@ -1,7 +1,7 @@
 package main
 
 // `gullfall-lab explore`: an exhaustive search of the states of a small fleet under maintenance. With --bugs it seeds known bugs
-// into the rules and checks that the search finds each.
+// into the model and checks that the search finds each.
 
 import (
 	"fmt"
--- a/cmd/gullfall-lab/fleet.go
+++ b/cmd/gullfall-lab/fleet.go
@@ -53,7 +53,7 @@
 	return writeJSON(f.JSON, r)
 }
 
-// plotSeconds plots the number of failed queries in each second, a line for each way of failing.
+// plotSeconds plots the number of failed queries in each second, with one line for each kind of failure.
 func plotSeconds(path string, countsByWay map[string]map[int]int) error {
 	pic := plot.New()
 	pic.Title.Text, pic.X.Label.Text, pic.Y.Label.Text = "queries that ended badly", "second of the day", "queries"
--- a/cmd/gullfall-lab/flight.go
+++ b/cmd/gullfall-lab/flight.go
@@ -15,7 +15,7 @@
 )
 
 // flightCmd runs the Arrow Flight conformance suite against a coordinator and measures throughput by protocol and number of clients,
-// slow readers, and large answers by compression.
+// the effect of slow readers, and the streaming of large answers by compression.
 type flightCmd struct {
 	Addr   string        `help:"Run only the cases, against this address; without it, a coordinator is started."`
 	Class  string        `default:"report" help:"With --addr: the class of the queries."`
--- a/cmd/gullfall-lab/flight_askers.go
+++ b/cmd/gullfall-lab/flight_askers.go
@@ -20,7 +20,7 @@
 	"gullfall/internal/lab/flightsuite"
 )
 
-// refusal is the error of a query that was rejected with a delay before the next attempt.
+// refusal is the error of a query that the server rejected, with the delay after which it may be sent again.
 type refusal struct{ after time.Duration }
 
 func (r refusal) Error() string { return "refused" }
@@ -45,7 +45,7 @@
 // maxFlightConnections is the maximum number of Arrow Flight connections; clients beyond it share them.
 const maxFlightConnections = 16
 
-// newQueryClient connects to a fleet's coordinator for a number of clients. The ways are platform, DoGet and DoExchange.
+// newQueryClient connects to a fleet's coordinator for a number of clients. The way is the protocol: platform, DoGet or DoExchange.
 func newQueryClient(ctx context.Context, f *fleet.Fleet, way string, clients int) (queryClient, error) {
 	switch way {
 	case "platform":
--- a/cmd/gullfall-lab/flight_figures.go
+++ b/cmd/gullfall-lab/flight_figures.go
@@ -20,7 +20,7 @@
 	PerS    float64 `json:"queries_per_s"`
 	P50     float64 `json:"p50_ms"`
 	P99     float64 `json:"p99_ms"`
-	Refused int64   `json:"refused"` // with a delay, which the client waited before its next query
+	Refused int64   `json:"refused"` // rejected with a delay, which the client waits before its next query
 	Failed  int64   `json:"failed"`
 	CPU     float64 `json:"cpu_us_per_query"` // of the coordinator, microseconds
 }
--- a/cmd/gullfall-lab/flight_slow.go
+++ b/cmd/gullfall-lab/flight_slow.go
@@ -17,7 +17,7 @@
 	"gullfall/internal/lab/flightsuite"
 )
 
-// slowReaders is the result of the test with slow readers, and with one normal reader beside them.
+// slowReaders is the result of the measurement with slow readers and one normal reader at the same time.
 type slowReaders struct {
 	Readers          int     `json:"readers"`
 	Refused          int64   `json:"refused"` // rejected before the first message, with a delay for the retry
--- a/internal/lab/explore/decisions.go
+++ b/internal/lab/explore/decisions.go
@@ -21,7 +21,7 @@
 
 const (
 	inTime  timing = iota
-	overdue        // a machine is out, or returning, for longer than the request allows
+	overdue        // a machine has been out, or returning, for longer than the request allows
 )
 
 // orderKey holds everything that the effect of an operator's order depends on; it is the key under which that is cached.
--- a/internal/lab/explore/events.go
+++ b/internal/lab/explore/events.go
@@ -34,7 +34,7 @@
 // event is a possible step of the fleet. Its kind determines which of the other fields are used.
 type event struct {
 	kind    eventKind
-	actor   uint8 // index of a coordinator; for orderGiven, of operatorOrders
+	actor   uint8 // index of a coordinator; for orderGiven, an index into operatorOrders
 	machine uint8 // index of a machine
 }
 
--- a/internal/lab/explore/explore.go
+++ b/internal/lab/explore/explore.go
@@ -26,7 +26,7 @@
 	Orders   uint8 // operators' orders
 	Sends    uint8 // query parts that are sent
 	States   int   // the search stops beyond this number of states
-	// Progress, if set, is called with the number of states so far after each distance from the start is complete.
+	// Progress, if set, is called each time all states at one distance from the start are found, with the number of states so far.
 	Progress func(distance, states int)
 }
 
--- a/internal/lab/fleet/fleet.go
+++ b/internal/lab/fleet/fleet.go
@@ -185,8 +185,8 @@
 	return err
 }
 
-// Settings returns the settings document of the lab's coordinators: two classes, the given numbers of cells, of shards, which two cells
-// each hold, and of coordinators (balancers) that share the fleet.
+// Settings returns the settings document of the lab's coordinators: two classes and the given numbers of cells, of
+// shards (each held by two cells) and of coordinators (balancers) that share the fleet.
 func Settings(cells, shards, balancers int) string {
 	return fmt.Sprintf(`{"TickS":0.005,"Az":"a","Balancers":%d,"Discovery":"automatic",
   "Classes":[{"Name":"lookup","Effect":"safe","AimS":0.5,"HardLimitS":1,"Gain":1},
--- a/internal/lab/fleet/listed_test.go
+++ b/internal/lab/fleet/listed_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// TestCountListed checks that data nodes logged one per line and many in one line are both counted. A count of the first form only made
-// the lab's DNS-SD measurement end with no data node listed when a long list was logged in one line.
+// TestCountListed checks that data nodes logged one per line and many in one line are both counted. When only the first form
+// was counted, the DNS-SD measurement found no data node listed if a long list was logged in one line.
 func TestCountListed(t *testing.T) {
 	const log = `time=2026-12-03T07:00:00Z level=INFO msg="data node listed" node=s-1 source=discovery
 time=2026-12-03T07:00:00Z level=INFO msg="data nodes listed" count=63 source=discovery first=s-2
--- a/internal/lab/fleet/peers.go
+++ b/internal/lab/fleet/peers.go
@@ -71,7 +71,7 @@
 // PeerName returns the name of coordinator i.
 func PeerName(i int) string { return fmt.Sprintf("n%d", i) }
 
-// StartPeers starts the coordinators. The caller stops them if Peers is not nil, also after an error.
+// StartPeers starts the coordinators. The caller stops them if p is not nil, also after an error.
 func StartPeers(ctx context.Context, o PeersOptions) (p *Peers, err error) {
 	p = &Peers{o: o}
 	if p.directory, err = discovery.Start(); err != nil {
