--- a/internal/lab/datanode/ledger.go
+++ b/internal/lab/datanode/ledger.go
@@ -109,7 +109,7 @@
 	delete(l.restartedAt, node)
 }
 
-// Restarted is On for a data node whose process was restarted, so that it is warming up.
+// Restarted records that a data node may get work again because its process was restarted; it is warming up.
 func (l *Ledger) Restarted(node string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/lab/disk/crash.go
+++ b/internal/lab/disk/crash.go
@@ -6,8 +6,8 @@
 	"slices"
 )
 
-// Crash disconnects the disk and returns the disk as found after a restart: with everything that was synced and a random part of what was
-// not. Of appended bytes that were not synced, any number may survive, and some may read as zeros.
+// Crash disconnects the disk and returns a disk with the contents found after a restart: everything that was synced and a random part of
+// the rest. Of appended bytes that were not synced, any number may survive, and some may read as zeros.
 func (d *Disk) Crash(rng *rand.Rand) *Disk {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/lab/disk/disk.go
+++ b/internal/lab/disk/disk.go
@@ -32,7 +32,7 @@
 	free         int64         // free space in bytes; negative for no limit
 	locked       bool
 	syncTime     time.Duration // duration of each sync of a file
-	disconnected bool          // after a crash all operations fail
+	disconnected bool          // set by Crash; all operations fail
 }
 
 // New returns an empty disk with unlimited space.
--- a/internal/lab/fleet/work.go
+++ b/internal/lab/fleet/work.go
@@ -29,10 +29,10 @@
 	WorkTakes = 20 * time.Millisecond
 )
 
-// WorkWarmupBound returns the number of parts that all coordinators together may send to a returning data node in its first second. By the
-// lab's settings a data node is overloaded at FallMultiple (2) times the parts that it can process in a second, one at a time. Its capacity
-// grows from StartCapacity (0.3) to 1 within warm; the mean over the first second counts. To that N, 3*sqrt(N)+3 is added for random
-// variation.
+// WorkWarmupBound returns the number of parts that all coordinators together may send to a returning data node in its first second. In the
+// lab's settings a data node is overloaded by FallMultiple (2) times the parts that it can process in a second, one at a time. While its
+// capacity grows from StartCapacity (0.3) to 1 within warm, the mean capacity of the first second applies. If N parts overload it so, the
+// bound is N + 3*sqrt(N) + 3, which allows for random variation.
 func WorkWarmupBound(warm time.Duration) float64 { return warmupBound(WorkTakes, warm) }
 
 func warmupBound(takes, warm time.Duration) float64 {
@@ -43,9 +43,9 @@
 // MaintenanceOptions configure a MaintenanceFleet.
 type MaintenanceOptions struct {
 	Coordinators, Voters int
-	PerZone              int
+	PerZone              int     // data nodes in each zone
 	Rate                 float64 // queries per second at each coordinator
-	Floor                int
+	Floor                int     // replicas outside work that each shard keeps
 	Share                float64
 	Bound, Lease, Warm   time.Duration
 	Heartbeat            time.Duration
@@ -83,7 +83,7 @@
 	Returns       []int           // for each return of a machine, the parts sent to it in the first second after the return was observed
 	inWork        map[string]bool // machines in work in the latest plan
 	lastMove      uint64          // number of the last move
-	lastProgress  time.Time       // time of the last move, or of the last look without an open request
+	lastProgress  time.Time       // time of the last move, or of the last check that found no open request
 	Stalled       time.Duration   // longest time without a move while a request was open
 	nodeLocks     []sync.Mutex    // by data node; held while it is stopped and started
 }
@@ -94,7 +94,7 @@
 // WorkViolations counts violations of the maintenance rules, and the machines handed over.
 type WorkViolations struct {
 	SentWhileOut        int      // parts sent to a machine between its handover and its return
-	FloorBroken         int      // cases of a shard with fewer replicas outside work than its floor, counted at each look
+	FloorBroken         int      // shards with fewer replicas outside work than their floor, counted again at each check
 	ConflictingMoves    int      // moves that two coordinators logged differently
 	HandedOver          int      // machines handed over for work; no violation
 	RestartedBeforeWork int      // machines that crashed and restarted before the work on them began; no violation
--- a/internal/lab/fleet/work_hands.go
+++ b/internal/lab/fleet/work_hands.go
@@ -10,10 +10,10 @@
 	"gullfall/internal/maintenance"
 )
 
-// maintain plays the maintenance crew until ctx ends: it follows the plan at all coordinators and restarts each machine that is handed
+// maintain simulates the maintenance crew until ctx ends: it follows the plan at all coordinators and restarts each machine that is handed
 // over. The machine runs on for MaintenanceOptions.Work first, so that parts wrongly sent to it are counted.
 func (w *MaintenanceFleet) maintain(ctx context.Context) {
-	begun, returned := map[string]uint64{}, map[string]uint64{} // by machine, the latest turns begun and returned
+	begun, returned := map[string]uint64{}, map[string]uint64{} // by machine: the latest turn in which work began, and in which it returned
 	for ctx.Err() == nil {
 		time.Sleep(20 * time.Millisecond)
 		for i := range w.Coords {
@@ -77,7 +77,8 @@
 		w.nodeLocks[i].Lock()
 		defer w.nodeLocks[i].Unlock()
 		if n.Started.UnixMilli() != started {
-			// It has crashed and restarted since. The restart counts as its return, so it receives parts again and must not be stopped.
+			// The machine has crashed and restarted since its drain. The restart counts as its return, so it receives parts
+			// again and must not be stopped.
 			w.mu.Lock()
 			w.Faults.RestartedBeforeWork++
 			w.mu.Unlock()
@@ -119,7 +120,7 @@
 	w.checkFloors(inWork)
 }
 
-// noteProgress records the machines in work and the time without a move while a request is open.
+// noteProgress records the machines in work and the longest time without a move while a request is open.
 func (w *MaintenanceFleet) noteProgress(plan *maintenance.State, inWork map[string]bool) {
 	open := false
 	for _, r := range plan.Requests {
--- a/internal/lab/fleet/work_test.go
+++ b/internal/lab/fleet/work_test.go
@@ -45,7 +45,7 @@
 		}
 		return here == 5 && len(v.Duties) == 1 && v.Duties[0].Holder != ""
 	})
-	// Two operators at two coordinators, one of whom first asks for a machine of the other's request.
+	// Two operators use different coordinators. The second first requests a machine that is already in the first one's request.
 	first := agent.Request{By: "a", Zone: "a", Takes: 20 * time.Second, Back: 20 * time.Second}
 	p, err := w.RequestMaintenance(ctx, 4, first)
 	must(err)
@@ -112,8 +112,8 @@
 	}
 	until("the fourth request is done", done(fourth.Request))
 
-	// A coordinator that is gone for good is waited for until an operator has it forgotten; then the work goes on without it, and the
-	// store has four members. Forgetting is refused while the coordinator may still send.
+	// Maintenance waits for a coordinator that is gone for good until an operator removes it with Forget. Then the work continues, and
+	// the store has four members. Forgetting is refused while the coordinator may still send.
 	if err := w.Forget(ctx, 0, fleet.PeerName(4)); err == nil {
 		t.Error("a present coordinator was forgotten")
 	}
--- a/internal/lab/fleet/zones.go
+++ b/internal/lab/fleet/zones.go
@@ -32,8 +32,8 @@
 )
 
 // ZoneWarmupBound returns the number of parts that all coordinators together may send to a returning data node in its first second; see
-// WorkWarmupBound. With verdicts on single data nodes only, and so no paced return of the zone, a data node receives about 47 at 20 queries
-// per second and coordinator.
+// WorkWarmupBound. Without verdicts on zones, and so without a gradual return of the zone, a data node receives about 47 parts at
+// 20 queries per second and coordinator.
 func ZoneWarmupBound() float64 { return warmupBound(ZoneTakes, zoneWarm) }
 
 // ZonesOptions configure Zones.
@@ -125,7 +125,8 @@
 	return z, nil
 }
 
-// add starts a data node and its proxies and lists it in the discovery of each coordinator. A zero started stands for the actual start.
+// add starts a data node and its proxies and lists it in the discovery of each coordinator. If started is
+// zero, discovery lists the time at which the data node actually started.
 func (z *Zones) add(zone, id string, cell int, started time.Time) error {
 	n := &ZoneNode{Node: &datanode.Node{ID: id, Cell: cell, Proto: "frames", Ledger: z.Ledger, Takes: ZoneTakes, Started: started}, Zone: zone}
 	z.mu.Lock()
@@ -228,7 +229,7 @@
 	return views, err
 }
 
-// Learned returns, by data node, whether it is doubtful by the reports that a coordinator has from all coordinators.
+// Learned returns, by data node, whether it is doubtful according to the reports of all coordinators that coordinator i has received.
 func (z *Zones) Learned(ctx context.Context, i int) (doubtful map[string]bool, err error) {
 	ctx, cancel := context.WithDeadline(ctx, time.Now().Add(time.Second))
 	defer cancel()
--- a/internal/lab/load/load.go
+++ b/internal/lab/load/load.go
@@ -140,7 +140,7 @@
 	Doc   string
 }
 
-// answerSlack is the time after its deadline within which an answer still counts, and the time beyond that until the request
+// answerSlack is the time after a query's deadline within which an answer still counts, and the further time until the request
 // is abandoned.
 const answerSlack = time.Second
 
--- a/internal/lab/nameserver/script.go
+++ b/internal/lab/nameserver/script.go
@@ -17,7 +17,8 @@
 //	remove LABEL                     removes the instance
 //	drain LABEL                      adds state=draining to its TXT record
 //	flap LABEL PAUSE                 removes the instance and adds it again after the pause
-//	mute|refuse|servfail|lose|truncate|lie|transfer|bare|nosoa on|off
+//	mute|refuse|servfail|lose|truncate|lie|transfer|bare|nosoa on|off   turns a switch on or off: no answers, REFUSED, SERVFAIL, lame
+//	                                 answers, truncated lists, wrong question, transfers, no additional records, SOA queries refused
 //	serial N                         sets the serial
 //	cut N                            cuts transfers off after N messages; -1 for never
 //
--- a/internal/lab/proxy/packets.go
+++ b/internal/lab/proxy/packets.go
@@ -73,8 +73,8 @@
 // Addr returns the listen address, at which the target is reached through w.
 func (w *Way) Addr() string { return w.addr }
 
-// Set replaces the packet faults. Cut also drops what connections send to the target; cutting the return direction as well
-// takes a Set on the other Way.
+// Set replaces the packet faults. Cut also drops what connections send to the target; to cut the return direction
+// as well, call Set on the other Way.
 func (w *Way) Set(l Loss) error {
 	w.mu.Lock()
 	w.loss = l
--- a/internal/lab/proxy/proxy.go
+++ b/internal/lab/proxy/proxy.go
@@ -1,4 +1,4 @@
-// Package proxy is a fault-injecting proxy between two processes on loopback: as a test sets it, it passes data, delays
+// Package proxy is a fault-injecting proxy between two processes on loopback: as a test selects, it passes data, delays
 // it, drops it in one or both directions, resets connections, or closes them and refuses new ones. It owns its listener
 // and all connections that it has accepted or dialled, and closes them in Close. It listens and dials on loopback only,
 // and never delivers dropped data later.
--- a/internal/lab/swimsim/heartbeat.go
+++ b/internal/lab/swimsim/heartbeat.go
@@ -8,8 +8,8 @@
 // heartbeatSize is the size of a heartbeat packet in bytes.
 const heartbeatSize = 60
 
-// heartbeat is a failure detector that sends a heartbeat to the receivers once a period, and considers a member dead after a fixed time
-// without one.
+// heartbeat is a failure detector that sends a heartbeat to the receivers once a period, and considers a member dead
+// if none has arrived from it for a fixed time.
 type heartbeat struct {
 	self      int
 	receivers int // it sends to the members with a lower index than this
--- a/internal/lab/swimsim/swimsim.go
+++ b/internal/lab/swimsim/swimsim.go
@@ -18,7 +18,7 @@
 	Members int
 	Seed    uint64
 	Swim    swim.Config   // New sets the names, addresses and seeds
-	Detect  string        // "swim", "plain" (swim without local health and a minimum silence level) or "heartbeat" (all to all)
+	Detect  string        // "swim", "plain" (swim without local health, minimum silence level and pause tolerance) or "heartbeat" (all to all)
 	Fixed   time.Duration // heartbeat only: time without a heartbeat after which a member is considered dead
 	// Watchers, if above 0, is the number of members that watch the others by heartbeats. All pairs behave alike, and n*n packets a
 	// period are too many to simulate for thousands of members. The counts then cover these members only.
@@ -85,7 +85,7 @@
 	excluded  map[int]bool // members that are left out of FalseDead
 }
 
-// New starts a fleet whose members use the first two of them as seeds.
+// New starts a fleet. The first two members are the seeds of all members.
 func New(c Config) (*Fleet, error) {
 	if c.Swim.Period == 0 {
 		c.Swim.Period = time.Second
@@ -101,7 +101,7 @@
 	return f, nil
 }
 
-// start starts a member's process with a given process number.
+// start starts a member's process; the process number differs between its restarts.
 func (f *Fleet) start(i int, process uint64) error {
 	n := f.processes[i]
 	if f.config.Detect == "heartbeat" {
@@ -197,8 +197,8 @@
 	}
 }
 
-// countFalseDeaths compares the members that one considers dead with those after its previous step. It skips a swim member whose last step
-// reported no change.
+// countFalseDeaths counts the live members that member i considers dead now but did not after its previous step. It skips a swim member
+// whose last step reported no change.
 func (f *Fleet) countFalseDeaths(i int) {
 	n := f.processes[i]
 	if m, ok := n.detector.(*swimDetector); ok && !m.changed {
@@ -238,7 +238,7 @@
 	return f.start(i, process)
 }
 
-// Cut cuts or restores the link on which from sends to to.
+// Cut cuts or restores the link in the direction from one member to another.
 func (f *Fleet) Cut(from, to int, cut bool) {
 	f.cut[link{from, to}] = cut
 }
