--- a/cmd/gullfall-lab/peers_sizes.go
+++ b/cmd/gullfall-lab/peers_sizes.go
@@ -24,8 +24,8 @@
 	Loss        float64 `json:"loss"`          // share of packets
 	BearS       float64 `json:"bear_s"`        // the longest pause to tolerate, seconds
 	FalseDead   int     `json:"false_dead"`    // running members considered dead
-	DetectP50MS float64 `json:"detect_p50_ms"` // from a crash until half of the members know it
-	DetectAllMS float64 `json:"detect_all_ms"` // and until all know it
+	DetectP50MS float64 `json:"detect_p50_ms"` // from a crash until half of the members know of it
+	DetectAllMS float64 `json:"detect_all_ms"` // from a crash until all members know of it
 	PacketsPerS float64 `json:"packets_per_s"` // sent by each member
 	BytesPerS   float64 `json:"bytes_per_s"`   // sent by each member
 }
--- a/cmd/gullfall-lab/replicate.go
+++ b/cmd/gullfall-lab/replicate.go
@@ -44,7 +44,7 @@
 	BytesPerOp   float64        `json:"bytes_per_operation"` // sent between members
 	Away         []absence      `json:"away,omitempty"`
 	Remembered   int            `json:"remembered,omitempty"`          // data nodes in the cached list
-	P50AnswerMS  float64        `json:"p50_first_answer_ms,omitempty"` // of a coordinator that starts alone with Remembered data nodes
+	P50AnswerMS  float64        `json:"p50_first_answer_ms,omitempty"` // from the start of a coordinator, alone and with Remembered data nodes
 	P99AnswerMS  float64        `json:"p99_first_answer_ms,omitempty"`
 	Seed         uint64         `json:"seed"`
 	LostWrites   []string       `json:"said,omitempty"` // a line for each lost write
@@ -233,7 +233,7 @@
 	return list, nil
 }
 
-// leader returns the store's leader as the first coordinator that answers knows it, or else a random coordinator.
+// leader returns the store's leader according to the first coordinator that knows one, or else a random coordinator.
 func (p *replicateRun) leader(ctx context.Context) int {
 	for i := range p.c.Coordinators {
 		if !p.w.Up(i) {
--- a/cmd/gullfall-lab/work.go
+++ b/cmd/gullfall-lab/work.go
@@ -130,7 +130,7 @@
 	if err != nil {
 		return r, err
 	}
-	time.Sleep(5 * time.Second) // all are present, and the load is steady
+	time.Sleep(5 * time.Second) // until all coordinators are present and the load is steady
 	r.ColdBound = fleet.WorkWarmupBound(workWarm)
 	p := &workRun{c: c, w: w, rng: rand.New(rand.NewPCG(c.Seed, 9)), report: &r}
 	if err := body(ctx, p); err != nil {
--- a/cmd/gullfall-lab/zones.go
+++ b/cmd/gullfall-lab/zones.go
@@ -41,13 +41,13 @@
 type zoneRun struct {
 	Judged        string                 `json:"judged"` // judgedByNode or judgedByZone
 	Coordinators  int                    `json:"coordinators"`
-	LeaveMS       float64                `json:"leave_ms"`        // from the fault's start to the zone's last attempt in it
+	LeaveMS       float64                `json:"leave_ms"`        // from the fault's start to the last attempt sent to the zone during the fault
 	IntoZone      int                    `json:"into_zone"`       // attempts started in the zone during the fault
 	ZoneOut       int                    `json:"zone_out"`        // coordinators that logged "zone out" for the zone
 	Lost          int                    `json:"lost"`            // queries that failed or got no answer
 	Asked         int                    `json:"asked"`           // queries sent
 	Twins         int                    `json:"twins"`           // attempts of one part in flight at the same time
-	FirstSecond   int                    `json:"first_second"`    // most parts at a returning data node in a second from its first
+	FirstSecond   int                    `json:"first_second"`    // most parts at a returning data node in the second after its first part
 	ColdBound     float64                `json:"cold_bound"`      // parts allowed in that second, from all coordinators
 	OverColdBound int                    `json:"over_cold_bound"` // returning data nodes that got more than ColdBound
 	ReturnMS      float64                `json:"return_ms"`       // from the fault's end to four fifths of the steady rate
@@ -67,7 +67,7 @@
 	judgedByZone = "zone"
 )
 
-// Run measures the zone's fault with both ways of judging, or runs the cases, and prints a table.
+// Run measures the zone's fault with data nodes judged separately and with zones judged as a whole, or runs the cases, and prints a table.
 func (z *zonesCmd) Run() error {
 	if z.Cases || z.Case != "" {
 		return z.runCases()
--- a/internal/lab/discovery/discovery.go
+++ b/internal/lab/discovery/discovery.go
@@ -1,5 +1,5 @@
 // Package discovery is a simulated discovery service: it sends the list of data nodes over a watch, in the platform's
-// format, and a blank line as heartbeat every two seconds without a change. Each change has a version of its own. It
+// format, and a blank line as heartbeat after every two seconds without a change. Each change gets a new version. It
 // listens on loopback only.
 package discovery
 
--- a/internal/lab/explore/successors.go
+++ b/internal/lab/explore/successors.go
@@ -120,7 +120,8 @@
 	return r
 }
 
-// recordArrives stores a record that is on its way, whatever the state of its sender, or loses it if the sender is not online.
+// recordArrives adds the arrival of a record that is on its way, whatever the state of its sender, and its loss if the sender is not
+// online.
 func (s *successors) recordArrives(i int) {
 	c := &s.from.coordinators[i]
 	if !c.is(recordPending) {
@@ -211,7 +212,8 @@
 	}
 }
 
-// movesArrive delivers a coordinator's moves to the store, which may reject them, or loses them if the coordinator is not online.
+// movesArrive adds the arrival of a coordinator's moves at the store, which may reject them, and their loss if the coordinator is not
+// online.
 func (s *successors) movesArrive(i int) {
 	c := &s.from.coordinators[i]
 	if c.moves.kind == noWrite {
--- a/internal/lab/fleet/duties_test.go
+++ b/internal/lab/fleet/duties_test.go
@@ -1,6 +1,6 @@
 package fleet_test
 
-// The test runs five gullfall processes whose clocks run fast and slow, and stalls, kills and isolates the holders of duties and has
+// The test runs five gullfall processes whose clocks run fast and slow. It stalls, kills and isolates the holders of duties and makes
 // them hand duties over. `gullfall-lab duties` repeats such faults for longer.
 
 import (
@@ -13,7 +13,7 @@
 	"gullfall/internal/lab/proxy"
 )
 
-// handOn has the holder of a duty hand it over and returns that holder. On a loaded machine the lease may move between finding the
+// handOn makes the holder of a duty hand it over and returns that holder. On a loaded machine the lease may move between finding the
 // holder and asking it; the new holder is then asked.
 func handOn(ctx context.Context, t *testing.T, w *fleet.MaintenanceFleet, holder func(duty string, not int) int, duty string) int {
 	t.Helper()
--- a/internal/lab/fleet/work_test.go
+++ b/internal/lab/fleet/work_test.go
@@ -1,8 +1,8 @@
 package fleet_test
 
 // The test runs five gullfall processes, three voters and two learners of one store, with twelve data nodes in three zones and constant
-// client load. All machines go out for work while holders of the duty are killed, stalled and isolated. `gullfall-lab work` repeats such
-// faults for longer.
+// client load. All machines are taken out for maintenance while holders of the maintenance duty are killed, stalled and
+// isolated. `gullfall-lab work` repeats such faults for longer.
 
 import (
 	"context"
--- a/internal/lab/fleet/zonecases.go
+++ b/internal/lab/fleet/zonecases.go
@@ -213,7 +213,7 @@
 		if err := errors.Join(p.Resume(0), p.Start(ctx, 1)); err != nil {
 			return err
 		}
-		if err := p.waitOut(ctx, "a", 0, 1); err != nil { // each decides from its own observations, also the one that has just started
+		if err := p.waitOut(ctx, "a", 0, 1); err != nil { // each decides from its own observations, also the restarted one
 			return err
 		}
 		return errors.Join(p.Set(proxy.Pass, "a"), p.waitHealthy(ctx, "a", p.all()...))
--- a/internal/lab/linearizability/linearizability_test.go
+++ b/internal/lab/linearizability/linearizability_test.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// TestCheck checks linearizable histories and others. A write without an answer may take effect late or never.
+// TestCheck checks that Check accepts linearizable histories and rejects others, and that LostWrites finds lost writes. A write
+// without an answer may take effect late or never.
 func TestCheck(t *testing.T) {
 	at := func(k Kind, old, value string, done, unknown bool, call, end time.Duration) Op {
 		return Op{Kind: k, Key: "k", Old: old, Value: value, Swapped: done, Unknown: unknown, Call: call, End: end}
--- a/internal/lab/proxy/proxy_test.go
+++ b/internal/lab/proxy/proxy_test.go
@@ -143,7 +143,8 @@
 	}
 }
 
-// Close must close every connection and return within 2 s, after the goroutines of the proxy have ended. The counters stay readable.
+// TestCloseEndsConnectionsAndGoroutines checks that Close closes every connection and returns within 2 s, after the goroutines of the
+// proxy have ended, and that the counters stay readable.
 func TestCloseEndsConnectionsAndGoroutines(t *testing.T) {
 	p, err := Start(startEchoServer(t))
 	if err != nil {
