--- a/cmd/gullfall-lab/zones.go
+++ b/cmd/gullfall-lab/zones.go
@@ -41,7 +41,7 @@
 type zoneRun struct {
 	Judged        string                 `json:"judged"` // judgedByNode or judgedByZone
 	Coordinators  int                    `json:"coordinators"`
-	LeaveMS       float64                `json:"leave_ms"`        // from the fault's start to the last attempt sent to the zone during the fault
+	LeaveMS       float64                `json:"leave_ms"`        // from the fault's start to its last attempt in the zone
 	IntoZone      int                    `json:"into_zone"`       // attempts started in the zone during the fault
 	ZoneOut       int                    `json:"zone_out"`        // coordinators that logged "zone out" for the zone
 	Lost          int                    `json:"lost"`            // queries that failed or got no answer
--- a/internal/lab/datanode/ledger.go
+++ b/internal/lab/datanode/ledger.go
@@ -23,7 +23,7 @@
 	lastStart    map[string]time.Time    // last attempt begun since the removal, by data node
 	startDelay   *hdrhistogram.Histogram // time from a removal to the last attempt begun, in microseconds
 	removals     int
-	restartedAt  map[string]time.Time // restart time, by data node that is warming up
+	restartedAt  map[string]time.Time // restart time, by data node whose last return was a restart
 	warmupStarts int                  // attempts begun in the first second after a restart
 	restarts     int
 }
@@ -82,7 +82,7 @@
 	return len(l.open)
 }
 
-// Done forgets the parts of a query that has its answer; ids are not reused.
+// Done forgets the attempts of the parts of a query that has ended at its client; part ids are not reused.
 func (l *Ledger) Done(parts []string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -101,7 +101,7 @@
 	}
 }
 
-// On records that a data node may get work again.
+// On records that a data node may get work again without a restart.
 func (l *Ledger) On(node string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/lab/fleet/fleet.go
+++ b/internal/lab/fleet/fleet.go
@@ -99,7 +99,7 @@
 	return f, f.startCoordinator(ctx)
 }
 
-// startServers starts the zone's two name servers, with zone transfer only if Options.Transfer is set.
+// startServers starts the DNS zone's two name servers. They allow zone transfers only if Options.Transfer is set.
 func (f *Fleet) startServers() error {
 	for range 2 {
 		s, err := nameserver.Start(f.Zone, nil)
--- a/internal/lab/swimsim/swimsim.go
+++ b/internal/lab/swimsim/swimsim.go
@@ -32,9 +32,9 @@
 // detector is the failure detector of one member.
 type detector interface {
 	step(now time.Duration, events []any) []packet
-	next() time.Duration
-	dead(i int) bool  // whether it considers member i dead
-	alive(i int) bool // whether it considers member i alive or suspect
+	next() time.Duration // when step must be called next, by the member's clock
+	dead(i int) bool     // whether it considers member i dead
+	alive(i int) bool    // whether it considers member i alive or suspect
 }
 
 // packet is a message that a detector sends.
@@ -158,7 +158,7 @@
 			}
 			continue
 		case e.wake && e.at != n.wakeAt:
-			continue // was rescheduled since
+			continue // the step has been rescheduled since
 		}
 		var in []any
 		if _, back := e.body.(resumed); back {
@@ -285,8 +285,8 @@
 	return nil
 }
 
-// Detection crashes a member and returns the times until half, and all, of the live watchers consider it dead. ok is false if that takes
-// longer than longest.
+// Detection crashes a member and returns the times until half, and all, of the live watchers consider it dead. If that takes longer than
+// longest, ok is false and all is longest.
 func (f *Fleet) Detection(i int, longest time.Duration) (half, all time.Duration, ok bool) {
 	f.Crash(i)
 	from, live := f.now, 0
