--- a/internal/lab/fleet/remember.go
+++ b/internal/lab/fleet/remember.go
@@ -36,8 +36,9 @@
 	running   []*Coordinator
 }
 
-// MeasureCachedStart has three coordinators with a store receive a list of total data nodes, ends them and discovery, and then starts one
-// coordinator alone, rounds times. It returns, for each start, the time to the first accepted connection and to the first complete answer.
+// MeasureCachedStart starts three coordinators with a store, which receive a list of total data nodes, ends them and discovery, and then
+// starts one coordinator alone, rounds times. It returns, for each start, the time to the first accepted connection and to the first complete
+// answer.
 func MeasureCachedStart(ctx context.Context, binary string, total, rounds int, seed uint64) (accepts, answers []time.Duration, err error) {
 	f := &recoveryFleet{binary: binary, seed: seed}
 	defer func() { err = errors.Join(err, f.stop()) }()
--- a/internal/lab/load/load.go
+++ b/internal/lab/load/load.go
@@ -30,7 +30,7 @@
 
 // Tally counts the outcomes of a class's queries.
 type Tally struct {
-	// Refused counts the statuses 429 and 503, Failed other errors by status. Lost counts requests that failed, or took longer
+	// Refused counts the statuses 429 and 503, Failed all others except 200. Lost counts requests that failed, or took longer
 	// than the deadline plus answerSlack. Partial and Wrong answers count as Served too.
 	Asked, Served, Partial, Refused, Failed, Lost, Wrong int
 	took                                                 *hdrhistogram.Histogram
