--- a/internal/lab/fleet/remember.go
+++ b/internal/lab/fleet/remember.go
@@ -37,8 +37,8 @@
 }
 
 // MeasureCachedStart starts three coordinators with a store, which receive a list of total data nodes, ends them and discovery, and then
-// starts one coordinator alone, rounds times. It returns, for each start, the time to the first accepted connection and to the first complete
-// answer.
+// starts one coordinator alone, rounds times. It returns, for each start, the time to the first accepted connection and to the first
+// complete answer.
 func MeasureCachedStart(ctx context.Context, binary string, total, rounds int, seed uint64) (accepts, answers []time.Duration, err error) {
 	f := &recoveryFleet{binary: binary, seed: seed}
 	defer func() { err = errors.Join(err, f.stop()) }()
