--- a/cmd/gullfall-lab/duties.go
+++ b/cmd/gullfall-lab/duties.go
@@ -37,7 +37,7 @@
 	Handovers           int            `json:"handovers"`
 	DoubleHolders       int            `json:"double_holders"`        // pairs of holders of a duty at the same time, or under the same token
 	StaleWritesAccepted int            `json:"stale_writes_accepted"` // writes accepted after one with a higher token
-	BoundMS             float64        `json:"bound_ms"`              // longest gap allowed if the quorum is kept and no further election begins
+	BoundMS             float64        `json:"bound_ms"`              // longest gap allowed with a quorum and without further elections
 	WorstGapMS          float64        `json:"worst_gap_ms"`          // longest time without a known holder
 	P50GapMS            float64        `json:"p50_gap_ms"`
 	OverBound           int            `json:"gaps_over_bound"`       // gaps longer than allowed
--- a/cmd/gullfall-lab/peers.go
+++ b/cmd/gullfall-lab/peers.go
@@ -40,7 +40,7 @@
 type peersReport struct {
 	Coordinators int            `json:"coordinators"`
 	Faults       int            `json:"faults"`
-	FalseDead    int            `json:"false_dead"`    // deaths declared in faults to tolerate: pauses up to --bear, loss up to 20%, one-way cuts
+	FalseDead    int            `json:"false_dead"`    // in faults to be tolerated: pauses up to --bear, loss up to 20%, one-way cuts
 	DetectP50MS  float64        `json:"detect_p50_ms"` // from a crash until all coordinators know of it
 	DetectP99MS  float64        `json:"detect_p99_ms"` // the same at the 99th percentile
 	HealP99MS    float64        `json:"heal_p99_ms"`   // from a fault's end until all views are equal
