--- a/internal/lab/fleet/fleet.go
+++ b/internal/lab/fleet/fleet.go
@@ -99,7 +99,7 @@
 	return f, f.startCoordinator(ctx)
 }
 
-// startServers starts the zone's two name servers, with zone transfer only if Options.Transfer is set.
+// startServers starts the DNS zone's two name servers. They allow zone transfers only if Options.Transfer is set.
 func (f *Fleet) startServers() error {
 	for range 2 {
 		s, err := nameserver.Start(f.Zone, nil)
@@ -185,8 +185,8 @@
 	return err
 }
 
-// Settings returns the settings document of the lab's coordinators: two classes, the given numbers of cells, of shards, which two cells
-// each hold, and of coordinators (balancers) that share the fleet.
+// Settings returns the settings document of the lab's coordinators: two classes and the given numbers of cells, of
+// shards (each held by two cells) and of coordinators (balancers) that share the fleet.
 func Settings(cells, shards, balancers int) string {
 	return fmt.Sprintf(`{"TickS":0.005,"Az":"a","Balancers":%d,"Discovery":"automatic",
   "Classes":[{"Name":"lookup","Effect":"safe","AimS":0.5,"HardLimitS":1,"Gain":1},
