--- a/aggregator/idleconn.go
+++ b/aggregator/idleconn.go
@@ -26,8 +26,8 @@
 
 // idleConnEstimate is the estimated idle time after which connections are dead.
 //
-// It handles connections that a firewall or load balancer on the path drops silently. The engineer on call sees resets and
-// timeouts of the first part after a quiet period, on replicas that are healthy. The part after a loss goes on a new
+// It handles connections that a firewall or load balancer on the path drops silently. The symptoms are resets
+// and timeouts of the first part after a quiet period, on replicas that are healthy. The part after a loss goes on a new
 // connection; if that is answered, the idle connection was the cause, and after enough such evidence idle connections are
 // closed before use.
 type idleConnEstimate struct {
@@ -80,8 +80,8 @@
 	conns.lostCallIdle, conns.lastUse = 0, a.now
 }
 
-// recordConnUnanswered records a call without an answer. It counts against dead idle connections if the idle time does not
-// explain it.
+// recordConnUnanswered records a call without an answer. It is evidence against dead idle connections if the idle time does
+// not explain it.
 func (a *Aggregator) recordConnUnanswered(t *attempt) {
 	t.replica.conns.lostCallIdle = t.connIdle
 	if t.newConn || t.connIdle < a.idleTimeout() {
--- a/internal/coordinator/attempt.go
+++ b/internal/coordinator/attempt.go
@@ -41,14 +41,14 @@
 	number       int // index among the attempts of its part, from 0
 	part         *part
 	node         *Node
-	listVersion  uint64 // version of the endpoint list that the module's decision is based on
+	listVersion  uint64 // version of the endpoint list that the decision module used for this attempt
 	sentAt       time.Time
 	cancelReason aggregator.Outcome // Unknown until it is cancelled
 	ended        bool
 	outcome      Outcome
 }
 
-// newAttempt returns the next attempt of a part, with the time limits that the module's action sets.
+// newAttempt returns the next attempt of a part, with the time limits that the decision module's action sets.
 func (c *Coordinator) newAttempt(now time.Time, p *part, n *Node, action aggregator.Action) *Attempt {
 	q := p.query
 	a := &Attempt{ID: p.id, Shard: p.shard, Text: q.Text, IdempotencyKey: q.IdempotencyKey, Deadline: now.Add(action.After),
@@ -83,7 +83,7 @@
 	return 0, true
 }
 
-// moduleOutcomes maps outcomes to those of the module.
+// moduleOutcomes maps outcomes to those of the decision module.
 var moduleOutcomes = map[Outcome]aggregator.Outcome{
 	OK: aggregator.OK, Errored: aggregator.Errored, Overloaded: aggregator.Rejected,
 	NotConnected: aggregator.ConnectFailed, Reset: aggregator.Reset, Cancelled: aggregator.TimedOut,
--- a/internal/kv/compaction.go
+++ b/internal/kv/compaction.go
@@ -43,7 +43,7 @@
 	}
 }
 
-// pace waits until the rate limit permits the bytes that a merge has written since its last call.
+// pace waits until the rate limit permits the bytes that a merge has written since the previous call.
 func (b *background) pace(bytes int64) error {
 	return b.limiter.WaitN(b.ctx, int(min(bytes, mergeBurst)))
 }
@@ -123,7 +123,8 @@
 	return sizes
 }
 
-// createReplacing creates a file that no manifest names, and first removes one that an earlier attempt left behind.
+// createReplacing creates a file that the manifest does not name yet. It first removes one of that name that an earlier attempt left
+// behind.
 func (db *DB) createReplacing(name string) (File, error) {
 	file, err := db.fs.Create(name)
 	if errors.Is(err, fs.ErrExist) {
@@ -152,7 +153,7 @@
 	if closeErr := file.Close(); err == nil {
 		err = closeErr
 	}
-	if err == nil { // the file's name must be durable before a manifest names it
+	if err == nil { // the file must be durable in the directory before a manifest names it
 		err = db.fs.SyncDir()
 	}
 	if err != nil {
@@ -217,7 +218,7 @@
 	return nil
 }
 
-// oldestReadable returns the oldest sequence number as of which a view may read. The caller holds the lock.
+// oldestReadable returns the lowest sequence number as of which a view may read. The caller holds the lock.
 func (db *DB) oldestReadable() uint64 {
 	seq := db.visible
 	for s := range db.snapshots {
