--- a/aggregator/slowstart.go
+++ b/aggregator/slowstart.go
@@ -16,7 +16,8 @@
 	// minWarmupCalls is the number of calls of all aggregators that an overload window must hold for a call to have several
 	// parts: with fewer, the random draws don't even out.
 	minWarmupCalls = 8.0
-	// minWarmupSeconds is the shortest warm-up time, in seconds, by which the capacity ramp is divided.
+	// minWarmupSeconds replaces a shorter warm-up time, in seconds, as the divisor of the time since the start, so that it is
+	// never divided by 0.
 	minWarmupSeconds = 1e-3
 	// maxAccruedWindows is the largest allowance that an aggregator may accrue, in its shares of an overload window.
 	maxAccruedWindows = 2
--- a/internal/lab/fleet/work_hands.go
+++ b/internal/lab/fleet/work_hands.go
@@ -58,7 +58,7 @@
 	})
 }
 
-// settleDuringFault settles a coordinator whose queries are excluded at present.
+// settleDuringFault drops the outcomes of queries of a coordinator that a fault still affects, so that they are not tallied.
 func (w *MaintenanceFleet) settleDuringFault(i int) {
 	w.mu.Lock()
 	recovered := !time.Now().Before(w.excludedUntil[i])
--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -128,9 +128,9 @@
 		{"dns leased, wait, dir serving, dns gone", "gone"},     // a source that answers again owns the data node again
 		{"dns leased, dir serving, wait, expire", "serving"},    // the claim of the other source is left
 		{"dns leased, wait, expire", "gone"},                    // RFC 8767: stale claims are kept for a limited time
-		{"dns leased, wait, expire, dns serving", "serving"},    //
+		{"dns leased, wait, expire, dns serving", "serving"},    // a source that answers again lists the data node again
 		{"dns serving, dns empty, dns cached", "gone"},          // a cached list is ignored once the source has answered
-		{"dns draining, dns gone, dns serving", "serving"},      //
+		{"dns draining, dns gone, dns serving", "serving"},      // the new claim counts, not the one before the removal
 		{"dns serving, dir serving, refused x9", "serving"},     // evidence removes nothing from the list
 		{"refused x9, dns serving, dns gone, answered", "gone"}, // and adds nothing to it
 	} {
@@ -187,28 +187,28 @@
 		steps []step
 		want  string // id, address and start of each data node
 	}{
-		"first list":                         {[]step{list("dns", 1, node("a", "x", -1))}, "a x long ago"},
-		"new in a later list":                {[]step{list("dns", 1, node("a", "x", -1)), list("dns", 20, node("a", "x", -1), node("b", "y", -1))}, "a x long ago, b y 20s"},
-		"moved, stated":                      {[]step{list("dns", 1, node("a", "x", 5)), list("dns", 20, node("a", "y", 5))}, "a y 5s"},
-		"moved, not stated":                  {[]step{list("dns", 1, node("a", "x", -1)), list("dns", 20, node("a", "y", -1))}, "a y 20s"},
-		"replaced":                           {[]step{list("dns", 1, node("a", "x", -1)), list("dns", 20, node("b", "x", -1))}, "b x 20s"},
-		"replaced by a lower id":             {[]step{list("dns", 1, node("b", "x", -1)), list("dns", 20, node("a", "x", -1))}, "a x 20s"},
-		"replaced, both listed":              {[]step{list("dns", 1, node("b", "x", -1)), list("dns", 20, node("a", "x", -1), node("b", "x", -1))}, "a x 20s"},
-		"replaced, stated":                   {[]step{list("dns", 1, node("a", "x", 5)), list("dns", 20, node("b", "x", 15))}, "b x 15s"},
-		"restarted":                          {[]step{list("dns", 1, node("a", "x", 5)), list("dns", 20, node("a", "x", 18))}, "a x 18s"},
-		"start went back":                    {[]step{list("dns", 1, node("a", "x", 15)), list("dns", 20, node("a", "x", 5))}, "a x 20s"},
-		"start went back, repeated":          {[]step{list("dns", 1, node("a", "x", 15)), list("dns", 20, node("a", "x", 5)), list("dns", 30, node("a", "x", 5))}, "a x 20s"},
-		"absent for 1 s":                     {[]step{list("dns", 1, node("a", "x", -1)), list("dns", 20), list("dns", 21, node("a", "x", -1))}, "a x long ago"},
-		"absent for 20 s":                    {[]step{list("dns", 1, node("a", "x", -1)), list("dns", 20), list("dns", 40, node("a", "x", -1))}, "a x 40s"},
-		"absent for 20 s, stated":            {[]step{list("dns", 1, node("a", "x", 5)), list("dns", 20), list("dns", 40, node("a", "x", 5))}, "a x 5s"},
-		"absent, returns at other address":   {[]step{list("dns", 1, node("a", "x", -1)), list("dns", 20), list("dns", 21, node("a", "y", -1))}, "a y 21s"},
-		"connections lost, returns":          {[]step{list("dns", 1, node("a", "x", -1)), {evidence: ConnectionReset, at: 19}, list("dns", 20), list("dns", 21, node("a", "x", -1))}, "a x 21s"},
-		"lost, answered, returns":            {[]step{list("dns", 1, node("a", "x", -1)), {evidence: ConnectionReset, at: 18}, {evidence: Answered, at: 19}, list("dns", 20), list("dns", 21, node("a", "x", -1))}, "a x long ago"},
-		"two sources, one id, two addresses": {[]step{list("dir", 1, node("a", "x", 5)), list("dns", 2, node("a", "y", 5))}, "a y 5s"},
-		"two sources, the other states":      {[]step{list("dir", 1, node("a", "x", 5)), list("dns", 2, node("a", "x", -1))}, "a x 5s"},
-		"two sources, two ids":               {[]step{list("dir", 1, node("a", "x", 5)), list("dns", 2, node("b", "x", -1))}, "b x 5s"},
-		"two ids, the listed one removed":    {[]step{list("dir", 1, node("a", "x", 5)), list("dns", 2, node("b", "x", -1)), list("dns", 3)}, "a x 5s"},
-		"two ids, the alias removed":         {[]step{list("dns", 1, node("b", "x", 5)), list("dir", 2, node("a", "x", 5)), list("dir", 3)}, "b x 5s"},
+		"first list":                                     {[]step{list("dns", 1, node("a", "x", -1))}, "a x long ago"},
+		"new in a later list":                            {[]step{list("dns", 1, node("a", "x", -1)), list("dns", 20, node("a", "x", -1), node("b", "y", -1))}, "a x long ago, b y 20s"},
+		"moved, stated":                                  {[]step{list("dns", 1, node("a", "x", 5)), list("dns", 20, node("a", "y", 5))}, "a y 5s"},
+		"moved, not stated":                              {[]step{list("dns", 1, node("a", "x", -1)), list("dns", 20, node("a", "y", -1))}, "a y 20s"},
+		"replaced":                                       {[]step{list("dns", 1, node("a", "x", -1)), list("dns", 20, node("b", "x", -1))}, "b x 20s"},
+		"replaced by a lower id":                         {[]step{list("dns", 1, node("b", "x", -1)), list("dns", 20, node("a", "x", -1))}, "a x 20s"},
+		"replaced, both listed":                          {[]step{list("dns", 1, node("b", "x", -1)), list("dns", 20, node("a", "x", -1), node("b", "x", -1))}, "a x 20s"},
+		"replaced, stated":                               {[]step{list("dns", 1, node("a", "x", 5)), list("dns", 20, node("b", "x", 15))}, "b x 15s"},
+		"restarted":                                      {[]step{list("dns", 1, node("a", "x", 5)), list("dns", 20, node("a", "x", 18))}, "a x 18s"},
+		"start went back":                                {[]step{list("dns", 1, node("a", "x", 15)), list("dns", 20, node("a", "x", 5))}, "a x 20s"},
+		"start went back, repeated":                      {[]step{list("dns", 1, node("a", "x", 15)), list("dns", 20, node("a", "x", 5)), list("dns", 30, node("a", "x", 5))}, "a x 20s"},
+		"absent for 1 s":                                 {[]step{list("dns", 1, node("a", "x", -1)), list("dns", 20), list("dns", 21, node("a", "x", -1))}, "a x long ago"},
+		"absent for 20 s":                                {[]step{list("dns", 1, node("a", "x", -1)), list("dns", 20), list("dns", 40, node("a", "x", -1))}, "a x 40s"},
+		"absent for 20 s, stated":                        {[]step{list("dns", 1, node("a", "x", 5)), list("dns", 20), list("dns", 40, node("a", "x", 5))}, "a x 5s"},
+		"absent, returns at other address":               {[]step{list("dns", 1, node("a", "x", -1)), list("dns", 20), list("dns", 21, node("a", "y", -1))}, "a y 21s"},
+		"connections lost, returns":                      {[]step{list("dns", 1, node("a", "x", -1)), {evidence: ConnectionReset, at: 19}, list("dns", 20), list("dns", 21, node("a", "x", -1))}, "a x 21s"},
+		"lost, answered, returns":                        {[]step{list("dns", 1, node("a", "x", -1)), {evidence: ConnectionReset, at: 18}, {evidence: Answered, at: 19}, list("dns", 20), list("dns", 21, node("a", "x", -1))}, "a x long ago"},
+		"two sources, one id, two addresses":             {[]step{list("dir", 1, node("a", "x", 5)), list("dns", 2, node("a", "y", 5))}, "a y 5s"},
+		"two sources, only the lower one states a start": {[]step{list("dir", 1, node("a", "x", 5)), list("dns", 2, node("a", "x", -1))}, "a x 5s"},
+		"two sources, two ids":                           {[]step{list("dir", 1, node("a", "x", 5)), list("dns", 2, node("b", "x", -1))}, "b x 5s"},
+		"two ids, the listed one removed":                {[]step{list("dir", 1, node("a", "x", 5)), list("dns", 2, node("b", "x", -1)), list("dns", 3)}, "a x 5s"},
+		"two ids, the alias removed":                     {[]step{list("dns", 1, node("b", "x", 5)), list("dir", 2, node("a", "x", 5)), list("dir", 3)}, "b x 5s"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			s := newHarness(t, Config{})
--- a/internal/platform/scenario_node_test.go
+++ b/internal/platform/scenario_node_test.go
@@ -7,8 +7,8 @@
 
 // nodeScenarios test the protocol to data nodes: what is written to them, what they may send, and broken connections.
 var nodeScenarios = []scenario{
-	// A data node that is sent a keyed part without its key rejects the whole test run. The key is that of the query, regardless
-	// of the query's id; a query of another class has none.
+	// The platform fails the whole test run if a data node is sent a keyed part without its key. Each part carries the key of its
+	// query, also when retried, and regardless of the query's id. A query of a keyed class without a key is rejected with 400.
 	{"a keyed part carries the key of its query", "n1", `
 		c1 send entry q1 2000 0 5c0f6e1a2b3d4c59a8b7c6d5e4f30211
 		n1 expect Q q1.0(k=5c0f6e1a2b3d4c59a8b7c6d5e4f30211)
@@ -100,8 +100,8 @@
 		n1 expect -
 		wait 1s
 		n1 expect end`},
-	// A lost connection must not count as a dead data node: after a second loss the query failed, and all later queries sent their
-	// parts one by one.
+	// A lost connection must not count as a dead data node: it once did, so that after a second loss the query failed, and all
+	// later queries sent their parts one by one.
 	{"lost connections are reopened and their parts retried", "n1", `
 		c1 send query q1 2000 0,2
 		n1 expect Q q1.0,q1.2
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -40,8 +40,8 @@
 	}
 }
 
-// TestSingleMemberWritesLatestValue checks that a single member in memory, as on the platform, accepts values also before it
-// leads, and keeps the latest value of each key.
+// TestSingleMemberWritesLatestValue checks that a single member without a directory, whose log is in memory, accepts values also
+// before it leads, and keeps the latest value of each key.
 func TestSingleMemberWritesLatestValue(t *testing.T) {
 	s := open(t, config.Store{}, "n0")
 	defer s.Close()
@@ -228,13 +228,13 @@
 		wg.Go(func() {
 			for n := 0; n < 15 && ctx.Err() == nil; {
 				s := at(i)
-				one, end := context.WithDeadline(ctx, time.Now().Add(5*time.Second))
-				if s.Sync(one) == nil {
+				callCtx, cancelCall := context.WithDeadline(ctx, time.Now().Add(5*time.Second))
+				if s.Sync(callCtx) == nil {
 					var e statemachine.Entry
 					s.View(func(st *statemachine.State) { e, _ = st.Get("sum") })
 					sum := 0
 					fmt.Sscan(string(e.Value), &sum)
-					r, err := s.Do(one, statemachine.Command{If: []statemachine.Condition{{Key: "sum", Revision: e.Revision}}, Put: []statemachine.Pair{{Key: "sum", Value: fmt.Append(nil, sum+1)}}})
+					r, err := s.Do(callCtx, statemachine.Command{If: []statemachine.Condition{{Key: "sum", Revision: e.Revision}}, Put: []statemachine.Pair{{Key: "sum", Value: fmt.Append(nil, sum+1)}}})
 					switch {
 					case err != nil:
 						unknown.Add(1)
@@ -245,7 +245,7 @@
 				} else {
 					time.Sleep(10 * time.Millisecond)
 				}
-				end()
+				cancelCall()
 			}
 		})
 	}
@@ -314,9 +314,9 @@
 	ln.Close()
 	must(all[2].Change(ctx, MemberChange{AddLearner, "n4", addr}))
 	peers := []config.Peer{{Name: "n4", Addr: addr, Learner: true}}
-	for name, at := range all[1].Status().Addrs {
+	for name, addr := range all[1].Status().Addrs {
 		if name != "n4" {
-			peers = append(peers, config.Peer{Name: name, Addr: at, Learner: all[1].Status().Peers[name] != "voter"})
+			peers = append(peers, config.Peer{Name: name, Addr: addr, Learner: all[1].Status().Peers[name] != "voter"})
 		}
 	}
 	added := open(t, config.Store{Directory: t.TempDir(), Listen: addr, Peer: peers, Heartbeat: config.Span(300 * time.Millisecond)}, "n4")
@@ -369,25 +369,25 @@
 	}
 	put(8, []byte("first"))
 	closeLearner()
-	put(300, []byte("second"))  // more than minTrailing
-	time.Sleep(6 * time.Second) // by then the raft library pauses 5 s between its own attempts
+	put(300, []byte("second"))  // more than minTrailing, so they are retained only because they are short
+	time.Sleep(6 * time.Second) // by then the raft library alone would wait 5 s between attempts to send entries; retryingTransport must not
 	reopened := time.Now()
 	reopen(3)
 	waitForValue(t, all[3], "k7", "second")
 	if took := time.Since(reopened); took > 3*time.Second {
-		t.Errorf("caught up with 300 entries within %v", took)
+		t.Errorf("took %v to catch up with 300 entries, want at most 3s", took)
 	}
 	if strings.Contains(lines.String(), "sends a snapshot") {
 		t.Error("a member that missed 300 short entries was sent a snapshot")
 	}
-	at := closeLearner()
+	lastIndex := closeLearner()
 	long := bytes.Repeat([]byte("x"), 300_000)
 	put(64, long)
 	for ctx.Err() == nil { // until no member retains the entries that the learner misses
 		kept := false
 		for _, s := range all[:3] {
 			first, _ := s.raftLog.FirstIndex()
-			kept = kept || first <= at+1
+			kept = kept || first <= lastIndex+1
 		}
 		if !kept {
 			break
@@ -407,7 +407,8 @@
 	if !strings.Contains(lines.String(), "sends a snapshot") || ctx.Err() != nil {
 		t.Fatalf("no snapshot was sent, or it did not arrive: %v", ctx.Err())
 	}
-	// Eight values of 300,000 bytes are 3.2 MB when encoded; the limiter lets one part pass at once.
+	// Eight values of 300,000 bytes are 3.2 MB when encoded; the limiter passes one chunk of defaultPartSize bytes without
+	// delay.
 	if least := time.Duration(3_200_000-defaultPartSize) * time.Second / pace; took < least {
 		t.Errorf("caught up within %v, faster than the %v that the rate allows", took, least)
 	}
@@ -506,9 +507,9 @@
 			for range 40 {
 				wg.Go(func() {
 					for working.Err() == nil {
-						one, end := context.WithDeadline(working, time.Now().Add(2*time.Second))
-						s.Do(one, statemachine.Command{Put: []statemachine.Pair{{Key: "k", Value: []byte("v")}}})
-						end()
+						callCtx, cancelCall := context.WithDeadline(working, time.Now().Add(2*time.Second))
+						s.Do(callCtx, statemachine.Command{Put: []statemachine.Pair{{Key: "k", Value: []byte("v")}}})
+						cancelCall()
 					}
 				})
 			}
--- a/internal/swim/links.go
+++ b/internal/swim/links.go
@@ -44,7 +44,7 @@
 	return l != nil && l.Cut && s.now-l.receivedAt < s.linkLifetime()
 }
 
-// reportCut reports a link as cut after CutAfter consecutive missed direct acks of a member that is known to be up.
+// reportCut reports a link as cut after CutAfter consecutive missed direct acks of an alive or suspect member.
 func (s *Swim) reportCut(m *member) {
 	if m.missedAcks < s.cfg.CutAfter || !aliveOrSuspect(m) {
 		return
