--- a/internal/lab/fleet/coordinator.go
+++ b/internal/lab/fleet/coordinator.go
@@ -61,7 +61,7 @@
 	c.cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL} // if the lab is killed, the process ends with it
 	if err := c.cmd.Start(); err != nil {
 		c.cmd = nil
-		return c, fmt.Errorf("starting %s: %w; build it first with go build -o bin/ ./cmd/...", binary, err)
+		return c, fmt.Errorf("starting %s: %w; build it by go build -o bin/ ./cmd/... first", binary, err)
 	}
 	go func() {
 		defer close(c.ended)
